--- a/internal/part/part.go
+++ b/internal/part/part.go
@@ -74,6 +74,7 @@
 	sessions map[string]*workers.Session
 	health   map[string]*fleet.Health
 	came     map[string][2]uint64 // machine to session and number of its newest report here
+	visits   map[string]visit     // machine to its last report here that may be an old one
 
 	// What changed since a pass last looked at it.
 	touched map[string]bool // machines to review
@@ -94,7 +95,7 @@
 
 // New makes the part of an owner over a book.
 func New(b *book.Book, env Env) *Part {
-	return &Part{Book: b, Env: env, Reconciling: reconcile.New(env.Cluster.Workers.ReportS, env.Log), sessions: map[string]*workers.Session{}, health: map[string]*fleet.Health{}, came: map[string][2]uint64{},
+	return &Part{Book: b, Env: env, Reconciling: reconcile.New(env.Cluster.Workers.ReportS, env.Log), sessions: map[string]*workers.Session{}, health: map[string]*fleet.Health{}, came: map[string][2]uint64{}, visits: map[string]visit{},
 		touched: map[string]bool{}, revisit: map[string]bool{}, held: map[string]bool{}, vanished: map[string]bool{}}
 }
 
@@ -106,6 +107,7 @@
 
 // StoodStill discounts time in which this node did not listen.
 func (pt *Part) StoodStill(gap time.Duration) {
+	clear(pt.visits)
 	for _, s := range pt.sessions {
 		s.StoodStill(gap)
 	}
@@ -114,6 +116,7 @@
 // NewView begins every session anew under the view's epoch, and ends those of
 // machines that are another owner's now.
 func (pt *Part) NewView() {
+	clear(pt.visits)
 	for host, s := range pt.sessions {
 		if pt.OwnerOf(host) != pt.Me {
 			delete(pt.sessions, host)
@@ -148,6 +151,7 @@
 	q, err := fleet.DecodeQuiet(value, pt.Quiet[owner], pt.Now)
 	if err == nil {
 		pt.Quiet[owner] = q
+		pt.believe(owner)
 	}
 	return err
 }
@@ -157,6 +161,7 @@
 func (pt *Part) HostGone(host string) {
 	delete(pt.health, host)
 	delete(pt.came, host)
+	delete(pt.visits, host)
 	delete(pt.sessions, host)
 	pt.Reconciling.Lost(host)
 }
--- a/internal/part/review.go
+++ b/internal/part/review.go
@@ -50,7 +50,7 @@
 	if owner != pt.Me {
 		pt.Reconciling.SentOn(owner)
 		if news {
-			pt.Complain(owner, r.Host, true)
+			pt.cameHere(owner, &r)
 		}
 		respond(misdirected(owner))
 		return
