--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -73,7 +73,7 @@
 
 // script is a scenario under way.
 type script struct {
-	t    *testing.T
+	t    testing.TB
 	line string
 	w    *standin.World
 	set  settings.Settings
@@ -95,6 +95,11 @@
 // run plays a scenario. committed, if given, is told of each write of a
 // transaction.
 func run(t *testing.T, file string, packs settings.Packs, committed func(key string, v json.RawMessage)) {
+	runTelling(t, file, packs, committed, nil)
+}
+
+// runTelling is run with messages, if given, told of each message of the controllers.
+func runTelling(t testing.TB, file string, packs settings.Packs, committed func(key string, v json.RawMessage), messages func(standin.Message)) {
 	f, err := os.Open(file)
 	if err != nil {
 		t.Fatal(err)
@@ -105,7 +110,7 @@
 		log = slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	}
 	s := &script{t: t, size: 3, vars: map[string]string{}, applied: map[string]int{}, w: standin.NewWorld(7, log)}
-	s.w.Store.Committed = committed
+	s.w.Store.Committed, s.w.Messages = committed, messages
 	s.w.WatchTasks()
 	s.set = baseSettings(s.w)
 	s.set.Operator.Packs = packs
--- /dev/null
+++ b/internal/standin/messages.go
@@ -0,0 +1,47 @@
+package standin
+
+import "time"
+
+// MessageKind is which way a message passes a controller's border.
+type MessageKind string
+
+// What a controller sends and what comes to it.
+const (
+	Asks    MessageKind = "asks"    // its request to the state service, the cloud or a machine
+	Told    MessageKind = "told"    // the answer to that, or why there is none
+	Asked   MessageKind = "asked"   // a user's or a machine's request to it
+	Answers MessageKind = "answers" // its answer to that
+	Says    MessageKind = "says"    // its line to another controller
+	Hears   MessageKind = "hears"   // another's line to it
+	Ended   MessageKind = "ended"   // its connection to another ended, or was refused
+)
+
+// Message is one thing that passes between a controller and what is around it, when the
+// controller sends it or has it: one that is lost on the way is only sent.
+type Message struct {
+	At         time.Duration // since the world's start
+	Node       string        // the controller
+	Kind       MessageKind
+	Number     int    // an answer has that of its request; others are counted by the world
+	Party      string // "state", "watch", "cloud", a machine's address or a controller; "" with Asked, Answers and Hears
+	Method     string
+	Target     string
+	Timeout    time.Duration // of Asks
+	Status     int
+	RetryAfter int
+	Body       []byte // not to be kept or changed
+	Err        error  // of Told, if there is no answer
+}
+
+// tell tells World.Messages of a message and gives back its number.
+func (c *Node) tell(m Message) int {
+	if m.Number == 0 {
+		c.w.messages++
+		m.Number = c.w.messages
+	}
+	if c.w.Messages != nil {
+		m.At, m.Node = c.w.At(), c.Name
+		c.w.Messages(m)
+	}
+	return m.Number
+}
--- a/internal/standin/nodes.go
+++ b/internal/standin/nodes.go
@@ -107,27 +107,35 @@
 			}
 		})
 	}
-	back := func(done func(int, []byte, error)) func(int, []byte, error) {
-		return func(status int, body []byte, err error) { guard(func() { done(status, body, err) }) }
+	// asks notes a request, and gives back what takes its answer.
+	asks := func(party, method, target string, body []byte, timeout time.Duration, done func(int, []byte, error)) func(int, []byte, error) {
+		number := c.tell(Message{Kind: Asks, Party: party, Method: method, Target: target, Body: body, Timeout: timeout})
+		return func(status int, answer []byte, err error) {
+			guard(func() {
+				c.tell(Message{Kind: Told, Number: number, Party: party, Method: method, Target: target, Status: status, Body: answer, Err: err})
+				done(status, answer, err)
+			})
+		}
 	}
 	state := c.w.Store.Call(c.Name)
 	cloud := c.w.Cloud.Call(c.Name)
 	worker := c.w.Call(c.Name)
 	out := node.Outside{
 		State: func(m, t string, b []byte, d time.Duration, done func(int, []byte, error)) {
-			state(m, t, b, d, back(done))
+			state(m, t, b, d, asks("state", m, t, b, d, done))
 		},
 		Watch: func(m, t string, b []byte, d time.Duration, done func(int, []byte, error)) {
-			state(m, t, b, d, back(done))
+			state(m, t, b, d, asks("watch", m, t, b, d, done))
 		},
 		Cloud: func(m, t string, b []byte, d time.Duration, done func(int, []byte, error)) {
-			cloud(m, t, b, d, back(done))
+			cloud(m, t, b, d, asks("cloud", m, t, b, d, done))
 		},
 		Worker: func(e, m, t string, b []byte, d time.Duration, done func(int, []byte, error)) {
-			worker(e, m, t, b, d, back(done))
+			worker(e, m, t, b, d, asks(e, m, t, b, d, done))
 		},
 		WallMs: func() int64 { return c.w.Now.Add(c.w.ClockOff[c.Name]).UnixMilli() },
 		Hint: func(peer string, line []byte) {
+			c.tell(Message{Kind: Says, Party: peer, Body: line})
 			if c.w.refuses(c.Name, peer) {
 				c.w.After(c.w.latency(), func() { c.peerEnded(peer) })
 				return
@@ -147,7 +155,10 @@
 				}
 				p.when(func() {
 					if p.alive {
-						p.n.Run(c.w.Now, func() { p.n.Line(line) })
+						p.n.Run(c.w.Now, func() {
+							p.tell(Message{Kind: Hears, Body: line})
+							p.n.Line(line)
+						})
 						p.arm()
 					}
 				})
@@ -236,7 +247,10 @@
 func (c *Node) peerEnded(peer string) {
 	c.when(func() {
 		if c.alive {
-			c.n.Run(c.w.Now, func() { c.n.PeerEnded(peer) })
+			c.n.Run(c.w.Now, func() {
+				c.tell(Message{Kind: Ended, Party: peer})
+				c.n.PeerEnded(peer)
+			})
 			c.arm()
 		}
 	})
@@ -295,8 +309,10 @@
 func (c *Node) take(method, target string, body []byte, answer func(int, []byte)) {
 	gen := c.gen
 	c.n.Run(c.w.Now, func() {
+		number := c.tell(Message{Kind: Asked, Method: method, Target: target, Body: body})
 		c.n.Request(&wire.Message{Method: method, Target: target, Body: body}, func(r wire.Reply) {
 			if c.alive && c.gen == gen {
+				c.tell(Message{Kind: Answers, Number: number, Method: method, Target: target, Status: r.Status, RetryAfter: r.RetryAfter, Body: r.Body})
 				answer(r.Status, r.Body)
 			}
 		})
--- a/internal/standin/world.go
+++ b/internal/standin/world.go
@@ -77,6 +77,9 @@
 
 	ClockOff map[string]time.Duration // of controllers' time of day
 	Launched func(piece string)       // told of each launch, if set
+	// Messages, if set, is told of all that the controllers send and have, in order.
+	Messages func(Message)
+	messages int // counted so far
 }
 
 // Real carries what the world otherwise does by itself over sockets.
