--- /dev/null
+++ b/internal/store/golden_test.go
@@ -0,0 +1,107 @@
+package store
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"reflect"
+	"testing"
+	"time"
+
+	"github.com/harrierreel/harrierreel/internal/goldentest"
+)
+
+var (
+	goldenItem   = Item{Key: "job/wk-1", Value: json.RawMessage(`{"a":1}`), Stamp: 17, Hold: 5}
+	goldenEvents = []Event{{Put: "job/wk-1", Remove: "job/wk-2", Value: json.RawMessage(`{"a":1}`), Stamp: 18}}
+	goldenTxn    = Txn{
+		If: []Cond{{Key: "view", Stamp: 3}},
+		Writes: []Write{
+			{Put: "member/a", Remove: "member/b", Value: json.RawMessage(`{"b":2}`), Hold: 9},
+			{Put: "quiet/a", Value: json.RawMessage(`["h"]`)},
+			{Remove: "quiet/b"},
+		},
+		body: []byte("as sent"), // not part of its JSON
+	}
+)
+
+func TestGoldenForms(t *testing.T) {
+	goldentest.Filled(t, goldenItem)
+	goldentest.JSON(t, "item.json", goldenItem)
+	goldentest.JSON(t, "item-least.json", Item{Key: "view", Value: json.RawMessage(`1`)})
+
+	goldentest.Filled(t, goldenTxn)
+	goldentest.JSON(t, "txn.json", goldenTxn)
+	goldentest.JSON(t, "txn-least.json", Txn{If: []Cond{{}}, Writes: []Write{{}}})
+
+	page := Page{Rows: []Item{goldenItem}, HasNext: true, Epoch: 40}
+	goldentest.Filled(t, page)
+	goldentest.JSON(t, "page.json", page)
+	goldentest.JSON(t, "page-least.json", Page{Rows: []Item{}})
+
+	followed := Followed{Epoch: 42, Events: goldenEvents}
+	goldentest.Filled(t, followed)
+	goldentest.JSON(t, "followed.json", followed)
+	goldentest.JSON(t, "followed-least.json", Followed{Events: []Event{}})
+}
+
+// goldenClient sends nothing: it writes calls down and answers with a file.
+func goldenClient(t *testing.T, status int, answer []byte) (*Client, *bytes.Buffer) {
+	t.Helper()
+	var sent bytes.Buffer
+	call := func(method, target string, body []byte, _ time.Duration, done func(int, []byte, error)) {
+		fmt.Fprintf(&sent, "%s %s %s\n", method, target, body)
+		done(status, answer, nil)
+	}
+	c := New(call, call)
+	c.FollowHold = 1500 * time.Millisecond
+	c.SetBudget(1000, 1000, 1000)
+	c.Pump(time.Unix(0, 0))
+	return c, &sent
+}
+
+func TestGoldenRequests(t *testing.T) {
+	c, sent := goldenClient(t, 503, nil)
+	c.Get(Decision, "job/wk-1", nil, func(*Item, error) {})
+	c.Epoch(Decision, func(uint64, error) {})
+	c.List(Decision, "job/", "", func(Page, error) {})
+	c.List(Decision, "job/", "job/wk-1 &", func(Page, error) {})
+	c.Multi(Decision, Txn{If: goldenTxn.If, Writes: goldenTxn.Writes}, func(uint64, []string, error) {})
+	c.Multi(Decision, Txn{}, func(uint64, []string, error) {})
+	c.Grant(2500*time.Millisecond, func(uint64, error) {})
+	c.Renew(77, func(error) {})
+	c.Follow(42, func(uint64, []Event, error) {})
+	goldentest.Bytes(t, "requests.txt", sent.Bytes())
+}
+
+// TestGoldenAnswers reads answers, of which some have no type of their own, from files
+// that no run writes.
+func TestGoldenAnswers(t *testing.T) {
+	check := func(name string, got, want any, err, wantErr error) {
+		t.Helper()
+		if !reflect.DeepEqual(got, want) || !errors.Is(err, wantErr) {
+			t.Errorf("%s: read %+v, %v; want %+v, %v", name, got, err, want, wantErr)
+		}
+	}
+	c, _ := goldenClient(t, 200, goldentest.Read(t, "item.json"))
+	c.Get(Decision, "job/wk-1", nil, func(it *Item, err error) { check("item", it, &goldenItem, err, nil) })
+	c, _ = goldenClient(t, 200, goldentest.Read(t, "page.json"))
+	c.List(Decision, "job/", "", func(p Page, err error) {
+		check("page", p, Page{Rows: []Item{goldenItem}, HasNext: true, Epoch: 40}, err, nil)
+	})
+	c, _ = goldenClient(t, 200, goldentest.Read(t, "followed.json"))
+	c.Follow(41, func(epoch uint64, events []Event, err error) {
+		check("epoch followed", epoch, uint64(42), err, nil)
+		check("events followed", events, goldenEvents, err, nil)
+	})
+	c, _ = goldenClient(t, 409, goldentest.Read(t, "answer-multi.json"))
+	c.Multi(Decision, Txn{}, func(epoch uint64, failed []string, err error) {
+		check("epoch of a transaction", epoch, uint64(41), err, ErrConflict)
+		check("keys of a transaction", failed, []string{"host/a", "job/wk-1"}, err, ErrConflict)
+	})
+	c, _ = goldenClient(t, 200, goldentest.Read(t, "answer-grant.json"))
+	c.Grant(time.Second, func(hold uint64, err error) { check("lease", hold, uint64(77), err, nil) })
+	c, _ = goldenClient(t, 404, goldentest.Read(t, "answer-epoch.json"))
+	c.Epoch(Decision, func(epoch uint64, err error) { check("epoch", epoch, uint64(43), err, nil) })
+}
