--- /dev/null
+++ b/internal/fleet/golden_test.go
@@ -0,0 +1,61 @@
+package fleet
+
+import (
+	"encoding/json"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/harrierreel/harrierreel/internal/goldentest"
+)
+
+func TestGoldenHost(t *testing.T) {
+	full := Host{State: Deleting, Endpoint: "10.0.0.1:900", Build: "g2", Site: "z-b", Loaner: true, Claim: "wk-000412", Why: "not needed", SinceMs: 1700000000001}
+	goldentest.Filled(t, full)
+	for name, h := range map[string]Host{"host.json": full, "host-least.json": {State: Up}} {
+		goldentest.JSON(t, name, h)
+		if back, err := Decode(goldentest.Read(t, name)); err != nil || *back != h {
+			t.Errorf("%s: read %+v, %v", name, back, err)
+		}
+	}
+}
+
+func TestGoldenClaims(t *testing.T) {
+	full := Claims{"wk-1": {"m-1", "m-2"}, "wk-2": {"m-3"}}
+	goldentest.Filled(t, full)
+	for name, c := range map[string]Claims{"claims.json": full, "claims-least.json": {}} {
+		goldentest.JSON(t, name, c)
+		if back, err := DecodeClaims(goldentest.Read(t, name)); err != nil || !reflect.DeepEqual(back, c) {
+			t.Errorf("%s: read %+v, %v", name, back, err)
+		}
+	}
+}
+
+// TestGoldenQuiet: the list is written as entries and read as a Quiet.
+func TestGoldenQuiet(t *testing.T) {
+	now := time.Unix(1700000000, 0)
+	entries := []string{QuietEntry("m-1", false), QuietEntry("m-2", true)}
+	want := Quiet{"m-1": {Since: now}, "m-2": {Since: now, Mute: true}}
+	goldentest.JSON(t, "quiet.json", entries)
+	back, err := DecodeQuiet(goldentest.Read(t, "quiet.json"), nil, now)
+	if err != nil || !reflect.DeepEqual(back, want) {
+		t.Errorf("read %+v, %v", back, err)
+	}
+	b, err := json.Marshal([]string{QuietEntry("m-1", back["m-1"].Mute), QuietEntry("m-2", back["m-2"].Mute)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	goldentest.Bytes(t, "quiet.json", b)
+	// With no machine to name, a list that was never made is written.
+	goldentest.JSON(t, "quiet-least.json", []string(nil))
+	if back, err := DecodeQuiet(goldentest.Read(t, "quiet-least.json"), nil, now); err != nil || len(back) != 0 {
+		t.Errorf("read %+v, %v", back, err)
+	}
+}
+
+func TestGoldenWords(t *testing.T) {
+	words := []string{HostPrefix, ClaimsKey, QuietPrefix, string(Up), string(Silent), string(Warned), string(Faulty), string(Deleting), string(Deleted),
+		Group{Build: "g2"}.String(), Group{Build: "g2", Loaner: true}.String()} // groups name histories in the scaler's summary
+	goldentest.Bytes(t, "words.txt", []byte(strings.Join(words, "\n")+"\n"))
+}
--- /dev/null
+++ b/internal/members/golden_test.go
@@ -0,0 +1,39 @@
+package members
+
+import (
+	"encoding/json"
+	"reflect"
+	"strings"
+	"testing"
+
+	"github.com/harrierreel/harrierreel/internal/goldentest"
+)
+
+func TestGoldenView(t *testing.T) {
+	full := View{Leader: "ctl-a", Members: []Member{{Name: "ctl-a", Inc: 11}, {Name: "ctl-b", Inc: 12}}, Epoch: 5}
+	goldentest.Filled(t, full)
+	for name, v := range map[string]View{"view.json": full, "view-least.json": {Epoch: 1}} {
+		goldentest.JSON(t, name, v)
+		back, ok := Decode(goldentest.Read(t, name))
+		if !ok || !reflect.DeepEqual(*back, v) {
+			t.Errorf("%s: read %+v, %v", name, back, ok)
+			continue
+		}
+		b, err := json.Marshal(back)
+		if err != nil {
+			t.Fatal(err)
+		}
+		goldentest.Bytes(t, name, b)
+	}
+}
+
+func TestGoldenForms(t *testing.T) {
+	full := Forms{Inc: 11, Pack: 1, Calls: true}
+	goldentest.Filled(t, full)
+	goldentest.JSON(t, "form.json", full)
+	goldentest.JSON(t, "form-least.json", Forms{})
+}
+
+func TestGoldenKeys(t *testing.T) {
+	goldentest.Bytes(t, "keys.txt", []byte(strings.Join([]string{ViewKey, MemberPrefix, FormPrefix}, "\n")+"\n"))
+}
