--- /dev/null
+++ b/internal/pipelines/golden_test.go
@@ -0,0 +1,71 @@
+package pipelines
+
+import (
+	"encoding/json"
+	"reflect"
+	"strings"
+	"testing"
+
+	"github.com/harrierreel/harrierreel/internal/goldentest"
+)
+
+// goldenRecord has a step in each state and with each cause.
+func goldenRecord(doc string) Record {
+	r := Record{State: RunFailed, AtMs: 1700000000001, EndMs: 1700000900000, Sum: Sum([]byte(doc)), Salt: "0123456789abcdef", Doc: []byte(doc),
+		Steps: []StepRun{{State: Failed, Repeat: 3, Why: TimedOut, AtMs: 1700000000010, EndMs: 1700000000500, DoubtMs: 1700000000020}}}
+	for _, s := range stepStates {
+		r.Steps = append(r.Steps, StepRun{State: s})
+	}
+	for i, w := range whys {
+		r.Steps = append(r.Steps, StepRun{State: Failed, Why: w, AtMs: 1700000001000 + int64(i)})
+	}
+	return r
+}
+
+func TestGoldenRun(t *testing.T) {
+	const short = `{"name":"p","owner":"vision"}`
+	long := `{"name":"p","owner":"vision","steps":[` + strings.Repeat(`{"name":"a","bundle":"b"},`, 40) + `{}]}`
+	full := goldenRecord(long)
+	least := Record{State: RunLive, Doc: []byte(`{}`)}
+	goldentest.Filled(t, full, "docPack") // docPack is made by Encode
+	for name, r := range map[string]Record{"run.json": full, "run-plain.json": goldenRecord(short), "run-least.json": least} {
+		want := r
+		goldentest.Bytes(t, name, r.Encode())
+		stands := goldentest.Read(t, name)
+		back, err := Decode(stands)
+		if err != nil {
+			t.Errorf("%s: %v", name, err)
+			continue
+		}
+		again := *back
+		goldentest.Bytes(t, name, again.Encode())
+		back.docPack = nil // packed anew
+		if !reflect.DeepEqual(*back, want) {
+			t.Errorf("%s: read %+v, want %+v", name, *back, want)
+		}
+		goldentest.Bytes(t, name, back.Encode())
+
+		var s stored
+		if err := json.Unmarshal(stands, &s); err != nil {
+			t.Fatal(err)
+		}
+		goldentest.JSON(t, name, s)
+		if name == "run.json" {
+			goldentest.Filled(t, s)
+		}
+	}
+}
+
+func TestGoldenWords(t *testing.T) {
+	words := []string{RunPrefix, RanPrefix, UID("run-1", "0123456789abcdef", "a[x=1]", 2), Sum([]byte(`{}`))}
+	for _, s := range []RunState{RunLive, RunCancelling, RunSucceeded, RunFailed, RunCancelled} {
+		words = append(words, string(s))
+	}
+	for _, s := range stepStates {
+		words = append(words, string(s))
+	}
+	for _, w := range whys {
+		words = append(words, string(w))
+	}
+	goldentest.Bytes(t, "words.txt", []byte(strings.Join(words, "\n")+"\n"))
+}
--- /dev/null
+++ b/internal/quota/golden_test.go
@@ -0,0 +1,41 @@
+package quota
+
+import (
+	"reflect"
+	"testing"
+
+	"github.com/harrierreel/harrierreel/internal/goldentest"
+)
+
+func goldenDocument() Document {
+	grace, weight, yes := 30.5, 2.5, true
+	bounds := func(by float64) *Bounds { return &Bounds{Cores: by + 0.5, Accelerators: by + 1, MemoryGB: by + 2} }
+	teams := []OfTeam{{Name: "vision", Weight: &weight, Borrow: &yes, Lend: &yes, Classes: []OfClass{
+		{Name: "train", Weight: &weight, Borrow: &yes, Lend: &yes, Guarantee: bounds(10), Limit: bounds(20)},
+	}}}
+	return Document{
+		GraceS: &grace,
+		Organisations: []Org{{
+			Name: "research", Weight: &weight, Borrow: &yes, Lend: &yes, Guarantee: bounds(100), Limit: bounds(200),
+			Organisations: []Org{{Name: "labs", Teams: []OfTeam{{Name: "speech"}}}}, Teams: teams,
+		}},
+		Teams: teams,
+	}
+}
+
+func TestGoldenStored(t *testing.T) {
+	full := NewStored(3, 1700000000001, goldenDocument())
+	goldentest.Filled(t, full)
+	no, none := false, 0.0
+	for name, s := range map[string]Stored{
+		"quota.json":       full,
+		"quota-least.json": NewStored(0, 0, Document{}),
+		"quota-zeros.json": NewStored(1, 0, Document{GraceS: &none, Organisations: []Org{{Weight: &none, Borrow: &no, Lend: &no, Guarantee: &Bounds{}}}}),
+	} {
+		goldentest.JSON(t, name, s)
+		if back, err := Decode(goldentest.Read(t, name)); err != nil || !reflect.DeepEqual(*back, s) {
+			t.Errorf("%s: read %+v, %v", name, back, err)
+		}
+	}
+	goldentest.Bytes(t, "keys.txt", []byte(StoreKey+"\n"))
+}
