--- /dev/null
+++ b/internal/snapshot/golden_test.go
@@ -0,0 +1,118 @@
+package snapshot
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"github.com/harrierreel/harrierreel/internal/goldentest"
+	"github.com/harrierreel/harrierreel/internal/store"
+)
+
+type goldenBlock struct {
+	kind  kind
+	value any
+}
+
+func goldenBlocks() []goldenBlock {
+	return []goldenBlock{
+		{head, begin{Since: 40, AtMs: 1700000000001}},
+		{rows, listing{Rows: []store.Item{{Key: "job/wk-1", Value: json.RawMessage(`{"a":1}`), Stamp: 17, Hold: 5}}, More: true}},
+		{rows, listing{}},
+		{events, changes{To: 41, Events: []store.Event{{Put: "job/wk-2", Value: json.RawMessage(`{"b":2}`), Stamp: 41}}}},
+		{events, changes{To: 42, Events: []store.Event{{Remove: "job/wk-1", Stamp: 42}}}},
+		{end, finish{Epoch: 42, Blocks: 5}},
+	}
+}
+
+// written is a file of some blocks.
+func written(t *testing.T, blocks []goldenBlock) []byte {
+	t.Helper()
+	out := bytes.NewBufferString(magic)
+	w := &writer{w: out}
+	for _, b := range blocks {
+		if err := w.block(b.kind, b.value); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return out.Bytes()
+}
+
+// blocksOf reads the blocks of a file, and what they are unpacked, a line each.
+func blocksOf(t *testing.T, file []byte) (blocks []goldenBlock, unpacked []byte) {
+	t.Helper()
+	r, err := newReader(bytes.NewReader(file))
+	if err != nil {
+		t.Fatal(err)
+	}
+	types := map[kind]any{head: &begin{}, rows: &listing{}, events: &changes{}, end: &finish{}}
+	for {
+		k, b, err := r.block()
+		if errors.Is(err, io.EOF) {
+			return blocks, unpacked
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+		v := reflect.New(reflect.TypeOf(types[k]).Elem())
+		if err := json.Unmarshal(b, v.Interface()); err != nil {
+			t.Fatal(err)
+		}
+		blocks = append(blocks, goldenBlock{k, v.Elem().Interface()})
+		unpacked = fmt.Appendf(unpacked, "%c %s\n", k, b)
+	}
+}
+
+func TestGoldenBlocks(t *testing.T) {
+	blocks := goldenBlocks()
+	for _, b := range blocks[:2] {
+		goldentest.Filled(t, b.value)
+	}
+	goldentest.Filled(t, changes{To: 1, Events: []store.Event{{Put: "a", Remove: "b", Value: json.RawMessage(`1`), Stamp: 1}}})
+	goldentest.Filled(t, blocks[len(blocks)-1].value)
+
+	goldentest.Bytes(t, "blocks.bin", written(t, blocks))
+	stands := goldentest.Read(t, "blocks.bin")
+	back, unpacked := blocksOf(t, stands)
+	goldentest.Bytes(t, "blocks.txt", unpacked)
+	goldentest.Bytes(t, "blocks.bin", written(t, back))
+
+	s, err := Read(bytes.NewReader(stands))
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := &State{Epoch: 42, AtMs: 1700000000001, Items: map[string]store.Item{"job/wk-2": {Key: "job/wk-2", Value: json.RawMessage(`{"b":2}`), Stamp: 41}}}
+	if !reflect.DeepEqual(s, want) {
+		t.Errorf("read %+v, want %+v", s, want)
+	}
+}
+
+// TestGoldenFile holds a whole file as it is taken of a service that changes meanwhile.
+func TestGoldenFile(t *testing.T) {
+	file := filepath.Join(t.TempDir(), "state")
+	if _, err := Take(running(), file, time.UnixMilli(1700000000001), nil); err != nil {
+		t.Fatal(err)
+	}
+	b, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	goldentest.Bytes(t, "state.bin", b)
+	back, unpacked := blocksOf(t, goldentest.Read(t, "state.bin"))
+	goldentest.Bytes(t, "state.txt", unpacked)
+	goldentest.Bytes(t, "state.bin", written(t, back))
+}
+
+func TestGoldenReport(t *testing.T) {
+	full := Report{Epoch: 42, Keys: map[string]int{"job": 1, "task": 2}, Live: 3, Tasks: 4, On: 5, Findings: []Finding{{Key: "job/wk-1", What: "is live"}}}
+	goldentest.Filled(t, full)
+	goldentest.JSON(t, "report.json", full)
+	goldentest.JSON(t, "report-least.json", Report{})
+}
