--- /dev/null
+++ b/internal/goldentest/goldentest.go
@@ -0,0 +1,169 @@
+// Package goldentest helps tests hold what goes over the wire or into storage
+// to files written by an earlier state of the code, byte for byte. Only tests
+// use it.
+package goldentest
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+var update = flag.Bool("update", false, "write the golden files instead of comparing with them")
+
+// Bytes compares got with the file testdata/golden/name of the package under
+// test. With -update it writes the file instead.
+func Bytes(t testing.TB, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name)
+	if *update {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	if want := Read(t, name); !bytes.Equal(got, want) {
+		t.Errorf("%s: the code now writes\n%q\nthe golden file has\n%q", name, got, want)
+	}
+}
+
+// Read returns the content of testdata/golden/name.
+func Read(t testing.TB, name string) []byte {
+	t.Helper()
+	b, err := os.ReadFile(filepath.Join("testdata", "golden", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return b
+}
+
+// JSON holds the JSON form of v to testdata/golden/name, and the file, decoded
+// into a value of v's type and encoded again, to itself. It is for types that
+// the code gives to encoding/json itself.
+func JSON[T any](t testing.TB, name string, v T) {
+	t.Helper()
+	b, err := json.Marshal(v)
+	if err != nil {
+		t.Fatalf("%s: %v", name, err)
+	}
+	Bytes(t, name, b)
+	var back T
+	if err := json.Unmarshal(Read(t, name), &back); err != nil {
+		t.Errorf("%s: decoding the golden file: %v", name, err)
+		return
+	}
+	b, err = json.Marshal(back)
+	if err != nil {
+		t.Fatalf("%s: %v", name, err)
+	}
+	if want := Read(t, name); !bytes.Equal(b, want) {
+		t.Errorf("%s: decoded and encoded again it is\n%q\nthe golden file has\n%q", name, b, want)
+	}
+}
+
+// Filled fails the test for every field in v that is zero, so that a field
+// added later is noticed. It looks into pointers, interfaces, maps (each
+// value) and slices (the first element), and asks for at least one element of
+// each map and slice. A type that contains itself is looked into once. Fields
+// with the JSON tag "-" are passed over, and so are the paths in except, which
+// join names by a dot: a field's JSON name, or its Go name if it has no tag; a
+// slice's "0"; a map's key.
+func Filled(t testing.TB, v any, except ...string) {
+	t.Helper()
+	for _, path := range zeros(reflect.ValueOf(v), "", nil, except) {
+		t.Errorf("%T: %s is zero", v, path)
+	}
+}
+
+// zeros returns the paths below v that hold a zero value.
+func zeros(v reflect.Value, path string, within []reflect.Type, except []string) []string {
+	if slices.Contains(except, path) {
+		return nil
+	}
+	if !v.IsValid() || v.IsZero() {
+		return []string{path}
+	}
+	switch v.Kind() {
+	case reflect.Pointer, reflect.Interface:
+		return zeros(v.Elem(), path, within, except)
+	case reflect.Slice, reflect.Array:
+		if v.Len() == 0 {
+			return []string{path}
+		}
+		return zeros(v.Index(0), join(path, "0"), within, except)
+	case reflect.Map:
+		return zerosOfMap(v, path, within, except)
+	case reflect.Struct:
+		return zerosOfStruct(v, path, within, except)
+	}
+	return nil
+}
+
+func zerosOfMap(v reflect.Value, path string, within []reflect.Type, except []string) []string {
+	if v.Len() == 0 {
+		return []string{path}
+	}
+	var found []string
+	for entries := v.MapRange(); entries.Next(); {
+		found = append(found, zeros(entries.Value(), join(path, keyName(entries.Key())), within, except)...)
+	}
+	return found
+}
+
+func zerosOfStruct(v reflect.Value, path string, within []reflect.Type, except []string) []string {
+	typ := v.Type()
+	if typ.PkgPath() == "time" || slices.Contains(within, typ) {
+		return nil
+	}
+	within = append(slices.Clone(within), typ)
+	var found []string
+	for i := range typ.NumField() {
+		name, ok := fieldName(typ.Field(i))
+		if ok {
+			found = append(found, zeros(v.Field(i), join(path, name), within, except)...)
+		}
+	}
+	return found
+}
+
+// fieldName returns the name of a field within a path, and whether the field
+// is looked at.
+func fieldName(field reflect.StructField) (string, bool) {
+	tag, tagged := field.Tag.Lookup("json")
+	if tag == "-" {
+		return "", false
+	}
+	if name, _, _ := strings.Cut(tag, ","); tagged && name != "" {
+		return name, true
+	}
+	return field.Name, true
+}
+
+func keyName(key reflect.Value) string {
+	switch {
+	case key.Kind() == reflect.String:
+		return key.String()
+	case key.CanInt():
+		return strconv.FormatInt(key.Int(), 10)
+	case key.CanUint():
+		return strconv.FormatUint(key.Uint(), 10)
+	}
+	return "key"
+}
+
+func join(path, name string) string {
+	if path == "" {
+		return name
+	}
+	return path + "." + name
+}
