--- /dev/null
+++ b/internal/jobs/golden_test.go
@@ -0,0 +1,81 @@
+package jobs
+
+import (
+	"encoding/json"
+	"fmt"
+	"reflect"
+	"strings"
+	"testing"
+
+	"github.com/harrierreel/harrierreel/internal/goldentest"
+)
+
+// goldenSpec sets every field of a specification.
+func goldenSpec() Spec {
+	due := 900.25
+	return Spec{
+		UID: "wk-000412", Class: "nightly-reco", Owner: "storefront", Shape: Ensemble, Rank: "urgent", Pieces: 4, Cores: 2.5, Accel: 1.5, MemoryGB: 24,
+		Bundle: "img-7", PullGB: 3.25, Builds: []string{"g4", "g8"}, Site: "north", SamePlace: true, Scatter: true, Loaner: true,
+		ExpectS: 120, SnapshotS: 30, StashS: 4, DueS: &due,
+	}
+}
+
+// leanSpec leaves out what a record leaves out.
+func leanSpec() Spec {
+	return Spec{UID: "wk-000413", Class: "c", Owner: "t", Shape: Sweep, Rank: "idle", Pieces: 1, Bundle: "b"}
+}
+
+// Submissions keep their form: what is sent, what is read of it and what is said of faults.
+func TestGoldenSubmissions(t *testing.T) {
+	full, lean := goldenSpec(), leanSpec()
+	goldentest.Filled(t, full)
+	for name, want := range map[string]*Spec{"spec-full.json": &full, "spec-lean.json": &lean} {
+		goldentest.JSON(t, name, *want)
+	}
+	for name, want := range map[string]*Spec{"submission-full.json": &full, "submission-lean.json": &lean} {
+		goldentest.Bytes(t, name, want.Submission())
+		got, err := ParseSpec(goldentest.Read(t, name))
+		if err != nil || !reflect.DeepEqual(got, want) {
+			t.Errorf("%s: read as %+v, not as %+v: %v", name, got, want, err)
+		}
+	}
+}
+
+func TestGoldenSubmissionFaults(t *testing.T) {
+	var out strings.Builder
+	note := func(body []byte) {
+		_, faults := CheckSpec(body)
+		fmt.Fprintf(&out, "%s\n", body)
+		for _, f := range faults {
+			fmt.Fprintf(&out, "  %s\n", f.Error())
+		}
+		if _, err := ParseSpec(body); err != nil {
+			fmt.Fprintf(&out, "  first: %v\n", err)
+		}
+	}
+	for _, body := range []string{
+		`{}`, ``, `[]`, `{"uid":`,
+		`{"uid":"x","jobclass":"","owner":"","shape":"star","rank":"high","pieces":1.5,"cores":-1,"accelerators":-1,"memory_gb":2e9,"bundle":"","pull_gb":-1,"builds":[],"site":"","same_place":null,"scatter":null,"loaner":null,"expect_s":-1,"snapshot_s":-1,"stash_s":-1,"due_s":-1}`,
+		`{"builds":[` + strings.Repeat(`"b",`, maxBuilds) + `""]}`,
+	} {
+		note([]byte(body))
+	}
+	// Each field with a value of a wrong kind: the answer names it.
+	for _, name := range []string{"uid", "jobclass", "owner", "shape", "rank", "pieces", "cores", "accelerators", "memory_gb", "bundle", "pull_gb", "builds", "site", "same_place", "scatter", "loaner", "expect_s", "snapshot_s", "stash_s", "due_s"} {
+		note(Encode(map[string]any{name: map[string]any{}}))
+	}
+	goldentest.Bytes(t, "submission-faults.txt", []byte(out.String()))
+}
+
+// The cloud's machine types keep their form.
+func TestGoldenBuilds(t *testing.T) {
+	full := Build{Name: "g4", Cores: 32, Accel: 4, MemoryGB: 256, CacheGB: 100, PullRate: 1.5, Hourly: 10, LowPrice: 3.25, ReadyS: 20, Sites: []string{"north", "south"}}
+	goldentest.Filled(t, full)
+	for name, want := range map[string]Build{"build-full.json": full, "build-lean.json": {Name: "g4"}} {
+		goldentest.JSON(t, name, want)
+		var got Build
+		if err := json.Unmarshal(goldentest.Read(t, name), &got); err != nil || !reflect.DeepEqual(got, want) {
+			t.Errorf("%s: read as %+v, not as %+v: %v", name, got, want, err)
+		}
+	}
+}
