--- /dev/null
+++ b/internal/rental/golden_test.go
@@ -0,0 +1,97 @@
+package rental
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"reflect"
+	"testing"
+	"time"
+
+	"github.com/harrierreel/harrierreel/internal/fleet"
+	"github.com/harrierreel/harrierreel/internal/goldentest"
+	"github.com/harrierreel/harrierreel/internal/jobs"
+	"github.com/harrierreel/harrierreel/internal/wire"
+)
+
+const goldenCatalog = `{"builds":[` +
+	`{"name":"g4","cores":32,"accelerators":4,"memory_gb":256,"cache_gb":100,"pull_gb_per_s":1.5,"hourly":10,"low_price":3.25,"ready_s":20,"sites":["a","b"]},` +
+	`{"name":"c8","cores":8,"accelerators":0,"memory_gb":64,"cache_gb":50,"pull_gb_per_s":0.5,"hourly":2,"low_price":0,"ready_s":10,"sites":["a"]},` +
+	`{"name":"no name"},null]}`
+
+// The cloud's catalogue is read as ever.
+func TestGoldenCatalog(t *testing.T) {
+	goldentest.Bytes(t, "catalog.json", []byte(goldenCatalog))
+	want := map[string]*jobs.Build{
+		"g4": {Name: "g4", Cores: 32, Accel: 4, MemoryGB: 256, CacheGB: 100, PullRate: 1.5, Hourly: 10, LowPrice: 3.25, ReadyS: 20, Sites: []string{"a", "b"}},
+		"c8": {Name: "c8", Cores: 8, MemoryGB: 64, CacheGB: 50, PullRate: 0.5, Hourly: 2, ReadyS: 10, Sites: []string{"a"}},
+	}
+	goldentest.Filled(t, want["g4"])
+	if got := decodeCatalog(200, goldentest.Read(t, "catalog.json"), nil); !reflect.DeepEqual(got, want) {
+		t.Errorf("read as %s", jobs.Encode(got))
+	}
+}
+
+// The cloud's list is asked for and read, page by page, as ever.
+func TestGoldenList(t *testing.T) {
+	full := fleet.Listed{UID: "i-0001", Endpoint: "10.0.0.9:7000", Build: "g4", Site: "north", Loaner: true, Status: "running", AgeS: 12.5}
+	goldentest.Filled(t, full)
+	goldentest.JSON(t, "listed.json", full)
+	pages := []string{
+		`{"hosts":[` + string(goldentest.Read(t, "listed.json")) + `,{"uid":"i 2"},{"uid":"i-0003","status":"booting"}],"has_next":true}`,
+		`{"hosts":[{"uid":"i-0004","status":"gone","age_s":7}],"has_next":false}`,
+	}
+	var out bytes.Buffer
+	var got map[string]fleet.Listed
+	read := false
+	readPages(func(target string, done func(int, []byte, error)) {
+		page := pages[0]
+		pages = pages[1:]
+		fmt.Fprintf(&out, "GET %s\n%s\n", target, page)
+		done(200, []byte(page), nil)
+	}, func(all map[string]fleet.Listed, ok bool) { got, read = all, ok })
+	goldentest.Bytes(t, "list.txt", out.Bytes())
+	want := map[string]fleet.Listed{
+		"i-0001": full, "i-0003": {UID: "i-0003", Status: "booting"}, "i-0004": {UID: "i-0004", Status: "gone", AgeS: 7},
+	}
+	if !read || !reflect.DeepEqual(got, want) {
+		t.Errorf("read as %s", jobs.Encode(got))
+	}
+}
+
+// Requests to the cloud keep their form, and what is made of its answers keeps.
+func TestGoldenCloud(t *testing.T) {
+	for name, rent := range map[string]string{
+		"whole": `200 {"hosts":["i-1","i-2","i-3"]}`, "part": `200 {"hosts":["i-1"]}`, "no-capacity": `503 {"error":"no capacity"}`, "away": `503 {"error":"away"}`,
+		"malformed": `400 {"error":"no such build"}`, "too-many": `429 {}`, "broken": `500 {}`,
+	} {
+		t.Run(name, func(t *testing.T) {
+			var out bytes.Buffer
+			o := newOffice(t)
+			o.machine("i-8", fleet.Host{State: fleet.Deleting, Build: "g4", Site: "a"})
+			o.machine("i-9", fleet.Host{State: fleet.Deleting, Build: "g4", Site: "b"})
+			o.Send = func(method, target string, body []byte, timeout time.Duration, done func(int, []byte, error)) {
+				answer := `200 {"hosts":[{"uid":"i-8","build":"g4","site":"a","status":"running","age_s":500},{"uid":"i-9","build":"g4","site":"b","status":"running","age_s":500}]}`
+				switch {
+				case target == "/catalog":
+					answer = `200 ` + goldenCatalog
+				case target == "/hosts/delete":
+					answer = `200 {}`
+				case method == "POST":
+					answer = rent
+				}
+				out.Write(wire.AppendRequest(nil, method, target, "cloud:1", body, false))
+				fmt.Fprintf(&out, "\nwithin %s -> %s\n\n", timeout, answer)
+				status := 0
+				var text json.RawMessage
+				_, _ = fmt.Sscan(answer, &status)
+				text = json.RawMessage(answer[4:])
+				done(status, text, nil)
+			}
+			o.job("wk-000001", 12)
+			o.run(2)
+			fmt.Fprintf(&out, "asked for: %s\ntypes: %s\n", jobs.Encode(o.Rental.cloud.asked), jobs.Encode(o.Builds))
+			goldentest.Bytes(t, "cloud-"+name+".txt", out.Bytes())
+		})
+	}
+}
--- /dev/null
+++ b/internal/settings/golden_test.go
@@ -0,0 +1,156 @@
+package settings
+
+import (
+	"errors"
+	"os"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/pelletier/go-toml/v2"
+
+	"github.com/harrierreel/harrierreel/internal/calendar"
+	"github.com/harrierreel/harrierreel/internal/goldentest"
+	"github.com/harrierreel/harrierreel/internal/quota"
+)
+
+const (
+	goldenFiles = "testdata/golden/"
+	deployed    = "../../deploy/"
+)
+
+func is[T any](v T) *T { return &v }
+
+// goldenOperator is what testdata/golden/full.hcl says, which sets every setting.
+func goldenOperator() Operator {
+	return Operator{
+		StepS: 12.5, PlanSteps: 7, Samples: 150, Tolerance: 0.07, TrendSteps: 9, FreshSteps: 3, DrainSteps: 6, ReviveSteps: 2,
+		MemberTTLS: 7, FinalCache: 12345, TakeOver: TakeOverLease, FollowCloud: true, Packs: PacksAlways,
+		Lending:   &Lending{ByRank: true, AgainS: 450},
+		Pipelines: &Pipelines{MostRuns: 300, MostSteps: 4000, ChangesShare: 0.25},
+		Quotas: &quota.Document{
+			GraceS: is(45.0),
+			Organisations: []quota.Org{{
+				Name: "kenya", Weight: is(2.0), Borrow: is(true), Lend: is(true),
+				Guarantee:     &quota.Bounds{Cores: 20, Accelerators: 5, MemoryGB: 100},
+				Limit:         &quota.Bounds{Cores: 60, Accelerators: 7, MemoryGB: 300},
+				Organisations: []quota.Org{{Name: "nairobi", Weight: is(1.5)}},
+				Teams: []quota.OfTeam{{
+					Name: "storefront", Weight: is(3.0), Borrow: is(true), Lend: is(true),
+					Classes: []quota.OfClass{{
+						Name: "export-order", Weight: is(4.0), Borrow: is(true), Lend: is(true),
+						Guarantee: &quota.Bounds{Cores: 3, Accelerators: 1, MemoryGB: 12}, Limit: &quota.Bounds{Cores: 9, Accelerators: 2, MemoryGB: 36},
+					}},
+				}},
+			}},
+			Teams: []quota.OfTeam{{
+				Name: "pricing", Weight: is(1.25), Borrow: is(true), Lend: is(true),
+				Classes: []quota.OfClass{{Name: "price-sweep", Weight: is(5.0), Borrow: is(true), Lend: is(true), Guarantee: &quota.Bounds{Cores: 2}, Limit: &quota.Bounds{Cores: 6}}},
+			}},
+		},
+		Calendar: &calendar.Document{Revision: 3, Zone: "Africa/Nairobi", Tracks: []calendar.TrackDoc{{Name: "markets", Windows: []calendar.WindowDoc{
+			{
+				Name: "export-orders", Team: "storefront", Classes: []string{"export-order"}, Zone: "Europe/Rome", Start: "2026-01-05T22:00", Rule: "FREQ=DAILY", Length: "3h",
+				Slip: "20m", AtEnd: "stop", Missed: "run", Late: "4h", Need: &quota.Bounds{Cores: 10, Accelerators: 2, MemoryGB: 50},
+			},
+			{
+				Name: "weekend-pricing", Team: "pricing", Classes: []string{"price-sweep"}, Start: "2026-01-10T10:00", Rule: "FREQ=WEEKLY;BYDAY=SA,SU", Until: "15:00",
+				AtEnd: "finish", Missed: "skip",
+			},
+		}}}},
+	}
+}
+
+// A platform's file and operators' files that set every key are read as ever.
+func TestGoldenSettings(t *testing.T) {
+	want := &Settings{
+		NodeName: "n0", Zone: "a", Front: "127.0.0.1:8080", PeerListen: "127.0.0.1:8081",
+		Peers:   []Peer{{NodeName: "n1", Zone: "b", Address: "127.0.0.1:8082"}, {NodeName: "n2", Zone: "c", Address: "127.0.0.1:8083"}},
+		Outside: Outside{Cloud: "127.0.0.1:1", State: "127.0.0.1:2"},
+		Cluster: Cluster{
+			Size: 3, Zones: []string{"a", "b", "c"}, ClockOffMs: 150.5,
+			Teams: []Team{
+				{Name: "storefront", Cpus: 16.5, CpusMax: 64, Gpus: 4, GpusMax: 8},
+				{Name: "pricing", Cpus: 8, CpusMax: 32, Gpus: 2, GpusMax: 6},
+			},
+			Objectives: []Objective{
+				{Kind: "wait", Class: "export-order", WithinS: 30, Share: 0.95},
+				{Kind: "done", Class: "price-sweep", WithinS: 600, Share: 0.9},
+			},
+			Workers: Workers{ReportS: 3, LeaseS: 31, GangWaitS: 29, GangPeerS: 5, CancelS: 60},
+			State:   State{RPS: 100, WriteRPS: 50, ValueKB: 8, TxnOps: 16},
+			Cloud:   Cloud{RPS: 3, ListLagS: 4},
+			Limits:  Limits{Cores: 2, MemoryMB: 200, FdLimit: 1000},
+		},
+		Operator: goldenOperator(),
+	}
+	goldentest.Filled(t, want.Cluster)
+	goldentest.Filled(t, want.Peers)
+	goldentest.Filled(t, want.Outside)
+	// Of length and until one window has the one, the next the other.
+	whole := goldenOperator()
+	windows := whole.Calendar.Tracks[0].Windows
+	windows[0].Until = windows[1].Until
+	whole.Quotas.Teams[0].Classes[0].Guarantee, whole.Quotas.Teams[0].Classes[0].Limit = whole.Quotas.Organisations[0].Guarantee, whole.Quotas.Organisations[0].Limit
+	goldentest.Filled(t, whole)
+	got, err := Load(goldenFiles+"full.toml", goldenFiles+"full.hcl")
+	if err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("read as\n%+v\nnot as\n%+v\n%v", got, want, err)
+	}
+}
+
+// What holds without an operators' file, and what the files of deploy/ say.
+func TestGoldenDeployed(t *testing.T) {
+	none := Operator{
+		StepS: 10, PlanSteps: 12, Samples: 100, Tolerance: 0.05, TrendSteps: 6, FreshSteps: 10, DrainSteps: 3, ReviveSteps: 2,
+		MemberTTLS: 4, FinalCache: 20000, TakeOver: TakeOverCalls, Packs: PacksScarce,
+	}
+	with := func(change func(*Operator)) Operator {
+		op := none
+		change(&op)
+		return op
+	}
+	for file, want := range map[string]Operator{
+		"": none,
+		deployed + "calendar.hcl": with(func(op *Operator) {
+			op.Calendar = &calendar.Document{Revision: 1, Zone: "Africa/Nairobi"}
+		}),
+		deployed + "lending.hcl":   with(func(op *Operator) { op.Lending = &Lending{ByRank: true, AgainS: 300} }),
+		deployed + "pipelines.hcl": with(func(op *Operator) { op.Pipelines = &Pipelines{MostRuns: 2000, MostSteps: 20000, ChangesShare: 0.3} }),
+		deployed + "quotas.hcl":    with(func(op *Operator) { op.Quotas = &quota.Document{GraceS: is(60.0)} }),
+		deployed + "records.hcl":   with(func(op *Operator) { op.Packs = PacksAlways }),
+		deployed + "standby.hcl":   with(func(op *Operator) { op.FollowCloud = true }),
+	} {
+		got, errs := loadOperator(file)
+		if len(errs) > 0 || !reflect.DeepEqual(got, want) {
+			t.Errorf("%s: read as\n%+v\nnot as\n%+v\n%v", file, got, want, errs)
+		}
+	}
+	text, err := os.ReadFile(deployed + "service.toml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var service map[string]any
+	want := map[string]any{"build": "go build -ldflags=-linkmode=external -o target/harrierreel ./cmd/harrierreel", "run": "target/harrierreel serve --config"}
+	if err := toml.Unmarshal(text, &service); err != nil || !reflect.DeepEqual(service, want) {
+		t.Errorf("service.toml: %v, not %v: %v", service, want, err)
+	}
+}
+
+// Every fault is told in the same words, by the names of the files.
+func TestGoldenFaults(t *testing.T) {
+	for name, files := range map[string][2]string{
+		"values.txt": {"values.toml", "values.hcl"}, "form.txt": {"form.toml", "form.hcl"}, "broken.txt": {"full.toml", "broken.hcl"}, "operator-values.txt": {"full.toml", "values.hcl"},
+	} {
+		_, err := Load(goldenFiles+files[0], goldenFiles+files[1])
+		if err == nil {
+			err = errors.New("no fault")
+		}
+		lines := strings.Split(err.Error(), "\n")
+		if name == "form.txt" {
+			slices.Sort(lines) // the reader of HCL tells faults of form in any order
+		}
+		goldentest.Bytes(t, name, []byte(strings.Join(lines, "\n")+"\n"))
+	}
+}
--- /dev/null
+++ b/internal/settings/testdata/golden/broken.hcl
@@ -0,0 +1,2 @@
+scaler {
+  steps = 
