--- /dev/null
+++ b/internal/pipefile/golden_test.go
@@ -0,0 +1,82 @@
+package pipefile
+
+import (
+	"bytes"
+	"fmt"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"github.com/harrierreel/harrierreel/internal/goldentest"
+	"github.com/harrierreel/harrierreel/internal/jobs"
+)
+
+const goldenFiles = "testdata/golden/"
+
+// A pipeline file that sets every field makes the same request and the same steps as ever.
+func TestGoldenPipeline(t *testing.T) {
+	f, faults := Load(goldenFiles + "full.yaml")
+	if len(faults) > 0 {
+		t.Fatal(faults)
+	}
+	goldentest.Bytes(t, "full-request.json", f.Submission("run-1"))
+	var out bytes.Buffer
+	fmt.Fprintf(&out, "name %s, owner %s\n", f.Plan.Name, f.Plan.Owner)
+	for _, g := range f.Plan.Groups {
+		fmt.Fprintf(&out, "group %s needs %v, has steps %v, ancestors %v\n", g.Name, g.Needs, g.Steps, g.Ancestors)
+	}
+	for _, s := range f.Plan.Steps {
+		condition := "none"
+		if s.When != nil {
+			condition = s.When.Text
+		}
+		fmt.Fprintf(&out, "step %s of group %d: matrix %s, when %s, allow_failure %v, repeats %d, timeout_s %g, doubt_s %g\n  %s\n",
+			s.Name, s.Group, jobs.Encode(s.Matrix), condition, s.AllowFailure, s.Repeats, s.TimeoutS, s.DoubtS, jobs.Encode(s.Spec))
+	}
+	goldentest.Bytes(t, "full-plan.txt", out.Bytes())
+}
+
+// A job's file makes the same request as ever.
+func TestGoldenJob(t *testing.T) {
+	due := 900.25
+	want := &jobs.Spec{
+		UID: "wk-000412", Class: "nightly-reco", Owner: "storefront", Shape: jobs.Ensemble, Rank: "urgent", Pieces: 4, Cores: 2.5, Accel: 1.5, MemoryGB: 24,
+		Bundle: "img-7", PullGB: 3.25, Builds: []string{"g4", "g8"}, Site: "north", SamePlace: true, Scatter: true, Loaner: true,
+		ExpectS: 120, SnapshotS: 30, StashS: 4, DueS: &due,
+	}
+	goldentest.Filled(t, want)
+	lean := &jobs.Spec{UID: "wk-7", Class: "c", Owner: "t", Shape: jobs.Sweep, Rank: "standard", Pieces: 2, Cores: 1, MemoryGB: 1, Bundle: "b"}
+	for name, want := range map[string]*jobs.Spec{"job": want, "job-lean": lean} {
+		got, faults := LoadJob(goldenFiles+name+".yaml", func() string { return "wk-7" })
+		if len(faults) > 0 || !reflect.DeepEqual(got, want) {
+			t.Fatalf("%s: read as %+v: %v", name, got, faults)
+		}
+		goldentest.Bytes(t, name+"-request.json", got.Submission())
+	}
+}
+
+// Faults are told in the same words and forms as ever.
+func TestGoldenFaults(t *testing.T) {
+	var out bytes.Buffer
+	note := func(file string, faults []Fault) {
+		fmt.Fprintf(&out, "## %s\n", filepath.ToSlash(file))
+		for _, f := range faults {
+			fmt.Fprintf(&out, "%s\n%s\n", f.Error(), jobs.Encode(f))
+		}
+	}
+	files, err := filepath.Glob("testdata/*.yaml")
+	if err != nil || len(files) == 0 {
+		t.Fatal("no files", err)
+	}
+	for _, file := range files {
+		_, faults := Load(file)
+		note(file, faults)
+	}
+	for _, name := range []string{"job-faults.yaml", "job-values.yaml", "none.yaml"} {
+		_, faults := LoadJob(goldenFiles+name, func() string { return "wk-7" })
+		note(name, faults)
+	}
+	goldentest.Bytes(t, "faults.txt", out.Bytes())
+	goldentest.JSON(t, "fault.json", Fault{File: "a.yaml", Line: 3, Column: 4, Path: "steps[0]", Want: "expected a name"})
+	goldentest.JSON(t, "fault-whole.json", Fault{File: "a.yaml", Want: "can't be opened"})
+}
--- /dev/null
+++ b/internal/quota/golden_test.go
@@ -0,0 +1,90 @@
+package quota
+
+import (
+	"encoding/json"
+	"reflect"
+	"strings"
+	"testing"
+
+	"github.com/harrierreel/harrierreel/internal/goldentest"
+)
+
+func yes() *bool {
+	v := true
+	return &v
+}
+
+// goldenDocument sets every field of a tree.
+func goldenDocument() Document {
+	some, more := &Bounds{Cores: 20.5, Accelerators: 5, MemoryGB: 100}, &Bounds{Cores: 60, Accelerators: 7, MemoryGB: 300}
+	classes := []OfClass{{Name: "sweep", Weight: one(4), Borrow: yes(), Lend: yes(), Guarantee: &Bounds{Cores: 3, Accelerators: 1, MemoryGB: 12}, Limit: &Bounds{Cores: 9, Accelerators: 2, MemoryGB: 36}}}
+	return Document{
+		GraceS: one(45),
+		Organisations: []Org{{
+			Name: "kenya", Weight: one(2), Borrow: yes(), Lend: yes(), Guarantee: some, Limit: more,
+			Organisations: []Org{{Name: "nairobi", Borrow: no(), Lend: no()}},
+			Teams:         []OfTeam{{Name: "pricing", Weight: one(3), Borrow: yes(), Lend: yes(), Classes: classes}},
+		}},
+		Teams: []OfTeam{{Name: "lone", Weight: one(1.25), Borrow: yes(), Lend: yes(), Classes: classes}},
+	}
+}
+
+// golden holds a form to its file, and what is read of the file to the value.
+func golden[T any](t *testing.T, name string, want T) {
+	t.Helper()
+	goldentest.JSON(t, name, want)
+	var got T
+	if err := json.Unmarshal(goldentest.Read(t, name), &got); err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("%s: read as %+v, not as %+v: %v", name, got, want, err)
+	}
+}
+
+// What operators send and are sent keeps its form, byte for byte.
+func TestGoldenMessages(t *testing.T) {
+	full := Apply{Base: 7, DryRun: true, Quotas: goldenDocument()}
+	goldentest.Filled(t, full)
+	golden(t, "apply-full.json", full)
+	golden(t, "apply-lean.json", Apply{Base: 1})
+	teams := map[string]Team{"pricing": {Name: "pricing"}, "lone": {Name: "lone"}}
+	a, _, bad := ParseApply(goldentest.Read(t, "apply-full.json"), teams, nil)
+	if bad != nil || !reflect.DeepEqual(*a, full) {
+		t.Errorf("parsed as %+v: %+v", a, bad)
+	}
+	refusal := Refusal{Error: "2 faults in the quotas", Faults: []string{"kenya: wrong", "italia: wrong"}}
+	preview := Preview{Number: 7, Over: []Over{{Path: "kenya", By: Bounds{Cores: 1.5, Accelerators: 2, MemoryGB: 3}}}, Stops: []PreviewStop{{Task: "wk-000001/0", Path: "kenya"}}}
+	bound := Bounds{Cores: 1.5, Accelerators: 2, MemoryGB: 3}
+	view := View{Path: "kenya/pricing", Kind: Organisation, Depth: 2, Used: bound, Guaranteed: bound, Limit: bound, Borrowed: bound, Lent: bound, Weight: 2.5, Waiting: 4, Why: "at its limit"}
+	tree := ShownTree{Number: 7, Nodes: []View{view, {}}}
+	goldentest.Filled(t, refusal)
+	goldentest.Filled(t, preview)
+	goldentest.Filled(t, tree)
+	golden(t, "refusal-full.json", refusal)
+	golden(t, "refusal-lean.json", Refusal{})
+	golden(t, "preview-full.json", preview)
+	golden(t, "preview-lean.json", Preview{})
+	golden(t, "tree.json", tree)
+	goldentest.Bytes(t, "tree-lines.json", EncodeTree(tree.Number, tree.Nodes))
+	var back ShownTree
+	if err := json.Unmarshal(goldentest.Read(t, "tree-lines.json"), &back); err != nil || !reflect.DeepEqual(back, tree) {
+		t.Errorf("the tree's lines are read as %+v: %v", back, err)
+	}
+}
+
+// What a tree shows of a world, and the faults of a document, are told as ever.
+func TestGoldenTree(t *testing.T) {
+	c := NewAccount(world(t))
+	c.Charge(Key{Team: "pricing", Class: "sweep"}, Of(2, 1, 8), 7)
+	c.Charge(Key{Team: "storefront", Class: "x"}, Of(1, 1, 1), 3)
+	goldentest.Bytes(t, "world.json", EncodeTree(3, c.Show(map[int]int{c.tree.Leaf(Key{Team: "pricing", Class: "sweep"}): 5})))
+	over, err := json.Marshal(c.Excesses())
+	if err != nil {
+		t.Fatal(err)
+	}
+	goldentest.Bytes(t, "excesses.json", over)
+	minus := one(-1)
+	_, faults := Build(&Document{GraceS: minus, Organisations: []Org{
+		{Name: "1st", Weight: minus, Guarantee: &Bounds{Cores: 9, Accelerators: -1}, Limit: &Bounds{Cores: 1, MemoryGB: 1e10}, Teams: []OfTeam{{Name: "nobody"}, {Name: "t"}, {Name: "t"}}},
+		{Name: "1st"}, {Name: "a", Teams: []OfTeam{{Name: "u", Weight: minus, Classes: []OfClass{{Name: "z", Weight: minus, Limit: &Bounds{Accelerators: -1}}, {Name: "c"}, {Name: "c"}}}}},
+	}}, map[string]Team{"t": {Name: "t", Guaranteed: gpus(2)}, "u": {Name: "u"}}, []string{"c"})
+	goldentest.Bytes(t, "faults.txt", []byte(strings.Join(faults, "\n")+"\n"))
+}
