--- /dev/null
+++ b/internal/cli/testdata/golden/broken.hcl
@@ -0,0 +1,4 @@
+quotas {
+  team {}
+  speed = 1
+}
