--- a/internal/rental/golden_test.go
+++ b/internal/rental/golden_test.go
@@ -4,7 +4,9 @@
 	"bytes"
 	"encoding/json"
 	"fmt"
+	"maps"
 	"reflect"
+	"slices"
 	"testing"
 	"time"
 
@@ -90,7 +92,8 @@
 			}
 			o.job("wk-000001", 12)
 			o.run(2)
-			fmt.Fprintf(&out, "asked for: %s\ntypes: %s\n", jobs.Encode(o.Rental.cloud.asked), jobs.Encode(o.Builds))
+			refused := slices.Sorted(maps.Keys(o.Rental.cloud.refused))
+			fmt.Fprintf(&out, "asked for: %s\ntypes: %s\nnot asked for again: %q\n", jobs.Encode(o.Rental.cloud.asked), jobs.Encode(o.Builds), refused)
 			goldentest.Bytes(t, "cloud-"+name+".txt", out.Bytes())
 		})
 	}
