--- a/internal/membership/calls.go
+++ b/internal/membership/calls.go
@@ -5,7 +5,6 @@
 	"time"
 
 	"github.com/harrierreel/harrierreel/internal/decide"
-	"github.com/harrierreel/harrierreel/internal/fleet"
 	"github.com/harrierreel/harrierreel/internal/members"
 	"github.com/harrierreel/harrierreel/internal/standby"
 	"github.com/harrierreel/harrierreel/internal/store"
@@ -184,9 +183,8 @@
 		}
 		t.If = append(t.If, me.cond(members.ViewKey))
 		t.Writes = append(t.Writes, decide.Put(members.ViewKey, next))
-		if quiet := fleet.QuietPrefix + me.Me; me.Mirror.Stamp(quiet) != 0 {
-			t.Writes = append(t.Writes, decide.Remove(quiet))
-		}
+		t.Writes = append(t.Writes, me.forgetQuiet(me.Me, 1)...)
+		t.Writes = me.forgetMoreQuiet(t.Writes, me.Me)
 	}
 	me.viewBusy, me.leaving = true, true
 	me.Client.Multi(store.Membership, t, func(epoch uint64, _ []string, err error) {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -282,9 +282,10 @@
 	// back its machines have been heard by others meanwhile: by the old list
 	// hundreds of them were deleted at once (docs/incidents/ushanga-ops-ops-1.md).
 	for _, name := range me.View().Left(next) {
-		if key := fleet.QuietPrefix + name; me.Mirror.Stamp(key) != 0 {
-			t.Writes = append(t.Writes, decide.Remove(key))
-		}
+		t.Writes = append(t.Writes, me.forgetQuiet(name, 1)...)
+	}
+	for _, name := range me.View().Left(next) {
+		t.Writes = me.forgetMoreQuiet(t.Writes, name)
 	}
 	if v := me.View(); v != nil && v.Leader != me.Me && !slices.Contains(silent, v.Leader) {
 		t.If = append(t.If, me.cond(members.MemberPrefix+v.Leader))
@@ -302,3 +303,22 @@
 		me.Wake()
 	})
 }
+
+// forgetQuiet is the change that takes one of a member's lists of unresponsive machines
+// away, none if there is no such list.
+func (me *Membership) forgetQuiet(name string, number int) []store.Write {
+	if key := fleet.QuietKey(name, number); me.Mirror.Stamp(key) != 0 {
+		return []store.Write{decide.Remove(key)}
+	}
+	return nil
+}
+
+// forgetMoreQuiet adds to a transaction's changes those that take a member's further lists
+// away, as far as there is room. Without the first they count for nothing
+// (fleet.QuietLists), and the member clears them itself when it comes back.
+func (me *Membership) forgetMoreQuiet(changes []store.Write, name string) []store.Write {
+	for number := 2; number <= tuning.MaxQuietLists && len(changes) < me.TxnOps; number++ {
+		changes = append(changes, me.forgetQuiet(name, number)...)
+	}
+	return changes
+}
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"github.com/harrierreel/harrierreel/internal/book"
+	"github.com/harrierreel/harrierreel/internal/fleet"
 	"github.com/harrierreel/harrierreel/internal/jobs"
 	"github.com/harrierreel/harrierreel/internal/members"
 	"github.com/harrierreel/harrierreel/internal/quota"
@@ -119,6 +120,7 @@
 			me.FormChanged(name, v)
 		case standby.CallPrefix:
 			me.CallChanged(name, v)
+		case fleet.QuietPrefix: // of no concern here
 		default:
 			view, _ = members.Decode(v)
 		}
@@ -139,6 +141,11 @@
 		put(members.FormPrefix+name, members.Forms{Inc: uint64(10 + i), Pack: records.Form, Calls: true}, uint64(101+i))
 	}
 	put(members.ViewKey, members.View{Leader: "n0", Epoch: 3, Members: []members.Member{{Name: "n0", Inc: 10}, {Name: "n1", Inc: 11}, {Name: "n2", Inc: 12}}}, 104)
+	// What n1 does not hear goes with its place: the first list, and as many more as one
+	// transaction takes.
+	for number := range 20 {
+		put(fleet.QuietKey("n1", number+1), []string{"i-1"}, 104)
+	}
 	sent, answers = nil, nil
 	me.PeerEnded("n1")
 	keep(time.Second)
@@ -159,6 +166,15 @@
 	if len(sent) != 2 {
 		t.Fatalf("%d transactions", len(sent))
 	}
+	lists := 0
+	for _, w := range sent[1].Writes {
+		if strings.HasPrefix(w.Remove, "quiet/n1") {
+			lists++
+		}
+	}
+	if !slices.ContainsFunc(sent[1].Writes, func(w store.Write) bool { return w.Remove == "quiet/n1" }) || lists != 12 || len(sent[1].Writes) != 16 {
+		t.Errorf("%d lists of n1 are taken away, in %d changes", lists, len(sent[1].Writes))
+	}
 	for _, c := range []store.Cond{{Key: "view", Stamp: 104}, {Key: "member/n0", Stamp: 101}, {Key: "call/n1", Stamp: 110}, {Key: "member/n1", Stamp: 102}} {
 		if !slices.Contains(sent[1].If, c) {
 			t.Errorf("the change of view is not conditional on %+v", c)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -379,8 +379,10 @@
 // heardUnder is the view under which this node has heard its machines, as its own watch
 // shows: whoever is told waits for that epoch.
 func (n *Node) heardUnder() uint64 {
-	if n.mirror.Epoch < n.mirror.Stamp(fleet.QuietPrefix+n.set.NodeName) {
-		return 0
+	for _, key := range n.part.QuietKeys() {
+		if n.mirror.Epoch < n.mirror.Stamp(key) {
+			return 0
+		}
 	}
 	return n.part.HeardUnder()
 }
--- a/internal/part/health.go
+++ b/internal/part/health.go
@@ -1,6 +1,8 @@
 package part
 
 import (
+	"maps"
+	"slices"
 	"time"
 
 	"github.com/harrierreel/harrierreel/internal/book"
@@ -49,33 +51,55 @@
 	return nil
 }
 
-// tellQuiet is the decision that writes which of this part's machines are not
-// heard, when that has changed.
+// tellQuiet is the decisions that write which of this part's machines are not
+// heard, where that has changed.
 func (pt *Part) tellQuiet(unheard map[string]bool) []decide.Decision {
-	key := fleet.QuietPrefix + pt.Me
-	told := pt.Quiet[pt.Me]
-	same := len(told) == len(unheard)
-	for h, mute := range unheard {
-		was, is := told[h]
-		same = same && is && was.Mute == mute
+	told := pt.quietLists[pt.Me]
+	want := told.Divide(unheard, pt.Epoch(), pt.SliceLimit)
+	// The first list is written last: it has the others count.
+	numbers := map[int]bool{1: true}
+	for number := range want {
+		numbers[number] = true
 	}
-	if same || pt.Busy(key) {
-		return nil
-	}
-	var hosts []string
-	for _, h := range book.Sorted(unheard) {
-		hosts = append(hosts, fleet.QuietEntry(h, unheard[h]))
+	for number := range told {
+		numbers[number] = true
 	}
-	w := decide.Put(key, hosts)
-	for len(w.Value) > pt.SliceLimit {
-		hosts = hosts[:len(hosts)*9/10] // those that fit; the rest follow as these end
-		w = decide.Put(key, hosts)
+	var ds []decide.Decision
+	for _, number := range slices.Backward(slices.Sorted(maps.Keys(numbers))) {
+		list, needed := want[number]
+		had, has := told[number]
+		key := fleet.QuietKey(pt.Me, number)
+		w := decide.Put(key, list.Entries())
+		if !needed {
+			// Not before its machines stand elsewhere.
+			if !want[1].Same(told[1]) {
+				continue
+			}
+			w = decide.Remove(key)
+		} else if list.Same(had) && (has || number == 1) {
+			continue
+		}
+		if pt.Busy(key) {
+			continue
+		}
+		ds = append(ds, decide.Decision{Writes: []store.Write{w}, Done: func(ok bool) {
+			if ok {
+				pt.Log.Info("machines not heard", "machines", len(unheard))
+			}
+		}})
 	}
-	return []decide.Decision{{Writes: []store.Write{w}, Done: func(ok bool) {
-		if ok {
-			pt.Log.Info("machines not heard", "machines", len(hosts))
+	return ds
+}
+
+// QuietKeys are the keys of the lists in which this owner says what it does not hear.
+func (pt *Part) QuietKeys() []string {
+	keys := []string{fleet.QuietKey(pt.Me, 1)}
+	for number := range pt.quietLists[pt.Me] {
+		if number > 1 {
+			keys = append(keys, fleet.QuietKey(pt.Me, number))
 		}
-	}}}
+	}
+	return keys
 }
 
 // SilenceOf is what a machine's owner says of it while it sends no reports.
--- a/internal/part/part.go
+++ b/internal/part/part.go
@@ -75,6 +75,8 @@
 	health   map[string]*fleet.Health
 	came     map[string][2]uint64 // machine to session and number of its newest report here
 
+	quietLists map[string]fleet.QuietLists // by owner, what pt.Quiet is joined of
+
 	// What changed since a pass last looked at it.
 	touched map[string]bool // machines to review
 	revisit map[string]bool // machines to review again before long
@@ -94,7 +96,7 @@
 
 // New makes the part of an owner over a book.
 func New(b *book.Book, env Env) *Part {
-	return &Part{Book: b, Env: env, Reconciling: reconcile.New(env.Cluster.Workers.ReportS, env.Log), sessions: map[string]*workers.Session{}, health: map[string]*fleet.Health{}, came: map[string][2]uint64{},
+	return &Part{Book: b, Env: env, Reconciling: reconcile.New(env.Cluster.Workers.ReportS, env.Log), sessions: map[string]*workers.Session{}, health: map[string]*fleet.Health{}, came: map[string][2]uint64{}, quietLists: map[string]fleet.QuietLists{},
 		touched: map[string]bool{}, revisit: map[string]bool{}, held: map[string]bool{}, vanished: map[string]bool{}}
 }
 
@@ -139,17 +141,30 @@
 	pt.lastSweep = time.Time{}
 }
 
-// QuietChanged takes in which machines an owner does not hear.
-func (pt *Part) QuietChanged(owner string, value json.RawMessage) error {
+// QuietChanged takes in which machines an owner does not hear. The name is that of one of
+// its lists, the key without fleet.QuietPrefix.
+func (pt *Part) QuietChanged(name string, value json.RawMessage) error {
+	owner, number := fleet.CutQuietKey(name)
+	lists := pt.quietLists[owner]
 	if value == nil {
+		delete(lists, number)
+	} else {
+		list, err := fleet.DecodeQuietList(value)
+		if err != nil {
+			return err
+		}
+		if lists == nil {
+			lists = fleet.QuietLists{}
+			pt.quietLists[owner] = lists
+		}
+		lists[number] = list
+	}
+	if _, is := lists[1]; !is {
 		delete(pt.Quiet, owner)
 		return nil
 	}
-	q, err := fleet.DecodeQuiet(value, pt.Quiet[owner], pt.Now)
-	if err == nil {
-		pt.Quiet[owner] = q
-	}
-	return err
+	pt.Quiet[owner] = lists.Join(pt.Quiet[owner], pt.Now)
+	return nil
 }
 
 // HostGone forgets a machine. Its session must not bring the record back; should
--- a/internal/part/part_test.go
+++ b/internal/part/part_test.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"errors"
+	"fmt"
 	"log/slog"
 	"strings"
 	"testing"
@@ -189,6 +190,92 @@
 	}
 }
 
+// toldQuiet takes in what was decided of the lists of unresponsive machines, as the mirror
+// does, and returns how many changes that were.
+func (o *owner) toldQuiet() int {
+	o.t.Helper()
+	changes := 0
+	for _, d := range o.taken {
+		for _, w := range d.Writes {
+			name, is := strings.CutPrefix(w.Put+w.Remove, fleet.QuietPrefix)
+			if !is {
+				continue
+			}
+			if len(w.Value) > o.SliceLimit {
+				o.t.Errorf("%d bytes in %s", len(w.Value), w.Put)
+			}
+			if err := o.QuietChanged(name, w.Value); err != nil {
+				o.t.Error(err)
+			}
+			changes++
+		}
+	}
+	o.taken = nil
+	return changes
+}
+
+// One controller owns 4,000 machines, and a third of them, and then all, are unresponsive at
+// once: each is told as such, and told once; when they report again that is told, too.
+func TestQuietOf4000Machines(t *testing.T) {
+	const machines = 4000
+	o := newOwner(t)
+	host := func(i int) string { return fmt.Sprintf("i-%06d", i) }
+	for i := range machines {
+		if err := o.HostChanged(host(i), "n0", jobs.Encode(fleet.Host{State: fleet.Up, Build: "g4", Site: "a", Endpoint: "w:1"})); err != nil {
+			t.Fatal(err)
+		}
+	}
+	tick := 0
+	pass := func(reports func(i int) bool) {
+		for range 7 {
+			o.Now = o.Now.Add(time.Second)
+			tick++
+			for i := range machines {
+				if reports(i) {
+					o.beat(strings.Replace(text(fmt.Sprint(tick), ""), "i-1", host(i), 1))
+				}
+			}
+			o.Pass()
+		}
+	}
+	for _, c := range []struct {
+		name    string
+		reports func(i int) bool
+		quiet   int
+	}{
+		{"all report", func(int) bool { return true }, 0},
+		{"a third does not", func(i int) bool { return i%3 != 0 }, 1334},
+		{"none does", func(int) bool { return false }, machines},
+		{"a third does", func(i int) bool { return i%3 == 0 }, 2666},
+		{"all report again", func(int) bool { return true }, 0},
+	} {
+		o.taken = nil
+		pass(c.reports)
+		o.toldQuiet()
+		pass(c.reports)
+		o.toldQuiet()
+		if len(o.sessions) != machines || len(o.Quiet["n0"]) != c.quiet {
+			t.Errorf("%s: %d sessions, %d machines told unresponsive, not %d", c.name, len(o.sessions), len(o.Quiet["n0"]), c.quiet)
+		}
+		used := 0
+		for i := range machines {
+			if o.InUse(o.Machines[host(i)]) {
+				used++
+			}
+		}
+		if used != machines-c.quiet {
+			t.Errorf("%s: %d machines in use", c.name, used)
+		}
+		pass(c.reports)
+		if n := o.toldQuiet(); n != 0 {
+			t.Errorf("%s: told again in %d changes", c.name, n)
+		}
+	}
+	if keys := o.QuietKeys(); len(keys) != 1 {
+		t.Errorf("further lists are left: %v", keys)
+	}
+}
+
 // While not all that was told is known no lease is renewed, but the machine is heard; and
 // each answer that renews one carries a stop for what was told to be cancelled, also while
 // the machine's reports prove nothing yet.
--- a/internal/roll/roll.go
+++ b/internal/roll/roll.go
@@ -38,6 +38,7 @@
 func Read(rows []store.Item) State {
 	s := State{Keys: map[string]uint64{}, Quiet: map[string]int{}, Machines: map[string]int{}}
 	var hosts []string
+	quiet := map[string]fleet.QuietLists{}
 	for _, r := range rows {
 		prefix, name, _ := strings.Cut(r.Key, "/")
 		switch prefix + "/" {
@@ -51,8 +52,12 @@
 		case standby.CallPrefix:
 			s.Calls = append(s.Calls, name)
 		case fleet.QuietPrefix:
-			if q, err := fleet.DecodeQuiet(r.Value, nil, time.Time{}); err == nil {
-				s.Quiet[name] = len(q)
+			owner, number := fleet.CutQuietKey(name)
+			if list, err := fleet.DecodeQuietList(r.Value); err == nil {
+				if quiet[owner] == nil {
+					quiet[owner] = fleet.QuietLists{}
+				}
+				quiet[owner][number] = list
 			}
 		case fleet.HostPrefix:
 			if h, err := fleet.Decode(r.Value); err == nil && h.State == fleet.Up {
@@ -60,6 +65,9 @@
 			}
 		}
 	}
+	for owner, lists := range quiet {
+		s.Quiet[owner] = len(lists.Join(nil, time.Time{}))
+	}
 	if s.View != nil {
 		for _, h := range hosts {
 			s.Machines[parts.Owner(h, s.View.Names())]++
--- a/internal/roll/roll_test.go
+++ b/internal/roll/roll_test.go
@@ -1,6 +1,7 @@
 package roll
 
 import (
+	"encoding/json"
 	"fmt"
 	"strings"
 	"testing"
@@ -62,6 +63,14 @@
 		"called":     {func(r []store.Item) []store.Item { return append(r, store.Item{Key: standby.CallPrefix + "n4"}) }, "n4 is called"},
 		"few quiet":  {func(r []store.Item) []store.Item { return append(r, hears("n3", 1)) }, ""},
 		"many quiet": {func(r []store.Item) []store.Item { return append(r, hears("n3", 9)) }, "n3 does not hear"},
+		"many quiet, further lists": {func(r []store.Item) []store.Item {
+			all := hears("n3", 9)
+			var hosts []string
+			if err := json.Unmarshal(all.Value, &hosts); err != nil {
+				t.Fatal(err)
+			}
+			return append(r, store.Item{Key: fleet.QuietKey("n3", 1), Value: jobs.Encode([]string{hosts[0], "more:3"})}, store.Item{Key: fleet.QuietKey("n3", 2), Value: jobs.Encode(append(hosts[1:], "more:3"))})
+		}, "n3 does not hear 9 of"},
 		"quiet, odd": {func(r []store.Item) []store.Item { return append(r, store.Item{Key: "quiet/n1", Value: []byte("{")}) }, ""},
 		"not in view": {func(r []store.Item) []store.Item {
 			r[105].Value = jobs.Encode(members.View{Leader: "n0", Epoch: 3, Members: []members.Member{{Name: "n0", Inc: 10}}})
--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -354,6 +354,10 @@
 	RefusalBytes = 120
 	// MaxSessions: machines that one controller keeps a session for.
 	MaxSessions = 5000
+	// MaxQuietLists: values of the state service that name an owner's unresponsive machines.
+	// At the least value_kb in service, 8, they hold 5,000 names of MaxHostName bytes; of the
+	// usual 8 to 10 bytes 4,000 take seven.
+	MaxQuietLists = 100
 	// MaxHostName, bytes: longer names cannot be keys.
 	MaxHostName = 150
 	// MaxOrders: orders in one message, far below 64 KiB.
