--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -452,11 +452,8 @@
 		} else {
 			n.log.Error("unreadable machine type", "key", key)
 		}
-	case key == rental.SummaryKey:
-		var s rental.Summary
-		if value != nil && json.Unmarshal(value, &s) == nil {
-			n.rental.Summary = s
-		}
+	case rental.IsSummaryKey(key):
+		n.rental.SummaryChanged(key, value)
 	case hasPrefix(key, jobs.FinalPrefix):
 		n.front.FinalSeen(key[len(jobs.FinalPrefix):], value)
 	case key == quota.StoreKey:
--- a/internal/rental/plan.go
+++ b/internal/rental/plan.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"maps"
 	"math"
 	"slices"
 	"sort"
@@ -292,7 +291,10 @@
 		}
 	}
 	re.rentBatch(rents, &sum)
-	ds := []decide.Decision{{Writes: []store.Write{re.summaryWrite(sum)}, Urgent: true}}
+	var ds []decide.Decision
+	for _, w := range re.summaryWrites(sum) {
+		ds = append(ds, decide.Decision{Writes: []store.Write{w}, Urgent: true})
+	}
 	for _, h := range give {
 		for _, d := range re.Moving(h, fleet.Condemn, "drained") {
 			d.Urgent = true // it has left the draining ones
@@ -302,22 +304,6 @@
 	re.Commit(ds)
 }
 
-// summaryWrite fits the summary into one value: the oldest rents, whose
-// machines the cloud's list will have by now, are left out first, then
-// draining that has just begun.
-func (re *Rental) summaryWrite(sum Summary) store.Write {
-	w := decide.Put(SummaryKey, sum)
-	for len(w.Value) > re.SliceLimit && len(sum.Asked) > 0 {
-		sum.Asked = sum.Asked[(len(sum.Asked)+1)/2:]
-		w = decide.Put(SummaryKey, sum)
-	}
-	for stage := 1; len(w.Value) > re.SliceLimit && len(sum.Drain) > 0; stage++ {
-		maps.DeleteFunc(sum.Drain, func(_ string, st int) bool { return st <= stage })
-		w = decide.Put(SummaryKey, sum)
-	}
-	return w
-}
-
 // grain is the machines of a group that one job there takes on average, by
 // demand: a job's tasks come together.
 func (re *Rental) grain(g fleet.Group) float64 {
--- a/internal/rental/rental.go
+++ b/internal/rental/rental.go
@@ -68,8 +68,9 @@
 	*book.Book
 	Env
 
-	// Summary is the newest that was written.
-	Summary Summary
+	// Summary is the newest that was written, summaryParts what it is joined of, by number.
+	Summary      Summary
+	summaryParts map[int]Summary
 	// Since is when this node came to lead, or last stood still.
 	Since time.Time
 	// downAt is when the state service last did not answer.
@@ -83,7 +84,7 @@
 
 // New makes a rental over a book.
 func New(b *book.Book, env Env) *Rental {
-	re := &Rental{Book: b, Env: env}
+	re := &Rental{Book: b, Env: env, summaryParts: map[int]Summary{}}
 	re.cloud.reset()
 	return re
 }
--- a/internal/rental/rental_test.go
+++ b/internal/rental/rental_test.go
@@ -4,7 +4,10 @@
 	"encoding/json"
 	"fmt"
 	"log/slog"
+	"maps"
 	"math/rand/v2"
+	"reflect"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -79,8 +82,8 @@
 				_ = json.Unmarshal(w.Value, &b)
 				o.Builds[b.Name] = &b
 			}
-			if w.Put == SummaryKey {
-				_ = json.Unmarshal(w.Value, &o.Summary)
+			if key := w.Put + w.Remove; IsSummaryKey(key) {
+				o.SummaryChanged(key, w.Value)
 			}
 		}
 		if d.Done != nil {
@@ -257,16 +260,132 @@
 	}
 }
 
-// The summary fits into a value whatever it holds.
+// The summary fits into values whatever it holds, and nothing of it is lost: 4,000 machines
+// that drain at once and as many just rented.
 func TestSummaryFits(t *testing.T) {
+	for _, c := range []struct {
+		name                    string
+		drain, rents, limit     int
+		parts                   int
+		firstDrains, firstRents bool
+	}{
+		{"empty", 0, 0, 8 << 10, 1, false, false},
+		{"one value", 300, 5, 8 << 10, 1, true, true},
+		{"draining", 2000, 0, 8 << 10, 4, true, false},
+		{"rents", 0, 2000, 8 << 10, 23, false, true},
+		{"4000 machines", 4000, 80, 8 << 10, 13, true, false},
+		{"4000 machines in larger values", 4000, 80, 16 << 10, 7, true, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			o := newOffice(t)
+			o.SliceLimit = c.limit
+			sum := Summary{Step: 5, History: map[string][]float64{"g4": {1, 2, 3}}, Drain: fleet.Draining{}}
+			for i := range c.drain {
+				sum.Drain[fmt.Sprintf("i-%06d", i)] = 1 + i%3
+			}
+			for i := range c.rents {
+				a := asked{Hire: fmt.Sprint("r-", i), Build: "g4", AtMs: int64(i)}
+				for k := range min(tuning.RentMost, 4000/c.rents) {
+					a.Hosts = append(a.Hosts, fmt.Sprintf("i-%06d", i*tuning.RentMost+k))
+				}
+				sum.Asked = append(sum.Asked, a)
+			}
+			writes := o.summaryWrites(sum)
+			if len(writes) != c.parts || writes[len(writes)-1].Put != SummaryKey {
+				t.Errorf("%d values, the last is %s", len(writes), writes[len(writes)-1].Put)
+			}
+			var first Summary // all that a controller of the former version reads
+			for _, w := range writes {
+				if len(w.Value) > o.SliceLimit {
+					t.Errorf("%d bytes in %s", len(w.Value), w.Put)
+				}
+				o.SummaryChanged(w.Put, w.Value)
+				if w.Put == "scaler" {
+					if err := json.Unmarshal(w.Value, &first); err != nil {
+						t.Error(err)
+					}
+				}
+			}
+			if !maps.Equal(o.Summary.Drain, sum.Drain) || o.Summary.Step != 5 || len(o.Summary.History) != 1 ||
+				!slices.EqualFunc(o.Summary.Asked, sum.Asked, func(a, b asked) bool { return reflect.DeepEqual(a, b) }) {
+				t.Errorf("%d machines drain, %d rents, step %d", len(o.Summary.Drain), len(o.Summary.Asked), o.Summary.Step)
+			}
+			if first.Step != 5 || len(first.History) != 1 || (len(first.Drain) > 0) != c.firstDrains || (len(first.Asked) > 0) != c.firstRents {
+				t.Errorf("the first value has step %d, %d machines that drain, %d rents", first.Step, len(first.Drain), len(first.Asked))
+			}
+			// Less is left: what is needed no more goes, and nothing of it counts meanwhile or later.
+			for i, w := range o.summaryWrites(Summary{Step: 6, Drain: fleet.Draining{"i-1": 2}}) {
+				if (i == 0) != (w.Put == SummaryKey) {
+					t.Errorf("change %d is of %s", i, w.Put+w.Remove)
+				}
+				o.SummaryChanged(w.Put+w.Remove, w.Value)
+			}
+			if len(o.Summary.Drain) != 1 || len(o.Summary.Asked) != 0 {
+				t.Errorf("%d machines drain, %d rents are left", len(o.Summary.Drain), len(o.Summary.Asked))
+			}
+		})
+	}
+}
+
+// What a leader of the former version leaves of further parts counts for nothing: it writes
+// the first alone.
+func TestSummaryOfFormerVersion(t *testing.T) {
 	o := newOffice(t)
-	sum := Summary{Drain: fleet.Draining{}}
-	for i := range 2000 {
-		sum.Asked = append(sum.Asked, asked{Hire: fmt.Sprint("r-", i), Build: "g4", Hosts: []string{"i-000001", "i-000002"}})
-		sum.Drain[fmt.Sprintf("i-%06d", i)] = i % 4
+	sum := Summary{Step: 5, Drain: fleet.Draining{}}
+	for i := range 4000 {
+		sum.Drain[fmt.Sprintf("i-%06d", i)] = 1
+	}
+	for _, w := range o.summaryWrites(sum) {
+		o.SummaryChanged(w.Put, w.Value)
+	}
+	for step, drains := range map[uint64]bool{6: true, 7: false, 4: true, 3: false} {
+		o.SummaryChanged("scaler", jobs.Encode(Summary{Step: step}))
+		if (len(o.Summary.Drain) > 0) != drains {
+			t.Errorf("at step %d %d machines drain", step, len(o.Summary.Drain))
+		}
+	}
+	o.SummaryChanged("scaler", jobs.Encode(Summary{Step: 7, Drain: fleet.Draining{"i-1": 1}}))
+	if writes := o.summaryWrites(Summary{Step: 8}); len(writes) != 7 || writes[0].Put != "scaler" || writes[6].Remove != "scaler/more:7" {
+		t.Errorf("%d changes clear them", len(writes))
+	}
+	before := o.Summary.Step
+	o.SummaryChanged("scaler", []byte("7"))
+	o.SummaryChanged("scaler/more:2", []byte("7"))
+	o.SummaryChanged("scaler", nil)
+	if o.Summary.Step != before {
+		t.Error("nonsense was read")
+	}
+	for _, key := range []string{"scaler/more:1", "scaler/more:x", "scaler/2", "scalers", "scaler/more:"} {
+		if IsSummaryKey(key) {
+			t.Errorf("%s is none of its keys", key)
+		}
+	}
+}
+
+// 4,000 machines that nobody needs drain together, and are then given up to be deleted.
+func TestDrain4000Machines(t *testing.T) {
+	o := newOffice(t)
+	for i := range 4000 {
+		name := fmt.Sprintf("i-%06d", i)
+		o.machine(name, fleet.Host{State: fleet.Up, Build: "g4", Site: "a", SinceMs: o.Ms() - 1e6})
+		o.listed = append(o.listed, fleet.Listed{UID: name, Build: "g4", Site: "a", Status: "running", AgeS: 1000})
+	}
+	most := 0
+	for range 40 {
+		o.run(1)
+		most = max(most, len(o.Summary.Drain))
+	}
+	if most != 4000 {
+		t.Errorf("%d machines drain at once", most)
+	}
+	deleting := 0
+	for _, m := range o.Machines {
+		if m.State == fleet.Deleting {
+			deleting++
+		}
 	}
-	if w := o.summaryWrite(sum); len(w.Value) > o.SliceLimit {
-		t.Errorf("%d bytes", len(w.Value))
+	if deleting != 4000 || len(o.Summary.Drain) != 0 {
+		t.Errorf("%d machines are given up, %d still drain", deleting, len(o.Summary.Drain))
 	}
 }
 
--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -500,6 +500,9 @@
 	// more than this share of its own is taken to be cut off; so is an owner.
 	CutLeast = 4
 	CutShare = 0.5
+	// MaxSummaryParts: values of the state service that the summary may take. 4,000 machines
+	// that drain at once and 4,000 just rented take 13 of 8 KiB, written once a step.
+	MaxSummaryParts = 100
 	// SummaryHistory, steps kept per group in the summary.
 	SummaryHistory = 12
 	// PatientPrice: work that can still wait is not given machines dearer than
