--- a/internal/members/complaints.go
+++ b/internal/members/complaints.go
@@ -1,6 +1,7 @@
 package members
 
 import (
+	"encoding/json"
 	"maps"
 	"slices"
 	"time"
@@ -35,16 +36,31 @@
 // Here lists machines whose workers lately came here in vain, for the peers.
 func (c Complaints) Here(now time.Time) []string {
 	var out []string
+	room := tuning.MaxUnreachedBytes
 	for _, owner := range slices.Sorted(maps.Keys(c)) {
 		for _, host := range slices.Sorted(maps.Keys(c[owner])) {
-			if v := c[owner][host]; v.here && now.Sub(v.last) < tuning.PeerBeat && len(out) < tuning.MaxUnreached {
-				out = append(out, host)
+			v := c[owner][host]
+			if !v.here || now.Sub(v.last) >= tuning.PeerBeat {
+				continue
 			}
+			if room -= listedBytes(host); room < 0 || len(out) >= tuning.MaxUnreached {
+				return out
+			}
+			out = append(out, host)
 		}
 	}
 	return out
 }
 
+// listedBytes is what a name takes of a list in JSON, comma and all.
+func listedBytes(name string) int {
+	text, err := json.Marshal(name)
+	if err != nil {
+		return len(name)
+	}
+	return len(text) + 1
+}
+
 // Lasting counts by owner the machines that are out of its reach: they have complained for
 // long, or the owner itself tells that it does not hear them (quiet) though they were sent
 // there again. A worker waits 4 s for an owner that does not answer before it complains,
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -1,10 +1,13 @@
 package peer
 
 import (
+	"fmt"
 	"strings"
 	"testing"
+	"time"
 
 	"github.com/harrierreel/harrierreel/internal/cancellation"
+	"github.com/harrierreel/harrierreel/internal/members"
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
@@ -45,3 +48,32 @@
 		}
 	})
 }
+
+// All of 4,000 machines that are out of their owner's reach at once are told in a line, and
+// of any names as many as a line holds.
+func TestUnreachedMachinesFit(t *testing.T) {
+	now := time.Unix(1000, 0)
+	for _, c := range []struct {
+		name  string
+		host  func(i int) string
+		told  int
+		share int // one of so many is out of reach
+	}{
+		{"4000 machines", func(i int) string { return fmt.Sprintf("i-%06d", i) }, 4000, 1},
+		{"a third of them", func(i int) string { return fmt.Sprintf("i-%06d", i) }, 1334, 3},
+		{"long names", func(i int) string { return fmt.Sprintf("%0*d", tuning.MaxHostName, i) }, 348, 1},
+		{"odd names", func(i int) string { return strings.Repeat("<", tuning.MaxHostName-4) + fmt.Sprintf("%04d", i) }, 60, 1},
+	} {
+		complaints := members.Complaints{}
+		for i := 0; i < 4000; i += c.share {
+			complaints.Note("n1", c.host(i), true, now)
+		}
+		h := Hint{From: "n0", Epoch: 1 << 60, StateOK: true, Heard: 1 << 60, Unreached: complaints.Here(now)}
+		h.Message = cancellation.Message{Told: &cancellation.Told{Inc: 1 << 60, Upto: 1 << 60}}
+		line := Encode(h)
+		got, fault := Decode(line, func(string) bool { return true })
+		if fault != "" || len(got.Unreached) != c.told {
+			t.Errorf("%s: %d told in %d bytes, %q", c.name, len(got.Unreached), len(line), fault)
+		}
+	}
+}
--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -186,8 +186,13 @@
 	// HeardFresh: a machine heard by another node this recently is not given
 	// up; its owner is the one that is cut off.
 	HeardFresh = 12 * time.Second
-	// MaxUnreached: machines named in one hint.
-	MaxUnreached = 200
+	// MaxUnreached: machines named in one hint, as many as a controller has sessions for; a
+	// controller of the former version takes in the first 200 of them. MaxUnreachedBytes,
+	// bytes: what they take of a line; the rest of MaxPeerLine is for its marks. 4,000 names of
+	// 8 bytes take 44,000. With longer names those that come later follow: each comes again
+	// and again while it is out of reach.
+	MaxUnreached      = 5000
+	MaxUnreachedBytes = 52 << 10
 	// SilentShare: part of an owner's machines that must complain.
 	SilentShare = 0.5
 	// OutFor: how long a member that workers cannot reach stays out.
