--- a/internal/front/asks_test.go
+++ b/internal/front/asks_test.go
@@ -152,3 +152,29 @@
 		}
 	}
 }
+
+// 4,000 questions wait for one reading of the epoch, and none is sent away.
+func TestPollsOf4000Jobs(t *testing.T) {
+	d := newDoor(t, false)
+	d.Client.SetBudget(0, 0, 0) // the reading has not come
+	d.Client.Pump(d.Now)
+	for d.Client.Reads(0) {
+		d.Client.Get(0, "x", nil, func(*store.Item, error) {})
+	}
+	refused, answered := 0, 0
+	for range 4000 {
+		d.addPoll(poll{respond: func(wire.Reply) { refused++ }, answer: func() { answered++ }, at: d.Now})
+	}
+	if refused > 0 || answered > 0 {
+		t.Errorf("%d refused, %d answered with nothing read", refused, answered)
+	}
+	d.Client.SetBudget(1000, 1000, 1000)
+	for range 5 {
+		d.Now = d.Now.Add(100 * time.Millisecond)
+		d.Client.Pump(d.Now)
+		d.KeepPolls()
+	}
+	if answered != 4000 || refused > 0 {
+		t.Errorf("%d answered, %d refused", answered, refused)
+	}
+}
--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -82,8 +82,9 @@
 	// PollAgain: the same while the budget holds calls back, and from when on an epoch
 	// that was not answered is read once more.
 	PollAgain = 400 * time.Millisecond
-	// MostPolls: polls waiting before more are refused.
-	MostPolls = 2000
+	// MostPolls: polls waiting before more are refused: one for each connection that users
+	// may hold where there are some 8,000 sockets, and for a job on each of 4,000 machines.
+	MostPolls = 5000
 	// MostAsks: polls waiting for a read of their own; at 20 reads a second and node
 	// more would grow older than PollWait.
 	MostAsks = 60
