--- a/internal/decide/limits_test.go
+++ b/internal/decide/limits_test.go
@@ -184,3 +184,20 @@
 		t.Errorf("%d are kept", len(a.list))
 	}
 }
+
+// A fault that concerns each of 4,000 machines keeps none of them from being set aside.
+func TestAsideOf4000Machines(t *testing.T) {
+	now := time.Unix(0, 0)
+	about := func(i int) *Decision {
+		return &Decision{Writes: []store.Write{Put(fmt.Sprintf("host/i-%06d", i), i)}}
+	}
+	var a Aside
+	for i := range 4000 {
+		a.Add(about(i), now)
+	}
+	for i := range 4000 {
+		if !a.Holds(about(i), now.Add(tuning.AsideFirst/2)) {
+			t.Fatalf("the decision about machine %d is made again", i)
+		}
+	}
+}
--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -344,8 +344,8 @@
 	// counted and must stay below MaxRequestBody.
 	TxnBytes = 48 << 10
 	// MostAside: decisions kept that no transaction could hold or that were refused;
-	// they are faults of a program, one of which a bug may make thousands.
-	MostAside = 2000
+	// they are faults of a program, one of which a bug may make for each machine.
+	MostAside = 5000
 	// AsideFirst, AsideMost: how long such a decision is not made again, doubled each
 	// time: a refusal costs a request and two lines of the log, and what it waits for
 	// is a change of the state or of the service.
