--- a/internal/scenario/size_test.go
+++ b/internal/scenario/size_test.go
@@ -30,7 +30,7 @@
 //
 //	go test ./internal/scenario -run '^$' -bench Size -benchtime 1x -timeout 60m
 func BenchmarkSize(b *testing.B) {
-	for _, size := range []struct{ machines, tasks int }{{1800, 30000}, {2700, 45000}, {3600, 45000}} {
+	for _, size := range []struct{ machines, tasks int }{{1800, 30000}, {2700, 45000}, {3600, 45000}, {4000, 45000}} {
 		b.Run(fmt.Sprintf("machines=%d/tasks=%d", size.machines, size.tasks), func(b *testing.B) {
 			for b.Loop() {
 				measureSize(b, size.machines, size.tasks)
