--- a/internal/fleet/claims.go
+++ b/internal/fleet/claims.go
@@ -1,6 +1,12 @@
 package fleet
 
-import "encoding/json"
+import (
+	"encoding/json"
+	"maps"
+	"slices"
+	"strconv"
+	"strings"
+)
 
 // ClaimsKey is the key of the machines claimed for gangs that are being placed. All of
 // them stand in one value: with a change for each machine, taking and giving back those
@@ -23,6 +29,105 @@
 	return c, err
 }
 
+// moreClaims stands in the first value for the numbers of those in which the claims go on.
+// All are written in one transaction, so that the stamp of the first speaks for them. A
+// controller of the former version takes it for a job of that name, which claims machines
+// that nobody has, and knows the claims of the first value alone: of those that go on it
+// may give a task to a machine, which then has no room for the gang's, as if the machine had
+// been claimed a moment later. One that leads writes the first value without it, and the
+// others count for nothing.
+const moreClaims = "more"
+
+// ClaimsKeyOf is the key of one of the values.
+func ClaimsKeyOf(number int) string {
+	if number == 1 {
+		return ClaimsKey
+	}
+	return ClaimsKey + "/" + moreClaims + ":" + strconv.Itoa(number)
+}
+
+// ClaimsNumber is which of the values a key holds, 0 for none.
+func ClaimsNumber(key string) int {
+	if key == ClaimsKey {
+		return 1
+	}
+	text, is := strings.CutPrefix(key, ClaimsKey+"/"+moreClaims+":")
+	if n, err := strconv.Atoi(text); is && err == nil && n > 1 {
+		return n
+	}
+	return 0
+}
+
+// JoinClaims is what the values say together.
+func JoinClaims(values map[int]Claims) Claims {
+	first := values[1]
+	if first[moreClaims] == nil {
+		return first
+	}
+	out := Claims{}
+	add := func(c Claims) {
+		for uid, hosts := range c {
+			if uid != moreClaims {
+				out[uid] = append(slices.Clone(out[uid]), hosts...)
+			}
+		}
+	}
+	add(first)
+	for _, text := range first[moreClaims] {
+		if number, err := strconv.Atoi(text); err == nil {
+			add(values[number])
+		}
+	}
+	return out
+}
+
+// Divide is the values that hold the claims, of up to limit bytes each. A job's machines
+// keep their order.
+func (c Claims) Divide(limit int) []Claims {
+	size := len("{}")
+	for uid, hosts := range c {
+		size += claimBytes(uid, hosts)
+	}
+	if size <= limit {
+		return []Claims{c}
+	}
+	// What the first says of the others.
+	numbers := claimBytes(moreClaims, slices.Repeat([]string{"100"}, size/max(limit/2, 1)+1))
+	values := []Claims{{}}
+	room := limit - len("{}") - numbers
+	for _, uid := range slices.Sorted(maps.Keys(c)) {
+		began := false
+		for _, host := range c[uid] {
+			bytes := entryBytes(host)
+			if !began {
+				bytes += claimBytes(uid, nil)
+			}
+			if bytes > room {
+				values = append(values, Claims{})
+				room = limit - len("{}")
+				bytes = entryBytes(host) + claimBytes(uid, nil)
+			}
+			room -= bytes
+			began = true
+			last := values[len(values)-1]
+			last[uid] = append(last[uid], host)
+		}
+	}
+	for i := range values[1:] {
+		values[0][moreClaims] = append(values[0][moreClaims], strconv.Itoa(i+2))
+	}
+	return values
+}
+
+// claimBytes is what a job's machines take of a value at most.
+func claimBytes(uid string, hosts []string) int {
+	bytes := entryBytes(uid) + len(":[]")
+	for _, host := range hosts {
+		bytes += entryBytes(host)
+	}
+	return bytes
+}
+
 // ByHost is the job that each claimed machine is claimed for.
 func (c Claims) ByHost() map[string]string {
 	out := map[string]string{}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -439,8 +439,8 @@
 		n.workChanged(key, value, stamp)
 	case hasPrefix(key, fleet.HostPrefix):
 		n.hostChanged(key[len(fleet.HostPrefix):], value)
-	case key == fleet.ClaimsKey:
-		if err := n.ClaimsChanged(value); err != nil {
+	case fleet.ClaimsNumber(key) > 0:
+		if err := n.queue.ClaimsChanged(key, value); err != nil {
 			n.log.Error("unreadable claims set aside", "error", err)
 		}
 	case hasPrefix(key, rental.BuildPrefix):
--- a/internal/queue/claims.go
+++ b/internal/queue/claims.go
@@ -1,6 +1,7 @@
 package queue
 
 import (
+	"encoding/json"
 	"maps"
 	"slices"
 
@@ -8,6 +9,7 @@
 	"github.com/harrierreel/harrierreel/internal/decide"
 	"github.com/harrierreel/harrierreel/internal/fleet"
 	"github.com/harrierreel/harrierreel/internal/store"
+	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
 // claim is the machines of one gang while the leader places it: wanted until the state
@@ -52,10 +54,8 @@
 		q.settleClaims(true, func(c *claim) bool { return !c.held }) // an earlier leader's stand
 		return
 	}
-	w := decide.Put(fleet.ClaimsKey, want)
-	if len(want) == 0 {
-		w = decide.Remove(fleet.ClaimsKey)
-	} else if len(w.Value) > q.SliceLimit {
+	writes := q.claimWrites(want)
+	if writes == nil {
 		// No more at once: what is not held yet is looked at anew.
 		q.settleClaims(false, func(c *claim) bool { return !c.held && !c.asked })
 		return
@@ -63,11 +63,54 @@
 	for _, c := range q.claims {
 		c.asked = true
 	}
-	q.Commit([]decide.Decision{{Writes: []store.Write{w}, Urgent: true, Done: func(ok bool) {
+	q.Commit([]decide.Decision{{Writes: writes, Urgent: true, Done: func(ok bool) {
 		q.settleClaims(ok, func(c *claim) bool { return !c.held && c.asked })
 	}}})
 }
 
+// claimWrites are the changes that have the state service hold these claims, nil if one
+// transaction cannot make them.
+func (q *Queue) claimWrites(want fleet.Claims) []store.Write {
+	var writes []store.Write
+	values := want.Divide(q.SliceLimit)
+	bytes := 0
+	for i, value := range values {
+		w := decide.Put(fleet.ClaimsKeyOf(i+1), value)
+		if len(want) == 0 {
+			w = decide.Remove(fleet.ClaimsKey)
+		}
+		if bytes += len(w.Value); len(w.Value) > q.SliceLimit {
+			return nil
+		}
+		writes = append(writes, w)
+	}
+	if len(writes) > q.TxnOps || len(writes) > 1 && bytes > tuning.TxnBytes {
+		return nil
+	}
+	// What is needed no more goes with it, as far as there is room: by itself it counts for
+	// nothing.
+	for _, number := range slices.Sorted(maps.Keys(q.claimValues)) {
+		if number > len(values) && len(writes) < q.TxnOps {
+			writes = append(writes, decide.Remove(fleet.ClaimsKeyOf(number)))
+		}
+	}
+	return writes
+}
+
+// ClaimsChanged takes in one of the values that hold the claims. Of one that cannot be
+// read nothing counts: the leader writes it anew.
+func (q *Queue) ClaimsChanged(key string, value json.RawMessage) error {
+	claims, err := fleet.DecodeClaims(value)
+	if value == nil {
+		delete(q.claimValues, fleet.ClaimsNumber(key))
+	} else {
+		q.claimValues[fleet.ClaimsNumber(key)] = claims
+	}
+	q.Claims = fleet.JoinClaims(q.claimValues)
+	q.ClaimOf = q.Claims.ByHost()
+	return err
+}
+
 // settleClaims tells gangs whether their claims are held.
 func (q *Queue) settleClaims(ok bool, which func(*claim) bool) {
 	for _, uid := range book.Sorted(q.claims) {
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -11,6 +11,7 @@
 	"github.com/harrierreel/harrierreel/internal/book"
 	"github.com/harrierreel/harrierreel/internal/calendar"
 	"github.com/harrierreel/harrierreel/internal/decide"
+	"github.com/harrierreel/harrierreel/internal/fleet"
 	"github.com/harrierreel/harrierreel/internal/jobs"
 	"github.com/harrierreel/harrierreel/internal/lending"
 	"github.com/harrierreel/harrierreel/internal/settings"
@@ -58,22 +59,23 @@
 	// Waiting is what found no room in the last look.
 	Waiting []*Waiting
 
-	looked     map[*book.Job]bool   // that the last look with changes to spend came to
-	avoid      map[string]time.Time // machines not offered for a while
-	noRoom     map[string]time.Time // jobs, since when they have found no room
-	preempted  map[string]making    // tasks that room is made for
-	holds      map[string]hold      // machines kept, by job
-	claims     map[string]*claim    // of gangs that are being placed
-	gatherings map[string]*gathering
-	passed     map[string]passing // jobs that others are served before, though there is room
-	passedTill time.Time          // those passed over for a shorter time begin with one that was for long
-	loans      *lending.Keeper    // nil if nothing is lent
-	kept       []string           // bookings for windows that are about to open
+	looked      map[*book.Job]bool   // that the last look with changes to spend came to
+	avoid       map[string]time.Time // machines not offered for a while
+	noRoom      map[string]time.Time // jobs, since when they have found no room
+	preempted   map[string]making    // tasks that room is made for
+	holds       map[string]hold      // machines kept, by job
+	claimValues map[int]fleet.Claims // what the state service holds, by number
+	claims      map[string]*claim    // of gangs that are being placed
+	gatherings  map[string]*gathering
+	passed      map[string]passing // jobs that others are served before, though there is room
+	passedTill  time.Time          // those passed over for a shorter time begin with one that was for long
+	loans       *lending.Keeper    // nil if nothing is lent
+	kept        []string           // bookings for windows that are about to open
 }
 
 // New makes an empty queue over a book.
 func New(b *book.Book, env Env) *Queue {
-	q := &Queue{Book: b, Env: env}
+	q := &Queue{Book: b, Env: env, claimValues: map[int]fleet.Claims{}}
 	q.loans = q.newLending(env.Lending)
 	q.Reset()
 	return q
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -54,6 +54,11 @@
 					d.t.Error(err)
 				}
 			}
+			if fleet.ClaimsNumber(decide.Key(w)) > 0 {
+				if err := d.ClaimsChanged(decide.Key(w), w.Value); err != nil {
+					d.t.Error(err)
+				}
+			}
 			if strings.HasPrefix(decide.Key(w), jobs.TaskPrefix) {
 				if _, err := d.SliceChanged(decide.Key(w), w.Value); err != nil {
 					d.t.Error(err)
@@ -275,3 +280,90 @@
 		}
 	}
 }
+
+// Gangs may claim 4,000 machines, one all of them or several their shares; each claim is
+// one transaction, holds as it was asked for, and goes whole. What no transaction holds is
+// refused, and nothing is claimed by halves.
+func TestClaims4000Machines(t *testing.T) {
+	hosts := func(from, to, width int) []string {
+		var out []string
+		for i := from; i < to; i++ {
+			out = append(out, fmt.Sprintf("i-%0*d", width, i))
+		}
+		return out
+	}
+	for _, c := range []struct {
+		name   string
+		gangs  [][]string
+		held   int // gangs
+		values int
+	}{
+		{"one small", [][]string{hosts(0, 100, 6)}, 1, 1},
+		{"all that a value holds", [][]string{hosts(0, 742, 6)}, 1, 1},
+		{"one more", [][]string{hosts(0, 744, 6)}, 1, 2},
+		{"one of 4000", [][]string{hosts(0, 4000, 6)}, 1, 6},
+		{"three of a third", [][]string{hosts(0, 1333, 6), hosts(1333, 2666, 6), hosts(2666, 4000, 6)}, 3, 6},
+		{"long names", [][]string{hosts(0, 200, 6), hosts(200, 4000, 140)}, 1, 1},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			d := newDesk(t, map[string]quota.Team{"t": {Name: "t"}})
+			held := 0
+			for i, gang := range c.gangs {
+				uid := fmt.Sprintf("wk-%06d", i)
+				d.claim(uid, gang, func(ok bool) {
+					if !ok {
+						return
+					}
+					held++
+					if !slices.Equal(d.Claims[uid], gang) {
+						t.Errorf("%d machines are claimed", len(d.Claims[uid]))
+					}
+				})
+			}
+			if held != c.held || len(d.claimValues) != c.values {
+				t.Errorf("%d gangs hold their machines, in %d values", held, len(d.claimValues))
+			}
+			machines := 0
+			for _, gang := range c.gangs[:c.held] {
+				machines += len(gang)
+			}
+			if len(d.ClaimOf) != machines {
+				t.Errorf("%d machines are claimed, not %d", len(d.ClaimOf), machines)
+			}
+			for _, x := range d.taken {
+				if len(x.Writes) == 0 || x.Writes[0].Put != "claims" {
+					t.Errorf("a claim without the first value, whose stamp speaks for it: %v", x.Writes)
+				}
+			}
+			clear(d.claims)
+			if d.KeepClaims(); len(d.claimValues) != 0 || len(d.ClaimOf) != 0 {
+				t.Errorf("%d values and %d machines are left", len(d.claimValues), len(d.ClaimOf))
+			}
+		})
+	}
+}
+
+// A leader of the former version writes the first value alone: the others count for nothing,
+// and go with the next write. Its reading of the first is that of a shorter claim.
+func TestClaimsOfFormerVersion(t *testing.T) {
+	d := newDesk(t, map[string]quota.Team{"t": {Name: "t"}})
+	var gang []string
+	for i := range 2000 {
+		gang = append(gang, fmt.Sprintf("i-%06d", i))
+	}
+	d.claim("wk-000001", gang, func(bool) {})
+	former, err := fleet.DecodeClaims(d.taken[0].Writes[0].Value)
+	if err != nil || len(former) != 2 || len(former["wk-000001"]) < 500 || !slices.Equal(former["more"], []string{"2", "3"}) {
+		t.Errorf("%d machines, more %v, %v", len(former["wk-000001"]), former["more"], err)
+	}
+	clear(d.claims)
+	if err := d.ClaimsChanged("claims", []byte(`{"wk-000002":["i-1"]}`)); err != nil || len(d.ClaimOf) != 1 || len(d.claimValues) != 3 {
+		t.Errorf("%d machines claimed, %d values, %v", len(d.ClaimOf), len(d.claimValues), err)
+	}
+	if d.KeepClaims(); len(d.claimValues) != 0 {
+		t.Errorf("%d values are left", len(d.claimValues))
+	}
+	if d.ClaimsChanged("claims", []byte("7")) == nil || len(d.ClaimOf) != 0 {
+		t.Error("nonsense was read")
+	}
+}
