--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -379,8 +379,10 @@
 // heardUnder is the view under which this node has heard its machines, as its own watch
 // shows: whoever is told waits for that epoch.
 func (n *Node) heardUnder() uint64 {
-	if n.mirror.Epoch < n.mirror.Stamp(fleet.QuietPrefix+n.set.NodeName) {
-		return 0
+	for _, key := range n.part.QuietKeys() {
+		if n.mirror.Epoch < n.mirror.Stamp(key) {
+			return 0
+		}
 	}
 	return n.part.HeardUnder()
 }
@@ -437,8 +439,8 @@
 		n.workChanged(key, value, stamp)
 	case hasPrefix(key, fleet.HostPrefix):
 		n.hostChanged(key[len(fleet.HostPrefix):], value)
-	case key == fleet.ClaimsKey:
-		if err := n.ClaimsChanged(value); err != nil {
+	case fleet.ClaimsNumber(key) > 0:
+		if err := n.queue.ClaimsChanged(key, value); err != nil {
 			n.log.Error("unreadable claims set aside", "error", err)
 		}
 	case hasPrefix(key, rental.BuildPrefix):
@@ -450,11 +452,8 @@
 		} else {
 			n.log.Error("unreadable machine type", "key", key)
 		}
-	case key == rental.SummaryKey:
-		var s rental.Summary
-		if value != nil && json.Unmarshal(value, &s) == nil {
-			n.rental.Summary = s
-		}
+	case rental.IsSummaryKey(key):
+		n.rental.SummaryChanged(key, value)
 	case hasPrefix(key, jobs.FinalPrefix):
 		n.front.FinalSeen(key[len(jobs.FinalPrefix):], value)
 	case key == quota.StoreKey:
--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -82,8 +82,9 @@
 	// PollAgain: the same while the budget holds calls back, and from when on an epoch
 	// that was not answered is read once more.
 	PollAgain = 400 * time.Millisecond
-	// MostPolls: polls waiting before more are refused.
-	MostPolls = 2000
+	// MostPolls: polls waiting before more are refused: one for each connection that users
+	// may hold where there are some 8,000 sockets, and for a job on each of 4,000 machines.
+	MostPolls = 5000
 	// MostAsks: polls waiting for a read of their own; at 20 reads a second and node
 	// more would grow older than PollWait.
 	MostAsks = 60
@@ -186,8 +187,13 @@
 	// HeardFresh: a machine heard by another node this recently is not given
 	// up; its owner is the one that is cut off.
 	HeardFresh = 12 * time.Second
-	// MaxUnreached: machines named in one hint.
-	MaxUnreached = 200
+	// MaxUnreached: machines named in one hint, as many as a controller has sessions for; a
+	// controller of the former version takes in the first 200 of them. MaxUnreachedBytes,
+	// bytes: what they take of a line; the rest of MaxPeerLine is for its marks. 4,000 names of
+	// 8 bytes take 44,000. With longer names those that come later follow: each comes again
+	// and again while it is out of reach.
+	MaxUnreached      = 5000
+	MaxUnreachedBytes = 52 << 10
 	// SilentShare: part of an owner's machines that must complain.
 	SilentShare = 0.5
 	// OutFor: how long a member that workers cannot reach stays out.
@@ -338,8 +344,8 @@
 	// counted and must stay below MaxRequestBody.
 	TxnBytes = 48 << 10
 	// MostAside: decisions kept that no transaction could hold or that were refused;
-	// they are faults of a program, one of which a bug may make thousands.
-	MostAside = 2000
+	// they are faults of a program, one of which a bug may make for each machine.
+	MostAside = 5000
 	// AsideFirst, AsideMost: how long such a decision is not made again, doubled each
 	// time: a refusal costs a request and two lines of the log, and what it waits for
 	// is a change of the state or of the service.
@@ -354,6 +360,10 @@
 	RefusalBytes = 120
 	// MaxSessions: machines that one controller keeps a session for.
 	MaxSessions = 5000
+	// MaxQuietLists: values of the state service that name an owner's unresponsive machines.
+	// At the least value_kb in service, 8, they hold 5,000 names of MaxHostName bytes; of the
+	// usual 8 to 10 bytes 4,000 take seven.
+	MaxQuietLists = 100
 	// MaxHostName, bytes: longer names cannot be keys.
 	MaxHostName = 150
 	// MaxOrders: orders in one message, far below 64 KiB.
@@ -496,6 +506,9 @@
 	// more than this share of its own is taken to be cut off; so is an owner.
 	CutLeast = 4
 	CutShare = 0.5
+	// MaxSummaryParts: values of the state service that the summary may take. 4,000 machines
+	// that drain at once and 4,000 just rented take 13 of 8 KiB, written once a step.
+	MaxSummaryParts = 100
 	// SummaryHistory, steps kept per group in the summary.
 	SummaryHistory = 12
 	// PatientPrice: work that can still wait is not given machines dearer than
