--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -32,13 +32,19 @@
 	}
 }
 
+// readQuiet reads an owner's only list.
+func readQuiet(value []byte, old Quiet, now time.Time) (Quiet, error) {
+	list, err := DecodeQuietList(value)
+	return QuietLists{1: list}.Join(old, now), err
+}
+
 // TestGoldenQuiet: the list is written as entries and read as a Quiet.
 func TestGoldenQuiet(t *testing.T) {
 	now := time.Unix(1700000000, 0)
 	entries := []string{QuietEntry("m-1", false), QuietEntry("m-2", true)}
 	want := Quiet{"m-1": {Since: now}, "m-2": {Since: now, Mute: true}}
 	goldentest.JSON(t, "quiet.json", entries)
-	back, err := DecodeQuiet(goldentest.Read(t, "quiet.json"), nil, now)
+	back, err := readQuiet(goldentest.Read(t, "quiet.json"), nil, now)
 	if err != nil || !reflect.DeepEqual(back, want) {
 		t.Errorf("read %+v, %v", back, err)
 	}
@@ -49,7 +55,7 @@
 	goldentest.Bytes(t, "quiet.json", b)
 	// With no machine to name, a list that was never made is written.
 	goldentest.JSON(t, "quiet-least.json", []string(nil))
-	if back, err := DecodeQuiet(goldentest.Read(t, "quiet-least.json"), nil, now); err != nil || len(back) != 0 {
+	if back, err := readQuiet(goldentest.Read(t, "quiet-least.json"), nil, now); err != nil || len(back) != 0 {
 		t.Errorf("read %+v, %v", back, err)
 	}
 }
--- a/internal/part/golden_test.go
+++ b/internal/part/golden_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"testing"
-	"time"
 
 	"github.com/harrierreel/harrierreel/internal/fleet"
 	"github.com/harrierreel/harrierreel/internal/goldentest"
@@ -15,19 +14,19 @@
 		"quiet-least.json": {},
 	} {
 		o := newOwner(t)
-		o.Quiet["n0"] = fleet.Quiet{"m-9": {Since: o.Now}}
+		o.quietLists["n0"] = fleet.QuietLists{1: {Mute: map[string]bool{"m-9": false}}}
 		ds := o.tellQuiet(unheard)
 		if len(ds) != 1 || len(ds[0].Writes) != 1 || ds[0].Writes[0].Put != "quiet/n0" {
 			t.Fatalf("%s: decided %+v", name, ds)
 		}
 		goldentest.Bytes(t, name, ds[0].Writes[0].Value)
-		back, err := fleet.DecodeQuiet(goldentest.Read(t, name), nil, time.UnixMilli(1))
-		if err != nil || len(back) != len(unheard) {
+		back, err := fleet.DecodeQuietList(goldentest.Read(t, name))
+		if err != nil || len(back.Mute) != len(unheard) || back.Since != 0 {
 			t.Fatalf("%s: read %+v, %v", name, back, err)
 		}
-		for host, s := range back {
-			if mute, known := unheard[host]; !known || mute != s.Mute {
-				t.Errorf("%s: read %s as %+v", name, host, s)
+		for host, mute := range back.Mute {
+			if want, known := unheard[host]; !known || want != mute {
+				t.Errorf("%s: read %s as %v", name, host, mute)
 			}
 		}
 	}
