--- a/internal/gangs/gangs_test.go
+++ b/internal/gangs/gangs_test.go
@@ -5,70 +5,70 @@
 	"testing"
 	"time"
 
-	"github.com/harrierreel/harrierreel/internal/book"
+	"github.com/harrierreel/harrierreel/internal/clusterstate"
 	"github.com/harrierreel/harrierreel/internal/jobs"
-	"github.com/harrierreel/harrierreel/internal/parts"
+	"github.com/harrierreel/harrierreel/internal/sharding"
 )
 
 func TestPhaseOf(t *testing.T) {
-	on := func(try uint64) *jobs.Task { return &jobs.Task{State: jobs.Placed, Host: "h", Try: try} }
+	on := func(attempt uint64) *jobs.Task { return &jobs.Task{State: jobs.Placed, Machine: "h", Attempt: attempt} }
 	for name, c := range map[string]struct {
 		tasks []*jobs.Task
 		want  Phase
 	}{
 		"no records":          {nil, Resting},
-		"all waiting again":   {[]*jobs.Task{{State: jobs.Pending, Try: 3}}, Resting},
+		"all waiting again":   {[]*jobs.Task{{State: jobs.Pending, Attempt: 3}}, Resting},
 		"offered":             {[]*jobs.Task{{State: jobs.Released}, {State: jobs.Released}}, Offered},
 		"whole":               {[]*jobs.Task{on(2), on(2)}, Whole},
 		"one missing":         {[]*jobs.Task{on(2)}, Broken},
 		"old attempt remains": {[]*jobs.Task{on(2), on(1)}, Broken},
-		"being stopped":       {[]*jobs.Task{on(2), {State: jobs.Stopping, Host: "h", Try: 2}}, Broken},
+		"being stopped":       {[]*jobs.Task{on(2), {State: jobs.Stopping, Machine: "h", Attempt: 2}}, Broken},
 		"one done":            {[]*jobs.Task{on(2), {State: jobs.Finished}}, Complete},
 	} {
 		if got := PhaseOf(2, c.tasks); got != c.want {
 			t.Errorf("%s: %s", name, got)
 		}
 	}
-	if NextTry([]*jobs.Task{on(2), on(7)}) != 8 || NextTry(nil) != 1 {
+	if NextAttempt([]*jobs.Task{on(2), on(7)}) != 8 || NextAttempt(nil) != 1 {
 		t.Error("the next try is above all")
 	}
 }
 
 func TestFit(t *testing.T) {
-	whole := parts.Room{Cores: 32, Accelerators: 4, MemoryGB: 256}
-	cand := func(host, site, part string, free float64, cached bool) parts.Candidate {
-		return parts.Candidate{Host: host, Site: site, Part: part, Whole: whole, Free: parts.Room{Cores: 32, Accelerators: free, MemoryGB: 256}, Cached: cached}
+	whole := sharding.Resources{Cores: 32, Accelerators: 4, MemoryGB: 256}
+	cand := func(machine, zone, part string, free float64, cached bool) sharding.Candidate {
+		return sharding.Candidate{Machine: machine, Zone: zone, Controller: part, Capacity: whole, Free: sharding.Resources{Cores: 32, Accelerators: free, MemoryGB: 256}, HasImage: cached}
 	}
-	spec := &jobs.Spec{Shape: jobs.Ensemble, Pieces: 4, Cores: 1, Accel: 1, MemoryGB: 1}
-	fit := func(change func(*jobs.Spec), cands ...parts.Candidate) (string, bool, bool) {
+	spec := &jobs.Spec{Kind: jobs.Gang, TaskCount: 4, Cores: 1, Accelerators: 1, MemoryGB: 1}
+	fit := func(change func(*jobs.Spec), cands ...sharding.Candidate) (string, bool, bool) {
 		s := *spec
 		if change != nil {
 			change(&s)
 		}
-		hosts, whole, room := Fit(&s, cands, map[string]int{}, func(_ int, cands []parts.Candidate, zones map[string]int) int {
-			return parts.PickIf(s.Need(), false, cands, func(c *parts.Candidate) bool { return book.ZoneAllowed(&s, zones, c.Site) })
+		machines, whole, room := Fit(&s, cands, map[string]int{}, func(_ int, cands []sharding.Candidate, zones map[string]int) int {
+			return sharding.PickIf(s.Resources(), false, cands, func(c *sharding.Candidate) bool { return clusterstate.ZoneAllowed(&s, zones, c.Zone) })
 		})
-		return strings.Join(hosts, " "), whole, room
+		return strings.Join(machines, " "), whole, room
 	}
-	same := func(s *jobs.Spec) { s.SamePlace = true }
+	same := func(s *jobs.Spec) { s.SameZone = true }
 	for name, c := range map[string]struct {
 		change func(*jobs.Spec)
-		cands  []parts.Candidate
+		cands  []sharding.Candidate
 		hosts  string
 		whole  bool
 		room   bool
 	}{
-		"in one part":      {nil, []parts.Candidate{cand("i-1", "a", "n0", 3, false), cand("i-2", "b", "n1", 4, false)}, "i-2 i-2 i-2 i-2", true, true},
-		"across parts":     {nil, []parts.Candidate{cand("i-1", "a", "n0", 3, false), cand("i-2", "b", "n1", 1, false)}, "i-1 i-1 i-1 i-2", false, true},
-		"images first":     {nil, []parts.Candidate{cand("i-1", "a", "n0", 4, false), cand("i-2", "b", "n1", 4, true)}, "i-2 i-2 i-2 i-2", true, true},
-		"the tightest":     {nil, []parts.Candidate{cand("i-1", "a", "n0", 8, false), cand("i-2", "b", "n1", 4, false)}, "i-2 i-2 i-2 i-2", true, true},
-		"in one zone":      {same, []parts.Candidate{cand("i-1", "a", "n0", 3, false), cand("i-2", "b", "n0", 3, false), cand("i-3", "b", "n1", 1, false)}, "i-2 i-2 i-2 i-3", false, true},
-		"no zone holds it": {same, []parts.Candidate{cand("i-1", "a", "n0", 3, false), cand("i-2", "b", "n0", 3, false)}, "", false, false},
-		"too little":       {nil, []parts.Candidate{cand("i-1", "a", "n0", 3, false)}, "", false, false},
+		"in one part":      {nil, []sharding.Candidate{cand("i-1", "a", "n0", 3, false), cand("i-2", "b", "n1", 4, false)}, "i-2 i-2 i-2 i-2", true, true},
+		"across parts":     {nil, []sharding.Candidate{cand("i-1", "a", "n0", 3, false), cand("i-2", "b", "n1", 1, false)}, "i-1 i-1 i-1 i-2", false, true},
+		"images first":     {nil, []sharding.Candidate{cand("i-1", "a", "n0", 4, false), cand("i-2", "b", "n1", 4, true)}, "i-2 i-2 i-2 i-2", true, true},
+		"the tightest":     {nil, []sharding.Candidate{cand("i-1", "a", "n0", 8, false), cand("i-2", "b", "n1", 4, false)}, "i-2 i-2 i-2 i-2", true, true},
+		"in one zone":      {same, []sharding.Candidate{cand("i-1", "a", "n0", 3, false), cand("i-2", "b", "n0", 3, false), cand("i-3", "b", "n1", 1, false)}, "i-2 i-2 i-2 i-3", false, true},
+		"no zone holds it": {same, []sharding.Candidate{cand("i-1", "a", "n0", 3, false), cand("i-2", "b", "n0", 3, false)}, "", false, false},
+		"too little":       {nil, []sharding.Candidate{cand("i-1", "a", "n0", 3, false)}, "", false, false},
 	} {
-		hosts, whole, room := fit(c.change, c.cands...)
-		if hosts != c.hosts || whole != c.whole || room != c.room {
-			t.Errorf("%s: %q %v %v", name, hosts, whole, room)
+		machines, whole, room := fit(c.change, c.cands...)
+		if machines != c.hosts || whole != c.whole || room != c.room {
+			t.Errorf("%s: %q %v %v", name, machines, whole, room)
 		}
 	}
 }
--- a/internal/wire/message.go
+++ b/internal/http1/message.go
@@ -1,6 +1,6 @@
-// Package wire is the project's HTTP/1.1: one parser for requests and
+// Package http1 is the project's HTTP/1.1: one parser for requests and
 // responses, the listener built on evio, and the client built on net.
-package wire
+package http1
 
 import (
 	"bytes"
--- a/internal/wire/wire_test.go
+++ b/internal/http1/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package http1
 
 import (
 	"bytes"
--- a/internal/jobs/due.go
+++ b/internal/jobs/due.go
@@ -7,32 +7,32 @@
 
 // Progress is how far a job's tasks are.
 type Progress struct {
-	Fresh int // tasks that never began
-	Again int // tasks that began, and wait to begin again
-	Done  int
+	NeverRun int // tasks that never began
+	Retrying int // tasks that began, and wait to begin again
+	Done     int
 }
 
-// Unmet says why a live job's deadline cannot be met any more, judged by its user's
+// DeadlineMissed says why a live job's deadline cannot be met any more, judged by its user's
 // estimate of a task's run time; empty while it can be, and for a job without one. It
 // leaves out what a task needs besides (room, an image), so what it says is certain as
 // far as the estimate is right.
-func (r *Record) Unmet(p Progress, now time.Time) string {
+func (r *Record) DeadlineMissed(p Progress, now time.Time) string {
 	s := &r.Spec
-	if s.DueS == nil || s.Shape == Standing || r.State != Live || p.Done >= s.Pieces {
+	if s.DeadlineS == nil || s.Kind == Service || r.State != Live || p.Done >= s.TaskCount {
 		return ""
 	}
-	due := time.UnixMilli(r.AtMs).Add(Seconds(*s.DueS))
-	left := s.Pieces - p.Done
+	due := time.UnixMilli(r.AcceptedMs).Add(Seconds(*s.DeadlineS))
+	left := s.TaskCount - p.Done
 	if !now.Before(due) {
 		return fmt.Sprintf("its deadline passed %s ago with %d tasks left", inSeconds(now.Sub(due)), left)
 	}
 	// A task that began did so after the job was accepted; one that saved may have any
 	// part of its run behind it.
-	earliest := time.UnixMilli(r.AtMs)
-	if p.Fresh > 0 || p.Again > 0 && s.SnapshotS == 0 {
+	earliest := time.UnixMilli(r.AcceptedMs)
+	if p.NeverRun > 0 || p.Retrying > 0 && s.CheckpointIntervalS == 0 {
 		earliest = now
 	}
-	earliest = earliest.Add(Seconds(s.ExpectS))
+	earliest = earliest.Add(Seconds(s.ExpectedDurationS))
 	if !earliest.After(due) {
 		return ""
 	}
--- a/internal/jobs/finals.go
+++ b/internal/jobs/finals.go
@@ -1,31 +1,31 @@
 package jobs
 
-// Finals keeps final states, which never change, up to a bound; the oldest are
+// FinalCache keeps final states, which never change, up to a bound; the oldest are
 // forgotten first, for they can be read again.
-type Finals struct {
-	most  int
+type FinalCache struct {
+	limit int
 	state map[string]Final
 	order []string
 }
 
-// NewFinals makes an empty cache for so many jobs.
-func NewFinals(most int) *Finals { return &Finals{most: most, state: map[string]Final{}} }
+// NewFinalCache makes an empty cache for so many jobs.
+func NewFinalCache(most int) *FinalCache { return &FinalCache{limit: most, state: map[string]Final{}} }
 
 // Get returns a job's final state, if it is known.
-func (c *Finals) Get(uid string) (Final, bool) {
-	f, ok := c.state[uid]
+func (c *FinalCache) Get(jobID string) (Final, bool) {
+	f, ok := c.state[jobID]
 	return f, ok
 }
 
 // Put enters a job's state if it is a final one.
-func (c *Finals) Put(uid string, f Final) {
-	if _, ok := c.state[uid]; ok || (f.State != Done && f.State != Cancelled) {
+func (c *FinalCache) Put(jobID string, f Final) {
+	if _, ok := c.state[jobID]; ok || (f.State != Done && f.State != Cancelled) {
 		return
 	}
-	if len(c.order) >= c.most {
+	if len(c.order) >= c.limit {
 		delete(c.state, c.order[0])
 		c.order = c.order[1:]
 	}
-	c.state[uid] = f
-	c.order = append(c.order, uid)
+	c.state[jobID] = f
+	c.order = append(c.order, jobID)
 }
--- a/internal/jobs/golden_edges_test.go
+++ b/internal/jobs/golden_edges_test.go
@@ -14,15 +14,15 @@
 func goldenSpec() Spec {
 	due := 900.25
 	return Spec{
-		UID: "wk-000412", Class: "nightly-reco", Owner: "storefront", Shape: Ensemble, Rank: "urgent", Pieces: 4, Cores: 2.5, Accel: 1.5, MemoryGB: 24,
-		Bundle: "img-7", PullGB: 3.25, Builds: []string{"g4", "g8"}, Site: "north", SamePlace: true, Scatter: true, Loaner: true,
-		ExpectS: 120, SnapshotS: 30, StashS: 4, DueS: &due,
+		ID: "wk-000412", Class: "nightly-reco", Team: "storefront", Kind: Gang, Priority: "urgent", TaskCount: 4, Cores: 2.5, Accelerators: 1.5, MemoryGB: 24,
+		Image: "img-7", ImageGB: 3.25, MachineTypes: []string{"g4", "g8"}, Zone: "north", SameZone: true, SpreadZones: true, Spot: true,
+		ExpectedDurationS: 120, CheckpointIntervalS: 30, CheckpointTimeS: 4, DeadlineS: &due,
 	}
 }
 
 // leanSpec leaves out what a record leaves out.
 func leanSpec() Spec {
-	return Spec{UID: "wk-000413", Class: "c", Owner: "t", Shape: Sweep, Rank: "idle", Pieces: 1, Bundle: "b"}
+	return Spec{ID: "wk-000413", Class: "c", Team: "t", Kind: JobArray, Priority: "idle", TaskCount: 1, Image: "b"}
 }
 
 // Submissions keep their form: what is sent, what is read of it and what is said of faults.
@@ -56,7 +56,7 @@
 	for _, body := range []string{
 		`{}`, ``, `[]`, `{"uid":`,
 		`{"uid":"x","jobclass":"","owner":"","shape":"star","rank":"high","pieces":1.5,"cores":-1,"accelerators":-1,"memory_gb":2e9,"bundle":"","pull_gb":-1,"builds":[],"site":"","same_place":null,"scatter":null,"loaner":null,"expect_s":-1,"snapshot_s":-1,"stash_s":-1,"due_s":-1}`,
-		`{"builds":[` + strings.Repeat(`"b",`, maxBuilds) + `""]}`,
+		`{"builds":[` + strings.Repeat(`"b",`, maxMachineTypes) + `""]}`,
 	} {
 		note([]byte(body))
 	}
@@ -69,11 +69,11 @@
 
 // The cloud's machine types keep their form.
 func TestGoldenBuilds(t *testing.T) {
-	full := Build{Name: "g4", Cores: 32, Accel: 4, MemoryGB: 256, CacheGB: 100, PullRate: 1.5, Hourly: 10, LowPrice: 3.25, ReadyS: 20, Sites: []string{"north", "south"}}
+	full := MachineType{Name: "g4", Cores: 32, Accelerators: 4, MemoryGB: 256, CacheGB: 100, ImageGBPerS: 1.5, Hourly: 10, SpotHourly: 3.25, BootS: 20, Zones: []string{"north", "south"}}
 	goldentest.Filled(t, full)
-	for name, want := range map[string]Build{"build-full.json": full, "build-lean.json": {Name: "g4"}} {
+	for name, want := range map[string]MachineType{"build-full.json": full, "build-lean.json": {Name: "g4"}} {
 		goldentest.JSON(t, name, want)
-		var got Build
+		var got MachineType
 		if err := json.Unmarshal(goldentest.Read(t, name), &got); err != nil || !reflect.DeepEqual(got, want) {
 			t.Errorf("%s: read as %+v, not as %+v: %v", name, got, want, err)
 		}
--- a/internal/jobs/golden_test.go
+++ b/internal/jobs/golden_test.go
@@ -12,23 +12,23 @@
 
 func goldenRecord() Record {
 	due := 900.5
-	return Record{State: Cancelled, AtMs: 1700000000001, EndMs: 1700000000002, Done: 3, Spec: Spec{
-		UID: goldenUID, Class: "train", Owner: "vision", Shape: Ensemble, Rank: "urgent", Pieces: 8,
-		Cores: 1.5, Accel: 0.25, MemoryGB: 12.75, Bundle: "registry/<image>&1", PullGB: 3.5,
-		Builds: []string{"g2", "g4"}, Site: "z-b", SamePlace: true, Scatter: true, Loaner: true,
-		ExpectS: 60.5, SnapshotS: 30, StashS: 4, DueS: &due,
+	return Record{State: Cancelled, AcceptedMs: 1700000000001, EndMs: 1700000000002, DoneCount: 3, Spec: Spec{
+		ID: goldenUID, Class: "train", Team: "vision", Kind: Gang, Priority: "urgent", TaskCount: 8,
+		Cores: 1.5, Accelerators: 0.25, MemoryGB: 12.75, Image: "registry/<image>&1", ImageGB: 3.5,
+		MachineTypes: []string{"g2", "g4"}, Zone: "z-b", SameZone: true, SpreadZones: true, Spot: true,
+		ExpectedDurationS: 60.5, CheckpointIntervalS: 30, CheckpointTimeS: 4, DeadlineS: &due,
 	}}
 }
 
 func goldenTask() Task {
-	return Task{State: Stopping, Part: "ctl-a", Site: "z-b", Want: "m-1", Host: "m-2", Try: 7, Fails: 2,
-		Bad: []string{"m-3", "m-4"}, After: 1700000000003, Why: "makes way"}
+	return Task{State: Stopping, Controller: "ctl-a", Zone: "z-b", PreferredMachine: "m-1", Machine: "m-2", Attempt: 7, Failures: 2,
+		FailedOn: []string{"m-3", "m-4"}, NotBeforeMs: 1700000000003, Reason: "makes way"}
 }
 
 func TestGoldenRecord(t *testing.T) {
 	full := goldenRecord()
 	goldentest.Filled(t, full)
-	least := Record{State: Live, Spec: Spec{UID: goldenUID, Rank: "prod", Pieces: 1}}
+	least := Record{State: Live, Spec: Spec{ID: goldenUID, Priority: "prod", TaskCount: 1}}
 	for name, r := range map[string]Record{"job.json": full, "job-least.json": least} {
 		goldentest.JSON(t, name, r)
 		back, err := DecodeRecord(goldenUID, goldentest.Read(t, name))
@@ -41,7 +41,7 @@
 }
 
 func TestGoldenFinal(t *testing.T) {
-	full := Final{State: Done, Done: 9}
+	full := Final{State: Done, DoneCount: 9}
 	goldentest.Filled(t, full)
 	goldentest.JSON(t, "final.json", full)
 	goldentest.JSON(t, "final-least.json", Final{State: Cancelled})
@@ -50,22 +50,22 @@
 func TestGoldenSlice(t *testing.T) {
 	full := goldenTask()
 	goldentest.Filled(t, full)
-	goldentest.Filled(t, storedSlice{Version: sliceVersion, Tasks: []Task{full}})
-	tasks := []Task{full, {State: Pending}, {State: Released, Part: "ctl-b"}, {State: Placed, Host: "m", Try: 1}, {State: Finished, Try: 4}}
+	goldentest.Filled(t, storedTaskRange{Version: taskRangeVersion, Tasks: []Task{full}})
+	tasks := []Task{full, {State: Pending}, {State: Released, Controller: "ctl-b"}, {State: Placed, Machine: "m", Attempt: 1}, {State: Finished, Attempt: 4}}
 	lean := append([]Task{}, tasks...)
-	lean[0].Bad, lean[0].Why = nil, ""
+	lean[0].FailedOn, lean[0].Reason = nil, ""
 	for _, c := range []struct {
 		name  string
 		limit int
 		want  []Task
 	}{{"slice.json", 1 << 20, tasks}, {"slice-lean.json", 1, lean}} {
-		goldentest.Bytes(t, c.name, EncodeSlice(tasks, c.limit))
-		back, err := DecodeSlice(goldentest.Read(t, c.name))
+		goldentest.Bytes(t, c.name, EncodeTaskRange(tasks, c.limit))
+		back, err := DecodeTaskRange(goldentest.Read(t, c.name))
 		if err != nil || !reflect.DeepEqual(back, c.want) {
 			t.Errorf("%s: read %+v, %v", c.name, back, err)
 			continue
 		}
-		goldentest.Bytes(t, c.name, EncodeSlice(back, 1<<20))
+		goldentest.Bytes(t, c.name, EncodeTaskRange(back, 1<<20))
 	}
 }
 
@@ -73,7 +73,7 @@
 func TestGoldenFirstTask(t *testing.T) {
 	for name, task := range map[string]Task{"task-first.json": goldenTask(), "task-first-least.json": {State: Pending}} {
 		goldentest.JSON(t, name, task)
-		back, err := DecodeSlice(goldentest.Read(t, name))
+		back, err := DecodeTaskRange(goldentest.Read(t, name))
 		if err != nil || !reflect.DeepEqual(back, []Task{task}) {
 			t.Errorf("%s: read %+v, %v", name, back, err)
 			continue
@@ -83,18 +83,18 @@
 }
 
 func TestGoldenBuild(t *testing.T) {
-	full := Build{Name: "g2", Cores: 64.5, Accel: 8, MemoryGB: 512, CacheGB: 200, PullRate: 1.25, Hourly: 12.5, LowPrice: 3.75, ReadyS: 90, Sites: []string{"z-a", "z-b"}}
+	full := MachineType{Name: "g2", Cores: 64.5, Accelerators: 8, MemoryGB: 512, CacheGB: 200, ImageGBPerS: 1.25, Hourly: 12.5, SpotHourly: 3.75, BootS: 90, Zones: []string{"z-a", "z-b"}}
 	goldentest.Filled(t, full)
 	goldentest.JSON(t, "build.json", full)
-	goldentest.JSON(t, "build-least.json", Build{})
+	goldentest.JSON(t, "build-least.json", MachineType{})
 }
 
 func TestGoldenWords(t *testing.T) {
 	words := []string{
-		JobPrefix, TaskPrefix, FinalPrefix, SliceKey(goldenUID, 16),
+		JobPrefix, TaskPrefix, FinalPrefix, TaskRangeKey(goldenUID, 16),
 		string(Live), string(Cancelled), string(Done),
 		string(Pending), string(Released), string(Placed), string(Stopping), string(Finished),
-		Sweep, Ensemble, Standing,
+		JobArray, Gang, Service,
 	}
-	goldentest.Bytes(t, "words.txt", []byte(strings.Join(append(words, ranks...), "\n")+"\n"))
+	goldentest.Bytes(t, "words.txt", []byte(strings.Join(append(words, priorities...), "\n")+"\n"))
 }
--- a/internal/jobs/jobs_test.go
+++ b/internal/jobs/jobs_test.go
@@ -16,7 +16,7 @@
 
 func TestParseSpec(t *testing.T) {
 	s, err := ParseSpec([]byte(good))
-	if err != nil || s.Pieces != 16 || s.UID != "wk-000412" || *s.DueS != 900 || !s.SamePlace || s.Site != "" {
+	if err != nil || s.TaskCount != 16 || s.ID != "wk-000412" || *s.DeadlineS != 900 || !s.SameZone || s.Zone != "" {
 		t.Fatalf("%+v %v", s, err)
 	}
 	for field, change := range map[string][2]string{
@@ -66,7 +66,7 @@
 		}
 		fields[f] = v
 	}
-	least := &Spec{UID: "wk-1", Class: "c", Owner: "t", Shape: Sweep, Rank: "idle", Pieces: 1, Cores: 1, MemoryGB: 1, Bundle: "b"}
+	least := &Spec{ID: "wk-1", Class: "c", Team: "t", Kind: JobArray, Priority: "idle", TaskCount: 1, Cores: 1, MemoryGB: 1, Image: "b"}
 	if s, err := ParseSpec(least.Submission()); err != nil || !reflect.DeepEqual(s, least) {
 		t.Errorf("%s: %+v %v", least.Submission(), s, err)
 	}
@@ -78,20 +78,20 @@
 }
 
 func TestCanEverRun(t *testing.T) {
-	builds := map[string]*Build{"g4": {Name: "g4", Cores: 8, Accel: 4, MemoryGB: 64, Sites: []string{"a"}}}
+	builds := map[string]*MachineType{"g4": {Name: "g4", Cores: 8, Accelerators: 4, MemoryGB: 64, Zones: []string{"a"}}}
 	tree := quota.Flat(map[string]quota.Team{"t": {Name: "t", Max: quota.Of(0, 4, 0)}})
-	base := Spec{Owner: "t", Shape: Sweep, Pieces: 9, Cores: 1, Accel: 1, MemoryGB: 1}
+	base := Spec{Team: "t", Kind: JobArray, TaskCount: 9, Cores: 1, Accelerators: 1, MemoryGB: 1}
 	for name, c := range map[string]struct {
 		change func(*Spec)
 		ok     bool
 	}{
 		"array counts one task":   {func(*Spec) {}, true},
-		"gang counts all":         {func(s *Spec) { s.Shape = Ensemble }, false},
-		"service counts all":      {func(s *Spec) { s.Shape, s.Pieces = Standing, 4 }, true},
-		"unknown team":            {func(s *Spec) { s.Owner = "x" }, false},
-		"unknown type":            {func(s *Spec) { s.Builds = []string{"g9"} }, false},
-		"type not in that zone":   {func(s *Spec) { s.Site = "b" }, false},
-		"too big for any machine": {func(s *Spec) { s.Accel = 5 }, false},
+		"gang counts all":         {func(s *Spec) { s.Kind = Gang }, false},
+		"service counts all":      {func(s *Spec) { s.Kind, s.TaskCount = Service, 4 }, true},
+		"unknown team":            {func(s *Spec) { s.Team = "x" }, false},
+		"unknown type":            {func(s *Spec) { s.MachineTypes = []string{"g9"} }, false},
+		"type not in that zone":   {func(s *Spec) { s.Zone = "b" }, false},
+		"too big for any machine": {func(s *Spec) { s.Accelerators = 5 }, false},
 	} {
 		s := base
 		c.change(&s)
@@ -110,35 +110,35 @@
 		}
 		return next
 	}
-	x := step(Task{}, TaskEvent{Kind: Release, Part: "n1", Site: "a"})
-	if !x.Charged() || x.On() {
+	x := step(Task{}, TaskEvent{Kind: Release, Controller: "n1", Zone: "a"})
+	if !x.Charged() || x.OnMachine() {
 		t.Error("released is charged and on no machine")
 	}
-	x = step(x, TaskEvent{Kind: Place, Host: "i-1", Try: 1})
-	if _, ok := NextTask(x, TaskEvent{Kind: Place, Host: "i-2", Try: 2}); ok {
+	x = step(x, TaskEvent{Kind: Place, Machine: "i-1", Attempt: 1})
+	if _, ok := NextTask(x, TaskEvent{Kind: Place, Machine: "i-2", Attempt: 2}); ok {
 		t.Error("placed twice")
 	}
-	if _, ok := NextTask(x, TaskEvent{Kind: Anew, Try: 1}); ok {
+	if _, ok := NextTask(x, TaskEvent{Kind: PlaceAgain, Attempt: 1}); ok {
 		t.Error("a try was used again on the same machine")
 	}
-	if again := step(x, TaskEvent{Kind: Anew, Try: 2}); again.Try != 2 || again.Host != "i-1" || again.State != Placed {
+	if again := step(x, TaskEvent{Kind: PlaceAgain, Attempt: 2}); again.Attempt != 2 || again.Machine != "i-1" || again.State != Placed {
 		t.Errorf("%+v", again)
 	}
-	x = step(x, TaskEvent{Kind: Stop, Why: "room"})
-	if _, ok := NextTask(x, TaskEvent{Kind: Anew, Try: 9}); ok {
+	x = step(x, TaskEvent{Kind: Stop, Reason: "room"})
+	if _, ok := NextTask(x, TaskEvent{Kind: PlaceAgain, Attempt: 9}); ok {
 		t.Error("what is to be stopped was placed once more")
 	}
-	x = step(x, TaskEvent{Kind: Fail, AfterMs: 5})
-	if x.Fails != 1 || len(x.Bad) != 1 || x.Charged() || x.Try != 1 {
+	x = step(x, TaskEvent{Kind: Fail, NotBeforeMs: 5})
+	if x.Failures != 1 || len(x.FailedOn) != 1 || x.Charged() || x.Attempt != 1 {
 		t.Errorf("%+v", x)
 	}
-	if _, ok := NextTask(x, TaskEvent{Kind: Place, Host: "i-2", Try: 1}); ok {
+	if _, ok := NextTask(x, TaskEvent{Kind: Place, Machine: "i-2", Attempt: 1}); ok {
 		t.Error("a try was used again")
 	}
-	x = step(x, TaskEvent{Kind: Place, Host: "i-2", Try: 2})
+	x = step(x, TaskEvent{Kind: Place, Machine: "i-2", Attempt: 2})
 	x = step(x, TaskEvent{Kind: Complete})
-	for _, e := range []TaskEventKind{Release, Place, Anew, Stop, Gone, Fail, TakeBack, Complete} {
-		if _, ok := NextTask(x, TaskEvent{Kind: e, Try: 9}); ok {
+	for _, e := range []TaskEventKind{Release, Place, PlaceAgain, Stop, Lost, Fail, TakeBack, Complete} {
+		if _, ok := NextTask(x, TaskEvent{Kind: e, Attempt: 9}); ok {
 			t.Errorf("%s after done", e)
 		}
 	}
@@ -155,11 +155,11 @@
 }
 
 func TestSplitPiece(t *testing.T) {
-	if uid, n, ok := SplitPiece("wk-000412/3"); !ok || uid != "wk-000412" || n != 3 {
-		t.Error(uid, n, ok)
+	if jobID, n, ok := SplitTaskID("wk-000412/3"); !ok || jobID != "wk-000412" || n != 3 {
+		t.Error(jobID, n, ok)
 	}
 	for _, bad := range []string{"", "wk-1", "wk-1/", "wk-1/-1", "wk-1/03", "x/1", "wk-1/100000", "wk-1/1/2"} {
-		if _, _, ok := SplitPiece(bad); ok {
+		if _, _, ok := SplitTaskID(bad); ok {
 			t.Errorf("%q was taken", bad)
 		}
 	}
@@ -170,10 +170,10 @@
 	f.Add([]byte(`{"s":"placed","host":"i-1","try":1}`))
 	f.Add([]byte(good))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if r, err := DecodeRecord("wk-1", b); err == nil && r.Spec.UID != "wk-1" {
+		if r, err := DecodeRecord("wk-1", b); err == nil && r.Spec.ID != "wk-1" {
 			t.Error("another job's record")
 		}
-		if x, err := DecodeTask(b); err == nil && x.On() && x.Host == "" {
+		if x, err := DecodeTask(b); err == nil && x.OnMachine() && x.Machine == "" {
 			t.Error("on no machine")
 		}
 		_, _ = ParseSpec(b)
@@ -181,8 +181,8 @@
 }
 
 func TestSlices(t *testing.T) {
-	in := []Task{{State: Placed, Host: "i-1", Try: 1}, {State: Pending, Try: 2, Bad: []string{"i-000001", "i-000002"}}, {State: Finished, Try: 1}}
-	out, err := DecodeSlice(EncodeSlice(in, 8192))
+	in := []Task{{State: Placed, Machine: "i-1", Attempt: 1}, {State: Pending, Attempt: 2, FailedOn: []string{"i-000001", "i-000002"}}, {State: Finished, Attempt: 1}}
+	out, err := DecodeTaskRange(EncodeTaskRange(in, 8192))
 	if err != nil || len(out) != 3 {
 		t.Fatal(out, err)
 	}
@@ -191,16 +191,16 @@
 			t.Errorf("task %d: %+v", i, out[i])
 		}
 	}
-	lean, err := DecodeSlice(EncodeSlice(in, 100))
-	if err != nil || lean[1].Bad != nil || lean[1].Try != 2 || lean[0].Host != "i-1" {
+	lean, err := DecodeTaskRange(EncodeTaskRange(in, 100))
+	if err != nil || lean[1].FailedOn != nil || lean[1].Attempt != 2 || lean[0].Machine != "i-1" {
 		t.Errorf("what does not fit is left out, and nothing else: %+v %v", lean, err)
 	}
 	// The first form held one task.
-	if old, err := DecodeSlice([]byte(`{"s":"placed","host":"i-7","try":3}`)); err != nil || len(old) != 1 || old[0].Host != "i-7" {
+	if old, err := DecodeTaskRange([]byte(`{"s":"placed","host":"i-7","try":3}`)); err != nil || len(old) != 1 || old[0].Machine != "i-7" {
 		t.Error(old, err)
 	}
 	for _, bad := range []string{`{"s":"placed"}`, `{"v":2,"t":[{"s":"pending"}]}`, `{"v":1,"t":[]}`, `{"v":1,"t":[{"s":"placed"}]}`, `[]`, `null`, `{}`} {
-		if _, err := DecodeSlice([]byte(bad)); err == nil {
+		if _, err := DecodeTaskRange([]byte(bad)); err == nil {
 			t.Errorf("%s was taken", bad)
 		}
 	}
@@ -219,12 +219,12 @@
 }
 
 func TestFinalsAreBounded(t *testing.T) {
-	c := NewFinals(2)
+	c := NewFinalCache(2)
 	c.Put("wk-1", Final{State: Live})
-	c.Put("wk-2", Final{State: Done, Done: 3})
+	c.Put("wk-2", Final{State: Done, DoneCount: 3})
 	c.Put("wk-2", Final{State: Cancelled}) // a final state never changes
 	c.Put("wk-3", Final{State: Cancelled})
-	if f, ok := c.Get("wk-2"); !ok || f.State != Done || f.Done != 3 {
+	if f, ok := c.Get("wk-2"); !ok || f.State != Done || f.DoneCount != 3 {
 		t.Errorf("wk-2: %v %v", f, ok)
 	}
 	if _, ok := c.Get("wk-1"); ok {
--- a/internal/jobs/records.go
+++ b/internal/jobs/records.go
@@ -51,21 +51,21 @@
 
 // Record is a job as stored.
 type Record struct {
-	State JobState `json:"s"`
-	AtMs  int64    `json:"at"`            // acceptance, time of day
-	EndMs int64    `json:"end,omitempty"` // when it was cancelled or done
-	Done  int      `json:"n,omitempty"`   // tasks done by then
-	Spec  Spec     `json:"spec"`
+	State      JobState `json:"s"`
+	AcceptedMs int64    `json:"at"`            // acceptance, time of day
+	EndMs      int64    `json:"end,omitempty"` // when it was cancelled or done
+	DoneCount  int      `json:"n,omitempty"`   // tasks done by then
+	Spec       Spec     `json:"spec"`
 }
 
-// EndBytes is what a job's end adds to its record at most: the longer state, the time
+// CompletionBytes is what a job's end adds to its record at most: the longer state, the time
 // of day and the count of tasks.
-const EndBytes = len("cancelled") + len(`,"end":9223372036854775807,"n":100000`)
+const CompletionBytes = len("cancelled") + len(`,"end":9223372036854775807,"n":100000`)
 
 // Final is what is kept of a job for ever.
 type Final struct {
-	State JobState `json:"s"`
-	Done  int      `json:"n,omitempty"` // tasks done
+	State     JobState `json:"s"`
+	DoneCount int      `json:"n,omitempty"` // tasks done
 }
 
 // Trust is what a job's failures say of it. It follows from its tasks' records,
@@ -101,26 +101,26 @@
 
 // Task is a task as stored.
 type Task struct {
-	State TaskState `json:"s"`
-	Part  string    `json:"part,omitempty"` // controller that places it
-	Site  string    `json:"site,omitempty"` // zone chosen by the leader
-	Want  string    `json:"want,omitempty"` // machine the leader has room in mind on
-	Host  string    `json:"host,omitempty"`
-	Try   uint64    `json:"try,omitempty"` // highest try used
-	Fails int       `json:"fails,omitempty"`
-	Bad   []string  `json:"bad,omitempty"` // machines that it failed on
-	After int64     `json:"after,omitempty"`
-	Why   string    `json:"why,omitempty"` // why it is being stopped
+	State            TaskState `json:"s"`
+	Controller       string    `json:"part,omitempty"` // controller that places it
+	Zone             string    `json:"site,omitempty"` // zone chosen by the leader
+	PreferredMachine string    `json:"want,omitempty"` // machine the leader has room in mind on
+	Machine          string    `json:"host,omitempty"`
+	Attempt          uint64    `json:"try,omitempty"` // highest try used
+	Failures         int       `json:"fails,omitempty"`
+	FailedOn         []string  `json:"bad,omitempty"` // machines that it failed on
+	NotBeforeMs      int64     `json:"after,omitempty"`
+	Reason           string    `json:"why,omitempty"` // why it is being stopped
 }
 
 // TaskEvent is what can happen to a task.
 type TaskEvent struct {
 	Kind TaskEventKind
-	Part, Site, Want,
-	Host string
-	Try     uint64
-	AfterMs int64
-	Why     string
+	Controller, Zone, PreferredMachine,
+	Machine string
+	Attempt     uint64
+	NotBeforeMs int64
+	Reason      string
 }
 
 // TaskEventKind names a task event.
@@ -128,18 +128,18 @@
 
 // Events of a task.
 const (
-	Release  TaskEventKind = "release"   // leader charges it and names a part
-	TakeBack TaskEventKind = "take back" // part did not place it
-	Place    TaskEventKind = "place"     // machine and try chosen
-	Anew     TaskEventKind = "anew"      // gone from its machine, and placed there once more
-	Stop     TaskEventKind = "stop"      // to be stopped
-	Complete TaskEventKind = "complete"  // worker reported done
-	Gone     TaskEventKind = "gone"      // no longer on its machine, not its fault
-	Fail     TaskEventKind = "fail"      // failed on its machine
+	Release    TaskEventKind = "release"   // leader charges it and names a part
+	TakeBack   TaskEventKind = "take back" // part did not place it
+	Place      TaskEventKind = "place"     // machine and try chosen
+	PlaceAgain TaskEventKind = "anew"      // gone from its machine, and placed there once more
+	Stop       TaskEventKind = "stop"      // to be stopped
+	Complete   TaskEventKind = "complete"  // worker reported done
+	Lost       TaskEventKind = "gone"      // no longer on its machine, not its fault
+	Fail       TaskEventKind = "fail"      // failed on its machine
 )
 
-// maxBad bounds the machines remembered against a task.
-const maxBad = 4
+// maxFailedOn bounds the machines remembered against a task.
+const maxFailedOn = 4
 
 // NextTask is the one place where a task changes state.
 func NextTask(t Task, e TaskEvent) (Task, bool) {
@@ -153,51 +153,51 @@
 		if state != Pending {
 			return t, false
 		}
-		t.State, t.Part, t.Site, t.Want = Released, e.Part, e.Site, e.Want
+		t.State, t.Controller, t.Zone, t.PreferredMachine = Released, e.Controller, e.Zone, e.PreferredMachine
 	case TakeBack:
 		if state != Released {
 			return t, false
 		}
-		t.State, t.Part, t.Site, t.Want = Pending, "", "", ""
+		t.State, t.Controller, t.Zone, t.PreferredMachine = Pending, "", "", ""
 	case Place:
 		// A try is never reused: it must be above every earlier one.
-		if (state != Released && state != Pending) || e.Try <= t.Try {
+		if (state != Released && state != Pending) || e.Attempt <= t.Attempt {
 			return t, false
 		}
-		t.State, t.Host, t.Site, t.Try, t.Part, t.Want = Placed, e.Host, e.Site, e.Try, "", ""
-	case Anew:
+		t.State, t.Machine, t.Zone, t.Attempt, t.Controller, t.PreferredMachine = Placed, e.Machine, e.Zone, e.Attempt, "", ""
+	case PlaceAgain:
 		// Gone and Place in one, with the same guard.
-		if state != Placed || e.Try <= t.Try {
+		if state != Placed || e.Attempt <= t.Attempt {
 			return t, false
 		}
-		t.Try = e.Try
+		t.Attempt = e.Attempt
 	case Stop:
 		if state != Placed {
 			return t, false
 		}
-		t.State, t.Why = Stopping, e.Why
+		t.State, t.Reason = Stopping, e.Reason
 	case Complete:
 		if !on {
 			return t, false
 		}
-		t = Task{State: Finished, Try: t.Try}
-	case Gone:
+		t = Task{State: Finished, Attempt: t.Attempt}
+	case Lost:
 		if !on {
 			return t, false
 		}
-		t = Task{State: Pending, Try: t.Try, Fails: t.Fails, Bad: t.Bad, After: e.AfterMs}
+		t = Task{State: Pending, Attempt: t.Attempt, Failures: t.Failures, FailedOn: t.FailedOn, NotBeforeMs: e.NotBeforeMs}
 	case Fail:
 		if !on {
 			return t, false
 		}
-		bad := t.Bad
-		if !slices.Contains(bad, t.Host) {
-			bad = append(slices.Clone(bad), t.Host)
-			if len(bad) > maxBad {
+		bad := t.FailedOn
+		if !slices.Contains(bad, t.Machine) {
+			bad = append(slices.Clone(bad), t.Machine)
+			if len(bad) > maxFailedOn {
 				bad = bad[1:]
 			}
 		}
-		t = Task{State: Pending, Try: t.Try, Fails: t.Fails + 1, Bad: bad, After: e.AfterMs}
+		t = Task{State: Pending, Attempt: t.Attempt, Failures: t.Failures + 1, FailedOn: bad, NotBeforeMs: e.NotBeforeMs}
 	default:
 		return t, false
 	}
@@ -210,45 +210,45 @@
 	if t.State == Released {
 		return NextTask(t, TaskEvent{Kind: TakeBack})
 	}
-	return NextTask(t, TaskEvent{Kind: Stop, Why: why})
+	return NextTask(t, TaskEvent{Kind: Stop, Reason: why})
 }
 
-// On tells whether the task may be on a machine.
-func (t *Task) On() bool { return t.State == Placed || t.State == Stopping }
+// OnMachine tells whether the task may be on a machine.
+func (t *Task) OnMachine() bool { return t.State == Placed || t.State == Stopping }
 
 // Charged tells whether the task counts against its team.
-func (t *Task) Charged() bool { return t.On() || t.State == Released }
+func (t *Task) Charged() bool { return t.OnMachine() || t.State == Released }
 
-// SliceKey is the key of the slice of a job's tasks that begins with task from.
-func SliceKey(uid string, from int) string { return TaskPrefix + Piece(uid, from) }
+// TaskRangeKey is the key of the slice of a job's tasks that begins with task from.
+func TaskRangeKey(jobID string, from int) string { return TaskPrefix + TaskID(jobID, from) }
 
-// sliceVersion is the form in which slices are stored.
-const sliceVersion = 1
+// taskRangeVersion is the form in which slices are stored.
+const taskRangeVersion = 1
 
-// storedSlice is a slice as stored: the records of consecutive tasks of a job.
+// storedTaskRange is a slice as stored: the records of consecutive tasks of a job.
 // The first form kept one task in each record, without a version.
-type storedSlice struct {
+type storedTaskRange struct {
 	Version int    `json:"v"`
 	Tasks   []Task `json:"t"`
 }
 
-// EncodeSlice writes a slice. A record may not be longer than limit bytes: what
+// EncodeTaskRange writes a slice. A record may not be longer than limit bytes: what
 // only helps to choose machines is left out where it would not fit.
-func EncodeSlice(tasks []Task, limit int) json.RawMessage {
-	b := Encode(storedSlice{sliceVersion, tasks})
+func EncodeTaskRange(tasks []Task, limit int) json.RawMessage {
+	b := Encode(storedTaskRange{taskRangeVersion, tasks})
 	if len(b) <= limit {
 		return b
 	}
 	lean := slices.Clone(tasks)
 	for i := range lean {
-		lean[i].Bad, lean[i].Why = nil, ""
+		lean[i].FailedOn, lean[i].Reason = nil, ""
 	}
-	return Encode(storedSlice{sliceVersion, lean})
+	return Encode(storedTaskRange{taskRangeVersion, lean})
 }
 
-// DecodeSlice reads a slice's tasks and checks them.
-func DecodeSlice(b []byte) ([]Task, error) {
-	var s storedSlice
+// DecodeTaskRange reads a slice's tasks and checks them.
+func DecodeTaskRange(b []byte) ([]Task, error) {
+	var s storedTaskRange
 	if err := json.Unmarshal(b, &s); err != nil {
 		return nil, err
 	}
@@ -259,9 +259,9 @@
 			return nil, err
 		}
 		return []Task{*t}, nil
-	case s.Version != sliceVersion:
+	case s.Version != taskRangeVersion:
 		return nil, fmt.Errorf("unknown version %d of a slice", s.Version)
-	case len(s.Tasks) == 0 || len(s.Tasks) > MaxPieces:
+	case len(s.Tasks) == 0 || len(s.Tasks) > MaxTasks:
 		return nil, fmt.Errorf("a slice of %d tasks", len(s.Tasks))
 	}
 	for i := range s.Tasks {
@@ -272,20 +272,20 @@
 	return s.Tasks, nil
 }
 
-// Piece is the name of a task.
-func Piece(uid string, n int) string { return uid + "/" + strconv.Itoa(n) }
+// TaskID is the name of a task.
+func TaskID(jobID string, n int) string { return jobID + "/" + strconv.Itoa(n) }
 
-// SplitPiece is the inverse of Piece.
-func SplitPiece(piece string) (uid string, n int, ok bool) {
-	uid, num, found := strings.Cut(piece, "/")
-	if !found || !ValidUID(uid) || len(num) > 6 {
+// SplitTaskID is the inverse of Piece.
+func SplitTaskID(taskID string) (jobID string, n int, ok bool) {
+	jobID, num, found := strings.Cut(taskID, "/")
+	if !found || !ValidID(jobID) || len(num) > 6 {
 		return "", 0, false
 	}
 	n, err := strconv.Atoi(num)
-	if err != nil || n < 0 || n >= MaxPieces || strconv.Itoa(n) != num {
+	if err != nil || n < 0 || n >= MaxTasks || strconv.Itoa(n) != num {
 		return "", 0, false
 	}
-	return uid, n, true
+	return jobID, n, true
 }
 
 // Encode writes a record; records always can be written.
@@ -298,19 +298,19 @@
 }
 
 // DecodeRecord reads a job record and checks it.
-func DecodeRecord(uid string, b []byte) (*Record, error) {
+func DecodeRecord(jobID string, b []byte) (*Record, error) {
 	var r Record
 	if err := json.Unmarshal(b, &r); err != nil {
 		return nil, err
 	}
-	if r.Spec.UID != uid || r.Spec.Pieces < 1 || r.Spec.Pieces > MaxPieces || r.Spec.RankOrder() < 0 {
-		return nil, fmt.Errorf("record of %s does not hold its job", uid)
+	if r.Spec.ID != jobID || r.Spec.TaskCount < 1 || r.Spec.TaskCount > MaxTasks || r.Spec.PriorityOrder() < 0 {
+		return nil, fmt.Errorf("record of %s does not hold its job", jobID)
 	}
 	switch r.State {
 	case Live, Cancelled, Done:
 		return &r, nil
 	}
-	return nil, fmt.Errorf("record of %s has unknown state %q", uid, r.State)
+	return nil, fmt.Errorf("record of %s has unknown state %q", jobID, r.State)
 }
 
 // DecodeTask reads a task record and checks it.
@@ -330,7 +330,7 @@
 	switch t.State {
 	case Pending, Released, Finished:
 	case Placed, Stopping:
-		if t.Host == "" || t.Try == 0 {
+		if t.Machine == "" || t.Attempt == 0 {
 			return fmt.Errorf("placed task without machine or try")
 		}
 	default:
@@ -341,8 +341,8 @@
 
 // Same tells whether two records say the same.
 func (t *Task) Same(o *Task) bool {
-	return t.State == o.State && t.Part == o.Part && t.Site == o.Site && t.Want == o.Want && t.Host == o.Host &&
-		t.Try == o.Try && t.Fails == o.Fails && t.After == o.After && t.Why == o.Why && slices.Equal(t.Bad, o.Bad)
+	return t.State == o.State && t.Controller == o.Controller && t.Zone == o.Zone && t.PreferredMachine == o.PreferredMachine && t.Machine == o.Machine &&
+		t.Attempt == o.Attempt && t.Failures == o.Failures && t.NotBeforeMs == o.NotBeforeMs && t.Reason == o.Reason && slices.Equal(t.FailedOn, o.FailedOn)
 }
 
 // Backoff is the pause before a task that has failed so often is tried anew.
--- a/internal/jobs/spec.go
+++ b/internal/jobs/spec.go
@@ -9,96 +9,96 @@
 	"slices"
 	"strings"
 
-	"github.com/harrierreel/harrierreel/internal/parts"
 	"github.com/harrierreel/harrierreel/internal/quota"
+	"github.com/harrierreel/harrierreel/internal/sharding"
 )
 
 // Shapes of a job.
 const (
-	Sweep    = "sweep"
-	Ensemble = "ensemble"
-	Standing = "standing"
+	JobArray = "sweep"
+	Gang     = "ensemble"
+	Service  = "standing"
 )
 
 // Spec is a job as submitted.
 type Spec struct {
-	UID       string   `json:"uid"`
-	Class     string   `json:"jobclass"`
-	Owner     string   `json:"owner"`
-	Shape     string   `json:"shape"`
-	Rank      string   `json:"rank"`
-	Pieces    int      `json:"pieces"`
-	Cores     float64  `json:"cores"`
-	Accel     float64  `json:"accelerators"`
-	MemoryGB  float64  `json:"memory_gb"`
-	Bundle    string   `json:"bundle"`
-	PullGB    float64  `json:"pull_gb"`
-	Builds    []string `json:"builds,omitempty"`
-	Site      string   `json:"site,omitempty"`
-	SamePlace bool     `json:"same_place,omitempty"`
-	Scatter   bool     `json:"scatter,omitempty"`
-	Loaner    bool     `json:"loaner,omitempty"`
-	ExpectS   float64  `json:"expect_s"`
-	SnapshotS float64  `json:"snapshot_s,omitempty"`
-	StashS    float64  `json:"stash_s,omitempty"`
-	DueS      *float64 `json:"due_s,omitempty"`
+	ID                  string   `json:"uid"`
+	Class               string   `json:"jobclass"`
+	Team                string   `json:"owner"`
+	Kind                string   `json:"shape"`
+	Priority            string   `json:"rank"`
+	TaskCount           int      `json:"pieces"`
+	Cores               float64  `json:"cores"`
+	Accelerators        float64  `json:"accelerators"`
+	MemoryGB            float64  `json:"memory_gb"`
+	Image               string   `json:"bundle"`
+	ImageGB             float64  `json:"pull_gb"`
+	MachineTypes        []string `json:"builds,omitempty"`
+	Zone                string   `json:"site,omitempty"`
+	SameZone            bool     `json:"same_place,omitempty"`
+	SpreadZones         bool     `json:"scatter,omitempty"`
+	Spot                bool     `json:"loaner,omitempty"`
+	ExpectedDurationS   float64  `json:"expect_s"`
+	CheckpointIntervalS float64  `json:"snapshot_s,omitempty"`
+	CheckpointTimeS     float64  `json:"stash_s,omitempty"`
+	DeadlineS           *float64 `json:"due_s,omitempty"`
 }
 
 // Limits on what a specification may hold.
 const (
-	// MaxPieces is the most tasks that a job may have (protocol).
-	MaxPieces = 100_000
-	maxName   = 200 // bytes; keys are no longer either
-	maxBuilds = 64
-	maxAmount = 1e9
+	// MaxTasks is the most tasks that a job may have (protocol).
+	MaxTasks        = 100_000
+	maxName         = 200 // bytes; keys are no longer either
+	maxMachineTypes = 64
+	maxAmount       = 1e9
 )
 
-// ranks, most urgent first.
-var ranks = []string{"prod", "urgent", "standard", "idle"}
+// priorities, most urgent first.
+var priorities = []string{"prod", "urgent", "standard", "idle"}
 
-// Ranks is how many there are.
-const Ranks = 4
+// Priorities is how many there are.
+const Priorities = 4
 
-// Gang tells whether it is an ensemble of several tasks.
-func (s *Spec) Gang() bool { return s.Shape == Ensemble && s.Pieces > 1 }
+// IsGang tells whether it is an ensemble of several tasks.
+func (s *Spec) IsGang() bool { return s.Kind == Gang && s.TaskCount > 1 }
 
-// RankOrder is the place of a rank, 0 the most urgent.
-func (s *Spec) RankOrder() int { return slices.Index(ranks, s.Rank) }
+// PriorityOrder is the place of a rank, 0 the most urgent.
+func (s *Spec) PriorityOrder() int { return slices.Index(priorities, s.Priority) }
 
-// Need is what one task takes.
-func (s *Spec) Need() parts.Room {
-	return parts.Room{Cores: s.Cores, Accelerators: s.Accel, MemoryGB: s.MemoryGB}
+// Resources is what one task takes.
+func (s *Spec) Resources() sharding.Resources {
+	return sharding.Resources{Cores: s.Cores, Accelerators: s.Accelerators, MemoryGB: s.MemoryGB}
 }
 
 // Amount is what one task counts for its team.
 func (s *Spec) Amount() quota.Amount {
-	return quota.Of(s.Cores, s.Accel, s.MemoryGB)
+	return quota.Of(s.Cores, s.Accelerators, s.MemoryGB)
 }
 
-// Key is what its tasks are charged to.
-func (s *Spec) Key() quota.Key { return quota.Key{Team: s.Owner, Class: s.Class} }
+// QuotaKey is what its tasks are charged to.
+func (s *Spec) QuotaKey() quota.Key { return quota.Key{Team: s.Team, Class: s.Class} }
 
-// AllowsBuild tells whether a machine type is allowed.
-func (s *Spec) AllowsBuild(build string) bool {
-	return len(s.Builds) == 0 || slices.Contains(s.Builds, build)
+// AllowsMachineType tells whether a machine type is allowed.
+func (s *Spec) AllowsMachineType(build string) bool {
+	return len(s.MachineTypes) == 0 || slices.Contains(s.MachineTypes, build)
 }
 
 // Allows tells whether a kind of machine in a zone is allowed.
-func (s *Spec) Allows(build, site string, loaner bool) bool {
-	return s.AllowsBuild(build) && (s.Site == "" || s.Site == site) && (s.Loaner || !loaner)
+func (s *Spec) Allows(build, zone string, spot bool) bool {
+	return s.AllowsMachineType(build) && (s.Zone == "" || s.Zone == zone) && (s.Spot || !spot)
 }
 
-// ZoneMost is the most tasks that one zone may hold.
-func (s *Spec) ZoneMost() int {
-	if s.Scatter {
-		return (s.Pieces + 1) / 2
+// MaxPerZone is the most tasks that one zone may hold.
+func (s *Spec) MaxPerZone() int {
+	if s.SpreadZones {
+		return (s.TaskCount + 1) / 2
 	}
-	return s.Pieces
+	return s.TaskCount
 }
 
-// ValidUID tells whether an id has the form of job ids.
-func ValidUID(uid string) bool {
-	digits, ok := strings.CutPrefix(uid, "wk-")
+// ValidID tells whether an id has the form of job ids.
+func ValidID(jobID string) bool {
+	digits, ok := strings.CutPrefix(jobID, "wk-")
 	if !ok || len(digits) == 0 || len(digits) > 19 {
 		return false
 	}
@@ -112,26 +112,26 @@
 
 // raw tells absent fields from zero ones.
 type raw struct {
-	UID       *string   `json:"uid"`
-	Class     *string   `json:"jobclass"`
-	Owner     *string   `json:"owner"`
-	Shape     *string   `json:"shape"`
-	Rank      *string   `json:"rank"`
-	Pieces    *float64  `json:"pieces"`
-	Cores     *float64  `json:"cores"`
-	Accel     *float64  `json:"accelerators"`
-	MemoryGB  *float64  `json:"memory_gb"`
-	Bundle    *string   `json:"bundle"`
-	PullGB    *float64  `json:"pull_gb"`
-	Builds    *[]string `json:"builds"`
-	Site      *string   `json:"site"`
-	SamePlace *bool     `json:"same_place"`
-	Scatter   *bool     `json:"scatter"`
-	Loaner    *bool     `json:"loaner"`
-	ExpectS   *float64  `json:"expect_s"`
-	SnapshotS *float64  `json:"snapshot_s"`
-	StashS    *float64  `json:"stash_s"`
-	DueS      *float64  `json:"due_s"`
+	ID                  *string   `json:"uid"`
+	Class               *string   `json:"jobclass"`
+	Team                *string   `json:"owner"`
+	Kind                *string   `json:"shape"`
+	Priority            *string   `json:"rank"`
+	TaskCount           *float64  `json:"pieces"`
+	Cores               *float64  `json:"cores"`
+	Accelerators        *float64  `json:"accelerators"`
+	MemoryGB            *float64  `json:"memory_gb"`
+	Image               *string   `json:"bundle"`
+	ImageGB             *float64  `json:"pull_gb"`
+	MachineTypes        *[]string `json:"builds"`
+	Zone                *string   `json:"site"`
+	SameZone            *bool     `json:"same_place"`
+	SpreadZones         *bool     `json:"scatter"`
+	Spot                *bool     `json:"loaner"`
+	ExpectedDurationS   *float64  `json:"expect_s"`
+	CheckpointIntervalS *float64  `json:"snapshot_s"`
+	CheckpointTimeS     *float64  `json:"stash_s"`
+	DeadlineS           *float64  `json:"due_s"`
 }
 
 // ParseSpec reads a submission. The error says which field is wrong, the first
@@ -144,17 +144,17 @@
 	return s, nil
 }
 
-// FieldFault is what is wrong with one field of a submission.
-type FieldFault struct{ Field, What string }
+// FieldError is what is wrong with one field of a submission.
+type FieldError struct{ Field, Reason string }
 
-func (f FieldFault) Error() string { return f.Field + ": " + f.What }
+func (f FieldError) Error() string { return f.Field + ": " + f.Reason }
 
-// usual are the values of the fields that a file of ours may leave out.
-var usual = map[string]any{"accelerators": 0, "pull_gb": 0, "expect_s": 0, "snapshot_s": 0, "stash_s": 0, "same_place": false, "scatter": false, "loaner": false}
+// defaultFields are the values of the fields that a file of ours may leave out.
+var defaultFields = map[string]any{"accelerators": 0, "pull_gb": 0, "expect_s": 0, "snapshot_s": 0, "stash_s": 0, "same_place": false, "scatter": false, "loaner": false}
 
-// FillIn puts the usual values where a file leaves fields of a job out.
-func FillIn(fields map[string]any) {
-	for f, v := range usual {
+// FillDefaults puts the usual values where a file leaves fields of a job out.
+func FillDefaults(fields map[string]any) {
+	for f, v := range defaultFields {
 		if fields[f] == nil {
 			fields[f] = v
 		}
@@ -168,65 +168,65 @@
 	if err := json.Unmarshal(Encode(s), &fields); err != nil {
 		panic(err) // our own encoding
 	}
-	FillIn(fields)
+	FillDefaults(fields)
 	return Encode(fields)
 }
 
 // CheckSpec reads a submission and names every fault; the specification is nil
 // if there is any. Only fields that may be null may be missing: a job that lacks
 // another was not meant as it would run (docs/incidents/lacking-fields.md).
-func CheckSpec(body []byte) (*Spec, []FieldFault) {
+func CheckSpec(body []byte) (*Spec, []FieldError) {
 	trimmed := bytes.TrimLeft(body, " \t\r\n")
 	if len(trimmed) == 0 || trimmed[0] != '{' {
-		return nil, []FieldFault{{"body", "is not a JSON object"}}
+		return nil, []FieldError{{"body", "is not a JSON object"}}
 	}
 	var r raw
 	if err := json.Unmarshal(body, &r); err != nil {
-		return nil, []FieldFault{{"body", err.Error()}}
+		return nil, []FieldError{{"body", err.Error()}}
 	}
 	s := &Spec{}
 	p := parser{}
-	s.UID = p.text("uid", r.UID)
-	if len(p.faults) == 0 && !ValidUID(s.UID) {
+	s.ID = p.text("uid", r.ID)
+	if len(p.faults) == 0 && !ValidID(s.ID) {
 		p.fail("uid", "must look like wk-000412")
 	}
 	s.Class = p.text("jobclass", r.Class)
-	s.Owner = p.text("owner", r.Owner)
-	s.Shape = p.oneOf("shape", r.Shape, Sweep, Ensemble, Standing)
-	s.Rank = p.oneOf("rank", r.Rank, ranks...)
-	pieces := p.amount("pieces", r.Pieces)
-	if pieces < 1 || pieces > MaxPieces || pieces != math.Trunc(pieces) {
+	s.Team = p.text("owner", r.Team)
+	s.Kind = p.oneOf("shape", r.Kind, JobArray, Gang, Service)
+	s.Priority = p.oneOf("rank", r.Priority, priorities...)
+	pieces := p.amount("pieces", r.TaskCount)
+	if pieces < 1 || pieces > MaxTasks || pieces != math.Trunc(pieces) {
 		p.fail("pieces", "must be a whole number from 1 to 100000")
 	}
-	s.Pieces = int(pieces)
+	s.TaskCount = int(pieces)
 	s.Cores = p.amount("cores", r.Cores)
-	s.Accel = p.amount("accelerators", r.Accel)
+	s.Accelerators = p.amount("accelerators", r.Accelerators)
 	s.MemoryGB = p.amount("memory_gb", r.MemoryGB)
-	s.Bundle = p.text("bundle", r.Bundle)
-	s.PullGB = p.amount("pull_gb", r.PullGB)
-	if r.Builds != nil {
-		if len(*r.Builds) > maxBuilds {
+	s.Image = p.text("bundle", r.Image)
+	s.ImageGB = p.amount("pull_gb", r.ImageGB)
+	if r.MachineTypes != nil {
+		if len(*r.MachineTypes) > maxMachineTypes {
 			p.fail("builds", "has too many entries")
 		}
-		for i := range *r.Builds {
-			s.Builds = append(s.Builds, p.text("builds", &(*r.Builds)[i]))
+		for i := range *r.MachineTypes {
+			s.MachineTypes = append(s.MachineTypes, p.text("builds", &(*r.MachineTypes)[i]))
 		}
-		if len(*r.Builds) == 0 {
+		if len(*r.MachineTypes) == 0 {
 			p.fail("builds", "must not be empty; null allows any")
 		}
 	}
-	if r.Site != nil {
-		s.Site = p.text("site", r.Site)
+	if r.Zone != nil {
+		s.Zone = p.text("site", r.Zone)
 	}
-	s.SamePlace = p.flag("same_place", r.SamePlace)
-	s.Scatter = p.flag("scatter", r.Scatter)
-	s.Loaner = p.flag("loaner", r.Loaner)
-	s.ExpectS = p.amount("expect_s", r.ExpectS)
-	s.SnapshotS = p.amount("snapshot_s", r.SnapshotS)
-	s.StashS = p.amount("stash_s", r.StashS)
-	if r.DueS != nil {
-		due := p.amount("due_s", r.DueS)
-		s.DueS = &due
+	s.SameZone = p.flag("same_place", r.SameZone)
+	s.SpreadZones = p.flag("scatter", r.SpreadZones)
+	s.Spot = p.flag("loaner", r.Spot)
+	s.ExpectedDurationS = p.amount("expect_s", r.ExpectedDurationS)
+	s.CheckpointIntervalS = p.amount("snapshot_s", r.CheckpointIntervalS)
+	s.CheckpointTimeS = p.amount("stash_s", r.CheckpointTimeS)
+	if r.DeadlineS != nil {
+		due := p.amount("due_s", r.DeadlineS)
+		s.DeadlineS = &due
 	}
 	if len(p.faults) > 0 {
 		return nil, p.faults
@@ -235,11 +235,11 @@
 }
 
 // parser keeps the first fault of each field.
-type parser struct{ faults []FieldFault }
+type parser struct{ faults []FieldError }
 
 func (p *parser) fail(field, what string) {
-	if !slices.ContainsFunc(p.faults, func(f FieldFault) bool { return f.Field == field }) {
-		p.faults = append(p.faults, FieldFault{field, what})
+	if !slices.ContainsFunc(p.faults, func(f FieldError) bool { return f.Field == field }) {
+		p.faults = append(p.faults, FieldError{field, what})
 	}
 }
 
@@ -285,44 +285,44 @@
 	return *v
 }
 
-// Build is a machine type from the catalogue.
-type Build struct {
-	Name     string   `json:"name"`
-	Cores    float64  `json:"cores"`
-	Accel    float64  `json:"accelerators"`
-	MemoryGB float64  `json:"memory_gb"`
-	CacheGB  float64  `json:"cache_gb"`
-	PullRate float64  `json:"pull_gb_per_s"`
-	Hourly   float64  `json:"hourly"`
-	LowPrice float64  `json:"low_price"`
-	ReadyS   float64  `json:"ready_s"`
-	Sites    []string `json:"sites"`
+// MachineType is a machine type from the catalogue.
+type MachineType struct {
+	Name         string   `json:"name"`
+	Cores        float64  `json:"cores"`
+	Accelerators float64  `json:"accelerators"`
+	MemoryGB     float64  `json:"memory_gb"`
+	CacheGB      float64  `json:"cache_gb"`
+	ImageGBPerS  float64  `json:"pull_gb_per_s"`
+	Hourly       float64  `json:"hourly"`
+	SpotHourly   float64  `json:"low_price"`
+	BootS        float64  `json:"ready_s"`
+	Zones        []string `json:"sites"`
 }
 
-// Whole is all that a machine of this type has.
-func (b *Build) Whole() parts.Room {
-	return parts.Room{Cores: b.Cores, Accelerators: b.Accel, MemoryGB: b.MemoryGB}
+// Capacity is all that a machine of this type has.
+func (b *MachineType) Capacity() sharding.Resources {
+	return sharding.Resources{Cores: b.Cores, Accelerators: b.Accelerators, MemoryGB: b.MemoryGB}
 }
 
 // CanEverRun explains why a job can never run, or returns "".
-func CanEverRun(s *Spec, tree *quota.Tree, builds map[string]*Build) string {
-	if !tree.Knows(s.Owner) {
+func CanEverRun(s *Spec, tree *quota.Tree, builds map[string]*MachineType) string {
+	if !tree.Knows(s.Team) {
 		return "unknown team"
 	}
 	fits := false
 	for _, b := range builds {
-		if s.AllowsBuild(b.Name) && (s.Site == "" || slices.Contains(b.Sites, s.Site)) && b.Whole().Fits(s.Need()) {
+		if s.AllowsMachineType(b.Name) && (s.Zone == "" || slices.Contains(b.Zones, s.Zone)) && b.Capacity().Fits(s.Resources()) {
 			fits = true
 		}
 	}
 	if !fits {
 		return "a task fits no allowed machine type"
 	}
-	n := s.Pieces
-	if s.Shape == Sweep {
+	n := s.TaskCount
+	if s.Kind == JobArray {
 		n = 1
 	}
-	if !tree.Ever(tree.Leaf(s.Key()), s.Amount(), n) {
+	if !tree.Ever(tree.Leaf(s.QuotaKey()), s.Amount(), n) {
 		return "needs more than the team's limit"
 	}
 	return ""
--- a/internal/lending/callback.go
+++ b/internal/lending/callback.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"slices"
 
-	"github.com/harrierreel/harrierreel/internal/book"
+	"github.com/harrierreel/harrierreel/internal/clusterstate"
 	"github.com/harrierreel/harrierreel/internal/decide"
 	"github.com/harrierreel/harrierreel/internal/jobs"
 	"github.com/harrierreel/harrierreel/internal/quota"
@@ -15,7 +15,7 @@
 // back is a replica that could be called back.
 type back struct {
 	loan  Loan
-	task  *book.Task
+	task  *clusterstate.Task
 	place int // 0 if it finds a place with its image elsewhere, else 1
 	same  int // replicas of its image on the machine
 }
@@ -23,15 +23,15 @@
 // callBack is the decisions that call replicas back: one at a time a service, never
 // below half of its replicas, none that is the last in its zone, and first those that
 // find a place with their image elsewhere, then where the fewest of its image are.
-func (k *Keeper) callBack(account *quota.Account, waits func(uid string) bool) []decide.Decision {
+func (k *Ledger) callBack(account *quota.Account, waits func(jobID string) bool) []decide.Decision {
 	var ds []decide.Decision
 	away := k.goneOfLate()
 	for _, b := range k.owedBack(account, waits, away) {
-		n, ok := k.sheetOf(b.loan.ID)
-		if away[b.loan.Job] || !ok || k.taken[n] || k.Busy(Key(n)) {
+		n, ok := k.recordOf(b.loan.ID)
+		if away[b.loan.Job] || !ok || k.taken[n] || k.Busy(RecordKey(n)) {
 			continue
 		}
-		next, ok := jobs.NextTask(b.task.Task, jobs.TaskEvent{Kind: jobs.Stop, Why: "gives back what " + b.loan.From[0].Job + " lent"})
+		next, ok := jobs.NextTask(b.task.Task, jobs.TaskEvent{Kind: jobs.Stop, Reason: "gives back what " + b.loan.From[0].Job + " lent"})
 		l, moved := Next(b.loan, CallBack, k.facts(&b.loan))
 		if !ok || !moved {
 			continue
@@ -43,7 +43,7 @@
 				sheet.Loans[i] = l
 			}
 		}
-		ds = append(ds, decide.Decision{Changes: decide.Become(b.task, next), Writes: []store.Write{k.write(n, sheet)}, Done: func(ok bool) {
+		ds = append(ds, decide.Decision{Changes: decide.TransitionTask(b.task, next), Writes: []store.Write{k.write(n, sheet)}, OnSettled: func(ok bool) {
 			if ok {
 				k.count(Lent, &l)
 			}
@@ -53,10 +53,10 @@
 }
 
 // goneOfLate is the services with a replica that goes or has just gone.
-func (k *Keeper) goneOfLate() map[string]bool {
+func (k *Ledger) goneOfLate() map[string]bool {
 	away := map[string]bool{}
 	for _, l := range k.Loans() {
-		if l.State == CalledBack && l.FreeMs == 0 || l.FreeMs > 0 && k.Ms()-l.FreeMs < tuning.CallGap.Milliseconds() {
+		if l.State == CalledBack && l.FreeMs == 0 || l.FreeMs > 0 && k.NowMs()-l.FreeMs < tuning.CallGap.Milliseconds() {
 			away[l.Job] = true
 		}
 	}
@@ -64,23 +64,23 @@
 }
 
 // owedBack lists the replicas that may be called back now, in the order in which they go.
-func (k *Keeper) owedBack(account *quota.Account, waits func(uid string) bool, away map[string]bool) []back {
+func (k *Ledger) owedBack(account *quota.Account, waits func(jobID string) bool, away map[string]bool) []back {
 	var out []back
 	for _, l := range k.Loans() {
 		j := k.Jobs[l.Job]
-		if l.State != Lent || away[l.Job] || j == nil || !live(j) || k.Ms()-l.SinceMs < tuning.LoanLeast.Milliseconds() {
+		if l.State != Lent || away[l.Job] || j == nil || !live(j) || k.NowMs()-l.SinceMs < tuning.MinLoanTime.Milliseconds() {
 			continue
 		}
-		t := j.Active[l.N]
-		if t == nil || t.State != jobs.Placed || k.Busy(t.Slice.Key) || !k.maySpare(j, t) || !k.owed(account, &l, j, waits) {
+		t := j.Active[l.TaskIndex]
+		if t == nil || t.State != jobs.Placed || k.Busy(t.Stored.Key) || !k.maySpare(j, t) || !k.owed(account, &l, j, waits) {
 			continue
 		}
 		b := back{loan: l, task: t, place: 1}
 		if k.Elsewhere(t) {
 			b.place = 0
 		}
-		for _, o := range k.OnHost[l.Host] {
-			if o.Job.Rec != nil && o.Job.Rec.Spec.Bundle == j.Rec.Spec.Bundle {
+		for _, o := range k.TasksOnMachine[l.Machine] {
+			if o.Job.Record != nil && o.Job.Record.Spec.Image == j.Record.Spec.Image {
 				b.same++
 			}
 		}
@@ -90,9 +90,9 @@
 	return out
 }
 
-// sheetOf is the sheet that a loan is on.
-func (k *Keeper) sheetOf(id int) (int, bool) {
-	for n, s := range k.sheets {
+// recordOf is the sheet that a loan is on.
+func (k *Ledger) recordOf(id int) (int, bool) {
+	for n, s := range k.records {
 		if s != nil && slices.ContainsFunc(s.Loans, func(l Loan) bool { return l.ID == id }) {
 			return n, true
 		}
@@ -101,7 +101,7 @@
 }
 
 // maySpare tells whether a service can do without one replica for a moment.
-func (k *Keeper) maySpare(j *book.Job, t *book.Task) bool {
+func (k *Ledger) maySpare(j *clusterstate.Job, t *clusterstate.Task) bool {
 	up, here := 0, 0
 	for _, o := range j.Active {
 		if o.State == jobs.Stopping {
@@ -109,29 +109,29 @@
 		}
 		if o.State == jobs.Placed {
 			up++
-			if o.Site == t.Site {
+			if o.Zone == t.Zone {
 				here++
 			}
 		}
 	}
-	return up-1 >= (j.Rec.Spec.Pieces+1)/2 && here > 1
+	return up-1 >= (j.Record.Spec.TaskCount+1)/2 && here > 1
 }
 
 // owed tells whether a lender waits for what it is guaranteed, and the borrower is
 // beyond its own guarantee.
-func (k *Keeper) owed(account *quota.Account, l *Loan, borrower *book.Job, waits func(uid string) bool) bool {
-	spec := &borrower.Rec.Spec
+func (k *Ledger) owed(account *quota.Account, l *Loan, borrower *clusterstate.Job, waits func(jobID string) bool) bool {
+	spec := &borrower.Record.Spec
 	for _, s := range l.From {
 		j := k.Jobs[s.Job]
 		if j == nil || !k.begins(j) || k.Queued[s.Job] != j || !waits(s.Job) {
 			continue
 		}
-		lender := &j.Rec.Spec
+		lender := &j.Record.Spec
 		count := 1
-		if lender.Gang() {
-			count = lender.Pieces
+		if lender.IsGang() {
+			count = lender.TaskCount
 		}
-		if account.Yields(account.Entitled(k.Leaf(lender), lender.Amount(), count), k.Leaf(spec), spec.Amount()) {
+		if account.Yields(account.Entitled(k.QuotaLeaf(lender), lender.Amount(), count), k.QuotaLeaf(spec), spec.Amount()) {
 			return true
 		}
 	}
--- a/internal/lending/choose.go
+++ b/internal/lending/choose.go
@@ -5,53 +5,53 @@
 	"slices"
 	"time"
 
-	"github.com/harrierreel/harrierreel/internal/book"
+	"github.com/harrierreel/harrierreel/internal/clusterstate"
 	"github.com/harrierreel/harrierreel/internal/fleet"
 	"github.com/harrierreel/harrierreel/internal/gangs"
 	"github.com/harrierreel/harrierreel/internal/jobs"
-	"github.com/harrierreel/harrierreel/internal/parts"
 	"github.com/harrierreel/harrierreel/internal/quota"
+	"github.com/harrierreel/harrierreel/internal/sharding"
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
 // Search is a replica that others may lend to.
 type Search struct {
-	Task     *book.Task
-	Rank     int
+	Task     *clusterstate.Task
+	Priority int
 	Entitled int // node of the quotas' tree within whose guarantee it lies, below 0 for none
 	// Account is what is charged without what is on its way out.
 	Account *quota.Account
 	Zones   map[string]int // of its job's tasks
-	// OnlyCached: only where its image is; within so many seconds if InS is not 0.
-	OnlyCached bool
-	InS        float64
+	// OnlyWithImage: only where its image is; within so many seconds if InS is not 0.
+	OnlyWithImage bool
+	InS           float64
 	// Open tells whether it may go on a machine at all; Told whether a machine will
 	// take an order now.
-	Open, Told func(m *book.Machine) bool
+	Open, Known func(m *clusterstate.Machine) bool
 	// Busy tells whether a record is under a transaction.
 	Busy func(key string) bool
 	// Spared tells whether a job has lent what it may for a while.
-	Spared func(j *book.Job) bool
+	Spared func(j *clusterstate.Job) bool
 	// Stopping are tasks that this look stops already.
-	Stopping map[*book.Task]bool
+	Stopping map[*clusterstate.Task]bool
 	Now      time.Time
 }
 
 // Plan is who gives on which machine.
 type Plan struct {
-	Host  string
-	Tasks []*book.Task // to stop, whole gangs, those elsewhere included
-	From  []Share      // by job, of what the replica takes
-	InS   float64      // seconds until the replica runs there, as a guess
-	LostS float64      // seconds of an accelerator's work lost, as a guess
-	own   bool         // it needs the team's own work of lower rank
-	cost  float64      // of all that, see costs
+	Machine string
+	Tasks   []*clusterstate.Task // to stop, whole gangs, those elsewhere included
+	From    []Share              // by job, of what the replica takes
+	InS     float64              // seconds until the replica runs there, as a guess
+	LostS   float64              // seconds of an accelerator's work lost, as a guess
+	own     bool                 // it needs the team's own work of lower rank
+	cost    float64              // of all that, see costs
 }
 
 // unit is what stops together: a task, or a gang.
 type unit struct {
-	tasks []*book.Task
-	here  parts.Room // what it frees on the machine
+	tasks []*clusterstate.Task
+	here  sharding.Resources // what it frees on the machine
 	uid   string
 	lostS float64 // of accelerators' work
 	waitS float64 // until it has left
@@ -60,22 +60,22 @@
 
 // Choose finds the machine where lending costs the least. False if there is none, or if
 // room is coming already; the plan then names only the machine.
-func Choose(b *book.Book, s *Search) (Plan, bool) {
-	spec := &s.Task.Job.Rec.Spec
+func Choose(b *clusterstate.State, s *Search) (Plan, bool) {
+	spec := &s.Task.Job.Record.Spec
 	var best *Plan
-	for _, m := range b.ByName() {
-		if m.State != fleet.Up || !s.Open(m) || !book.ZoneAllowed(spec, s.Zones, m.Site) {
+	for _, m := range b.MachinesByName() {
+		if m.State != fleet.Up || !s.Open(m) || !clusterstate.ZoneAllowed(spec, s.Zones, m.Zone) {
 			continue
 		}
-		build := b.Builds[m.Build]
-		has := b.Cached(m.Name, spec.Bundle)
+		build := b.MachineTypes[m.MachineType]
+		has := b.HasImage(m.Name, spec.Image)
 		// An image that a type's cache cannot hold would be fetched for every start.
-		if build == nil || !build.Whole().Fits(spec.Need()) || !Holds(spec, build) || s.OnlyCached && !has {
+		if build == nil || !build.Capacity().Fits(spec.Resources()) || !Holds(spec, build) || s.OnlyWithImage && !has {
 			continue
 		}
 		free := s.room(b, m, build)
-		if free.Fits(spec.Need()) {
-			return Plan{Host: m.Name}, false // room is coming already
+		if free.Fits(spec.Resources()) {
+			return Plan{Machine: m.Name}, false // room is coming already
 		}
 		p, ok := s.onMachine(b, m, build, free)
 		if !ok || s.InS > 0 && p.InS > s.InS {
@@ -92,39 +92,39 @@
 }
 
 // Holds tells whether a type's cache can hold a job's image.
-func Holds(spec *jobs.Spec, build *jobs.Build) bool {
-	return build.CacheGB <= 0 || spec.PullGB <= build.CacheGB
+func Holds(spec *jobs.Spec, build *jobs.MachineType) bool {
+	return build.CacheGB <= 0 || spec.ImageGB <= build.CacheGB
 }
 
 // costs is what a plan costs in seconds of an accelerator: what lenders lose, and what
 // the replica's waiting is worth; an image that takes minutes outweighs all else.
 func (s *Search) costs(p *Plan) float64 {
-	cost := p.LostS + p.InS*tuning.LoanServes*max(s.Task.Job.Rec.Spec.Accel, 1)
+	cost := p.LostS + p.InS*tuning.LoanServes*max(s.Task.Job.Record.Spec.Accelerators, 1)
 	if p.own {
-		cost += tuning.LoanOwn.Seconds() * max(s.Task.Job.Rec.Spec.Accel, 1)
+		cost += tuning.LoanOwn.Seconds() * max(s.Task.Job.Record.Spec.Accelerators, 1)
 	}
 	return cost
 }
 
 // room is what is free on a machine, with what is on its way out.
-func (s *Search) room(b *book.Book, m *book.Machine, build *jobs.Build) parts.Room {
-	free := build.Whole().Sub(m.Use.Room)
-	for _, t := range b.OnHost[m.Name] {
-		if t.Job.Rec != nil && (t.State == jobs.Stopping || s.Stopping[t]) {
-			free = free.Add(t.Job.Rec.Spec.Need())
+func (s *Search) room(b *clusterstate.State, m *clusterstate.Machine, build *jobs.MachineType) sharding.Resources {
+	free := build.Capacity().Sub(m.Usage.Resources)
+	for _, t := range b.TasksOnMachine[m.Name] {
+		if t.Job.Record != nil && (t.State == jobs.Stopping || s.Stopping[t]) {
+			free = free.Add(t.Job.Record.Spec.Resources())
 		}
 	}
 	return free
 }
 
 // onMachine is the plan for one machine.
-func (s *Search) onMachine(b *book.Book, m *book.Machine, build *jobs.Build, free parts.Room) (Plan, bool) {
-	spec := &s.Task.Job.Rec.Spec
-	need := spec.Need()
+func (s *Search) onMachine(b *clusterstate.State, m *clusterstate.Machine, build *jobs.MachineType, free sharding.Resources) (Plan, bool) {
+	spec := &s.Task.Job.Record.Spec
+	need := spec.Resources()
 	units := s.units(b, m)
 	// The least lost for what it frees here goes first.
 	slices.SortFunc(units, func(x, y unit) int {
-		return cmp.Or(cmp.Compare(x.lostS/max(x.here.Share(need), 1e-9), y.lostS/max(y.here.Share(need), 1e-9)), cmp.Compare(x.tasks[0].Piece, y.tasks[0].Piece))
+		return cmp.Or(cmp.Compare(x.lostS/max(x.here.ShareOf(need), 1e-9), y.lostS/max(y.here.ShareOf(need), 1e-9)), cmp.Compare(x.tasks[0].ID, y.tasks[0].ID))
 	})
 	account := s.Account.Clone()
 	var chosen []unit
@@ -137,7 +137,7 @@
 		if !s.may(b, account, &u) {
 			continue
 		}
-		account.Charge(u.tasks[0].Job.Rec.Spec.Key(), u.tasks[0].Job.Rec.Spec.Amount(), -len(u.tasks))
+		account.Charge(u.tasks[0].Job.Record.Spec.QuotaKey(), u.tasks[0].Job.Record.Spec.Amount(), -len(u.tasks))
 		chosen, free = append(chosen, u), free.Add(u.here)
 	}
 	if !free.Fits(need) {
@@ -151,7 +151,7 @@
 		}
 		return false
 	})
-	p := Plan{Host: m.Name}
+	p := Plan{Machine: m.Name}
 	left := need.Accelerators
 	for _, u := range chosen {
 		p.Tasks = append(p.Tasks, u.tasks...)
@@ -159,7 +159,7 @@
 		p.InS, p.own = max(p.InS, u.waitS), p.own || u.own
 		p.LostS += u.lostS
 	}
-	p.InS += PullS(b, s.Now, m, build, spec)
+	p.InS += ImagePullS(b, s.Now, m, build, spec)
 	// What is freed beyond the need may find no one of its size: whole machines are
 	// not broken up if another place costs less.
 	p.LostS += free.Sub(need).Accelerators * tuning.LoanWaste.Seconds()
@@ -180,30 +180,30 @@
 
 // may tells whether a unit may be stopped for the replica: PROTOCOL's preemption, and no
 // team goes below its guarantee but for its own work of higher rank.
-func (s *Search) may(b *book.Book, account *quota.Account, u *unit) bool {
-	spec := &u.tasks[0].Job.Rec.Spec
-	leaf, all := b.Leaf(spec), quota.Amount{}.Add(spec.Amount(), len(u.tasks))
-	if spec.RankOrder() > s.Rank {
-		return account.Spares(b.Leaf(&s.Task.Job.Rec.Spec), leaf, all)
+func (s *Search) may(b *clusterstate.State, account *quota.Account, u *unit) bool {
+	spec := &u.tasks[0].Job.Record.Spec
+	leaf, all := b.QuotaLeaf(spec), quota.Amount{}.Add(spec.Amount(), len(u.tasks))
+	if spec.PriorityOrder() > s.Priority {
+		return account.Spares(b.QuotaLeaf(&s.Task.Job.Record.Spec), leaf, all)
 	}
 	return account.Yields(s.Entitled, leaf, all)
 }
 
 // units lists what could be stopped on a machine.
-func (s *Search) units(b *book.Book, m *book.Machine) []unit {
+func (s *Search) units(b *clusterstate.State, m *clusterstate.Machine) []unit {
 	var out []unit
 	seen := map[string]bool{}
-	for _, piece := range book.Sorted(b.OnHost[m.Name]) {
-		t := b.OnHost[m.Name][piece]
-		if t.Job.Rec == nil || t.Job.Rec.State != jobs.Live || t.Job.Rec.Spec.Shape == jobs.Standing || t.Job == s.Task.Job || s.Spared(t.Job) {
+	for _, taskID := range clusterstate.SortedKeys(b.TasksOnMachine[m.Name]) {
+		t := b.TasksOnMachine[m.Name][taskID]
+		if t.Job.Record == nil || t.Job.Record.State != jobs.Live || t.Job.Record.Spec.Kind == jobs.Service || t.Job == s.Task.Job || s.Spared(t.Job) {
 			continue
 		}
-		u := unit{tasks: []*book.Task{t}, uid: t.Job.UID}
-		if t.Job.Rec.Spec.Gang() {
-			if seen[t.Job.UID] {
+		u := unit{tasks: []*clusterstate.Task{t}, uid: t.Job.ID}
+		if t.Job.Record.Spec.IsGang() {
+			if seen[t.Job.ID] {
 				continue
 			}
-			seen[t.Job.UID] = true
+			seen[t.Job.ID] = true
 			if u.tasks = s.gang(b, t.Job); u.tasks == nil {
 				continue
 			}
@@ -218,18 +218,18 @@
 // gang lists a gang's tasks, nil if it cannot be stopped in order now: one that is not
 // whole (a member is lost, or it is stopped already) or of which a machine could not be
 // told in time would lose its progress since its last save.
-func (s *Search) gang(b *book.Book, j *book.Job) []*book.Task {
+func (s *Search) gang(b *clusterstate.State, j *clusterstate.Job) []*clusterstate.Task {
 	records := make([]*jobs.Task, 0, len(j.Tasks))
-	var out []*book.Task
+	var out []*clusterstate.Task
 	for _, n := range sortedKeys(j.Tasks) {
 		t := j.Tasks[n]
 		records, out = append(records, &t.Task), append(out, t)
 	}
-	if gangs.PhaseOf(j.Rec.Spec.Pieces, records) != gangs.Whole {
+	if gangs.PhaseOf(j.Record.Spec.TaskCount, records) != gangs.Whole {
 		return nil
 	}
 	for _, t := range out {
-		if m := b.Machines[t.Host]; m == nil || !s.Told(m) {
+		if m := b.Machines[t.Machine]; m == nil || !s.Known(m) {
 			return nil
 		}
 	}
@@ -237,66 +237,66 @@
 }
 
 // fill works out what a unit loses and frees; false if it may not be stopped now.
-func (s *Search) fill(b *book.Book, m *book.Machine, u *unit) bool {
-	spec := &u.tasks[0].Job.Rec.Spec
+func (s *Search) fill(b *clusterstate.State, m *clusterstate.Machine, u *unit) bool {
+	spec := &u.tasks[0].Job.Record.Spec
 	ran := 0.0
 	for _, t := range u.tasks {
-		if t.State != jobs.Placed || s.Stopping[t] || s.Busy(t.Slice.Key) {
+		if t.State != jobs.Placed || s.Stopping[t] || s.Busy(t.Stored.Key) {
 			return false
 		}
 		ran = max(ran, s.Now.Sub(t.Since).Seconds())
-		if t.Host == m.Name {
-			u.here = u.here.Add(spec.Need())
+		if t.Machine == m.Name {
+			u.here = u.here.Add(spec.Resources())
 		}
 	}
 	// Estimates are often wrong by half: what has run past its own is taken to need a
 	// fifth more.
-	left := spec.ExpectS - ran
+	left := spec.ExpectedDurationS - ran
 	if left < 0 {
 		left = ran * tuning.LoanPast
 	}
-	if spec.ExpectS > 0 && left < tuning.LoanNearEnd.Seconds() {
+	if spec.ExpectedDurationS > 0 && left < tuning.LoanNearEnd.Seconds() {
 		return false
 	}
 	lost := ran
-	if spec.SnapshotS > 0 {
-		lost, u.waitS = 0, spec.StashS
+	if spec.CheckpointIntervalS > 0 {
+		lost, u.waitS = 0, spec.CheckpointTimeS
 	}
-	build := b.Builds[m.Build]
-	again := build.ReadyS // a machine of its own, at worst
-	if build.PullRate > 0 {
-		again += spec.PullGB / build.PullRate
+	build := b.MachineTypes[m.MachineType]
+	again := build.BootS // a machine of its own, at worst
+	if build.ImageGBPerS > 0 {
+		again += spec.ImageGB / build.ImageGBPerS
 	}
-	u.lostS = (lost + spec.StashS + again) * float64(len(u.tasks)) * max(spec.Accel, spec.Need().Share(build.Whole())*build.Accel)
-	u.own = spec.Owner == s.Task.Job.Rec.Spec.Owner
+	u.lostS = (lost + spec.CheckpointTimeS + again) * float64(len(u.tasks)) * max(spec.Accelerators, spec.Resources().ShareOf(build.Capacity())*build.Accelerators)
+	u.own = spec.Team == s.Task.Job.Record.Spec.Team
 	return true
 }
 
-// PullS is how long a machine takes to have a job's image, in seconds: fetches on one
+// ImagePullS is how long a machine takes to have a job's image, in seconds: fetches on one
 // machine share its rate, so those under way count.
-func PullS(b *book.Book, now time.Time, m *book.Machine, build *jobs.Build, spec *jobs.Spec) float64 {
-	if b.Cached(m.Name, spec.Bundle) || build.PullRate <= 0 {
+func ImagePullS(b *clusterstate.State, now time.Time, m *clusterstate.Machine, build *jobs.MachineType, spec *jobs.Spec) float64 {
+	if b.HasImage(m.Name, spec.Image) || build.ImageGBPerS <= 0 {
 		return 0
 	}
 	left := map[string]float64{}
-	for _, t := range b.OnHost[m.Name] {
-		if t.Job.Rec == nil || t.State != jobs.Placed {
+	for _, t := range b.TasksOnMachine[m.Name] {
+		if t.Job.Record == nil || t.State != jobs.Placed {
 			continue
 		}
-		other := &t.Job.Rec.Spec
+		other := &t.Job.Record.Spec
 		gb := 0.0 // one that runs has it
-		if !t.Ran {
-			gb = max(other.PullGB-now.Sub(t.Since).Seconds()*build.PullRate, 0)
+		if !t.ObservedRunning {
+			gb = max(other.ImageGB-now.Sub(t.Since).Seconds()*build.ImageGBPerS, 0)
 		}
-		if was, known := left[other.Bundle]; !known || gb < was {
-			left[other.Bundle] = gb // the oldest of its tasks tells
+		if was, known := left[other.Image]; !known || gb < was {
+			left[other.Image] = gb // the oldest of its tasks tells
 		}
 	}
-	sum := spec.PullGB
+	sum := spec.ImageGB
 	for _, gb := range left {
-		sum += min(gb, spec.PullGB) // by halves and thirds until the shorter is done
+		sum += min(gb, spec.ImageGB) // by halves and thirds until the shorter is done
 	}
-	return sum / build.PullRate
+	return sum / build.ImageGBPerS
 }
 
 func sortedKeys[V any](m map[int]V) []int {
@@ -310,20 +310,20 @@
 
 // Leaving is a copy of an account without what is on its way out: what is stopped for
 // one loan is not there for the next.
-func Leaving(b *book.Book, account *quota.Account, stopping map[*book.Task]bool) *quota.Account {
+func Leaving(b *clusterstate.State, account *quota.Account, stopping map[*clusterstate.Task]bool) *quota.Account {
 	out := account.Clone()
 	// Nor what is only booked: releases under way, which may come to nothing, and room
 	// kept for a window that is about to open. A team that seemed beyond its guarantee
 	// by those would lend of what it is guaranteed.
-	for _, r := range b.Reserved {
-		if r.Key != (quota.Key{}) {
-			out.Charge(r.Key, r.Amount, -1)
+	for _, r := range b.Reservations {
+		if r.QuotaKey != (quota.Key{}) {
+			out.Charge(r.QuotaKey, r.Amount, -1)
 		}
 	}
-	for _, on := range b.OnHost {
+	for _, on := range b.TasksOnMachine {
 		for _, t := range on {
-			if t.Job.Rec != nil && (t.State == jobs.Stopping || stopping[t]) {
-				out.Charge(t.Job.Rec.Spec.Key(), t.Job.Rec.Spec.Amount(), -1)
+			if t.Job.Record != nil && (t.State == jobs.Stopping || stopping[t]) {
+				out.Charge(t.Job.Record.Spec.QuotaKey(), t.Job.Record.Spec.Amount(), -1)
 			}
 		}
 	}
--- a/internal/lending/keeper.go
+++ b/internal/lending/keeper.go
@@ -8,12 +8,12 @@
 	"slices"
 	"time"
 
-	"github.com/harrierreel/harrierreel/internal/book"
+	"github.com/harrierreel/harrierreel/internal/clusterstate"
 	"github.com/harrierreel/harrierreel/internal/decide"
 	"github.com/harrierreel/harrierreel/internal/fleet"
 	"github.com/harrierreel/harrierreel/internal/jobs"
-	"github.com/harrierreel/harrierreel/internal/parts"
 	"github.com/harrierreel/harrierreel/internal/quota"
+	"github.com/harrierreel/harrierreel/internal/sharding"
 	"github.com/harrierreel/harrierreel/internal/store"
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
@@ -23,33 +23,33 @@
 	Limit int // bytes of a value of the shared state
 	// Again: a job that lent is left alone for so long.
 	Again time.Duration
-	// ByRank: where nobody can lend, PROTOCOL's preemption by rank goes on as without
+	// ByPriority: where nobody can lend, PROTOCOL's preemption by rank goes on as without
 	// lending, below guarantees too.
-	ByRank bool
-	Log    *slog.Logger
+	ByPriority bool
+	Log        *slog.Logger
 	// Busy tells whether a record is under a transaction.
 	Busy func(key string) bool
 	// Ready tells whether a machine is heard and takes new tasks.
-	Ready func(m *book.Machine) bool
+	Ready func(m *clusterstate.Machine) bool
 	// Begins tells whether a job's work may begin now by the calendar; nil: all may.
 	Begins func(s *jobs.Spec) bool
 	// Elsewhere tells whether a replica finds room with its image on another machine.
-	Elsewhere func(t *book.Task) bool
+	Elsewhere func(t *clusterstate.Task) bool
 }
 
-// Keeper is the leader's keeping of loans. What it keeps follows from the records: a
+// Ledger is the leader's keeping of loans. What it keeps follows from the records: a
 // new leader has the sheets and looks at each loan anew.
-type Keeper struct {
-	*book.Book
+type Ledger struct {
+	*clusterstate.State
 	Env
 
-	sheets  map[int]*Sheet // as stored; nil for one that cannot be read
-	ahead   map[int]ahead  // loans that have come further than what is stored
-	taken   map[int]bool   // sheets written by this look
-	asking  map[string]int // tasks asked for by this look, by job
-	nextID  int
-	counted Counts
-	said    time.Time
+	records  map[int]*LoanRecord // as stored; nil for one that cannot be read
+	ahead    map[int]ahead       // loans that have come further than what is stored
+	taken    map[int]bool        // sheets written by this look
+	asking   map[string]int      // tasks asked for by this look, by job
+	nextID   int
+	counted  Counts
+	loggedAt time.Time
 }
 
 // ahead is how far a loan has come since it was stored.
@@ -65,27 +65,27 @@
 	Spared                                       int     // looks that found a lender only among those that lent of late
 }
 
-// NewKeeper makes the keeping of loans over a book.
-func NewKeeper(b *book.Book, env Env) *Keeper {
-	return &Keeper{Book: b, Env: env, sheets: map[int]*Sheet{}, ahead: map[int]ahead{}, taken: map[int]bool{}, asking: map[string]int{}}
+// NewLedger makes the keeping of loans over a book.
+func NewLedger(b *clusterstate.State, env Env) *Ledger {
+	return &Ledger{State: b, Env: env, records: map[int]*LoanRecord{}, ahead: map[int]ahead{}, taken: map[int]bool{}, asking: map[string]int{}}
 }
 
-// Changed takes a sheet in, nil for one that is gone. One that cannot be read is told
+// ApplyRecord takes a sheet in, nil for one that is gone. One that cannot be read is told
 // and set aside: its loans are left alone and nothing is written over it.
-func (k *Keeper) Changed(key string, value json.RawMessage) {
-	n, ok := SheetOf(key)
+func (k *Ledger) ApplyRecord(key string, value json.RawMessage) {
+	n, ok := RecordNumber(key)
 	if !ok {
 		return
 	}
 	if value == nil {
-		delete(k.sheets, n)
+		delete(k.records, n)
 		return
 	}
 	s, err := Decode(value)
 	if err != nil {
 		k.Log.Error("unreadable loans set aside", "key", key, "error", err)
 	}
-	k.sheets[n] = s
+	k.records[n] = s
 	if s != nil {
 		for _, l := range s.Loans {
 			k.nextID = max(k.nextID, l.ID+1)
@@ -94,10 +94,10 @@
 }
 
 // Loans lists the loans by age, as far as they have come.
-func (k *Keeper) Loans() []Loan {
+func (k *Ledger) Loans() []Loan {
 	var out []Loan
-	for _, n := range sortedKeys(k.sheets) {
-		if s := k.sheets[n]; s != nil {
+	for _, n := range sortedKeys(k.records) {
+		if s := k.records[n]; s != nil {
 			for _, l := range s.Loans {
 				out = append(out, k.now(l))
 			}
@@ -108,13 +108,13 @@
 }
 
 // come is how far a loan has come since it was stored as it is, if it has.
-func (k *Keeper) come(l Loan) (ahead, bool) {
+func (k *Ledger) come(l Loan) (ahead, bool) {
 	a, ok := k.ahead[l.ID]
 	return a, ok && a.from.State == l.State && a.from.SinceMs == l.SinceMs && a.from.FreeMs == l.FreeMs
 }
 
 // now is a stored loan as far as it has come.
-func (k *Keeper) now(l Loan) Loan {
+func (k *Ledger) now(l Loan) Loan {
 	if a, ok := k.come(l); ok {
 		return a.to
 	}
@@ -122,17 +122,17 @@
 }
 
 // facts is what the records say about a loan.
-func (k *Keeper) facts(l *Loan) Facts {
-	f := Facts{NowMs: k.Ms()}
-	m := k.Machines[l.Host]
+func (k *Ledger) facts(l *Loan) Facts {
+	f := Facts{NowMs: k.NowMs()}
+	m := k.Machines[l.Machine]
 	f.Gone = m == nil || m.State == fleet.Deleting || m.State == fleet.Deleted
 	f.Doubtful = !f.Gone && (m.State == fleet.Warned || m.State == fleet.Faulty)
 	if j := k.Jobs[l.Job]; j != nil {
-		t := j.Active[l.N]
-		_, booked := k.Reserved[jobs.Piece(l.Job, l.N)]
-		f.On = t != nil && t.On() && t.Host == l.Host
-		f.Coming = t != nil && t.State == jobs.Released && t.Want == l.Host || booked && k.Reserved[jobs.Piece(l.Job, l.N)].Host == l.Host
-		f.Waits = t == nil && !booked && k.begins(j) && l.N < j.Rec.Spec.Pieces
+		t := j.Active[l.TaskIndex]
+		_, booked := k.Reservations[jobs.TaskID(l.Job, l.TaskIndex)]
+		f.On = t != nil && t.OnMachine() && t.Machine == l.Machine
+		f.Coming = t != nil && t.State == jobs.Released && t.PreferredMachine == l.Machine || booked && k.Reservations[jobs.TaskID(l.Job, l.TaskIndex)].Machine == l.Machine
+		f.Waits = t == nil && !booked && k.begins(j) && l.TaskIndex < j.Record.Spec.TaskCount
 	}
 	for _, s := range l.From {
 		j := k.Jobs[s.Job]
@@ -140,7 +140,7 @@
 			continue
 		}
 		f.LenderWaits = f.LenderWaits || k.begins(j) && k.Queued[s.Job] == j
-		for _, t := range k.OnHost[l.Host] {
+		for _, t := range k.TasksOnMachine[l.Machine] {
 			if t.Job == j {
 				f.Leaving = f.Leaving || t.State == jobs.Stopping
 				f.LenderBack = f.LenderBack || t.State == jobs.Placed && l.FreeMs > 0 && t.Since.UnixMilli() >= l.FreeMs
@@ -150,27 +150,27 @@
 	return f
 }
 
-func live(j *book.Job) bool { return j.Rec != nil && j.Rec.State == jobs.Live }
+func live(j *clusterstate.Job) bool { return j.Record != nil && j.Record.State == jobs.Live }
 
 // begins tells whether a job's work may begin now. While its window is shut, or is only
 // about to open, no room is kept for it and no replica called back: it could not come,
 // and what it needs at its opening is prepared by the queue.
-func (k *Keeper) begins(j *book.Job) bool {
-	return live(j) && (k.Begins == nil || k.Begins(&j.Rec.Spec))
+func (k *Ledger) begins(j *clusterstate.Job) bool {
+	return live(j) && (k.Begins == nil || k.Begins(&j.Record.Spec))
 }
 
-// Look brings every loan as far as the records say, and returns what is to be written
+// Reconcile brings every loan as far as the records say, and returns what is to be written
 // and whom to call back. waits tells whether a job found no room in the last look at
 // the queue.
-func (k *Keeper) Look(account *quota.Account, waits func(uid string) bool) []decide.Decision {
+func (k *Ledger) Reconcile(account *quota.Account, waits func(jobID string) bool) []decide.Decision {
 	clear(k.taken)
 	clear(k.asking)
 	stored := map[int]bool{}
-	for _, n := range sortedKeys(k.sheets) {
-		if k.sheets[n] == nil {
+	for _, n := range sortedKeys(k.records) {
+		if k.records[n] == nil {
 			continue
 		}
-		for _, l := range k.sheets[n].Loans {
+		for _, l := range k.records[n].Loans {
 			stored[l.ID] = true
 			k.step(l)
 		}
@@ -181,22 +181,22 @@
 		}
 	}
 	ds := k.callBack(account, waits)
-	for _, n := range sortedKeys(k.sheets) {
+	for _, n := range sortedKeys(k.records) {
 		if d, ok := k.save(n); ok {
 			ds = append(ds, d)
 		}
 	}
-	k.say()
+	k.logCounts()
 	return ds
 }
 
 // step looks at one loan.
-func (k *Keeper) step(stored Loan) {
+func (k *Ledger) step(stored Loan) {
 	l := k.now(stored)
 	f := k.facts(&l)
 	for moved := true; moved; {
 		was := l.State
-		if l, moved = Next(l, Look, f); moved {
+		if l, moved = Next(l, Observe, f); moved {
 			k.note(stored, l)
 			k.count(was, &l)
 		}
@@ -204,7 +204,7 @@
 }
 
 // note keeps how far a loan has come until it is stored.
-func (k *Keeper) note(stored, l Loan) {
+func (k *Ledger) note(stored, l Loan) {
 	at := k.Now
 	if a, ok := k.come(stored); ok {
 		at = a.at
@@ -213,7 +213,7 @@
 }
 
 // count notes a loan's new state.
-func (k *Keeper) count(was State, l *Loan) {
+func (k *Ledger) count(was State, l *Loan) {
 	if was == l.State {
 		return
 	}
@@ -233,18 +233,18 @@
 		k.counted.Lost += l.GPUs
 	case Wanted, Vacated:
 	}
-	k.Log.Debug("loan", "id", l.ID, "state", string(l.State), "for", jobs.Piece(l.Job, l.N), "machine", l.Host, "from", l.From[0].Job, "gpus", l.GPUs, "why", l.Why)
+	k.Log.Debug("loan", "id", l.ID, "state", string(l.State), "for", jobs.TaskID(l.Job, l.TaskIndex), "machine", l.Machine, "from", l.From[0].Job, "gpus", l.GPUs, "why", l.Why)
 }
 
 // Counts is what has been counted so far.
-func (k *Keeper) Counts() Counts { return k.counted }
+func (k *Ledger) Counts() Counts { return k.counted }
 
-// say tells the counts once a minute, if any loan was asked for.
-func (k *Keeper) say() {
-	if k.Now.Sub(k.said) < tuning.LoansSaid {
+// logCounts tells the counts once a minute, if any loan was asked for.
+func (k *Ledger) logCounts() {
+	if k.Now.Sub(k.loggedAt) < tuning.LoanLogEvery {
 		return
 	}
-	k.said = k.Now
+	k.loggedAt = k.Now
 	if c := k.counted; c != (Counts{}) {
 		k.Log.Info("loans", "asked", c.Asked, "lent", c.Lent, "called_back", c.CalledBack, "returned", c.Returned, "broken_off", c.BrokenOff,
 			"gpus_taken", c.Taken, "gpus_given", c.Given, "gpus_gone", c.Lost, "spared", c.Spared)
@@ -252,38 +252,38 @@
 }
 
 // sheet is what a sheet would be with all loans as far as they have come.
-func (k *Keeper) sheet(n int) *Sheet {
-	out := &Sheet{}
-	if s := k.sheets[n]; s != nil {
+func (k *Ledger) sheet(n int) *LoanRecord {
+	out := &LoanRecord{}
+	if s := k.records[n]; s != nil {
 		for _, l := range s.Loans {
 			out.Loans = append(out.Loans, k.now(l))
 		}
 	}
-	return out.without(k.Ms(), k.Again)
+	return out.without(k.NowMs(), k.Again)
 }
 
 // write is the record of a sheet. It is conditional on the version that is known, as
 // every write is, so an old leader's sheet comes to nothing.
-func (k *Keeper) write(n int, s *Sheet) store.Write {
+func (k *Ledger) write(n int, s *LoanRecord) store.Write {
 	k.taken[n] = true
 	if len(s.Loans) == 0 {
-		return decide.Remove(Key(n))
+		return decide.Remove(RecordKey(n))
 	}
-	return decide.Put(Key(n), s)
+	return decide.Put(RecordKey(n), s)
 }
 
 // save is the decision that stores what has changed on a sheet: gathered for a while,
 // since every step is found again from the records.
-func (k *Keeper) save(n int) (decide.Decision, bool) {
-	s := k.sheets[n]
-	if s == nil || k.taken[n] || k.Busy(Key(n)) {
+func (k *Ledger) save(n int) (decide.Decision, bool) {
+	s := k.records[n]
+	if s == nil || k.taken[n] || k.Busy(RecordKey(n)) {
 		return decide.Decision{}, false
 	}
 	due := false
 	for _, l := range s.Loans {
 		a, changed := k.come(l)
 		due = due || changed && k.Now.Sub(a.at) >= tuning.LoanSave ||
-			l.State.Over() && k.Ms()-l.BeganMs > (k.Again+tuning.LoansSaid).Milliseconds()
+			l.State.Over() && k.NowMs()-l.BeganMs > (k.Again+tuning.LoanLogEvery).Milliseconds()
 	}
 	if !due {
 		return decide.Decision{}, false
@@ -292,10 +292,10 @@
 }
 
 // open is a sheet that takes another loan now.
-func (k *Keeper) open() (int, bool) {
-	for n := range tuning.LoanSheets {
-		s, known := k.sheets[n]
-		if known && s == nil || k.taken[n] || k.Busy(Key(n)) {
+func (k *Ledger) open() (int, bool) {
+	for n := range tuning.LoanRecords {
+		s, known := k.records[n]
+		if known && s == nil || k.taken[n] || k.Busy(RecordKey(n)) {
 			continue
 		}
 		if k.sheet(n).fits(k.Limit) {
@@ -306,10 +306,10 @@
 }
 
 // lent is how many tasks each job has lent of late.
-func (k *Keeper) lent() map[string]int {
+func (k *Ledger) lent() map[string]int {
 	out := maps.Clone(k.asking)
 	for _, l := range k.Loans() {
-		if k.Ms()-l.BeganMs < k.Again.Milliseconds() {
+		if k.NowMs()-l.BeganMs < k.Again.Milliseconds() {
 			for _, f := range l.From {
 				out[f.Job] += f.Tasks
 			}
@@ -322,16 +322,16 @@
 // for: all of a gang or one task alone, once; of a sweep, whose tasks do not need one
 // another, a share.
 func most(spec *jobs.Spec) int {
-	if spec.Shape != jobs.Sweep {
+	if spec.Kind != jobs.JobArray {
 		return 1
 	}
-	return max(1, int(tuning.SweepLends*float64(spec.Pieces)))
+	return max(1, int(tuning.SweepLends*float64(spec.TaskCount)))
 }
 
 // For is the loan that makes room for a replica, if there is one.
-func (k *Keeper) For(uid string, n int) (Loan, bool) {
+func (k *Ledger) For(jobID string, n int) (Loan, bool) {
 	for _, l := range k.Loans() {
-		if l.Job == uid && l.N == n && l.ForBorrower() {
+		if l.Job == jobID && l.TaskIndex == n && l.ForBorrower() {
 			return l, true
 		}
 	}
@@ -340,23 +340,23 @@
 
 // Ask is the decision that begins a loan: its record and the stops of all that give,
 // gangs whole, in one transaction. False if nobody can give, or none can be kept.
-func (k *Keeper) Ask(s *Search) (decide.Decision, Plan, bool) {
+func (k *Ledger) Ask(s *Search) (decide.Decision, Plan, bool) {
 	n, ok := k.open()
 	if !ok {
 		return decide.Decision{}, Plan{}, false
 	}
 	lent := k.lent()
 	met := false
-	s.Spared = func(j *book.Job) bool {
-		spared := lent[j.UID] >= most(&j.Rec.Spec)
+	s.Spared = func(j *clusterstate.Job) bool {
+		spared := lent[j.ID] >= most(&j.Record.Spec)
 		met = met || spared
 		return spared
 	}
 	s.Busy, s.Now = k.Busy, k.Now
-	s.Told = func(m *book.Machine) bool { return k.Ready(m) }
-	plan, ok := Choose(k.Book, s)
-	if !ok && plan.Host != "" {
-		plan.From = k.gangLeaves(plan.Host, s.Task.Job.Rec.Spec.Accel)
+	s.Known = func(m *clusterstate.Machine) bool { return k.Ready(m) }
+	plan, ok := Choose(k.State, s)
+	if !ok && plan.Machine != "" {
+		plan.From = k.gangLeaves(plan.Machine, s.Task.Job.Record.Spec.Accelerators)
 	}
 	if len(plan.From) == 0 {
 		if met {
@@ -364,14 +364,14 @@
 		}
 		return decide.Decision{}, Plan{}, false
 	}
-	l := Loan{ID: k.nextID, Job: s.Task.Job.UID, N: s.Task.N, Host: plan.Host, From: plan.From}
+	l := Loan{ID: k.nextID, Job: s.Task.Job.ID, TaskIndex: s.Task.Index, Machine: plan.Machine, From: plan.From}
 	for _, f := range plan.From {
 		l.GPUs += f.GPUs
 	}
-	l, _ = Next(l, Ask, Facts{NowMs: k.Ms()})
-	d := decide.Decision{Seen: []string{jobs.JobPrefix + l.Job, fleet.HostPrefix + l.Host}}
+	l, _ = Next(l, Ask, Facts{NowMs: k.NowMs()})
+	d := decide.Decision{ReadSet: []string{jobs.JobPrefix + l.Job, fleet.MachinePrefix + l.Machine}}
 	for _, t := range plan.Tasks {
-		next, ok := jobs.NextTask(t.Task, jobs.TaskEvent{Kind: jobs.Stop, Why: "lends its place to " + s.Task.Piece})
+		next, ok := jobs.NextTask(t.Task, jobs.TaskEvent{Kind: jobs.Stop, Reason: "lends its place to " + s.Task.ID})
 		if !ok {
 			return decide.Decision{}, Plan{}, false
 		}
@@ -380,7 +380,7 @@
 	sheet := k.sheet(n)
 	sheet.Loans = append(sheet.Loans, l)
 	d.Writes = []store.Write{k.write(n, sheet)}
-	d.Done = func(ok bool) {
+	d.OnSettled = func(ok bool) {
 		if ok {
 			k.count(Wanted, &l)
 		}
@@ -394,41 +394,41 @@
 
 // gangLeaves is what gangs that lend have on a machine and are leaving: one that gave
 // whole for one replica gives its other machines to those that wait next.
-func (k *Keeper) gangLeaves(host string, gpus float64) []Share {
-	for _, piece := range book.Sorted(k.OnHost[host]) {
-		t := k.OnHost[host][piece]
-		if t.State == jobs.Stopping && t.Job.Rec != nil && t.Job.Rec.Spec.Gang() && k.lends(t.Job.UID) {
-			return []Share{{Job: t.Job.UID, GPUs: min(gpus, t.Job.Rec.Spec.Accel)}}
+func (k *Ledger) gangLeaves(machine string, gpus float64) []Share {
+	for _, taskID := range clusterstate.SortedKeys(k.TasksOnMachine[machine]) {
+		t := k.TasksOnMachine[machine][taskID]
+		if t.State == jobs.Stopping && t.Job.Record != nil && t.Job.Record.Spec.IsGang() && k.lends(t.Job.ID) {
+			return []Share{{Job: t.Job.ID, GPUs: min(gpus, t.Job.Record.Spec.Accelerators)}}
 		}
 	}
 	return nil
 }
 
 // lends tells whether a job gave for a loan that is not over.
-func (k *Keeper) lends(uid string) bool {
+func (k *Ledger) lends(jobID string) bool {
 	return slices.ContainsFunc(k.Loans(), func(l Loan) bool {
-		return !l.State.Over() && slices.ContainsFunc(l.From, func(s Share) bool { return s.Job == uid })
+		return !l.State.Over() && slices.ContainsFunc(l.From, func(s Share) bool { return s.Job == jobID })
 	})
 }
 
-// Kept is room on a machine that is for one job's tasks only.
-type Kept struct {
-	Job  string
-	Host string
-	Need parts.Room
-	// Piece is the replica that a room is for, none where it is a lender's.
-	Piece string
+// KeptRoom is room on a machine that is for one job's tasks only.
+type KeptRoom struct {
+	Job       string
+	Machine   string
+	Resources sharding.Resources
+	// TaskID is the replica that a room is for, none where it is a lender's.
+	TaskID string
 }
 
 // Rooms lists the rooms that are kept, in order of the loans: for replicas while their
 // room is made, then for a while for those that gave it.
-func (k *Keeper) Rooms() []Kept {
-	var out []Kept
+func (k *Ledger) Rooms() []KeptRoom {
+	var out []KeptRoom
 	for _, l := range k.Loans() {
-		if j := k.Jobs[l.Job]; l.ForBorrower() && j != nil && k.begins(j) && j.Active[l.N] == nil && k.Machines[l.Host] != nil {
-			out = append(out, Kept{l.Job, l.Host, j.Rec.Spec.Need(), jobs.Piece(l.Job, l.N)})
+		if j := k.Jobs[l.Job]; l.ForBorrower() && j != nil && k.begins(j) && j.Active[l.TaskIndex] == nil && k.Machines[l.Machine] != nil {
+			out = append(out, KeptRoom{l.Job, l.Machine, j.Record.Spec.Resources(), jobs.TaskID(l.Job, l.TaskIndex)})
 		}
-		if !l.ForLender() || k.Machines[l.Host] == nil {
+		if !l.ForLender() || k.Machines[l.Machine] == nil {
 			continue
 		}
 		for _, s := range l.From {
@@ -436,9 +436,9 @@
 			if j == nil || !k.begins(j) || k.Queued[s.Job] != j {
 				continue
 			}
-			need := j.Rec.Spec.Need()
+			need := j.Record.Spec.Resources()
 			for left := s.GPUs; left > 0 || left == s.GPUs; left -= need.Accelerators {
-				out = append(out, Kept{s.Job, l.Host, need, ""})
+				out = append(out, KeptRoom{s.Job, l.Machine, need, ""})
 				if need.Accelerators <= 0 {
 					break
 				}
--- a/internal/lending/loan.go
+++ b/internal/lending/loan.go
@@ -25,17 +25,17 @@
 
 // Loan is one replica's room, made by stopping others on one machine.
 type Loan struct {
-	ID      int     `json:"i"`
-	State   State   `json:"s"`
-	Job     string  `json:"b"`           // whose replica it is for
-	N       int     `json:"n"`           // which of them
-	Host    string  `json:"h"`           // machine
-	From    []Share `json:"f"`           // from whom, in the order in which it goes back
-	GPUs    float64 `json:"g"`           // accelerators lent
-	BeganMs int64   `json:"at"`          // time of day when it was asked for
-	SinceMs int64   `json:"t"`           // when it came to its state
-	FreeMs  int64   `json:"k,omitempty"` // called back: since when the room is the lender's, 0 while the replica is there
-	Why     string  `json:"w,omitempty"`
+	ID        int     `json:"i"`
+	State     State   `json:"s"`
+	Job       string  `json:"b"`           // whose replica it is for
+	TaskIndex int     `json:"n"`           // which of them
+	Machine   string  `json:"h"`           // machine
+	From      []Share `json:"f"`           // from whom, in the order in which it goes back
+	GPUs      float64 `json:"g"`           // accelerators lent
+	BeganMs   int64   `json:"at"`          // time of day when it was asked for
+	SinceMs   int64   `json:"t"`           // when it came to its state
+	FreeMs    int64   `json:"k,omitempty"` // called back: since when the room is the lender's, 0 while the replica is there
+	Why       string  `json:"w,omitempty"`
 }
 
 // Share is what one job gave.
@@ -51,7 +51,7 @@
 // Events of a loan.
 const (
 	Ask      Event = "ask"       // its stops are committed with it
-	Look     Event = "look"      // the records are looked at
+	Observe  Event = "look"      // the records are looked at
 	CallBack Event = "call back" // the lender's guaranteed work waits
 )
 
@@ -84,7 +84,7 @@
 		return to(Asked, "")
 	case e == CallBack && l.State == Lent && f.On:
 		return to(CalledBack, "the lender's guaranteed work waits")
-	case e != Look || l.State.Over():
+	case e != Observe || l.State.Over():
 		return l, false
 	}
 	// What is on a machine that is gone cannot be given back.
@@ -104,7 +104,7 @@
 			return to(CalledBack, "the replica no longer waits")
 		case l.State == Asked && !f.Leaving:
 			return to(Vacated, "")
-		case l.State == Asked && age > tuning.LoanAsked.Milliseconds():
+		case l.State == Asked && age > tuning.LoanRequestTimeout.Milliseconds():
 			return to(CalledBack, "the lender did not leave in time")
 		case l.State == Vacated && age > tuning.LoanVacant.Milliseconds():
 			return to(CalledBack, "the replica did not come in time")
@@ -133,7 +133,7 @@
 		return to(Returned, "the lender is back")
 	case !f.LenderWaits:
 		return to(Returned, "the lender needs it no more")
-	case f.NowMs-l.FreeMs > tuning.LoanKept.Milliseconds():
+	case f.NowMs-l.FreeMs > tuning.LoanReturnReservation.Milliseconds():
 		return to(Returned, "the lender did not come in time")
 	}
 	return l, false
--- a/internal/lending/loan_test.go
+++ b/internal/lending/loan_test.go
@@ -6,11 +6,11 @@
 
 	"pgregory.net/rapid"
 
-	"github.com/harrierreel/harrierreel/internal/seeded"
+	"github.com/harrierreel/harrierreel/internal/testseed"
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-func TestMain(m *testing.M) { os.Exit(seeded.Main(m)) }
+func TestMain(m *testing.M) { os.Exit(testseed.Main(m)) }
 
 func TestNext(t *testing.T) {
 	past := func(d int64) Facts { return Facts{NowMs: d + 1, Waits: true} }
@@ -22,27 +22,27 @@
 	}{
 		"begins with its stops":                 {Loan{State: Wanted}, Ask, Facts{}, Asked},
 		"is asked for once":                     {Loan{State: Lent}, Ask, Facts{}, Lent},
-		"waits for the lender to leave":         {Loan{State: Asked}, Look, Facts{Leaving: true, Waits: true}, Asked},
-		"is vacated once it has left":           {Loan{State: Asked}, Look, Facts{Waits: true}, Vacated},
-		"is lent when the replica is there":     {Loan{State: Vacated}, Look, Facts{On: true}, Lent},
-		"a replica on its way holds it":         {Loan{State: Vacated}, Look, Facts{NowMs: 1e9, Coming: true}, Vacated},
-		"a cancelled replica gives it back":     {Loan{State: Asked}, Look, Facts{Leaving: true}, CalledBack},
-		"a lender that hangs":                   {Loan{State: Asked}, Look, Facts{NowMs: tuning.LoanAsked.Milliseconds() + 1, Leaving: true, Waits: true}, CalledBack},
-		"a replica that does not come":          {Loan{State: Vacated}, Look, past(tuning.LoanVacant.Milliseconds()), CalledBack},
-		"a machine with a notice":               {Loan{State: Vacated}, Look, Facts{Doubtful: true, Waits: true}, BrokenOff},
-		"a replica stays through a notice":      {Loan{State: Lent}, Look, Facts{Doubtful: true, On: true}, Lent},
-		"a machine that is gone":                {Loan{State: Lent}, Look, Facts{Gone: true, On: true}, BrokenOff},
-		"a replica that ended":                  {Loan{State: Lent}, Look, Facts{LenderWaits: true}, CalledBack},
+		"waits for the lender to leave":         {Loan{State: Asked}, Observe, Facts{Leaving: true, Waits: true}, Asked},
+		"is vacated once it has left":           {Loan{State: Asked}, Observe, Facts{Waits: true}, Vacated},
+		"is lent when the replica is there":     {Loan{State: Vacated}, Observe, Facts{On: true}, Lent},
+		"a replica on its way holds it":         {Loan{State: Vacated}, Observe, Facts{NowMs: 1e9, Coming: true}, Vacated},
+		"a cancelled replica gives it back":     {Loan{State: Asked}, Observe, Facts{Leaving: true}, CalledBack},
+		"a lender that hangs":                   {Loan{State: Asked}, Observe, Facts{NowMs: tuning.LoanRequestTimeout.Milliseconds() + 1, Leaving: true, Waits: true}, CalledBack},
+		"a replica that does not come":          {Loan{State: Vacated}, Observe, past(tuning.LoanVacant.Milliseconds()), CalledBack},
+		"a machine with a notice":               {Loan{State: Vacated}, Observe, Facts{Doubtful: true, Waits: true}, BrokenOff},
+		"a replica stays through a notice":      {Loan{State: Lent}, Observe, Facts{Doubtful: true, On: true}, Lent},
+		"a machine that is gone":                {Loan{State: Lent}, Observe, Facts{Gone: true, On: true}, BrokenOff},
+		"a replica that ended":                  {Loan{State: Lent}, Observe, Facts{LenderWaits: true}, CalledBack},
 		"called back":                           {Loan{State: Lent}, CallBack, Facts{On: true}, CalledBack},
 		"room that is being made is not":        {Loan{State: Vacated}, CallBack, Facts{}, Vacated},
-		"not before the replica is gone":        {Loan{State: CalledBack, FreeMs: 1}, Look, Facts{NowMs: 1e9, On: true}, CalledBack},
-		"the room waits for its lender":         {Loan{State: CalledBack, FreeMs: 1}, Look, Facts{NowMs: 2, LenderWaits: true}, CalledBack},
-		"but not for ever":                      {Loan{State: CalledBack, FreeMs: 1}, Look, Facts{NowMs: tuning.LoanKept.Milliseconds() + 2, LenderWaits: true}, Returned},
-		"a lender that is over needs none":      {Loan{State: CalledBack, FreeMs: 1}, Look, Facts{NowMs: 2}, Returned},
-		"a lender that is back":                 {Loan{State: CalledBack, FreeMs: 1}, Look, Facts{NowMs: 2, LenderWaits: true, LenderBack: true}, Returned},
-		"what is over stays so":                 {Loan{State: Returned}, Look, Facts{Gone: true}, Returned},
+		"not before the replica is gone":        {Loan{State: CalledBack, FreeMs: 1}, Observe, Facts{NowMs: 1e9, On: true}, CalledBack},
+		"the room waits for its lender":         {Loan{State: CalledBack, FreeMs: 1}, Observe, Facts{NowMs: 2, LenderWaits: true}, CalledBack},
+		"but not for ever":                      {Loan{State: CalledBack, FreeMs: 1}, Observe, Facts{NowMs: tuning.LoanReturnReservation.Milliseconds() + 2, LenderWaits: true}, Returned},
+		"a lender that is over needs none":      {Loan{State: CalledBack, FreeMs: 1}, Observe, Facts{NowMs: 2}, Returned},
+		"a lender that is back":                 {Loan{State: CalledBack, FreeMs: 1}, Observe, Facts{NowMs: 2, LenderWaits: true, LenderBack: true}, Returned},
+		"what is over stays so":                 {Loan{State: Returned}, Observe, Facts{Gone: true}, Returned},
 		"nothing is called back that is over":   {Loan{State: BrokenOff}, CallBack, Facts{On: true}, BrokenOff},
-		"nothing wanted is lent without a stop": {Loan{State: Wanted}, Look, Facts{On: true}, Wanted},
+		"nothing wanted is lent without a stop": {Loan{State: Wanted}, Observe, Facts{On: true}, Wanted},
 	} {
 		if got, _ := Next(c.l, c.e, c.f); got.State != c.want {
 			t.Errorf("%s: %s becomes %s, not %s", name, c.l.State, got.State, c.want)
@@ -61,7 +61,7 @@
 		for range rapid.IntRange(0, 12).Draw(t, "events") {
 			now += rapid.Int64Range(0, 90_000).Draw(t, "ms")
 			was := l
-			e := rapid.SampledFrom([]Event{Ask, Look, Look, CallBack}).Draw(t, "event")
+			e := rapid.SampledFrom([]Event{Ask, Observe, Observe, CallBack}).Draw(t, "event")
 			f := Facts{now, bit("gone"), bit("doubtful"), bit("leaving"), bit("on"), bit("coming"), bit("waits"), bit("lender waits"), bit("lender back")}
 			var moved bool
 			if l, moved = Next(l, e, f); was.State.Over() && (moved || l.State != was.State) {
@@ -73,8 +73,8 @@
 		}
 		waits, lender := bit("replica waits"), bit("lender waits still")
 		for range 8 {
-			now += max(tuning.LoanAsked, tuning.LoanVacant, tuning.LoanKept).Milliseconds() + 1
-			l, _ = Next(l, Look, Facts{NowMs: now, Waits: waits, LenderWaits: lender})
+			now += max(tuning.LoanRequestTimeout, tuning.LoanVacant, tuning.LoanReturnReservation).Milliseconds() + 1
+			l, _ = Next(l, Observe, Facts{NowMs: now, Waits: waits, LenderWaits: lender})
 		}
 		if !l.State.Over() {
 			t.Fatalf("still %s", l.State)
@@ -93,11 +93,11 @@
 		}
 	}
 	for _, key := range []string{"loan/", "loan/x", "loan/-1", "loan/01", "loan/99999", "job/1"} {
-		if _, ok := SheetOf(key); ok {
+		if _, ok := RecordNumber(key); ok {
 			t.Errorf("%s is a sheet", key)
 		}
 	}
-	if n, ok := SheetOf(Key(3)); !ok || n != 3 {
+	if n, ok := RecordNumber(RecordKey(3)); !ok || n != 3 {
 		t.Error(n, ok)
 	}
 }
--- a/internal/members/comings_test.go
+++ b/internal/members/comings_test.go
@@ -11,36 +11,36 @@
 
 func TestHeldBack(t *testing.T) {
 	now := time.UnixMilli(1e12)
-	c := Comings{}
-	inc := uint64(0)
+	c := RestartBackoff{}
+	incarnation := uint64(0)
 	after := func(d time.Duration) { now = now.Add(d) }
-	back := func() { inc++; c.Saw("a", inc, now) }
+	back := func() { incarnation++; c.Observe("a", incarnation, now) }
 	back()
-	if c.Held("a", now) {
+	if c.Blocked("a", now) {
 		t.Error("held at its first start")
 	}
 	// Each hour it ends once, and is back at once: never held.
 	for range 3 {
 		after(time.Hour)
 		back()
-		if c.Held("a", now) {
+		if c.Blocked("a", now) {
 			t.Error("held after a single end")
 		}
 	}
 	// It ends again and again.
-	for i, want := range []time.Duration{tuning.ComePause, 2 * tuning.ComePause, 4 * tuning.ComePause} {
+	for i, want := range []time.Duration{tuning.RejoinPause, 2 * tuning.RejoinPause, 4 * tuning.RejoinPause} {
 		after(300 * time.Millisecond)
 		if i == 1 {
-			c.Saw("a", 0, now) // its lease ended meanwhile: the same end
+			c.Observe("a", 0, now) // its lease ended meanwhile: the same end
 		}
 		back()
-		if got := c.Pause("a"); got != want || !c.Held("a", now) || c.Held("a", now.Add(want)) {
+		if got := c.Pause("a"); got != want || !c.Blocked("a", now) || c.Blocked("a", now.Add(want)) {
 			t.Errorf("end %d: pause %v, not %v", i+2, got, want)
 		}
 	}
-	after(tuning.ComeStood)
+	after(tuning.RejoinStable)
 	back()
-	if c.Held("a", now) {
+	if c.Blocked("a", now) {
 		t.Error("held although it had stood")
 	}
 }
@@ -50,13 +50,13 @@
 func TestViewsAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start := time.UnixMilli(1e12)
-		now, c, in, let := start, Comings{}, uint64(0), 0
-		for inc := uint64(1); inc <= 40; inc++ {
-			c.Saw("a", inc, now)
+		now, c, in, let := start, RestartBackoff{}, uint64(0), 0
+		for incarnation := uint64(1); incarnation <= 40; incarnation++ {
+			c.Observe("a", incarnation, now)
 			lives := time.Duration(rapid.IntRange(100, 4000).Draw(t, "lives_ms")) * time.Millisecond
 			for end := now.Add(lives); now.Before(end); now = now.Add(100 * time.Millisecond) {
-				if !c.Held("a", now) && in != inc {
-					in = inc
+				if !c.Blocked("a", now) && in != incarnation {
+					in = incarnation
 					let++
 				}
 			}
--- a/internal/members/golden_test.go
+++ b/internal/members/golden_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestGoldenView(t *testing.T) {
-	full := View{Leader: "ctl-a", Members: []Member{{Name: "ctl-a", Inc: 11}, {Name: "ctl-b", Inc: 12}}, Epoch: 5}
+	full := View{Leader: "ctl-a", Members: []Member{{Name: "ctl-a", Incarnation: 11}, {Name: "ctl-b", Incarnation: 12}}, Epoch: 5}
 	goldentest.Filled(t, full)
 	for name, v := range map[string]View{"view.json": full, "view-least.json": {Epoch: 1}} {
 		goldentest.JSON(t, name, v)
@@ -28,12 +28,12 @@
 }
 
 func TestGoldenForms(t *testing.T) {
-	full := Forms{Inc: 11, Pack: 1, Calls: true}
+	full := Capabilities{Incarnation: 11, BatchFormat: 1, AnswersProbes: true}
 	goldentest.Filled(t, full)
 	goldentest.JSON(t, "form.json", full)
-	goldentest.JSON(t, "form-least.json", Forms{})
+	goldentest.JSON(t, "form-least.json", Capabilities{})
 }
 
 func TestGoldenKeys(t *testing.T) {
-	goldentest.Bytes(t, "keys.txt", []byte(strings.Join([]string{ViewKey, MemberPrefix, FormPrefix}, "\n")+"\n"))
+	goldentest.Bytes(t, "keys.txt", []byte(strings.Join([]string{ViewKey, MemberPrefix, CapabilitiesPrefix}, "\n")+"\n"))
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -11,20 +11,20 @@
 	"slices"
 	"time"
 
-	"github.com/harrierreel/harrierreel/internal/book"
+	"github.com/harrierreel/harrierreel/internal/clusterstate"
 	"github.com/harrierreel/harrierreel/internal/decide"
 	"github.com/harrierreel/harrierreel/internal/fleet"
 	"github.com/harrierreel/harrierreel/internal/jobs"
 	"github.com/harrierreel/harrierreel/internal/members"
-	"github.com/harrierreel/harrierreel/internal/records"
 	"github.com/harrierreel/harrierreel/internal/standby"
 	"github.com/harrierreel/harrierreel/internal/store"
+	"github.com/harrierreel/harrierreel/internal/taskbatch"
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
 // Env is what it is told from outside.
 type Env struct {
-	Me     string
+	Name   string
 	TTL    time.Duration // of its lease
 	Client *store.Client
 	Mirror *store.Mirror
@@ -36,11 +36,11 @@
 	View        func() *members.View
 	Unreachable func() map[string]bool
 	// Wake has the loop look again, Follow opens the watch.
-	Wake, Follow func()
+	Wake, WatchNow func()
 	// TxnOps is the most changes of a transaction.
 	TxnOps int
-	// Calls has members called whose connection ended, and calls answered.
-	Calls bool
+	// AnswersProbes has members called whose connection ended, and calls answered.
+	AnswersProbes bool
 	// ZoneOf is the controllers' zones by name.
 	ZoneOf map[string]string
 	// Lag is how far this controller is behind, Unchecked what it has to check as a
@@ -51,179 +51,181 @@
 
 // Membership is what one controller keeps of its own.
 type Membership struct {
-	*book.Book
+	*clusterstate.State
 	Env
 
-	keys      map[string]uint64 // member keys: name to incarnation
-	comings   members.Comings
-	forms     map[string]members.Forms
-	hold      uint64 // its lease, which is its incarnation; 0 for none
-	renewedAt time.Time
-	certain   members.Certainty // of its place in the view
-	wokeAt    time.Time         // after it last stood still
-	asking    bool              // for the epoch that makes it certain
-	granting  bool
-	putting   bool // its member key
-	viewBusy  bool
+	keys             map[string]uint64 // member keys: name to incarnation
+	restarts         members.RestartBackoff
+	capabilities     map[string]members.Capabilities
+	leaseID          uint64 // its lease, which is its incarnation; 0 for none
+	renewedAt        time.Time
+	certainty        members.LeaseCertainty // of its place in the view
+	resumedAt        time.Time              // after it last stood still
+	readingEpoch     bool                   // for the epoch that makes it certain
+	granting         bool
+	writingMemberKey bool // its member key
+	changingView     bool
 
-	standby   *standby.Standby
-	calls     map[string]standby.Call // that stand in the state service, by who is called
-	calling   bool
-	answering bool
-	called    uint64   // epoch of its last call
-	silent    []string // members whose calls are unanswered, to be left out of the view
-	leaving   bool     // this controller gives its place away
-	left      bool     // and has
+	standby          *standby.Standby
+	probes           map[string]standby.Probe // that stand in the state service, by who is called
+	probing          bool
+	answeringProbe   bool
+	lastProbeEpoch   uint64   // epoch of its last call
+	unansweredProbes []string // members whose calls are unanswered, to be left out of the view
+	resigning        bool     // this controller gives its place away
+	resigned         bool     // and has
 }
 
 // New makes a controller that has not joined; book tells the time.
-func New(b *book.Book, env Env) *Membership {
-	return &Membership{Book: b, Env: env, keys: map[string]uint64{}, comings: members.Comings{}, forms: map[string]members.Forms{}, certain: members.Certainty{Standing: members.Sure},
-		standby: standby.New(b.Now), calls: map[string]standby.Call{}}
+func New(b *clusterstate.State, env Env) *Membership {
+	return &Membership{State: b, Env: env, keys: map[string]uint64{}, restarts: members.RestartBackoff{}, capabilities: map[string]members.Capabilities{}, certainty: members.LeaseCertainty{CertaintyState: members.Certain},
+		standby: standby.New(b.Now), probes: map[string]standby.Probe{}}
 }
 
-// Hold is its lease, 0 for none.
-func (me *Membership) Hold() uint64 { return me.hold }
+// LeaseID is its lease, 0 for none.
+func (me *Membership) LeaseID() uint64 { return me.leaseID }
 
-// Sure tells whether it is certain of its place in the view.
-func (me *Membership) Sure() bool { return me.certain.Standing == members.Sure }
+// Certain tells whether it is certain of its place in the view.
+func (me *Membership) Certain() bool { return me.certainty.CertaintyState == members.Certain }
 
-// KeyChanged takes in a member's key, nil for one that is gone.
-func (me *Membership) KeyChanged(name string, value json.RawMessage) {
-	var inc uint64
-	defer func() { me.comings.Saw(name, me.keys[name], me.Now) }()
-	if value == nil || json.Unmarshal(value, &inc) != nil {
-		if name == me.Me && me.hold != 0 && me.keys[name] == me.hold && !me.leaving {
+// ApplyMember takes in a member's key, nil for one that is gone.
+func (me *Membership) ApplyMember(name string, value json.RawMessage) {
+	var incarnation uint64
+	defer func() { me.restarts.Observe(name, me.keys[name], me.Now) }()
+	if value == nil || json.Unmarshal(value, &incarnation) != nil {
+		if name == me.Name && me.leaseID != 0 && me.keys[name] == me.leaseID && !me.resigning {
 			// Its lease ended, or it was called and did not answer in time: either way
 			// it comes back as a new incarnation.
-			me.Log.Info("out of the members", "lease", me.hold)
-			me.hold = 0
+			me.Log.Info("out of the members", "lease", me.leaseID)
+			me.leaseID = 0
 		}
 		delete(me.keys, name)
 	} else {
-		me.keys[name] = inc
+		me.keys[name] = incarnation
 	}
 }
 
-// FormChanged takes in what a member can read, nil for a key that is gone.
-func (me *Membership) FormChanged(name string, value json.RawMessage) {
-	var f members.Forms
+// ApplyCapabilities takes in what a member can read, nil for a key that is gone.
+func (me *Membership) ApplyCapabilities(name string, value json.RawMessage) {
+	var f members.Capabilities
 	if value == nil || json.Unmarshal(value, &f) != nil {
-		delete(me.forms, name)
+		delete(me.capabilities, name)
 	} else {
-		me.forms[name] = f
+		me.capabilities[name] = f
 	}
 }
 
-// AllReadPacks tells whether all members of the view read packs.
-func (me *Membership) AllReadPacks() bool {
-	return me.View() != nil && me.View().AllRead(me.forms, records.Form)
+// AllSupportBatches tells whether all members of the view read packs.
+func (me *Membership) AllSupportBatches() bool {
+	return me.View() != nil && me.View().AllSupportBatches(me.capabilities, taskbatch.FormatVersion)
 }
 
 // candidates is the members' keys without those of controllers that cannot read what
 // is stored: in the view they would take tasks in packs for tasks that nobody knows.
 func (me *Membership) candidates() map[string]uint64 {
-	if len(me.Packs) == 0 {
+	if len(me.Batches) == 0 {
 		return me.keys
 	}
 	out := map[string]uint64{}
-	for name, inc := range me.keys {
-		if f := me.forms[name]; f.Inc == inc && f.Pack >= records.Form {
-			out[name] = inc
+	for name, incarnation := range me.keys {
+		if f := me.capabilities[name]; f.Incarnation == incarnation && f.BatchFormat >= taskbatch.FormatVersion {
+			out[name] = incarnation
 		}
 	}
 	return out
 }
 
-// StoodStill takes note of a gap that its lease may not have outlived: it decides
+// Stalled takes note of a gap that its lease may not have outlived: it decides
 // nothing, and vouches for nothing, until it knows its place in the view again. A
 // leader that woke under another one would rent and delete by an old picture.
-func (me *Membership) StoodStill(gap time.Duration) {
+func (me *Membership) Stalled(gap time.Duration) {
 	// A member that calls others may have been called itself: then its lease is not all
 	// that it must not have outlived.
-	if !me.Calls && gap < me.TTL-tuning.MemberRenew-tuning.Standstill/2 {
+	if !me.AnswersProbes && gap < me.TTL-tuning.MemberRenew-tuning.Standstill/2 {
 		return
 	}
-	me.renewedAt, me.wokeAt = time.Time{}, me.Now
-	me.certain = me.certain.Next(members.StandingEvent{Kind: members.StoodStill})
+	me.renewedAt, me.resumedAt = time.Time{}, me.Now
+	me.certainty = me.certainty.Next(members.CertaintyEvent{Kind: members.Stalled})
 }
 
-// settled notes that the lease stands, by an answer to what was asked then. An
+// leaseConfirmed notes that the lease stands, by an answer to what was asked then. An
 // answer from before this node last stood still proves nothing.
-func (me *Membership) settled(asked time.Time) {
-	if asked.Before(me.wokeAt) {
+func (me *Membership) leaseConfirmed(asked time.Time) {
+	if asked.Before(me.resumedAt) {
 		return
 	}
-	me.certain = me.certain.Next(members.StandingEvent{Kind: members.LeaseSettled})
-	me.KeepCertain()
+	me.certainty = me.certainty.Next(members.CertaintyEvent{Kind: members.LeaseConfirmed})
+	me.RestoreCertainty()
 }
 
-// KeepCertain reads the epoch that the mirror must reach before this node is
+// RestoreCertainty reads the epoch that the mirror must reach before this node is
 // certain of its place again.
-func (me *Membership) KeepCertain() {
-	me.certain = me.certain.Next(members.StandingEvent{Kind: members.FollowedTo, Epoch: me.Mirror.Epoch})
-	if me.certain.Standing != members.Settled || me.asking {
+func (me *Membership) RestoreCertainty() {
+	me.certainty = me.certainty.Next(members.CertaintyEvent{Kind: members.WatchedTo, Epoch: me.Mirror.Epoch})
+	if me.certainty.CertaintyState != members.LeaseKnown || me.readingEpoch {
 		return
 	}
-	me.asking = true
+	me.readingEpoch = true
 	asked := me.Now
-	me.Client.Epoch(store.Membership, func(epoch uint64, err error) {
-		me.asking = false
+	me.Client.ReadEpoch(store.PriorityMembership, func(epoch uint64, err error) {
+		me.readingEpoch = false
 		// What was asked before a later standstill says nothing of it.
-		if err == nil && !asked.Before(me.wokeAt) {
-			me.certain = me.certain.Next(members.StandingEvent{Kind: members.EpochRead, Epoch: epoch})
-			me.Follow()
+		if err == nil && !asked.Before(me.resumedAt) {
+			me.certainty = me.certainty.Next(members.CertaintyEvent{Kind: members.EpochRead, Epoch: epoch})
+			me.WatchNow()
 		}
 		me.Wake()
 	})
 }
 
-// Unsure tells whether this node must not speak for the controllers now. During
+// Uncertain tells whether this node must not speak for the controllers now. During
 // an outage of the state service it goes on answering workers: no other node
 // can have been given its machines by then, or their batons show it.
-func (me *Membership) Unsure() bool { return me.certain.Standing != members.Sure && !me.Client.Down() }
+func (me *Membership) Uncertain() bool {
+	return me.certainty.CertaintyState != members.Certain && !me.Client.Unavailable()
+}
 
-// Keep holds the lease, the member key and, where it falls to this
+// Reconcile holds the lease, the member key and, where it falls to this
 // node, the view.
-func (me *Membership) Keep() {
+func (me *Membership) Reconcile() {
 	switch {
-	case me.granting, me.left:
-	case me.hold == 0:
+	case me.granting, me.resigned:
+	case me.leaseID == 0:
 		me.granting = true
 		me.renewedAt = me.Now
 		asked := me.Now
-		me.Client.Grant(me.TTL, func(hold uint64, err error) {
+		me.Client.GrantLease(me.TTL, func(hold uint64, err error) {
 			me.granting = false
 			if err == nil {
-				me.hold = hold
-				me.settled(asked)
-				me.putMember()
+				me.leaseID = hold
+				me.leaseConfirmed(asked)
+				me.writeMemberKey()
 			}
 		})
 	case me.Now.Sub(me.renewedAt) >= tuning.MemberRenew:
 		me.renewedAt = me.Now
-		hold, asked := me.hold, me.Now
-		me.Client.Renew(hold, func(err error) {
-			if err == nil && me.hold == hold {
-				me.settled(asked)
+		hold, asked := me.leaseID, me.Now
+		me.Client.RenewLease(hold, func(err error) {
+			if err == nil && me.leaseID == hold {
+				me.leaseConfirmed(asked)
 			}
-			if errors.Is(err, store.ErrGone) && me.hold == hold {
+			if errors.Is(err, store.ErrGone) && me.leaseID == hold {
 				// A new lease is a new incarnation and thus a new epoch.
 				me.Log.Info("membership lease ended")
-				me.hold = 0
+				me.leaseID = 0
 			}
 		})
 	}
-	me.KeepCertain()
-	me.look()
-	if me.left {
+	me.RestoreCertainty()
+	me.evaluateStandby()
+	if me.resigned {
 		return
 	}
-	if !me.Live() || me.hold == 0 || me.Client.Down() || me.certain.Standing != members.Sure {
+	if !me.Live() || me.leaseID == 0 || me.Client.Unavailable() || me.certainty.CertaintyState != members.Certain {
 		return
 	}
-	if me.Incarnation(me.Me) != me.hold {
-		me.putMember()
+	if me.Incarnation(me.Name) != me.leaseID {
+		me.writeMemberKey()
 		return
 	}
 	me.changeView()
@@ -232,73 +234,73 @@
 // Incarnation is that of a member's key, 0 if it has none.
 func (me *Membership) Incarnation(name string) uint64 { return me.keys[name] }
 
-func (me *Membership) putMember() {
-	if me.putting || me.left {
+func (me *Membership) writeMemberKey() {
+	if me.writingMemberKey || me.resigned {
 		return
 	}
-	me.putting = true
-	hold := me.hold
+	me.writingMemberKey = true
+	hold := me.leaseID
 	ws := []store.Write{
-		{Put: members.FormPrefix + me.Me, Value: jobs.Encode(members.Forms{Inc: hold, Pack: records.Form, Calls: me.Calls}), Hold: hold},
-		{Put: members.MemberPrefix + me.Me, Value: jobs.Encode(hold), Hold: hold},
+		{Put: members.CapabilitiesPrefix + me.Name, Value: jobs.Encode(members.Capabilities{Incarnation: hold, BatchFormat: taskbatch.FormatVersion, AnswersProbes: me.AnswersProbes}), LeaseID: hold},
+		{Put: members.MemberPrefix + me.Name, Value: jobs.Encode(hold), LeaseID: hold},
 	}
-	me.Client.Multi(store.Membership, store.Txn{Writes: ws}, func(epoch uint64, _ []string, err error) {
-		me.putting = false
-		if errors.Is(err, store.ErrRefused) && me.hold == hold {
-			me.hold = 0 // no such lease
+	me.Client.Commit(store.PriorityMembership, store.Txn{Writes: ws}, func(epoch uint64, _ []string, err error) {
+		me.writingMemberKey = false
+		if errors.Is(err, store.ErrRefused) && me.leaseID == hold {
+			me.leaseID = 0 // no such lease
 		}
 		if err == nil {
-			me.Mirror.Commit(ws, epoch)
+			me.Mirror.ApplyCommit(ws, epoch)
 			me.Wake()
 		}
 	})
 }
 
 func (me *Membership) changeView() {
-	if me.viewBusy {
+	if me.changingView {
 		return
 	}
 	out := me.Unreachable()
-	for _, name := range me.silent {
+	for _, name := range me.unansweredProbes {
 		out[name] = true
 	}
 	held := map[string]bool{}
 	for name := range me.keys {
-		held[name] = me.comings.Held(name, me.Now)
+		held[name] = me.restarts.Blocked(name, me.Now)
 	}
-	next := members.Next(members.Situation{Me: me.Me, Inc: me.hold, View: me.View(), Keys: me.candidates(), Out: out, Held: held})
+	next := members.NextView(members.ViewInputs{Name: me.Name, Incarnation: me.leaseID, View: me.View(), Keys: me.candidates(), Unreachable: out, BackingOff: held})
 	if next == nil {
 		return
 	}
 	t := store.Txn{
-		If:     []store.Cond{me.cond(members.ViewKey), me.cond(members.MemberPrefix + me.Me)},
-		Writes: []store.Write{decide.Put(members.ViewKey, next)},
+		Preconditions: []store.Precondition{me.precondition(members.ViewKey), me.precondition(members.MemberPrefix + me.Name)},
+		Writes:        []store.Write{decide.Put(members.ViewKey, next)},
 	}
-	silent := me.silent
+	silent := me.unansweredProbes
 	for _, name := range silent {
-		t = me.without(t, name)
+		t = me.addRemoval(t, name)
 	}
 	// What a member did not hear ends with its place in the view. When it comes
 	// back its machines have been heard by others meanwhile: by the old list
 	// hundreds of them were deleted at once (docs/incidents/ushanga-ops-ops-1.md).
-	for _, name := range me.View().Left(next) {
+	for _, name := range me.View().Removed(next) {
 		t.Writes = append(t.Writes, me.forgetQuiet(name, 1)...)
 	}
-	for _, name := range me.View().Left(next) {
+	for _, name := range me.View().Removed(next) {
 		t.Writes = me.forgetMoreQuiet(t.Writes, name)
 	}
-	if v := me.View(); v != nil && v.Leader != me.Me && !slices.Contains(silent, v.Leader) {
-		t.If = append(t.If, me.cond(members.MemberPrefix+v.Leader))
+	if v := me.View(); v != nil && v.Leader != me.Name && !slices.Contains(silent, v.Leader) {
+		t.Preconditions = append(t.Preconditions, me.precondition(members.MemberPrefix+v.Leader))
 	}
-	me.viewBusy = true
-	me.Client.Multi(store.Membership, t, func(epoch uint64, _ []string, err error) {
-		me.viewBusy = false
+	me.changingView = true
+	me.Client.Commit(store.PriorityMembership, t, func(epoch uint64, _ []string, err error) {
+		me.changingView = false
 		if err == nil {
 			if len(silent) > 0 {
 				me.Log.Info("left out of the view, calls unanswered", "members", silent)
 			}
 			me.Log.Info("view changed", "epoch", next.Epoch, "leader", next.Leader, "members", len(next.Members))
-			me.Mirror.Commit(t.Writes, epoch)
+			me.Mirror.ApplyCommit(t.Writes, epoch)
 		}
 		me.Wake()
 	})
@@ -307,7 +309,7 @@
 // forgetQuiet is the change that takes one of a member's lists of unresponsive machines
 // away, none if there is no such list.
 func (me *Membership) forgetQuiet(name string, number int) []store.Write {
-	if key := fleet.QuietKey(name, number); me.Mirror.Stamp(key) != 0 {
+	if key := fleet.UnresponsiveKey(name, number); me.Mirror.Revision(key) != 0 {
 		return []store.Write{decide.Remove(key)}
 	}
 	return nil
@@ -315,9 +317,9 @@
 
 // forgetMoreQuiet adds to a transaction's changes those that take a member's further lists
 // away, as far as there is room. Without the first they count for nothing
-// (fleet.QuietLists), and the member clears them itself when it comes back.
+// (fleet.UnresponsiveLists), and the member clears them itself when it comes back.
 func (me *Membership) forgetMoreQuiet(changes []store.Write, name string) []store.Write {
-	for number := 2; number <= tuning.MaxQuietLists && len(changes) < me.TxnOps; number++ {
+	for number := 2; number <= tuning.MaxUnresponsiveLists && len(changes) < me.TxnOps; number++ {
 		changes = append(changes, me.forgetQuiet(name, number)...)
 	}
 	return changes
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -15,18 +15,18 @@
 
 // What is not a whole line of a known controller is told apart by what is wrong with it.
 func TestFaults(t *testing.T) {
-	whole := string(Encode(Hint{From: "n1", Epoch: 4, Message: cancellation.Message{Told: &cancellation.Told{Inc: 7, First: 1, UIDs: []string{"wk-000001"}, Upto: 1}}}))
-	for line, want := range map[string]Fault{
+	whole := string(Encode(Gossip{From: "n1", Epoch: 4, Message: cancellation.Message{Entries: &cancellation.AckEntries{Incarnation: 7, First: 1, JobIDs: []string{"wk-000001"}, LogLength: 1}}}))
+	for line, want := range map[string]DecodeError{
 		whole:                                   "",
 		`{"from":"n1","new_field":{"a":[1]}}`:   "", // of a later version
 		whole[:len(whole)/2]:                    Unreadable,
 		"GET /up HTTP/1.1":                      Unreadable,
-		"{}":                                    Stranger,
-		strings.Replace(whole, "n1", "n9", 1):   Stranger,
-		`{"from":"n1","ask":{"nonce":0}}`:       Senseless,
-		`{"from":"n1","told":{"upto":3}}`:       Senseless,
-		strings.Replace(whole, "wk-", "../", 1): Senseless,
-		strings.Replace(whole, `"first":1`, `"first":9`, 1):                     Senseless,
+		"{}":                                    UnknownSender,
+		strings.Replace(whole, "n1", "n9", 1):   UnknownSender,
+		`{"from":"n1","ask":{"nonce":0}}`:       InvalidFields,
+		`{"from":"n1","told":{"upto":3}}`:       InvalidFields,
+		strings.Replace(whole, "wk-", "../", 1): InvalidFields,
+		strings.Replace(whole, `"first":1`, `"first":9`, 1):                     InvalidFields,
 		`{"from":"n1","pad":"` + strings.Repeat("x", tuning.MaxPeerLine) + `"}`: TooLong,
 	} {
 		if _, got := Decode([]byte(line), fromN1); got != want {
@@ -36,14 +36,14 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(Encode(Hint{From: "n1", Epoch: 4, StateOK: true}))
+	f.Add(Encode(Gossip{From: "n1", Epoch: 4, StoreReachable: true}))
 	f.Add([]byte("{}"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		h, fault := Decode(b, fromN1)
 		if fault == "" && (h.From != "n1" || !h.Message.Valid()) {
 			t.Error("a line of nobody, or without meaning")
 		}
-		if fault != "" && (h.Epoch != 0 || h.Told != nil || h.Ask != nil) {
+		if fault != "" && (h.Epoch != 0 || h.Acknowledged != nil || h.Query != nil) {
 			t.Error("something of a faulty line is taken in")
 		}
 	})
@@ -61,15 +61,15 @@
 	}{
 		{"4000 machines", func(i int) string { return fmt.Sprintf("i-%06d", i) }, 4000, 1},
 		{"a third of them", func(i int) string { return fmt.Sprintf("i-%06d", i) }, 1334, 3},
-		{"long names", func(i int) string { return fmt.Sprintf("%0*d", tuning.MaxHostName, i) }, 348, 1},
-		{"odd names", func(i int) string { return strings.Repeat("<", tuning.MaxHostName-4) + fmt.Sprintf("%04d", i) }, 60, 1},
+		{"long names", func(i int) string { return fmt.Sprintf("%0*d", tuning.MaxMachineName, i) }, 348, 1},
+		{"odd names", func(i int) string { return strings.Repeat("<", tuning.MaxMachineName-4) + fmt.Sprintf("%04d", i) }, 60, 1},
 	} {
 		complaints := members.Complaints{}
 		for i := 0; i < 4000; i += c.share {
-			complaints.Note("n1", c.host(i), true, now)
+			complaints.Add("n1", c.host(i), true, now)
 		}
-		h := Hint{From: "n0", Epoch: 1 << 60, StateOK: true, Heard: 1 << 60, Unreached: complaints.Here(now)}
-		h.Message = cancellation.Message{Told: &cancellation.Told{Inc: 1 << 60, Upto: 1 << 60}}
+		h := Gossip{From: "n0", Epoch: 1 << 60, StoreReachable: true, MachinesHeardEpoch: 1 << 60, Unreached: complaints.Local(now)}
+		h.Message = cancellation.Message{Entries: &cancellation.AckEntries{Incarnation: 1 << 60, LogLength: 1 << 60}}
 		line := Encode(h)
 		got, fault := Decode(line, func(string) bool { return true })
 		if fault != "" || len(got.Unreached) != c.told {
--- a/internal/pipefile/golden_test.go
+++ b/internal/pipefile/golden_test.go
@@ -40,12 +40,12 @@
 func TestGoldenJob(t *testing.T) {
 	due := 900.25
 	want := &jobs.Spec{
-		UID: "wk-000412", Class: "nightly-reco", Owner: "storefront", Shape: jobs.Ensemble, Rank: "urgent", Pieces: 4, Cores: 2.5, Accel: 1.5, MemoryGB: 24,
-		Bundle: "img-7", PullGB: 3.25, Builds: []string{"g4", "g8"}, Site: "north", SamePlace: true, Scatter: true, Loaner: true,
-		ExpectS: 120, SnapshotS: 30, StashS: 4, DueS: &due,
+		ID: "wk-000412", Class: "nightly-reco", Team: "storefront", Kind: jobs.Gang, Priority: "urgent", TaskCount: 4, Cores: 2.5, Accelerators: 1.5, MemoryGB: 24,
+		Image: "img-7", ImageGB: 3.25, MachineTypes: []string{"g4", "g8"}, Zone: "north", SameZone: true, SpreadZones: true, Spot: true,
+		ExpectedDurationS: 120, CheckpointIntervalS: 30, CheckpointTimeS: 4, DeadlineS: &due,
 	}
 	goldentest.Filled(t, want)
-	lean := &jobs.Spec{UID: "wk-7", Class: "c", Owner: "t", Shape: jobs.Sweep, Rank: "standard", Pieces: 2, Cores: 1, MemoryGB: 1, Bundle: "b"}
+	lean := &jobs.Spec{ID: "wk-7", Class: "c", Team: "t", Kind: jobs.JobArray, Priority: "standard", TaskCount: 2, Cores: 1, MemoryGB: 1, Image: "b"}
 	for name, want := range map[string]*jobs.Spec{"job": want, "job-lean": lean} {
 		got, faults := LoadJob(goldenFiles+name+".yaml", func() string { return "wk-7" })
 		if len(faults) > 0 || !reflect.DeepEqual(got, want) {
--- a/internal/pipefile/pipefile.go
+++ b/internal/pipefile/pipefile.go
@@ -77,12 +77,12 @@
 		f.Doc["uid"] = newUID()
 	}
 	if f.Doc != nil {
-		jobs.FillIn(f.Doc)
+		jobs.FillDefaults(f.Doc)
 	}
 	spec, wrong := jobs.CheckSpec(jobs.Encode(f.Doc))
 	var out []pipelines.Fault
 	for _, w := range wrong {
-		out = append(out, pipelines.Fault{Path: w.Field, Want: w.What})
+		out = append(out, pipelines.Fault{Path: w.Field, Want: w.Reason})
 	}
 	return spec, f.Place(out)
 }
@@ -103,7 +103,7 @@
 		defer f.Close()
 		in = f
 	}
-	b, err := io.ReadAll(io.LimitReader(in, tuning.MostPipelineBytes+1))
+	b, err := io.ReadAll(io.LimitReader(in, tuning.MaxPipelineBytes+1))
 	if err != nil {
 		return nil, whole("can't be read: " + err.Error())
 	}
@@ -126,8 +126,8 @@
 
 // read reads the YAML of a file.
 func read(name string, text []byte) (*File, []Fault) {
-	if len(text) > tuning.MostPipelineBytes {
-		return nil, []Fault{{File: name, Want: fmt.Sprintf("expected at most %d bytes", tuning.MostPipelineBytes)}}
+	if len(text) > tuning.MaxPipelineBytes {
+		return nil, []Fault{{File: name, Want: fmt.Sprintf("expected at most %d bytes", tuning.MaxPipelineBytes)}}
 	}
 	f := &File{Name: name, places: map[string]place{}, names: map[string]place{}}
 	tree, err := parser.ParseBytes(text, 0, parser.AllowDuplicateMapKey())
@@ -237,7 +237,7 @@
 	if _, ok := r.file.places[path]; !ok {
 		r.file.places[path] = position(n)
 	}
-	if r.nodes++; r.nodes > tuning.MostNodes || r.depth > tuning.MostDepth {
+	if r.nodes++; r.nodes > tuning.MaxNodes || r.depth > tuning.MaxDepth {
 		if len(r.faults) == 0 {
 			r.fail(n, path, "expected a smaller file: its aliases or its depth make too much of it")
 		}
--- a/internal/pipefile/pipefile_test.go
+++ b/internal/pipefile/pipefile_test.go
@@ -66,7 +66,7 @@
 		t.Fatalf("%+v", p.Steps)
 	}
 	s := p.Steps[4]
-	if s.Name != "mid[gpus=2,zone=b]" || s.Spec.Accel != 2 || s.Spec.Site != "b" || s.Spec.Bundle != "img-mid" || s.Spec.Class != "nightly" || s.Spec.Owner != "team" {
+	if s.Name != "mid[gpus=2,zone=b]" || s.Spec.Accelerators != 2 || s.Spec.Zone != "b" || s.Spec.Image != "img-mid" || s.Spec.Class != "nightly" || s.Spec.Team != "team" {
 		t.Errorf("%+v", s)
 	}
 }
@@ -78,10 +78,10 @@
 		laughs += fmt.Sprintf("%c: &%c [*%c,*%c,*%c,*%c,*%c,*%c,*%c,*%c,*%c,*%c]\n", 'b'+i, 'b'+i, 'a'+i, 'a'+i, 'a'+i, 'a'+i, 'a'+i, 'a'+i, 'a'+i, 'a'+i, 'a'+i, 'a'+i)
 	}
 	for name, text := range map[string]string{
-		"long": strings.Repeat("#", tuning.MostPipelineBytes+1), "laughs": laughs, "empty": "", "two": "a: 1\n---\nb: 2\n", "list": "- a", "text": "hello",
+		"long": strings.Repeat("#", tuning.MaxPipelineBytes+1), "laughs": laughs, "empty": "", "two": "a: 1\n---\nb: 2\n", "list": "- a", "text": "hello",
 		"deep": strings.Repeat("[", 500) + strings.Repeat("]", 500),
 	} {
-		if f, faults := Parse(name, []byte(text)); f != nil || len(faults) == 0 || len(faults) > tuning.MostFaults {
+		if f, faults := Parse(name, []byte(text)); f != nil || len(faults) == 0 || len(faults) > tuning.MaxFaults {
 			t.Errorf("%s: %d faults", name, len(faults))
 		}
 	}
--- a/internal/pipelines/bench_test.go
+++ b/internal/pipelines/bench_test.go
@@ -34,7 +34,7 @@
 		r := NewRecord(p, doc, id, 1e12)
 		r.Steps[0] = StepRun{State: Submitted, AtMs: 1e12}
 		records[id] = r.Encode()
-		live[UID(id, id, "s0", 0)] = jobs.Live
+		live[JobID(id, id, "s0", 0)] = jobs.Live
 	}
 	return records, live
 }
--- a/internal/pipelines/document.go
+++ b/internal/pipelines/document.go
@@ -118,7 +118,7 @@
 }
 
 func (c *compiler) tell(f Fault) {
-	if !c.seen[f] && len(c.faults) < tuning.MostFaults {
+	if !c.seen[f] && len(c.faults) < tuning.MaxFaults {
 		c.seen[f] = true
 		c.faults = append(c.faults, f)
 	}
@@ -150,8 +150,8 @@
 			c.expand(p, i, step, defaults)
 		}
 	}
-	if len(p.Steps) > tuning.MostSteps {
-		c.fail("steps", "expected at most %d steps, the matrices make %d", tuning.MostSteps, len(p.Steps))
+	if len(p.Steps) > tuning.MaxSteps {
+		c.fail("steps", "expected at most %d steps, the matrices make %d", tuning.MaxSteps, len(p.Steps))
 	}
 	c.needs(p, raw)
 	c.conditions(p, raw)
@@ -296,7 +296,7 @@
 	}
 	maps.Copy(merged, raw)
 	for _, values := range c.combinations(under(path, "matrix"), raw["matrix"]) {
-		if len(p.Steps) > tuning.MostSteps {
+		if len(p.Steps) > tuning.MaxSteps {
 			return
 		}
 		filled, faulty := map[string]any{}, map[string]bool{}
@@ -344,8 +344,8 @@
 					c.fail(at(under(path, k), i), "expected a text, a number, true or false")
 					continue
 				}
-				if len(fmt.Sprint(val)) > tuning.MostMatrixText {
-					c.fail(at(under(path, k), i), "expected at most %d bytes", tuning.MostMatrixText)
+				if len(fmt.Sprint(val)) > tuning.MaxMatrixText {
+					c.fail(at(under(path, k), i), "expected at most %d bytes", tuning.MaxMatrixText)
 					continue
 				}
 				row := map[string]any{k: val}
@@ -353,8 +353,8 @@
 				next = append(next, row)
 			}
 		}
-		if len(next) > tuning.MostSteps {
-			c.fail(path, "expected at most %d combinations", tuning.MostSteps)
+		if len(next) > tuning.MaxSteps {
+			c.fail(path, "expected at most %d combinations", tuning.MaxSteps)
 			return nil
 		}
 		out = next
@@ -416,8 +416,8 @@
 	c.names[s.Name] = true
 	s.AllowFailure, _ = fields["allow_failure"].(bool)
 	if v, ok := amount(fields["repeats"]); ok {
-		if s.Repeats = int(v); v > tuning.MostRepeats {
-			c.fail(under(path, "repeats"), "expected at most %d", tuning.MostRepeats)
+		if s.Repeats = int(v); v > tuning.MaxRepeats {
+			c.fail(under(path, "repeats"), "expected at most %d", tuning.MaxRepeats)
 		}
 	}
 	for _, f := range []struct {
@@ -430,14 +430,14 @@
 			}
 		}
 	}
-	job := map[string]any{"uid": "wk-0", "jobclass": p.Name, "owner": p.Owner, "shape": jobs.Sweep, "rank": "standard", "pieces": 1}
+	job := map[string]any{"uid": "wk-0", "jobclass": p.Name, "owner": p.Owner, "shape": jobs.JobArray, "rank": "standard", "pieces": 1}
 	for k := range jobFields {
 		if v, ok := fields[k]; ok {
 			job[k] = v
 		}
 	}
-	jobs.FillIn(job)
-	if job["shape"] == jobs.Standing {
+	jobs.FillDefaults(job)
+	if job["shape"] == jobs.Service {
 		c.fail(under(path, "shape"), "expected sweep or ensemble: a standing job never ends, so no step after it could start")
 		return
 	}
@@ -446,13 +446,13 @@
 		// What is wrong with the pipeline's name or owner, or with the field's
 		// kind, was told already.
 		if job[f.Field] != "" && !faulty[f.Field] {
-			c.fail(under(path, f.Field), "%s", f.What)
+			c.fail(under(path, f.Field), "%s", f.Reason)
 		}
 	}
 	if spec == nil {
 		return
 	}
-	spec.UID = ""
+	spec.ID = ""
 	s.Spec = *spec
 	p.Groups[group].Steps = append(p.Groups[group].Steps, len(p.Steps))
 	p.Steps = append(p.Steps, s)
--- a/internal/pipelines/golden_test.go
+++ b/internal/pipelines/golden_test.go
@@ -57,7 +57,7 @@
 }
 
 func TestGoldenWords(t *testing.T) {
-	words := []string{RunPrefix, RanPrefix, UID("run-1", "0123456789abcdef", "a[x=1]", 2), Sum([]byte(`{}`))}
+	words := []string{RunPrefix, RanPrefix, JobID("run-1", "0123456789abcdef", "a[x=1]", 2), Sum([]byte(`{}`))}
 	for _, s := range []RunState{RunLive, RunCancelling, RunSucceeded, RunFailed, RunCancelled} {
 		words = append(words, string(s))
 	}
--- a/internal/pipelines/keeper.go
+++ b/internal/pipelines/keeper.go
@@ -20,15 +20,15 @@
 	Probing       bool // fails everywhere so far (jobs.TrustOf)
 }
 
-// World is what the keeper may ask about jobs. Both may lag behind the state
+// Cluster is what the keeper may ask about jobs. Both may lag behind the state
 // service: what is decided from them is conditional on the records.
-type World interface {
+type Cluster interface {
 	// Job is a job with a record in the mirror.
-	Job(uid string) (JobView, bool)
+	Job(jobID string) (JobView, bool)
 	// Why says in words what a live job waits for, "" for nothing.
-	Why(uid string) string
+	Why(jobID string) string
 	// Final is a job's final state, if it is in memory.
-	Final(uid string) (jobs.JobState, bool)
+	Final(jobID string) (jobs.JobState, bool)
 	// Judge explains why a job can never run, or returns "".
 	Judge(spec *jobs.Spec) string
 }
@@ -65,10 +65,10 @@
 
 // run is a live run in memory.
 type run struct {
-	id   string
-	rec  *Record
-	plan *Plan    // while owned
-	uid  []string // of each step's present job, while owned
+	id     string
+	rec    *Record
+	plan   *Plan    // while owned
+	jobIDs []string // of each step's present job, while owned
 	// What the steps' jobs have run for is measured by the steady clock from
 	// where this node took the run over, so that no jump of the time of day
 	// ends a step.
@@ -160,23 +160,23 @@
 	if r == nil {
 		return
 	}
-	for _, uid := range r.uid {
-		delete(k.jobs, uid)
+	for _, jobID := range r.jobIDs {
+		delete(k.jobs, jobID)
 	}
-	r.uid = nil
+	r.jobIDs = nil
 }
 
 // JobChanged notes that something became known of a job.
-func (k *Keeper) JobChanged(uid string) {
-	if id, ok := k.jobs[uid]; ok {
+func (k *Keeper) JobChanged(jobID string) {
+	if id, ok := k.jobs[jobID]; ok {
 		k.dirty[id] = true
 	}
 }
 
 // JobMissing notes that a read found a job in no record at all.
-func (k *Keeper) JobMissing(uid string) {
-	if r := k.runs[k.jobs[uid]]; r != nil {
-		r.gone[slices.Index(r.uid, uid)] = true
+func (k *Keeper) JobMissing(jobID string) {
+	if r := k.runs[k.jobs[jobID]]; r != nil {
+		r.gone[slices.Index(r.jobIDs, jobID)] = true
 		k.dirty[r.id] = true
 	}
 }
@@ -207,11 +207,11 @@
 // Pass decides what can be decided about the runs that are owned and not busy, that
 // is under a transaction. room tells whether so many changes can be made now; what
 // finds none is looked at again. ask lists jobs that are in no list, to be read.
-func (k *Keeper) Pass(now time.Time, nowMs int64, owned, busy func(id string) bool, room func(changes int) bool, w World) (changes []Change, ask []string) {
+func (k *Keeper) Pass(now time.Time, nowMs int64, owned, busy func(id string) bool, room func(changes int) bool, w Cluster) (changes []Change, ask []string) {
 	if now.Sub(k.swept) >= tuning.RunSweep {
 		k.swept = now
 		for id, r := range k.runs {
-			if r.uid != nil {
+			if r.jobIDs != nil {
 				k.dirty[id] = true
 			}
 		}
@@ -239,10 +239,10 @@
 			delete(k.dirty, id)
 			continue
 		}
-		c, more := k.look(r, now, nowMs, w)
-		for _, uid := range more {
+		c, more := k.examine(r, now, nowMs, w)
+		for _, jobID := range more {
 			if len(ask) < tuning.RunReads {
-				ask = append(ask, uid)
+				ask = append(ask, jobID)
 			}
 		}
 		if c == nil {
@@ -271,12 +271,12 @@
 		k.aside[r.id] = true
 		return false
 	}
-	if r.uid == nil {
-		r.uid = make([]string, len(r.plan.Steps))
+	if r.jobIDs == nil {
+		r.jobIDs = make([]string, len(r.plan.Steps))
 		for i := range r.plan.Steps {
 			if r.rec.Steps[i].State.HasJob() {
-				r.uid[i] = UID(r.id, r.rec.Salt, r.plan.Steps[i].Name, r.rec.Steps[i].Repeat)
-				k.jobs[r.uid[i]] = r.id
+				r.jobIDs[i] = JobID(r.id, r.rec.Salt, r.plan.Steps[i].Name, r.rec.Steps[i].Repeat)
+				k.jobs[r.jobIDs[i]] = r.id
 			}
 		}
 	}
@@ -325,7 +325,7 @@
 }
 
 func (k *Keeper) draft(r *run, nowMs int64) *draft {
-	return &draft{run: r, state: r.rec.State, steps: slices.Clone(r.rec.Steps), nowMs: nowMs, change: Change{ID: r.id}, bytes: r.rec.MostBytes()}
+	return &draft{run: r, state: r.rec.State, steps: slices.Clone(r.rec.Steps), nowMs: nowMs, change: Change{ID: r.id}, bytes: r.rec.MaxBytes()}
 }
 
 // finish turns a draft into its change, nil if there is nothing to keep.
@@ -348,14 +348,14 @@
 	return &d.change
 }
 
-// look decides about one run, and lists jobs of it that must be read.
-func (k *Keeper) look(r *run, now time.Time, nowMs int64, w World) (*Change, []string) {
+// examine decides about one run, and lists jobs of it that must be read.
+func (k *Keeper) examine(r *run, now time.Time, nowMs int64, w Cluster) (*Change, []string) {
 	d := k.draft(r, nowMs)
 	var ask []string
 	for i := range d.steps {
-		if r.uid[i] != "" {
-			if k.lookAtJob(d, i, now, w) {
-				ask = append(ask, r.uid[i])
+		if r.jobIDs[i] != "" {
+			if k.examineJob(d, i, now, w) {
+				ask = append(ask, r.jobIDs[i])
 			}
 		}
 	}
@@ -377,16 +377,16 @@
 	return c, ask
 }
 
-// lookAtJob takes in what became of a step's job; true if it must be read.
-func (k *Keeper) lookAtJob(d *draft, i int, now time.Time, w World) bool {
-	uid := d.uid[i]
-	view, ok := w.Job(uid)
+// examineJob takes in what became of a step's job; true if it must be read.
+func (k *Keeper) examineJob(d *draft, i int, now time.Time, w Cluster) bool {
+	jobID := d.jobIDs[i]
+	view, ok := w.Job(jobID)
 	if !ok {
-		if view.State, ok = w.Final(uid); !ok {
+		if view.State, ok = w.Final(jobID); !ok {
 			if d.gone[i] {
 				// Not while its record may only not have come yet: the change is
 				// conditional on the job being in none.
-				d.change.Absent = append(d.change.Absent, uid)
+				d.change.Absent = append(d.change.Absent, jobID)
 				d.moved = d.step(i, StepEvent{Kind: Closed}) || d.step(i, StepEvent{Kind: GiveUp, Why: JobForgotten}) || d.moved
 				return false
 			}
@@ -448,7 +448,7 @@
 // cancel has a step's job cancelled with this change, if it fits into it.
 func (k *Keeper) cancel(d *draft, i int, e StepEvent) {
 	if size := tuning.JobRecordBytes; d.fits(k, 2, size) && d.step(i, e) {
-		d.change.Cancel = append(d.change.Cancel, d.uid[i])
+		d.change.Cancel = append(d.change.Cancel, d.jobIDs[i])
 		d.bytes += size
 		d.moved = true
 	}
@@ -456,15 +456,15 @@
 
 // submit accepts the jobs of the steps that are ready, as many as one
 // transaction holds: a matrix of hundreds goes out by and by.
-func (k *Keeper) submit(d *draft, w World) {
+func (k *Keeper) submit(d *draft, w Cluster) {
 	for i := range d.steps {
 		if d.steps[i].State != Ready {
 			continue
 		}
 		p := &d.plan.Steps[i]
 		spec := p.Spec
-		spec.UID = UID(d.id, d.rec.Salt, p.Name, d.steps[i].Repeat)
-		size := len(spec.Bundle) + len(spec.Class) + len(spec.Owner) + tuning.JobRecordBytes
+		spec.ID = JobID(d.id, d.rec.Salt, p.Name, d.steps[i].Repeat)
+		size := len(spec.Image) + len(spec.Class) + len(spec.Team) + tuning.JobRecordBytes
 		if !d.fits(k, 1, size) {
 			return
 		}
@@ -472,10 +472,10 @@
 			d.moved = d.step(i, StepEvent{Kind: Refuse, Why: NeverRuns}) || d.moved
 			continue
 		}
-		_, live := w.Job(spec.UID)
-		_, final := w.Final(spec.UID)
+		_, live := w.Job(spec.ID)
+		_, final := w.Final(spec.ID)
 		if live || final {
-			d.moved = d.step(i, StepEvent{Kind: Refuse, Why: UIDTaken}) || d.moved
+			d.moved = d.step(i, StepEvent{Kind: Refuse, Why: JobIDTaken}) || d.moved
 			continue
 		}
 		if d.step(i, StepEvent{Kind: Submit}) {
@@ -490,7 +490,7 @@
 // then on, since every submission is conditional on the record that this
 // changes. Jobs that do not fit into the transaction are cancelled by the
 // run's owner. Nil if the run is being cancelled already.
-func (k *Keeper) CancelRun(id string, now time.Time, nowMs int64, w World) *Change {
+func (k *Keeper) CancelRun(id string, now time.Time, nowMs int64, w Cluster) *Change {
 	r := k.runs[id]
 	if r == nil || !k.load(r) {
 		return nil
@@ -507,7 +507,7 @@
 	for i := range d.steps {
 		d.step(i, StepEvent{Kind: Abort})
 		if d.steps[i].State == Cancelling {
-			if view, ok := w.Job(r.uid[i]); ok && view.State == jobs.Live {
+			if view, ok := w.Job(r.jobIDs[i]); ok && view.State == jobs.Live {
 				k.cancel(d, i, StepEvent{Kind: Closed})
 			}
 		}
--- a/internal/pipelines/keeper_test.go
+++ b/internal/pipelines/keeper_test.go
@@ -13,10 +13,10 @@
 	"pgregory.net/rapid"
 
 	"github.com/harrierreel/harrierreel/internal/jobs"
-	"github.com/harrierreel/harrierreel/internal/seeded"
+	"github.com/harrierreel/harrierreel/internal/testseed"
 )
 
-func TestMain(m *testing.M) { os.Exit(seeded.Main(m)) }
+func TestMain(m *testing.M) { os.Exit(testseed.Main(m)) }
 
 const step = `"cores":1,"memory_gb":1,"bundle":"b"`
 
@@ -48,9 +48,9 @@
 	ms    int64
 }
 
-func (s *seat) Job(uid string) (JobView, bool) {
-	st, ok := s.jobs[uid]
-	return JobView{State: st, Running: 1, Probing: s.doubt[uid]}, ok
+func (s *seat) Job(jobID string) (JobView, bool) {
+	st, ok := s.jobs[jobID]
+	return JobView{State: st, Running: 1, Probing: s.doubt[jobID]}, ok
 }
 func (s *seat) Final(string) (jobs.JobState, bool) { return "", false }
 func (s *seat) Why(string) string                  { return "" }
@@ -59,8 +59,8 @@
 func (s *seat) sync(t *rapid.T, m *storeModel) {
 	s.jobs = maps.Clone(m.jobs)
 	if s.stamp == m.stamp {
-		for uid := range m.jobs {
-			s.k.JobChanged(uid)
+		for jobID := range m.jobs {
+			s.k.JobChanged(jobID)
 		}
 		return
 	}
@@ -78,11 +78,11 @@
 func (m *storeModel) commit(t *rapid.T, s *seat, c *Change, p *Plan) bool {
 	ok := s.stamp == m.stamp && !m.over
 	for _, spec := range c.Submit {
-		_, there := m.jobs[spec.UID]
+		_, there := m.jobs[spec.ID]
 		ok = ok && !there
 	}
-	for _, uid := range c.Cancel {
-		ok = ok && m.jobs[uid] == jobs.Live
+	for _, jobID := range c.Cancel {
+		ok = ok && m.jobs[jobID] == jobs.Live
 	}
 	if !ok {
 		return false
@@ -99,13 +99,13 @@
 		t.Fatalf("submits while the run is %s", before.State)
 	}
 	m.run, m.over, m.stamp = c.Record, c.Over, m.stamp+1
-	for _, uid := range c.Cancel {
-		m.jobs[uid] = jobs.Cancelled
+	for _, jobID := range c.Cancel {
+		m.jobs[jobID] = jobs.Cancelled
 	}
 	for _, spec := range c.Submit {
-		m.jobs[spec.UID] = jobs.Live
-		if m.sent[spec.UID]++; m.sent[spec.UID] > 1 {
-			t.Fatalf("%s submitted twice", spec.UID)
+		m.jobs[spec.ID] = jobs.Live
+		if m.sent[spec.ID]++; m.sent[spec.ID] > 1 {
+			t.Fatalf("%s submitted twice", spec.ID)
 		}
 	}
 	if c.Over != after.State.Over() {
@@ -133,7 +133,7 @@
 		}
 		live := 0
 		for r := 0; r <= p.Steps[i].Repeats+1; r++ {
-			if m.jobs[UID("run-1", after.Salt, p.Steps[i].Name, r)] == jobs.Live {
+			if m.jobs[JobID("run-1", after.Salt, p.Steps[i].Name, r)] == jobs.Live {
 				live++
 			}
 		}
@@ -186,9 +186,9 @@
 		}
 		job := func(t *rapid.T) string {
 			var live []string
-			for _, uid := range slices.Sorted(maps.Keys(m.jobs)) {
-				if m.jobs[uid] == jobs.Live {
-					live = append(live, uid)
+			for _, jobID := range slices.Sorted(maps.Keys(m.jobs)) {
+				if m.jobs[jobID] == jobs.Live {
+					live = append(live, jobID)
 				}
 			}
 			if len(live) == 0 {
@@ -207,8 +207,8 @@
 				}
 			},
 			"doubt": func(t *rapid.T) {
-				s, uid := any(t), job(t)
-				s.doubt[uid] = !s.doubt[uid]
+				s, jobID := any(t), job(t)
+				s.doubt[jobID] = !s.doubt[jobID]
 			},
 			"time": func(t *rapid.T) {
 				d := rapid.IntRange(1, 100).Draw(t, "seconds")
@@ -233,9 +233,9 @@
 			if m.over {
 				return
 			}
-			for uid, st := range m.jobs {
+			for jobID, st := range m.jobs {
 				if st == jobs.Live {
-					m.jobs[uid] = jobs.Done
+					m.jobs[jobID] = jobs.Done
 				}
 			}
 			s := seats[0]
@@ -269,10 +269,10 @@
 	changes, _ := s.k.Pass(s.now, s.ms, func(string) bool { return true }, func(string) bool { return false }, func(int) bool { return true }, s)
 	for _, c := range changes {
 		for _, spec := range c.Submit {
-			s.jobs[spec.UID] = jobs.Live
+			s.jobs[spec.ID] = jobs.Live
 		}
-		for _, uid := range c.Cancel {
-			s.jobs[uid] = jobs.Cancelled
+		for _, jobID := range c.Cancel {
+			s.jobs[jobID] = jobs.Cancelled
 		}
 		value := c.Record
 		if c.Over {
@@ -368,21 +368,21 @@
 func TestStrangeJobs(t *testing.T) {
 	s, p := one(t, `{"name":"p","owner":"t","steps":[{"name":"a",`+step+`}]}`)
 	s.turn(t)
-	uid := UID("run-1", "salt", p.Steps[0].Name, 0)
-	delete(s.jobs, uid)
-	s.k.JobChanged(uid)
+	jobID := JobID("run-1", "salt", p.Steps[0].Name, 0)
+	delete(s.jobs, jobID)
+	s.k.JobChanged(jobID)
 	_, ask := s.k.Pass(s.now, s.ms, func(string) bool { return true }, func(string) bool { return false }, func(int) bool { return true }, s)
-	if !slices.Equal(ask, []string{uid}) {
+	if !slices.Equal(ask, []string{jobID}) {
 		t.Fatalf("asked for %v", ask)
 	}
-	s.k.JobMissing(uid)
-	if c := s.turn(t); len(c) != 1 || !c[0].Over || !slices.Equal(c[0].Absent, []string{uid}) {
+	s.k.JobMissing(jobID)
+	if c := s.turn(t); len(c) != 1 || !c[0].Over || !slices.Equal(c[0].Absent, []string{jobID}) {
 		t.Fatalf("%+v", c)
 	}
 	s, _ = one(t, `{"name":"p","owner":"t","steps":[{"name":"a",`+step+`}]}`)
-	s.jobs[uid] = jobs.Live
+	s.jobs[jobID] = jobs.Live
 	c := s.turn(t)
-	if rec, err := Decode(c[0].Record); err != nil || rec.Steps[0].Why != UIDTaken || len(c[0].Submit) > 0 {
+	if rec, err := Decode(c[0].Record); err != nil || rec.Steps[0].Why != JobIDTaken || len(c[0].Submit) > 0 {
 		t.Fatalf("%+v %v", c, err)
 	}
 }
@@ -427,11 +427,11 @@
 		for _, salt := range []string{"a", "b"} {
 			for _, name := range []string{"2a", "a", "a[x=1]"} {
 				for repeat := range 3 {
-					uid := UID(id, salt, name, repeat)
-					if len(uid) != 21 || !jobs.ValidUID(uid) || seen[uid] || uid != UID(id, salt, name, repeat) {
-						t.Errorf("%s for %s %s %s %d", uid, id, salt, name, repeat)
+					jobID := JobID(id, salt, name, repeat)
+					if len(jobID) != 21 || !jobs.ValidID(jobID) || seen[jobID] || jobID != JobID(id, salt, name, repeat) {
+						t.Errorf("%s for %s %s %s %d", jobID, id, salt, name, repeat)
 					}
-					seen[uid] = true
+					seen[jobID] = true
 				}
 			}
 		}
--- a/internal/pipelines/record.go
+++ b/internal/pipelines/record.go
@@ -12,9 +12,9 @@
 
 	"lukechampine.com/blake3"
 
+	"github.com/harrierreel/harrierreel/internal/compression"
 	"github.com/harrierreel/harrierreel/internal/jobs"
 	"github.com/harrierreel/harrierreel/internal/tuning"
-	"github.com/harrierreel/harrierreel/internal/zcoder"
 )
 
 // Key prefixes in the state service. A run's record moves from the first to the
@@ -74,21 +74,21 @@
 	return hex.EncodeToString(sum[:16])
 }
 
-// uidContext separates these uids from any other use of the hash.
-const uidContext = "harrierreel 2026-12-01 uid of a pipeline step's job"
+// jobIDContext separates these uids from any other use of the hash.
+const jobIDContext = "harrierreel 2026-12-01 uid of a pipeline step's job"
 
-// UID is the uid of a step's job: a MAC over run, step and repeat, keyed from
+// JobID is the uid of a step's job: a MAC over run, step and repeat, keyed from
 // the run's salt, in the form of job ids with 18 digits. Whoever submits the
 // step derives the same, so that it is accepted once.
-func UID(id, salt, step string, repeat int) string {
+func JobID(id, salt, step string, repeat int) string {
 	var key [32]byte
-	blake3.DeriveKey(key[:], uidContext, []byte(salt))
+	blake3.DeriveKey(key[:], jobIDContext, []byte(salt))
 	h := blake3.New(8, key[:])
 	fmt.Fprintf(h, "%d:%s%d:%s%d", len(id), id, len(step), step, repeat)
 	return fmt.Sprintf("wk-%018d", binary.BigEndian.Uint64(h.Sum(nil))%1_000_000_000_000_000_000)
 }
 
-var coder = zcoder.New(tuning.MostUnpacked, zcoder.Small...)
+var coder = compression.New(tuning.MaxUnpacked, compression.SmallRecords...)
 
 // pack gives JSON that holds b: b itself if it is JSON and not longer than a
 // text with its compressed form.
@@ -177,7 +177,7 @@
 		s.AtMs = then(v[1], atMs)
 		s.EndMs = then(v[2], max(s.AtMs, atMs))
 		s.DoubtMs = then(v[3], max(s.AtMs, atMs))
-		if len(out) == tuning.MostSteps {
+		if len(out) == tuning.MaxSteps {
 			return nil, errSteps
 		}
 		out = append(out, s)
@@ -233,8 +233,8 @@
 	return r
 }
 
-// MostBytes is the most that a run's record may come to take.
-func (r *Record) MostBytes() int {
+// MaxBytes is the most that a run's record may come to take.
+func (r *Record) MaxBytes() int {
 	if r.docPack == nil {
 		r.docPack = pack(r.Doc)
 	}
--- a/internal/pipelines/run.go
+++ b/internal/pipelines/run.go
@@ -77,12 +77,12 @@
 	JobAborted   Why = "its job was cancelled by itself"
 	RunAborted   Why = "the run was cancelled"
 	NeverRuns    Why = "its job can never run under the present limits"
-	UIDTaken     Why = "another job has its job's uid"
+	JobIDTaken   Why = "another job has its job's uid"
 	JobForgotten Why = "its job is in no record"
 )
 
 // whys numbers the causes in records; new ones are added at the end.
-var whys = []Why{NoCause, WhenFalse, WhenBroken, TimedOut, InDoubt, JobAborted, RunAborted, NeverRuns, UIDTaken, JobForgotten}
+var whys = []Why{NoCause, WhenFalse, WhenBroken, TimedOut, InDoubt, JobAborted, RunAborted, NeverRuns, JobIDTaken, JobForgotten}
 
 // StepRun is a step's part of a run's record.
 type StepRun struct {
--- a/internal/pipelines/view.go
+++ b/internal/pipelines/view.go
@@ -30,7 +30,7 @@
 	Why          Why       `json:"why,omitempty"`
 	AllowFailure bool      `json:"allow_failure,omitempty"`
 	Needs        []string  `json:"needs,omitempty"`
-	Pieces       int       `json:"pieces"`
+	Tasks        int       `json:"pieces"`
 	Done         int       `json:"done"`
 	Running      int       `json:"running"`
 	TookS        float64   `json:"took_s"` // since its job's acceptance, or until its end
@@ -57,7 +57,7 @@
 }
 
 // StatusOf describes a run, ended or not; false if its document can't be read.
-func (k *Keeper) StatusOf(id string, rec *Record, nowMs int64, w World, explain bool) (Status, bool) {
+func (k *Keeper) StatusOf(id string, rec *Record, nowMs int64, w Cluster, explain bool) (Status, bool) {
 	p := k.planOf(rec)
 	if p == nil || len(p.Steps) != len(rec.Steps) {
 		return Status{}, false
@@ -74,14 +74,14 @@
 	out := Status{ID: id, Name: p.Name, Owner: p.Owner, Status: rec.State, TookS: seconds(rec.AtMs, rec.EndMs)}
 	for i, s := range rec.Steps {
 		plan := &p.Steps[i]
-		v := StepStatus{Name: plan.Name, Status: s.State, Job: UID(id, rec.Salt, plan.Name, s.Repeat), Repeat: s.Repeat, Why: s.Why,
-			AllowFailure: plan.AllowFailure, Pieces: plan.Spec.Pieces, TookS: seconds(s.AtMs, s.EndMs)}
+		v := StepStatus{Name: plan.Name, Status: s.State, Job: JobID(id, rec.Salt, plan.Name, s.Repeat), Repeat: s.Repeat, Why: s.Why,
+			AllowFailure: plan.AllowFailure, Tasks: plan.Spec.TaskCount, TookS: seconds(s.AtMs, s.EndMs)}
 		for _, n := range p.Groups[plan.Group].Needs {
 			v.Needs = append(v.Needs, p.Groups[n].Name)
 		}
 		switch {
 		case s.State == Succeeded:
-			v.Done = v.Pieces
+			v.Done = v.Tasks
 		case s.State.HasJob():
 			job, _ := w.Job(v.Job)
 			v.Done, v.Running = job.Done, job.Running
@@ -114,9 +114,9 @@
 				open = append(open, p.Groups[need].Name)
 			}
 		}
-		if more := len(open) - tuning.MostNamedSteps; more > 0 {
+		if more := len(open) - tuning.MaxNamedSteps; more > 0 {
 			// A status has a line for each step, and no line may be above 64 KiB.
-			open = append(open[:tuning.MostNamedSteps], fmt.Sprintf("%d more", more))
+			open = append(open[:tuning.MaxNamedSteps], fmt.Sprintf("%d more", more))
 		}
 		if len(open) > 0 {
 			say("waits for %s to end; runs then when %s", strings.Join(open, ", "), condition)
@@ -126,7 +126,7 @@
 	case Ready:
 		say("may start; its job is submitted as soon as the controllers' changes allow")
 	case Submitted, Running:
-		say("job %s: %d of %d tasks on machines, %d done", v.Job, v.Running, v.Pieces, v.Done)
+		say("job %s: %d of %d tasks on machines, %d done", v.Job, v.Running, v.Tasks, v.Done)
 		if waits != "" {
 			say("%s", waits)
 		}
@@ -194,7 +194,7 @@
 	for i := range p.Steps {
 		s := &p.Steps[i]
 		if why := judge(&s.Spec); why != "" {
-			if f := (Fault{Path: s.path, Want: "can never run: " + why}); !slices.Contains(out, f) && len(out) < tuning.MostFaults {
+			if f := (Fault{Path: s.path, Want: "can never run: " + why}); !slices.Contains(out, f) && len(out) < tuning.MaxFaults {
 				out = append(out, f)
 			}
 		}
@@ -204,9 +204,9 @@
 
 // Accept is the change that accepts a run; the jobs of its first steps go with
 // it, as many as one transaction holds. Too long a record is an error.
-func (k *Keeper) Accept(q *Request, salt string, nowMs int64, w World) (*Change, error) {
+func (k *Keeper) Accept(q *Request, salt string, nowMs int64, w Cluster) (*Change, error) {
 	rec := NewRecord(q.Plan, q.Doc, salt, nowMs)
-	if most := rec.MostBytes(); most > k.limits.ValueBytes {
+	if most := rec.MaxBytes(); most > k.limits.ValueBytes {
 		return nil, fmt.Errorf("the run would take up to %d bytes of the state service's %d: fewer steps or shorter fields are needed", most, k.limits.ValueBytes)
 	}
 	d := k.draft(&run{id: q.ID, rec: rec, plan: q.Plan}, nowMs)
--- a/internal/pipelines/when.go
+++ b/internal/pipelines/when.go
@@ -104,8 +104,8 @@
 
 // compileWhen reads a condition of a step whose ancestors are named.
 func compileWhen(text string, ancestors []string) (*Condition, string) {
-	if len(text) > tuning.MostWhen {
-		return nil, fmt.Sprintf("expected at most %d bytes", tuning.MostWhen)
+	if len(text) > tuning.MaxWhen {
+		return nil, fmt.Sprintf("expected at most %d bytes", tuning.MaxWhen)
 	}
 	tree, err := parser.Parse(text)
 	if err != nil {
@@ -126,7 +126,7 @@
 		}
 		sample.outcomes[s] = succeeded
 	}
-	program, err := expr.Compile(text, expr.Env(sample.env()), expr.AsBool(), expr.DisableAllBuiltins(), expr.MaxNodes(tuning.MostWhenNodes))
+	program, err := expr.Compile(text, expr.Env(sample.env()), expr.AsBool(), expr.DisableAllBuiltins(), expr.MaxNodes(tuning.MaxWhenNodes))
 	if err != nil {
 		return nil, "expected true or false from success(), failure(), always(), steps.NAME.outcome and matrix.NAME: " + firstLine(err)
 	}
@@ -185,7 +185,7 @@
 // they are few; more are believed.
 func (p *Plan) canHold(g int, s *Step) bool {
 	above := p.Groups[g].Ancestors
-	if len(above) > tuning.TryOutcomes {
+	if len(above) > tuning.OutcomeCombinations {
 		return true
 	}
 	all := []outcome{succeeded, failed, skipped, cancelled}
--- a/internal/preempt/preempt_test.go
+++ b/internal/preempt/preempt_test.go
@@ -7,55 +7,55 @@
 	"testing"
 	"time"
 
-	"github.com/harrierreel/harrierreel/internal/book"
+	"github.com/harrierreel/harrierreel/internal/clusterstate"
 	"github.com/harrierreel/harrierreel/internal/fleet"
 	"github.com/harrierreel/harrierreel/internal/jobs"
 	"github.com/harrierreel/harrierreel/internal/quota"
 )
 
 // full is a book with two machines of four places that others have filled.
-func full(t *testing.T) *book.Book {
+func full(t *testing.T) *clusterstate.State {
 	t.Helper()
-	b := book.New(quota.Flat(map[string]quota.Team{"a": {Name: "a", Guaranteed: quota.Of(0, 4, 0)}, "b": {Name: "b", Guaranteed: quota.Of(0, 2, 0)}}), func(string) {})
-	b.Builds["g4"] = &jobs.Build{Name: "g4", Cores: 32, Accel: 4, MemoryGB: 256, CacheGB: 100}
+	b := clusterstate.New(quota.Flat(map[string]quota.Team{"a": {Name: "a", Guaranteed: quota.Of(0, 4, 0)}, "b": {Name: "b", Guaranteed: quota.Of(0, 2, 0)}}), func(string) {})
+	b.MachineTypes["g4"] = &jobs.MachineType{Name: "g4", Cores: 32, Accelerators: 4, MemoryGB: 256, CacheGB: 100}
 	at := int64(0)
-	enter := func(uid, owner, rank, shape, host, image string, pieces int) {
+	enter := func(jobID, owner, priority, shape, machine, image string, pieces int) {
 		at += 10
 		b.Now = time.Unix(at, 0)
-		spec := jobs.Spec{UID: uid, Class: "c", Owner: owner, Shape: shape, Rank: rank, Pieces: pieces, Cores: 1, Accel: 1, MemoryGB: 1, Bundle: image, PullGB: 1}
-		if err := b.JobChanged(uid, jobs.Encode(jobs.Record{State: jobs.Live, AtMs: 1, Spec: spec})); err != nil {
+		spec := jobs.Spec{ID: jobID, Class: "c", Team: owner, Kind: shape, Priority: priority, TaskCount: pieces, Cores: 1, Accelerators: 1, MemoryGB: 1, Image: image, ImageGB: 1}
+		if err := b.ApplyJob(jobID, jobs.Encode(jobs.Record{State: jobs.Live, AcceptedMs: 1, Spec: spec})); err != nil {
 			t.Fatal(err)
 		}
 		var on []jobs.Task
 		for range pieces {
-			on = append(on, jobs.Task{State: jobs.Placed, Host: host, Try: 1})
+			on = append(on, jobs.Task{State: jobs.Placed, Machine: machine, Attempt: 1})
 		}
-		_, _ = b.SliceChanged(jobs.SliceKey(uid, 0), jobs.EncodeSlice(on, 8192))
+		_, _ = b.ApplyTaskRange(jobs.TaskRangeKey(jobID, 0), jobs.EncodeTaskRange(on, 8192))
 	}
 	for _, h := range []string{"i-1", "i-2"} {
-		if err := b.HostChanged(h, "n0", jobs.Encode(fleet.Host{State: fleet.Up, Build: "g4", Site: "a"})); err != nil {
+		if err := b.ApplyMachine(h, "n0", jobs.Encode(fleet.MachineRecord{State: fleet.Up, MachineType: "g4", Zone: "a"})); err != nil {
 			t.Fatal(err)
 		}
 	}
-	enter("wk-1", "b", "standard", jobs.Sweep, "i-1", "x", 2)
-	enter("wk-2", "b", "idle", jobs.Sweep, "i-1", "y", 1)
-	enter("wk-3", "b", "urgent", jobs.Standing, "i-1", "x", 1)
-	enter("wk-4", "b", "idle", jobs.Ensemble, "i-2", "x", 2)
-	enter("wk-5", "b", "standard", jobs.Sweep, "i-2", "z", 2)
+	enter("wk-1", "b", "standard", jobs.JobArray, "i-1", "x", 2)
+	enter("wk-2", "b", "idle", jobs.JobArray, "i-1", "y", 1)
+	enter("wk-3", "b", "urgent", jobs.Service, "i-1", "x", 1)
+	enter("wk-4", "b", "idle", jobs.Gang, "i-2", "x", 2)
+	enter("wk-5", "b", "standard", jobs.JobArray, "i-2", "z", 2)
 	return b
 }
 
-func search(b *book.Book, owner, rank string, accel float64) Search {
-	spec := jobs.Spec{UID: "wk-9", Class: "c", Owner: owner, Shape: jobs.Sweep, Rank: rank, Pieces: 1, Cores: 1, Accel: accel, MemoryGB: 1, Bundle: "z"}
-	j := &book.Job{UID: "wk-9", Rec: &jobs.Record{Spec: spec}}
-	return Search{Task: &book.Task{Job: j}, Rank: spec.RankOrder(), Entitled: b.Account.Entitled(b.Leaf(&spec), spec.Amount(), 1), Account: b.Account,
-		Open: func(*book.Machine) bool { return true }, Busy: func(string) bool { return false }, Stopping: map[*book.Task]bool{}}
+func search(b *clusterstate.State, owner, priority string, accel float64) Search {
+	spec := jobs.Spec{ID: "wk-9", Class: "c", Team: owner, Kind: jobs.JobArray, Priority: priority, TaskCount: 1, Cores: 1, Accelerators: accel, MemoryGB: 1, Image: "z"}
+	j := &clusterstate.Job{ID: "wk-9", Record: &jobs.Record{Spec: spec}}
+	return Search{Task: &clusterstate.Task{Job: j}, Priority: spec.PriorityOrder(), Entitled: b.Account.Entitled(b.QuotaLeaf(&spec), spec.Amount(), 1), Account: b.Account,
+		Open: func(*clusterstate.Machine) bool { return true }, Busy: func(string) bool { return false }, Stopping: map[*clusterstate.Task]bool{}}
 }
 
-func names(ts []*book.Task) string {
+func names(ts []*clusterstate.Task) string {
 	var out []string
 	for _, t := range ts {
-		out = append(out, t.Piece)
+		out = append(out, t.ID)
 	}
 	slices.Sort(out)
 	return strings.Join(out, " ")
@@ -86,8 +86,8 @@
 	}
 	// What is on its way out makes room already.
 	s := search(b, "a", "standard", 1)
-	on := []jobs.Task{{State: jobs.Stopping, Host: "i-1", Try: 1}}
-	_, _ = b.SliceChanged(jobs.SliceKey("wk-2", 0), jobs.EncodeSlice(on, 8192))
+	on := []jobs.Task{{State: jobs.Stopping, Machine: "i-1", Attempt: 1}}
+	_, _ = b.ApplyTaskRange(jobs.TaskRangeKey("wk-2", 0), jobs.EncodeTaskRange(on, 8192))
 	if got := names(Victims(b, s)); got != "" {
 		t.Errorf("stopped %q for room that is coming", got)
 	}
@@ -95,11 +95,11 @@
 	b = full(t)
 	s = search(b, "b", "standard", 1)
 	s.Entitled = -1
-	s.Busy = func(key string) bool { return key == jobs.SliceKey("wk-2", 0) }
+	s.Busy = func(key string) bool { return key == jobs.TaskRangeKey("wk-2", 0) }
 	if got := names(Victims(b, s)); got != "" {
 		t.Errorf("stopped %q", got)
 	}
-	s.OnlyCached = true
+	s.OnlyWithImage = true
 	if got := names(Victims(b, s)); got != "" {
 		t.Errorf("stopped %q where its image is not", got)
 	}
--- a/internal/rental/cloud.go
+++ b/internal/provisioning/cloud.go
@@ -1,4 +1,4 @@
-package rental
+package provisioning
 
 import (
 	"encoding/json"
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"github.com/harrierreel/harrierreel/internal/book"
+	"github.com/harrierreel/harrierreel/internal/clusterstate"
 	"github.com/harrierreel/harrierreel/internal/decide"
 	"github.com/harrierreel/harrierreel/internal/fleet"
 	"github.com/harrierreel/harrierreel/internal/jobs"
@@ -37,11 +37,11 @@
 
 // cloudState is the leader's knowledge of the cloud.
 type cloudState struct {
-	catalog    map[string]*jobs.Build
+	catalog    map[string]*jobs.MachineType
 	catalogAt  time.Time
 	catalogRun bool
 
-	listed  map[string]fleet.Listed
+	listed  map[string]fleet.ListedMachine
 	listAt  time.Time // start of the newest complete listing
 	listRun bool
 	gone    map[string]time.Time // machines that a listing no longer has, since when
@@ -70,13 +70,13 @@
 
 func (c *cloudState) reset() {
 	*c = cloudState{
-		listed: map[string]fleet.Listed{}, gone: map[string]time.Time{}, deleted: map[string]time.Time{}, refused: map[string]time.Time{},
+		listed: map[string]fleet.ListedMachine{}, gone: map[string]time.Time{}, deleted: map[string]time.Time{}, refused: map[string]time.Time{},
 		deleting: map[string]time.Time{}, freed: map[string]bool{}, lost: map[string]string{},
 	}
 }
 
 // cloudCall sends a request within the cloud's rate, or later.
-func (re *Rental) cloudCall(method, target string, body []byte, done func(int, []byte, error)) {
+func (re *Provisioner) cloudCall(method, target string, body []byte, done func(int, []byte, error)) {
 	c := &re.cloud
 	if len(c.calls) >= tuning.CloudQueue {
 		done(429, nil, nil)
@@ -86,18 +86,18 @@
 }
 
 // cloudFirst sends a request before all that wait.
-func (re *Rental) cloudFirst(method, target string, body []byte, done func(int, []byte, error)) {
+func (re *Provisioner) cloudFirst(method, target string, body []byte, done func(int, []byte, error)) {
 	c := &re.cloud
 	c.calls = slices.Insert(c.calls, 0, re.cloudRequest(method, target, body, done))
 }
 
-func (re *Rental) cloudRequest(method, target string, body []byte, done func(int, []byte, error)) func() {
-	_, epoch := re.Leads()
+func (re *Provisioner) cloudRequest(method, target string, body []byte, done func(int, []byte, error)) func() {
+	_, epoch := re.IsLeader()
 	return func() {
 		re.Send(method, target, body, tuning.CloudTimeout, func(status int, answer []byte, err error) {
 			re.Wake()
 			// A leader that has lost the view does nothing with the answer.
-			if leads, now := re.Leads(); leads && (now == epoch || method == "GET") {
+			if leads, now := re.IsLeader(); leads && (now == epoch || method == "GET") {
 				done(status, answer, err)
 				return
 			}
@@ -108,10 +108,10 @@
 
 var errOldView = fmt.Errorf("the view has changed")
 
-// Pass sends waiting calls and does what is due.
-func (re *Rental) Pass() {
+// Reconcile sends waiting calls and does what is due.
+func (re *Provisioner) Reconcile() {
 	c := &re.cloud
-	if re.Down() {
+	if re.StoreUnavailable() {
 		re.downAt = re.Now
 	}
 	rate := re.Cluster.Cloud.RPS * tuning.CloudBudget
@@ -128,7 +128,7 @@
 		re.readList()
 	}
 	step := jobs.Seconds(re.Operator.StepS)
-	if c.catalog != nil && !c.listAt.IsZero() && re.Now.Sub(c.stepAt) >= step && !re.Down() && re.MayRent() {
+	if c.catalog != nil && !c.listAt.IsZero() && re.Now.Sub(c.stepAt) >= step && !re.StoreUnavailable() && re.MayRent() {
 		c.stepAt = re.Now
 		c.open = 0
 		re.scalerStep()
@@ -141,7 +141,7 @@
 	}
 }
 
-func (re *Rental) readCatalog() {
+func (re *Provisioner) readCatalog() {
 	c := &re.cloud
 	c.catalogRun = true
 	re.cloudCall("GET", "/catalog", nil, func(status int, body []byte, err error) {
@@ -157,15 +157,15 @@
 		c.catalogAt = re.Now
 		c.catalog = builds
 		var ds []decide.Decision
-		for _, name := range book.Sorted(builds) {
+		for _, name := range clusterstate.SortedKeys(builds) {
 			b := builds[name]
 			// Prices move and are the leader's business; the rest is told to all.
 			told := *b
-			told.Hourly, told.LowPrice = 0, 0
-			if old := re.Builds[b.Name]; old == nil || string(jobs.Encode(old)) != string(jobs.Encode(told)) {
+			told.Hourly, told.SpotHourly = 0, 0
+			if old := re.MachineTypes[b.Name]; old == nil || string(jobs.Encode(old)) != string(jobs.Encode(told)) {
 				// A type that could not be told is read again soon: until it is known
 				// no job that needs it is accepted.
-				ds = append(ds, decide.Decision{Writes: []store.Write{decide.Put(BuildPrefix+b.Name, told)}, Urgent: true, Done: func(ok bool) {
+				ds = append(ds, decide.Decision{Writes: []store.Write{decide.Put(MachineTypePrefix+b.Name, told)}, Urgent: true, OnSettled: func(ok bool) {
 					if !ok {
 						c.catalogAt = re.Now.Add(tuning.CatalogAgain - tuning.CatalogEvery)
 					}
@@ -178,15 +178,15 @@
 
 // listEvery is the pause between two readings of the cloud's list: its pages
 // may take only a share of the cloud's rate.
-func (re *Rental) listEvery() time.Duration {
+func (re *Provisioner) listEvery() time.Duration {
 	pages := float64(1 + len(re.cloud.listed)/tuning.CloudPage)
 	return max(tuning.ListEvery, jobs.Seconds(pages/(re.Cluster.Cloud.RPS*tuning.ListShare)))
 }
 
 // readPages reads the whole list, page by page, by the calls that send makes, and hands
 // it to done; false if a page was not answered.
-func readPages(send func(target string, done func(int, []byte, error)), done func(map[string]fleet.Listed, bool)) {
-	all := map[string]fleet.Listed{}
+func readPages(send func(target string, done func(int, []byte, error)), done func(map[string]fleet.ListedMachine, bool)) {
+	all := map[string]fleet.ListedMachine{}
 	var page func(since string)
 	page = func(since string) {
 		target := fmt.Sprintf("/hosts?limit=%d", tuning.CloudPage)
@@ -195,20 +195,20 @@
 		}
 		send(target, func(status int, body []byte, err error) {
 			var answer struct {
-				Hosts   []fleet.Listed `json:"hosts"`
-				HasNext bool           `json:"has_next"`
+				Hosts   []fleet.ListedMachine `json:"hosts"`
+				HasNext bool                  `json:"has_next"`
 			}
 			if err != nil || status != 200 || json.Unmarshal(body, &answer) != nil {
 				done(nil, false)
 				return
 			}
 			for _, h := range answer.Hosts {
-				if fleet.ValidName(h.UID) {
-					all[h.UID] = h
+				if fleet.ValidName(h.Name) {
+					all[h.Name] = h
 				}
 			}
 			if answer.HasNext && len(answer.Hosts) > 0 {
-				page(answer.Hosts[len(answer.Hosts)-1].UID)
+				page(answer.Hosts[len(answer.Hosts)-1].Name)
 				return
 			}
 			done(all, true)
@@ -218,12 +218,12 @@
 }
 
 // readList reads the whole list.
-func (re *Rental) readList() {
+func (re *Provisioner) readList() {
 	c := &re.cloud
 	c.listRun = true
 	started := re.Now
 	send := func(target string, done func(int, []byte, error)) { re.cloudCall("GET", target, nil, done) }
-	readPages(send, func(all map[string]fleet.Listed, ok bool) {
+	readPages(send, func(all map[string]fleet.ListedMachine, ok bool) {
 		c.listRun = false
 		if !ok {
 			return
--- a/internal/rental/golden_edges_test.go
+++ b/internal/provisioning/golden_edges_test.go
@@ -1,4 +1,4 @@
-package rental
+package provisioning
 
 import (
 	"bytes"
@@ -12,8 +12,8 @@
 
 	"github.com/harrierreel/harrierreel/internal/fleet"
 	"github.com/harrierreel/harrierreel/internal/goldentest"
+	"github.com/harrierreel/harrierreel/internal/http1"
 	"github.com/harrierreel/harrierreel/internal/jobs"
-	"github.com/harrierreel/harrierreel/internal/wire"
 )
 
 const goldenCatalog = `{"builds":[` +
@@ -24,9 +24,9 @@
 // The cloud's catalogue is read as ever.
 func TestGoldenCatalog(t *testing.T) {
 	goldentest.Bytes(t, "catalog.json", []byte(goldenCatalog))
-	want := map[string]*jobs.Build{
-		"g4": {Name: "g4", Cores: 32, Accel: 4, MemoryGB: 256, CacheGB: 100, PullRate: 1.5, Hourly: 10, LowPrice: 3.25, ReadyS: 20, Sites: []string{"a", "b"}},
-		"c8": {Name: "c8", Cores: 8, MemoryGB: 64, CacheGB: 50, PullRate: 0.5, Hourly: 2, ReadyS: 10, Sites: []string{"a"}},
+	want := map[string]*jobs.MachineType{
+		"g4": {Name: "g4", Cores: 32, Accelerators: 4, MemoryGB: 256, CacheGB: 100, ImageGBPerS: 1.5, Hourly: 10, SpotHourly: 3.25, BootS: 20, Zones: []string{"a", "b"}},
+		"c8": {Name: "c8", Cores: 8, MemoryGB: 64, CacheGB: 50, ImageGBPerS: 0.5, Hourly: 2, BootS: 10, Zones: []string{"a"}},
 	}
 	goldentest.Filled(t, want["g4"])
 	if got := decodeCatalog(200, goldentest.Read(t, "catalog.json"), nil); !reflect.DeepEqual(got, want) {
@@ -36,7 +36,7 @@
 
 // The cloud's list is asked for and read, page by page, as ever.
 func TestGoldenList(t *testing.T) {
-	full := fleet.Listed{UID: "i-0001", Endpoint: "10.0.0.9:7000", Build: "g4", Site: "north", Loaner: true, Status: "running", AgeS: 12.5}
+	full := fleet.ListedMachine{Name: "i-0001", Endpoint: "10.0.0.9:7000", MachineType: "g4", Zone: "north", Spot: true, Status: "running", AgeS: 12.5}
 	goldentest.Filled(t, full)
 	goldentest.JSON(t, "listed.json", full)
 	pages := []string{
@@ -44,17 +44,17 @@
 		`{"hosts":[{"uid":"i-0004","status":"gone","age_s":7}],"has_next":false}`,
 	}
 	var out bytes.Buffer
-	var got map[string]fleet.Listed
+	var got map[string]fleet.ListedMachine
 	read := false
 	readPages(func(target string, done func(int, []byte, error)) {
 		page := pages[0]
 		pages = pages[1:]
 		fmt.Fprintf(&out, "GET %s\n%s\n", target, page)
 		done(200, []byte(page), nil)
-	}, func(all map[string]fleet.Listed, ok bool) { got, read = all, ok })
+	}, func(all map[string]fleet.ListedMachine, ok bool) { got, read = all, ok })
 	goldentest.Bytes(t, "list.txt", out.Bytes())
-	want := map[string]fleet.Listed{
-		"i-0001": full, "i-0003": {UID: "i-0003", Status: "booting"}, "i-0004": {UID: "i-0004", Status: "gone", AgeS: 7},
+	want := map[string]fleet.ListedMachine{
+		"i-0001": full, "i-0003": {Name: "i-0003", Status: "booting"}, "i-0004": {Name: "i-0004", Status: "gone", AgeS: 7},
 	}
 	if !read || !reflect.DeepEqual(got, want) {
 		t.Errorf("read as %s", jobs.Encode(got))
@@ -70,8 +70,8 @@
 		t.Run(name, func(t *testing.T) {
 			var out bytes.Buffer
 			o := newOffice(t)
-			o.machine("i-8", fleet.Host{State: fleet.Deleting, Build: "g4", Site: "a"})
-			o.machine("i-9", fleet.Host{State: fleet.Deleting, Build: "g4", Site: "b"})
+			o.machine("i-8", fleet.MachineRecord{State: fleet.Deleting, MachineType: "g4", Zone: "a"})
+			o.machine("i-9", fleet.MachineRecord{State: fleet.Deleting, MachineType: "g4", Zone: "b"})
 			o.Send = func(method, target string, body []byte, timeout time.Duration, done func(int, []byte, error)) {
 				answer := `200 {"hosts":[{"uid":"i-8","build":"g4","site":"a","status":"running","age_s":500},{"uid":"i-9","build":"g4","site":"b","status":"running","age_s":500}]}`
 				switch {
@@ -82,7 +82,7 @@
 				case method == "POST":
 					answer = rent
 				}
-				out.Write(wire.AppendRequest(nil, method, target, "cloud:1", body, false))
+				out.Write(http1.AppendRequest(nil, method, target, "cloud:1", body, false))
 				fmt.Fprintf(&out, "\nwithin %s -> %s\n\n", timeout, answer)
 				status := 0
 				var text json.RawMessage
@@ -92,8 +92,8 @@
 			}
 			o.job("wk-000001", 12)
 			o.run(2)
-			refused := slices.Sorted(maps.Keys(o.Rental.cloud.refused))
-			fmt.Fprintf(&out, "asked for: %s\ntypes: %s\nnot asked for again: %q\n", jobs.Encode(o.Rental.cloud.asked), jobs.Encode(o.Builds), refused)
+			refused := slices.Sorted(maps.Keys(o.Provisioner.cloud.refused))
+			fmt.Fprintf(&out, "asked for: %s\ntypes: %s\nnot asked for again: %q\n", jobs.Encode(o.Provisioner.cloud.asked), jobs.Encode(o.MachineTypes), refused)
 			goldentest.Bytes(t, "cloud-"+name+".txt", out.Bytes())
 		})
 	}
--- a/internal/rental/golden_test.go
+++ b/internal/provisioning/golden_test.go
@@ -1,4 +1,4 @@
-package rental
+package provisioning
 
 import (
 	"testing"
@@ -15,5 +15,5 @@
 	goldentest.Filled(t, full)
 	goldentest.JSON(t, "scaler.json", full)
 	goldentest.JSON(t, "scaler-least.json", Summary{})
-	goldentest.Bytes(t, "keys.txt", []byte(SummaryKey+"\n"+BuildPrefix+"\n"))
+	goldentest.Bytes(t, "keys.txt", []byte(SummaryKey+"\n"+MachineTypePrefix+"\n"))
 }
--- a/internal/rental/plan.go
+++ b/internal/provisioning/plan.go
@@ -1,4 +1,4 @@
-package rental
+package provisioning
 
 import (
 	"fmt"
@@ -7,13 +7,13 @@
 	"sort"
 	"time"
 
-	"github.com/harrierreel/harrierreel/internal/book"
+	"github.com/harrierreel/harrierreel/internal/autoscaler"
+	"github.com/harrierreel/harrierreel/internal/clusterstate"
 	"github.com/harrierreel/harrierreel/internal/decide"
 	"github.com/harrierreel/harrierreel/internal/fleet"
 	"github.com/harrierreel/harrierreel/internal/jobs"
-	"github.com/harrierreel/harrierreel/internal/parts"
 	"github.com/harrierreel/harrierreel/internal/queue"
-	"github.com/harrierreel/harrierreel/internal/scaler"
+	"github.com/harrierreel/harrierreel/internal/sharding"
 	"github.com/harrierreel/harrierreel/internal/store"
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
@@ -27,13 +27,13 @@
 func (k kind) String() string { return k.Group.String() + "@" + k.site }
 
 // price is what a machine of a group costs an hour.
-func (re *Rental) price(g fleet.Group) float64 {
-	b := re.cloud.catalog[g.Build]
+func (re *Provisioner) price(g fleet.Group) float64 {
+	b := re.cloud.catalog[g.MachineType]
 	if b == nil {
 		return math.Inf(1)
 	}
-	if g.Loaner {
-		return b.LowPrice
+	if g.Spot {
+		return b.SpotHourly
 	}
 	return b.Hourly
 }
@@ -43,22 +43,22 @@
 //
 // A task that can wait does not make it buy much dearer than what it would
 // take if the cloud had it.
-func (re *Rental) cheapest(r *jobs.Record, zones map[string]int, counts map[kind]int) (kind, bool) {
+func (re *Provisioner) cheapest(r *jobs.Record, zones map[string]int, counts map[kind]int) (kind, bool) {
 	spec := &r.Spec
 	best, found, cost := kind{}, false, math.Inf(1)
 	least := math.Inf(1)
 	for name, b := range re.cloud.catalog {
-		share := spec.Need().Share(b.Whole())
-		if share > 1+1e-9 || !spec.AllowsBuild(name) {
+		share := spec.Resources().ShareOf(b.Capacity())
+		if share > 1+1e-9 || !spec.AllowsMachineType(name) {
 			continue
 		}
-		for _, loaner := range []bool{false, true} {
-			if loaner && (!spec.Loaner || b.LowPrice <= 0) {
+		for _, spot := range []bool{false, true} {
+			if spot && (!spec.Spot || b.SpotHourly <= 0) {
 				continue
 			}
-			for _, site := range b.Sites {
-				k := kind{fleet.Group{Build: name, Loaner: loaner}, site}
-				if !spec.Allows(name, site, loaner) || !book.ZoneAllowed(spec, zones, site) {
+			for _, zone := range b.Zones {
+				k := kind{fleet.Group{MachineType: name, Spot: spot}, zone}
+				if !spec.Allows(name, zone, spot) || !clusterstate.ZoneAllowed(spec, zones, zone) {
 					continue
 				}
 				// Whole tasks per machine: what a task really costs there.
@@ -75,9 +75,9 @@
 		}
 	}
 	// A gang gathers room that stands idle until it is whole: it is not kept for a price.
-	if j := re.Jobs[r.Spec.UID]; found && cost > least*tuning.PatientPrice && !(j != nil && spec.Gang() && re.Queue.Overdue(j)) {
-		margin := jobs.Seconds(re.cloud.catalog[best.Build].ReadyS+spec.ExpectS/2) + 2*jobs.Seconds(re.Operator.StepS)
-		if re.Queue.StartBy(r, false)-re.Ms() > margin.Milliseconds() {
+	if j := re.Jobs[r.Spec.ID]; found && cost > least*tuning.PatientPrice && !(j != nil && spec.IsGang() && re.Queue.Overdue(j)) {
+		margin := jobs.Seconds(re.cloud.catalog[best.MachineType].BootS+spec.ExpectedDurationS/2) + 2*jobs.Seconds(re.Operator.StepS)
+		if re.Queue.StartBy(r, false)-re.NowMs() > margin.Milliseconds() {
 			return kind{}, false
 		}
 	}
@@ -85,10 +85,10 @@
 }
 
 // bootLate is the age from which a machine that has not come up is overdue.
-func (re *Rental) bootLate(build string) time.Duration {
-	late := tuning.BootSlackMin
-	if b := re.Builds[build]; b != nil {
-		late = max(late, jobs.Seconds(b.ReadyS*tuning.BootLate))
+func (re *Provisioner) bootLate(build string) time.Duration {
+	late := tuning.MinBootSlack
+	if b := re.MachineTypes[build]; b != nil {
+		late = max(late, jobs.Seconds(b.BootS*tuning.BootLate))
 	}
 	return late
 }
@@ -96,13 +96,13 @@
 // supplyOf lists the machines that count as supply: with a record in use, or
 // listed and booting in time, or asked for and not yet listed until the boot time has
 // passed.
-func (re *Rental) supplyOf() (counts map[kind]int, booting map[kind]int) {
+func (re *Provisioner) supplyOf() (counts map[kind]int, booting map[kind]int) {
 	counts, booting = map[kind]int{}, map[kind]int{}
 	c := &re.cloud
 	for h, m := range re.Machines {
 		if re.InUse(m) {
 			if _, draining := re.Summary.Drain[h]; !draining {
-				counts[kind{fleet.Group{Build: m.Build, Loaner: m.Loaner}, m.Site}]++
+				counts[kind{fleet.Group{MachineType: m.MachineType, Spot: m.Spot}, m.Zone}]++
 			}
 		}
 	}
@@ -110,8 +110,8 @@
 	for h, l := range c.listed {
 		// An overdue one may never come; a replacement is rented before the
 		// queue suffers, and the late one is used or returned if it comes.
-		if re.Machines[h] == nil && (l.Status == "booting" || l.Status == "running") && jobs.Seconds(l.AgeS)+age <= re.bootLate(l.Build) {
-			k := kind{fleet.Group{Build: l.Build, Loaner: l.Loaner}, l.Site}
+		if re.Machines[h] == nil && (l.Status == "booting" || l.Status == "running") && jobs.Seconds(l.AgeS)+age <= re.bootLate(l.MachineType) {
+			k := kind{fleet.Group{MachineType: l.MachineType, Spot: l.Spot}, l.Zone}
 			counts[k]++
 			booting[k]++
 		}
@@ -126,10 +126,10 @@
 		// A list read long enough after the request has what there is: a
 		// machine that it lacks was returned or lost meanwhile, perhaps by an
 		// earlier leader, and must not count.
-		if c.listAt.UnixMilli()-a.AtMs > re.listSure().Milliseconds() || re.Ms()-a.AtMs > re.bootLimit(a.Build).Milliseconds() {
+		if c.listAt.UnixMilli()-a.AtMs > re.listSure().Milliseconds() || re.NowMs()-a.AtMs > re.bootLimit(a.Build).Milliseconds() {
 			continue
 		}
-		k := kind{fleet.Group{Build: a.Build, Loaner: a.Loaner}, a.Site}
+		k := kind{fleet.Group{MachineType: a.Build, Spot: a.Loaner}, a.Site}
 		for _, h := range a.Hosts {
 			if _, listed := c.listed[h]; !listed && re.Machines[h] == nil && c.gone[h].IsZero() && c.deleted[h].IsZero() {
 				counts[k]++
@@ -150,14 +150,14 @@
 
 // cameOf counts the listed machines that an unanswered rent may have brought, by their
 // kind and age, each for one rent only.
-func (re *Rental) cameOf(a *asked, taken map[string]bool) int {
+func (re *Provisioner) cameOf(a *asked, taken map[string]bool) int {
 	c := &re.cloud
 	lag := jobs.Seconds(2 * re.Cluster.Cloud.ListLagS)
 	at := time.UnixMilli(a.AtMs)
 	came := 0
-	for _, h := range book.Sorted(c.listed) {
+	for _, h := range clusterstate.SortedKeys(c.listed) {
 		l := c.listed[h]
-		if came == a.Count || taken[h] || l.Build != a.Build || l.Site != a.Site || l.Loaner != a.Loaner {
+		if came == a.Count || taken[h] || l.MachineType != a.Build || l.Zone != a.Site || l.Spot != a.Loaner {
 			continue
 		}
 		// The age is that at the time which the list describes.
@@ -171,24 +171,24 @@
 }
 
 // listSure is the time after which a machine must be in the cloud's list.
-func (re *Rental) listSure() time.Duration {
+func (re *Provisioner) listSure() time.Duration {
 	return jobs.Seconds(2*re.Cluster.Cloud.ListLagS) + tuning.ListSlack
 }
 
 // queuedFor is how many machines of a group the waiting tasks would fill that
 // may go there, by share.
-func (re *Rental) queuedFor(g fleet.Group, waiting []*queue.Waiting, fits map[*queue.Waiting]int) float64 {
-	b := re.Builds[g.Build]
+func (re *Provisioner) queuedFor(g fleet.Group, waiting []*queue.Waiting, fits map[*queue.Waiting]int) float64 {
+	b := re.MachineTypes[g.MachineType]
 	if b == nil {
 		return 0
 	}
 	sum := 0.0
 	for _, w := range waiting {
-		spec := &w.Task.Job.Rec.Spec
+		spec := &w.Task.Job.Record.Spec
 		if w.Gathers {
 			continue // its need is demand, and what is kept for it as well; no more stays for it
 		}
-		if share := spec.Need().Share(b.Whole()); share <= 1+1e-9 && spec.AllowsBuild(g.Build) && (spec.Loaner || !g.Loaner) {
+		if share := spec.Resources().ShareOf(b.Capacity()); share <= 1+1e-9 && spec.AllowsMachineType(g.MachineType) && (spec.Spot || !g.Spot) {
 			sum += share * float64(w.Count-fits[w])
 		}
 	}
@@ -196,7 +196,7 @@
 }
 
 // scalerStep plans each group and acts on the plan's first step.
-func (re *Rental) scalerStep() {
+func (re *Provisioner) scalerStep() {
 	c := &re.cloud
 	op := re.Operator
 	c.steps++
@@ -204,39 +204,39 @@
 
 	waiting := map[string]int{}
 	for _, w := range re.Queue.StillWaiting() {
-		waiting[w.Task.Job.Rec.Spec.Class] += w.Count
+		waiting[w.Task.Job.Record.Spec.Class] += w.Count
 	}
-	re.Log.Debug("queue", "waiting", fmt.Sprint(waiting), "jobs", len(re.Queued), "released", len(re.Released), "under_way", len(re.Reserved), "calls_held", re.Held(), "spare", re.Spare())
+	re.Log.Debug("queue", "waiting", fmt.Sprint(waiting), "jobs", len(re.Queued), "released", len(re.Released), "under_way", len(re.Reservations), "calls_held", re.WaitingCalls(), "spare", re.HasSpareWrites())
 
 	// Booked room by group, and what is on each machine.
 	demand := map[fleet.Group]float64{}
 	var idle = map[fleet.Group][]fleet.Idle{}
 	gathered := re.Queue.Gathered()
-	for _, h := range book.Sorted(re.Machines) {
+	for _, h := range clusterstate.SortedKeys(re.Machines) {
 		m := re.Machines[h]
-		b := re.Builds[m.Build]
+		b := re.MachineTypes[m.MachineType]
 		if b == nil || !re.InUse(m) {
 			continue
 		}
-		g := fleet.Group{Build: m.Build, Loaner: m.Loaner}
-		share := re.Used(h).Add(gathered[h]).Share(b.Whole())
+		g := fleet.Group{MachineType: m.MachineType, Spot: m.Spot}
+		share := re.UsedResources(h).Add(gathered[h]).ShareOf(b.Capacity())
 		if _, draining := re.Summary.Drain[h]; !draining {
 			demand[g] += share
 		}
-		idle[g] = append(idle[g], fleet.Idle{Host: h, Load: share, Cost: re.price(g)})
+		idle[g] = append(idle[g], fleet.Idle{Machine: h, Load: share, Cost: re.price(g)})
 	}
 
 	// Queued room goes to the booting machines that will take it, then to the
 	// cheapest group. What finds no booting machine is unmet: shares alone
 	// would not see that free room can be too scattered for a task.
-	queued := append(re.Queue.StillWaiting(), re.Queue.Unlooked()...)
+	queued := append(re.Queue.StillWaiting(), re.Queue.NotExamined()...)
 	fit, fits := re.packQueue(counts, booting, demand, queued)
 
 	sum := Summary{Step: re.Summary.Step + 1, History: map[string][]float64{}, Drain: fleet.Draining{}}
 	groups := map[fleet.Group]bool{}
 	for name := range c.catalog {
-		groups[fleet.Group{Build: name}] = true
-		groups[fleet.Group{Build: name, Loaner: true}] = true
+		groups[fleet.Group{MachineType: name}] = true
+		groups[fleet.Group{MachineType: name, Spot: true}] = true
 	}
 	var order []fleet.Group
 	for g := range groups {
@@ -260,16 +260,16 @@
 		if demand[g] > 0 || supply > 0 || len(re.Summary.History[key]) > 0 {
 			sum.History[key] = round(history)
 		}
-		plan := scaler.Plan(history, 0, 0, scaler.Params{Steps: op.PlanSteps, Samples: op.Samples, Tolerance: op.Tolerance, Trend: op.TrendSteps, Damping: tuning.TrendDamping, Grain: tuning.GrainShare * re.grain(g)}, re.Chance)
+		plan := autoscaler.Plan(history, 0, 0, autoscaler.Params{Steps: op.PlanSteps, Samples: op.Samples, Tolerance: op.Tolerance, Trend: op.TrendSteps, Damping: tuning.TrendDamping, Grain: tuning.GrainShare * re.grain(g)}, re.Rand)
 		boot := 0
-		if b := c.catalog[g.Build]; b != nil {
-			boot = int(math.Ceil(b.ReadyS / op.StepS))
+		if b := c.catalog[g.MachineType]; b != nil {
+			boot = int(math.Ceil(b.BootS / op.StepS))
 		}
-		act := scaler.Act(plan, demand[g], supply, boot, c.steps <= op.FreshSteps)
+		act := autoscaler.Act(plan, demand[g], supply, boot, c.steps <= op.FreshSteps)
 		now := fleet.Draining{}
 		for _, i := range idle[g] {
-			if st, ok := re.Summary.Drain[i.Host]; ok {
-				now[i.Host] = st
+			if st, ok := re.Summary.Drain[i.Machine]; ok {
+				now[i.Machine] = st
 			}
 		}
 		surplus := act.Surplus
@@ -296,7 +296,7 @@
 		ds = append(ds, decide.Decision{Writes: []store.Write{w}, Urgent: true})
 	}
 	for _, h := range give {
-		for _, d := range re.Moving(h, fleet.Condemn, "drained") {
+		for _, d := range re.TransitionMachine(h, fleet.Decommission, "drained") {
 			d.Urgent = true // it has left the draining ones
 			ds = append(ds, d)
 		}
@@ -306,20 +306,20 @@
 
 // grain is the machines of a group that one job there takes on average, by
 // demand: a job's tasks come together.
-func (re *Rental) grain(g fleet.Group) float64 {
-	b := re.Builds[g.Build]
+func (re *Provisioner) grain(g fleet.Group) float64 {
+	b := re.MachineTypes[g.MachineType]
 	if b == nil {
 		return 0
 	}
-	each := map[*book.Job]float64{}
-	for h, ts := range re.OnHost {
+	each := map[*clusterstate.Job]float64{}
+	for h, ts := range re.TasksOnMachine {
 		m := re.Machines[h]
-		if m == nil || m.Build != g.Build || m.Loaner != g.Loaner {
+		if m == nil || m.MachineType != g.MachineType || m.Spot != g.Spot {
 			continue
 		}
 		for _, t := range ts {
-			if t.Job.Rec != nil {
-				each[t.Job] += t.Need.Share(b.Whole())
+			if t.Job.Record != nil {
+				each[t.Job] += t.Resources.ShareOf(b.Capacity())
 			}
 		}
 	}
@@ -345,20 +345,20 @@
 // packQueue adds queued room to demand and returns how many machines of each
 // group the queue needs beyond those that boot. What the last look at the queue did not come
 // to goes on machines that are up first; fits tells how many of its tasks.
-func (re *Rental) packQueue(counts, booting map[kind]int, demand map[fleet.Group]float64, queued []*queue.Waiting) (fit map[fleet.Group]int, fits map[*queue.Waiting]int) {
+func (re *Provisioner) packQueue(counts, booting map[kind]int, demand map[fleet.Group]float64, queued []*queue.Waiting) (fit map[fleet.Group]int, fits map[*queue.Waiting]int) {
 	c := &re.cloud
 	type bin struct {
 		k    kind
-		free parts.Room
+		free sharding.Resources
 		up   bool
 	}
 	var bins []bin
-	if slices.ContainsFunc(queued, func(w *queue.Waiting) bool { return w.Unlooked }) {
+	if slices.ContainsFunc(queued, func(w *queue.Waiting) bool { return w.NotExamined }) {
 		gathered := re.Queue.Gathered()
-		for _, m := range re.ByName() {
-			b := c.catalog[m.Build]
+		for _, m := range re.MachinesByName() {
+			b := c.catalog[m.MachineType]
 			if _, draining := re.Summary.Drain[m.Name]; b != nil && !draining && re.InUse(m) {
-				bins = append(bins, bin{kind{fleet.Group{Build: m.Build, Loaner: m.Loaner}, m.Site}, b.Whole().Sub(re.Used(m.Name)).Sub(gathered[m.Name]), true})
+				bins = append(bins, bin{kind{fleet.Group{MachineType: m.MachineType, Spot: m.Spot}, m.Zone}, b.Capacity().Sub(re.UsedResources(m.Name)).Sub(gathered[m.Name]), true})
 			}
 		}
 	}
@@ -368,37 +368,37 @@
 	}
 	sort.Slice(kinds, func(a, b int) bool { return kinds[a].String() < kinds[b].String() })
 	for _, k := range kinds {
-		if b := c.catalog[k.Build]; b != nil {
+		if b := c.catalog[k.MachineType]; b != nil {
 			for range booting[k] {
-				bins = append(bins, bin{k, b.Whole(), false})
+				bins = append(bins, bin{k, b.Capacity(), false})
 			}
 		}
 	}
 	fit, fits = map[fleet.Group]int{}, map[*queue.Waiting]int{}
-	zonesOf := map[*book.Job]map[string]int{}
+	zonesOf := map[*clusterstate.Job]map[string]int{}
 	wanted := map[kind]int{}
 	for k, v := range counts {
 		wanted[k] = v
 	}
 	for _, w := range queued {
-		spec := &w.Task.Job.Rec.Spec
+		spec := &w.Task.Job.Record.Spec
 		zones := zonesOf[w.Task.Job]
 		if zones == nil {
-			zones = re.Zones(w.Task.Job)
-			if w.Site != "" {
-				zones[w.Site]++ // where it gathers
+			zones = re.TasksByZone(w.Task.Job)
+			if w.Zone != "" {
+				zones[w.Zone]++ // where it gathers
 			}
 			zonesOf[w.Task.Job] = zones
 		}
 		left := w.Count
 		for i := 0; i < len(bins) && left > 0; i++ {
 			b := &bins[i]
-			if b.up && !w.Unlooked || !spec.Allows(b.k.Build, b.k.site, b.k.Loaner) || !b.free.Fits(spec.Need()) {
+			if b.up && !w.NotExamined || !spec.Allows(b.k.MachineType, b.k.site, b.k.Spot) || !b.free.Fits(spec.Resources()) {
 				continue
 			}
-			share := spec.Need().Share(c.catalog[b.k.Build].Whole())
-			for left > 0 && b.free.Fits(spec.Need()) && book.ZoneAllowed(spec, zones, b.k.site) {
-				b.free = b.free.Sub(spec.Need())
+			share := spec.Resources().ShareOf(c.catalog[b.k.MachineType].Capacity())
+			for left > 0 && b.free.Fits(spec.Resources()) && clusterstate.ZoneAllowed(spec, zones, b.k.site) {
+				b.free = b.free.Sub(spec.Resources())
 				demand[b.k.Group] += share
 				zones[b.k.site]++
 				left--
@@ -408,17 +408,17 @@
 			}
 		}
 		for left > 0 {
-			k, ok := re.cheapest(w.Task.Job.Rec, zones, wanted)
+			k, ok := re.cheapest(w.Task.Job.Record, zones, wanted)
 			if !ok {
 				break
 			}
-			b := c.catalog[k.Build]
+			b := c.catalog[k.MachineType]
 			wanted[k]++
 			fit[k.Group]++
-			free := b.Whole()
-			for left > 0 && free.Fits(spec.Need()) && book.ZoneAllowed(spec, zones, k.site) {
-				free = free.Sub(spec.Need())
-				demand[k.Group] += spec.Need().Share(b.Whole())
+			free := b.Capacity()
+			for left > 0 && free.Fits(spec.Resources()) && clusterstate.ZoneAllowed(spec, zones, k.site) {
+				free = free.Sub(spec.Resources())
+				demand[k.Group] += spec.Resources().ShareOf(b.Capacity())
 				zones[k.site]++
 				left--
 			}
