--- a/internal/controller/node.go
+++ b/internal/controller/controller.go
@@ -24,7 +24,6 @@
 	"github.com/harrierreel/harrierreel/internal/cancellation"
 	"github.com/harrierreel/harrierreel/internal/clusterstate"
 	"github.com/harrierreel/harrierreel/internal/commit"
-	"github.com/harrierreel/harrierreel/internal/decide"
 	"github.com/harrierreel/harrierreel/internal/fleet"
 	"github.com/harrierreel/harrierreel/internal/http1"
 	"github.com/harrierreel/harrierreel/internal/jobs"
@@ -123,102 +122,53 @@
 	shuttingDownSince time.Time      // asked to end
 }
 
-// New makes a node.
+// New makes a controller. It reads as the list of who depends on whom: what a collaborator needs of one that is made
+// after it is looked up when it is called.
 func New(set *settings.Settings, out Transport, log *slog.Logger, rng *rand.Rand) *Controller {
-	n := &Controller{
-		settings: set, log: log, rand: rng,
-		role: members.Outside,
-	}
+	n := &Controller{settings: set, log: log, rand: rng, role: members.Outside}
 	n.transport = out.countingErrors(&n.callErrors)
-	out = n.transport
-	n.State = clusterstate.New(quota.Flat(set.TeamMap()), func(machine string) {
-		n.shard.ReviewMachine(machine)
-		n.dirty = true
-	})
-	n.client = store.New(out.State, out.Watch)
-	window := cancellation.Window(set.Cluster.Workers.LeaseS, set.Cluster.Workers.CancelS)
-	if held := time.Duration(float64(window) * tuning.WatchHoldShare); held > 0 {
-		n.client.WatchHold = min(n.client.WatchHold, held)
-	}
-	n.cancellations = cancellation.New(n.State, cancellation.Env{
-		Name: set.NodeName, Peers: set.PeerNames(), Window: window, CancelFor: jobs.Seconds(set.Cluster.Workers.CancelS), Log: log,
-		Send: n.send, Call: out.Worker, OwnerOf: n.ownerOf, StoreUnavailable: n.client.Unavailable, ReviewMachine: func(machine string) {
-			n.shard.ReviewMachine(machine)
-			n.dirty = true
-		},
-	}, rand.Uint64) // not the seeded chance: what the process's number is decides nothing
-	ahead := tuning.AckDelay
-	if len(set.Peers) == 0 {
-		ahead = 0 // nobody else answers
-	}
-	n.acks = readconsistency.NewAckLog(ahead)
-	n.mirror = store.NewMirror(n.applyChange)
-	n.mirror.Transient = func(key string) bool {
-		return hasPrefix(key, jobs.FinalPrefix) || hasPrefix(key, pipelines.RanPrefix)
-	}
-	n.committer = commit.New(n.State, commit.Env{
-		Name: set.NodeName, StoreLimits: set.Cluster.State, ValueBytes: n.valueBytes(), Log: log, Client: n.client, Mirror: n.mirror,
-		HasView: func() bool { return n.view != nil }, Epoch: func() uint64 { return n.roleEpoch }, OwnsMachine: n.ownsMachine,
-		Preconditions: func() []string { return append(n.api.Preconditions(), n.calendar.Keys()...) }, ApplyCalendar: func(ds []decide.Decision) []decide.Decision { return n.calendar.Guard(ds) },
-		Touch: n.reviewMachineOf, Wake: func() { n.dirty = true }, WatchNow: n.watchNow,
-	})
-	n.reachability = reachability.New(n.State, reachability.Env{Log: log, Rand: rng, Call: out.Worker, OwnerOf: n.ownerOf, Incarnation: func(name string) uint64 { return n.membership.Incarnation(name) },
-		OutsideView: func() bool { return n.role == members.Outside }, MirrorLive: func() bool { return n.sync.live }, StoreUnavailable: n.client.Unavailable})
-	n.membership = membership.New(n.State, membership.Env{Name: set.NodeName, TTL: jobs.Seconds(set.Operator.MemberTTLS), Client: n.client, Mirror: n.mirror, Log: log,
-		Live: func() bool { return n.sync.live }, View: func() *members.View { return n.view }, Unreachable: n.reachability.Unreachable,
-		Wake: func() { n.dirty = true }, WatchNow: n.watchNow, TxnOps: set.Cluster.State.TxnOps, AnswersProbes: set.Operator.TakeOver == settings.TakeOverCalls,
-		ZoneOf: set.Zones(), Lag: n.lag, Unchecked: n.pendingChecks})
-	n.calendar = calendar.New(n.State, set.Operator.Calendar, calendar.Env{
-		OffMs: set.Cluster.ClockOffMs, Limit: n.valueBytes(), TxnOps: set.Cluster.State.TxnOps, StepS: set.Operator.StepS, Fresh: set.Operator.FreshSteps,
-		Log: log, Mirror: n.mirror, WallMs: out.WallClockMs, Busy: n.committer.Busy, Commit: n.committer.Commit,
-		UnresponsiveSince: func(m *clusterstate.Machine) (time.Time, bool) { return n.shard.UnresponsiveSince(m) },
-		TransitionMachine: func(machine string, e fleet.Event, why string) []decide.Decision {
-			return n.shard.TransitionMachine(machine, e, why)
-		},
-	})
-	n.queue = queue.New(n.State, queue.Env{
-		Name: set.NodeName, Objectives: set.Cluster.Objectives, TxnOps: set.Cluster.State.TxnOps, ValueBytes: n.valueBytes(), MaxRangeTasks: n.maxRangeTasks(),
-		WriteRPS: set.Cluster.State.WriteRPS, Log: log, Busy: n.committer.Busy,
-		Allows: n.client.Allows, HasSpareWrites: n.client.HasSpareWrites, Commit: n.committer.Commit, UsesBatches: n.usesBatches, Lending: set.Operator.Lending,
-		HasLeftView: func(part string) bool { return n.view.Incarnation(part) == 0 },
-		Ready:       func(m *clusterstate.Machine) bool { return n.shard.Ready(m) },
-		CanPlace:    func(t *clusterstate.Task, m *clusterstate.Machine) bool { return n.shard.CanPlace(t, m) },
-		Gate:        func(s *jobs.Spec) calendar.Verdict { return n.calendar.Gate(s) }, ExtraPreconditions: n.calendar.PreconditionCount(),
-	})
-	n.provisioner = provisioning.New(n.State, provisioning.Env{
-		Operator: set.Operator, Cluster: set.Cluster, ValueBytes: n.valueBytes(), Log: log, Rand: rng, Queue: n.queue, Send: out.Cloud,
-		IsLeader: func() (bool, uint64) { return n.role == members.Leader, n.roleEpoch }, MayRent: func() bool { return n.checks.Permits(standby.Rent) && n.shard.Reconciling.MayRent(n.Now) }, Hurried: func() bool { return !n.shard.Reconciling.Steady() },
-		Wake: func() { n.dirty = true },
-		Busy: n.committer.Busy, Recorded: func(key string) bool { return n.mirror.Revision(key) != 0 },
-		Allows: n.client.Allows, HasSpareWrites: n.client.HasSpareWrites, StoreUnavailable: n.client.Unavailable, WaitingCalls: n.client.Waiting, Commit: n.committer.Commit,
-		TaskLost: func(t *clusterstate.Task, k jobs.TaskEventKind, pause time.Duration) decide.Decision {
-			return n.shard.TaskLost(t, k, pause)
-		},
-		TransitionMachine: func(machine string, e fleet.Event, why string) []decide.Decision {
-			return n.shard.TransitionMachine(machine, e, why)
-		},
-		InUse:              func(m *clusterstate.Machine) bool { return n.shard.InUse(m) },
-		UnresponsivenessOf: func(m *clusterstate.Machine) (fleet.Unresponsiveness, bool) { return n.shard.UnresponsivenessOf(m) },
-		LastHeard:          n.reachability.LastHeard,
-		HasSession:         func(machine string) bool { return n.shard.HasSession(machine) },
-	})
-	n.shard = shard.New(n.State, shard.Env{
-		Name: set.NodeName, Cluster: set.Cluster, ValueBytes: n.valueBytes(), Log: log, Queue: n.queue, Rental: n.provisioner, Call: out.Worker,
-		Wake: func() { n.dirty = true }, MayAnswerAgents: func() bool { return n.role != members.Outside && n.caughtUp() && !n.membership.Uncertain() },
-		OutsideView: func() bool { return n.role == members.Outside }, Epoch: func() uint64 { return n.roleEpoch }, KnownEpoch: func() uint64 { return n.mirror.Epoch }, Members: func() []string { return n.view.Names() }, OwnerOf: n.ownerOf, Complain: n.reachability.Complain,
-		Busy: n.committer.Busy, Allows: n.client.Allows, HasSpareWrites: n.client.HasSpareWrites, Commit: n.committer.Commit,
-		Cancelled: n.cancellations.Cancelled, MayRenewLeases: func() bool { return n.cancellations.MayRenewLeases(n.Now) }, MayLaunch: func() bool { return n.cancellations.MayLaunch(n.Now) }, LeaseWithheld: func() { n.cancellations.LeasesWithheld++ },
-	})
-	n.api = api.New(n.State, api.Env{
-		Settings: set, Client: n.client, Mirror: n.mirror, Log: log, Rand: rng, MayDecide: n.mayDecide, Healthy: n.healthy, MirrorLive: func() bool { return n.sync.live },
-		OutsideView: func() bool { return n.role == members.Outside }, Fencing: n.committer.Fencing, Members: func() []string { return n.view.Names() },
-		Busy: n.committer.Busy, Commit: n.committer.Commit, Wake: func() { n.dirty = true }, WatchNow: n.watchNow, Heartbeat: n.shard.Heartbeat, Acks: n.acks, HearsAllMembers: n.hearsAllMembers, AcknowledgeCancellation: n.cancellations.Acknowledge, Cancelled: n.cancellations.Cancelled,
-	})
+	n.State = clusterstate.New(quota.Flat(set.TeamMap()), n.reviewMachine)
+	n.client = n.newClient()
+	n.cancellations = n.newCancellations()
+	n.acks = n.newAckLog()
+	n.mirror = n.newMirror()
+	n.committer = n.newCommitter()
+	n.reachability = n.newReachability()
+	n.membership = n.newMembership()
+	n.calendar = n.newCalendar()
+	n.queue = n.newQueue()
+	n.provisioner = n.newProvisioner()
+	n.shard = n.newShard()
+	n.api = n.newAPI()
 	n.leaderState.reset()
 	n.updateBudget()
 	return n
 }
 
+// wake has the loop look for decisions to take.
+func (n *Controller) wake() { n.dirty = true }
+
+// reviewMachine has a machine's records compared with its heartbeats.
+func (n *Controller) reviewMachine(machine string) {
+	n.shard.ReviewMachine(machine)
+	n.dirty = true
+}
+
+// outsideView tells whether the known view does not name this controller.
+func (n *Controller) outsideView() bool { return n.role == members.Outside }
+
+// knownEpoch is up to where the mirror shows all changes of the store.
+func (n *Controller) knownEpoch() uint64 { return n.mirror.Epoch }
+
+// viewEpoch is the epoch of the view that this controller's role is from.
+func (n *Controller) viewEpoch() uint64 { return n.roleEpoch }
+
+// memberNames lists the members of the known view.
+func (n *Controller) memberNames() []string { return n.view.Names() }
+
+// mirrorLive tells whether the mirror follows the store.
+func (n *Controller) mirrorLive() bool { return n.sync.live }
+
 // Run enters the loop: f is an event, now its time.
 func (n *Controller) Run(now time.Time, f func()) {
 	last := n.Now
--- /dev/null
+++ b/internal/controller/wiring_store.go
@@ -0,0 +1,35 @@
+package controller
+
+import (
+	"time"
+
+	"github.com/harrierreel/harrierreel/internal/cancellation"
+	"github.com/harrierreel/harrierreel/internal/jobs"
+	"github.com/harrierreel/harrierreel/internal/pipelines"
+	"github.com/harrierreel/harrierreel/internal/store"
+	"github.com/harrierreel/harrierreel/internal/tuning"
+)
+
+// newClient makes the client of the store. Its watch is held no longer than the proof of cancellations allows.
+func (n *Controller) newClient() *store.Client {
+	client := store.New(n.transport.State, n.transport.Watch)
+	if held := time.Duration(float64(n.proofWindow()) * tuning.WatchHoldShare); held > 0 {
+		client.WatchHold = min(client.WatchHold, held)
+	}
+	return client
+}
+
+// proofWindow is how long leases may be renewed after the last proof of cancellations.
+func (n *Controller) proofWindow() time.Duration {
+	workers := n.settings.Cluster.Workers
+	return cancellation.Window(workers.LeaseS, workers.CancelS)
+}
+
+// newMirror makes the mirror of the live keys. Records that are kept for ever are only passed on.
+func (n *Controller) newMirror() *store.Mirror {
+	mirror := store.NewMirror(n.applyChange)
+	mirror.Transient = func(key string) bool {
+		return hasPrefix(key, jobs.FinalPrefix) || hasPrefix(key, pipelines.RanPrefix)
+	}
+	return mirror
+}
