--- /dev/null
+++ b/internal/tuning/records.go
@@ -0,0 +1,42 @@
+package tuning
+
+import "time"
+
+// Stored records and transactions.
+const (
+	// PreconditionsPerOp: conditions that the state service takes for each put or delete
+	// that it allows in a transaction (protocol).
+	PreconditionsPerOp = 4
+	// RangeTaskBytes, bytes: what a task takes of its slice's record, at most,
+	// with names of the usual length; decides how many tasks a slice holds.
+	RangeTaskBytes = 220
+	// ChangeBytes, bytes: what a changed task may add to a slice's record.
+	ChangeBytes = 100
+	// BatchTaskBytes, bytes: what a task takes of a pack, at least; with the share of
+	// PackFull it decides how many tasks are put into one.
+	BatchTaskBytes = 12
+	// BatchFillShare: share of the most bytes of a value up to which packs are filled; the
+	// rest is for what their tasks' records grow by.
+	BatchFillShare = 0.7
+	// MaxBatchTasks: tasks in a pack; bounds what reading one takes.
+	MaxBatchTasks = 20_000
+	// BatchEvery: the leader gives tasks away in packs, and owners write ends into
+	// them, at most this often: what one look places, and what ends meanwhile, shares
+	// packs. While changes are short it is GatherFor for ends and PackShort for the
+	// leader. The first after a pause waits for nothing.
+	BatchEvery       = 300 * time.Millisecond
+	BatchEveryScarce = 400 * time.Millisecond
+	// MaxSharedBatches: tasks given away that may be counted as one change of packs.
+	MaxSharedBatches = 6
+	// TxnBytes, bytes: up to where a transaction is filled by guess. What is sent is
+	// counted and must stay below MaxRequestBody.
+	TxnBytes = 48 << 10
+	// MaxQuarantined: decisions kept that no transaction could hold or that were refused;
+	// they are faults of a program, one of which a bug may make for each machine.
+	MaxQuarantined = 5000
+	// QuarantineFirst, AsideMost: how long such a decision is not made again, doubled each
+	// time: a refusal costs a request and two lines of the log, and what it waits for
+	// is a change of the state or of the service.
+	QuarantineFirst = 10 * time.Second
+	MaxQuarantine   = 10 * time.Minute
+)
