--- a/internal/commit/commit_test.go
+++ b/internal/commit/commit_test.go
@@ -114,7 +114,7 @@
 		ds = append(ds, note(key, &became))
 	}
 	c.Commit(ds)
-	for i := 0; i < len(*out); i++ {
+	for i := range len(*out) {
 		if strings.Contains((*out)[i].body, "a/bad") {
 			(*out)[i].answer(400, nil, nil)
 		} else {
