--- a/internal/api/asks_test.go
+++ b/internal/api/asks_test.go
@@ -2,9 +2,9 @@
 
 import (
 	"encoding/json"
-	"fmt"
 	"math/rand/v2"
 	"slices"
+	"strconv"
 	"strings"
 	"testing"
 	"time"
@@ -26,7 +26,7 @@
 		a := readBatcher{}
 		for round := range 6 {
 			for _, i := range chance.Perm(n) {
-				if away, full := a.add(pendingRead{uid: fmt.Sprint(i)}); full {
+				if away, full := a.add(pendingRead{uid: strconv.Itoa(i)}); full {
 					a.shedding.shed(away.uid)
 					if got := a.shedding.times(away.uid); got > most {
 						t.Fatalf("round %d: %s is sent away %d times in a row, of %d users", round, away.uid, got, n)
--- a/internal/calendar/model_test.go
+++ b/internal/calendar/model_test.go
@@ -7,6 +7,7 @@
 	"maps"
 	"math/rand/v2"
 	"slices"
+	"strconv"
 	"strings"
 	"testing"
 	"time"
@@ -98,7 +99,7 @@
 }
 
 func (m *model) leads(i int) bool {
-	return m.Ctl[i].Known.Items[viewKey].Value == fmt.Sprint(i)
+	return m.Ctl[i].Known.Items[viewKey].Value == strconv.Itoa(i)
 }
 
 // keeper is what a controller that has just read its mirror keeps.
@@ -258,11 +259,11 @@
 	before := map[string]State{}
 	if old, err := DecodeRecord([]byte(was)); err == nil {
 		for _, o := range old.Occurrences {
-			before[o.Window+fmt.Sprint(o.Begin)] = o.State
+			before[o.Window+strconv.FormatInt(o.Begin, 10)] = o.State
 		}
 	}
 	for _, o := range rec.Occurrences {
-		id := o.Window + fmt.Sprint(o.Begin)
+		id := o.Window + strconv.FormatInt(o.Begin, 10)
 		if o.State == Open && before[id] != Open {
 			if m.Opened[id]++; m.Opened[id] > 1 {
 				m.broken = id + " opened twice"
@@ -324,7 +325,7 @@
 	m.Changes++
 	m.True.Epoch++
 	m.Leader = to
-	m.True.Items[viewKey] = item{m.True.Epoch, fmt.Sprint(to)}
+	m.True.Items[viewKey] = item{m.True.Epoch, strconv.Itoa(to)}
 	m.Ctl[to].Known.Items[viewKey] = m.True.Items[viewKey]
 }
 
--- a/internal/calendar/show.go
+++ b/internal/calendar/show.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"slices"
 	"strings"
@@ -79,7 +80,7 @@
 		}
 	}
 	if k.plan == nil {
-		return nil, nil, fmt.Errorf("no calendar is in force")
+		return nil, nil, errors.New("no calendar is in force")
 	}
 	var out []Shown
 	for _, name := range k.names() {
--- a/internal/cli/jobs.go
+++ b/internal/cli/jobs.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"strconv"
 	"text/tabwriter"
 
 	"github.com/spf13/cobra"
@@ -164,5 +165,5 @@
 	if n == nil {
 		return "-"
 	}
-	return fmt.Sprint(*n)
+	return strconv.Itoa(*n)
 }
--- a/internal/cli/roll_test.go
+++ b/internal/cli/roll_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"fmt"
 	"testing"
 	"time"
 
@@ -41,7 +40,7 @@
 			t.Errorf("%s: %v after %d s", name, err, at.Unix())
 		}
 	}
-	gone := fmt.Errorf("gone")
+	gone := errors.New("gone")
 	if err := waitFor("n1", func() (rollout.Plan, error) { return rollout.Plan{}, gone }, 0, time.Second, time.Now, func(time.Duration) {}, func(string) {}); err != gone {
 		t.Error(err)
 	}
--- a/internal/jobs/records.go
+++ b/internal/jobs/records.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"slices"
 	"strconv"
@@ -331,7 +332,7 @@
 	case Pending, Released, Finished:
 	case Placed, Stopping:
 		if t.Machine == "" || t.Attempt == 0 {
-			return fmt.Errorf("placed task without machine or try")
+			return errors.New("placed task without machine or try")
 		}
 	default:
 		return fmt.Errorf("unknown task state %q", t.State)
--- a/internal/provisioning/cloud.go
+++ b/internal/provisioning/cloud.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"math"
 	"slices"
@@ -106,7 +107,7 @@
 	}
 }
 
-var errOldView = fmt.Errorf("the view has changed")
+var errOldView = errors.New("the view has changed")
 
 // Reconcile sends waiting calls and does what is due.
 func (re *Provisioner) Reconcile() {
--- a/internal/scenario/troubles_test.go
+++ b/internal/scenario/troubles_test.go
@@ -4,6 +4,7 @@
 	"flag"
 	"fmt"
 	"log/slog"
+	"strconv"
 	"testing"
 	"time"
 
@@ -24,7 +25,7 @@
 // forgotten or stranded, half of each class, team and largest jobs begun, the largest in time.
 func TestDrawnTroubles(t *testing.T) {
 	for seed := *troubleFrom; seed < *troubleFrom+*troubleWorlds; seed++ {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+		t.Run(strconv.Itoa(seed), func(t *testing.T) {
 			t.Parallel()
 			w := simulation.NewSimulator(uint64(seed), slog.New(slog.DiscardHandler))
 			w.WatchTasks()
--- a/internal/shard/part_test.go
+++ b/internal/shard/part_test.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 	"log/slog"
+	"strconv"
 	"strings"
 	"testing"
 	"time"
@@ -236,7 +237,7 @@
 			heartbeatSeq++
 			for i := range machines {
 				if reports(i) {
-					o.beat(strings.Replace(text(fmt.Sprint(heartbeatSeq), ""), "i-1", machine(i), 1))
+					o.beat(strings.Replace(text(strconv.Itoa(heartbeatSeq), ""), "i-1", machine(i), 1))
 				}
 			}
 			o.Reconcile()
--- a/internal/shard/reconcile_test.go
+++ b/internal/shard/reconcile_test.go
@@ -1,6 +1,7 @@
 package shard
 
 import (
+	"errors"
 	"fmt"
 	"strings"
 	"testing"
@@ -111,7 +112,7 @@
 	calls := 0
 	o.Call = func(endpoint, _, _ string, _ []byte, _ time.Duration, done func(int, []byte, error)) {
 		calls++
-		ends = append(ends, func() { done(0, nil, fmt.Errorf("no answer")) })
+		ends = append(ends, func() { done(0, nil, errors.New("no answer")) })
 	}
 	o.Reconcile()
 	if calls != tuning.AwaitedCalls {
--- a/internal/simulation/nodes.go
+++ b/internal/simulation/nodes.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"math/rand/v2"
 	"slices"
+	"strconv"
 	"strings"
 	"time"
 
@@ -430,7 +431,7 @@
 				if j.Accepted {
 					w.Break("forgotten: %s gets %d", j.UID, status)
 				}
-				j.Told = fmt.Sprint(status)
+				j.Told = strconv.Itoa(status)
 			default:
 				w.After(time.Second, try)
 			}
--- a/internal/snapshot/check.go
+++ b/internal/snapshot/check.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"slices"
 	"strings"
@@ -132,7 +133,7 @@
 	switch {
 	case key == members.ViewKey:
 		if _, ok := members.Decode(v); !ok {
-			err = fmt.Errorf("not a view")
+			err = errors.New("not a view")
 		}
 	case key == fleet.ClaimsKey:
 		err = c.ApplyClaims(v)
