--- a/internal/calendar/show.go
+++ b/internal/calendar/show.go
@@ -1,7 +1,6 @@
 package calendar
 
 import (
-	"encoding/json"
 	"errors"
 	"fmt"
 	"slices"
@@ -71,9 +70,9 @@
 		var err error
 		switch {
 		case r.Key == StoreKey:
-			err = k.Document(json.RawMessage(r.Value))
+			err = k.Document(r.Value)
 		case strings.HasPrefix(r.Key, TrackPrefix):
-			err = k.Changed(strings.TrimPrefix(r.Key, TrackPrefix), json.RawMessage(r.Value))
+			err = k.Changed(strings.TrimPrefix(r.Key, TrackPrefix), r.Value)
 		}
 		if err != nil {
 			return nil, nil, fmt.Errorf("%s can't be read: %w", r.Key, err)
--- a/internal/commit/settle.go
+++ b/internal/commit/settle.go
@@ -1,7 +1,6 @@
 package commit
 
 import (
-	"encoding/json"
 	"slices"
 	"strings"
 
@@ -94,7 +93,7 @@
 	for _, k := range clusterstate.SortedKeys(keys) {
 		c.Client.Get(store.PriorityUrgent, k, nil, func(it *store.Item, err error) {
 			if err == nil && it != nil {
-				c.Mirror.Put(it.Key, json.RawMessage(it.Value), it.Revision)
+				c.Mirror.Put(it.Key, it.Value, it.Revision)
 			}
 			if left--; left == 0 {
 				c.finish(writes, batch, false)
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -89,7 +89,7 @@
 	}
 	s.put("pack/a", pack(on(0, 0, 0), on(1, 0, 1)))
 	s.put("pack/z", pack(on(2, 0, 2)))
-	s.put("task/wk-3/0", json.RawMessage(jobs.EncodeTaskRange([]jobs.Task{{State: jobs.Finished, Attempt: 1}}, 8192)))
+	s.put("task/wk-3/0", jobs.EncodeTaskRange([]jobs.Task{{State: jobs.Finished, Attempt: 1}}, 8192))
 	s.put("final/wk-9", jobs.Final{State: jobs.Done, DoneCount: 1})
 	s.busy = func(call int) {
 		switch call {
@@ -278,7 +278,7 @@
 		want   string
 	}{
 		"nothing":               {func(*State) {}, ""},
-		"a task twice":          {func(s *State) { put(s, "task/wk-0/0", json.RawMessage(jobs.EncodeTaskRange([]jobs.Task{on}, 8192))) }, "holds too"},
+		"a task twice":          {func(s *State) { put(s, "task/wk-0/0", jobs.EncodeTaskRange([]jobs.Task{on}, 8192)) }, "holds too"},
 		"on an unknown machine": {func(s *State) { delete(s.Items, "host/i-2") }, "of which there is no record"},
 		"no job":                {func(s *State) { delete(s.Items, "job/wk-1") }, "neither a record nor a final state"},
 		"live and done":         {func(s *State) { put(s, "final/wk-1", jobs.Final{State: jobs.Done}) }, "for ever"},
@@ -288,7 +288,7 @@
 			r.State = jobs.Cancelled
 			put(s, "job/wk-3", r)
 		}, "no final state"},
-		"beyond the job's tasks":   {func(s *State) { put(s, "task/wk-3/9", json.RawMessage(jobs.EncodeTaskRange([]jobs.Task{on}, 8192))) }, "of a job of 9 tasks"},
+		"beyond the job's tasks":   {func(s *State) { put(s, "task/wk-3/9", jobs.EncodeTaskRange([]jobs.Task{on}, 8192)) }, "of a job of 9 tasks"},
 		"an unreadable pack":       {func(s *State) { put(s, "pack/a", 7) }, "can't be read"},
 		"an unreadable view":       {func(s *State) { put(s, "view", 7) }, "not a view"},
 		"unreadable loans":         {func(s *State) { put(s, "loan/0", 7) }, "can't be read"},
