--- a/internal/scenario/size_test.go
+++ b/internal/scenario/size_test.go
@@ -9,9 +9,11 @@
 	"testing"
 	"time"
 
+	"github.com/harrierreel/harrierreel/internal/fleet"
 	"github.com/harrierreel/harrierreel/internal/jobs"
 	"github.com/harrierreel/harrierreel/internal/settings"
 	"github.com/harrierreel/harrierreel/internal/standin"
+	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
 // How the size is reached: jobs of so many tasks that run on for as long as it is
@@ -132,6 +134,72 @@
 	}
 }
 
+// TestUnresponsiveAtOnce: of 4,000 machines, all of one controller, a third sends no reports
+// from one moment on, though they answer commands. All of them are named as such, and none
+// once they report again.
+func TestUnresponsiveAtOnce(t *testing.T) {
+	const machines = 4000
+	w := standin.NewWorld(7, slog.New(slog.DiscardHandler))
+	w.ReportS = sizeReportS
+	set := baseSettings(w)
+	set.Cluster.Size = 1
+	set.Cluster.Teams = []settings.Team{{Name: "team"}}
+	set.Operator.StepS = 600                                       // nothing is rented or given back meanwhile
+	set.Cluster.State.RPS, set.Cluster.State.WriteRPS = 2000, 1000 // all machines have their records soon
+	w.Store.ValueKB, w.Store.TxnOps = set.Cluster.State.ValueKB, set.Cluster.State.TxnOps
+	w.Store.RPS, w.Store.WPS = set.Cluster.State.RPS, set.Cluster.State.WriteRPS
+	w.Cloud.Limit = machines
+	for i := range machines {
+		w.Cloud.AddRunning("g8", []string{"a", "b"}[i%2], false)
+	}
+	w.AddNodes(1, set)
+	w.RunUntil(40 * time.Second)
+	named := func() fleet.Quiet {
+		lists := fleet.QuietLists{}
+		for number := 1; number <= tuning.MaxQuietLists; number++ {
+			value := w.Store.Value(fleet.QuietKey(w.Order[0], number))
+			if value == nil {
+				continue
+			}
+			list, err := fleet.DecodeQuietList(value)
+			if err != nil {
+				t.Fatal(err)
+			}
+			lists[number] = list
+		}
+		return lists.Join(nil, w.Now)
+	}
+	if n := len(named()); n != 0 || len(w.Workers) != machines {
+		t.Fatalf("%d of %d machines are unresponsive before anything happened", n, len(w.Workers))
+	}
+	var mute []string
+	for i, host := range w.Hosts() {
+		if i%3 == 0 {
+			mute = append(mute, host)
+			w.Mute(host, true)
+		}
+	}
+	w.RunUntil(w.At() + set.Cluster.Workers.Mute() + 2*time.Second)
+	told := named()
+	right := 0
+	for _, host := range mute {
+		if told[host].Mute {
+			right++
+		}
+		w.Mute(host, false)
+	}
+	if right != len(mute) || len(told) != len(mute) || w.Store.Value(fleet.QuietKey(w.Order[0], 2)) == nil {
+		t.Errorf("%d machines are named, %d send no reports", len(told), len(mute))
+	}
+	w.RunUntil(w.At() + 10*time.Second)
+	if n := len(named()); n != 0 || w.Cloud.Alive() != machines {
+		t.Errorf("%d machines are named though all report again, %d are left", n, w.Cloud.Alive())
+	}
+	if len(w.Broken) > 0 {
+		t.Errorf("%d rules broken: %s", len(w.Broken), strings.Join(w.Broken[:min(len(w.Broken), 5)], "\n"))
+	}
+}
+
 func totalStarts(w *standin.World) int {
 	n := 0
 	for _, j := range w.Jobs {
