--- a/internal/queue/claims.go
+++ b/internal/queue/claims.go
@@ -84,7 +84,7 @@
 		}
 		writes = append(writes, w)
 	}
-	if len(writes) > q.TxnOps || len(writes) > 1 && bytes > tuning.TxnBytes {
+	if len(writes) > q.TxnOps || len(writes) > 1 && bytes > tuning.MaxClaimBytes {
 		return nil
 	}
 	// What is needed no more goes with it, as far as there is room: by itself it counts for
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -303,6 +303,7 @@
 		{"one more", [][]string{hosts(0, 744, 6)}, 1, 2},
 		{"one of 4000", [][]string{hosts(0, 4000, 6)}, 1, 6},
 		{"three of a third", [][]string{hosts(0, 1333, 6), hosts(1333, 2666, 6), hosts(2666, 4000, 6)}, 3, 6},
+		{"one of 4000, names of 12 bytes", [][]string{hosts(0, 4000, 10)}, 1, 8},
 		{"long names", [][]string{hosts(0, 200, 6), hosts(200, 4000, 140)}, 1, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -343,6 +343,10 @@
 	// TxnBytes, bytes: up to where a transaction is filled by guess. What is sent is
 	// counted and must stay below MaxRequestBody.
 	TxnBytes = 48 << 10
+	// MaxClaimBytes, bytes: claims in one transaction, where one value does not hold them. The
+	// rest of MaxRequestBody is for keys and conditions, some 100 bytes each. 4,000 names of
+	// 12 bytes take 60,000.
+	MaxClaimBytes = 60 << 10
 	// MostAside: decisions kept that no transaction could hold or that were refused;
 	// they are faults of a program, one of which a bug may make for each machine.
 	MostAside = 5000
