--- a/internal/lending/keeper_test.go
+++ b/internal/lending/keeper_test.go
@@ -754,3 +754,29 @@
 		t.Error("a loan was begun over what cannot be read")
 	}
 }
+
+// 4,000 loans stand in records side by side, and one more begins.
+func TestRecordsHold4000Loans(t *testing.T) {
+	const loans = 4000
+	y := newYard(1)
+	id := 0
+	for id < loans {
+		var record LoanRecord
+		for range tuning.MaxLoansPerRecord {
+			id++
+			record.Loans = append(record.Loans, Loan{
+				ID: id, State: Lent, Job: "wk-7", Machine: "i-7", From: []Share{{Job: "wk-6", GPUs: 1, Tasks: 1}},
+				GPUs: 1, BeganMs: y.NowMs(), SinceMs: y.NowMs(),
+			})
+		}
+		number := (id - 1) / tuning.MaxLoansPerRecord
+		y.k.ApplyRecord(RecordKey(number), jobs.Encode(record))
+	}
+	if got := len(y.k.Loans()); got != loans {
+		t.Fatalf("%d loans are read, want %d", got, loans)
+	}
+	y.job("wk-1", "batch", jobs.JobArray, "standard", "x", 1, 7, "i-0", "i-0", "i-0", "i-0")
+	if !y.ask(t, y.job("wk-9", "serve", jobs.Service, "prod", "w", 1, 1), 0, true) {
+		t.Error("no loan begins beside 4,000 others")
+	}
+}
--- a/internal/tuning/lending.go
+++ b/internal/tuning/lending.go
@@ -4,10 +4,12 @@
 
 // Lending.
 const (
-	// LoanRecords, MostOnSheet: values of the shared state that loans stand in, and loans
-	// in one; 160 bytes a loan. SheetFull: share of the most bytes of a value up to which
-	// loans begin on a sheet; the rest is for what they grow by.
-	LoanRecords         = 16
+	// LoanRecords, MaxLoansPerRecord: records that loans stand in, and loans in one; 160
+	// bytes a loan. Together 5,120, more than one on each of 4,000 machines. The former
+	// version reads the first 16 records alone: as a leader it takes no loan back that stands
+	// in another one, whose replica runs on. LoanRecordFillShare: share of a value's bytes
+	// up to which loans begin in a record; the rest is for what they grow by.
+	LoanRecords         = 128
 	MaxLoansPerRecord   = 40
 	LoanRecordFillShare = 0.8
 	// LoanRequestTimeout: a lender that has not left after this, on a machine that still counts,
