--- a/internal/members/capabilities.go
+++ b/internal/members/capabilities.go
@@ -1,19 +1,21 @@
 package members
 
-// Capabilities is what one incarnation of a controller can read of the records that came
-// after the first version. A controller that says nothing reads none of them.
+// Capabilities is what one incarnation of a controller can read of the records that were added
+// after the first version. A controller that declares nothing reads none of them.
 type Capabilities struct {
 	Incarnation uint64 `json:"inc"`
-	BatchFormat int    `json:"pack"` // newest form of packs
-	// AnswersProbes tells that it answers calls (package standby): one that does not must not be
-	// taken for dead because of it.
+	// BatchFormat is the newest form of batch records that it reads, 0 for none.
+	BatchFormat int `json:"pack"`
+	// AnswersProbes tells that it answers liveness probes (package standby): a controller that
+	// doesn't must not be taken for dead because a probe is unanswered.
 	AnswersProbes bool `json:"calls,omitempty"`
 }
 
-// AllSupportBatches tells whether every member of the view reads packs of some form.
-func (v *View) AllSupportBatches(forms map[string]Capabilities, pack int) bool {
+// AllSupportBatches reports whether every member of the view, as the incarnation that the view
+// names, reads batch records of some format.
+func (v *View) AllSupportBatches(capabilities map[string]Capabilities, batchFormat int) bool {
 	for _, m := range v.Members {
-		if f := forms[m.Name]; f.Incarnation != m.Incarnation || f.BatchFormat < pack {
+		if c := capabilities[m.Name]; c.Incarnation != m.Incarnation || c.BatchFormat < batchFormat {
 			return false
 		}
 	}
--- a/internal/members/certainty.go
+++ b/internal/members/certainty.go
@@ -1,28 +1,30 @@
 package members
 
-// CertaintyState is how sure a controller is of its place in the view. A process that
-// stood still while its clocks ran on wakes with an old lease, an old view and
-// ages that count time in which it did not listen.
+// CertaintyState is how certain a controller is of its place in the view. A process that
+// stalled while its clocks ran on wakes with an old lease, an old view and ages that count
+// time in which it received nothing.
 type CertaintyState string
 
-// Standings of a controller.
+// Certainty states of a controller, in the order in which a stall leads through them.
 const (
 	Certain    CertaintyState = "sure"
-	Doubtful   CertaintyState = "doubtful"    // stood still: its lease may have ended
-	LeaseKnown CertaintyState = "settled"     // the lease stands or is known to be gone
+	Doubtful   CertaintyState = "doubtful"    // stalled: its lease may have expired
+	LeaseKnown CertaintyState = "settled"     // the lease holds, or is known to have expired
 	CatchingUp CertaintyState = "catching up" // the mirror must reach an epoch read since
 )
 
-// CertaintyEvent is what changes a standing.
+// CertaintyEvent is what changes a certainty state.
 type CertaintyEvent struct {
-	Kind  CertaintyEventKind
-	Epoch uint64 // read, or followed to
+	Kind CertaintyEventKind
+	// Epoch is the store's epoch that was read (EpochRead), or that the watch has reached
+	// (WatchedTo); other kinds leave it 0.
+	Epoch uint64
 }
 
-// CertaintyEventKind names an event.
+// CertaintyEventKind is the kind of a CertaintyEvent.
 type CertaintyEventKind string
 
-// Events of a standing.
+// Kinds of events.
 const (
 	Stalled        CertaintyEventKind = "stood still"
 	LeaseConfirmed CertaintyEventKind = "lease settled"
@@ -30,24 +32,26 @@
 	WatchedTo      CertaintyEventKind = "followed to"
 )
 
-// LeaseCertainty is a standing with the epoch that it waits for.
+// LeaseCertainty is a certainty state with the epoch that it waits for.
 type LeaseCertainty struct {
-	CertaintyState
-	Until uint64
+	State CertaintyState
+	// RequiredEpoch is the epoch that the watch must reach while the state is CatchingUp.
+	RequiredEpoch uint64
 }
 
-// Next is the one place where a standing changes. An answer that belongs to an
-// earlier standstill changes nothing.
+// Next returns the certainty after an event. It is the only place where the state changes. An
+// event that does not follow from the present state, such as the answer to a request from before
+// the last stall, changes nothing.
 func (c LeaseCertainty) Next(e CertaintyEvent) LeaseCertainty {
 	switch {
 	case e.Kind == Stalled:
-		return LeaseCertainty{CertaintyState: Doubtful}
-	case e.Kind == LeaseConfirmed && c.CertaintyState == Doubtful:
-		return LeaseCertainty{CertaintyState: LeaseKnown}
-	case e.Kind == EpochRead && c.CertaintyState == LeaseKnown:
-		return LeaseCertainty{CatchingUp, e.Epoch}
-	case e.Kind == WatchedTo && c.CertaintyState == CatchingUp && e.Epoch >= c.Until:
-		return LeaseCertainty{CertaintyState: Certain}
+		return LeaseCertainty{State: Doubtful}
+	case e.Kind == LeaseConfirmed && c.State == Doubtful:
+		return LeaseCertainty{State: LeaseKnown}
+	case e.Kind == EpochRead && c.State == LeaseKnown:
+		return LeaseCertainty{State: CatchingUp, RequiredEpoch: e.Epoch}
+	case e.Kind == WatchedTo && c.State == CatchingUp && e.Epoch >= c.RequiredEpoch:
+		return LeaseCertainty{State: Certain}
 	}
 	return c
 }
--- a/internal/members/certainty_test.go
+++ b/internal/members/certainty_test.go
@@ -2,22 +2,22 @@
 
 import "testing"
 
-func TestStandingIsSureOnlyAfterLeaseAndEpoch(t *testing.T) {
-	c := LeaseCertainty{CertaintyState: Certain}
+func TestCertaintyReturnsOnlyAfterLeaseAndEpoch(t *testing.T) {
+	certainty := LeaseCertainty{State: Certain}
 	step := func(kind CertaintyEventKind, epoch uint64, want CertaintyState) {
 		t.Helper()
-		if c = c.Next(CertaintyEvent{kind, epoch}); c.CertaintyState != want {
-			t.Fatalf("after %s: %s, not %s", kind, c.CertaintyState, want)
+		if certainty = certainty.Next(CertaintyEvent{kind, epoch}); certainty.State != want {
+			t.Fatalf("after %s: %s, not %s", kind, certainty.State, want)
 		}
 	}
 	step(LeaseConfirmed, 0, Certain)
 	step(Stalled, 0, Doubtful)
-	step(WatchedTo, 90, Doubtful) // what the watch brings now may be older
+	step(WatchedTo, 90, Doubtful) // what the watch delivers now may be older
 	step(EpochRead, 90, Doubtful)
 	step(LeaseConfirmed, 0, LeaseKnown)
 	step(EpochRead, 100, CatchingUp)
 	step(WatchedTo, 99, CatchingUp)
-	step(Stalled, 0, Doubtful) // once more, before it was sure
+	step(Stalled, 0, Doubtful) // once more, before it was certain
 	step(WatchedTo, 100, Doubtful)
 	step(LeaseConfirmed, 0, LeaseKnown)
 	step(EpochRead, 120, CatchingUp)
--- a/internal/members/complaints_test.go
+++ b/internal/members/complaints_test.go
@@ -7,49 +7,52 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-func TestComplaints(t *testing.T) {
+func TestComplaintsPersistUntilTheyStopOrTheOwnerChanges(t *testing.T) {
 	now := time.Unix(1000, 0)
-	c := Complaints{}
-	heard := func(string, string) bool { return false }
-	owner := func(h string) string {
-		if h == "i-3" {
+	complaints := Complaints{}
+	responsive := func(string, string) bool { return false }
+	ownerOf := func(machine string) string {
+		if machine == "i-3" {
 			return "c" // has passed to another owner
 		}
 		return "b"
 	}
 	for s := range 8 {
 		at := now.Add(time.Duration(s) * time.Second)
-		c.Add("b", "i-1", true, at)
-		c.Add("b", "i-3", false, at)
+		complaints.Add("b", "i-1", true, at)
+		complaints.Add("b", "i-3", false, at)
 		if s < 2 {
-			c.Add("b", "i-2", false, at)
+			complaints.Add("b", "i-2", false, at)
 		}
 	}
 	at := now.Add(7 * time.Second)
-	if got := c.Local(at); len(got) != 1 || got[0] != "i-1" {
-		t.Errorf("here: %v", got)
+	if got := complaints.Local(at); len(got) != 1 || got[0] != "i-1" {
+		t.Errorf("local: %v", got)
 	}
-	if got := c.PersistentByOwner(at, owner, heard); len(got) != 1 || got["b"] != 1 {
-		t.Errorf("lasting: %v", got)
+	if got := complaints.PersistentByOwner(at, ownerOf, responsive); len(got) != 1 || got["b"] != 1 {
+		t.Errorf("persistent: %v", got)
 	}
-	if got := c.PersistentByOwner(now.Add(time.Minute), owner, heard); len(got) != 0 || len(c["b"]) != 0 {
-		t.Errorf("after a minute of quiet: %v, kept %v", got, c["b"])
+	at = now.Add(time.Minute)
+	if got := complaints.PersistentByOwner(at, ownerOf, responsive); len(got) != 0 || len(complaints["b"]) != 0 {
+		t.Errorf("after a minute without complaints: %v, kept %v", got, complaints["b"])
 	}
 }
 
-// A machine that came here once is out of its owner's reach if the owner itself, a moment
-// after it was sent there, still tells that it does not hear it.
-func TestOwnersOwnWord(t *testing.T) {
+// A machine that complained once cannot reach its owner if the owner itself, a moment after the
+// agent was sent there, still reports that it receives no heartbeats of it.
+func TestSingleComplaintPersistsIfTheOwnerReportsTheMachineUnresponsive(t *testing.T) {
 	now := time.Unix(1000, 0)
-	c := Complaints{}
-	c.Add("b", "i-1", true, now)
-	c.Add("b", "i-2", true, now)
-	owner := func(string) string { return "b" }
+	complaints := Complaints{}
+	complaints.Add("b", "i-1", true, now)
+	complaints.Add("b", "i-2", true, now)
+	ownerOf := func(string) string { return "b" }
 	unresponsive := func(owner, machine string) bool { return owner == "b" && machine == "i-1" }
-	if got := c.PersistentByOwner(now.Add(tuning.UnresponsiveRetryAfter/2), owner, unresponsive); len(got) != 0 {
+	at := now.Add(tuning.UnresponsiveRetryAfter / 2)
+	if got := complaints.PersistentByOwner(at, ownerOf, unresponsive); len(got) != 0 {
 		t.Errorf("on its way to the owner: %v", got)
 	}
-	if got := c.PersistentByOwner(now.Add(tuning.UnresponsiveRetryAfter), owner, unresponsive); len(got) != 1 || got["b"] != 1 {
-		t.Errorf("not heard there: %v", got)
+	at = now.Add(tuning.UnresponsiveRetryAfter)
+	if got := complaints.PersistentByOwner(at, ownerOf, unresponsive); len(got) != 1 || got["b"] != 1 {
+		t.Errorf("unresponsive to its owner: %v", got)
 	}
 }
--- a/internal/members/golden_test.go
+++ b/internal/members/golden_test.go
@@ -10,7 +10,11 @@
 )
 
 func TestGoldenView(t *testing.T) {
-	full := View{Leader: "ctl-a", Members: []Member{{Name: "ctl-a", Incarnation: 11}, {Name: "ctl-b", Incarnation: 12}}, Epoch: 5}
+	full := View{
+		Leader:  "ctl-a",
+		Members: []Member{{Name: "ctl-a", Incarnation: 11}, {Name: "ctl-b", Incarnation: 12}},
+		Epoch:   5,
+	}
 	goldentest.Filled(t, full)
 	for name, v := range map[string]View{"view.json": full, "view-least.json": {Epoch: 1}} {
 		goldentest.JSON(t, name, v)
@@ -27,7 +31,7 @@
 	}
 }
 
-func TestGoldenForms(t *testing.T) {
+func TestGoldenCapabilities(t *testing.T) {
 	full := Capabilities{Incarnation: 11, BatchFormat: 1, AnswersProbes: true}
 	goldentest.Filled(t, full)
 	goldentest.JSON(t, "form.json", full)
@@ -35,5 +39,6 @@
 }
 
 func TestGoldenKeys(t *testing.T) {
-	goldentest.Bytes(t, "keys.txt", []byte(strings.Join([]string{ViewKey, MemberPrefix, CapabilitiesPrefix}, "\n")+"\n"))
+	keys := []string{ViewKey, MemberPrefix, CapabilitiesPrefix}
+	goldentest.Bytes(t, "keys.txt", []byte(strings.Join(keys, "\n")+"\n"))
 }
--- a/internal/members/restart_backoff_test.go
+++ b/internal/members/restart_backoff_test.go
@@ -9,62 +9,67 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-func TestHeldBack(t *testing.T) {
+func TestRestartBackoffDoublesUntilAnIncarnationStands(t *testing.T) {
 	now := time.UnixMilli(1e12)
-	c := RestartBackoff{}
+	backoff := RestartBackoff{}
 	incarnation := uint64(0)
-	after := func(d time.Duration) { now = now.Add(d) }
-	back := func() { incarnation++; c.Observe("a", incarnation, now) }
-	back()
-	if c.Blocked("a", now) {
-		t.Error("held at its first start")
+	pass := func(d time.Duration) { now = now.Add(d) }
+	restart := func() {
+		incarnation++
+		backoff.Observe("a", incarnation, now)
 	}
-	// Each hour it ends once, and is back at once: never held.
+	restart()
+	if backoff.Blocked("a", now) {
+		t.Error("blocked at its first start")
+	}
+	// It restarts once an hour: never blocked.
 	for range 3 {
-		after(time.Hour)
-		back()
-		if c.Blocked("a", now) {
-			t.Error("held after a single end")
+		pass(time.Hour)
+		restart()
+		if backoff.Blocked("a", now) {
+			t.Error("blocked after a single restart")
 		}
 	}
-	// It ends again and again.
+	// It restarts again and again.
 	for i, want := range []time.Duration{tuning.RejoinPause, 2 * tuning.RejoinPause, 4 * tuning.RejoinPause} {
-		after(300 * time.Millisecond)
+		pass(300 * time.Millisecond)
 		if i == 1 {
-			c.Observe("a", 0, now) // its lease ended meanwhile: the same end
+			backoff.Observe("a", 0, now) // its lease expired meanwhile: the same restart
 		}
-		back()
-		if got := c.Pause("a"); got != want || !c.Blocked("a", now) || c.Blocked("a", now.Add(want)) {
-			t.Errorf("end %d: pause %v, not %v", i+2, got, want)
+		restart()
+		got := backoff.Pause("a")
+		if got != want || !backoff.Blocked("a", now) || backoff.Blocked("a", now.Add(want)) {
+			t.Errorf("restart %d: pause %v, not %v", i+2, got, want)
 		}
 	}
-	after(tuning.RejoinStable)
-	back()
-	if c.Blocked("a", now) {
-		t.Error("held although it had stood")
+	pass(tuning.RejoinStable)
+	restart()
+	if backoff.Blocked("a", now) {
+		t.Error("blocked although it had stood")
 	}
 }
 
-// However a process ends and comes back, it is let in at most twice, and then once more
-// for each pause that it has stood.
-func TestViewsAreBounded(t *testing.T) {
+// However a process ends and restarts, it is admitted at most twice, and then once more for each
+// pause that it has stood.
+func TestRestartsCauseABoundedNumberOfViews(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start := time.UnixMilli(1e12)
-		now, c, in, let := start, RestartBackoff{}, uint64(0), 0
+		now, backoff := start, RestartBackoff{}
+		admittedIncarnation, admissions := uint64(0), 0
 		for incarnation := uint64(1); incarnation <= 40; incarnation++ {
-			c.Observe("a", incarnation, now)
-			lives := time.Duration(rapid.IntRange(100, 4000).Draw(t, "lives_ms")) * time.Millisecond
-			for end := now.Add(lives); now.Before(end); now = now.Add(100 * time.Millisecond) {
-				if !c.Blocked("a", now) && in != incarnation {
-					in = incarnation
-					let++
+			backoff.Observe("a", incarnation, now)
+			lifetime := time.Duration(rapid.IntRange(100, 4000).Draw(t, "lifetime_ms")) * time.Millisecond
+			for end := now.Add(lifetime); now.Before(end); now = now.Add(100 * time.Millisecond) {
+				if !backoff.Blocked("a", now) && admittedIncarnation != incarnation {
+					admittedIncarnation = incarnation
+					admissions++
 				}
 			}
 			now = now.Add(200 * time.Millisecond)
 		}
 		// Pauses of 0, 0, 1 and 2 s can be stood; 4 s are not.
-		if most := 4; let > most {
-			t.Fatalf("let in %d times in %v, more than %d", let, now.Sub(start), most)
+		if limit := 4; admissions > limit {
+			t.Fatalf("admitted %d times in %v, more than %d", admissions, now.Sub(start), limit)
 		}
 	})
 }
--- a/internal/members/view.go
+++ b/internal/members/view.go
@@ -6,14 +6,23 @@
 	"sort"
 )
 
-// View is the value of the view key.
+// Member is a live controller.
+type Member struct {
+	Name string `json:"name"`
+	// Incarnation is the id of the lease that the controller's member key hangs on: a restart
+	// has a new lease and so is a new incarnation.
+	Incarnation uint64 `json:"inc"`
+}
+
+// View is the value of ViewKey.
 type View struct {
 	Leader  string   `json:"leader"`
 	Members []Member `json:"members"`
-	Epoch   uint64   `json:"epoch"`
+	// Epoch grows by one with each change of the view, from 1.
+	Epoch uint64 `json:"epoch"`
 }
 
-// Incarnation is the incarnation of a member in the view, 0 if it is not in it.
+// Incarnation returns the incarnation of a member in the view, 0 if it is not in it.
 func (v *View) Incarnation(name string) uint64 {
 	for _, m := range v.Members {
 		if m.Name == name {
@@ -32,8 +41,8 @@
 	return out
 }
 
-// Removed lists the names of members that are not in the next view, or are there as
-// another incarnation.
+// Removed lists the names of members that are not in the next view, or are in it as another
+// incarnation; none if there is no view yet (v is nil).
 func (v *View) Removed(next *View) []string {
 	var out []string
 	if v == nil {
@@ -47,10 +56,10 @@
 	return out
 }
 
-// HasMembers tells whether the view has exactly these members.
-func (v *View) HasMembers(ms []Member) bool { return slices.Equal(v.Members, ms) }
+// HasMembers reports whether the view has exactly these members, in this order.
+func (v *View) HasMembers(members []Member) bool { return slices.Equal(v.Members, members) }
 
-// Decode reads a view.
+// Decode reads a stored view; false if it is none.
 func Decode(b []byte) (*View, bool) {
 	var v View
 	if json.Unmarshal(b, &v) != nil || v.Epoch == 0 {
@@ -59,70 +68,72 @@
 	return &v, true
 }
 
-// ViewInputs is all that a change of view is decided from.
-type ViewInputs struct {
-	Name        string
-	Incarnation uint64            // my incarnation, 0 while I have none
-	View        *View             // nil when there is none yet
-	Keys        map[string]uint64 // member keys: name to incarnation
-	Unreachable map[string]bool   // members that workers cannot reach
-	BackingOff  map[string]bool   // members that keep ending and are not let in yet
-}
-
-// Role is this controller's state in the cluster.
+// Role is what a controller may do in the cluster.
 type Role string
 
 // Roles of a controller.
 const (
 	Outside  Role = "outside"  // not in the view: decides nothing
-	Follower Role = "follower" // owns a part
-	Leader   Role = "leader"   // also releases, rents and changes the view
+	Follower Role = "follower" // owns a shard
+	Leader   Role = "leader"   // also places tasks, scales out and in, and changes the view
 )
 
-// RoleOf tells what the view makes of an incarnation.
-func RoleOf(v *View, me string, incarnation uint64) Role {
+// RoleOf returns the role that the view gives an incarnation of a controller.
+func RoleOf(v *View, name string, incarnation uint64) Role {
 	switch {
-	case v == nil || incarnation == 0 || v.Incarnation(me) != incarnation:
+	case v == nil || incarnation == 0 || v.Incarnation(name) != incarnation:
 		return Outside
-	case v.Leader == me:
+	case v.Leader == name:
 		return Leader
 	}
 	return Follower
 }
 
-// NextView returns the view that this controller should write now, or nil. The
-// leader writes it; when the leader's member key is gone or belongs to
-// another incarnation, or workers cannot reach it, any live member may, and
-// the condition on the view's stamp lets one succeed.
-func NextView(s ViewInputs) *View {
-	if s.Incarnation == 0 || s.Keys[s.Name] != s.Incarnation {
+// ViewInputs is all that a change of the view is decided from.
+type ViewInputs struct {
+	Name        string
+	Incarnation uint64            // this controller's, 0 while it has none
+	View        *View             // nil while there is none
+	MemberKeys  map[string]uint64 // name to incarnation
+	Unreachable map[string]bool   // members that agents cannot reach
+	BackingOff  map[string]bool   // members that keep crashing and are not admitted yet
+}
+
+// NextView returns the view that this controller should write now, or nil. The leader writes
+// it; when the leader's member key is gone or belongs to another incarnation, or agents cannot
+// reach the leader, any live member may, and the precondition on the view's revision lets one
+// of them succeed.
+func NextView(in ViewInputs) *View {
+	if in.Incarnation == 0 || in.MemberKeys[in.Name] != in.Incarnation {
 		return nil
 	}
 	var live []Member
-	for name, incarnation := range s.Keys {
-		// Whoever is in the view stays, and nobody holds himself back: where all keep
-		// ending, somebody must lead.
-		if !s.Unreachable[name] && (!s.BackingOff[name] || name == s.Name || s.View != nil && s.View.Incarnation(name) == incarnation) {
-			live = append(live, Member{name, incarnation})
+	for name, incarnation := range in.MemberKeys {
+		// Who is in the view stays, and no controller holds itself back: where all keep
+		// crashing, one must lead.
+		if !in.Unreachable[name] && (!in.BackingOff[name] || name == in.Name ||
+			in.View != nil && in.View.Incarnation(name) == incarnation) {
+			live = append(live, Member{Name: name, Incarnation: incarnation})
 		}
 	}
 	sort.Slice(live, func(i, j int) bool { return live[i].Name < live[j].Name })
 	if len(live) == 0 {
 		return nil
 	}
-	if s.View == nil {
-		return &View{Leader: s.Name, Members: live, Epoch: 1}
+	if in.View == nil {
+		return &View{Leader: in.Name, Members: live, Epoch: 1}
 	}
-	leaderAlive := s.View.Incarnation(s.View.Leader) != 0 && s.Keys[s.View.Leader] == s.View.Incarnation(s.View.Leader)
+	leaderAlive := in.View.Incarnation(in.View.Leader) != 0 &&
+		in.MemberKeys[in.View.Leader] == in.View.Incarnation(in.View.Leader)
 	switch {
-	case s.View.Leader == s.Name && leaderAlive:
-		if s.Unreachable[s.Name] || s.View.HasMembers(live) {
+	case in.View.Leader == in.Name && leaderAlive:
+		if in.Unreachable[in.Name] || in.View.HasMembers(live) {
 			return nil
 		}
-	case leaderAlive && !s.Unreachable[s.View.Leader]:
+	case leaderAlive && !in.Unreachable[in.View.Leader]:
 		return nil
-	case s.Unreachable[s.Name]:
+	case in.Unreachable[in.Name]:
 		return nil
 	}
-	return &View{Leader: s.Name, Members: live, Epoch: s.View.Epoch + 1}
+	return &View{Leader: in.Name, Members: live, Epoch: in.View.Epoch + 1}
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -79,7 +79,7 @@
 // New makes a controller that has not joined; book tells the time.
 func New(b *clusterstate.State, env Env) *Membership {
 	return &Membership{
-		State: b, Env: env, keys: map[string]uint64{}, restarts: members.RestartBackoff{}, capabilities: map[string]members.Capabilities{}, certainty: members.LeaseCertainty{CertaintyState: members.Certain},
+		State: b, Env: env, keys: map[string]uint64{}, restarts: members.RestartBackoff{}, capabilities: map[string]members.Capabilities{}, certainty: members.LeaseCertainty{State: members.Certain},
 		standby: standby.New(b.Now), probes: map[string]standby.Probe{},
 	}
 }
@@ -88,7 +88,7 @@
 func (me *Membership) LeaseID() uint64 { return me.leaseID }
 
 // Certain tells whether it is certain of its place in the view.
-func (me *Membership) Certain() bool { return me.certainty.CertaintyState == members.Certain }
+func (me *Membership) Certain() bool { return me.certainty.State == members.Certain }
 
 // ApplyMember takes in a member's key, nil for one that is gone.
 func (me *Membership) ApplyMember(name string, value json.RawMessage) {
@@ -164,7 +164,7 @@
 // certain of its place again.
 func (me *Membership) RestoreCertainty() {
 	me.certainty = me.certainty.Next(members.CertaintyEvent{Kind: members.WatchedTo, Epoch: me.Mirror.Epoch})
-	if me.certainty.CertaintyState != members.LeaseKnown || me.readingEpoch {
+	if me.certainty.State != members.LeaseKnown || me.readingEpoch {
 		return
 	}
 	me.readingEpoch = true
@@ -184,7 +184,7 @@
 // an outage of the state service it goes on answering workers: no other node
 // can have been given its machines by then, or their batons show it.
 func (me *Membership) Uncertain() bool {
-	return me.certainty.CertaintyState != members.Certain && !me.Client.Unavailable()
+	return me.certainty.State != members.Certain && !me.Client.Unavailable()
 }
 
 // Reconcile holds the lease, the member key and, where it falls to this
@@ -223,7 +223,7 @@
 	if me.resigned {
 		return
 	}
-	if !me.Live() || me.leaseID == 0 || me.Client.Unavailable() || me.certainty.CertaintyState != members.Certain {
+	if !me.Live() || me.leaseID == 0 || me.Client.Unavailable() || me.certainty.State != members.Certain {
 		return
 	}
 	if me.Incarnation(me.Name) != me.leaseID {
@@ -270,7 +270,7 @@
 	for name := range me.keys {
 		held[name] = me.restarts.Blocked(name, me.Now)
 	}
-	next := members.NextView(members.ViewInputs{Name: me.Name, Incarnation: me.leaseID, View: me.View(), Keys: me.candidates(), Unreachable: out, BackingOff: held})
+	next := members.NextView(members.ViewInputs{Name: me.Name, Incarnation: me.leaseID, View: me.View(), MemberKeys: me.candidates(), Unreachable: out, BackingOff: held})
 	if next == nil {
 		return
 	}
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -43,19 +43,19 @@
 	}
 	wake()
 	wake()
-	if len(answers) != 1 || n.certainty.CertaintyState != members.LeaseKnown {
-		t.Fatalf("%d questions, %s", len(answers), n.certainty.CertaintyState)
+	if len(answers) != 1 || n.certainty.State != members.LeaseKnown {
+		t.Fatalf("%d questions, %s", len(answers), n.certainty.State)
 	}
 	answers[0](404, []byte(`{"epoch":5}`), nil)
-	if n.certainty.CertaintyState != members.LeaseKnown {
-		t.Fatalf("%s by an answer from before", n.certainty.CertaintyState)
+	if n.certainty.State != members.LeaseKnown {
+		t.Fatalf("%s by an answer from before", n.certainty.State)
 	}
 	n.RestoreCertainty()
 	if len(answers) != 2 {
 		t.Fatal("not asked again")
 	}
 	answers[1](404, []byte(`{"epoch":9999}`), nil)
-	if n.certainty.CertaintyState != members.CatchingUp || n.certainty.Until != 9999 {
+	if n.certainty.State != members.CatchingUp || n.certainty.RequiredEpoch != 9999 {
 		t.Fatalf("%+v", n.certainty)
 	}
 }
