--- a/internal/members/complaints.go
+++ b/internal/members/complaints.go
@@ -62,8 +62,7 @@
 	return len(text) + 1
 }
 
-// PersistentByOwner counts by owner the machines that cannot reach it: they have complained for long,
-// or the owner itself reports them unresponsive though they were sent there again. Complaints that stopped,
+// PersistentByOwner counts by owner the machines that cannot reach it. Complaints that stopped,
 // or whose machine has another owner by now, are dropped. unresponsive tells whether the owner
 // itself reports that it receives no heartbeats of a machine.
 func (c Complaints) PersistentByOwner(
@@ -74,14 +73,25 @@
 	out := map[string]int{}
 	for owner, machines := range c {
 		for machine, entry := range machines {
-			switch {
-			case now.Sub(entry.last) > tuning.ComplaintGap || ownerOf(machine) != owner:
+			if now.Sub(entry.last) > tuning.ComplaintGap || ownerOf(machine) != owner {
 				delete(machines, machine)
-			case entry.last.Sub(entry.first) >= tuning.UnreachableOwnerAfter,
-				now.Sub(entry.last) >= tuning.UnresponsiveRetryAfter && unresponsive(owner, machine):
+				continue
+			}
+			if entry.persistent(now, func() bool { return unresponsive(owner, machine) }) {
 				out[owner]++
 			}
 		}
 	}
 	return out
 }
+
+// persistent reports whether a machine cannot reach its owner: it has complained for long, or the
+// owner itself reports it unresponsive though its agent was sent there again. An agent waits 4 s for an
+// owner that does not answer before it complains, and once more after each complaint: where
+// leases are short, a second complaint comes too late to save its lease.
+func (c *complaint) persistent(now time.Time, unresponsive func() bool) bool {
+	if c.last.Sub(c.first) >= tuning.UnreachableOwnerAfter {
+		return true
+	}
+	return now.Sub(c.last) >= tuning.UnresponsiveRetryAfter && unresponsive()
+}
--- a/internal/members/view.go
+++ b/internal/members/view.go
@@ -3,7 +3,7 @@
 import (
 	"encoding/json"
 	"slices"
-	"sort"
+	"strings"
 )
 
 // Member is a live controller.
@@ -59,6 +59,12 @@
 // HasMembers reports whether the view has exactly these members, in this order.
 func (v *View) HasMembers(members []Member) bool { return slices.Equal(v.Members, members) }
 
+// leaderAlive reports whether the leader still has the member key of the incarnation in the view.
+func (v *View) leaderAlive(memberKeys map[string]uint64) bool {
+	incarnation := v.Incarnation(v.Leader)
+	return incarnation != 0 && memberKeys[v.Leader] == incarnation
+}
+
 // Decode reads a stored view; false if it is none.
 func Decode(b []byte) (*View, bool) {
 	var v View
@@ -107,33 +113,47 @@
 	if in.Incarnation == 0 || in.MemberKeys[in.Name] != in.Incarnation {
 		return nil
 	}
+	live := in.liveMembers()
+	switch {
+	case len(live) == 0:
+		return nil
+	case in.View == nil:
+		return &View{Leader: in.Name, Members: live, Epoch: 1}
+	case in.Unreachable[in.Name] || !in.mayChangeView(live):
+		return nil
+	}
+	return &View{Leader: in.Name, Members: live, Epoch: in.View.Epoch + 1}
+}
+
+// liveMembers lists the members of the next view, by name.
+func (in ViewInputs) liveMembers() []Member {
 	var live []Member
 	for name, incarnation := range in.MemberKeys {
-		// Who is in the view stays, and no controller holds itself back: where all keep
-		// crashing, one must lead.
-		if !in.Unreachable[name] && (!in.BackingOff[name] || name == in.Name ||
-			in.View != nil && in.View.Incarnation(name) == incarnation) {
+		if !in.Unreachable[name] && in.admits(name, incarnation) {
 			live = append(live, Member{Name: name, Incarnation: incarnation})
 		}
 	}
-	sort.Slice(live, func(i, j int) bool { return live[i].Name < live[j].Name })
-	if len(live) == 0 {
-		return nil
+	slices.SortFunc(live, func(a, b Member) int { return strings.Compare(a.Name, b.Name) })
+	return live
+}
+
+// admits reports whether restarts do not keep a member out. Who is in the view stays, and no
+// controller holds itself back: where all keep crashing, one must lead.
+func (in ViewInputs) admits(name string, incarnation uint64) bool {
+	if !in.BackingOff[name] || name == in.Name {
+		return true
 	}
-	if in.View == nil {
-		return &View{Leader: in.Name, Members: live, Epoch: 1}
+	return in.View != nil && in.View.Incarnation(name) == incarnation
+}
+
+// mayChangeView reports whether this controller is the one to replace the view by one of these
+// members, and there is something to change.
+func (in ViewInputs) mayChangeView(live []Member) bool {
+	if !in.View.leaderAlive(in.MemberKeys) {
+		return true
 	}
-	leaderAlive := in.View.Incarnation(in.View.Leader) != 0 &&
-		in.MemberKeys[in.View.Leader] == in.View.Incarnation(in.View.Leader)
-	switch {
-	case in.View.Leader == in.Name && leaderAlive:
-		if in.Unreachable[in.Name] || in.View.HasMembers(live) {
-			return nil
-		}
-	case leaderAlive && !in.Unreachable[in.View.Leader]:
-		return nil
-	case in.Unreachable[in.Name]:
-		return nil
+	if in.View.Leader == in.Name {
+		return !in.View.HasMembers(live)
 	}
-	return &View{Leader: in.Name, Members: live, Epoch: in.View.Epoch + 1}
+	return in.Unreachable[in.View.Leader]
 }
