--- a/internal/standby/standby.go
+++ b/internal/standby/standby.go
@@ -13,33 +13,11 @@
 package standby
 
 import (
-	"cmp"
-	"encoding/json"
-	"maps"
-	"slices"
 	"time"
 
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// ProbePrefix is that of the keys by which members are called.
-const ProbePrefix = "call/"
-
-// Probe is the value of such a key.
-type Probe struct {
-	Incarnation uint64 `json:"inc"` // incarnation that is called
-	By          string `json:"by"`
-	// WaitMs is how long it may stand unanswered.
-	WaitMs int64 `json:"wait_ms"`
-}
-
-// DecodeProbe reads a call; false if it is none.
-func DecodeProbe(v json.RawMessage) (Probe, bool) {
-	var c Probe
-	ok := json.Unmarshal(v, &c) == nil && c.Incarnation != 0 && c.WaitMs > 0
-	return c, ok
-}
-
 // State is how ready a controller is.
 type State string
 
@@ -101,18 +79,6 @@
 	ActionHandOver ActionKind = "hand over" // change the view to one led by Names[0]
 )
 
-// suspect is what is known against one incarnation of a member.
-type suspect struct {
-	incarnation       uint64
-	connectionEndedAt time.Time // its connection ended, zero if it did not
-	// probeObservedAt is since when its call stands, as seen here.
-	probeObservedAt time.Time
-	notProbedBefore time.Time // it answered: not called again before
-	pause           time.Duration
-	// answeredProbes counts calls that went since the last look.
-	answeredProbes int
-}
-
 // Standby is one controller's readiness.
 type Standby struct {
 	State  State
@@ -137,48 +103,9 @@
 	return &Standby{State: Cold, Reason: "started", Since: now, suspects: map[string]*suspect{}}
 }
 
-// ConnectionEnded takes in that the connection to a peer has ended or was refused.
-func (s *Standby) ConnectionEnded(name string, now time.Time) {
-	if p := s.suspectFor(name); p.connectionEndedAt.IsZero() {
-		p.connectionEndedAt = now
-	}
-}
-
-// PeerAlive takes in that a peer spoke: it lives.
-func (s *Standby) PeerAlive(name string) {
-	if p := s.suspects[name]; p != nil {
-		p.connectionEndedAt = time.Time{}
-	}
-}
-
-// ProbeObserved takes in that a call stands, Gone that it stands no more. Both may come
-// between two looks: an answer takes a tenth of a second.
-func (s *Standby) ProbeObserved(name string, c Probe, now time.Time) {
-	if p := s.suspectFor(name); p.probeObservedAt.IsZero() || p.incarnation != c.Incarnation {
-		p.incarnation, p.probeObservedAt = c.Incarnation, now
-	}
-}
-
-// ProbeRemoved takes in that a call was removed.
-func (s *Standby) ProbeRemoved(name string) {
-	if p := s.suspects[name]; p != nil && !p.probeObservedAt.IsZero() {
-		p.probeObservedAt, p.connectionEndedAt = time.Time{}, time.Time{}
-		p.answeredProbes++
-	}
-}
-
 // Resign has the controller give its place away.
 func (s *Standby) Resign() { s.leaving = true }
 
-func (s *Standby) suspectFor(name string) *suspect {
-	p := s.suspects[name]
-	if p == nil {
-		p = &suspect{}
-		s.suspects[name] = p
-	}
-	return p
-}
-
 // Evaluate takes the situation in and says what to do. It is the one place where the state
 // changes; changed tells that it did.
 func (s *Standby) Evaluate(x ClusterStatus) (acts []Action, changed bool) {
@@ -242,163 +169,3 @@
 	s.State, s.Reason, s.Since = to, why, now
 	return true
 }
-
-func (s *Standby) suspected(name string) bool {
-	p := s.suspects[name]
-	return p != nil && (!p.connectionEndedAt.IsZero() || !p.probeObservedAt.IsZero())
-}
-
-// updateSuspects brings what is known against others in step with the view and the calls.
-func (s *Standby) updateSuspects(x ClusterStatus) {
-	in := map[string]uint64{}
-	for _, m := range x.Members {
-		in[m.Name] = m.Incarnation
-	}
-	for name, p := range s.suspects {
-		if in[name] == 0 || p.incarnation != 0 && in[name] != p.incarnation {
-			delete(s.suspects, name) // gone, or back as another incarnation
-		} else {
-			p.incarnation = in[name]
-		}
-	}
-	for name, incarnation := range in {
-		p := s.suspects[name]
-		if c, called := x.Probes[name]; called && c.Incarnation == incarnation && (p == nil || p.probeObservedAt.IsZero()) {
-			s.ProbeObserved(name, c, x.Now)
-		}
-		if p != nil && p.answeredProbes > 0 {
-			// What ended its connection may last: it is not called again and again for
-			// that, however often the connection ends.
-			s.FalseAlarms += p.answeredProbes
-			p.pause = min(max(2*p.pause, tuning.ProbePause), tuning.MaxProbePause)
-			p.answeredProbes, p.notProbedBefore = 0, x.Now.Add(p.pause)
-		}
-		if p != nil && p.pause > 0 && x.Now.Sub(p.notProbedBefore) > tuning.ProbeForgetAfter {
-			p.pause = 0
-		}
-	}
-}
-
-// probeOrder tells when it is this controller's turn to act on a suspicion: the leader's
-// first; after a suspected leader the others' in the order in which they follow it. It
-// is -1 while it is not its turn at all. follows is its place among those.
-func (s *Standby) probeOrder(x ClusterStatus) (priority, follows int) {
-	follows = slices.Index(Successors(x, s.suspected), x.Name)
-	switch {
-	case x.Leader == x.Name:
-		return 0, -1
-	case s.suspected(x.Leader):
-		return follows, follows
-	}
-	return -1, follows
-}
-
-// Successors orders the members by who should lead next: those that nobody suspects,
-// of other zones than the leader's first, then by name in turn after the leader's, so
-// that not the same one follows every leader.
-func Successors(x ClusterStatus, suspected func(string) bool) []string {
-	zone := ""
-	for _, m := range x.Members {
-		if m.Name == x.Leader {
-			zone = m.Zone
-		}
-	}
-	var out []Member
-	for _, m := range x.Members {
-		if m.Name != x.Leader && (m.Name == x.Name || !suspected(m.Name)) {
-			out = append(out, m)
-		}
-	}
-	slices.SortFunc(out, func(a, b Member) int {
-		return cmp.Or(falseFirst(a.Zone == zone, b.Zone == zone), falseFirst(a.Name < x.Leader, b.Name < x.Leader), cmp.Compare(a.Name, b.Name))
-	})
-	names := make([]string, len(out))
-	for i, m := range out {
-		names[i] = m.Name
-	}
-	return names
-}
-
-// falseFirst puts false before true.
-func falseFirst(a, b bool) int {
-	switch {
-	case a == b:
-		return 0
-	case a:
-		return 1
-	}
-	return -1
-}
-
-// handOverTo is who a leader hands the lead to because it is behind, for some time, with its
-// own loop or with the watch: what it decides comes late and conflicts. None if it isn't.
-func (s *Standby) handOverTo(x ClusterStatus) string {
-	if x.Leader != x.Name || x.Lag < tuning.UnfitLag {
-		s.laggingSince = time.Time{}
-		return ""
-	}
-	if s.laggingSince.IsZero() {
-		s.laggingSince = x.Now
-	}
-	to := Successors(x, s.suspected)
-	if x.Now.Sub(s.laggingSince) < tuning.UnfitFor || len(to) == 0 || s.suspected(to[0]) || !s.handedOverAt.IsZero() && x.Now.Sub(s.handedOverAt) < s.handOverPause {
-		return ""
-	}
-	s.laggingSince, s.handedOverAt = time.Time{}, x.Now
-	s.handOverPause = min(max(2*s.handOverPause, tuning.HandOverPause), tuning.MaxHandOverPause)
-	return to[0]
-}
-
-// delay is how long a controller leaves the first go to those before it. One that is
-// behind itself had better not be the one.
-func (x ClusterStatus) delay(priority int) time.Duration {
-	return time.Duration(priority)*tuning.ProbeStagger + min(x.Lag, tuning.ProbeStagger)
-}
-
-// probesDue is the members that this controller is to call now. The leader's call comes
-// from its followers, everybody else's from the leader.
-func (s *Standby) probesDue(x ClusterStatus, priority int) Action {
-	ended := 0
-	for _, m := range x.Members {
-		if p := s.suspects[m.Name]; p != nil && !p.connectionEndedAt.IsZero() {
-			ended++
-		}
-	}
-	act := Action{Kind: ActionProbe, Wait: tuning.ProbeTimeout}
-	if ended > 1 {
-		// Several at once: more likely it is the way to them, so they are given time.
-		act.Wait = tuning.ProbeTimeoutMany
-	}
-	for _, m := range x.Members {
-		p := s.suspects[m.Name]
-		_, called := x.Probes[m.Name]
-		mine := x.Leader == x.Name || m.Name == x.Leader
-		if m.Name == x.Name || !m.AnswersProbes || p == nil || p.connectionEndedAt.IsZero() || called || !mine {
-			continue
-		}
-		if x.Now.Sub(p.connectionEndedAt) >= x.delay(priority) && !x.Now.Before(p.notProbedBefore) {
-			act.Names = append(act.Names, m.Name)
-			if p.pause > 0 {
-				act.Wait = tuning.ProbeTimeoutMany // it has answered before
-			}
-		}
-	}
-	return act
-}
-
-// unanswered is the members whose calls have stood for too long.
-func (s *Standby) unanswered(x ClusterStatus, priority int) []string {
-	var out []string
-	for _, name := range slices.Sorted(maps.Keys(x.Probes)) {
-		c := x.Probes[name]
-		p := s.suspects[name]
-		mine := x.Leader == x.Name || name == x.Leader
-		if name == x.Name || p == nil || p.probeObservedAt.IsZero() || p.incarnation != c.Incarnation || !mine {
-			continue
-		}
-		if x.Now.Sub(p.probeObservedAt) >= time.Duration(c.WaitMs)*time.Millisecond+x.delay(priority) {
-			out = append(out, name)
-		}
-	}
-	return out
-}
