--- a/internal/standby/probes.go
+++ b/internal/standby/probes.go
@@ -52,47 +52,76 @@
 	return time.Duration(priority)*tuning.ProbeStagger + min(status.Lag, tuning.ProbeStagger)
 }
 
-// probesDue returns the probes that this controller has to write now. The leader is probed by its
-// followers, everybody else by the leader.
-func (s *Standby) probesDue(status ClusterStatus, priority int) Action {
-	ended := 0
-	for _, member := range status.Members {
-		if p := s.suspects[member.Name]; p != nil && !p.connectionEndedAt.IsZero() {
-			ended++
-		}
+// probesAndRemovals returns the actions by which this controller acts on suspicions: it probes, and
+// removes those whose probes are unanswered. A controller that is behind its own probe removes
+// nobody, as it would be a leader that can't decide: those after it see the probe and follow
+// instead.
+func (s *Standby) probesAndRemovals(status ClusterStatus, priority int) []Action {
+	var actions []Action
+	if probe := s.probesDue(status, priority); probe.Names != nil {
+		actions = append(actions, probe)
 	}
+	if names := s.unansweredProbes(status, priority); names != nil && !status.WatchBehind {
+		actions = append(actions, Action{Kind: ActionRemove, Names: names})
+	}
+	return actions
+}
+
+// probes reports whether a member is this controller's to probe: the leader is probed by its
+// followers, everybody else by the leader, and nobody by itself.
+func (status ClusterStatus) probes(member string) bool {
+	return member != status.Name && (status.Leader == status.Name || member == status.Leader)
+}
+
+// probesDue returns the probes that this controller has to write now.
+func (s *Standby) probesDue(status ClusterStatus, priority int) Action {
 	action := Action{Kind: ActionProbe, Wait: tuning.ProbeTimeout}
-	if ended > 1 {
+	if s.endedConnections(status) > 1 {
 		// Several at once: more likely it is the network's fault, so they are given time.
 		action.Wait = tuning.ProbeTimeoutMany
 	}
 	for _, member := range status.Members {
-		p := s.suspects[member.Name]
-		_, probed := status.Probes[member.Name]
-		mine := status.Leader == status.Name || member.Name == status.Leader
-		if member.Name == status.Name || !member.AnswersProbes || p == nil ||
-			p.connectionEndedAt.IsZero() || probed || !mine {
+		if !s.probeDue(status, member, priority) {
 			continue
 		}
-		if status.Now.Sub(p.connectionEndedAt) >= status.probeDelay(priority) && !status.Now.Before(p.notProbedBefore) {
-			action.Names = append(action.Names, member.Name)
-			if p.pause > 0 {
-				action.Wait = tuning.ProbeTimeoutMany // it has answered before
-			}
+		action.Names = append(action.Names, member.Name)
+		if s.suspects[member.Name].pause > 0 {
+			action.Wait = tuning.ProbeTimeoutMany // it has answered before
 		}
 	}
 	return action
 }
 
+// endedConnections counts the members whose connections have ended.
+func (s *Standby) endedConnections(status ClusterStatus) int {
+	ended := 0
+	for _, member := range status.Members {
+		if p := s.suspects[member.Name]; p != nil && !p.connectionEndedAt.IsZero() {
+			ended++
+		}
+	}
+	return ended
+}
+
+// probeDue reports whether this controller has to probe a member now.
+func (s *Standby) probeDue(status ClusterStatus, member Member, priority int) bool {
+	if _, probed := status.Probes[member.Name]; probed || !member.AnswersProbes || !status.probes(member.Name) {
+		return false
+	}
+	p := s.suspects[member.Name]
+	if p == nil || p.connectionEndedAt.IsZero() || status.Now.Before(p.notProbedBefore) {
+		return false
+	}
+	return status.Now.Sub(p.connectionEndedAt) >= status.probeDelay(priority)
+}
+
 // unansweredProbes lists the members whose probes have stood for too long.
 func (s *Standby) unansweredProbes(status ClusterStatus, priority int) []string {
 	var out []string
 	for _, name := range slices.Sorted(maps.Keys(status.Probes)) {
 		probe := status.Probes[name]
 		p := s.suspects[name]
-		mine := status.Leader == status.Name || name == status.Leader
-		if name == status.Name || p == nil || p.probeObservedAt.IsZero() ||
-			p.incarnation != probe.Incarnation || !mine {
+		if !status.probes(name) || p == nil || p.probeObservedAt.IsZero() || p.incarnation != probe.Incarnation {
 			continue
 		}
 		if status.Now.Sub(p.probeObservedAt) >= probe.timeout()+status.probeDelay(priority) {
--- a/internal/standby/standby.go
+++ b/internal/standby/standby.go
@@ -116,56 +116,66 @@
 // place where the state changes; changed tells that it did.
 func (s *Standby) Evaluate(status ClusterStatus) (actions []Action, changed bool) {
 	s.updateSuspects(status)
-	priority, order := s.probeOrder(status)
-	s.SuccessionOrder = order
-	if !status.InView {
+	priority, succession := s.probeOrder(status)
+	s.SuccessionOrder = succession
+	switch {
+	case !status.InView:
 		// It has nothing to decide from. It still answers: a probe means that others count
 		// it in.
-		if _, probed := status.Probes[status.Name]; probed && !status.StoreUnavailable {
-			actions = append(actions, Action{Kind: ActionAnswer})
+		if !status.StoreUnavailable {
+			actions = answer(status)
 		}
 		return actions, s.transition(Cold, "outside the view, or not certain of its place", status.Now)
-	}
-	if _, probed := status.Probes[status.Name]; probed && !s.resigning {
-		actions = append(actions, Action{Kind: ActionAnswer})
-	}
-	if status.StoreUnavailable {
+	case status.StoreUnavailable:
 		return nil, false // nothing can be probed, answered or changed
+	case s.resigning:
+		return s.resignation(status), s.transition(Leaving, "asked to end", status.Now)
 	}
-	if s.resigning {
-		to := Successors(status, s.suspected)
-		if status.Leader != status.Name {
-			to = []string{status.Leader} // who takes note of it
-		}
-		if len(to) > 0 {
-			actions = append(actions, Action{Kind: ActionResign, Names: to[:1]})
-		}
-		return actions, s.transition(Leaving, "asked to end", status.Now)
-	}
+	actions = answer(status)
 	if priority >= 0 {
-		if probe := s.probesDue(status, priority); probe.Names != nil {
-			actions = append(actions, probe)
-		}
-		// A controller that is behind its own probe would be a leader that can't decide:
-		// those after it see the probe and follow instead.
-		if names := s.unansweredProbes(status, priority); names != nil && !status.WatchBehind {
-			actions = append(actions, Action{Kind: ActionRemove, Names: names})
-		}
+		actions = append(actions, s.probesAndRemovals(status, priority)...)
 	}
 	if to := s.handOverTo(status); to != "" {
 		actions = append(actions, Action{Kind: ActionHandOver, Names: []string{to}})
 	}
+	state, reason := s.stateInView(status, priority)
+	return actions, s.transition(state, reason, status.Now)
+}
+
+// answer returns the action that answers a probe of this controller, none if none stands.
+func answer(status ClusterStatus) []Action {
+	if _, probed := status.Probes[status.Name]; !probed {
+		return nil
+	}
+	return []Action{{Kind: ActionAnswer}}
+}
+
+// resignation returns the action that gives up this controller's place, with its successor if it
+// leads; none if a leader has no successor.
+func (s *Standby) resignation(status ClusterStatus) []Action {
+	leader := []string{status.Leader} // changes the view when the member key is gone
+	if status.Leader == status.Name {
+		leader = Successors(status, s.suspected)
+	}
+	if len(leader) == 0 {
+		return nil
+	}
+	return []Action{{Kind: ActionResign, Names: leader[:1]}}
+}
+
+// stateInView returns the state of a controller that is in the view and stays in it, and why.
+func (s *Standby) stateInView(status ClusterStatus, priority int) (state State, reason string) {
 	switch {
 	case status.Leader == status.Name && len(status.PendingChecks) > 0:
-		return actions, s.transition(Checking, "leads now", status.Now)
+		return Checking, "leads now"
 	case status.Leader == status.Name:
-		return actions, s.transition(Leading, "all is checked", status.Now)
+		return Leading, "all is checked"
 	case priority >= 0 && s.suspected(status.Leader):
-		return actions, s.transition(Probing, "the leader's connection ended", status.Now)
-	case order >= 0 && order < tuning.WarmStandbys:
-		return actions, s.transition(Warm, "among the first to follow", status.Now)
+		return Probing, "the leader's connection ended"
+	case s.SuccessionOrder >= 0 && s.SuccessionOrder < tuning.WarmStandbys:
+		return Warm, "among the first to follow"
 	}
-	return actions, s.transition(Following, "in the view", status.Now)
+	return Following, "in the view"
 }
 
 func (s *Standby) transition(to State, reason string, now time.Time) bool {
--- a/internal/standby/succession.go
+++ b/internal/standby/succession.go
@@ -60,9 +60,12 @@
 	if s.laggingSince.IsZero() {
 		s.laggingSince = status.Now
 	}
+	pausing := !s.handedOverAt.IsZero() && status.Now.Sub(s.handedOverAt) < s.handOverPause
+	if status.Now.Sub(s.laggingSince) < tuning.UnfitFor || pausing {
+		return ""
+	}
 	successors := Successors(status, s.suspected)
-	if status.Now.Sub(s.laggingSince) < tuning.UnfitFor || len(successors) == 0 || s.suspected(successors[0]) ||
-		!s.handedOverAt.IsZero() && status.Now.Sub(s.handedOverAt) < s.handOverPause {
+	if len(successors) == 0 || s.suspected(successors[0]) {
 		return ""
 	}
 	s.laggingSince, s.handedOverAt = time.Time{}, status.Now
--- a/internal/standby/suspects.go
+++ b/internal/standby/suspects.go
@@ -82,15 +82,21 @@
 		if probed && probe.Incarnation == incarnation && (p == nil || p.probeObservedAt.IsZero()) {
 			s.ProbeObserved(name, probe, status.Now)
 		}
-		if p != nil && p.answeredProbes > 0 {
-			// What ended its connection may last: it is not probed again and again for
-			// that, however often the connection ends.
+		if p != nil {
 			s.FalseAlarms += p.answeredProbes
-			p.pause = min(max(2*p.pause, tuning.ProbePause), tuning.MaxProbePause)
-			p.answeredProbes, p.notProbedBefore = 0, status.Now.Add(p.pause)
-		}
-		if p != nil && p.pause > 0 && status.Now.Sub(p.notProbedBefore) > tuning.ProbeForgetAfter {
-			p.pause = 0
+			p.updatePause(status.Now)
 		}
 	}
 }
+
+// updatePause takes in the probes that were answered. What ended the connection may last: the
+// member is not probed again and again for that, however often the connection ends.
+func (p *suspect) updatePause(now time.Time) {
+	if p.answeredProbes > 0 {
+		p.pause = min(max(2*p.pause, tuning.ProbePause), tuning.MaxProbePause)
+		p.answeredProbes, p.notProbedBefore = 0, now.Add(p.pause)
+	}
+	if p.pause > 0 && now.Sub(p.notProbedBefore) > tuning.ProbeForgetAfter {
+		p.pause = 0
+	}
+}
