--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -8,13 +8,9 @@
 	"encoding/json"
 	"errors"
 	"log/slog"
-	"slices"
 	"time"
 
 	"github.com/harrierreel/harrierreel/internal/clusterstate"
-	"github.com/harrierreel/harrierreel/internal/decide"
-	"github.com/harrierreel/harrierreel/internal/fleet"
-	"github.com/harrierreel/harrierreel/internal/jobs"
 	"github.com/harrierreel/harrierreel/internal/members"
 	"github.com/harrierreel/harrierreel/internal/standby"
 	"github.com/harrierreel/harrierreel/internal/store"
@@ -87,9 +83,6 @@
 // LeaseID is its lease, 0 for none.
 func (me *Membership) LeaseID() uint64 { return me.leaseID }
 
-// Certain tells whether it is certain of its place in the view.
-func (me *Membership) Certain() bool { return me.certainty.State == members.Certain }
-
 // ApplyMember takes in a member's key, nil for one that is gone.
 func (me *Membership) ApplyMember(name string, value json.RawMessage) {
 	var incarnation uint64
@@ -122,71 +115,6 @@
 	return me.View() != nil && me.View().AllSupportBatches(me.capabilities, taskbatch.FormatVersion)
 }
 
-// candidates is the members' keys without those of controllers that cannot read what
-// is stored: in the view they would take tasks in packs for tasks that nobody knows.
-func (me *Membership) candidates() map[string]uint64 {
-	if len(me.Batches) == 0 {
-		return me.keys
-	}
-	out := map[string]uint64{}
-	for name, incarnation := range me.keys {
-		if f := me.capabilities[name]; f.Incarnation == incarnation && f.BatchFormat >= taskbatch.FormatVersion {
-			out[name] = incarnation
-		}
-	}
-	return out
-}
-
-// Stalled takes note of a gap that its lease may not have outlived: it decides
-// nothing, and vouches for nothing, until it knows its place in the view again. A
-// leader that woke under another one would rent and delete by an old picture.
-func (me *Membership) Stalled(gap time.Duration) {
-	// A member that calls others may have been called itself: then its lease is not all
-	// that it must not have outlived.
-	if !me.AnswersProbes && gap < me.TTL-tuning.MemberRenew-tuning.Standstill/2 {
-		return
-	}
-	me.renewedAt, me.resumedAt = time.Time{}, me.Now
-	me.certainty = me.certainty.Next(members.CertaintyEvent{Kind: members.Stalled})
-}
-
-// leaseConfirmed notes that the lease stands, by an answer to what was asked then. An
-// answer from before this node last stood still proves nothing.
-func (me *Membership) leaseConfirmed(asked time.Time) {
-	if asked.Before(me.resumedAt) {
-		return
-	}
-	me.certainty = me.certainty.Next(members.CertaintyEvent{Kind: members.LeaseConfirmed})
-	me.RestoreCertainty()
-}
-
-// RestoreCertainty reads the epoch that the mirror must reach before this node is
-// certain of its place again.
-func (me *Membership) RestoreCertainty() {
-	me.certainty = me.certainty.Next(members.CertaintyEvent{Kind: members.WatchedTo, Epoch: me.Mirror.Epoch})
-	if me.certainty.State != members.LeaseKnown || me.readingEpoch {
-		return
-	}
-	me.readingEpoch = true
-	asked := me.Now
-	me.Client.ReadEpoch(store.PriorityMembership, func(epoch uint64, err error) {
-		me.readingEpoch = false
-		// What was asked before a later standstill says nothing of it.
-		if err == nil && !asked.Before(me.resumedAt) {
-			me.certainty = me.certainty.Next(members.CertaintyEvent{Kind: members.EpochRead, Epoch: epoch})
-			me.WatchNow()
-		}
-		me.Wake()
-	})
-}
-
-// Uncertain tells whether this node must not speak for the controllers now. During
-// an outage of the state service it goes on answering workers: no other node
-// can have been given its machines by then, or their batons show it.
-func (me *Membership) Uncertain() bool {
-	return me.certainty.State != members.Certain && !me.Client.Unavailable()
-}
-
 // Reconcile holds the lease, the member key and, where it falls to this
 // node, the view.
 func (me *Membership) Reconcile() {
@@ -235,94 +163,3 @@
 
 // Incarnation is that of a member's key, 0 if it has none.
 func (me *Membership) Incarnation(name string) uint64 { return me.keys[name] }
-
-func (me *Membership) writeMemberKey() {
-	if me.writingMemberKey || me.resigned {
-		return
-	}
-	me.writingMemberKey = true
-	hold := me.leaseID
-	ws := []store.Write{
-		{Put: members.CapabilitiesPrefix + me.Name, Value: jobs.Encode(members.Capabilities{Incarnation: hold, BatchFormat: taskbatch.FormatVersion, AnswersProbes: me.AnswersProbes}), LeaseID: hold},
-		{Put: members.MemberPrefix + me.Name, Value: jobs.Encode(hold), LeaseID: hold},
-	}
-	me.Client.Commit(store.PriorityMembership, store.Txn{Writes: ws}, func(epoch uint64, _ []string, err error) {
-		me.writingMemberKey = false
-		if errors.Is(err, store.ErrRefused) && me.leaseID == hold {
-			me.leaseID = 0 // no such lease
-		}
-		if err == nil {
-			me.Mirror.ApplyCommit(ws, epoch)
-			me.Wake()
-		}
-	})
-}
-
-func (me *Membership) changeView() {
-	if me.changingView {
-		return
-	}
-	out := me.Unreachable()
-	for _, name := range me.unansweredProbes {
-		out[name] = true
-	}
-	held := map[string]bool{}
-	for name := range me.keys {
-		held[name] = me.restarts.Blocked(name, me.Now)
-	}
-	next := members.NextView(members.ViewInputs{Name: me.Name, Incarnation: me.leaseID, View: me.View(), MemberKeys: me.candidates(), Unreachable: out, BackingOff: held})
-	if next == nil {
-		return
-	}
-	t := store.Txn{
-		Preconditions: []store.Precondition{me.precondition(members.ViewKey), me.precondition(members.MemberPrefix + me.Name)},
-		Writes:        []store.Write{decide.Put(members.ViewKey, next)},
-	}
-	silent := me.unansweredProbes
-	for _, name := range silent {
-		t = me.addRemoval(t, name)
-	}
-	// What a member did not hear ends with its place in the view. When it comes
-	// back its machines have been heard by others meanwhile: by the old list
-	// hundreds of them were deleted at once (docs/incidents/ushanga-ops-ops-1.md).
-	for _, name := range me.View().Removed(next) {
-		t.Writes = append(t.Writes, me.forgetQuiet(name, 1)...)
-	}
-	for _, name := range me.View().Removed(next) {
-		t.Writes = me.forgetMoreQuiet(t.Writes, name)
-	}
-	if v := me.View(); v != nil && v.Leader != me.Name && !slices.Contains(silent, v.Leader) {
-		t.Preconditions = append(t.Preconditions, me.precondition(members.MemberPrefix+v.Leader))
-	}
-	me.changingView = true
-	me.Client.Commit(store.PriorityMembership, t, func(epoch uint64, _ []string, err error) {
-		me.changingView = false
-		if err == nil {
-			if len(silent) > 0 {
-				me.Log.Info("left out of the view, calls unanswered", "members", silent)
-			}
-			me.Log.Info("view changed", "epoch", next.Epoch, "leader", next.Leader, "members", len(next.Members))
-			me.Mirror.ApplyCommit(t.Writes, epoch)
-		}
-		me.Wake()
-	})
-}
-
-// forgetQuiet is the change that takes one of a member's lists of unresponsive machines
-// away, none if there is no such list.
-func (me *Membership) forgetQuiet(name string, number int) []store.Write {
-	if key := fleet.UnresponsiveKey(name, number); me.Mirror.Revision(key) != 0 {
-		return []store.Write{decide.Remove(key)}
-	}
-	return nil
-}
-
-// forgetMoreQuiet adds to a transaction's changes those that take a member's further lists
-// away, as far as there is room. Without the first they count for nothing
-// (fleet.UnresponsiveLists), and the member clears them itself when it comes back.
-func (me *Membership) forgetMoreQuiet(changes []store.Write, name string) []store.Write {
-	for number := 2; number <= tuning.MaxUnresponsiveLists && len(changes) < me.TxnOps; number++ {
-		changes = append(changes, me.forgetQuiet(name, number)...)
-	}
-	return changes
-}
--- a/internal/membership/calls.go
+++ b/internal/membership/probes.go
@@ -79,27 +79,6 @@
 	}
 }
 
-// removalWrites is how many changes it takes to leave a member out: its key, what it reads,
-// its call and its list of machines.
-const removalWrites = 4
-
-// maxRemovals is how many members one change of the view can leave out.
-func (me *Membership) maxRemovals() int { return max(1, (me.TxnOps-1)/removalWrites) }
-
-func (me *Membership) precondition(key string) store.Precondition {
-	return store.Precondition{Key: key, Revision: me.Mirror.Revision(key)}
-}
-
-// addRemoval adds to a change of the view that a member leaves that did not answer: it holds
-// only if its call still stands as it was read, and takes its key away, so that it comes
-// back as a new incarnation or not at all.
-func (me *Membership) addRemoval(t store.Txn, name string) store.Txn {
-	call, key, form := standby.ProbePrefix+name, members.MemberPrefix+name, members.CapabilitiesPrefix+name
-	t.Preconditions = append(t.Preconditions, me.precondition(call), me.precondition(key))
-	t.Writes = append(t.Writes, decide.Remove(call), decide.Remove(key), decide.Remove(form))
-	return t
-}
-
 // probe writes calls. What it goes by is in the conditions: the view, this controller's
 // key, and the keys of those that are called.
 func (me *Membership) probe(names []string, wait time.Duration) {
@@ -141,59 +120,3 @@
 		}
 	})
 }
-
-// handOver hands the lead to another member.
-func (me *Membership) handOver(leader string) {
-	if me.changingView {
-		return
-	}
-	v := me.View()
-	next := &members.View{Leader: leader, Members: v.Members, Epoch: v.Epoch + 1}
-	t := store.Txn{
-		Preconditions: []store.Precondition{me.precondition(members.ViewKey), me.precondition(members.MemberPrefix + me.Name), me.precondition(members.MemberPrefix + leader)},
-		Writes:        []store.Write{decide.Put(members.ViewKey, next)},
-	}
-	me.changingView = true
-	me.Client.Commit(store.PriorityMembership, t, func(epoch uint64, _ []string, err error) {
-		me.changingView = false
-		if err == nil {
-			me.Log.Info("lead handed over, too far behind", "leader", leader, "epoch", next.Epoch)
-			me.Mirror.ApplyCommit(t.Writes, epoch)
-		}
-		me.Wake()
-	})
-}
-
-// resignTo gives this controller's place away, the lead with it if it has it.
-func (me *Membership) resignTo(leader string) {
-	if me.changingView || me.resigned {
-		return
-	}
-	own := members.MemberPrefix + me.Name
-	t := store.Txn{
-		Preconditions: []store.Precondition{me.precondition(own), me.precondition(members.MemberPrefix + leader)},
-		Writes:        []store.Write{decide.Remove(own), decide.Remove(members.CapabilitiesPrefix + me.Name)},
-	}
-	if v := me.View(); v.Leader == me.Name {
-		next := &members.View{Leader: leader, Epoch: v.Epoch + 1}
-		for _, m := range v.Members {
-			if m.Name != me.Name {
-				next.Members = append(next.Members, m)
-			}
-		}
-		t.Preconditions = append(t.Preconditions, me.precondition(members.ViewKey))
-		t.Writes = append(t.Writes, decide.Put(members.ViewKey, next))
-		t.Writes = append(t.Writes, me.forgetQuiet(me.Name, 1)...)
-		t.Writes = me.forgetMoreQuiet(t.Writes, me.Name)
-	}
-	me.changingView, me.resigning = true, true
-	me.Client.Commit(store.PriorityMembership, t, func(epoch uint64, _ []string, err error) {
-		me.changingView = false
-		if err == nil {
-			me.resigned = true
-			me.Log.Info("place given away", "leader", leader)
-			me.Mirror.ApplyCommit(t.Writes, epoch)
-		}
-		me.Wake()
-	})
-}
