--- a/internal/controller/wiring_membership.go
+++ b/internal/controller/wiring_membership.go
@@ -11,19 +11,19 @@
 func (n *Controller) newMembership() *membership.Membership {
 	return membership.New(n.State, membership.Env{
 		Name:          n.settings.NodeName,
-		TTL:           jobs.Seconds(n.settings.Operator.MemberTTLS),
+		LeaseTTL:      jobs.Seconds(n.settings.Operator.MemberTTLS),
 		Client:        n.client,
 		Mirror:        n.mirror,
 		Log:           n.log,
-		Live:          n.mirrorLive,
+		MirrorLive:    n.mirrorLive,
 		View:          func() *members.View { return n.view },
 		Unreachable:   n.reachability.Unreachable,
 		Wake:          n.wake,
 		WatchNow:      n.watchNow,
-		TxnOps:        n.settings.Cluster.State.TxnOps,
+		MaxTxnWrites:  n.settings.Cluster.State.TxnOps,
 		AnswersProbes: n.settings.Operator.TakeOver == settings.TakeOverCalls,
-		ZoneOf:        n.settings.Zones(),
+		Zones:         n.settings.Zones(),
 		Lag:           n.lag,
-		Unchecked:     n.pendingChecks,
+		PendingChecks: n.pendingChecks,
 	})
 }
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -47,9 +47,9 @@
 		}
 	})
 	me = New(b, Env{
-		Name: "n0", TTL: 4 * time.Second, Client: client, Mirror: mirror, Log: slog.New(slog.DiscardHandler), Live: func() bool { return true },
-		View: func() *members.View { return view }, Unreachable: func() map[string]bool { return map[string]bool{} }, Wake: func() {}, WatchNow: func() {}, TxnOps: 16, AnswersProbes: true,
-		Lag: func() time.Duration { return 0 }, Unchecked: func() []standby.Check { return nil },
+		Name: "n0", LeaseTTL: 4 * time.Second, Client: client, Mirror: mirror, Log: slog.New(slog.DiscardHandler), MirrorLive: func() bool { return true },
+		View: func() *members.View { return view }, Unreachable: func() map[string]bool { return map[string]bool{} }, Wake: func() {}, WatchNow: func() {}, MaxTxnWrites: 16, AnswersProbes: true,
+		Lag: func() time.Duration { return 0 }, PendingChecks: func() []standby.Check { return nil },
 	})
 	step := func(name string, act func(), answer string) {
 		t.Helper()
--- a/internal/membership/lease.go
+++ b/internal/membership/lease.go
@@ -10,34 +10,34 @@
 	"github.com/harrierreel/harrierreel/internal/taskbatch"
 )
 
-// leaseConfirmed notes that the lease stands, by an answer to what was asked then. An
+// leaseConfirmed notes that the lease stands, by an answer to what was sent then. An
 // answer from before this node last stood still proves nothing.
-func (me *Membership) leaseConfirmed(asked time.Time) {
-	if asked.Before(me.resumedAt) {
+func (m *Membership) leaseConfirmed(sentAt time.Time) {
+	if sentAt.Before(m.resumedAt) {
 		return
 	}
-	me.certainty = me.certainty.Next(members.CertaintyEvent{Kind: members.LeaseConfirmed})
-	me.RestoreCertainty()
+	m.certainty = m.certainty.Next(members.CertaintyEvent{Kind: members.LeaseConfirmed})
+	m.RestoreCertainty()
 }
 
-func (me *Membership) writeMemberKey() {
-	if me.writingMemberKey || me.resigned {
+func (m *Membership) writeMemberKey() {
+	if m.writingMemberKey || m.resigned {
 		return
 	}
-	me.writingMemberKey = true
-	hold := me.leaseID
-	ws := []store.Write{
-		{Put: members.CapabilitiesPrefix + me.Name, Value: jobs.Encode(members.Capabilities{Incarnation: hold, BatchFormat: taskbatch.FormatVersion, AnswersProbes: me.AnswersProbes}), LeaseID: hold},
-		{Put: members.MemberPrefix + me.Name, Value: jobs.Encode(hold), LeaseID: hold},
+	m.writingMemberKey = true
+	leaseID := m.leaseID
+	writes := []store.Write{
+		{Put: members.CapabilitiesPrefix + m.Name, Value: jobs.Encode(members.Capabilities{Incarnation: leaseID, BatchFormat: taskbatch.FormatVersion, AnswersProbes: m.AnswersProbes}), LeaseID: leaseID},
+		{Put: members.MemberPrefix + m.Name, Value: jobs.Encode(leaseID), LeaseID: leaseID},
 	}
-	me.Client.Commit(store.PriorityMembership, store.Txn{Writes: ws}, func(epoch uint64, _ []string, err error) {
-		me.writingMemberKey = false
-		if errors.Is(err, store.ErrRefused) && me.leaseID == hold {
-			me.leaseID = 0 // no such lease
+	m.Client.Commit(store.PriorityMembership, store.Txn{Writes: writes}, func(epoch uint64, _ []string, err error) {
+		m.writingMemberKey = false
+		if errors.Is(err, store.ErrRefused) && m.leaseID == leaseID {
+			m.leaseID = 0 // no such lease
 		}
 		if err == nil {
-			me.Mirror.ApplyCommit(ws, epoch)
-			me.Wake()
+			m.Mirror.ApplyCommit(writes, epoch)
+			m.Wake()
 		}
 	})
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -20,29 +20,29 @@
 
 // Env is what it is told from outside.
 type Env struct {
-	Name   string
-	TTL    time.Duration // of its lease
-	Client *store.Client
-	Mirror *store.Mirror
-	Log    *slog.Logger
-	// Live tells whether the mirror follows the store.
-	Live func() bool
+	Name     string
+	LeaseTTL time.Duration // of its lease
+	Client   *store.Client
+	Mirror   *store.Mirror
+	Log      *slog.Logger
+	// MirrorLive tells whether the mirror follows the store.
+	MirrorLive func() bool
 	// View is the newest that is known, Unreachable the members that workers can't
 	// reach.
 	View        func() *members.View
 	Unreachable func() map[string]bool
 	// Wake has the loop look again, Follow opens the watch.
 	Wake, WatchNow func()
-	// TxnOps is the most changes of a transaction.
-	TxnOps int
+	// MaxTxnWrites is the most changes of a transaction.
+	MaxTxnWrites int
 	// AnswersProbes has members called whose connection ended, and calls answered.
 	AnswersProbes bool
-	// ZoneOf is the controllers' zones by name.
-	ZoneOf map[string]string
+	// Zones is the controllers' zones by name.
+	Zones map[string]string
 	// Lag is how far this controller is behind, Unchecked what it has to check as a
 	// leader.
-	Lag       func() time.Duration
-	Unchecked func() []standby.Check
+	Lag           func() time.Duration
+	PendingChecks func() []standby.Check
 }
 
 // Membership is what one controller keeps of its own.
@@ -50,8 +50,8 @@
 	*clusterstate.State
 	Env
 
-	keys             map[string]uint64 // member keys: name to incarnation
-	restarts         members.RestartBackoff
+	memberKeys       map[string]uint64 // member keys: name to incarnation
+	backoff          members.RestartBackoff
 	capabilities     map[string]members.Capabilities
 	leaseID          uint64 // its lease, which is its incarnation; 0 for none
 	renewedAt        time.Time
@@ -66,7 +66,7 @@
 	probes           map[string]standby.Probe // that stand in the state service, by who is called
 	probing          bool
 	answeringProbe   bool
-	lastProbeEpoch   uint64   // epoch of its last call
+	probeEpoch       uint64   // epoch of its last call
 	unansweredProbes []string // members whose calls are unanswered, to be left out of the view
 	resigning        bool     // this controller gives its place away
 	resigned         bool     // and has
@@ -75,91 +75,91 @@
 // New makes a controller that has not joined; book tells the time.
 func New(b *clusterstate.State, env Env) *Membership {
 	return &Membership{
-		State: b, Env: env, keys: map[string]uint64{}, restarts: members.RestartBackoff{}, capabilities: map[string]members.Capabilities{}, certainty: members.LeaseCertainty{State: members.Certain},
+		State: b, Env: env, memberKeys: map[string]uint64{}, backoff: members.RestartBackoff{}, capabilities: map[string]members.Capabilities{}, certainty: members.LeaseCertainty{State: members.Certain},
 		standby: standby.New(b.Now), probes: map[string]standby.Probe{},
 	}
 }
 
 // LeaseID is its lease, 0 for none.
-func (me *Membership) LeaseID() uint64 { return me.leaseID }
+func (m *Membership) LeaseID() uint64 { return m.leaseID }
 
 // ApplyMember takes in a member's key, nil for one that is gone.
-func (me *Membership) ApplyMember(name string, value json.RawMessage) {
+func (m *Membership) ApplyMember(name string, value json.RawMessage) {
 	var incarnation uint64
-	defer func() { me.restarts.Observe(name, me.keys[name], me.Now) }()
+	defer func() { m.backoff.Observe(name, m.memberKeys[name], m.Now) }()
 	if value == nil || json.Unmarshal(value, &incarnation) != nil {
-		if name == me.Name && me.leaseID != 0 && me.keys[name] == me.leaseID && !me.resigning {
+		if name == m.Name && m.leaseID != 0 && m.memberKeys[name] == m.leaseID && !m.resigning {
 			// Its lease ended, or it was called and did not answer in time: either way
 			// it comes back as a new incarnation.
-			me.Log.Info("out of the members", "lease", me.leaseID)
-			me.leaseID = 0
+			m.Log.Info("out of the members", "lease", m.leaseID)
+			m.leaseID = 0
 		}
-		delete(me.keys, name)
+		delete(m.memberKeys, name)
 	} else {
-		me.keys[name] = incarnation
+		m.memberKeys[name] = incarnation
 	}
 }
 
 // ApplyCapabilities takes in what a member can read, nil for a key that is gone.
-func (me *Membership) ApplyCapabilities(name string, value json.RawMessage) {
+func (m *Membership) ApplyCapabilities(name string, value json.RawMessage) {
 	var f members.Capabilities
 	if value == nil || json.Unmarshal(value, &f) != nil {
-		delete(me.capabilities, name)
+		delete(m.capabilities, name)
 	} else {
-		me.capabilities[name] = f
+		m.capabilities[name] = f
 	}
 }
 
 // AllSupportBatches tells whether all members of the view read packs.
-func (me *Membership) AllSupportBatches() bool {
-	return me.View() != nil && me.View().AllSupportBatches(me.capabilities, taskbatch.FormatVersion)
+func (m *Membership) AllSupportBatches() bool {
+	return m.View() != nil && m.View().AllSupportBatches(m.capabilities, taskbatch.FormatVersion)
 }
 
 // Reconcile holds the lease, the member key and, where it falls to this
 // node, the view.
-func (me *Membership) Reconcile() {
+func (m *Membership) Reconcile() {
 	switch {
-	case me.granting, me.resigned:
-	case me.leaseID == 0:
-		me.granting = true
-		me.renewedAt = me.Now
-		asked := me.Now
-		me.Client.GrantLease(me.TTL, func(hold uint64, err error) {
-			me.granting = false
+	case m.granting, m.resigned:
+	case m.leaseID == 0:
+		m.granting = true
+		m.renewedAt = m.Now
+		sentAt := m.Now
+		m.Client.GrantLease(m.LeaseTTL, func(leaseID uint64, err error) {
+			m.granting = false
 			if err == nil {
-				me.leaseID = hold
-				me.leaseConfirmed(asked)
-				me.writeMemberKey()
+				m.leaseID = leaseID
+				m.leaseConfirmed(sentAt)
+				m.writeMemberKey()
 			}
 		})
-	case me.Now.Sub(me.renewedAt) >= tuning.MemberRenew:
-		me.renewedAt = me.Now
-		hold, asked := me.leaseID, me.Now
-		me.Client.RenewLease(hold, func(err error) {
-			if err == nil && me.leaseID == hold {
-				me.leaseConfirmed(asked)
+	case m.Now.Sub(m.renewedAt) >= tuning.MemberRenew:
+		m.renewedAt = m.Now
+		leaseID, sentAt := m.leaseID, m.Now
+		m.Client.RenewLease(leaseID, func(err error) {
+			if err == nil && m.leaseID == leaseID {
+				m.leaseConfirmed(sentAt)
 			}
-			if errors.Is(err, store.ErrGone) && me.leaseID == hold {
+			if errors.Is(err, store.ErrGone) && m.leaseID == leaseID {
 				// A new lease is a new incarnation and thus a new epoch.
-				me.Log.Info("membership lease ended")
-				me.leaseID = 0
+				m.Log.Info("membership lease ended")
+				m.leaseID = 0
 			}
 		})
 	}
-	me.RestoreCertainty()
-	me.evaluateStandby()
-	if me.resigned {
+	m.RestoreCertainty()
+	m.evaluateStandby()
+	if m.resigned {
 		return
 	}
-	if !me.Live() || me.leaseID == 0 || me.Client.Unavailable() || me.certainty.State != members.Certain {
+	if !m.MirrorLive() || m.leaseID == 0 || m.Client.Unavailable() || m.certainty.State != members.Certain {
 		return
 	}
-	if me.Incarnation(me.Name) != me.leaseID {
-		me.writeMemberKey()
+	if m.Incarnation(m.Name) != m.leaseID {
+		m.writeMemberKey()
 		return
 	}
-	me.changeView()
+	m.changeView()
 }
 
 // Incarnation is that of a member's key, 0 if it has none.
-func (me *Membership) Incarnation(name string) uint64 { return me.keys[name] }
+func (m *Membership) Incarnation(name string) uint64 { return m.memberKeys[name] }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -32,8 +32,8 @@
 	b := clusterstate.New(quota.Flat(nil), func(string) {})
 	b.Now = time.UnixMilli(1e12)
 	n := New(b, Env{
-		Name: "n0", TTL: 4 * time.Second, Client: client, Mirror: store.NewMirror(func(string, json.RawMessage, uint64) {}), Log: slog.New(slog.DiscardHandler),
-		Live: func() bool { return true }, Wake: func() {}, WatchNow: func() {},
+		Name: "n0", LeaseTTL: 4 * time.Second, Client: client, Mirror: store.NewMirror(func(string, json.RawMessage, uint64) {}), Log: slog.New(slog.DiscardHandler),
+		MirrorLive: func() bool { return true }, Wake: func() {}, WatchNow: func() {},
 	})
 	wake := func() {
 		n.Now = n.Now.Add(time.Minute)
@@ -128,9 +128,9 @@
 		}
 	})
 	me = New(b, Env{
-		Name: "n0", TTL: 4 * time.Second, Client: client, Mirror: mirror, Log: slog.New(slog.DiscardHandler), Live: func() bool { return true },
-		View: func() *members.View { return view }, Unreachable: func() map[string]bool { return map[string]bool{} }, Wake: func() {}, WatchNow: func() {}, TxnOps: 16, AnswersProbes: true,
-		Lag: func() time.Duration { return 0 }, Unchecked: func() []standby.Check { return nil },
+		Name: "n0", LeaseTTL: 4 * time.Second, Client: client, Mirror: mirror, Log: slog.New(slog.DiscardHandler), MirrorLive: func() bool { return true },
+		View: func() *members.View { return view }, Unreachable: func() map[string]bool { return map[string]bool{} }, Wake: func() {}, WatchNow: func() {}, MaxTxnWrites: 16, AnswersProbes: true,
+		Lag: func() time.Duration { return 0 }, PendingChecks: func() []standby.Check { return nil },
 	})
 	keep := func(pass time.Duration) {
 		b.Now = b.Now.Add(pass)
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -14,84 +14,84 @@
 
 // candidates is the members' keys without those of controllers that cannot read what
 // is stored: in the view they would take tasks in packs for tasks that nobody knows.
-func (me *Membership) candidates() map[string]uint64 {
-	if len(me.Batches) == 0 {
-		return me.keys
+func (m *Membership) candidates() map[string]uint64 {
+	if len(m.Batches) == 0 {
+		return m.memberKeys
 	}
 	out := map[string]uint64{}
-	for name, incarnation := range me.keys {
-		if f := me.capabilities[name]; f.Incarnation == incarnation && f.BatchFormat >= taskbatch.FormatVersion {
+	for name, incarnation := range m.memberKeys {
+		if f := m.capabilities[name]; f.Incarnation == incarnation && f.BatchFormat >= taskbatch.FormatVersion {
 			out[name] = incarnation
 		}
 	}
 	return out
 }
 
-func (me *Membership) changeView() {
-	if me.changingView {
+func (m *Membership) changeView() {
+	if m.changingView {
 		return
 	}
-	out := me.Unreachable()
-	for _, name := range me.unansweredProbes {
-		out[name] = true
+	unreachable := m.Unreachable()
+	for _, name := range m.unansweredProbes {
+		unreachable[name] = true
 	}
-	held := map[string]bool{}
-	for name := range me.keys {
-		held[name] = me.restarts.Blocked(name, me.Now)
+	backingOff := map[string]bool{}
+	for name := range m.memberKeys {
+		backingOff[name] = m.backoff.Blocked(name, m.Now)
 	}
-	next := members.NextView(members.ViewInputs{Name: me.Name, Incarnation: me.leaseID, View: me.View(), MemberKeys: me.candidates(), Unreachable: out, BackingOff: held})
+	next := members.NextView(members.ViewInputs{Name: m.Name, Incarnation: m.leaseID, View: m.View(), MemberKeys: m.candidates(), Unreachable: unreachable, BackingOff: backingOff})
 	if next == nil {
 		return
 	}
 	t := store.Txn{
-		Preconditions: []store.Precondition{me.precondition(members.ViewKey), me.precondition(members.MemberPrefix + me.Name)},
+		Preconditions: []store.Precondition{m.precondition(members.ViewKey), m.precondition(members.MemberPrefix + m.Name)},
 		Writes:        []store.Write{decide.Put(members.ViewKey, next)},
 	}
-	silent := me.unansweredProbes
-	for _, name := range silent {
-		t = me.addRemoval(t, name)
+	unanswered := m.unansweredProbes
+	for _, name := range unanswered {
+		t = m.addRemoval(t, name)
 	}
 	// What a member did not hear ends with its place in the view. When it comes
 	// back its machines have been heard by others meanwhile: by the old list
 	// hundreds of them were deleted at once (docs/incidents/ushanga-ops-ops-1.md).
-	for _, name := range me.View().Removed(next) {
-		t.Writes = append(t.Writes, me.forgetQuiet(name, 1)...)
+	for _, name := range m.View().Removed(next) {
+		t.Writes = append(t.Writes, m.removeUnresponsiveList(name, 1)...)
 	}
-	for _, name := range me.View().Removed(next) {
-		t.Writes = me.forgetMoreQuiet(t.Writes, name)
+	for _, name := range m.View().Removed(next) {
+		t.Writes = m.appendFurtherListRemovals(t.Writes, name)
 	}
-	if v := me.View(); v != nil && v.Leader != me.Name && !slices.Contains(silent, v.Leader) {
-		t.Preconditions = append(t.Preconditions, me.precondition(members.MemberPrefix+v.Leader))
+	if v := m.View(); v != nil && v.Leader != m.Name && !slices.Contains(unanswered, v.Leader) {
+		t.Preconditions = append(t.Preconditions, m.precondition(members.MemberPrefix+v.Leader))
 	}
-	me.changingView = true
-	me.Client.Commit(store.PriorityMembership, t, func(epoch uint64, _ []string, err error) {
-		me.changingView = false
+	m.changingView = true
+	m.Client.Commit(store.PriorityMembership, t, func(epoch uint64, _ []string, err error) {
+		m.changingView = false
 		if err == nil {
-			if len(silent) > 0 {
-				me.Log.Info("left out of the view, calls unanswered", "members", silent)
+			if len(unanswered) > 0 {
+				m.Log.Info("left out of the view, calls unanswered", "members", unanswered)
 			}
-			me.Log.Info("view changed", "epoch", next.Epoch, "leader", next.Leader, "members", len(next.Members))
-			me.Mirror.ApplyCommit(t.Writes, epoch)
+			m.Log.Info("view changed", "epoch", next.Epoch, "leader", next.Leader, "members", len(next.Members))
+			m.Mirror.ApplyCommit(t.Writes, epoch)
 		}
-		me.Wake()
+		m.Wake()
 	})
 }
 
-// forgetQuiet is the change that takes one of a member's lists of unresponsive machines
+// removeUnresponsiveList is the change that takes one of a member's lists of unresponsive machines
 // away, none if there is no such list.
-func (me *Membership) forgetQuiet(name string, number int) []store.Write {
-	if key := fleet.UnresponsiveKey(name, number); me.Mirror.Revision(key) != 0 {
+func (m *Membership) removeUnresponsiveList(name string, number int) []store.Write {
+	if key := fleet.UnresponsiveKey(name, number); m.Mirror.Revision(key) != 0 {
 		return []store.Write{decide.Remove(key)}
 	}
 	return nil
 }
 
-// forgetMoreQuiet adds to a transaction's changes those that take a member's further lists
+// appendFurtherListRemovals adds to a transaction's changes those that take a member's further lists
 // away, as far as there is room. Without the first they count for nothing
 // (fleet.UnresponsiveLists), and the member clears them itself when it comes back.
-func (me *Membership) forgetMoreQuiet(changes []store.Write, name string) []store.Write {
-	for number := 2; number <= tuning.MaxUnresponsiveLists && len(changes) < me.TxnOps; number++ {
-		changes = append(changes, me.forgetQuiet(name, number)...)
+func (m *Membership) appendFurtherListRemovals(changes []store.Write, name string) []store.Write {
+	for number := 2; number <= tuning.MaxUnresponsiveLists && len(changes) < m.MaxTxnWrites; number++ {
+		changes = append(changes, m.removeUnresponsiveList(name, number)...)
 	}
 	return changes
 }
@@ -101,74 +101,74 @@
 const removalWrites = 4
 
 // maxRemovals is how many members one change of the view can leave out.
-func (me *Membership) maxRemovals() int { return max(1, (me.TxnOps-1)/removalWrites) }
+func (m *Membership) maxRemovals() int { return max(1, (m.MaxTxnWrites-1)/removalWrites) }
 
-func (me *Membership) precondition(key string) store.Precondition {
-	return store.Precondition{Key: key, Revision: me.Mirror.Revision(key)}
+func (m *Membership) precondition(key string) store.Precondition {
+	return store.Precondition{Key: key, Revision: m.Mirror.Revision(key)}
 }
 
 // addRemoval adds to a change of the view that a member leaves that did not answer: it holds
 // only if its call still stands as it was read, and takes its key away, so that it comes
 // back as a new incarnation or not at all.
-func (me *Membership) addRemoval(t store.Txn, name string) store.Txn {
+func (m *Membership) addRemoval(t store.Txn, name string) store.Txn {
 	call, key, form := standby.ProbePrefix+name, members.MemberPrefix+name, members.CapabilitiesPrefix+name
-	t.Preconditions = append(t.Preconditions, me.precondition(call), me.precondition(key))
+	t.Preconditions = append(t.Preconditions, m.precondition(call), m.precondition(key))
 	t.Writes = append(t.Writes, decide.Remove(call), decide.Remove(key), decide.Remove(form))
 	return t
 }
 
 // handOver hands the lead to another member.
-func (me *Membership) handOver(leader string) {
-	if me.changingView {
+func (m *Membership) handOver(leader string) {
+	if m.changingView {
 		return
 	}
-	v := me.View()
+	v := m.View()
 	next := &members.View{Leader: leader, Members: v.Members, Epoch: v.Epoch + 1}
 	t := store.Txn{
-		Preconditions: []store.Precondition{me.precondition(members.ViewKey), me.precondition(members.MemberPrefix + me.Name), me.precondition(members.MemberPrefix + leader)},
+		Preconditions: []store.Precondition{m.precondition(members.ViewKey), m.precondition(members.MemberPrefix + m.Name), m.precondition(members.MemberPrefix + leader)},
 		Writes:        []store.Write{decide.Put(members.ViewKey, next)},
 	}
-	me.changingView = true
-	me.Client.Commit(store.PriorityMembership, t, func(epoch uint64, _ []string, err error) {
-		me.changingView = false
+	m.changingView = true
+	m.Client.Commit(store.PriorityMembership, t, func(epoch uint64, _ []string, err error) {
+		m.changingView = false
 		if err == nil {
-			me.Log.Info("lead handed over, too far behind", "leader", leader, "epoch", next.Epoch)
-			me.Mirror.ApplyCommit(t.Writes, epoch)
+			m.Log.Info("lead handed over, too far behind", "leader", leader, "epoch", next.Epoch)
+			m.Mirror.ApplyCommit(t.Writes, epoch)
 		}
-		me.Wake()
+		m.Wake()
 	})
 }
 
 // resignTo gives this controller's place away, the lead with it if it has it.
-func (me *Membership) resignTo(leader string) {
-	if me.changingView || me.resigned {
+func (m *Membership) resignTo(leader string) {
+	if m.changingView || m.resigned {
 		return
 	}
-	own := members.MemberPrefix + me.Name
+	own := members.MemberPrefix + m.Name
 	t := store.Txn{
-		Preconditions: []store.Precondition{me.precondition(own), me.precondition(members.MemberPrefix + leader)},
-		Writes:        []store.Write{decide.Remove(own), decide.Remove(members.CapabilitiesPrefix + me.Name)},
+		Preconditions: []store.Precondition{m.precondition(own), m.precondition(members.MemberPrefix + leader)},
+		Writes:        []store.Write{decide.Remove(own), decide.Remove(members.CapabilitiesPrefix + m.Name)},
 	}
-	if v := me.View(); v.Leader == me.Name {
+	if v := m.View(); v.Leader == m.Name {
 		next := &members.View{Leader: leader, Epoch: v.Epoch + 1}
-		for _, m := range v.Members {
-			if m.Name != me.Name {
-				next.Members = append(next.Members, m)
+		for _, member := range v.Members {
+			if member.Name != m.Name {
+				next.Members = append(next.Members, member)
 			}
 		}
-		t.Preconditions = append(t.Preconditions, me.precondition(members.ViewKey))
+		t.Preconditions = append(t.Preconditions, m.precondition(members.ViewKey))
 		t.Writes = append(t.Writes, decide.Put(members.ViewKey, next))
-		t.Writes = append(t.Writes, me.forgetQuiet(me.Name, 1)...)
-		t.Writes = me.forgetMoreQuiet(t.Writes, me.Name)
+		t.Writes = append(t.Writes, m.removeUnresponsiveList(m.Name, 1)...)
+		t.Writes = m.appendFurtherListRemovals(t.Writes, m.Name)
 	}
-	me.changingView, me.resigning = true, true
-	me.Client.Commit(store.PriorityMembership, t, func(epoch uint64, _ []string, err error) {
-		me.changingView = false
+	m.changingView, m.resigning = true, true
+	m.Client.Commit(store.PriorityMembership, t, func(epoch uint64, _ []string, err error) {
+		m.changingView = false
 		if err == nil {
-			me.resigned = true
-			me.Log.Info("place given away", "leader", leader)
-			me.Mirror.ApplyCommit(t.Writes, epoch)
+			m.resigned = true
+			m.Log.Info("place given away", "leader", leader)
+			m.Mirror.ApplyCommit(t.Writes, epoch)
 		}
-		me.Wake()
+		m.Wake()
 	})
 }
