--- a/internal/standby/model_test.go
+++ b/internal/standby/model_test.go
@@ -119,15 +119,15 @@
 	}
 	status := node.status(name, m.now)
 	actions, _ := node.standby.Evaluate(status)
-	seen := *node // as it is now: transactions may arrive later
+	observed := *node // as it is now: transactions may arrive later
 	for _, action := range actions {
 		switch action.Kind {
 		case ActionAnswer:
-			send(func() { m.commitAnswer(name, seen) })
+			send(func() { m.commitAnswer(name, observed) })
 		case ActionProbe:
-			send(func() { m.commitProbes(name, seen, action) })
+			send(func() { m.commitProbes(name, observed, action) })
 		case ActionRemove:
-			send(func() { m.commitRemoval(name, seen, action.Names) })
+			send(func() { m.commitRemoval(name, observed, action.Names) })
 		case ActionResign, ActionHandOver:
 			panic("nobody resigns or lags in this model")
 		}
@@ -135,7 +135,7 @@
 	// The leader admits members whose keys are there.
 	if node.leader == name && status.InView {
 		send(func() {
-			if m.viewRevision == seen.viewRevision && m.keys[name] == seen.incarnation && !maps.Equal(m.keys, m.view) {
+			if m.viewRevision == observed.viewRevision && m.keys[name] == observed.incarnation && !maps.Equal(m.keys, m.view) {
 				m.commitView(name, nil)
 			}
 		})
@@ -165,18 +165,18 @@
 }
 
 // commitAnswer removes a controller's probe if it stands as it has seen it.
-func (m *model) commitAnswer(name string, seen modelNode) {
-	if m.probeRevisions[name] == seen.probeRevisions[name] {
+func (m *model) commitAnswer(name string, observed modelNode) {
+	if m.probeRevisions[name] == observed.probeRevisions[name] {
 		m.revision++
 		m.removeProbe(name)
 	}
 }
 
 // commitProbes writes probes if view, keys and probes are as the prober has seen them.
-func (m *model) commitProbes(name string, seen modelNode, action Action) {
+func (m *model) commitProbes(name string, observed modelNode, action Action) {
 	for _, member := range action.Names {
-		if m.probeRevisions[member] != seen.probeRevisions[member] || m.viewRevision != seen.viewRevision ||
-			m.keys[name] != seen.incarnation || m.keys[member] != m.view[member] {
+		if m.probeRevisions[member] != observed.probeRevisions[member] || m.viewRevision != observed.viewRevision ||
+			m.keys[name] != observed.incarnation || m.keys[member] != m.view[member] {
 			return
 		}
 	}
@@ -188,14 +188,14 @@
 	}
 }
 
-// commitRemoval changes the view without members whose probes stand as they were seen.
-func (m *model) commitRemoval(name string, seen modelNode, removed []string) {
+// commitRemoval changes the view without members whose probes stand as they were observed.
+func (m *model) commitRemoval(name string, observed modelNode, removed []string) {
 	for _, member := range removed {
-		if m.probeRevisions[member] != seen.probeRevisions[member] || m.probeRevisions[member] == 0 {
+		if m.probeRevisions[member] != observed.probeRevisions[member] || m.probeRevisions[member] == 0 {
 			return
 		}
 	}
-	if m.viewRevision == seen.viewRevision && m.keys[name] == seen.incarnation {
+	if m.viewRevision == observed.viewRevision && m.keys[name] == observed.incarnation {
 		m.commitView(name, removed)
 	}
 }
