--- /dev/null
+++ b/internal/membership/certainty_test.go
@@ -0,0 +1,45 @@
+package membership
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/harrierreel/harrierreel/internal/members"
+)
+
+// A controller that stalls twice must not take the response to a request from after the first
+// stall for one to a request from after the second.
+func TestResponseFromBeforeASecondStallRestoresNoCertainty(t *testing.T) {
+	var responses []func(int, []byte, error)
+	f := newFixture(t, func(method, target string, _ []byte, done func(int, []byte, error)) {
+		if method == "GET" && strings.HasPrefix(target, "/store/") {
+			responses = append(responses, done)
+		}
+	})
+	m := f.membership
+	m.config.AnswersProbes = false
+	stall := func() {
+		f.state.Now = f.state.Now.Add(time.Minute)
+		f.client.Dispatch(f.state.Now)
+		m.Stalled(time.Minute)
+		m.leaseConfirmed(f.state.Now)
+	}
+	stall()
+	stall()
+	if len(responses) != 1 || m.certainty.State != members.LeaseKnown {
+		t.Fatalf("%d requests, %s", len(responses), m.certainty.State)
+	}
+	responses[0](404, []byte(`{"epoch":5}`), nil)
+	if m.certainty.State != members.LeaseKnown {
+		t.Fatalf("%s by a response from before", m.certainty.State)
+	}
+	m.RestoreCertainty()
+	if len(responses) != 2 {
+		t.Fatal("not requested again")
+	}
+	responses[1](404, []byte(`{"epoch":9999}`), nil)
+	if m.certainty.State != members.CatchingUp || m.certainty.RequiredEpoch != 9999 {
+		t.Fatalf("%+v", m.certainty)
+	}
+}
--- a/internal/membership/lease.go
+++ b/internal/membership/lease.go
@@ -8,10 +8,57 @@
 	"github.com/harrierreel/harrierreel/internal/members"
 	"github.com/harrierreel/harrierreel/internal/store"
 	"github.com/harrierreel/harrierreel/internal/taskbatch"
+	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// leaseConfirmed notes that the lease stands, by an answer to what was sent then. An
-// answer from before this node last stood still proves nothing.
+// LeaseID returns the id of its lease, 0 for none.
+func (m *Membership) LeaseID() uint64 { return m.leaseID }
+
+// reconcileLease requests a lease while there is none, and renews it in time.
+func (m *Membership) reconcileLease() {
+	switch {
+	case m.granting, m.resigned:
+	case m.leaseID == 0:
+		m.grantLease()
+	case m.state.Now.Sub(m.renewedAt) >= tuning.MemberRenew:
+		m.renewLease()
+	}
+}
+
+func (m *Membership) grantLease() {
+	m.granting = true
+	m.renewedAt = m.state.Now
+	sentAt := m.state.Now
+	m.client.GrantLease(m.config.LeaseTTL, func(leaseID uint64, err error) {
+		m.granting = false
+		if err == nil {
+			m.leaseID = leaseID
+			m.leaseConfirmed(sentAt)
+			m.writeMemberKey()
+		}
+	})
+}
+
+func (m *Membership) renewLease() {
+	m.renewedAt = m.state.Now
+	leaseID, sentAt := m.leaseID, m.state.Now
+	m.client.RenewLease(leaseID, func(err error) {
+		if m.leaseID != leaseID {
+			return
+		}
+		if err == nil {
+			m.leaseConfirmed(sentAt)
+		}
+		if errors.Is(err, store.ErrGone) {
+			// A new lease is a new incarnation and thus a new epoch.
+			m.config.Log.Info("membership lease ended")
+			m.leaseID = 0
+		}
+	})
+}
+
+// leaseConfirmed records that the lease holds, by the response to a request of that time. The
+// response to a request from before the last stall proves nothing.
 func (m *Membership) leaseConfirmed(sentAt time.Time) {
 	if sentAt.Before(m.resumedAt) {
 		return
@@ -20,24 +67,38 @@
 	m.RestoreCertainty()
 }
 
+// writeMemberKey writes this controller's member key, and what it can read, under its lease.
 func (m *Membership) writeMemberKey() {
 	if m.writingMemberKey || m.resigned {
 		return
 	}
 	m.writingMemberKey = true
 	leaseID := m.leaseID
+	capabilities := members.Capabilities{
+		Incarnation:   leaseID,
+		BatchFormat:   taskbatch.FormatVersion,
+		AnswersProbes: m.config.AnswersProbes,
+	}
 	writes := []store.Write{
-		{Put: members.CapabilitiesPrefix + m.Name, Value: jobs.Encode(members.Capabilities{Incarnation: leaseID, BatchFormat: taskbatch.FormatVersion, AnswersProbes: m.AnswersProbes}), LeaseID: leaseID},
-		{Put: members.MemberPrefix + m.Name, Value: jobs.Encode(leaseID), LeaseID: leaseID},
+		{
+			Put:     members.CapabilitiesPrefix + m.config.Name,
+			Value:   jobs.Encode(capabilities),
+			LeaseID: leaseID,
+		},
+		{
+			Put:     members.MemberPrefix + m.config.Name,
+			Value:   jobs.Encode(leaseID),
+			LeaseID: leaseID,
+		},
 	}
-	m.Client.Commit(store.PriorityMembership, store.Txn{Writes: writes}, func(epoch uint64, _ []string, err error) {
+	m.client.Commit(store.PriorityMembership, store.Txn{Writes: writes}, func(epoch uint64, _ []string, err error) {
 		m.writingMemberKey = false
 		if errors.Is(err, store.ErrRefused) && m.leaseID == leaseID {
 			m.leaseID = 0 // no such lease
 		}
 		if err == nil {
-			m.Mirror.ApplyCommit(writes, epoch)
-			m.Wake()
+			m.mirror.ApplyCommit(writes, epoch)
+			m.loop.Wake()
 		}
 	})
 }
--- a/internal/membership/probes.go
+++ b/internal/membership/probes.go
@@ -10,63 +10,49 @@
 	"github.com/harrierreel/harrierreel/internal/store"
 )
 
-// PeerDisconnected takes in that the connection to a peer ended.
+// PeerDisconnected records that the connection to a peer ended or was refused.
 func (m *Membership) PeerDisconnected(name string) {
-	if m.AnswersProbes && m.View() != nil && m.View().Incarnation(name) != 0 {
-		m.standby.ConnectionEnded(name, m.Now)
-		m.Wake()
+	view := m.cluster.View()
+	if m.config.AnswersProbes && view != nil && view.Incarnation(name) != 0 {
+		m.standby.ConnectionEnded(name, m.state.Now)
+		m.loop.Wake()
 	}
 }
 
-// PeerAlive takes in that a peer spoke.
+// PeerAlive records that a peer's gossip arrived.
 func (m *Membership) PeerAlive(name string) { m.standby.PeerAlive(name) }
 
-// ApplyProbe takes in a call, nil for one that is gone.
+// ApplyProbe takes in the probe of a member, nil for one that is gone.
 func (m *Membership) ApplyProbe(name string, value json.RawMessage) {
-	if c, ok := standby.DecodeProbe(value); ok {
-		m.probes[name] = c
-		m.standby.ProbeObserved(name, c, m.Now)
+	if probe, ok := standby.DecodeProbe(value); ok {
+		m.probes[name] = probe
+		m.standby.ProbeObserved(name, probe, m.state.Now)
 	} else {
 		delete(m.probes, name)
 		m.standby.ProbeRemoved(name)
 	}
-	m.Wake()
+	m.loop.Wake()
 }
 
-// Standby is the state of its readiness, and how many calls were answered so far.
+// Standby returns the state of its readiness to lead, and how many probes were answered so far.
 func (m *Membership) Standby() (state standby.State, falseAlarms int) {
 	return m.standby.State, m.standby.FalseAlarms
 }
 
-// SuccessionOrder is its place among those that are to follow the leader, -1 if it has none.
+// SuccessionOrder returns its place among those that are to succeed the leader, -1 if it has none.
 func (m *Membership) SuccessionOrder() int { return m.standby.SuccessionOrder }
 
-// Resign has this controller give its place away.
-func (m *Membership) Resign() { m.standby.Resign() }
-
-// evaluateStandby has the standby look at how things are, and does what it says.
+// evaluateStandby evaluates the readiness to lead and carries out the actions.
 func (m *Membership) evaluateStandby() {
 	m.unansweredProbes = nil
-	v := m.View()
-	status := standby.ClusterStatus{Now: m.Now, Name: m.Name, Probes: m.probes, StoreUnavailable: m.Client.Unavailable()}
-	if v != nil {
-		status.InView = m.MirrorLive() && m.Certain() && v.Incarnation(m.Name) == m.leaseID && m.leaseID != 0
-		status.Leader = v.Leader
-		for _, member := range v.Members {
-			c := m.capabilities[member.Name]
-			status.Members = append(status.Members, standby.Member{
-				Name:          member.Name,
-				Incarnation:   member.Incarnation,
-				Zone:          m.Zones[member.Name],
-				AnswersProbes: c.Incarnation == member.Incarnation && c.AnswersProbes,
-			})
-		}
-	}
-	status.Lag, status.PendingChecks, status.WatchBehind = m.Lag(), m.PendingChecks(), m.Mirror.Epoch < m.probeEpoch
 	since := m.standby.Since
-	actions, changed := m.standby.Evaluate(status)
+	actions, changed := m.standby.Evaluate(m.clusterStatus())
 	if changed {
-		m.Log.Debug("standby", "state", string(m.standby.State), "why", m.standby.Reason, "after_ms", m.Now.Sub(since).Milliseconds())
+		m.config.Log.Debug("standby",
+			"state", string(m.standby.State),
+			"why", m.standby.Reason,
+			"after_ms", m.state.Now.Sub(since).Milliseconds(),
+		)
 	}
 	for _, action := range actions {
 		switch action.Kind {
@@ -84,44 +70,86 @@
 	}
 }
 
-// probe writes calls. What it goes by is in the conditions: the view, this controller's
-// key, and the keys of those that are called.
-func (m *Membership) probe(names []string, wait time.Duration) {
+// clusterStatus returns what the readiness to lead is evaluated from.
+func (m *Membership) clusterStatus() standby.ClusterStatus {
+	status := standby.ClusterStatus{
+		Now:              m.state.Now,
+		Name:             m.config.Name,
+		Lag:              m.fitness.Lag(),
+		WatchBehind:      m.mirror.Epoch < m.probeEpoch,
+		PendingChecks:    m.fitness.PendingChecks(),
+		Probes:           m.probes,
+		StoreUnavailable: m.client.Unavailable(),
+	}
+	view := m.cluster.View()
+	if view == nil {
+		return status
+	}
+	inView := m.leaseID != 0 && view.Incarnation(m.config.Name) == m.leaseID
+	status.InView = inView && m.cluster.MirrorLive() && m.Certain()
+	status.Leader = view.Leader
+	for _, member := range view.Members {
+		c := m.capabilities[member.Name]
+		status.Members = append(status.Members, standby.Member{
+			Name:          member.Name,
+			Incarnation:   member.Incarnation,
+			Zone:          m.config.Zones[member.Name],
+			AnswersProbes: c.Incarnation == member.Incarnation && c.AnswersProbes,
+		})
+	}
+	return status
+}
+
+// probe writes probes of members. What they are based on is in the preconditions: the view, this
+// controller's member key, and the member keys of those that are probed.
+func (m *Membership) probe(names []string, timeout time.Duration) {
 	if m.probing {
 		return
 	}
 	names = names[:min(len(names), m.maxRemovals())]
-	t := store.Txn{Preconditions: []store.Precondition{m.precondition(members.ViewKey), m.precondition(members.MemberPrefix + m.Name)}}
+	t := store.Txn{
+		Preconditions: []store.Precondition{
+			m.precondition(members.ViewKey),
+			m.precondition(members.MemberPrefix + m.config.Name),
+		},
+	}
 	for _, name := range names {
 		key := standby.ProbePrefix + name
 		t.Preconditions = append(t.Preconditions, m.precondition(members.MemberPrefix+name), m.precondition(key))
-		t.Writes = append(t.Writes, decide.Put(key, standby.Probe{Incarnation: m.View().Incarnation(name), By: m.Name, WaitMs: wait.Milliseconds()}))
+		t.Writes = append(t.Writes, decide.Put(key, standby.Probe{
+			Incarnation: m.cluster.View().Incarnation(name),
+			By:          m.config.Name,
+			WaitMs:      timeout.Milliseconds(),
+		}))
 	}
 	m.probing = true
-	m.Client.Commit(store.PriorityMembership, t, func(epoch uint64, _ []string, err error) {
+	m.client.Commit(store.PriorityMembership, t, func(epoch uint64, _ []string, err error) {
 		m.probing = false
 		if err == nil {
-			m.Log.Info("called, their connections ended", "members", names, "wait_ms", wait.Milliseconds())
-			m.Mirror.ApplyCommit(t.Writes, epoch)
+			m.config.Log.Info("called, their connections ended", "members", names, "wait_ms", timeout.Milliseconds())
+			m.mirror.ApplyCommit(t.Writes, epoch)
 			m.probeEpoch = epoch
 		}
-		m.Wake()
+		m.loop.Wake()
 	})
 }
 
-// answerProbe removes the call of this controller.
+// answerProbe removes the probe of this controller.
 func (m *Membership) answerProbe() {
 	if m.answeringProbe {
 		return
 	}
 	m.answeringProbe = true
-	key := standby.ProbePrefix + m.Name
-	t := store.Txn{Preconditions: []store.Precondition{m.precondition(key)}, Writes: []store.Write{decide.Remove(key)}}
-	m.Client.Commit(store.PriorityMembership, t, func(epoch uint64, _ []string, err error) {
+	key := standby.ProbePrefix + m.config.Name
+	t := store.Txn{
+		Preconditions: []store.Precondition{m.precondition(key)},
+		Writes:        []store.Write{decide.Remove(key)},
+	}
+	m.client.Commit(store.PriorityMembership, t, func(epoch uint64, _ []string, err error) {
 		m.answeringProbe = false
 		if err == nil {
-			m.Log.Info("answered a call")
-			m.Mirror.ApplyCommit(t.Writes, epoch)
+			m.config.Log.Info("answered a call")
+			m.mirror.ApplyCommit(t.Writes, epoch)
 		}
 	})
 }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -12,109 +12,139 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// candidates is the members' keys without those of controllers that cannot read what
-// is stored: in the view they would take tasks in packs for tasks that nobody knows.
+// removalWrites is how many writes it takes to remove a member from the view: its member key, its
+// capabilities, its probe and its first list of unresponsive machines.
+const removalWrites = 4
+
+// maxRemovals returns how many members one change of the view can remove.
+func (m *Membership) maxRemovals() int { return max(1, (m.config.MaxTxnWrites-1)/removalWrites) }
+
+// nextView returns the view that this controller should write now, or nil.
+func (m *Membership) nextView() *members.View {
+	unreachable := m.cluster.Unreachable()
+	for _, name := range m.unansweredProbes {
+		unreachable[name] = true
+	}
+	backingOff := map[string]bool{}
+	for name := range m.memberKeys {
+		backingOff[name] = m.backoff.Blocked(name, m.state.Now)
+	}
+	return members.NextView(members.ViewInputs{
+		Name:        m.config.Name,
+		Incarnation: m.leaseID,
+		View:        m.cluster.View(),
+		MemberKeys:  m.candidates(),
+		Unreachable: unreachable,
+		BackingOff:  backingOff,
+	})
+}
+
+// candidates returns the member keys without those of controllers that cannot read what is stored:
+// in the view they would take tasks in batch records for tasks that nobody knows.
 func (m *Membership) candidates() map[string]uint64 {
-	if len(m.Batches) == 0 {
+	if len(m.state.Batches) == 0 {
 		return m.memberKeys
 	}
 	out := map[string]uint64{}
 	for name, incarnation := range m.memberKeys {
-		if f := m.capabilities[name]; f.Incarnation == incarnation && f.BatchFormat >= taskbatch.FormatVersion {
+		c := m.capabilities[name]
+		if c.Incarnation == incarnation && c.BatchFormat >= taskbatch.FormatVersion {
 			out[name] = incarnation
 		}
 	}
 	return out
 }
 
+// changeView writes the next view, if there is something to change and it is this controller's turn.
 func (m *Membership) changeView() {
 	if m.changingView {
 		return
 	}
-	unreachable := m.Unreachable()
-	for _, name := range m.unansweredProbes {
-		unreachable[name] = true
-	}
-	backingOff := map[string]bool{}
-	for name := range m.memberKeys {
-		backingOff[name] = m.backoff.Blocked(name, m.Now)
-	}
-	next := members.NextView(members.ViewInputs{Name: m.Name, Incarnation: m.leaseID, View: m.View(), MemberKeys: m.candidates(), Unreachable: unreachable, BackingOff: backingOff})
+	next := m.nextView()
 	if next == nil {
 		return
 	}
+	unanswered := m.unansweredProbes
+	m.commitView(m.viewTxn(next, unanswered), func() {
+		if len(unanswered) > 0 {
+			m.config.Log.Info("left out of the view, calls unanswered", "members", unanswered)
+		}
+		m.config.Log.Info("view changed", "epoch", next.Epoch, "leader", next.Leader, "members", len(next.Members))
+	})
+}
+
+// viewTxn returns the transaction that changes the view and removes the members whose probes are
+// unanswered.
+func (m *Membership) viewTxn(next *members.View, unanswered []string) store.Txn {
 	t := store.Txn{
-		Preconditions: []store.Precondition{m.precondition(members.ViewKey), m.precondition(members.MemberPrefix + m.Name)},
-		Writes:        []store.Write{decide.Put(members.ViewKey, next)},
+		Preconditions: []store.Precondition{
+			m.precondition(members.ViewKey),
+			m.precondition(members.MemberPrefix + m.config.Name),
+		},
+		Writes: []store.Write{decide.Put(members.ViewKey, next)},
 	}
-	unanswered := m.unansweredProbes
 	for _, name := range unanswered {
 		t = m.addRemoval(t, name)
 	}
-	// What a member did not hear ends with its place in the view. When it comes
-	// back its machines have been heard by others meanwhile: by the old list
-	// hundreds of them were deleted at once (docs/incidents/ushanga-ops-ops-1.md).
-	for _, name := range m.View().Removed(next) {
-		t.Writes = append(t.Writes, m.removeUnresponsiveList(name, 1)...)
-	}
-	for _, name := range m.View().Removed(next) {
-		t.Writes = m.appendFurtherListRemovals(t.Writes, name)
-	}
-	if v := m.View(); v != nil && v.Leader != m.Name && !slices.Contains(unanswered, v.Leader) {
-		t.Preconditions = append(t.Preconditions, m.precondition(members.MemberPrefix+v.Leader))
+	view := m.cluster.View()
+	t.Writes = m.appendUnresponsiveRemovals(t.Writes, view.Removed(next))
+	if view != nil && view.Leader != m.config.Name && !slices.Contains(unanswered, view.Leader) {
+		t.Preconditions = append(t.Preconditions, m.precondition(members.MemberPrefix+view.Leader))
 	}
+	return t
+}
+
+// commitView commits a change of the view; only one is under way at a time. succeeded is called
+// before the mirror has the change.
+func (m *Membership) commitView(t store.Txn, succeeded func()) {
 	m.changingView = true
-	m.Client.Commit(store.PriorityMembership, t, func(epoch uint64, _ []string, err error) {
+	m.client.Commit(store.PriorityMembership, t, func(epoch uint64, _ []string, err error) {
 		m.changingView = false
 		if err == nil {
-			if len(unanswered) > 0 {
-				m.Log.Info("left out of the view, calls unanswered", "members", unanswered)
-			}
-			m.Log.Info("view changed", "epoch", next.Epoch, "leader", next.Leader, "members", len(next.Members))
-			m.Mirror.ApplyCommit(t.Writes, epoch)
+			succeeded()
+			m.mirror.ApplyCommit(t.Writes, epoch)
 		}
-		m.Wake()
+		m.loop.Wake()
 	})
 }
 
-// removeUnresponsiveList is the change that takes one of a member's lists of unresponsive machines
-// away, none if there is no such list.
-func (m *Membership) removeUnresponsiveList(name string, number int) []store.Write {
-	if key := fleet.UnresponsiveKey(name, number); m.Mirror.Revision(key) != 0 {
-		return []store.Write{decide.Remove(key)}
-	}
-	return nil
+// addRemoval adds to a change of the view the removal of a member that did not answer: it holds
+// only if the probe still stands as it was read, and takes the member key away, so that the member
+// comes back as a new incarnation or not at all.
+func (m *Membership) addRemoval(t store.Txn, name string) store.Txn {
+	probeKey := standby.ProbePrefix + name
+	memberKey := members.MemberPrefix + name
+	capabilitiesKey := members.CapabilitiesPrefix + name
+	t.Preconditions = append(t.Preconditions, m.precondition(probeKey), m.precondition(memberKey))
+	t.Writes = append(t.Writes, decide.Remove(probeKey), decide.Remove(memberKey), decide.Remove(capabilitiesKey))
+	return t
 }
 
-// appendFurtherListRemovals adds to a transaction's changes those that take a member's further lists
-// away, as far as there is room. Without the first they count for nothing
+// appendUnresponsiveRemovals adds to a transaction's writes those that take the lists of
+// unresponsive machines of members away that leave the view. When a member comes back its machines
+// have been heard by others meanwhile: by the old list hundreds of them were deleted at once
+// (docs/incidents/ushanga-ops-ops-1.md). The first lists of all members come first; the further ones
+// follow as far as there is room. Without the first they count for nothing
 // (fleet.UnresponsiveLists), and the member clears them itself when it comes back.
-func (m *Membership) appendFurtherListRemovals(changes []store.Write, name string) []store.Write {
-	for number := 2; number <= tuning.MaxUnresponsiveLists && len(changes) < m.MaxTxnWrites; number++ {
-		changes = append(changes, m.removeUnresponsiveList(name, number)...)
+func (m *Membership) appendUnresponsiveRemovals(writes []store.Write, names []string) []store.Write {
+	for _, name := range names {
+		writes = m.appendUnresponsiveRemoval(writes, name, 1)
 	}
-	return changes
-}
-
-// removalWrites is how many changes it takes to leave a member out: its key, what it reads,
-// its call and its list of machines.
-const removalWrites = 4
-
-// maxRemovals is how many members one change of the view can leave out.
-func (m *Membership) maxRemovals() int { return max(1, (m.MaxTxnWrites-1)/removalWrites) }
-
-func (m *Membership) precondition(key string) store.Precondition {
-	return store.Precondition{Key: key, Revision: m.Mirror.Revision(key)}
+	for _, name := range names {
+		for number := 2; number <= tuning.MaxUnresponsiveLists && len(writes) < m.config.MaxTxnWrites; number++ {
+			writes = m.appendUnresponsiveRemoval(writes, name, number)
+		}
+	}
+	return writes
 }
 
-// addRemoval adds to a change of the view that a member leaves that did not answer: it holds
-// only if its call still stands as it was read, and takes its key away, so that it comes
-// back as a new incarnation or not at all.
-func (m *Membership) addRemoval(t store.Txn, name string) store.Txn {
-	call, key, form := standby.ProbePrefix+name, members.MemberPrefix+name, members.CapabilitiesPrefix+name
-	t.Preconditions = append(t.Preconditions, m.precondition(call), m.precondition(key))
-	t.Writes = append(t.Writes, decide.Remove(call), decide.Remove(key), decide.Remove(form))
-	return t
+// appendUnresponsiveRemoval adds the write that takes one of a member's lists of unresponsive
+// machines away, if there is such a list.
+func (m *Membership) appendUnresponsiveRemoval(writes []store.Write, name string, number int) []store.Write {
+	if key := fleet.UnresponsiveKey(name, number); m.mirror.Revision(key) != 0 {
+		writes = append(writes, decide.Remove(key))
+	}
+	return writes
 }
 
 // handOver hands the lead to another member.
@@ -122,53 +152,59 @@
 	if m.changingView {
 		return
 	}
-	v := m.View()
-	next := &members.View{Leader: leader, Members: v.Members, Epoch: v.Epoch + 1}
+	view := m.cluster.View()
+	next := &members.View{Leader: leader, Members: view.Members, Epoch: view.Epoch + 1}
 	t := store.Txn{
-		Preconditions: []store.Precondition{m.precondition(members.ViewKey), m.precondition(members.MemberPrefix + m.Name), m.precondition(members.MemberPrefix + leader)},
-		Writes:        []store.Write{decide.Put(members.ViewKey, next)},
-	}
-	m.changingView = true
-	m.Client.Commit(store.PriorityMembership, t, func(epoch uint64, _ []string, err error) {
-		m.changingView = false
-		if err == nil {
-			m.Log.Info("lead handed over, too far behind", "leader", leader, "epoch", next.Epoch)
-			m.Mirror.ApplyCommit(t.Writes, epoch)
-		}
-		m.Wake()
+		Preconditions: []store.Precondition{
+			m.precondition(members.ViewKey),
+			m.precondition(members.MemberPrefix + m.config.Name),
+			m.precondition(members.MemberPrefix + leader),
+		},
+		Writes: []store.Write{decide.Put(members.ViewKey, next)},
+	}
+	m.commitView(t, func() {
+		m.config.Log.Info("lead handed over, too far behind", "leader", leader, "epoch", next.Epoch)
 	})
 }
 
-// resignTo gives this controller's place away, the lead with it if it has it.
+// Resign has this controller give up its place in the view, in the next calls of Reconcile.
+func (m *Membership) Resign() { m.standby.Resign() }
+
+// resignTo gives up this controller's place, and the lead with it if it leads.
 func (m *Membership) resignTo(leader string) {
 	if m.changingView || m.resigned {
 		return
 	}
-	own := members.MemberPrefix + m.Name
+	memberKey := members.MemberPrefix + m.config.Name
 	t := store.Txn{
-		Preconditions: []store.Precondition{m.precondition(own), m.precondition(members.MemberPrefix + leader)},
-		Writes:        []store.Write{decide.Remove(own), decide.Remove(members.CapabilitiesPrefix + m.Name)},
-	}
-	if v := m.View(); v.Leader == m.Name {
-		next := &members.View{Leader: leader, Epoch: v.Epoch + 1}
-		for _, member := range v.Members {
-			if member.Name != m.Name {
-				next.Members = append(next.Members, member)
-			}
-		}
+		Preconditions: []store.Precondition{
+			m.precondition(memberKey),
+			m.precondition(members.MemberPrefix + leader),
+		},
+		Writes: []store.Write{
+			decide.Remove(memberKey),
+			decide.Remove(members.CapabilitiesPrefix + m.config.Name),
+		},
+	}
+	if view := m.cluster.View(); view.Leader == m.config.Name {
 		t.Preconditions = append(t.Preconditions, m.precondition(members.ViewKey))
-		t.Writes = append(t.Writes, decide.Put(members.ViewKey, next))
-		t.Writes = append(t.Writes, m.removeUnresponsiveList(m.Name, 1)...)
-		t.Writes = m.appendFurtherListRemovals(t.Writes, m.Name)
+		t.Writes = append(t.Writes, decide.Put(members.ViewKey, m.viewWithoutSelf(view, leader)))
+		t.Writes = m.appendUnresponsiveRemovals(t.Writes, []string{m.config.Name})
 	}
-	m.changingView, m.resigning = true, true
-	m.Client.Commit(store.PriorityMembership, t, func(epoch uint64, _ []string, err error) {
-		m.changingView = false
-		if err == nil {
-			m.resigned = true
-			m.Log.Info("place given away", "leader", leader)
-			m.Mirror.ApplyCommit(t.Writes, epoch)
-		}
-		m.Wake()
+	m.resigning = true
+	m.commitView(t, func() {
+		m.resigned = true
+		m.config.Log.Info("place given away", "leader", leader)
 	})
 }
+
+// viewWithoutSelf returns the view that follows this controller's resignation.
+func (m *Membership) viewWithoutSelf(view *members.View, leader string) *members.View {
+	next := &members.View{Leader: leader, Epoch: view.Epoch + 1}
+	for _, member := range view.Members {
+		if member.Name != m.config.Name {
+			next.Members = append(next.Members, member)
+		}
+	}
+	return next
+}
