--- a/internal/membership/lease.go
+++ b/internal/membership/lease.go
@@ -51,7 +51,7 @@
 		}
 		if errors.Is(err, store.ErrGone) {
 			// A new lease is a new incarnation and thus a new epoch.
-			m.config.Log.Info("membership lease ended")
+			m.config.Log.Info("membership lease expired", "lease_id", leaseID)
 			m.leaseID = 0
 		}
 	})
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -131,7 +131,7 @@
 	if name == m.config.Name && m.leaseID != 0 && m.memberKeys[name] == m.leaseID && !m.resigning {
 		// Its lease expired, or it was probed and did not answer in time: either way it comes
 		// back as a new incarnation.
-		m.config.Log.Info("out of the members", "lease", m.leaseID)
+		m.config.Log.Info("membership lost", "lease_id", m.leaseID)
 		m.leaseID = 0
 	}
 	delete(m.memberKeys, name)
--- a/internal/membership/probes.go
+++ b/internal/membership/probes.go
@@ -48,10 +48,10 @@
 	since := m.standby.Since
 	actions, changed := m.standby.Evaluate(m.clusterStatus())
 	if changed {
-		m.config.Log.Debug("standby",
+		m.config.Log.Debug("standby state changed",
 			"state", string(m.standby.State),
-			"why", m.standby.Reason,
-			"after_ms", m.state.Now.Sub(since).Milliseconds(),
+			"reason", m.standby.Reason,
+			"duration_ms", m.state.Now.Sub(since).Milliseconds(),
 		)
 	}
 	for _, action := range actions {
@@ -126,7 +126,11 @@
 	m.client.Commit(store.PriorityMembership, t, func(epoch uint64, _ []string, err error) {
 		m.probing = false
 		if err == nil {
-			m.config.Log.Info("called, their connections ended", "members", names, "wait_ms", timeout.Milliseconds())
+			m.config.Log.Info("members probed",
+				"members", names,
+				"reason", "connection ended",
+				"timeout_ms", timeout.Milliseconds(),
+			)
 			m.mirror.ApplyCommit(t.Writes, epoch)
 			m.probeEpoch = epoch
 		}
@@ -148,7 +152,7 @@
 	m.client.Commit(store.PriorityMembership, t, func(epoch uint64, _ []string, err error) {
 		m.answeringProbe = false
 		if err == nil {
-			m.config.Log.Info("answered a call")
+			m.config.Log.Info("probe answered")
 			m.mirror.ApplyCommit(t.Writes, epoch)
 		}
 	})
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -67,7 +67,7 @@
 	unanswered := m.unansweredProbes
 	m.commitView(m.viewTxn(next, unanswered), func() {
 		if len(unanswered) > 0 {
-			m.config.Log.Info("left out of the view, calls unanswered", "members", unanswered)
+			m.config.Log.Info("members removed from view", "members", unanswered, "reason", "probe unanswered")
 		}
 		m.config.Log.Info("view changed", "epoch", next.Epoch, "leader", next.Leader, "members", len(next.Members))
 	})
@@ -163,7 +163,7 @@
 		Writes: []store.Write{decide.Put(members.ViewKey, next)},
 	}
 	m.commitView(t, func() {
-		m.config.Log.Info("lead handed over, too far behind", "leader", leader, "epoch", next.Epoch)
+		m.config.Log.Info("lead handed over", "leader", leader, "epoch", next.Epoch, "reason", "lagging")
 	})
 }
 
@@ -194,7 +194,7 @@
 	m.resigning = true
 	m.commitView(t, func() {
 		m.resigned = true
-		m.config.Log.Info("place given away", "leader", leader)
+		m.config.Log.Info("membership resigned", "leader", leader)
 	})
 }
 
