--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -163,7 +163,7 @@
 		Writes: []store.Write{decide.Put(members.ViewKey, next)},
 	}
 	m.commitView(t, func() {
-		m.config.Log.Info("lead handed over", "leader", leader, "epoch", next.Epoch, "reason", "lagging")
+		m.config.Log.Info("leadership handed over", "leader", leader, "epoch", next.Epoch, "reason", "lagging")
 	})
 }
 
