--- a/internal/controller/wiring_reachability.go
+++ b/internal/controller/wiring_reachability.go
@@ -1,19 +1,41 @@
 package controller
 
 import (
+	"time"
+
 	"github.com/harrierreel/harrierreel/internal/reachability"
 )
 
 // newReachability makes the tracker of who reaches whom.
-func (n *Controller) newReachability() *reachability.Tracker {
-	return reachability.New(n.State, reachability.Env{
-		Log:              n.log,
-		Rand:             n.rand,
-		Call:             n.transport.Worker,
-		OwnerOf:          n.ownerOf,
-		Incarnation:      func(name string) uint64 { return n.membership.Incarnation(name) },
-		OutsideView:      n.outsideView,
-		MirrorLive:       n.mirrorLive,
-		StoreUnavailable: n.client.Unavailable,
+func (c *Controller) newReachability() *reachability.Tracker {
+	collaborators := reachabilityAdapter{controller: c}
+	return reachability.New(c.State, reachability.Config{
+		Log:        c.log,
+		Rand:       c.rand,
+		Agents:     collaborators,
+		Membership: collaborators,
+		Store:      collaborators,
 	})
 }
+
+// reachabilityAdapter is what the tracker needs of the controller. Collaborators are looked up
+// at each call, since some are made after the tracker.
+type reachabilityAdapter struct{ controller *Controller }
+
+func (a reachabilityAdapter) CallAgent(endpoint, method, target string, body []byte, timeout time.Duration,
+	done func(status int, body []byte, err error),
+) {
+	a.controller.transport.Worker(endpoint, method, target, body, timeout, done)
+}
+
+func (a reachabilityAdapter) OwnerOf(machine string) string { return a.controller.ownerOf(machine) }
+
+func (a reachabilityAdapter) Incarnation(member string) uint64 {
+	return a.controller.membership.Incarnation(member)
+}
+
+func (a reachabilityAdapter) OutsideView() bool { return a.controller.outsideView() }
+
+func (a reachabilityAdapter) MirrorLive() bool { return a.controller.mirrorLive() }
+
+func (a reachabilityAdapter) Unavailable() bool { return a.controller.client.Unavailable() }
--- a/internal/reachability/tracker.go
+++ b/internal/reachability/tracker.go
@@ -1,11 +1,12 @@
-// Package reachability is what a controller knows of who reaches whom: workers that can't
-// reach their owner, members that are therefore left out of the view, and whether
-// this node itself reaches workers. It has no IO and no clock.
+// Package reachability tracks which controllers and agents reach each other: members whose
+// agents cannot reach them and that are therefore left out of the view, and whether this
+// controller itself reaches any agent. It has no IO and no clock.
 package reachability
 
 import (
 	"log/slog"
 	"math/rand/v2"
+	"net/http"
 	"time"
 
 	"github.com/harrierreel/harrierreel/internal/clusterstate"
@@ -14,166 +15,227 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Env is what it is told from outside.
-type Env struct {
-	Log  *slog.Logger
-	Rand *rand.Rand
-	// Call sends a request to a worker; its answer comes back on the loop.
-	Call func(endpoint, method, target string, body []byte, timeout time.Duration, done func(status int, body []byte, err error))
+// AgentCaller sends requests to machines' agents.
+type AgentCaller interface {
+	// CallAgent sends one request; done is called on the event loop, exactly once.
+	CallAgent(endpoint, method, target string, body []byte, timeout time.Duration,
+		done func(status int, body []byte, err error))
+}
+
+// Membership is what this controller knows of the view and of its members.
+type Membership interface {
 	// OwnerOf is the controller that a machine belongs to.
-	OwnerOf func(machine string) string
-	// Incarnation is that of a member's key, 0 if it has none.
-	Incarnation func(name string) uint64
-	// OutsideView tells whether this node is outside the view, Live whether the mirror
-	// follows the store.
-	OutsideView, MirrorLive func() bool
-	// StoreUnavailable tells whether the state service answers nobody, as far as this node knows.
-	StoreUnavailable func() bool
+	OwnerOf(machine string) string
+	// Incarnation is that of a member's lease, 0 if it has none.
+	Incarnation(member string) uint64
+	// OutsideView tells whether the known view does not name this controller.
+	OutsideView() bool
 }
 
-// Tracker is what one node knows.
+// Store is what this controller knows of its connection to the store.
+type Store interface {
+	// MirrorLive tells whether the mirror follows the store.
+	MirrorLive() bool
+	// Unavailable tells whether the store answers nobody, as far as this controller knows.
+	Unavailable() bool
+}
+
+// Config is what a Tracker is built from. Every field is required.
+type Config struct {
+	Log        *slog.Logger
+	Rand       *rand.Rand // picks the agents that are probed
+	Agents     AgentCaller
+	Membership Membership
+	Store      Store
+}
+
+// Tracker is what one controller knows of who reaches whom. It belongs to the event loop.
 type Tracker struct {
-	*clusterstate.State
-	Env
+	state      *clusterstate.State
+	log        *slog.Logger
+	rand       *rand.Rand
+	agents     AgentCaller
+	membership Membership
+	store      Store
 
 	complaints    members.Complaints
-	lastHeard     map[string]time.Time // machine to last report that its owner did not get
+	lastHeard     map[string]time.Time // machine to its last heartbeat that its owner did not get
 	votedOut      map[string]votedOutMember
 	peers         map[string]peerState
-	isolated      bool // outside the view, and no worker answers
-	pendingProbes int  // questions to workers that find out
+	isolated      bool // outside the view, and no agent answers
+	pendingProbes int  // probes of agents that were not answered yet
 	probedAt      time.Time
 }
 
+// peerState is what a peer said of itself last.
 type peerState struct {
-	stateOK  bool
-	isolated bool
-	at       time.Time
+	storeReachable bool
+	isolated       bool
+	at             time.Time
 }
 
-// votedOutMember is a member that workers could not reach.
+// fresh tells whether the peer said so lately enough to count.
+func (p peerState) fresh(now time.Time) bool { return now.Sub(p.at) < tuning.PeerFresh }
+
+// votedOutMember is a member that agents could not reach.
 type votedOutMember struct {
 	incarnation uint64
 	until       time.Time
 }
 
-// New makes an empty sight over a book.
-func New(b *clusterstate.State, env Env) *Tracker {
-	return &Tracker{State: b, Env: env, complaints: members.Complaints{}, lastHeard: map[string]time.Time{}, votedOut: map[string]votedOutMember{}, peers: map[string]peerState{}}
+// New makes a tracker that has heard nothing yet. state is read only, and its clock is used.
+func New(state *clusterstate.State, config Config) *Tracker {
+	return &Tracker{
+		state:      state,
+		log:        config.Log,
+		rand:       config.Rand,
+		agents:     config.Agents,
+		membership: config.Membership,
+		store:      config.Store,
+		complaints: members.Complaints{},
+		lastHeard:  map[string]time.Time{},
+		votedOut:   map[string]votedOutMember{},
+		peers:      map[string]peerState{},
+	}
 }
 
-// Isolated tells whether this node is outside the view and reaches no worker.
-func (si *Tracker) Isolated() bool { return si.isolated }
+// Isolated tells whether this controller is outside the view and reaches no agent.
+func (t *Tracker) Isolated() bool { return t.isolated }
 
-// LastHeard is when a machine of another owner was last heard here.
-func (si *Tracker) LastHeard(machine string) time.Time { return si.lastHeard[machine] }
+// LastHeard is when a machine of another owner was last heard here, zero if never.
+func (t *Tracker) LastHeard(machine string) time.Time { return t.lastHeard[machine] }
 
-// LocalComplaints lists the machines whose workers came here lately.
-func (si *Tracker) LocalComplaints() []string { return si.complaints.Local(si.Now) }
+// LocalComplaints lists the machines whose agents lately came to this controller instead of
+// their owner.
+func (t *Tracker) LocalComplaints() []string { return t.complaints.Local(t.state.Now) }
 
 // ResetComplaints drops all complaints: they were about another view, or about time in
-// which this node did not listen.
-func (si *Tracker) ResetComplaints() { si.complaints = members.Complaints{} }
+// which this controller's loop did not run.
+func (t *Tracker) ResetComplaints() { t.complaints = members.Complaints{} }
 
 // MachineRemoved forgets a machine.
-func (si *Tracker) MachineRemoved(machine string) { delete(si.lastHeard, machine) }
+func (t *Tracker) MachineRemoved(machine string) { delete(t.lastHeard, machine) }
 
-// ApplyGossip takes in what a peer says of itself.
-func (si *Tracker) ApplyGossip(from string, stateOK, blind bool) {
-	si.peers[from] = peerState{stateOK, blind, si.Now}
+// ApplyGossip takes in what a peer says of itself: whether the store answers it, and whether
+// it is isolated.
+func (t *Tracker) ApplyGossip(from string, storeReachable, isolated bool) {
+	t.peers[from] = peerState{storeReachable: storeReachable, isolated: isolated, at: t.state.Now}
 }
 
-// StoreReachableElsewhere tells whether a peer said lately that the state service answers it.
-func (si *Tracker) StoreReachableElsewhere() bool {
-	for _, p := range si.peers {
-		if p.stateOK && si.Now.Sub(p.at) < tuning.PeerFresh {
+// StoreReachableElsewhere tells whether a peer said lately that the store answers it.
+func (t *Tracker) StoreReachableElsewhere() bool {
+	for _, peer := range t.peers {
+		if peer.storeReachable && peer.fresh(t.state.Now) {
 			return true
 		}
 	}
 	return false
 }
 
-// complain notes a report by a worker that was sent to its owner.
-// Complain notes that a worker is out of its owner's reach: it came here though it
-// was sent there, or to another controller that says so.
-func (si *Tracker) Complain(owner, machine string, here bool) {
-	si.lastHeard[machine] = si.Now
-	if si.StoreUnavailable() {
-		return // its owner may be in reach and unable to renew its lease (package cancellation)
+// Complain notes that an agent does not reach its machine's owner: it came here (here is
+// true) although it was sent there, or to another controller, which says so.
+func (t *Tracker) Complain(owner, machine string, here bool) {
+	t.lastHeard[machine] = t.state.Now
+	if t.store.Unavailable() {
+		return // the owner may be in reach and unable to renew its lease (package cancellation)
 	}
-	si.complaints.Add(owner, machine, here, si.Now)
+	t.complaints.Add(owner, machine, here, t.state.Now)
 }
 
-// Unreachable lists the members that workers cannot reach: the workers were
-// told the owner's name and keep coming here instead.
-func (si *Tracker) Unreachable() map[string]bool {
-	out := map[string]bool{}
-	for name, o := range si.votedOut {
-		// Only the incarnation that was out of reach: a process that ended and
-		// came back starts with a clean slate.
-		if si.Incarnation(name) != o.incarnation {
-			continue
-		}
-		// One that says that it still reaches no worker stays out for longer.
-		if p := si.peers[name]; si.Now.Before(o.until) || p.isolated && si.Now.Sub(p.at) < tuning.PeerFresh {
-			out[name] = true
-		}
-	}
-	if si.OutsideView() {
-		return out
+// Unreachable lists the members that agents cannot reach: the agents were told the owner's
+// name and keep coming here instead. A member that is found unreachable stays so for
+// tuning.VotedOutFor, so that it does not enter and leave the view in turns.
+func (t *Tracker) Unreachable() map[string]bool {
+	unreachable := t.stillVotedOut()
+	if t.membership.OutsideView() {
+		return unreachable
 	}
-	lasting := si.complaints.PersistentByOwner(si.Now, si.OwnerOf, func(owner, machine string) bool {
-		_, is := si.Unresponsive[owner][machine]
-		return is
+	persistent := t.complaints.PersistentByOwner(t.state.Now, t.membership.OwnerOf, func(owner, machine string) bool {
+		_, unresponsive := t.state.Unresponsive[owner][machine]
+		return unresponsive
 	})
-	if len(lasting) == 0 {
-		return out
+	if len(persistent) == 0 {
+		return unreachable
 	}
 	owned := map[string]int{}
-	for _, m := range si.Machines {
+	for _, m := range t.state.Machines {
 		owned[m.Owner]++
 	}
-	for owner, machines := range lasting {
-		if float64(machines) >= tuning.UnreachableShare*float64(owned[owner]) && !out[owner] {
-			si.Log.Info("workers cannot reach a member", "member", owner, "machines", machines)
-			si.votedOut[owner] = votedOutMember{si.Incarnation(owner), si.Now.Add(tuning.VotedOutFor)}
-			out[owner] = true
+	for owner, machines := range persistent {
+		if float64(machines) < tuning.UnreachableShare*float64(owned[owner]) || unreachable[owner] {
+			continue
+		}
+		t.log.Info("member marked unreachable by agents", "member", owner, "machines", machines)
+		t.votedOut[owner] = votedOutMember{
+			incarnation: t.membership.Incarnation(owner),
+			until:       t.state.Now.Add(tuning.VotedOutFor),
+		}
+		unreachable[owner] = true
+	}
+	return unreachable
+}
+
+// stillVotedOut lists the members whose time outside the view is not over.
+func (t *Tracker) stillVotedOut() map[string]bool {
+	out := map[string]bool{}
+	for name, member := range t.votedOut {
+		// Only the incarnation that was out of reach: a process that ended and
+		// came back starts with a clean slate.
+		if t.membership.Incarnation(name) != member.incarnation {
+			continue
+		}
+		// One that says that it still reaches no agent stays out for longer.
+		peer := t.peers[name]
+		if t.state.Now.Before(member.until) || peer.isolated && peer.fresh(t.state.Now) {
+			out[name] = true
 		}
 	}
 	return out
 }
 
-// Reconcile looks from outside the view whether this node reaches workers: one
-// that was voted out because they could not reach it must not be given machines
-// again before that is mended.
-func (si *Tracker) Reconcile() {
-	if !si.OutsideView() {
-		si.isolated = false
+// Reconcile probes agents while this controller is outside the view: one that was voted out
+// because agents could not reach it must not be given machines again before that is mended.
+func (t *Tracker) Reconcile() {
+	if !t.membership.OutsideView() {
+		t.isolated = false
+		return
+	}
+	if !t.store.MirrorLive() || t.pendingProbes > 0 || t.state.Now.Sub(t.probedAt) < tuning.IsolationProbeEvery {
 		return
 	}
-	if !si.MirrorLive() || si.pendingProbes > 0 || si.Now.Sub(si.probedAt) < tuning.IsolationProbeEvery {
+	candidates := t.probeCandidates()
+	if len(candidates) < tuning.MinPartitionSample {
+		t.isolated = false
 		return
 	}
-	var up []*clusterstate.Machine
-	for _, m := range si.MachinesByName() {
+	t.probe(candidates)
+}
+
+// probeCandidates lists the machines that are up and whose agent's address is known.
+func (t *Tracker) probeCandidates() []*clusterstate.Machine {
+	var candidates []*clusterstate.Machine
+	for _, m := range t.state.MachinesByName() {
 		if m.State == fleet.Up && m.Endpoint != "" {
-			up = append(up, m)
+			candidates = append(candidates, m)
 		}
 	}
-	if len(up) < tuning.MinPartitionSample {
-		si.isolated = false
-		return
-	}
-	si.probedAt = si.Now
-	seen := false
+	return candidates
+}
+
+// probe asks a sample of the agents for anything at all: an answer of any status counts.
+func (t *Tracker) probe(candidates []*clusterstate.Machine) {
+	t.probedAt = t.state.Now
+	answered := false
 	for range tuning.MinPartitionSample {
-		m := up[si.Rand.IntN(len(up))]
-		si.pendingProbes++
-		si.Call(m.Endpoint, "GET", "/show", nil, tuning.CommandTimeout, func(_ int, _ []byte, err error) {
-			seen = seen || err == nil
-			if si.pendingProbes--; si.pendingProbes == 0 {
-				si.isolated = !seen
-			}
-		})
+		m := candidates[t.rand.IntN(len(candidates))]
+		t.pendingProbes++
+		t.agents.CallAgent(m.Endpoint, http.MethodGet, "/show", nil, tuning.CommandTimeout,
+			func(_ int, _ []byte, err error) {
+				answered = answered || err == nil
+				t.pendingProbes--
+				if t.pendingProbes == 0 {
+					t.isolated = !answered
+				}
+			})
 	}
 }
--- a/internal/reachability/tracker_test.go
+++ b/internal/reachability/tracker_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
+	"net/http"
 	"testing"
 	"time"
 
@@ -15,107 +16,123 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-type world struct {
+// fixture is a tracker of a controller whose collaborators say what the test sets.
+type fixture struct {
 	*Tracker
-	outside bool
-	answers bool
-	inc     uint64
-	down    bool // the state service
+	outsideView      bool
+	agentsAnswer     bool
+	incarnation      uint64
+	storeUnavailable bool
 }
 
-func newWorld(t *testing.T, machines int) *world {
+func (f *fixture) OwnerOf(string) string     { return "n1" }
+func (f *fixture) Incarnation(string) uint64 { return f.incarnation }
+func (f *fixture) OutsideView() bool         { return f.outsideView }
+func (f *fixture) MirrorLive() bool          { return true }
+func (f *fixture) Unavailable() bool         { return f.storeUnavailable }
+
+func (f *fixture) CallAgent(_, _, _ string, _ []byte, _ time.Duration, done func(int, []byte, error)) {
+	if f.agentsAnswer {
+		done(http.StatusOK, nil, nil)
+		return
+	}
+	done(0, nil, errors.New("no answer"))
+}
+
+// advance lets time pass.
+func (f *fixture) advance(d time.Duration) { f.state.Now = f.state.Now.Add(d) }
+
+// complainFor has the agents of all machines come here once a second.
+func (f *fixture) complainFor(seconds, machines int) {
+	for range seconds {
+		f.advance(time.Second)
+		for i := range machines {
+			f.Complain("n1", fmt.Sprint("i-", i), true)
+		}
+	}
+}
+
+// newFixture is a tracker that knows so many machines of member n1.
+func newFixture(t *testing.T, machines int) *fixture {
 	t.Helper()
-	w := &world{inc: 7}
-	b := clusterstate.New(quota.Flat(nil), func(string) {})
-	b.Now = time.Unix(1000, 0)
+	f := &fixture{incarnation: 7}
+	state := clusterstate.New(quota.Flat(nil), func(string) {})
+	state.Now = time.Unix(1000, 0)
+	record := jobs.Encode(fleet.MachineRecord{State: fleet.Up, MachineType: "g", Zone: "a", Endpoint: "w"})
 	for i := range machines {
-		if err := b.ApplyMachine(fmt.Sprint("i-", i), "n1", jobs.Encode(fleet.MachineRecord{State: fleet.Up, MachineType: "g", Zone: "a", Endpoint: "w"})); err != nil {
+		if err := state.ApplyMachine(fmt.Sprint("i-", i), "n1", record); err != nil {
 			t.Fatal(err)
 		}
 	}
-	w.Tracker = New(b, Env{
-		Log: slog.New(slog.DiscardHandler), Rand: rand.New(rand.NewPCG(1, 1)), OwnerOf: func(string) string { return "n1" },
-		Incarnation: func(string) uint64 { return w.inc }, OutsideView: func() bool { return w.outside }, MirrorLive: func() bool { return true }, StoreUnavailable: func() bool { return w.down },
-		Call: func(_, _, _ string, _ []byte, _ time.Duration, done func(int, []byte, error)) {
-			if w.answers {
-				done(200, nil, nil)
-				return
-			}
-			done(0, nil, errors.New("no answer"))
-		},
+	f.Tracker = New(state, Config{
+		Log:        slog.New(slog.DiscardHandler),
+		Rand:       rand.New(rand.NewPCG(1, 1)),
+		Agents:     f,
+		Membership: f,
+		Store:      f,
 	})
-	return w
+	return f
 }
 
-// A member that workers keep away from, though sent there, is left out for a while;
-// its next incarnation starts with a clean slate, and one that is blind stays out.
-func TestUnreachable(t *testing.T) {
-	w := newWorld(t, 4)
-	for range 20 {
-		w.Now = w.Now.Add(time.Second)
-		for i := range 4 {
-			w.Complain("n1", fmt.Sprint("i-", i), true)
-		}
+// A member that agents do not reach, though sent there, is left out for a while; its next
+// incarnation starts with a clean slate, and one that says it is isolated stays out.
+func TestMemberThatAgentsCannotReachIsUnreachableForAWhile(t *testing.T) {
+	f := newFixture(t, 4)
+	f.complainFor(20, 4)
+	if !f.Unreachable()["n1"] || f.LastHeard("i-2") != f.state.Now || len(f.LocalComplaints()) != 4 {
+		t.Fatalf("%v, here %v", f.Unreachable(), f.LocalComplaints())
 	}
-	if !w.Unreachable()["n1"] || w.LastHeard("i-2") != w.Now || len(w.LocalComplaints()) != 4 {
-		t.Fatalf("%v, here %v", w.Unreachable(), w.LocalComplaints())
+	f.ResetComplaints()
+	f.incarnation = 8
+	if f.Unreachable()["n1"] {
+		t.Error("the next incarnation is left out for the former one's sake")
 	}
-	w.ResetComplaints()
-	w.inc = 8
-	if w.Unreachable()["n1"] {
-		t.Error("another process is left out for the last one's sake")
-	}
-	w.inc = 7
-	w.Now = w.Now.Add(tuning.VotedOutFor + time.Second)
-	if w.Unreachable()["n1"] {
+	f.incarnation = 7
+	f.advance(tuning.VotedOutFor + time.Second)
+	if f.Unreachable()["n1"] {
 		t.Error("left out for too long")
 	}
-	w.ApplyGossip("n1", true, true)
-	if !w.Unreachable()["n1"] || !w.StoreReachableElsewhere() {
-		t.Error("one that says it is blind is let in")
+	f.ApplyGossip("n1", true, true)
+	if !f.Unreachable()["n1"] || !f.StoreReachableElsewhere() {
+		t.Error("a member that says it is isolated is let in")
 	}
-	w.Now = w.Now.Add(tuning.PeerFresh + time.Second)
-	if w.Unreachable()["n1"] || w.StoreReachableElsewhere() {
-		t.Error("an old hint counts")
+	f.advance(tuning.PeerFresh + time.Second)
+	if f.Unreachable()["n1"] || f.StoreReachableElsewhere() {
+		t.Error("old gossip counts")
 	}
 }
 
-// While the state service answers nobody an owner may be unable to renew leases, and its
-// workers go round: that is no word against it.
-func TestNoComplaintsInAnOutage(t *testing.T) {
-	w := newWorld(t, 4)
-	w.down = true
-	for range 20 {
-		w.Now = w.Now.Add(time.Second)
-		for i := range 4 {
-			w.Complain("n1", fmt.Sprint("i-", i), true)
-		}
-	}
-	if w.Unreachable()["n1"] || w.LastHeard("i-2") != w.Now {
-		t.Errorf("%v, heard %v", w.Unreachable(), w.LastHeard("i-2"))
+// While the store answers nobody an owner may be unable to renew leases, and its agents try
+// other controllers: that does not show that they cannot reach it.
+func TestComplaintsDoNotCountWhileStoreIsUnavailable(t *testing.T) {
+	f := newFixture(t, 4)
+	f.storeUnavailable = true
+	f.complainFor(20, 4)
+	if f.Unreachable()["n1"] || f.LastHeard("i-2") != f.state.Now {
+		t.Errorf("%v, heard %v", f.Unreachable(), f.LastHeard("i-2"))
 	}
 }
 
-// From outside the view a node looks whether it reaches workers.
-func TestBlind(t *testing.T) {
-	w := newWorld(t, 10)
-	w.outside = true
-	w.Reconcile()
-	if !w.Isolated() {
-		t.Error("no worker answers, and it is not blind")
+// From outside the view a controller probes whether it reaches agents.
+func TestIsolatedWhileOutsideTheViewAndNoAgentAnswers(t *testing.T) {
+	f := newFixture(t, 10)
+	f.outsideView = true
+	f.Reconcile()
+	if !f.Isolated() {
+		t.Error("no agent answers, and the controller is not isolated")
 	}
-	w.answers = true
-	w.Reconcile()
-	if !w.Isolated() {
-		t.Error("it looked again at once")
+	f.agentsAnswer = true
+	f.Reconcile()
+	if !f.Isolated() {
+		t.Error("agents were probed again at once")
 	}
-	w.Now = w.Now.Add(tuning.IsolationProbeEvery + time.Second)
-	if w.Reconcile(); w.Isolated() {
-		t.Error("workers answer, and it is blind")
+	f.advance(tuning.IsolationProbeEvery + time.Second)
+	if f.Reconcile(); f.Isolated() {
+		t.Error("agents answer, and the controller is isolated")
 	}
-	w.answers, w.outside = false, false
-	w.Now = w.Now.Add(tuning.IsolationProbeEvery + time.Second)
-	if w.Reconcile(); w.Isolated() {
-		t.Error("inside the view nobody is blind")
+	f.agentsAnswer, f.outsideView = false, false
+	f.advance(tuning.IsolationProbeEvery + time.Second)
+	if f.Reconcile(); f.Isolated() {
+		t.Error("a controller inside the view is isolated")
 	}
 }
