--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -12,9 +12,11 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
+	"net/http"
 	"slices"
 	"time"
 
@@ -273,11 +275,14 @@
 
 // ReceiveGossip takes a line from a peer.
 func (n *Controller) ReceiveGossip(line []byte) {
-	h, fault := peer.Decode(line, func(name string) bool {
+	h, err := peer.Decode(line, func(name string) bool {
 		return slices.ContainsFunc(n.settings.Peers, func(p settings.Peer) bool { return p.NodeName == name })
 	})
-	if fault != "" {
-		n.callErrors.Note(callerrors.Peers, "line", string(fault), 400, line)
+	if err != nil {
+		var decodeError *peer.DecodeError
+		if errors.As(err, &decodeError) {
+			n.callErrors.Note(callerrors.Peers, "line", string(decodeError.Reason), http.StatusBadRequest, line)
+		}
 		return
 	}
 	n.membership.PeerAlive(h.From)
--- a/internal/controller/runtime.go
+++ b/internal/controller/runtime.go
@@ -20,18 +20,18 @@
 func Serve(ctx context.Context, set *settings.Settings, log *slog.Logger) error {
 	debug.SetMemoryLimit(int64(set.Cluster.Limits.MemoryMB * tuning.MemoryShare * (1 << 20)))
 	events := make(chan func(), tuning.EventQueue)
-	stop := make(chan struct{})
-	defer close(stop)
+	running, stop := context.WithCancel(context.WithoutCancel(ctx)) // beyond ctx: the shutdown needs its sockets
+	defer stop()
 	var n *Controller
-	n = New(set, outside(set, events, stop, func(name string) { n.PeerDisconnected(name) }), log, rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), 0)))
+	n = New(set, outside(running, set, events, func(name string) { n.PeerDisconnected(name) }), log, rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), 0)))
 	n.Now = time.Now()
-	go listener(set, n, events).Run(stop)
+	go listener(set, n, events).Run(running.Done())
 	return loop(ctx, n, events)
 }
 
 // outside is the other services and controllers on sockets. Answers come back as
 // events.
-func outside(set *settings.Settings, events chan func(), stop chan struct{}, ended func(name string)) Transport {
+func outside(ctx context.Context, set *settings.Settings, events chan func(), ended func(name string)) Transport {
 	caller := func(addr string, idle int) store.Call {
 		c := &http1.Client{Addr: addr, MaxIdle: idle, MaxBody: tuning.MaxAnswerBody}
 		return func(method, target string, body []byte, timeout time.Duration, done func(int, []byte, error)) {
@@ -49,10 +49,10 @@
 	}
 	links := map[string]*peer.Link{}
 	for _, p := range set.Peers {
-		links[p.NodeName] = peer.NewLink(p.Address, stop, func() {
+		links[p.NodeName] = peer.NewLink(ctx, p.Address, func() {
 			select {
 			case events <- func() { ended(p.NodeName) }:
-			case <-stop:
+			case <-ctx.Done():
 			}
 		})
 	}
