--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -60,24 +60,24 @@
 }
 
 // countingErrors is the same with all answers that are refusals counted.
-func (o Transport) countingErrors(c *callerrors.Counter) Transport {
+func (t Transport) countingErrors(counter *callerrors.Counter) Transport {
 	wrap := func(party callerrors.Party, call store.Call) store.Call {
 		return func(method, target string, body []byte, timeout time.Duration, done func(int, []byte, error)) {
 			call(method, target, body, timeout, func(status int, answer []byte, err error) {
-				c.Note(party, method, target, status, answer)
+				counter.Note(party, method, target, status, answer)
 				done(status, answer, err)
 			})
 		}
 	}
-	worker := o.Worker
-	o.State, o.Watch, o.Cloud = wrap(callerrors.State, o.State), wrap(callerrors.State, o.Watch), wrap(callerrors.Cloud, o.Cloud)
-	o.Worker = func(endpoint, method, target string, body []byte, timeout time.Duration, done func(int, []byte, error)) {
+	worker := t.Worker
+	t.State, t.Watch, t.Cloud = wrap(callerrors.State, t.State), wrap(callerrors.State, t.Watch), wrap(callerrors.Cloud, t.Cloud)
+	t.Worker = func(endpoint, method, target string, body []byte, timeout time.Duration, done func(int, []byte, error)) {
 		worker(endpoint, method, target, body, timeout, func(status int, answer []byte, err error) {
-			c.Note(callerrors.Worker, method, target, status, answer)
+			counter.Note(callerrors.Worker, method, target, status, answer)
 			done(status, answer, err)
 		})
 	}
-	return o
+	return t
 }
 
 // Controller is one controller.
@@ -127,375 +127,375 @@
 // New makes a controller. It reads as the list of who depends on whom: what a collaborator needs of one that is made
 // after it is looked up when it is called.
 func New(set *settings.Settings, out Transport, log *slog.Logger, rng *rand.Rand) *Controller {
-	n := &Controller{settings: set, log: log, rand: rng, role: members.Outside}
-	n.transport = out.countingErrors(&n.callErrors)
-	n.State = clusterstate.New(quota.Flat(set.TeamMap()), n.reviewMachine)
-	n.client = n.newClient()
-	n.cancellations = n.newCancellations()
-	n.acks = n.newAckLog()
-	n.mirror = n.newMirror()
-	n.committer = n.newCommitter()
-	n.reachability = n.newReachability()
-	n.membership = n.newMembership()
-	n.calendar = n.newCalendar()
-	n.queue = n.newQueue()
-	n.provisioner = n.newProvisioner()
-	n.shard = n.newShard()
-	n.api = n.newAPI()
-	n.leaderState.reset()
-	n.updateBudget()
-	return n
+	c := &Controller{settings: set, log: log, rand: rng, role: members.Outside}
+	c.transport = out.countingErrors(&c.callErrors)
+	c.State = clusterstate.New(quota.Flat(set.TeamMap()), c.reviewMachine)
+	c.client = c.newClient()
+	c.cancellations = c.newCancellations()
+	c.acks = c.newAckLog()
+	c.mirror = c.newMirror()
+	c.committer = c.newCommitter()
+	c.reachability = c.newReachability()
+	c.membership = c.newMembership()
+	c.calendar = c.newCalendar()
+	c.queue = c.newQueue()
+	c.provisioner = c.newProvisioner()
+	c.shard = c.newShard()
+	c.api = c.newAPI()
+	c.leaderState.reset()
+	c.updateBudget()
+	return c
 }
 
 // wake has the loop look for decisions to take.
-func (n *Controller) wake() { n.dirty = true }
+func (c *Controller) wake() { c.dirty = true }
 
 // reviewMachine has a machine's records compared with its heartbeats.
-func (n *Controller) reviewMachine(machine string) {
-	n.shard.ReviewMachine(machine)
-	n.dirty = true
+func (c *Controller) reviewMachine(machine string) {
+	c.shard.ReviewMachine(machine)
+	c.dirty = true
 }
 
 // outsideView tells whether the known view does not name this controller.
-func (n *Controller) outsideView() bool { return n.role == members.Outside }
+func (c *Controller) outsideView() bool { return c.role == members.Outside }
 
 // knownEpoch is up to where the mirror shows all changes of the store.
-func (n *Controller) knownEpoch() uint64 { return n.mirror.Epoch }
+func (c *Controller) knownEpoch() uint64 { return c.mirror.Epoch }
 
 // viewEpoch is the epoch of the view that this controller's role is from.
-func (n *Controller) viewEpoch() uint64 { return n.roleEpoch }
+func (c *Controller) viewEpoch() uint64 { return c.roleEpoch }
 
 // memberNames lists the members of the known view.
-func (n *Controller) memberNames() []string { return n.view.Names() }
+func (c *Controller) memberNames() []string { return c.view.Names() }
 
 // mirrorLive tells whether the mirror follows the store.
-func (n *Controller) mirrorLive() bool { return n.sync.live }
+func (c *Controller) mirrorLive() bool { return c.sync.live }
 
 // Run enters the loop: f is an event, now its time.
-func (n *Controller) Run(now time.Time, f func()) {
-	last := n.Now
-	n.Now = now
+func (c *Controller) Run(now time.Time, f func()) {
+	last := c.Now
+	c.Now = now
 	if gap := now.Sub(last); gap >= tuning.Standstill && !last.IsZero() {
-		n.handleStall(gap)
+		c.handleStall(gap)
 	}
-	n.client.Dispatch(now)
+	c.client.Dispatch(now)
 	f()
-	n.api.ReleaseHeld()
-	n.cancellations.Broadcast()
-	n.broadcastAcks()
-	n.reconcile()
+	c.api.ReleaseHeld()
+	c.cancellations.Broadcast()
+	c.broadcastAcks()
+	c.reconcile()
 }
 
 // hearsAllMembers tells whether the lines of all other members come in.
-func (n *Controller) hearsAllMembers() bool {
-	if n.view == nil {
+func (c *Controller) hearsAllMembers() bool {
+	if c.view == nil {
 		return true
 	}
-	others := slices.DeleteFunc(slices.Clone(n.view.Names()), func(name string) bool { return name == n.settings.NodeName })
-	return n.acks.HearsAll(others, n.Now)
+	others := slices.DeleteFunc(slices.Clone(c.view.Names()), func(name string) bool { return name == c.settings.NodeName })
+	return c.acks.HearsAll(others, c.Now)
 }
 
 // broadcastAcks tells the other controllers what users are about to be told of jobs, before the
 // answers leave.
-func (n *Controller) broadcastAcks() {
-	for _, line := range n.acks.TakeUnsent() {
-		h := n.newGossip(cancellation.Message{})
+func (c *Controller) broadcastAcks() {
+	for _, line := range c.acks.TakeUnsent() {
+		h := c.newGossip(cancellation.Message{})
 		h.Acknowledged, h.Epoch, h.MachinesHeardEpoch = &line, 0, 0
 		b := peer.Encode(h)
-		for _, p := range n.settings.Peers {
-			n.transport.Gossip(p.NodeName, b)
+		for _, p := range c.settings.Peers {
+			c.transport.Gossip(p.NodeName, b)
 		}
 	}
 }
 
 // Tick is the loop's clock.
-func (n *Controller) Tick(now time.Time) {
-	n.Run(now, func() {
-		n.measureLoopLag()
-		n.continueShutdown()
-		n.membership.Reconcile()
-		n.reachability.Reconcile()
-		n.syncMirror()
-		n.sendGossip()
-		n.cancellations.Reconcile()
-		n.api.ReconcileQueries()
-		n.logWriteCounts()
-		n.logCallErrors()
-		n.dirty = true
+func (c *Controller) Tick(now time.Time) {
+	c.Run(now, func() {
+		c.measureLoopLag()
+		c.continueShutdown()
+		c.membership.Reconcile()
+		c.reachability.Reconcile()
+		c.syncMirror()
+		c.sendGossip()
+		c.cancellations.Reconcile()
+		c.api.ReconcileQueries()
+		c.logWriteCounts()
+		c.logCallErrors()
+		c.dirty = true
 	})
 }
 
 // reconcile takes the decisions that the last events made possible, not more
 // often than the pass gap.
-func (n *Controller) reconcile() {
-	if !n.dirty || n.Now.Sub(n.settledAt) < tuning.ReconcileGap {
+func (c *Controller) reconcile() {
+	if !c.dirty || c.Now.Sub(c.settledAt) < tuning.ReconcileGap {
 		return
 	}
-	n.dirty, n.settledAt = false, n.Now
-	if !n.caughtUp() || !n.membership.Certain() {
-		n.dirty = n.sync.live
+	c.dirty, c.settledAt = false, c.Now
+	if !c.caughtUp() || !c.membership.Certain() {
+		c.dirty = c.sync.live
 		return
 	}
-	if n.mirror.Epoch < n.mirror.Revision(members.ViewKey) {
+	if c.mirror.Epoch < c.mirror.Revision(members.ViewKey) {
 		// Our own commit of the view is ahead of the watch: what the last view
 		// still committed is not all here yet, and deciding without it would
 		// forget charges and placements.
-		n.dirty = true
+		c.dirty = true
 		return
 	}
-	n.updateRole()
-	n.updateChecks()
-	n.followCloud()
-	n.shard.Reconcile()
+	c.updateRole()
+	c.updateChecks()
+	c.followCloud()
+	c.shard.Reconcile()
 	// The leader's pass looks at every machine, so its pace follows their number.
-	if gap := tuning.ReconcileGap + time.Duration(len(n.Machines))*tuning.LeaderGapPerMachine; n.Now.Sub(n.leaderPassAt) >= gap {
-		n.leaderPassAt = n.Now
-		n.runLeaderDuties()
+	if gap := tuning.ReconcileGap + time.Duration(len(c.Machines))*tuning.LeaderGapPerMachine; c.Now.Sub(c.leaderPassAt) >= gap {
+		c.leaderPassAt = c.Now
+		c.runLeaderDuties()
 	} else {
-		n.dirty = n.dirty || n.role == members.Leader
+		c.dirty = c.dirty || c.role == members.Leader
 	}
-	n.api.ReconcileRuns()
-	n.calendar.Reconcile(n.role != members.Outside)
-	n.client.Dispatch(n.Now)
+	c.api.ReconcileRuns()
+	c.calendar.Reconcile(c.role != members.Outside)
+	c.client.Dispatch(c.Now)
 }
 
 // Wait tells how long the loop may sleep.
-func (n *Controller) Wait() time.Duration {
-	if n.dirty {
-		return n.api.WaitForHeld(tuning.ReconcileGap)
+func (c *Controller) Wait() time.Duration {
+	if c.dirty {
+		return c.api.WaitForHeld(tuning.ReconcileGap)
 	}
-	if n.client.Waiting() > 0 {
-		return n.api.WaitForHeld(tuning.DispatchGap)
+	if c.client.Waiting() > 0 {
+		return c.api.WaitForHeld(tuning.DispatchGap)
 	}
-	return n.api.WaitForHeld(tuning.Tick)
+	return c.api.WaitForHeld(tuning.Tick)
 }
 
 // Role is this node's role under the last view it knows.
-func (n *Controller) Role() members.Role { return n.role }
+func (c *Controller) Role() members.Role { return c.role }
 
 // ReceiveGossip takes a line from a peer.
-func (n *Controller) ReceiveGossip(line []byte) {
+func (c *Controller) ReceiveGossip(line []byte) {
 	h, err := peer.Decode(line, func(name string) bool {
-		return slices.ContainsFunc(n.settings.Peers, func(p settings.Peer) bool { return p.NodeName == name })
+		return slices.ContainsFunc(c.settings.Peers, func(p settings.Peer) bool { return p.NodeName == name })
 	})
 	if err != nil {
 		var decodeError *peer.DecodeError
 		if errors.As(err, &decodeError) {
-			n.callErrors.Note(callerrors.Peers, "line", string(decodeError.Reason), http.StatusBadRequest, line)
+			c.callErrors.Note(callerrors.Peers, "line", string(decodeError.Reason), http.StatusBadRequest, line)
 		}
 		return
 	}
-	n.membership.PeerAlive(h.From)
-	n.cancellations.Receive(h.From, h.Message)
-	n.acks.PeerAlive(h.From, n.Now)
+	c.membership.PeerAlive(h.From)
+	c.cancellations.Receive(h.From, h.Message)
+	c.acks.PeerAlive(h.From, c.Now)
 	if h.Acknowledged != nil {
-		n.acks.ApplyPeerAcks(*h.Acknowledged, n.Now)
+		c.acks.ApplyPeerAcks(*h.Acknowledged, c.Now)
 	}
-	n.reachability.ApplyGossip(h.From, h.StoreReachable, h.Isolated)
-	n.shard.Reconciling.OtherHeard(h.From, h.MachinesHeardEpoch, h.Epoch)
-	if h.Epoch > n.mirror.Epoch {
-		if n.lateSince.IsZero() {
-			n.lateSince = n.Now
+	c.reachability.ApplyGossip(h.From, h.StoreReachable, h.Isolated)
+	c.shard.Reconciling.OtherHeard(h.From, h.MachinesHeardEpoch, h.Epoch)
+	if h.Epoch > c.mirror.Epoch {
+		if c.lateSince.IsZero() {
+			c.lateSince = c.Now
 		}
-		n.watchNow()
+		c.watchNow()
 	}
 	// A worker that cannot reach its owner always tries the same next node,
 	// which need not be the leader.
 	for _, machine := range h.Unreached[:min(len(h.Unreached), tuning.MaxUnreached)] {
-		if owner := n.ownerOf(machine); owner != h.From && n.Machines[machine] != nil {
-			n.reachability.Complain(owner, machine, false)
+		if owner := c.ownerOf(machine); owner != h.From && c.Machines[machine] != nil {
+			c.reachability.Complain(owner, machine, false)
 		}
 	}
 }
 
-func (n *Controller) sendGossip() {
-	news := n.mirror.Epoch > n.gossipedEpoch
-	if !news && n.Now.Sub(n.gossipedAt) < tuning.GossipEvery {
+func (c *Controller) sendGossip() {
+	news := c.mirror.Epoch > c.gossipedEpoch
+	if !news && c.Now.Sub(c.gossipedAt) < tuning.GossipEvery {
 		return
 	}
-	if n.Now.Sub(n.gossipedAt) < tuning.GossipEvery/2 {
+	if c.Now.Sub(c.gossipedAt) < tuning.GossipEvery/2 {
 		return
 	}
-	n.gossipedAt, n.gossipedEpoch = n.Now, n.mirror.Epoch
-	h := n.newGossip(n.cancellations.Handshake())
-	h.Unreached = n.reachability.LocalComplaints()
+	c.gossipedAt, c.gossipedEpoch = c.Now, c.mirror.Epoch
+	h := c.newGossip(c.cancellations.Handshake())
+	h.Unreached = c.reachability.LocalComplaints()
 	line := peer.Encode(h)
-	for _, p := range n.settings.Peers {
-		n.transport.Gossip(p.NodeName, line)
+	for _, p := range c.settings.Peers {
+		c.transport.Gossip(p.NodeName, line)
 	}
 }
 
 // newGossip is what this node says of itself with each line, beside what the line is about.
-func (n *Controller) newGossip(m cancellation.Message) peer.Gossip {
-	return peer.Gossip{From: n.settings.NodeName, Message: m, Epoch: n.mirror.Epoch, StoreReachable: n.sync.live && !n.client.Unavailable(), Isolated: n.reachability.Isolated(), MachinesHeardEpoch: n.machinesHeardEpoch()}
+func (c *Controller) newGossip(m cancellation.Message) peer.Gossip {
+	return peer.Gossip{From: c.settings.NodeName, Message: m, Epoch: c.mirror.Epoch, StoreReachable: c.sync.live && !c.client.Unavailable(), Isolated: c.reachability.Isolated(), MachinesHeardEpoch: c.machinesHeardEpoch()}
 }
 
 // send sends a peer a line about cancellations.
-func (n *Controller) send(name string, m cancellation.Message) {
-	n.transport.Gossip(name, peer.Encode(n.newGossip(m)))
+func (c *Controller) send(name string, m cancellation.Message) {
+	c.transport.Gossip(name, peer.Encode(c.newGossip(m)))
 }
 
 // machinesHeardEpoch is the view under which this node has heard its machines, as its own watch
 // shows: whoever is told waits for that epoch.
-func (n *Controller) machinesHeardEpoch() uint64 {
-	for _, key := range n.shard.UnresponsiveKeys() {
-		if n.mirror.Epoch < n.mirror.Revision(key) {
+func (c *Controller) machinesHeardEpoch() uint64 {
+	for _, key := range c.shard.UnresponsiveKeys() {
+		if c.mirror.Epoch < c.mirror.Revision(key) {
 			return 0
 		}
 	}
-	return n.shard.MachinesHeardEpoch()
+	return c.shard.MachinesHeardEpoch()
 }
 
 // logWriteCounts logs what the changes of the state service were spent on.
-func (n *Controller) logWriteCounts() {
-	if n.Now.Sub(n.changesLoggedAt) >= tuning.Step {
-		n.changesLoggedAt = n.Now
-		n.log.Debug("changes", "sent", fmt.Sprint(n.client.TakeWriteCounts()))
+func (c *Controller) logWriteCounts() {
+	if c.Now.Sub(c.changesLoggedAt) >= tuning.Step {
+		c.changesLoggedAt = c.Now
+		c.log.Debug("changes", "sent", fmt.Sprint(c.client.TakeWriteCounts()))
 	}
 }
 
 // logCallErrors logs which calls were refused, once a minute.
-func (n *Controller) logCallErrors() {
-	wrong, load := n.callErrors.Due(n.Now)
+func (c *Controller) logCallErrors() {
+	wrong, load := c.callErrors.Due(c.Now)
 	if wrong != "" {
-		n.log.Error("calls refused that should not have been made", "calls", wrong)
+		c.log.Error("calls refused that should not have been made", "calls", wrong)
 	}
 	if load != "" {
-		n.log.Info("calls refused", "calls", load)
+		c.log.Info("calls refused", "calls", load)
 	}
 }
 
 // ProtocolErrors counts the calls and decisions so far that a correct program never makes.
-func (n *Controller) ProtocolErrors() int { return n.callErrors.Unexpected + n.committer.Quarantined() }
+func (c *Controller) ProtocolErrors() int { return c.callErrors.Unexpected + c.committer.Quarantined() }
 
 // applyChange takes a change of the mirror into the typed state. An unreadable
 // record is reported and set aside: it stays in the store, and nothing is
 // decided from it.
-func (n *Controller) applyChange(key string, value json.RawMessage, revision uint64) {
-	n.dirty = true
+func (c *Controller) applyChange(key string, value json.RawMessage, revision uint64) {
+	c.dirty = true
 	switch {
-	case n.calendar.Changed(key, value):
+	case c.calendar.Changed(key, value):
 	case key == members.ViewKey:
 		if v, ok := members.Decode(value); ok {
-			n.view = v
-			for _, m := range n.Machines {
-				m.Owner = n.ownerOf(m.Name)
+			c.view = v
+			for _, m := range c.Machines {
+				m.Owner = c.ownerOf(m.Name)
 			}
 		} else if value != nil {
-			n.log.Error("unreadable view", "stamp", revision)
+			c.log.Error("unreadable view", "stamp", revision)
 		}
 	case hasPrefix(key, members.MemberPrefix):
-		n.membership.ApplyMember(members.NameOfKey(key), value)
+		c.membership.ApplyMember(members.NameOfKey(key), value)
 	case hasPrefix(key, standby.ProbePrefix):
-		n.membership.ApplyProbe(key[len(standby.ProbePrefix):], value)
+		c.membership.ApplyProbe(key[len(standby.ProbePrefix):], value)
 	case hasPrefix(key, members.CapabilitiesPrefix):
-		n.membership.ApplyCapabilities(key[len(members.CapabilitiesPrefix):], value)
+		c.membership.ApplyCapabilities(key[len(members.CapabilitiesPrefix):], value)
 	case hasPrefix(key, fleet.UnresponsivePrefix):
-		if err := n.shard.ApplyUnresponsive(key[len(fleet.UnresponsivePrefix):], value); err != nil {
-			n.log.Error("unreadable list of machines set aside", "key", key, "error", err)
+		if err := c.shard.ApplyUnresponsive(key[len(fleet.UnresponsivePrefix):], value); err != nil {
+			c.log.Error("unreadable list of machines set aside", "key", key, "error", err)
 		}
 	case hasPrefix(key, jobs.TaskPrefix), hasPrefix(key, taskbatch.KeyPrefix), hasPrefix(key, jobs.JobPrefix):
-		n.applyWork(key, value, revision)
+		c.applyWork(key, value, revision)
 	case hasPrefix(key, fleet.MachinePrefix):
-		n.applyMachine(key[len(fleet.MachinePrefix):], value)
+		c.applyMachine(key[len(fleet.MachinePrefix):], value)
 	case fleet.ClaimsNumber(key) > 0:
-		if err := n.queue.ApplyClaims(key, value); err != nil {
-			n.log.Error("unreadable claims set aside", "error", err)
+		if err := c.queue.ApplyClaims(key, value); err != nil {
+			c.log.Error("unreadable claims set aside", "error", err)
 		}
 	case hasPrefix(key, provisioning.MachineTypePrefix):
 		var b jobs.MachineType
 		if value == nil {
-			delete(n.MachineTypes, key[len(provisioning.MachineTypePrefix):])
+			delete(c.MachineTypes, key[len(provisioning.MachineTypePrefix):])
 		} else if json.Unmarshal(value, &b) == nil && b.Name != "" {
-			n.MachineTypes[b.Name] = &b
+			c.MachineTypes[b.Name] = &b
 		} else {
-			n.log.Error("unreadable machine type", "key", key)
+			c.log.Error("unreadable machine type", "key", key)
 		}
 	case provisioning.IsSummaryKey(key):
-		n.provisioner.ApplySummary(key, value)
+		c.provisioner.ApplySummary(key, value)
 	case hasPrefix(key, jobs.FinalPrefix):
-		n.api.ApplyFinal(key[len(jobs.FinalPrefix):], value)
+		c.api.ApplyFinal(key[len(jobs.FinalPrefix):], value)
 	case key == quota.StoreKey:
-		n.api.ApplyQuota(value)
+		c.api.ApplyQuota(value)
 	case hasPrefix(key, lending.Prefix):
-		n.queue.ApplyLoans(key, value)
+		c.queue.ApplyLoans(key, value)
 	case hasPrefix(key, pipelines.RunPrefix):
-		n.api.ApplyRun(key[len(pipelines.RunPrefix):], value)
+		c.api.ApplyRun(key[len(pipelines.RunPrefix):], value)
 	}
 }
 
 // applyWork takes the record of a job or of tasks in.
-func (n *Controller) applyWork(key string, value json.RawMessage, revision uint64) {
+func (c *Controller) applyWork(key string, value json.RawMessage, revision uint64) {
 	var jobIDs []string
 	var err error
 	switch {
 	case hasPrefix(key, taskbatch.KeyPrefix):
-		jobIDs, err = n.ApplyBatch(key, value, revision)
+		jobIDs, err = c.ApplyBatch(key, value, revision)
 	case hasPrefix(key, jobs.TaskPrefix):
 		jobIDs = []string{""}
-		jobIDs[0], err = n.ApplyTaskRange(key, value)
+		jobIDs[0], err = c.ApplyTaskRange(key, value)
 	default:
 		jobIDs = []string{key[len(jobs.JobPrefix):]}
-		err = n.ApplyJob(jobIDs[0], value)
+		err = c.ApplyJob(jobIDs[0], value)
 	}
 	if err != nil {
-		n.log.Error("unreadable record set aside", "key", key, "error", err)
+		c.log.Error("unreadable record set aside", "key", key, "error", err)
 	}
 	for _, jobID := range jobIDs {
-		n.api.RunJobChanged(jobID)
+		c.api.RunJobChanged(jobID)
 	}
 }
 
 // applyMachine takes a machine's record in.
-func (n *Controller) applyMachine(name string, value json.RawMessage) {
-	n.shard.ReviewMachine(name)
-	if err := n.ApplyMachine(name, n.ownerOf(name), value); err != nil {
-		n.log.Error("unreadable machine record set aside", "machine", name, "error", err)
+func (c *Controller) applyMachine(name string, value json.RawMessage) {
+	c.shard.ReviewMachine(name)
+	if err := c.ApplyMachine(name, c.ownerOf(name), value); err != nil {
+		c.log.Error("unreadable machine record set aside", "machine", name, "error", err)
 	}
 	if value == nil {
-		n.reachability.MachineRemoved(name)
-		n.shard.MachineRemoved(name)
+		c.reachability.MachineRemoved(name)
+		c.shard.MachineRemoved(name)
 	}
 }
 
 func hasPrefix(s, p string) bool { return len(s) > len(p) && s[:len(p)] == p }
 
 // mayDecide tells whether this node may decide for users.
-func (n *Controller) mayDecide() bool {
-	return !n.client.Unavailable() && n.sync.live && n.role != members.Outside && n.membership.Certain()
+func (c *Controller) mayDecide() bool {
+	return !c.client.Unavailable() && c.sync.live && c.role != members.Outside && c.membership.Certain()
 }
 
 // healthy tells whether users should be sent here. During an outage of the state
 // service every node stays up and refuses at once; a node that alone is refused, as
 // its peers' hints show, steps aside.
-func (n *Controller) healthy() bool {
-	return n.sync.live && n.role != members.Outside && n.membership.Certain() && n.shuttingDownSince.IsZero() && !(n.client.Unavailable() && n.reachability.StoreReachableElsewhere())
+func (c *Controller) healthy() bool {
+	return c.sync.live && c.role != members.Outside && c.membership.Certain() && c.shuttingDownSince.IsZero() && !(c.client.Unavailable() && c.reachability.StoreReachableElsewhere())
 }
 
 // Request takes a request from the front door. respond is called exactly once.
-func (n *Controller) Request(m *http1.Message, respond func(http1.Reply)) {
+func (c *Controller) Request(m *http1.Message, respond func(http1.Reply)) {
 	party := callerrors.Workers
 	if api.IsUsers(m) {
 		party = callerrors.Users
 	}
-	n.api.Request(m, func(r http1.Reply) {
-		n.callErrors.Note(party, m.Method, m.Target, r.Status, r.Body)
+	c.api.Request(m, func(r http1.Reply) {
+		c.callErrors.Note(party, m.Method, m.Target, r.Status, r.Body)
 		respond(r)
 	})
 }
 
 // reviewMachineOf has a task's machine reviewed.
-func (n *Controller) reviewMachineOf(t *clusterstate.Task) {
+func (c *Controller) reviewMachineOf(t *clusterstate.Task) {
 	if t.Machine != "" {
-		n.shard.ReviewMachine(t.Machine)
-		n.dirty = true
+		c.shard.ReviewMachine(t.Machine)
+		c.dirty = true
 	}
 }
 
 // ownerOf is the controller that a machine belongs to under the known view.
-func (n *Controller) ownerOf(machine string) string {
-	if n.view == nil {
+func (c *Controller) ownerOf(machine string) string {
+	if c.view == nil {
 		return ""
 	}
-	return sharding.Owner(machine, n.view.Names())
+	return sharding.Owner(machine, c.view.Names())
 }
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -29,110 +29,110 @@
 }
 
 // runLeaderDuties does what only the leader does.
-func (n *Controller) runLeaderDuties() {
-	if n.role != members.Leader || !n.checks.Permits(standby.Delete) {
+func (c *Controller) runLeaderDuties() {
+	if c.role != members.Leader || !c.checks.Permits(standby.Delete) {
 		return
 	}
-	n.provisioner.Reconcile()
-	if n.client.Unavailable() {
+	c.provisioner.Reconcile()
+	if c.client.Unavailable() {
 		return
 	}
-	n.api.ReconcileQuota()
-	n.calendar.Pass()
-	n.queue.DropClaims()
-	n.queue.ReconcileClaims()
+	c.api.ReconcileQuota()
+	c.calendar.Pass()
+	c.queue.DropClaims()
+	c.queue.ReconcileClaims()
 	// Where the budget does not allow all, each gets its turn.
-	duties := []func(){n.closeJobs, n.provisioner.Decommission, n.queue.TakeBack, n.releaseQueued}
+	duties := []func(){c.closeJobs, c.provisioner.Decommission, c.queue.TakeBack, c.releaseQueued}
 	for i := range duties {
-		duties[(n.leaderState.nextDuty+i)%len(duties)]()
+		duties[(c.leaderState.nextDuty+i)%len(duties)]()
 	}
-	n.leaderState.nextDuty++
-	n.moveReplicas()
-	if len(n.Batches) > 0 && n.Now.Sub(n.leaderState.clearedAt) >= tuning.Step && n.client.HasSpareWrites() {
-		n.leaderState.clearedAt = n.Now
-		n.committer.Commit(completion.ClearBatches(n.State, n.mirror.Epoch, n.settings.Cluster.State.TxnOps, n.committer.Busy))
+	c.leaderState.nextDuty++
+	c.moveReplicas()
+	if len(c.Batches) > 0 && c.Now.Sub(c.leaderState.clearedAt) >= tuning.Step && c.client.HasSpareWrites() {
+		c.leaderState.clearedAt = c.Now
+		c.committer.Commit(completion.ClearBatches(c.State, c.mirror.Epoch, c.settings.Cluster.State.TxnOps, c.committer.Busy))
 	}
 }
 
 // releaseQueued looks at the queue. While no change can be made, room that comes
 // free is gathered: the next look gives it away in fewer and larger slices.
-func (n *Controller) releaseQueued() {
+func (c *Controller) releaseQueued() {
 	least := 1
-	if n.queue.Scarce() {
+	if c.queue.Scarce() {
 		least = tuning.MinBatchWrites
 	}
-	if !n.checks.Permits(standby.Release) || !n.api.QuotaSettled() {
+	if !c.checks.Permits(standby.Release) || !c.api.QuotaSettled() {
 		return
 	}
-	if n.usesBatches() {
+	if c.usesBatches() {
 		gap := tuning.BatchEvery
-		if !n.client.HasSpareWrites() {
+		if !c.client.HasSpareWrites() {
 			gap = tuning.BatchEveryScarce
 		}
 		// A look at an empty queue puts off none: the next job is looked at as it comes.
-		if !n.leaderState.idle && n.Now.Sub(n.leaderState.releasedAt) < gap {
+		if !c.leaderState.idle && c.Now.Sub(c.leaderState.releasedAt) < gap {
 			return
 		}
 	}
-	if n.client.Allows(0, least) || n.Now.Sub(n.leaderState.releasedAt) > tuning.ReleaseLate {
-		n.leaderState.releasedAt, n.leaderState.idle = n.Now, len(n.Queued) == 0
-		n.queue.Release()
+	if c.client.Allows(0, least) || c.Now.Sub(c.leaderState.releasedAt) > tuning.ReleaseLate {
+		c.leaderState.releasedAt, c.leaderState.idle = c.Now, len(c.Queued) == 0
+		c.queue.Release()
 	}
 }
 
 // closeJobs ends jobs whose tasks are done and clears the records of closed
 // ones.
-func (n *Controller) closeJobs() {
-	for _, jobID := range clusterstate.SortedKeys(n.Complete) {
-		j := n.Complete[jobID]
-		if n.leaderState.closing[jobID] || n.committer.Busy(jobs.JobPrefix+jobID) {
+func (c *Controller) closeJobs() {
+	for _, jobID := range clusterstate.SortedKeys(c.Complete) {
+		j := c.Complete[jobID]
+		if c.leaderState.closing[jobID] || c.committer.Busy(jobs.JobPrefix+jobID) {
 			continue
 		}
 		next, ok := jobs.NextJob(j.Record.State, jobs.TasksAllDone)
 		if !ok {
 			continue
 		}
-		if d, whole := completion.InOneTransaction(j, next, n.settings.Cluster.State.TxnOps, n.committer.Busy); whole {
-			n.committer.Commit([]decide.Decision{d})
+		if d, whole := completion.InOneTransaction(j, next, c.settings.Cluster.State.TxnOps, c.committer.Busy); whole {
+			c.committer.Commit([]decide.Decision{d})
 			continue
 		}
-		n.leaderState.closing[jobID] = true
-		n.api.Close(j, next, store.PriorityDecision, func(bool) { delete(n.leaderState.closing, jobID) })
+		c.leaderState.closing[jobID] = true
+		c.api.Close(j, next, store.PriorityDecision, func(bool) { delete(c.leaderState.closing, jobID) })
 	}
 	// Clearing is in no hurry and must not hold up decisions that are.
 	var ds []decide.Decision
-	for _, jobID := range clusterstate.SortedKeys(n.Closed) {
-		if len(ds) >= n.settings.Cluster.State.TxnOps || !n.client.HasSpareWrites() {
+	for _, jobID := range clusterstate.SortedKeys(c.Closed) {
+		if len(ds) >= c.settings.Cluster.State.TxnOps || !c.client.HasSpareWrites() {
 			break
 		}
-		ds = append(ds, completion.ClearRecords(n.Closed[jobID], n.settings.Cluster.State.TxnOps, n.committer.Busy)...)
+		ds = append(ds, completion.ClearRecords(c.Closed[jobID], c.settings.Cluster.State.TxnOps, c.committer.Busy)...)
 	}
-	n.committer.Commit(ds)
+	c.committer.Commit(ds)
 }
 
 // moveReplicas empties draining machines of replicas, which would otherwise
 // keep them for ever: one is stopped where another machine has room for it and
 // holds its image, so that it is away for a moment only. A few at a time.
-func (n *Controller) moveReplicas() {
-	if n.Now.Sub(n.leaderState.movedAt) < tuning.MoveEvery {
+func (c *Controller) moveReplicas() {
+	if c.Now.Sub(c.leaderState.movedAt) < tuning.MoveEvery {
 		return
 	}
-	n.leaderState.movedAt = n.Now
-	most := max(1, int(tuning.MovesShare*float64(len(n.Machines))))
+	c.leaderState.movedAt = c.Now
+	most := max(1, int(tuning.MovesShare*float64(len(c.Machines))))
 	var ds []decide.Decision
-	for _, h := range clusterstate.SortedKeys(n.provisioner.Summary.Drain) {
-		for _, taskID := range clusterstate.SortedKeys(n.TasksOnMachine[h]) {
-			t := n.TasksOnMachine[h][taskID]
-			if t.Job.Record == nil || t.State != jobs.Placed || !t.ObservedRunning && n.ownerOf(h) == n.settings.NodeName || t.Job.Record.Spec.Kind != jobs.Service ||
-				n.Now.Sub(t.Since) < tuning.MoveAfter || len(ds) >= most {
+	for _, h := range clusterstate.SortedKeys(c.provisioner.Summary.Drain) {
+		for _, taskID := range clusterstate.SortedKeys(c.TasksOnMachine[h]) {
+			t := c.TasksOnMachine[h][taskID]
+			if t.Job.Record == nil || t.State != jobs.Placed || !t.ObservedRunning && c.ownerOf(h) == c.settings.NodeName || t.Job.Record.Spec.Kind != jobs.Service ||
+				c.Now.Sub(t.Since) < tuning.MoveAfter || len(ds) >= most {
 				continue
 			}
-			zones := n.TasksByZone(t.Job)
-			if m := n.Machines[h]; m != nil {
+			zones := c.TasksByZone(t.Job)
+			if m := c.Machines[h]; m != nil {
 				zones[m.Zone]--
 			}
-			to := n.queue.FindMachine(t.WithoutPreference(), zones)
-			if to == "" || !n.HasImage(to, t.Job.Record.Spec.Image) {
+			to := c.queue.FindMachine(t.WithoutPreference(), zones)
+			if to == "" || !c.HasImage(to, t.Job.Record.Spec.Image) {
 				continue
 			}
 			next, ok := jobs.NextTask(t.Task, jobs.TaskEvent{Kind: jobs.Stop, Reason: "moved off a draining machine"})
@@ -141,5 +141,5 @@
 			}
 		}
 	}
-	n.committer.Commit(ds)
+	c.committer.Commit(ds)
 }
--- a/internal/controller/runtime.go
+++ b/internal/controller/runtime.go
@@ -22,21 +22,21 @@
 	events := make(chan func(), tuning.EventQueue)
 	running, stop := context.WithCancel(context.WithoutCancel(ctx)) // beyond ctx: the shutdown needs its sockets
 	defer stop()
-	var n *Controller
-	n = New(set, outside(running, set, events, func(name string) { n.PeerDisconnected(name) }), log, rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), 0)))
-	n.Now = time.Now()
-	go listener(set, n, events).Run(running.Done())
-	return loop(ctx, n, events)
+	var c *Controller
+	c = New(set, outside(running, set, events, func(name string) { c.PeerDisconnected(name) }), log, rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), 0)))
+	c.Now = time.Now()
+	go listener(set, c, events).Run(running.Done())
+	return loop(ctx, c, events)
 }
 
 // outside is the other services and controllers on sockets. Answers come back as
 // events.
 func outside(ctx context.Context, set *settings.Settings, events chan func(), ended func(name string)) Transport {
 	caller := func(addr string, idle int) store.Call {
-		c := &http1.Client{Addr: addr, MaxIdle: idle, MaxBody: tuning.MaxAnswerBody}
+		client := &http1.Client{Addr: addr, MaxIdle: idle, MaxBody: tuning.MaxAnswerBody}
 		return func(method, target string, body []byte, timeout time.Duration, done func(int, []byte, error)) {
 			go func() {
-				m, err := c.Do(method, target, body, timeout)
+				m, err := client.Do(method, target, body, timeout)
 				events <- func() {
 					if err != nil {
 						done(0, nil, err)
@@ -73,21 +73,21 @@
 
 // listener takes requests and peers' lines, and refuses what the loop is too far
 // behind for.
-func listener(set *settings.Settings, n *Controller, events chan func()) *http1.Server {
+func listener(set *settings.Settings, c *Controller, events chan func()) *http1.Server {
 	conns := max(set.Cluster.Limits.FdLimit-tuning.ReservedSockets, set.Cluster.Limits.FdLimit/2)
 	return &http1.Server{
 		Front: set.Front, Peer: set.PeerListen, MaxConns: conns,
 		IsGuest: api.IsUsers, MaxGuests: int(float64(conns) * tuning.UserConns),
 		Handle: func(m *http1.Message, respond func(http1.Reply)) {
 			select {
-			case events <- func() { n.Request(m, respond) }:
+			case events <- func() { c.Request(m, respond) }:
 			default:
 				respond(http1.Refuse("too busy")) // the loop is far behind
 			}
 		},
 		Line: func(line []byte) {
 			select {
-			case events <- func() { n.ReceiveGossip(line) }:
+			case events <- func() { c.ReceiveGossip(line) }:
 			default:
 			}
 		},
@@ -95,26 +95,26 @@
 }
 
 // loop hands events and pulses to the node.
-func loop(ctx context.Context, n *Controller, events chan func()) error {
+func loop(ctx context.Context, c *Controller, events chan func()) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	lastPulse := time.Time{}
 	over := ctx.Done()
 	for {
-		if n.HasShutDown() {
+		if c.HasShutDown() {
 			return ctx.Err()
 		}
 		select {
 		case <-over:
 			over = nil
-			n.Run(time.Now(), n.Shutdown)
+			c.Run(time.Now(), c.Shutdown)
 		case f := <-events:
-			n.Run(time.Now(), f)
+			c.Run(time.Now(), f)
 			// Take what else has come in before looking at the clock again.
 			for more := true; more; {
 				select {
 				case f := <-events:
-					n.Run(time.Now(), f)
+					c.Run(time.Now(), f)
 				default:
 					more = false
 				}
@@ -124,11 +124,11 @@
 		now := time.Now()
 		if now.Sub(lastPulse) >= tuning.Tick {
 			lastPulse = now
-			n.Tick(now)
+			c.Tick(now)
 		} else {
-			n.Run(now, func() {})
+			c.Run(now, func() {})
 		}
-		timer.Reset(n.Wait())
+		timer.Reset(c.Wait())
 	}
 }
 
--- a/internal/controller/sync.go
+++ b/internal/controller/sync.go
@@ -22,8 +22,8 @@
 var livePrefixes = []string{jobs.JobPrefix, jobs.TaskPrefix, taskbatch.KeyPrefix, fleet.MachinePrefix, fleet.UnresponsivePrefix, fleet.ClaimsKey, provisioning.MachineTypePrefix, commit.FencePrefix, standby.ProbePrefix, members.CapabilitiesPrefix, members.MemberPrefix, members.ViewKey, provisioning.SummaryKey}
 
 // prefixes are the live prefixes of this node's duties.
-func (n *Controller) prefixes() []string {
-	return slices.Concat(livePrefixes, n.api.Prefixes(), n.queue.Prefixes(), n.calendar.Keys())
+func (c *Controller) prefixes() []string {
+	return slices.Concat(livePrefixes, c.api.Prefixes(), c.queue.Prefixes(), c.calendar.Keys())
 }
 
 // syncState is how far the mirror has got.
@@ -42,131 +42,131 @@
 }
 
 // syncMirror lists what must be listed and keeps one watch open.
-func (n *Controller) syncMirror() {
-	if n.Now.Before(n.sync.next) {
+func (c *Controller) syncMirror() {
+	if c.Now.Before(c.sync.next) {
 		return
 	}
 	switch {
-	case !n.sync.live && !n.sync.listing && !n.sync.watching:
-		n.sync.listing = true
-		if n.sync.prefix == 0 && n.sync.page == "" {
-			n.sync.basis = n.cancellations.BeginStoreQuery(n.Now)
+	case !c.sync.live && !c.sync.listing && !c.sync.watching:
+		c.sync.listing = true
+		if c.sync.prefix == 0 && c.sync.page == "" {
+			c.sync.basis = c.cancellations.BeginStoreQuery(c.Now)
 		}
-		n.listPage(n.sync.page)
-	case n.sync.live && !n.sync.watching:
-		n.watchNow()
+		c.listPage(c.sync.page)
+	case c.sync.live && !c.sync.watching:
+		c.watchNow()
 	}
 }
 
 // caughtUp tells whether the mirror shows one epoch: pages are listed one after the
 // other, and a task that moved meanwhile from a pack of a later page to one of an
 // earlier is in neither until the watch has come to the last page.
-func (n *Controller) caughtUp() bool { return n.sync.live && n.mirror.Epoch >= n.sync.until }
+func (c *Controller) caughtUp() bool { return c.sync.live && c.mirror.Epoch >= c.sync.until }
 
-func (n *Controller) listPage(since string) {
-	prefix := n.prefixes()[n.sync.prefix]
-	n.client.List(store.PriorityUrgent, prefix, since, func(p store.Page, err error) {
+func (c *Controller) listPage(since string) {
+	prefix := c.prefixes()[c.sync.prefix]
+	c.client.List(store.PriorityUrgent, prefix, since, func(p store.Page, err error) {
 		if err != nil {
 			// What was read stays: where pages often fail, a listing that began
 			// anew each time would never end.
-			n.sync.listing, n.sync.page, n.sync.next = false, since, n.Now.Add(tuning.SyncAgain)
+			c.sync.listing, c.sync.page, c.sync.next = false, since, c.Now.Add(tuning.SyncAgain)
 			return
 		}
-		if n.sync.since == 0 {
-			n.sync.since = p.Epoch
+		if c.sync.since == 0 {
+			c.sync.since = p.Epoch
 		}
 		if since == "" {
-			n.sync.rows, n.sync.pageEpoch = nil, p.Epoch
+			c.sync.rows, c.sync.pageEpoch = nil, p.Epoch
 		}
-		n.sync.until = max(n.sync.until, p.Epoch)
-		n.sync.rows = append(n.sync.rows, p.Rows...)
+		c.sync.until = max(c.sync.until, p.Epoch)
+		c.sync.rows = append(c.sync.rows, p.Rows...)
 		if p.HasNext && len(p.Rows) > 0 {
-			n.listPage(p.Rows[len(p.Rows)-1].Key)
+			c.listPage(p.Rows[len(p.Rows)-1].Key)
 			return
 		}
 		// Keys that the listing lacks are gone as of its first page.
-		n.mirror.ApplyListing(prefix, n.sync.rows, n.sync.pageEpoch)
-		n.sync.rows = nil
-		if n.sync.prefix++; n.sync.prefix < len(n.prefixes()) {
-			n.listPage("")
+		c.mirror.ApplyListing(prefix, c.sync.rows, c.sync.pageEpoch)
+		c.sync.rows = nil
+		if c.sync.prefix++; c.sync.prefix < len(c.prefixes()) {
+			c.listPage("")
 			return
 		}
-		n.sync.listing, n.sync.live = false, true
-		if n.sync.since > n.mirror.Epoch {
-			n.mirror.Epoch = n.sync.since
+		c.sync.listing, c.sync.live = false, true
+		if c.sync.since > c.mirror.Epoch {
+			c.mirror.Epoch = c.sync.since
 		}
-		if n.caughtUp() {
-			n.cancellations.StoreQueryAnswered(n.sync.basis)
+		if c.caughtUp() {
+			c.cancellations.StoreQueryAnswered(c.sync.basis)
 		}
-		n.log.Info("state read", "jobs", len(n.Jobs), "machines", len(n.Machines), "epoch", n.mirror.Epoch)
-		n.watchNow()
+		c.log.Info("state read", "jobs", len(c.Jobs), "machines", len(c.Machines), "epoch", c.mirror.Epoch)
+		c.watchNow()
 	})
 }
 
 // watchGap is the pause between two watches: every node's watches together
 // may take only a share of the state service's requests.
-func (n *Controller) watchGap() time.Duration {
-	rate := n.settings.Cluster.State.RPS * tuning.WatchShare / float64(max(n.settings.Cluster.Size, 1))
+func (c *Controller) watchGap() time.Duration {
+	rate := c.settings.Cluster.State.RPS * tuning.WatchShare / float64(max(c.settings.Cluster.Size, 1))
 	return max(tuning.WatchGap, jobs.Seconds(1/max(rate, 1)))
 }
 
 // watchNow opens the watch unless it is open.
-func (n *Controller) watchNow() {
-	if !n.sync.live || n.sync.watching {
+func (c *Controller) watchNow() {
+	if !c.sync.live || c.sync.watching {
 		return
 	}
-	n.sync.watching = true
-	basis, opened := n.cancellations.BeginStoreQuery(n.Now), n.Now
-	n.client.Watch(n.mirror.Epoch, func(epoch uint64, events []store.Event, err error) {
-		n.sync.watching = false
+	c.sync.watching = true
+	basis, opened := c.cancellations.BeginStoreQuery(c.Now), c.Now
+	c.client.Watch(c.mirror.Epoch, func(epoch uint64, events []store.Event, err error) {
+		c.sync.watching = false
 		switch {
 		case errors.Is(err, store.ErrGone):
-			n.log.Info("watch too old, reading again", "epoch", n.mirror.Epoch)
-			n.sync = syncState{}
+			c.log.Info("watch too old, reading again", "epoch", c.mirror.Epoch)
+			c.sync = syncState{}
 		case err != nil:
-			n.sync.next = n.Now.Add(tuning.SyncAgain)
+			c.sync.next = c.Now.Add(tuning.SyncAgain)
 		default:
-			n.mirror.ApplyEvents(epoch, events)
-			if n.caughtUp() {
+			c.mirror.ApplyEvents(epoch, events)
+			if c.caughtUp() {
 				// The service answered after this was asked, and with every change until then.
-				n.cancellations.StoreQueryAnswered(basis)
+				c.cancellations.StoreQueryAnswered(basis)
 			}
-			n.lateSince = time.Time{}
-			n.committer.SettleWatched()
-			n.sync.next = n.Now.Add(n.watchGap())
-			n.membership.RestoreCertainty()
-			n.api.AnswerQueries(opened)
+			c.lateSince = time.Time{}
+			c.committer.SettleWatched()
+			c.sync.next = c.Now.Add(c.watchGap())
+			c.membership.RestoreCertainty()
+			c.api.AnswerQueries(opened)
 		}
 	})
 }
 
 // valueBytes is the most bytes that a slice's record may have.
-func (n *Controller) valueBytes() int { return int(n.settings.Cluster.State.ValueKB * 1024) }
+func (c *Controller) valueBytes() int { return int(c.settings.Cluster.State.ValueKB * 1024) }
 
 // maxRangeTasks is how many tasks one slice holds.
-func (n *Controller) maxRangeTasks() int {
-	return min(max(1, n.valueBytes()/tuning.RangeTaskBytes), n.settings.Cluster.State.TxnOps*tuning.PreconditionsPerOp/2)
+func (c *Controller) maxRangeTasks() int {
+	return min(max(1, c.valueBytes()/tuning.RangeTaskBytes), c.settings.Cluster.State.TxnOps*tuning.PreconditionsPerOp/2)
 }
 
 // usesBatches tells whether tasks are given away in packs: where changes are scarce, and
 // every controller reads them.
-func (n *Controller) usesBatches() bool {
-	switch n.settings.Operator.Packs {
+func (c *Controller) usesBatches() bool {
+	switch c.settings.Operator.Packs {
 	case settings.PacksAlways:
 	case settings.PacksScarce:
-		if !n.queue.Scarce() {
+		if !c.queue.Scarce() {
 			return false
 		}
 	default:
 		return false
 	}
-	return n.membership.AllSupportBatches()
+	return c.membership.AllSupportBatches()
 }
 
 // ownsMachine tells whether a machine belongs to this controller.
-func (n *Controller) ownsMachine(machine string) bool {
-	if m := n.Machines[machine]; m != nil {
-		return m.Owner == n.settings.NodeName
+func (c *Controller) ownsMachine(machine string) bool {
+	if m := c.Machines[machine]; m != nil {
+		return m.Owner == c.settings.NodeName
 	}
-	return n.ownerOf(machine) == n.settings.NodeName
+	return c.ownerOf(machine) == c.settings.NodeName
 }
--- a/internal/controller/wiring_api.go
+++ b/internal/controller/wiring_api.go
@@ -5,27 +5,27 @@
 )
 
 // newAPI makes the server of users', operators' and agents' requests.
-func (n *Controller) newAPI() *api.Server {
-	return api.New(n.State, api.Env{
-		Settings:                n.settings,
-		Client:                  n.client,
-		Mirror:                  n.mirror,
-		Log:                     n.log,
-		Rand:                    n.rand,
-		MayDecide:               n.mayDecide,
-		Healthy:                 n.healthy,
-		MirrorLive:              n.mirrorLive,
-		OutsideView:             n.outsideView,
-		Fencing:                 n.committer.Fencing,
-		Members:                 n.memberNames,
-		Busy:                    n.committer.Busy,
-		Commit:                  n.committer.Commit,
-		Wake:                    n.wake,
-		WatchNow:                n.watchNow,
-		Heartbeat:               n.shard.Heartbeat,
-		Acks:                    n.acks,
-		HearsAllMembers:         n.hearsAllMembers,
-		AcknowledgeCancellation: n.cancellations.Acknowledge,
-		Cancelled:               n.cancellations.Cancelled,
+func (c *Controller) newAPI() *api.Server {
+	return api.New(c.State, api.Env{
+		Settings:                c.settings,
+		Client:                  c.client,
+		Mirror:                  c.mirror,
+		Log:                     c.log,
+		Rand:                    c.rand,
+		MayDecide:               c.mayDecide,
+		Healthy:                 c.healthy,
+		MirrorLive:              c.mirrorLive,
+		OutsideView:             c.outsideView,
+		Fencing:                 c.committer.Fencing,
+		Members:                 c.memberNames,
+		Busy:                    c.committer.Busy,
+		Commit:                  c.committer.Commit,
+		Wake:                    c.wake,
+		WatchNow:                c.watchNow,
+		Heartbeat:               c.shard.Heartbeat,
+		Acks:                    c.acks,
+		HearsAllMembers:         c.hearsAllMembers,
+		AcknowledgeCancellation: c.cancellations.Acknowledge,
+		Cancelled:               c.cancellations.Cancelled,
 	})
 }
--- a/internal/controller/wiring_calendar.go
+++ b/internal/controller/wiring_calendar.go
@@ -10,23 +10,23 @@
 )
 
 // newCalendar makes the release calendar, nil where operators have none.
-func (n *Controller) newCalendar() *calendar.Service {
-	return calendar.New(n.State, n.settings.Operator.Calendar, calendar.Env{
-		OffMs:  n.settings.Cluster.ClockOffMs,
-		Limit:  n.valueBytes(),
-		TxnOps: n.settings.Cluster.State.TxnOps,
-		StepS:  n.settings.Operator.StepS,
-		Fresh:  n.settings.Operator.FreshSteps,
-		Log:    n.log,
-		Mirror: n.mirror,
-		WallMs: n.transport.WallClockMs,
-		Busy:   n.committer.Busy,
-		Commit: n.committer.Commit,
+func (c *Controller) newCalendar() *calendar.Service {
+	return calendar.New(c.State, c.settings.Operator.Calendar, calendar.Env{
+		OffMs:  c.settings.Cluster.ClockOffMs,
+		Limit:  c.valueBytes(),
+		TxnOps: c.settings.Cluster.State.TxnOps,
+		StepS:  c.settings.Operator.StepS,
+		Fresh:  c.settings.Operator.FreshSteps,
+		Log:    c.log,
+		Mirror: c.mirror,
+		WallMs: c.transport.WallClockMs,
+		Busy:   c.committer.Busy,
+		Commit: c.committer.Commit,
 		UnresponsiveSince: func(m *clusterstate.Machine) (time.Time, bool) {
-			return n.shard.UnresponsiveSince(m)
+			return c.shard.UnresponsiveSince(m)
 		},
 		TransitionMachine: func(machine string, e fleet.Event, why string) []decide.Decision {
-			return n.shard.TransitionMachine(machine, e, why)
+			return c.shard.TransitionMachine(machine, e, why)
 		},
 	})
 }
--- a/internal/controller/wiring_provisioning.go
+++ b/internal/controller/wiring_provisioning.go
@@ -13,39 +13,39 @@
 )
 
 // newProvisioner makes what scales the machines out and in.
-func (n *Controller) newProvisioner() *provisioning.Provisioner {
-	return provisioning.New(n.State, provisioning.Env{
-		Operator:   n.settings.Operator,
-		Cluster:    n.settings.Cluster,
-		ValueBytes: n.valueBytes(),
-		Log:        n.log,
-		Rand:       n.rand,
-		Queue:      n.queue,
-		Send:       n.transport.Cloud,
-		IsLeader:   func() (bool, uint64) { return n.role == members.Leader, n.roleEpoch },
+func (c *Controller) newProvisioner() *provisioning.Provisioner {
+	return provisioning.New(c.State, provisioning.Env{
+		Operator:   c.settings.Operator,
+		Cluster:    c.settings.Cluster,
+		ValueBytes: c.valueBytes(),
+		Log:        c.log,
+		Rand:       c.rand,
+		Queue:      c.queue,
+		Send:       c.transport.Cloud,
+		IsLeader:   func() (bool, uint64) { return c.role == members.Leader, c.roleEpoch },
 		MayRent: func() bool {
-			return n.checks.Permits(standby.Rent) && n.shard.Reconciling.MayRent(n.Now)
+			return c.checks.Permits(standby.Rent) && c.shard.Reconciling.MayRent(c.Now)
 		},
-		Hurried:          func() bool { return !n.shard.Reconciling.Steady() },
-		Wake:             n.wake,
-		Busy:             n.committer.Busy,
-		Recorded:         func(key string) bool { return n.mirror.Revision(key) != 0 },
-		Allows:           n.client.Allows,
-		HasSpareWrites:   n.client.HasSpareWrites,
-		StoreUnavailable: n.client.Unavailable,
-		WaitingCalls:     n.client.Waiting,
-		Commit:           n.committer.Commit,
+		Hurried:          func() bool { return !c.shard.Reconciling.Steady() },
+		Wake:             c.wake,
+		Busy:             c.committer.Busy,
+		Recorded:         func(key string) bool { return c.mirror.Revision(key) != 0 },
+		Allows:           c.client.Allows,
+		HasSpareWrites:   c.client.HasSpareWrites,
+		StoreUnavailable: c.client.Unavailable,
+		WaitingCalls:     c.client.Waiting,
+		Commit:           c.committer.Commit,
 		TaskLost: func(t *clusterstate.Task, kind jobs.TaskEventKind, pause time.Duration) decide.Decision {
-			return n.shard.TaskLost(t, kind, pause)
+			return c.shard.TaskLost(t, kind, pause)
 		},
 		TransitionMachine: func(machine string, e fleet.Event, why string) []decide.Decision {
-			return n.shard.TransitionMachine(machine, e, why)
+			return c.shard.TransitionMachine(machine, e, why)
 		},
-		InUse: func(m *clusterstate.Machine) bool { return n.shard.InUse(m) },
+		InUse: func(m *clusterstate.Machine) bool { return c.shard.InUse(m) },
 		UnresponsivenessOf: func(m *clusterstate.Machine) (fleet.Unresponsiveness, bool) {
-			return n.shard.UnresponsivenessOf(m)
+			return c.shard.UnresponsivenessOf(m)
 		},
-		LastHeard:  n.reachability.LastHeard,
-		HasSession: func(machine string) bool { return n.shard.HasSession(machine) },
+		LastHeard:  c.reachability.LastHeard,
+		HasSession: func(machine string) bool { return c.shard.HasSession(machine) },
 	})
 }
--- a/internal/controller/wiring_queue.go
+++ b/internal/controller/wiring_queue.go
@@ -8,25 +8,25 @@
 )
 
 // newQueue makes the queue, which places what waits.
-func (n *Controller) newQueue() *queue.Queue {
-	return queue.New(n.State, queue.Env{
-		Name:               n.settings.NodeName,
-		Objectives:         n.settings.Cluster.Objectives,
-		TxnOps:             n.settings.Cluster.State.TxnOps,
-		ValueBytes:         n.valueBytes(),
-		MaxRangeTasks:      n.maxRangeTasks(),
-		WriteRPS:           n.settings.Cluster.State.WriteRPS,
-		Log:                n.log,
-		Busy:               n.committer.Busy,
-		Allows:             n.client.Allows,
-		HasSpareWrites:     n.client.HasSpareWrites,
-		Commit:             n.committer.Commit,
-		UsesBatches:        n.usesBatches,
-		Lending:            n.settings.Operator.Lending,
-		HasLeftView:        func(name string) bool { return n.view.Incarnation(name) == 0 },
-		Ready:              func(m *clusterstate.Machine) bool { return n.shard.Ready(m) },
-		CanPlace:           func(t *clusterstate.Task, m *clusterstate.Machine) bool { return n.shard.CanPlace(t, m) },
-		Gate:               func(s *jobs.Spec) calendar.Verdict { return n.calendar.Gate(s) },
-		ExtraPreconditions: n.calendar.PreconditionCount(),
+func (c *Controller) newQueue() *queue.Queue {
+	return queue.New(c.State, queue.Env{
+		Name:               c.settings.NodeName,
+		Objectives:         c.settings.Cluster.Objectives,
+		TxnOps:             c.settings.Cluster.State.TxnOps,
+		ValueBytes:         c.valueBytes(),
+		MaxRangeTasks:      c.maxRangeTasks(),
+		WriteRPS:           c.settings.Cluster.State.WriteRPS,
+		Log:                c.log,
+		Busy:               c.committer.Busy,
+		Allows:             c.client.Allows,
+		HasSpareWrites:     c.client.HasSpareWrites,
+		Commit:             c.committer.Commit,
+		UsesBatches:        c.usesBatches,
+		Lending:            c.settings.Operator.Lending,
+		HasLeftView:        func(name string) bool { return c.view.Incarnation(name) == 0 },
+		Ready:              func(m *clusterstate.Machine) bool { return c.shard.Ready(m) },
+		CanPlace:           func(t *clusterstate.Task, m *clusterstate.Machine) bool { return c.shard.CanPlace(t, m) },
+		Gate:               func(s *jobs.Spec) calendar.Verdict { return c.calendar.Gate(s) },
+		ExtraPreconditions: c.calendar.PreconditionCount(),
 	})
 }
