--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -3,13 +3,9 @@
 import (
 	"time"
 
-	"github.com/harrierreel/harrierreel/internal/clusterstate"
 	"github.com/harrierreel/harrierreel/internal/completion"
-	"github.com/harrierreel/harrierreel/internal/decide"
-	"github.com/harrierreel/harrierreel/internal/jobs"
 	"github.com/harrierreel/harrierreel/internal/members"
 	"github.com/harrierreel/harrierreel/internal/standby"
-	"github.com/harrierreel/harrierreel/internal/store"
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
@@ -79,67 +75,3 @@
 		c.queue.Release()
 	}
 }
-
-// closeJobs ends jobs whose tasks are done and clears the records of closed
-// ones.
-func (c *Controller) closeJobs() {
-	for _, jobID := range clusterstate.SortedKeys(c.Complete) {
-		j := c.Complete[jobID]
-		if c.leaderState.closing[jobID] || c.committer.Busy(jobs.JobPrefix+jobID) {
-			continue
-		}
-		next, ok := jobs.NextJob(j.Record.State, jobs.TasksAllDone)
-		if !ok {
-			continue
-		}
-		if d, whole := completion.InOneTransaction(j, next, c.settings.Cluster.State.TxnOps, c.committer.Busy); whole {
-			c.committer.Commit([]decide.Decision{d})
-			continue
-		}
-		c.leaderState.closing[jobID] = true
-		c.api.Close(j, next, store.PriorityDecision, func(bool) { delete(c.leaderState.closing, jobID) })
-	}
-	// Clearing is in no hurry and must not hold up decisions that are.
-	var ds []decide.Decision
-	for _, jobID := range clusterstate.SortedKeys(c.Closed) {
-		if len(ds) >= c.settings.Cluster.State.TxnOps || !c.client.HasSpareWrites() {
-			break
-		}
-		ds = append(ds, completion.ClearRecords(c.Closed[jobID], c.settings.Cluster.State.TxnOps, c.committer.Busy)...)
-	}
-	c.committer.Commit(ds)
-}
-
-// moveReplicas empties draining machines of replicas, which would otherwise
-// keep them for ever: one is stopped where another machine has room for it and
-// holds its image, so that it is away for a moment only. A few at a time.
-func (c *Controller) moveReplicas() {
-	if c.Now.Sub(c.leaderState.movedAt) < tuning.MoveEvery {
-		return
-	}
-	c.leaderState.movedAt = c.Now
-	most := max(1, int(tuning.MovesShare*float64(len(c.Machines))))
-	var ds []decide.Decision
-	for _, h := range clusterstate.SortedKeys(c.provisioner.Summary.Drain) {
-		for _, taskID := range clusterstate.SortedKeys(c.TasksOnMachine[h]) {
-			t := c.TasksOnMachine[h][taskID]
-			if t.Job.Record == nil || t.State != jobs.Placed || !t.ObservedRunning && c.ownerOf(h) == c.settings.NodeName || t.Job.Record.Spec.Kind != jobs.Service ||
-				c.Now.Sub(t.Since) < tuning.MoveAfter || len(ds) >= most {
-				continue
-			}
-			zones := c.TasksByZone(t.Job)
-			if m := c.Machines[h]; m != nil {
-				zones[m.Zone]--
-			}
-			to := c.queue.FindMachine(t.WithoutPreference(), zones)
-			if to == "" || !c.HasImage(to, t.Job.Record.Spec.Image) {
-				continue
-			}
-			next, ok := jobs.NextTask(t.Task, jobs.TaskEvent{Kind: jobs.Stop, Reason: "moved off a draining machine"})
-			if ok {
-				ds = append(ds, decide.Decision{Changes: decide.TransitionTask(t, next)})
-			}
-		}
-	}
-	c.committer.Commit(ds)
-}
--- a/internal/controller/sync.go
+++ b/internal/controller/sync.go
@@ -11,13 +11,18 @@
 	"github.com/harrierreel/harrierreel/internal/jobs"
 	"github.com/harrierreel/harrierreel/internal/members"
 	"github.com/harrierreel/harrierreel/internal/provisioning"
-	"github.com/harrierreel/harrierreel/internal/settings"
 	"github.com/harrierreel/harrierreel/internal/standby"
 	"github.com/harrierreel/harrierreel/internal/store"
 	"github.com/harrierreel/harrierreel/internal/taskbatch"
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
+// knownEpoch is up to where the mirror shows all changes of the store.
+func (c *Controller) knownEpoch() uint64 { return c.mirror.Epoch }
+
+// mirrorLive tells whether the mirror follows the store.
+func (c *Controller) mirrorLive() bool { return c.sync.live }
+
 // livePrefixes are read whole at a start. Jobs come before their tasks.
 var livePrefixes = []string{jobs.JobPrefix, jobs.TaskPrefix, taskbatch.KeyPrefix, fleet.MachinePrefix, fleet.UnresponsivePrefix, fleet.ClaimsKey, provisioning.MachineTypePrefix, commit.FencePrefix, standby.ProbePrefix, members.CapabilitiesPrefix, members.MemberPrefix, members.ViewKey, provisioning.SummaryKey}
 
@@ -139,34 +144,3 @@
 		}
 	})
 }
-
-// valueBytes is the most bytes that a slice's record may have.
-func (c *Controller) valueBytes() int { return int(c.settings.Cluster.State.ValueKB * 1024) }
-
-// maxRangeTasks is how many tasks one slice holds.
-func (c *Controller) maxRangeTasks() int {
-	return min(max(1, c.valueBytes()/tuning.RangeTaskBytes), c.settings.Cluster.State.TxnOps*tuning.PreconditionsPerOp/2)
-}
-
-// usesBatches tells whether tasks are given away in packs: where changes are scarce, and
-// every controller reads them.
-func (c *Controller) usesBatches() bool {
-	switch c.settings.Operator.Packs {
-	case settings.PacksAlways:
-	case settings.PacksScarce:
-		if !c.queue.Scarce() {
-			return false
-		}
-	default:
-		return false
-	}
-	return c.membership.AllSupportBatches()
-}
-
-// ownsMachine tells whether a machine belongs to this controller.
-func (c *Controller) ownsMachine(machine string) bool {
-	if m := c.Machines[machine]; m != nil {
-		return m.Owner == c.settings.NodeName
-	}
-	return c.ownerOf(machine) == c.settings.NodeName
-}
