--- a/internal/controller/closing.go
+++ b/internal/controller/closing.go
@@ -8,32 +8,42 @@
 	"github.com/harrierreel/harrierreel/internal/store"
 )
 
-// closeJobs ends jobs whose tasks are done and clears the records of closed
-// ones.
+// closeJobs closes jobs whose tasks are done and removes the records of closed jobs.
 func (c *Controller) closeJobs() {
 	for _, jobID := range clusterstate.SortedKeys(c.Complete) {
-		j := c.Complete[jobID]
-		if c.leaderState.closing[jobID] || c.committer.Busy(jobs.JobPrefix+jobID) {
-			continue
-		}
-		next, ok := jobs.NextJob(j.Record.State, jobs.TasksAllDone)
-		if !ok {
-			continue
-		}
-		if d, whole := completion.InOneTransaction(j, next, c.settings.Cluster.State.TxnOps, c.committer.Busy); whole {
-			c.committer.Commit([]decide.Decision{d})
-			continue
-		}
-		c.leaderState.closing[jobID] = true
-		c.api.Close(j, next, store.PriorityDecision, func(bool) { delete(c.leaderState.closing, jobID) })
+		c.closeJob(c.Complete[jobID])
+	}
+	c.clearClosedJobs()
+}
+
+// closeJob writes the final state of a job whose tasks are done, unless that is under way.
+func (c *Controller) closeJob(job *clusterstate.Job) {
+	if c.leaderState.closing[job.ID] || c.committer.Busy(jobs.JobPrefix+job.ID) {
+		return
+	}
+	state, ok := jobs.NextJob(job.Record.State, jobs.TasksAllDone)
+	if !ok {
+		return
+	}
+	txnOps := c.settings.Cluster.State.TxnOps
+	if decision, ok := completion.InOneTransaction(job, state, txnOps, c.committer.Busy); ok {
+		c.committer.Commit([]decide.Decision{decision})
+		return
 	}
-	// Clearing is in no hurry and must not hold up decisions that are.
-	var ds []decide.Decision
+	c.leaderState.closing[job.ID] = true
+	c.api.Close(job, state, store.PriorityDecision, func(bool) { delete(c.leaderState.closing, job.ID) })
+}
+
+// clearClosedJobs removes the records of closed jobs. It is not urgent, so it uses spare writes
+// only: decisions that are urgent must not wait for it.
+func (c *Controller) clearClosedJobs() {
+	txnOps := c.settings.Cluster.State.TxnOps
+	var decisions []decide.Decision
 	for _, jobID := range clusterstate.SortedKeys(c.Closed) {
-		if len(ds) >= c.settings.Cluster.State.TxnOps || !c.client.HasSpareWrites() {
+		if len(decisions) >= txnOps || !c.client.HasSpareWrites() {
 			break
 		}
-		ds = append(ds, completion.ClearRecords(c.Closed[jobID], c.settings.Cluster.State.TxnOps, c.committer.Busy)...)
+		decisions = append(decisions, completion.ClearRecords(c.Closed[jobID], txnOps, c.committer.Busy)...)
 	}
-	c.committer.Commit(ds)
+	c.committer.Commit(decisions)
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,13 +1,12 @@
-// Package controller joins the slices into one controller. One loop owns all state:
-// messages and pulses come in, calls to the outside go out, and their answers
-// come back through the same loop. It does no IO and reads no clock, so the
-// scenarios run it against stand-ins.
+// Package controller joins the other packages into one controller. One event loop owns all
+// state: messages and ticks come in, calls to other services go out, and their answers
+// come back through the same loop. But for Serve it does no IO and reads no clock, so the
+// scenarios run it against simulated services.
 //
-// Everything it does follows from the mirror of the state service: a decision
-// is a transaction conditional on the view and on every record it was made
-// from, and commands to workers and the cloud are derived from committed
-// records only. A lost, late or doubtful transaction therefore needs no memory
-// of its own: whatever it did shows in the mirror.
+// Everything it does follows from the mirror of the store: a decision is a transaction
+// conditional on the view and on every record it was made from, and commands to agents and
+// calls to the cloud are derived from committed records only. A lost, late or doubtful
+// transaction therefore needs no memory of its own: whatever it did shows in the mirror.
 package controller
 
 import (
@@ -36,7 +35,8 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Controller is one controller.
+// Controller is one controller. Everything but Serve runs on its event loop; nothing in it is
+// locked.
 type Controller struct {
 	settings  *settings.Settings
 	transport Transport
@@ -47,13 +47,13 @@
 	mirror *store.Mirror
 	sync   syncState
 
-	*clusterstate.State // what is known from the records
+	*clusterstate.State // what is known from the records, and the time of the present event
 	view                *members.View
 
-	role          members.Role
+	role          members.Role // under the view of roleEpoch, not under a newer one in view
 	roleEpoch     uint64
 	gossipedAt    time.Time
-	gossipedEpoch uint64
+	gossipedEpoch uint64 // of the store, as last told to peers
 
 	callErrors    callerrors.Counter
 	committer     *commit.Committer
@@ -68,23 +68,23 @@
 	cancellations *cancellation.Service
 	acks          *readconsistency.AckLog // what users were told of jobs
 
-	dirty           bool
-	settledAt       time.Time
-	changesLoggedAt time.Time
-	leaderPassAt    time.Time
+	dirty              bool // something happened that decisions may follow from
+	reconciledAt       time.Time
+	leaderReconciledAt time.Time
+	writesLoggedAt     time.Time
 
-	checks            standby.Checks // of this node as a leader
-	tickedAt          time.Time      // when the loop's clock last came round
-	loopLag           time.Duration  // how late it has been of late
-	lateSince         time.Time      // since when others have seen more than the mirror, zero if not
-	shuttingDownSince time.Time      // asked to end
+	checks            standby.Checks // of this controller as a leader
+	tickedAt          time.Time      // last tick of the loop's clock
+	loopLag           time.Duration  // how late the ticks have been of late
+	behindSince       time.Time      // since when peers have read further than the mirror, zero if not
+	shuttingDownSince time.Time      // zero: it was not asked to end
 }
 
-// New makes a controller. It reads as the list of who depends on whom: what a collaborator needs of one that is made
-// after it is looked up when it is called.
-func New(set *settings.Settings, out Transport, log *slog.Logger, rng *rand.Rand) *Controller {
-	c := &Controller{settings: set, log: log, rand: rng, role: members.Outside}
-	c.transport = out.countingErrors(&c.callErrors)
+// New makes a controller that knows nothing yet. It reads as the list of who depends on whom:
+// what a collaborator needs of one that is made after it is looked up when it is called.
+func New(set *settings.Settings, transport Transport, log *slog.Logger, random *rand.Rand) *Controller {
+	c := &Controller{settings: set, log: log, rand: random, role: members.Outside}
+	c.transport = transport.countingErrors(&c.callErrors)
 	c.State = clusterstate.New(quota.Flat(set.TeamMap()), c.reviewMachine)
 	c.client = c.newClient()
 	c.cancellations = c.newCancellations()
@@ -112,22 +112,23 @@
 	c.dirty = true
 }
 
-// Run enters the loop: f is an event, now its time.
-func (c *Controller) Run(now time.Time, f func()) {
+// Run handles one event at its time, and what follows from it. It must not be called while
+// another Run or Tick is under way.
+func (c *Controller) Run(now time.Time, event func()) {
 	last := c.Now
 	c.Now = now
 	if gap := now.Sub(last); gap >= tuning.Standstill && !last.IsZero() {
 		c.handleStall(gap)
 	}
 	c.client.Dispatch(now)
-	f()
+	event()
 	c.api.ReleaseHeld()
 	c.cancellations.Broadcast()
 	c.broadcastAcks()
 	c.reconcile()
 }
 
-// Tick is the loop's clock.
+// Tick does what is due by time. The loop calls it every tuning.Tick.
 func (c *Controller) Tick(now time.Time) {
 	c.Run(now, func() {
 		c.measureLoopLag()
@@ -144,13 +145,13 @@
 	})
 }
 
-// reconcile takes the decisions that the last events made possible, not more
-// often than the pass gap.
+// reconcile takes the decisions that the last events made possible, at most once in
+// tuning.ReconcileGap.
 func (c *Controller) reconcile() {
-	if !c.dirty || c.Now.Sub(c.settledAt) < tuning.ReconcileGap {
+	if !c.dirty || c.Now.Sub(c.reconciledAt) < tuning.ReconcileGap {
 		return
 	}
-	c.dirty, c.settledAt = false, c.Now
+	c.dirty, c.reconciledAt = false, c.Now
 	if !c.caughtUp() || !c.membership.Certain() {
 		c.dirty = c.sync.live
 		return
@@ -166,18 +167,24 @@
 	c.updateChecks()
 	c.followCloud()
 	c.shard.Reconcile()
-	// The leader's pass looks at every machine, so its pace follows their number.
-	if gap := tuning.ReconcileGap + time.Duration(len(c.Machines))*tuning.LeaderGapPerMachine; c.Now.Sub(c.leaderPassAt) >= gap {
-		c.leaderPassAt = c.Now
-		c.runLeaderDuties()
-	} else {
-		c.dirty = c.dirty || c.role == members.Leader
-	}
+	c.reconcileLeader()
 	c.api.ReconcileRuns()
 	c.calendar.Reconcile(c.role != members.Outside)
 	c.client.Dispatch(c.Now)
 }
 
+// reconcileLeader takes the leader's decisions. It looks at every machine, so the pause between
+// two calls grows with their number.
+func (c *Controller) reconcileLeader() {
+	pause := tuning.ReconcileGap + time.Duration(len(c.Machines))*tuning.LeaderGapPerMachine
+	if c.Now.Sub(c.leaderReconciledAt) < pause {
+		c.dirty = c.dirty || c.role == members.Leader
+		return
+	}
+	c.leaderReconciledAt = c.Now
+	c.runLeaderDuties()
+}
+
 // Wait tells how long the loop may sleep.
 func (c *Controller) Wait() time.Duration {
 	if c.dirty {
@@ -189,15 +196,15 @@
 	return c.api.WaitForHeld(tuning.Tick)
 }
 
-// Request takes a request from the front door. respond is called exactly once.
-func (c *Controller) Request(m *http1.Message, respond func(http1.Reply)) {
+// Request takes a request of a user, an operator or an agent. respond is called exactly once.
+func (c *Controller) Request(request *http1.Message, respond func(http1.Reply)) {
 	party := callerrors.Workers
-	if api.IsUsers(m) {
+	if api.IsUsers(request) {
 		party = callerrors.Users
 	}
-	c.api.Request(m, func(r http1.Reply) {
-		c.callErrors.Note(party, m.Method, m.Target, r.Status, r.Body)
-		respond(r)
+	c.api.Request(request, func(reply http1.Reply) {
+		c.callErrors.Note(party, request.Method, request.Target, reply.Status, reply.Body)
+		respond(reply)
 	})
 }
 
--- a/internal/controller/diagnostics.go
+++ b/internal/controller/diagnostics.go
@@ -6,19 +6,19 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// logWriteCounts logs what the changes of the state service were spent on.
+// logWriteCounts logs what the writes to the store were spent on, by kind of key.
 func (c *Controller) logWriteCounts() {
-	if c.Now.Sub(c.changesLoggedAt) >= tuning.Step {
-		c.changesLoggedAt = c.Now
-		c.log.Debug("changes", "sent", fmt.Sprint(c.client.TakeWriteCounts()))
+	if c.Now.Sub(c.writesLoggedAt) >= tuning.Step {
+		c.writesLoggedAt = c.Now
+		c.log.Debug("store writes counted", "writes", fmt.Sprint(c.client.TakeWriteCounts()))
 	}
 }
 
 // logCallErrors logs which calls were refused, once a minute.
 func (c *Controller) logCallErrors() {
-	wrong, load := c.callErrors.Due(c.Now)
-	if wrong != "" {
-		c.log.Error("calls refused that should not have been made", "calls", wrong)
+	unexpected, load := c.callErrors.Due(c.Now)
+	if unexpected != "" {
+		c.log.Error("calls refused that should not have been made", "calls", unexpected)
 	}
 	if load != "" {
 		c.log.Info("calls refused", "calls", load)
--- a/internal/controller/gossip.go
+++ b/internal/controller/gossip.go
@@ -12,92 +12,110 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// hearsAllMembers tells whether the lines of all other members come in.
-func (c *Controller) hearsAllMembers() bool {
-	if c.view == nil {
-		return true
-	}
-	others := slices.DeleteFunc(slices.Clone(c.view.Names()), func(name string) bool { return name == c.settings.NodeName })
-	return c.acks.HearsAll(others, c.Now)
-}
-
-// broadcastAcks tells the other controllers what users are about to be told of jobs, before the
-// answers leave.
-func (c *Controller) broadcastAcks() {
-	for _, line := range c.acks.TakeUnsent() {
-		h := c.newGossip(cancellation.Message{})
-		h.Acknowledged, h.Epoch, h.MachinesHeardEpoch = &line, 0, 0
-		b := peer.Encode(h)
-		for _, p := range c.settings.Peers {
-			c.transport.Gossip(p.NodeName, b)
-		}
-	}
-}
-
 // ReceiveGossip takes a line from a peer.
 func (c *Controller) ReceiveGossip(line []byte) {
-	h, err := peer.Decode(line, func(name string) bool {
-		return slices.ContainsFunc(c.settings.Peers, func(p settings.Peer) bool { return p.NodeName == name })
-	})
+	gossip, err := peer.Decode(line, c.isPeer)
 	if err != nil {
-		var decodeError *peer.DecodeError
-		if errors.As(err, &decodeError) {
-			c.callErrors.Note(callerrors.Peers, "line", string(decodeError.Reason), http.StatusBadRequest, line)
-		}
+		c.countUndecoded(line, err)
 		return
 	}
-	c.membership.PeerAlive(h.From)
-	c.cancellations.Receive(h.From, h.Message)
-	c.acks.PeerAlive(h.From, c.Now)
-	if h.Acknowledged != nil {
-		c.acks.ApplyPeerAcks(*h.Acknowledged, c.Now)
+	c.membership.PeerAlive(gossip.From)
+	c.cancellations.Receive(gossip.From, gossip.Message)
+	c.acks.PeerAlive(gossip.From, c.Now)
+	if gossip.Acknowledged != nil {
+		c.acks.ApplyPeerAcks(*gossip.Acknowledged, c.Now)
 	}
-	c.reachability.ApplyGossip(h.From, h.StoreReachable, h.Isolated)
-	c.shard.Reconciling.OtherHeard(h.From, h.MachinesHeardEpoch, h.Epoch)
-	if h.Epoch > c.mirror.Epoch {
-		if c.lateSince.IsZero() {
-			c.lateSince = c.Now
+	c.reachability.ApplyGossip(gossip.From, gossip.StoreReachable, gossip.Isolated)
+	c.shard.Reconciling.OtherHeard(gossip.From, gossip.MachinesHeardEpoch, gossip.Epoch)
+	if gossip.Epoch > c.mirror.Epoch {
+		if c.behindSince.IsZero() {
+			c.behindSince = c.Now
 		}
 		c.watchNow()
 	}
-	// A worker that cannot reach its owner always tries the same next node,
-	// which need not be the leader.
-	for _, machine := range h.Unreached[:min(len(h.Unreached), tuning.MaxUnreached)] {
-		if owner := c.ownerOf(machine); owner != h.From && c.Machines[machine] != nil {
+	c.applyUnreached(gossip.From, gossip.Unreached)
+}
+
+// isPeer tells whether the settings name this controller as a peer.
+func (c *Controller) isPeer(name string) bool {
+	return slices.ContainsFunc(c.settings.Peers, func(p settings.Peer) bool { return p.NodeName == name })
+}
+
+// countUndecoded counts a line that was not taken in, as a request that was refused.
+func (c *Controller) countUndecoded(line []byte, err error) {
+	var decodeError *peer.DecodeError
+	if errors.As(err, &decodeError) {
+		c.callErrors.Note(callerrors.Peers, "line", string(decodeError.Reason), http.StatusBadRequest, line)
+	}
+}
+
+// applyUnreached takes in which agents came to a peer instead of their owner. An agent
+// that cannot reach its owner always tries the same next controller, which need not
+// be the leader.
+func (c *Controller) applyUnreached(from string, machines []string) {
+	for _, machine := range machines[:min(len(machines), tuning.MaxUnreached)] {
+		if owner := c.ownerOf(machine); owner != from && c.Machines[machine] != nil {
 			c.reachability.Complain(owner, machine, false)
 		}
 	}
 }
 
+// sendGossip sends all peers what this controller knows: at once when the mirror has got
+// further, but not more than twice in tuning.GossipEvery, and else once in that time.
 func (c *Controller) sendGossip() {
-	news := c.mirror.Epoch > c.gossipedEpoch
-	if !news && c.Now.Sub(c.gossipedAt) < tuning.GossipEvery {
-		return
+	pause := tuning.GossipEvery
+	if c.mirror.Epoch > c.gossipedEpoch {
+		pause /= 2
 	}
-	if c.Now.Sub(c.gossipedAt) < tuning.GossipEvery/2 {
+	if c.Now.Sub(c.gossipedAt) < pause {
 		return
 	}
 	c.gossipedAt, c.gossipedEpoch = c.Now, c.mirror.Epoch
-	h := c.newGossip(c.cancellations.Handshake())
-	h.Unreached = c.reachability.LocalComplaints()
-	line := peer.Encode(h)
+	gossip := c.newGossip(c.cancellations.Handshake())
+	gossip.Unreached = c.reachability.LocalComplaints()
+	c.broadcast(gossip)
+}
+
+// broadcastAcks tells the other controllers what users are about to be told of jobs, before
+// the answers leave.
+func (c *Controller) broadcastAcks() {
+	for _, acks := range c.acks.TakeUnsent() {
+		gossip := c.newGossip(cancellation.Message{})
+		gossip.Acknowledged = &acks
+		gossip.Epoch = 0
+		gossip.MachinesHeardEpoch = 0
+		c.broadcast(gossip)
+	}
+}
+
+// broadcast sends all peers a line.
+func (c *Controller) broadcast(gossip peer.Gossip) {
+	line := peer.Encode(gossip)
 	for _, p := range c.settings.Peers {
 		c.transport.Gossip(p.NodeName, line)
 	}
 }
 
-// newGossip is what this node says of itself with each line, beside what the line is about.
-func (c *Controller) newGossip(m cancellation.Message) peer.Gossip {
-	return peer.Gossip{From: c.settings.NodeName, Message: m, Epoch: c.mirror.Epoch, StoreReachable: c.sync.live && !c.client.Unavailable(), Isolated: c.reachability.Isolated(), MachinesHeardEpoch: c.machinesHeardEpoch()}
+// send sends a peer a line about cancellations.
+func (c *Controller) send(name string, message cancellation.Message) {
+	c.transport.Gossip(name, peer.Encode(c.newGossip(message)))
 }
 
-// send sends a peer a line about cancellations.
-func (c *Controller) send(name string, m cancellation.Message) {
-	c.transport.Gossip(name, peer.Encode(c.newGossip(m)))
+// newGossip is what this controller says of itself with each line, beside the message.
+func (c *Controller) newGossip(message cancellation.Message) peer.Gossip {
+	return peer.Gossip{
+		From:               c.settings.NodeName,
+		Message:            message,
+		Epoch:              c.mirror.Epoch,
+		StoreReachable:     c.sync.live && !c.client.Unavailable(),
+		Isolated:           c.reachability.Isolated(),
+		MachinesHeardEpoch: c.machinesHeardEpoch(),
+	}
 }
 
-// machinesHeardEpoch is the view under which this node has heard its machines, as its own watch
-// shows: whoever is told waits for that epoch.
+// machinesHeardEpoch is the epoch of the view under which this controller has heard its
+// machines, 0 if it has not. It is told only when its own watch shows the list of those that
+// it does not hear, since whoever is told waits for that epoch of the store.
 func (c *Controller) machinesHeardEpoch() uint64 {
 	for _, key := range c.shard.UnresponsiveKeys() {
 		if c.mirror.Epoch < c.mirror.Revision(key) {
@@ -106,3 +124,13 @@
 	}
 	return c.shard.MachinesHeardEpoch()
 }
+
+// hearsAllMembers tells whether the lines of all other members come in.
+func (c *Controller) hearsAllMembers() bool {
+	if c.view == nil {
+		return true
+	}
+	isSelf := func(name string) bool { return name == c.settings.NodeName }
+	others := slices.DeleteFunc(slices.Clone(c.view.Names()), isSelf)
+	return c.acks.HearsAll(others, c.Now)
+}
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -12,19 +12,20 @@
 // leaderState is what only the leader keeps. A new leader starts it anew from the
 // mirror and the cloud's list.
 type leaderState struct {
-	closing    map[string]bool
-	movedAt    time.Time
-	releasedAt time.Time // last look at the queue
-	idle       bool      // it was empty then
-	clearedAt  time.Time // last look for packs of no more use
-	nextDuty   int       // which duty has the first go at the budget
+	closing          map[string]bool // jobs whose records are being closed in several transactions
+	replicasMovedAt  time.Time
+	releasedAt       time.Time // last scheduling cycle
+	queueWasEmpty    bool      // at the last scheduling cycle
+	batchesClearedAt time.Time
+	nextDuty         int // which duty is first to use the write budget
 }
 
+// reset forgets everything.
 func (l *leaderState) reset() {
 	*l = leaderState{closing: map[string]bool{}}
 }
 
-// runLeaderDuties does what only the leader does.
+// runLeaderDuties does what only the leader does, once its checks permit it.
 func (c *Controller) runLeaderDuties() {
 	if c.role != members.Leader || !c.checks.Permits(standby.Delete) {
 		return
@@ -37,41 +38,53 @@
 	c.calendar.Pass()
 	c.queue.DropClaims()
 	c.queue.ReconcileClaims()
-	// Where the budget does not allow all, each gets its turn.
+	// Where the write budget does not allow all duties, each is first in turn.
 	duties := []func(){c.closeJobs, c.provisioner.Decommission, c.queue.TakeBack, c.releaseQueued}
 	for i := range duties {
 		duties[(c.leaderState.nextDuty+i)%len(duties)]()
 	}
 	c.leaderState.nextDuty++
 	c.moveReplicas()
-	if len(c.Batches) > 0 && c.Now.Sub(c.leaderState.clearedAt) >= tuning.Step && c.client.HasSpareWrites() {
-		c.leaderState.clearedAt = c.Now
-		c.committer.Commit(completion.ClearBatches(c.State, c.mirror.Epoch, c.settings.Cluster.State.TxnOps, c.committer.Busy))
-	}
+	c.clearBatches()
 }
 
-// releaseQueued looks at the queue. While no change can be made, room that comes
-// free is gathered: the next look gives it away in fewer and larger slices.
+// releaseQueued runs a scheduling cycle, if the write budget allows one now. While no write can
+// be made, free capacity accumulates: the next cycle places in fewer and larger records.
 func (c *Controller) releaseQueued() {
-	least := 1
-	if c.queue.Scarce() {
-		least = tuning.MinBatchWrites
-	}
 	if !c.checks.Permits(standby.Release) || !c.api.QuotaSettled() {
 		return
 	}
-	if c.usesBatches() {
-		gap := tuning.BatchEvery
-		if !c.client.HasSpareWrites() {
-			gap = tuning.BatchEveryScarce
-		}
-		// A look at an empty queue puts off none: the next job is looked at as it comes.
-		if !c.leaderState.idle && c.Now.Sub(c.leaderState.releasedAt) < gap {
-			return
-		}
+	if c.usesBatches() && !c.batchCycleDue() {
+		return
 	}
-	if c.client.Allows(0, least) || c.Now.Sub(c.leaderState.releasedAt) > tuning.ReleaseLate {
-		c.leaderState.releasedAt, c.leaderState.idle = c.Now, len(c.Queued) == 0
+	minWrites := 1
+	if c.queue.Scarce() {
+		minWrites = tuning.MinBatchWrites
+	}
+	overdue := c.Now.Sub(c.leaderState.releasedAt) > tuning.ReleaseLate
+	if c.client.Allows(0, minWrites) || overdue {
+		c.leaderState.releasedAt, c.leaderState.queueWasEmpty = c.Now, len(c.Queued) == 0
 		c.queue.Release()
 	}
 }
+
+// batchCycleDue tells whether a scheduling cycle that writes batch records may follow the last
+// one. A cycle over an empty queue puts off none: the next job is placed as it comes.
+func (c *Controller) batchCycleDue() bool {
+	pause := tuning.BatchEvery
+	if !c.client.HasSpareWrites() {
+		pause = tuning.BatchEveryScarce
+	}
+	return c.leaderState.queueWasEmpty || c.Now.Sub(c.leaderState.releasedAt) >= pause
+}
+
+// clearBatches removes batch records that hold only tasks of closed jobs.
+func (c *Controller) clearBatches() {
+	due := c.Now.Sub(c.leaderState.batchesClearedAt) >= tuning.Step
+	if len(c.Batches) == 0 || !due || !c.client.HasSpareWrites() {
+		return
+	}
+	c.leaderState.batchesClearedAt = c.Now
+	txnOps := c.settings.Cluster.State.TxnOps
+	c.committer.Commit(completion.ClearBatches(c.State, c.mirror.Epoch, txnOps, c.committer.Busy))
+}
--- a/internal/controller/leader_checks.go
+++ b/internal/controller/leader_checks.go
@@ -5,8 +5,8 @@
 	"github.com/harrierreel/harrierreel/internal/standby"
 )
 
-// updateChecks notes what this node has checked as a leader. The state service is asked for
-// nothing: each check is of what the node knows or waits for anyway.
+// updateChecks notes what this controller has checked as a leader. The store is asked for
+// nothing: each check is of what the controller knows or waits for anyway.
 func (c *Controller) updateChecks() {
 	if c.role != members.Leader {
 		return
@@ -27,12 +27,20 @@
 		{standby.CloudListed, c.provisioner.Listed()},
 		{standby.FormerRents, c.provisioner.Counted()},
 	} {
-		if first, after := c.checks.Record(item.check, item.holds, c.Now); first {
-			c.log.Debug("checked", "what", string(item.check), "after_ms", after.Milliseconds(), "epoch", c.roleEpoch)
-			if c.checks.Done() {
-				c.log.Info("leads, all checked", "epoch", c.roleEpoch, "after_ms", after.Milliseconds())
-			}
-		}
+		c.recordCheck(item.check, item.holds)
+	}
+}
+
+// recordCheck notes whether a check holds, and logs it the first time that it does.
+func (c *Controller) recordCheck(check standby.Check, holds bool) {
+	first, after := c.checks.Record(check, holds, c.Now)
+	if !first {
+		return
+	}
+	durationMs := after.Milliseconds()
+	c.log.Debug("leader check completed", "check", string(check), "duration_ms", durationMs, "epoch", c.roleEpoch)
+	if c.checks.Done() {
+		c.log.Info("leader checks completed", "epoch", c.roleEpoch, "duration_ms", durationMs)
 	}
 }
 
--- a/internal/controller/limits.go
+++ b/internal/controller/limits.go
@@ -6,47 +6,56 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// updateBudget sets this node's share of the state service's limits, which the live
-// members divide among them: what a silent one leaves is there for the others.
-// Where views differ for a moment the limits may be passed; the state service
-// then refuses, and the call is sent again.
+// updateBudget sets this controller's share of the store's request rate, which the live
+// members divide among them: what an ended one leaves is there for the others.
+// Where views differ for a moment the limits may be passed; the store then refuses, and
+// the call is sent again.
 func (c *Controller) updateBudget() {
-	share, writes := 1.0, 1.0
+	requestShare, writeShare := c.budgetShares()
+	store := c.settings.Cluster.State
+	writeLimit := store.WriteRPS * tuning.StateBudget
+	c.client.SetBudget(store.RPS*requestShare*tuning.StateBudget, writeLimit*writeShare, writeLimit)
+	c.api.RunBudget()
+}
+
+// budgetShares are this controller's parts of all requests to the store and of all writes.
+func (c *Controller) budgetShares() (requests, writes float64) {
 	size := c.settings.Cluster.Size
 	if c.role != members.Outside {
 		size = len(c.view.Members)
 	}
-	if size > 1 {
-		share = (1 - tuning.LeaderShare) / float64(size-1)
-		writes = share * tuning.WriteOvercommit
-		if c.role == members.Leader {
-			share, writes = tuning.LeaderShare, tuning.LeaderShare*tuning.LeaderOvercommit
-		}
+	switch {
+	case size <= 1:
+		return 1, 1
+	case c.role == members.Leader:
+		return tuning.LeaderShare, tuning.LeaderShare * tuning.LeaderOvercommit
+	default:
+		share := (1 - tuning.LeaderShare) / float64(size-1)
+		return share, share * tuning.WriteOvercommit
 	}
-	limit := c.settings.Cluster.State.WriteRPS * tuning.StateBudget
-	c.client.SetBudget(c.settings.Cluster.State.RPS*share*tuning.StateBudget, limit*writes, limit)
-	c.api.RunBudget()
 }
 
-// valueBytes is the most bytes that a slice's record may have.
+// valueBytes is how many bytes a record may have.
 func (c *Controller) valueBytes() int { return int(c.settings.Cluster.State.ValueKB * 1024) }
 
-// maxRangeTasks is how many tasks one slice holds.
+// maxRangeTasks is how many tasks one record of a task range holds: as many as its bytes allow,
+// and as one transaction can move with their preconditions.
 func (c *Controller) maxRangeTasks() int {
-	return min(max(1, c.valueBytes()/tuning.RangeTaskBytes), c.settings.Cluster.State.TxnOps*tuning.PreconditionsPerOp/2)
+	byBytes := max(1, c.valueBytes()/tuning.RangeTaskBytes)
+	return min(byBytes, c.settings.Cluster.State.TxnOps*tuning.PreconditionsPerOp/2)
 }
 
-// usesBatches tells whether tasks are given away in packs: where changes are scarce, and
-// every controller reads them.
+// usesBatches tells whether tasks are placed in batch records: where writes are scarce, and
+// every member can read them.
 func (c *Controller) usesBatches() bool {
+	var wanted bool
 	switch c.settings.Operator.Packs {
 	case settings.PacksAlways:
+		wanted = true
 	case settings.PacksScarce:
-		if !c.queue.Scarce() {
-			return false
-		}
-	default:
-		return false
+		wanted = c.queue.Scarce()
+	case settings.PacksOff:
+		wanted = false
 	}
-	return c.membership.AllSupportBatches()
+	return wanted && c.membership.AllSupportBatches()
 }
--- a/internal/controller/replicas.go
+++ b/internal/controller/replicas.go
@@ -7,36 +7,57 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// moveReplicas empties draining machines of replicas, which would otherwise
-// keep them for ever: one is stopped where another machine has room for it and
-// holds its image, so that it is away for a moment only. A few at a time.
+// moveReplicas evicts replicas from draining machines, which they would otherwise keep for
+// ever: one is stopped where another machine has room for it and holds its image, so that it
+// is away for a moment only. A few at a time.
 func (c *Controller) moveReplicas() {
-	if c.Now.Sub(c.leaderState.movedAt) < tuning.MoveEvery {
+	if c.Now.Sub(c.leaderState.replicasMovedAt) < tuning.MoveEvery {
 		return
 	}
-	c.leaderState.movedAt = c.Now
-	most := max(1, int(tuning.MovesShare*float64(len(c.Machines))))
-	var ds []decide.Decision
-	for _, h := range clusterstate.SortedKeys(c.provisioner.Summary.Drain) {
-		for _, taskID := range clusterstate.SortedKeys(c.TasksOnMachine[h]) {
-			t := c.TasksOnMachine[h][taskID]
-			if t.Job.Record == nil || t.State != jobs.Placed || !t.ObservedRunning && c.ownerOf(h) == c.settings.NodeName || t.Job.Record.Spec.Kind != jobs.Service ||
-				c.Now.Sub(t.Since) < tuning.MoveAfter || len(ds) >= most {
-				continue
-			}
-			zones := c.TasksByZone(t.Job)
-			if m := c.Machines[h]; m != nil {
-				zones[m.Zone]--
+	c.leaderState.replicasMovedAt = c.Now
+	limit := max(1, int(tuning.MovesShare*float64(len(c.Machines))))
+	c.committer.Commit(c.replicaMoves(limit))
+}
+
+// replicaMoves is at most so many decisions that stop a replica on a draining machine.
+func (c *Controller) replicaMoves(limit int) []decide.Decision {
+	event := jobs.TaskEvent{Kind: jobs.Stop, Reason: "moved off a draining machine"}
+	var decisions []decide.Decision
+	for _, machine := range clusterstate.SortedKeys(c.provisioner.Summary.Drain) {
+		for _, taskID := range clusterstate.SortedKeys(c.TasksOnMachine[machine]) {
+			if len(decisions) >= limit {
+				return decisions
 			}
-			to := c.queue.FindMachine(t.WithoutPreference(), zones)
-			if to == "" || !c.HasImage(to, t.Job.Record.Spec.Image) {
+			task := c.TasksOnMachine[machine][taskID]
+			if !c.isMovable(task, machine) || !c.hasRoomElsewhere(task, machine) {
 				continue
 			}
-			next, ok := jobs.NextTask(t.Task, jobs.TaskEvent{Kind: jobs.Stop, Reason: "moved off a draining machine"})
-			if ok {
-				ds = append(ds, decide.Decision{Changes: decide.TransitionTask(t, next)})
+			if next, ok := jobs.NextTask(task.Task, event); ok {
+				decisions = append(decisions, decide.Decision{Changes: decide.TransitionTask(task, next)})
 			}
 		}
 	}
-	c.committer.Commit(ds)
+	return decisions
+}
+
+// isMovable tells whether a task is a replica that has been on its machine for long enough. One
+// of this controller's own machines must have been observed there.
+func (c *Controller) isMovable(task *clusterstate.Task, machine string) bool {
+	if task.Job.Record == nil || task.State != jobs.Placed {
+		return false
+	}
+	if !task.ObservedRunning && c.ownerOf(machine) == c.settings.NodeName {
+		return false
+	}
+	return task.Job.Record.Spec.Kind == jobs.Service && c.Now.Sub(task.Since) >= tuning.MoveAfter
+}
+
+// hasRoomElsewhere tells whether a machine that holds a replica's image has room for it.
+func (c *Controller) hasRoomElsewhere(task *clusterstate.Task, machine string) bool {
+	zones := c.TasksByZone(task.Job)
+	if m := c.Machines[machine]; m != nil {
+		zones[m.Zone]--
+	}
+	target := c.queue.FindMachine(task.WithoutPreference(), zones)
+	return target != "" && c.HasImage(target, task.Job.Record.Spec.Image)
 }
--- a/internal/controller/runtime.go
+++ b/internal/controller/runtime.go
@@ -16,120 +16,150 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Serve runs a node on real sockets and the real clock until ctx ends.
+// Serve runs a controller on real sockets and the real clock. When ctx ends it leaves the view
+// in order, and returns the context's error.
 func Serve(ctx context.Context, set *settings.Settings, log *slog.Logger) error {
 	debug.SetMemoryLimit(int64(set.Cluster.Limits.MemoryMB * tuning.MemoryShare * (1 << 20)))
 	events := make(chan func(), tuning.EventQueue)
-	running, stop := context.WithCancel(context.WithoutCancel(ctx)) // beyond ctx: the shutdown needs its sockets
+	// The sockets outlive ctx: the shutdown needs them.
+	serving, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	var c *Controller
-	c = New(set, outside(running, set, events, func(name string) { c.PeerDisconnected(name) }), log, rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), 0)))
+	transport := dialers{events: events}.transport(serving, set, func(name string) { c.PeerDisconnected(name) })
+	random := rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), 0))
+	c = New(set, transport, log, random)
 	c.Now = time.Now()
-	go listener(set, c, events).Run(running.Done())
-	return loop(ctx, c, events)
+	go newListener(set, c, events).Run(serving.Done())
+	return runLoop(ctx, c, events)
 }
 
-// outside is the other services and controllers on sockets. Answers come back as
-// events.
-func outside(ctx context.Context, set *settings.Settings, events chan func(), ended func(name string)) Transport {
-	caller := func(addr string, idle int) store.Call {
-		client := &http1.Client{Addr: addr, MaxIdle: idle, MaxBody: tuning.MaxAnswerBody}
-		return func(method, target string, body []byte, timeout time.Duration, done func(int, []byte, error)) {
-			go func() {
-				m, err := client.Do(method, target, body, timeout)
-				events <- func() {
-					if err != nil {
-						done(0, nil, err)
-						return
-					}
-					done(m.Status, m.Body, nil)
+// dialers makes the calls to other services on sockets. Answers come back as events.
+type dialers struct {
+	events chan<- func()
+}
+
+// transport is the other services and controllers on sockets. Links to peers end with ctx;
+// onDisconnect is called on the loop.
+func (d dialers) transport(
+	ctx context.Context, set *settings.Settings, onDisconnect func(peer string),
+) Transport {
+	links := d.links(ctx, set.Peers, onDisconnect)
+	return Transport{
+		State: d.caller(set.Outside.State, tuning.StateConns),
+		Watch: d.caller(set.Outside.State, 1),
+		Cloud: d.caller(set.Outside.Cloud, tuning.CloudConns),
+		Worker: func(endpoint, method, target string, body []byte, timeout time.Duration,
+			done func(int, []byte, error),
+		) {
+			d.caller(endpoint, 0)(method, target, body, timeout, done)
+		},
+		Gossip: func(name string, line []byte) {
+			if link := links[name]; link != nil {
+				link.Send(line)
+			}
+		},
+	}
+}
+
+// caller makes calls to one address, of whose connections so many are kept when idle.
+func (d dialers) caller(address string, maxIdle int) store.Call {
+	client := &http1.Client{Addr: address, MaxIdle: maxIdle, MaxBody: tuning.MaxAnswerBody}
+	return func(method, target string, body []byte, timeout time.Duration, done func(int, []byte, error)) {
+		go func() {
+			answer, err := client.Do(method, target, body, timeout)
+			d.events <- func() {
+				if err != nil {
+					done(0, nil, err)
+					return
 				}
-			}()
-		}
+				done(answer.Status, answer.Body, nil)
+			}
+		}()
 	}
+}
+
+// links starts a link to each peer, by its name.
+func (d dialers) links(
+	ctx context.Context, peers []settings.Peer, onDisconnect func(peer string),
+) map[string]*peer.Link {
 	links := map[string]*peer.Link{}
-	for _, p := range set.Peers {
+	for _, p := range peers {
 		links[p.NodeName] = peer.NewLink(ctx, p.Address, func() {
 			select {
-			case events <- func() { ended(p.NodeName) }:
+			case d.events <- func() { onDisconnect(p.NodeName) }:
 			case <-ctx.Done():
 			}
 		})
 	}
-	return Transport{
-		State: caller(set.Outside.State, tuning.StateConns),
-		Watch: caller(set.Outside.State, 1),
-		Cloud: caller(set.Outside.Cloud, tuning.CloudConns),
-		Worker: func(endpoint, method, target string, body []byte, timeout time.Duration, done func(int, []byte, error)) {
-			caller(endpoint, 0)(method, target, body, timeout, done)
-		},
-		Gossip: func(name string, line []byte) {
-			if l := links[name]; l != nil {
-				l.Send(line)
-			}
-		},
-	}
+	return links
 }
 
-// listener takes requests and peers' lines, and refuses what the loop is too far
-// behind for.
-func listener(set *settings.Settings, c *Controller, events chan func()) *http1.Server {
-	conns := max(set.Cluster.Limits.FdLimit-tuning.ReservedSockets, set.Cluster.Limits.FdLimit/2)
+// newListener takes requests and peers' lines, and refuses those for which the loop is too far
+// behind.
+func newListener(set *settings.Settings, c *Controller, events chan<- func()) *http1.Server {
+	fdLimit := set.Cluster.Limits.FdLimit
+	maxConns := max(fdLimit-tuning.ReservedSockets, fdLimit/2)
 	return &http1.Server{
-		Front: set.Front, Peer: set.PeerListen, MaxConns: conns,
-		IsGuest: api.IsUsers, MaxGuests: int(float64(conns) * tuning.UserConns),
-		Handle: func(m *http1.Message, respond func(http1.Reply)) {
+		Front:     set.Front,
+		Peer:      set.PeerListen,
+		MaxConns:  maxConns,
+		IsGuest:   api.IsUsers,
+		MaxGuests: int(float64(maxConns) * tuning.UserConns),
+		Handle: func(request *http1.Message, respond func(http1.Reply)) {
 			select {
-			case events <- func() { c.Request(m, respond) }:
+			case events <- func() { c.Request(request, respond) }:
 			default:
-				respond(http1.Refuse("too busy")) // the loop is far behind
+				respond(http1.Refuse("too busy"))
 			}
 		},
 		Line: func(line []byte) {
 			select {
 			case events <- func() { c.ReceiveGossip(line) }:
-			default:
+			default: // gossip may be lost
 			}
 		},
 	}
 }
 
-// loop hands events and pulses to the node.
-func loop(ctx context.Context, c *Controller, events chan func()) error {
+// runLoop hands events and ticks to the controller until it has shut down, which begins when
+// ctx ends.
+func runLoop(ctx context.Context, c *Controller, events <-chan func()) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	lastPulse := time.Time{}
-	over := ctx.Done()
-	for {
-		if c.HasShutDown() {
-			return ctx.Err()
-		}
+	lastTick := time.Time{}
+	shutdown := ctx.Done()
+	for !c.HasShutDown() {
 		select {
-		case <-over:
-			over = nil
+		case <-shutdown:
+			shutdown = nil
 			c.Run(time.Now(), c.Shutdown)
-		case f := <-events:
-			c.Run(time.Now(), f)
-			// Take what else has come in before looking at the clock again.
-			for more := true; more; {
-				select {
-				case f := <-events:
-					c.Run(time.Now(), f)
-				default:
-					more = false
-				}
-			}
+		case event := <-events:
+			c.Run(time.Now(), event)
+			runPending(c, events)
 		case <-timer.C:
 		}
 		now := time.Now()
-		if now.Sub(lastPulse) >= tuning.Tick {
-			lastPulse = now
+		if now.Sub(lastTick) >= tuning.Tick {
+			lastTick = now
 			c.Tick(now)
 		} else {
 			c.Run(now, func() {})
 		}
 		timer.Reset(c.Wait())
 	}
+	return ctx.Err()
+}
+
+// runPending handles the events that have come in meanwhile.
+func runPending(c *Controller, events <-chan func()) {
+	for {
+		select {
+		case event := <-events:
+			c.Run(time.Now(), event)
+		default:
+			return
+		}
+	}
 }
 
 // Describe is a line about the settings for the log.
--- a/internal/controller/sync.go
+++ b/internal/controller/sync.go
@@ -17,99 +17,120 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// knownEpoch is up to where the mirror shows all changes of the store.
-func (c *Controller) knownEpoch() uint64 { return c.mirror.Epoch }
-
-// mirrorLive tells whether the mirror follows the store.
-func (c *Controller) mirrorLive() bool { return c.sync.live }
-
-// livePrefixes are read whole at a start. Jobs come before their tasks.
-var livePrefixes = []string{jobs.JobPrefix, jobs.TaskPrefix, taskbatch.KeyPrefix, fleet.MachinePrefix, fleet.UnresponsivePrefix, fleet.ClaimsKey, provisioning.MachineTypePrefix, commit.FencePrefix, standby.ProbePrefix, members.CapabilitiesPrefix, members.MemberPrefix, members.ViewKey, provisioning.SummaryKey}
+// livePrefixes are listed whole at a start, in this order. Jobs come before their tasks.
+var livePrefixes = []string{
+	jobs.JobPrefix,
+	jobs.TaskPrefix,
+	taskbatch.KeyPrefix,
+	fleet.MachinePrefix,
+	fleet.UnresponsivePrefix,
+	fleet.ClaimsKey,
+	provisioning.MachineTypePrefix,
+	commit.FencePrefix,
+	standby.ProbePrefix,
+	members.CapabilitiesPrefix,
+	members.MemberPrefix,
+	members.ViewKey,
+	provisioning.SummaryKey,
+}
 
-// prefixes are the live prefixes of this node's duties.
+// prefixes are the prefixes that are listed, with those of the collaborators.
 func (c *Controller) prefixes() []string {
 	return slices.Concat(livePrefixes, c.api.Prefixes(), c.queue.Prefixes(), c.calendar.Keys())
 }
 
 // syncState is how far the mirror has got.
 type syncState struct {
-	live      bool // every prefix was listed and the watch runs
-	listing   bool
-	watching  bool
-	next      time.Time // when to list or follow again
-	prefix    int
-	page      string // the page to be read is after this key
-	rows      []store.Item
-	since     uint64 // where the watch starts
-	until     uint64 // what was listed is as late as this, in part
-	pageEpoch uint64
-	basis     cancellation.StoreQuery // all pages were asked for after it
+	live     bool // every prefix was listed and the watch runs
+	listing  bool
+	watching bool
+	retryAt  time.Time // when to list or watch again
+
+	prefixIndex int                     // of the prefix that is being listed
+	pageAfter   string                  // the next page begins after this key
+	rows        []store.Item            // of the pages of this prefix so far
+	firstEpoch  uint64                  // of the prefix's first page
+	watchFrom   uint64                  // epoch of the first page of all
+	listedTo    uint64                  // the latest epoch of a page
+	query       cancellation.StoreQuery // began before any page was asked for
 }
 
+// knownEpoch is up to where the mirror shows all changes of the store.
+func (c *Controller) knownEpoch() uint64 { return c.mirror.Epoch }
+
+// mirrorLive tells whether the mirror follows the store.
+func (c *Controller) mirrorLive() bool { return c.sync.live }
+
+// caughtUp tells whether the mirror shows one epoch: pages are listed one after the
+// other, and a task that moved meanwhile from a batch record of a later page to one of an
+// earlier is in neither until the watch has come to the last page.
+func (c *Controller) caughtUp() bool { return c.sync.live && c.mirror.Epoch >= c.sync.listedTo }
+
 // syncMirror lists what must be listed and keeps one watch open.
 func (c *Controller) syncMirror() {
-	if c.Now.Before(c.sync.next) {
+	if c.Now.Before(c.sync.retryAt) {
 		return
 	}
 	switch {
 	case !c.sync.live && !c.sync.listing && !c.sync.watching:
 		c.sync.listing = true
-		if c.sync.prefix == 0 && c.sync.page == "" {
-			c.sync.basis = c.cancellations.BeginStoreQuery(c.Now)
+		if c.sync.prefixIndex == 0 && c.sync.pageAfter == "" {
+			c.sync.query = c.cancellations.BeginStoreQuery(c.Now)
 		}
-		c.listPage(c.sync.page)
+		c.listPage(c.sync.pageAfter)
 	case c.sync.live && !c.sync.watching:
 		c.watchNow()
 	}
 }
 
-// caughtUp tells whether the mirror shows one epoch: pages are listed one after the
-// other, and a task that moved meanwhile from a pack of a later page to one of an
-// earlier is in neither until the watch has come to the last page.
-func (c *Controller) caughtUp() bool { return c.sync.live && c.mirror.Epoch >= c.sync.until }
-
-func (c *Controller) listPage(since string) {
-	prefix := c.prefixes()[c.sync.prefix]
-	c.client.List(store.PriorityUrgent, prefix, since, func(p store.Page, err error) {
+// listPage asks for the page of the present prefix that begins after a key, and goes on until
+// all prefixes are listed.
+func (c *Controller) listPage(after string) {
+	prefix := c.prefixes()[c.sync.prefixIndex]
+	c.client.List(store.PriorityUrgent, prefix, after, func(page store.Page, err error) {
 		if err != nil {
 			// What was read stays: where pages often fail, a listing that began
 			// anew each time would never end.
-			c.sync.listing, c.sync.page, c.sync.next = false, since, c.Now.Add(tuning.SyncAgain)
+			c.sync.listing, c.sync.pageAfter, c.sync.retryAt = false, after, c.Now.Add(tuning.SyncAgain)
 			return
 		}
-		if c.sync.since == 0 {
-			c.sync.since = p.Epoch
+		if c.sync.watchFrom == 0 {
+			c.sync.watchFrom = page.Epoch
 		}
-		if since == "" {
-			c.sync.rows, c.sync.pageEpoch = nil, p.Epoch
+		if after == "" {
+			c.sync.rows, c.sync.firstEpoch = nil, page.Epoch
 		}
-		c.sync.until = max(c.sync.until, p.Epoch)
-		c.sync.rows = append(c.sync.rows, p.Rows...)
-		if p.HasNext && len(p.Rows) > 0 {
-			c.listPage(p.Rows[len(p.Rows)-1].Key)
+		c.sync.listedTo = max(c.sync.listedTo, page.Epoch)
+		c.sync.rows = append(c.sync.rows, page.Rows...)
+		if page.HasNext && len(page.Rows) > 0 {
+			c.listPage(page.Rows[len(page.Rows)-1].Key)
 			return
 		}
 		// Keys that the listing lacks are gone as of its first page.
-		c.mirror.ApplyListing(prefix, c.sync.rows, c.sync.pageEpoch)
+		c.mirror.ApplyListing(prefix, c.sync.rows, c.sync.firstEpoch)
 		c.sync.rows = nil
-		if c.sync.prefix++; c.sync.prefix < len(c.prefixes()) {
+		c.sync.prefixIndex++
+		if c.sync.prefixIndex < len(c.prefixes()) {
 			c.listPage("")
 			return
 		}
-		c.sync.listing, c.sync.live = false, true
-		if c.sync.since > c.mirror.Epoch {
-			c.mirror.Epoch = c.sync.since
-		}
-		if c.caughtUp() {
-			c.cancellations.StoreQueryAnswered(c.sync.basis)
-		}
-		c.log.Info("state read", "jobs", len(c.Jobs), "machines", len(c.Machines), "epoch", c.mirror.Epoch)
-		c.watchNow()
+		c.finishListing()
 	})
 }
 
-// watchGap is the pause between two watches: every node's watches together
-// may take only a share of the state service's requests.
+// finishListing begins to watch after the last page.
+func (c *Controller) finishListing() {
+	c.sync.listing, c.sync.live = false, true
+	c.mirror.Epoch = max(c.mirror.Epoch, c.sync.watchFrom)
+	if c.caughtUp() {
+		c.cancellations.StoreQueryAnswered(c.sync.query)
+	}
+	c.log.Info("state loaded", "jobs", len(c.Jobs), "machines", len(c.Machines), "epoch", c.mirror.Epoch)
+	c.watchNow()
+}
+
+// watchGap is the pause between two watches: all controllers' watches together
+// may take only a share of the store's requests.
 func (c *Controller) watchGap() time.Duration {
 	rate := c.settings.Cluster.State.RPS * tuning.WatchShare / float64(max(c.settings.Cluster.Size, 1))
 	return max(tuning.WatchGap, jobs.Seconds(1/max(rate, 1)))
@@ -121,26 +142,31 @@
 		return
 	}
 	c.sync.watching = true
-	basis, opened := c.cancellations.BeginStoreQuery(c.Now), c.Now
+	query, opened := c.cancellations.BeginStoreQuery(c.Now), c.Now
 	c.client.Watch(c.mirror.Epoch, func(epoch uint64, events []store.Event, err error) {
 		c.sync.watching = false
 		switch {
 		case errors.Is(err, store.ErrGone):
-			c.log.Info("watch too old, reading again", "epoch", c.mirror.Epoch)
+			c.log.Info("watch expired, listing again", "epoch", c.mirror.Epoch)
 			c.sync = syncState{}
 		case err != nil:
-			c.sync.next = c.Now.Add(tuning.SyncAgain)
+			c.sync.retryAt = c.Now.Add(tuning.SyncAgain)
 		default:
 			c.mirror.ApplyEvents(epoch, events)
-			if c.caughtUp() {
-				// The service answered after this was asked, and with every change until then.
-				c.cancellations.StoreQueryAnswered(basis)
-			}
-			c.lateSince = time.Time{}
-			c.committer.SettleWatched()
-			c.sync.next = c.Now.Add(c.watchGap())
-			c.membership.RestoreCertainty()
-			c.api.AnswerQueries(opened)
+			c.watchAnswered(query, opened)
 		}
 	})
 }
+
+// watchAnswered takes in that the mirror shows what the store's answer to a watch held.
+func (c *Controller) watchAnswered(query cancellation.StoreQuery, opened time.Time) {
+	if c.caughtUp() {
+		// The store answered after the query began, with every change until then.
+		c.cancellations.StoreQueryAnswered(query)
+	}
+	c.behindSince = time.Time{}
+	c.committer.SettleWatched()
+	c.sync.retryAt = c.Now.Add(c.watchGap())
+	c.membership.RestoreCertainty()
+	c.api.AnswerQueries(opened)
+}
--- a/internal/controller/transport.go
+++ b/internal/controller/transport.go
@@ -7,34 +7,44 @@
 	"github.com/harrierreel/harrierreel/internal/store"
 )
 
-// Transport is everything a node can reach. Answers come back on the loop,
+// AgentCall sends one HTTP request to the agent at endpoint and calls done later, on the loop.
+type AgentCall func(endpoint, method, target string, body []byte, timeout time.Duration,
+	done func(status int, body []byte, err error))
+
+// Transport is everything a controller can reach. Answers come back on the loop,
 // through Run.
 type Transport struct {
 	State       store.Call
-	Watch       store.Call
+	Watch       store.Call // of its own, since a watch is held open and must not hold up other calls
 	Cloud       store.Call
-	Worker      func(endpoint, method, target string, body []byte, timeout time.Duration, done func(status int, body []byte, err error))
-	Gossip      func(peer string, line []byte)
-	WallClockMs func() int64 // time of day in ms; nil: that of the loop
+	Worker      AgentCall
+	Gossip      func(peer string, line []byte) // line is whole and may be dropped
+	WallClockMs func() int64                   // time of day in ms; nil: that of the loop
 }
 
-// countingErrors is the same with all answers that are refusals counted.
+// countingErrors is the same transport with all answers that are refusals counted.
 func (t Transport) countingErrors(counter *callerrors.Counter) Transport {
-	wrap := func(party callerrors.Party, call store.Call) store.Call {
-		return func(method, target string, body []byte, timeout time.Duration, done func(int, []byte, error)) {
-			call(method, target, body, timeout, func(status int, answer []byte, err error) {
-				counter.Note(party, method, target, status, answer)
-				done(status, answer, err)
-			})
+	counted := t
+	counted.State = countCallErrors(counter, callerrors.State, t.State)
+	counted.Watch = countCallErrors(counter, callerrors.State, t.Watch)
+	counted.Cloud = countCallErrors(counter, callerrors.Cloud, t.Cloud)
+	counted.Worker = func(endpoint, method, target string, body []byte, timeout time.Duration,
+		done func(int, []byte, error),
+	) {
+		call := func(method, target string, body []byte, timeout time.Duration, done func(int, []byte, error)) {
+			t.Worker(endpoint, method, target, body, timeout, done)
 		}
+		countCallErrors(counter, callerrors.Worker, call)(method, target, body, timeout, done)
 	}
-	worker := t.Worker
-	t.State, t.Watch, t.Cloud = wrap(callerrors.State, t.State), wrap(callerrors.State, t.Watch), wrap(callerrors.Cloud, t.Cloud)
-	t.Worker = func(endpoint, method, target string, body []byte, timeout time.Duration, done func(int, []byte, error)) {
-		worker(endpoint, method, target, body, timeout, func(status int, answer []byte, err error) {
-			counter.Note(callerrors.Worker, method, target, status, answer)
+	return counted
+}
+
+// countCallErrors is a call whose refusals are counted as the party's.
+func countCallErrors(counter *callerrors.Counter, party callerrors.Party, call store.Call) store.Call {
+	return func(method, target string, body []byte, timeout time.Duration, done func(int, []byte, error)) {
+		call(method, target, body, timeout, func(status int, answer []byte, err error) {
+			counter.Note(party, method, target, status, answer)
 			done(status, answer, err)
 		})
 	}
-	return t
 }
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -5,6 +5,9 @@
 	"github.com/harrierreel/harrierreel/internal/sharding"
 )
 
+// Role is this controller's role under the last view it knows.
+func (c *Controller) Role() members.Role { return c.role }
+
 // outsideView tells whether the known view does not name this controller.
 func (c *Controller) outsideView() bool { return c.role == members.Outside }
 
@@ -14,10 +17,7 @@
 // memberNames lists the members of the known view.
 func (c *Controller) memberNames() []string { return c.view.Names() }
 
-// Role is this node's role under the last view it knows.
-func (c *Controller) Role() members.Role { return c.role }
-
-// ownerOf is the controller that a machine belongs to under the known view.
+// ownerOf is the controller that a machine belongs to under the known view, "" without one.
 func (c *Controller) ownerOf(machine string) string {
 	if c.view == nil {
 		return ""
@@ -25,7 +25,15 @@
 	return sharding.Owner(machine, c.view.Names())
 }
 
-// updateRole follows the view: a new epoch starts every session anew.
+// ownsMachine tells whether a machine belongs to this controller.
+func (c *Controller) ownsMachine(machine string) bool {
+	if m := c.Machines[machine]; m != nil {
+		return m.Owner == c.settings.NodeName
+	}
+	return c.ownerOf(machine) == c.settings.NodeName
+}
+
+// updateRole follows the view: with a new epoch, every agent's session begins anew.
 func (c *Controller) updateRole() {
 	role := members.RoleOf(c.view, c.settings.NodeName, c.membership.LeaseID())
 	epoch := uint64(0)
@@ -36,15 +44,10 @@
 		return
 	}
 	if role != c.role {
-		c.log.Info("role", "role", string(role), "epoch", epoch)
+		c.log.Info("role changed", "role", string(role), "epoch", epoch)
 	}
 	if (role == members.Leader) != (c.role == members.Leader) {
-		// What a leader keeps must not outlive its view, here either: a machine
-		// that it gave up may be in use under the next one.
-		c.leaderState.reset()
-		c.queue.Reset()
-		c.calendar.Reset()
-		c.provisioner.Reset()
+		c.resetLeaderState()
 	}
 	c.role, c.roleEpoch = role, epoch
 	c.updateBudget()
@@ -55,10 +58,11 @@
 	c.reachability.ResetComplaints()
 }
 
-// ownsMachine tells whether a machine belongs to this controller.
-func (c *Controller) ownsMachine(machine string) bool {
-	if m := c.Machines[machine]; m != nil {
-		return m.Owner == c.settings.NodeName
-	}
-	return c.ownerOf(machine) == c.settings.NodeName
+// resetLeaderState drops what only a leader keeps. It must not outlive the view in which it
+// led, here either: a machine that it decommissioned may be in use under the next leader.
+func (c *Controller) resetLeaderState() {
+	c.leaderState.reset()
+	c.queue.Reset()
+	c.calendar.Reset()
+	c.provisioner.Reset()
 }
