--- a/internal/controller/changes.go
+++ b/internal/controller/changes.go
@@ -90,7 +90,7 @@
 }
 
 // applyView takes in the view and gives each machine its owner under it. An unreadable view
-// changes nothing: the last one stands.
+// changes nothing: the last one stays in force.
 func (c *Controller) applyView(record change) {
 	view, ok := members.Decode(record.value)
 	if !ok {
