--- /dev/null
+++ b/internal/controller/diagnostics.go
@@ -0,0 +1,29 @@
+package controller
+
+import (
+	"fmt"
+
+	"github.com/harrierreel/harrierreel/internal/tuning"
+)
+
+// logWriteCounts logs what the writes to the store were spent on, by kind of key.
+func (c *Controller) logWriteCounts() {
+	if c.Now.Sub(c.writesLoggedAt) >= tuning.Step {
+		c.writesLoggedAt = c.Now
+		c.log.Debug("store writes counted", "writes", fmt.Sprint(c.client.TakeWriteCounts()))
+	}
+}
+
+// logCallErrors logs which calls were refused, once a minute.
+func (c *Controller) logCallErrors() {
+	unexpected, load := c.callErrors.Due(c.Now)
+	if unexpected != "" {
+		c.log.Error("calls refused that should not have been made", "calls", unexpected)
+	}
+	if load != "" {
+		c.log.Info("calls refused", "calls", load)
+	}
+}
+
+// ProtocolErrors counts the calls and decisions so far that a correct program never makes.
+func (c *Controller) ProtocolErrors() int { return c.callErrors.Unexpected + c.committer.Quarantined() }
