--- a/internal/commit/commit.go
+++ b/internal/commit/commit.go
@@ -1,6 +1,6 @@
 // Package commit is the slice that has the state service hold what was decided: it
 // packs decisions into transactions, sends them, settles what was refused, conflicted
-// or left unanswered (settle.go), and keeps the fence (fence.go). Transactions come
+// or left unanswered (settlement.go), and keeps the fence (fence.go). Transactions come
 // out; it has no IO and no clock.
 package commit
 
--- /dev/null
+++ b/internal/decide/transaction.go
@@ -0,0 +1,93 @@
+package decide
+
+import (
+	"maps"
+	"slices"
+
+	"github.com/harrierreel/harrierreel/internal/clusterstate"
+	"github.com/harrierreel/harrierreel/internal/jobs"
+	"github.com/harrierreel/harrierreel/internal/store"
+	"github.com/harrierreel/harrierreel/internal/taskbatch"
+)
+
+// Transaction is a transaction with the decisions that it commits.
+type Transaction struct {
+	Decisions []Decision
+	Urgent    bool
+	Txn       store.Txn
+
+	preconditions  map[string]bool // keys that it is conditional on, but for those of new packs
+	writes         []store.Write
+	edits          map[string]map[*clusterstate.Task]Change // slice to what becomes of its tasks
+	recordOrder    []string                                 // the slices, as they came
+	newBatches     map[string][]taskbatch.Entry             // part to the tasks of its new pack
+	splitBatches   map[string]bool                          // packs from which this controller's tasks go into a new one
+	estimatedBytes int                                      // bytes, as a guess
+}
+
+// TxnContext is what the transactions of a batch hang on besides its decisions.
+type TxnContext struct {
+	Limits store.Limits
+	// Preconditions is the keys that every transaction is conditional on.
+	Preconditions []string
+	// Revision is the version of a key that is known.
+	Revision func(key string) uint64
+	// KnownEpoch is up to where all changes of the state service are known.
+	KnownEpoch uint64
+	// OwnsMachine tells whether a machine belongs to this controller.
+	OwnsMachine func(machine string) bool
+	// NewBatchKey is the key of a pack that was never used.
+	NewBatchKey func() string
+}
+
+// buildWrites makes what the batch writes: what is put stands before what is removed.
+func (b *Transaction) buildWrites(f TxnContext) []store.Write {
+	out := slices.Clone(b.writes)
+	for _, k := range b.recordOrder {
+		if sl := recordOf(b.edits[k]); !sl.IsBatch() {
+			out = append(out, rangeWrite(sl, b.edits[k], f.Limits.ValueBytes))
+		}
+	}
+	return append(out, b.batchWrites(f)...)
+}
+
+// build makes the batch's transaction, whole as it is sent.
+func (b *Transaction) build(f TxnContext) {
+	t := store.Txn{Writes: b.buildWrites(f)}
+	keys := maps.Clone(b.preconditions)
+	for _, w := range t.Writes {
+		keys[WriteKey(w)] = true
+	}
+	for _, k := range clusterstate.SortedKeys(keys) {
+		t.Preconditions = append(t.Preconditions, store.Precondition{Key: k, Revision: f.Revision(k)})
+	}
+	b.Txn = t
+}
+
+// recordOf is the slice that some changed tasks are in.
+func recordOf(edits map[*clusterstate.Task]Change) *clusterstate.TaskRecord {
+	for t := range edits {
+		return t.Stored
+	}
+	return nil
+}
+
+// rangeWrite is the record of a slice with some of its tasks changed. A slice of a
+// job that is over, none of whose tasks may be on a machine, is removed. One of a job
+// whose record cannot be read is kept: it may be live, and its tries must not be used
+// again.
+func rangeWrite(sl *clusterstate.TaskRecord, edits map[*clusterstate.Task]Change, limit int) store.Write {
+	records := make([]jobs.Task, len(sl.Tasks))
+	rest := true
+	for i, t := range sl.Tasks {
+		records[i] = t.Task
+		if c, ok := edits[t]; ok {
+			records[i] = c.Next
+		}
+		rest = rest && !records[i].OnMachine()
+	}
+	if rest && !sl.Job.RecordUnreadable && (sl.Job.Record == nil || sl.Job.Record.State != jobs.Live) {
+		return Remove(sl.Key)
+	}
+	return store.Write{Put: sl.Key, Value: jobs.EncodeTaskRange(records, limit)}
+}
