--- a/internal/decide/batch_records.go
+++ b/internal/decide/batch_records.go
@@ -15,9 +15,9 @@
 // touchesSharedBatch tells whether a decision writes a pack with tasks on other controllers'
 // machines. Its owner writes it all the time, so the transaction may well conflict,
 // and nothing else should fail with it.
-func (p *Batcher) touchesSharedBatch(d *Decision) bool {
-	for _, c := range d.Changes {
-		if c.Task.Stored.IsBatch() && !p.ownsBatch(c.Task.Stored) {
+func (b *Batcher) touchesSharedBatch(decision *Decision) bool {
+	for _, change := range decision.Changes {
+		if change.Task.Stored.IsBatch() && !b.ownsBatch(change.Task.Stored) {
 			return true
 		}
 	}
@@ -25,18 +25,18 @@
 }
 
 // ownsBatch tells whether no task of a pack is on another controller's machine.
-func (p *Batcher) ownsBatch(sl *clusterstate.TaskRecord) bool {
-	own, known := p.ownedBatches[sl]
+func (b *Batcher) ownsBatch(record *clusterstate.TaskRecord) bool {
+	own, known := b.ownedBatches[record]
 	if !known {
-		own = ownsAllTasks(sl, p.OwnsMachine)
-		p.ownedBatches[sl] = own
+		own = ownsAllTasks(record, b.OwnsMachine)
+		b.ownedBatches[record] = own
 	}
 	return own
 }
 
-func ownsAllTasks(sl *clusterstate.TaskRecord, owned func(machine string) bool) bool {
-	for _, t := range sl.Tasks {
-		if t.OnMachine() && sl.Holds(t) && !owned(t.Machine) {
+func ownsAllTasks(record *clusterstate.TaskRecord, owned func(machine string) bool) bool {
+	for _, t := range record.Tasks {
+		if t.OnMachine() && record.Holds(t) && !owned(t.Machine) {
 			return false
 		}
 	}
@@ -54,62 +54,62 @@
 // batchWrites is the packs that the batch changes and those that it begins. Those of
 // this controller alone are united where they fit together: it is one put and one
 // removal instead of two puts, and from then on one change instead of two.
-func (b *Transaction) batchWrites(f TxnContext) []store.Write {
-	var ps []pendingBatch
-	for _, k := range b.recordOrder {
-		sl := recordOf(b.edits[k])
-		if !sl.IsBatch() {
+func (t *Transaction) batchWrites(context TxnContext) []store.Write {
+	var pending []pendingBatch
+	for _, key := range t.recordOrder {
+		record := recordOf(t.edits[key])
+		if !record.IsBatch() {
 			continue
 		}
-		es := remaining(sl, b.edits[k], f.KnownEpoch)
-		if ownsAllTasks(sl, f.OwnsMachine) {
-			ps = append(ps, pendingBatch{key: k, entries: es, owned: true})
+		entries := remaining(record, t.edits[key], context.KnownEpoch)
+		if ownsAllTasks(record, context.OwnsMachine) {
+			pending = append(pending, pendingBatch{key: key, entries: entries, owned: true})
 			continue
 		}
-		own, others := splitOwned(sl, b.edits[k], es, f.OwnsMachine)
-		ps = append(ps, pendingBatch{key: k, entries: others}, pendingBatch{entries: own, owned: true})
+		own, others := splitOwned(record, t.edits[key], entries, context.OwnsMachine)
+		pending = append(pending, pendingBatch{key: key, entries: others}, pendingBatch{entries: own, owned: true})
 	}
-	mergeSmall(ps, f.Limits.ValueBytes)
-	for _, part := range clusterstate.SortedKeys(b.newBatches) {
-		ps = append(ps, pendingBatch{entries: b.newBatches[part]})
+	mergeSmall(pending, context.Limits.ValueBytes)
+	for _, controller := range clusterstate.SortedKeys(t.newBatches) {
+		pending = append(pending, pendingBatch{entries: t.newBatches[controller]})
 	}
-	var begun, puts, removes []store.Write
-	for _, p := range ps {
-		if len(p.entries) == 0 && p.key == "" {
+	var created, updated, removed []store.Write
+	for _, batch := range pending {
+		if len(batch.entries) == 0 && batch.key == "" {
 			continue
 		}
-		if len(p.entries) == 0 {
-			removes = append(removes, Remove(p.key))
+		if len(batch.entries) == 0 {
+			removed = append(removed, Remove(batch.key))
 			continue
 		}
-		values := []json.RawMessage{p.value}
-		if p.value == nil {
-			values = taskbatch.Split(p.entries, f.Limits.ValueBytes)
+		values := []json.RawMessage{batch.value}
+		if batch.value == nil {
+			values = taskbatch.Split(batch.entries, context.Limits.ValueBytes)
 		}
-		for _, v := range values {
-			if p.key == "" {
-				begun = append(begun, store.Write{Put: f.NewBatchKey(), Value: v})
+		for _, value := range values {
+			if batch.key == "" {
+				created = append(created, store.Write{Put: context.NewBatchKey(), Value: value})
 			} else {
-				puts = append(puts, store.Write{Put: p.key, Value: v})
+				updated = append(updated, store.Write{Put: batch.key, Value: value})
 			}
-			p.key = ""
+			batch.key = ""
 		}
 	}
-	return slices.Concat(begun, puts, removes)
+	return slices.Concat(created, updated, removed)
 }
 
 // remaining is a pack's entries with some of its tasks changed, without those that
 // leave it and those of jobs that are over.
-func remaining(sl *clusterstate.TaskRecord, edits map[*clusterstate.Task]Change, known uint64) []taskbatch.Entry {
+func remaining(record *clusterstate.TaskRecord, edits map[*clusterstate.Task]Change, knownEpoch uint64) []taskbatch.Entry {
 	var out []taskbatch.Entry
-	for _, t := range sl.Tasks {
-		rec := t.Task
-		c, edited := edits[t]
+	for _, t := range record.Tasks {
+		next := t.Task
+		change, edited := edits[t]
 		if edited {
-			rec = c.Next
+			next = change.Next
 		}
-		if sl.Holds(t) && !c.LeavesBatch && !t.ObsoleteAs(&rec, known) {
-			out = append(out, taskbatch.Entry{JobID: t.Job.ID, Index: t.Index, Task: rec})
+		if record.Holds(t) && !change.LeavesBatch && !t.ObsoleteAs(&next, knownEpoch) {
+			out = append(out, taskbatch.Entry{JobID: t.Job.ID, Index: t.Index, Task: next})
 		}
 	}
 	return out
@@ -118,37 +118,37 @@
 // splitOwned takes the tasks on this controller's machines out of a pack that others write
 // as well, when it writes one of them: after a change of view every pack has tasks of
 // all owners, and while they write the same packs most of their transactions conflict.
-func splitOwned(sl *clusterstate.TaskRecord, edits map[*clusterstate.Task]Change, es []taskbatch.Entry, owned func(machine string) bool) (own, others []taskbatch.Entry) {
-	ours := map[string]bool{}
-	writes := false
-	for _, t := range sl.Tasks {
-		if t.OnMachine() && sl.Holds(t) && owned(t.Machine) {
-			ours[t.ID] = true
+func splitOwned(record *clusterstate.TaskRecord, edits map[*clusterstate.Task]Change, entries []taskbatch.Entry, owned func(machine string) bool) (own, others []taskbatch.Entry) {
+	ownTasks := map[string]bool{}
+	writesOwn := false
+	for _, t := range record.Tasks {
+		if t.OnMachine() && record.Holds(t) && owned(t.Machine) {
+			ownTasks[t.ID] = true
 			// What only gets another try is put where it stands: after all controllers
 			// went down that is all of a pack, and it costs one change and not three.
-			c, edited := edits[t]
-			writes = writes || edited && c.Next.State != jobs.Placed
+			change, edited := edits[t]
+			writesOwn = writesOwn || edited && change.Next.State != jobs.Placed
 		}
 	}
-	if !writes {
-		return nil, es
+	if !writesOwn {
+		return nil, entries
 	}
-	for _, e := range es {
-		if ours[jobs.TaskID(e.JobID, e.Index)] {
-			own = append(own, e)
+	for _, entry := range entries {
+		if ownTasks[jobs.TaskID(entry.JobID, entry.Index)] {
+			own = append(own, entry)
 		} else {
-			others = append(others, e)
+			others = append(others, entry)
 		}
 	}
 	return own, others
 }
 
 // mergeSmall moves the entries of small packs into larger ones of the same controller.
-func mergeSmall(ps []pendingBatch, limit int) {
+func mergeSmall(pending []pendingBatch, limit int) {
 	var own []*pendingBatch
-	for i := range ps {
-		if ps[i].owned && len(ps[i].entries) > 0 {
-			own = append(own, &ps[i])
+	for i := range pending {
+		if pending[i].owned && len(pending[i].entries) > 0 {
+			own = append(own, &pending[i])
 		}
 	}
 	slices.SortStableFunc(own, func(a, b *pendingBatch) int { return cmp.Compare(len(b.entries), len(a.entries)) })
@@ -158,9 +158,9 @@
 			if len(into.entries) == 0 || len(from.entries) == 0 || len(into.entries)+len(from.entries) > full/tuning.BatchTaskBytes {
 				continue
 			}
-			both := slices.Concat(into.entries, from.entries)
-			if v := taskbatch.Encode(both); len(v) <= full {
-				into.entries, into.value, from.entries = both, v, nil
+			merged := slices.Concat(into.entries, from.entries)
+			if value := taskbatch.Encode(merged); len(value) <= full {
+				into.entries, into.value, from.entries = merged, value, nil
 			}
 		}
 	}
--- a/internal/decide/batch_records_test.go
+++ b/internal/decide/batch_records_test.go
@@ -19,16 +19,16 @@
 
 func TestMain(m *testing.M) { os.Exit(testseed.Main(m)) }
 
-// shelf is a state service of a few keys, with its log.
-type shelf struct {
+// fakeStore is a state service of a few keys, with its log.
+type fakeStore struct {
 	epoch uint64
 	items map[string]store.Item
 	log   []store.Event
 }
 
-func (s *shelf) commit(ws []store.Write) {
+func (s *fakeStore) commit(writes []store.Write) {
 	s.epoch++
-	for _, w := range ws {
+	for _, w := range writes {
 		if w.Put != "" {
 			s.items[w.Put] = store.Item{Key: w.Put, Value: w.Value, Revision: s.epoch}
 			s.log = append(s.log, store.Event{Put: w.Put, Value: w.Value, Revision: s.epoch})
@@ -39,28 +39,28 @@
 	}
 }
 
-// reader is a controller's copy of the shelf.
-type reader struct {
-	book   *clusterstate.State
+// replica is a controller's copy of the fakeStore.
+type replica struct {
+	state  *clusterstate.State
 	mirror *store.Mirror
 	at     int // of the log
 }
 
-func newReader() *reader {
-	r := &reader{book: clusterstate.New(quota.Flat(nil), func(string) {})}
+func newReplica() *replica {
+	r := &replica{state: clusterstate.New(quota.Flat(nil), func(string) {})}
 	r.mirror = store.NewMirror(func(key string, v json.RawMessage, revision uint64) {
 		switch key[:4] {
 		case "job/":
-			_ = r.book.ApplyJob(key[4:], v)
+			_ = r.state.ApplyJob(key[4:], v)
 		case "pack":
-			_, _ = r.book.ApplyBatch(key, v, revision)
+			_, _ = r.state.ApplyBatch(key, v, revision)
 		}
 	})
 	return r
 }
 
 // follow reads the next k events of the log, or all.
-func (r *reader) follow(s *shelf, k int) {
+func (r *replica) follow(s *fakeStore, k int) {
 	end := len(s.log)
 	if k >= 0 {
 		end = min(end, r.at+k)
@@ -74,7 +74,7 @@
 	}
 }
 
-func says(b *clusterstate.State) string {
+func describe(b *clusterstate.State) string {
 	var out []string
 	for jobID, j := range b.Jobs {
 		for n, t := range j.Tasks {
@@ -85,39 +85,39 @@
 	return fmt.Sprint(out)
 }
 
-func specOf(jobID string) jobs.Record {
+func liveJob(jobID string) jobs.Record {
 	return jobs.Record{State: jobs.Live, AcceptedMs: 1, Spec: jobs.Spec{ID: jobID, Class: "c", Team: "t", Kind: jobs.JobArray, Priority: "standard", TaskCount: 100, Cores: 1, MemoryGB: 1, Image: "b"}}
 }
 
-// TestReadersAgree draws histories of packs that begin, change, are united, split and
+// TestReplicasAgreeOnBatchRecords draws histories of packs that begin, change, are united, split and
 // left, and a second controller that lists the keys one prefix and one page after the
 // other while that goes on, then follows. In the end it knows what the first one does,
 // each task is in one pack, and every count is what counting gives.
-func TestReadersAgree(t *testing.T) {
+func TestReplicasAgreeOnBatchRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := &shelf{items: map[string]store.Item{}}
-		first, second := newReader(), newReader()
+		s := &fakeStore{items: map[string]store.Item{}}
+		first, second := newReplica(), newReplica()
 		for i := range 4 {
-			s.commit([]store.Write{Put(fmt.Sprint("job/wk-", i), specOf(fmt.Sprint("wk-", i)))})
+			s.commit([]store.Write{Put(fmt.Sprint("job/wk-", i), liveJob(fmt.Sprint("wk-", i)))})
 		}
 		keys := 0
 		limit := rapid.SampledFrom([]int{250, 600, 8192}).Draw(t, "limit")
-		form := formOf(16)
-		form.Limits.ValueBytes, form.OwnsMachine = limit, func(machine string) bool { return machine != "i-2" }
-		form.Revision = func(key string) uint64 { return s.items[key].Revision }
-		form.NewBatchKey = func() string {
+		context := testContext(16)
+		context.Limits.ValueBytes, context.OwnsMachine = limit, func(machine string) bool { return machine != "i-2" }
+		context.Revision = func(key string) uint64 { return s.items[key].Revision }
+		context.NewBatchKey = func() string {
 			keys++
 			return fmt.Sprintf("pack/%d", (keys*7)%100000) // in no order
 		}
 		step := func() {
 			first.follow(s, -1)
-			form.KnownEpoch = first.mirror.Epoch
-			var ds []Decision
+			context.KnownEpoch = first.mirror.Epoch
+			var decisions []Decision
 			machine := rapid.SampledFrom([]string{"i-1", "i-2", "i-3"})
 			for range rapid.IntRange(1, 6).Draw(t, "decisions") {
 				jobID := fmt.Sprint("wk-", rapid.IntRange(0, 3).Draw(t, "job"))
 				n := rapid.IntRange(0, 20).Draw(t, "n")
-				j := first.book.Jobs[jobID]
+				j := first.state.Jobs[jobID]
 				if j == nil || j.Record == nil {
 					continue
 				}
@@ -131,30 +131,30 @@
 				}
 				switch {
 				case x == nil:
-					if slices.ContainsFunc(ds, func(d Decision) bool {
+					if slices.ContainsFunc(decisions, func(d Decision) bool {
 						return len(d.BatchEntries) > 0 && d.BatchEntries[0].Entry.JobID == jobID && d.BatchEntries[0].Entry.Index == n
 					}) {
 						continue
 					}
-					ds = append(ds, Decision{BatchEntries: []BatchEntry{{rapid.SampledFrom([]string{"n0", "n1"}).Draw(t, "part"), taskbatch.Entry{JobID: jobID, Index: n, Task: placed(jobs.Task{State: jobs.Pending})}}}})
+					decisions = append(decisions, Decision{BatchEntries: []BatchEntry{{rapid.SampledFrom([]string{"n0", "n1"}).Draw(t, "part"), taskbatch.Entry{JobID: jobID, Index: n, Task: placed(jobs.Task{State: jobs.Pending})}}}})
 				case x.State == jobs.Pending:
 					next := placed(x.Task)
-					ds = append(ds, Decision{Changes: []Change{{Task: x, Next: next, LeavesBatch: true}}, BatchEntries: []BatchEntry{{"n0", taskbatch.Entry{JobID: jobID, Index: n, Task: next}}}})
+					decisions = append(decisions, Decision{Changes: []Change{{Task: x, Next: next, LeavesBatch: true}}, BatchEntries: []BatchEntry{{"n0", taskbatch.Entry{JobID: jobID, Index: n, Task: next}}}})
 				case x.OnMachine():
 					kind := rapid.SampledFrom([]jobs.TaskEventKind{jobs.Complete, jobs.Lost, jobs.Fail}).Draw(t, "end")
 					next, _ := jobs.NextTask(x.Task, jobs.TaskEvent{Kind: kind})
-					ds = append(ds, Decision{Changes: TransitionTask(x, next)})
+					decisions = append(decisions, Decision{Changes: TransitionTask(x, next)})
 				}
 			}
-			p := packer(16, 1000)
-			p.TxnContext = form
-			for _, b := range p.Build(ds) {
+			batcher := testBatcher(16, 1000)
+			batcher.TxnContext = context
+			for _, b := range batcher.Build(decisions) {
 				s.commit(b.Txn.Writes)
 				first.follow(s, -1)
 			}
 			if rapid.IntRange(0, 9).Draw(t, "ends") == 0 {
 				jobID := fmt.Sprint("wk-", rapid.IntRange(0, 3).Draw(t, "which"))
-				if j := first.book.Jobs[jobID]; j != nil && j.Record != nil && len(j.Active) == 0 {
+				if j := first.state.Jobs[jobID]; j != nil && j.Record != nil && len(j.Active) == 0 {
 					s.commit([]store.Write{Remove("job/" + jobID)})
 				}
 			}
@@ -190,11 +190,11 @@
 		}
 		first.follow(s, -1)
 		second.follow(s, -1)
-		if a, b := says(first.book), says(second.book); a != b {
+		if a, b := describe(first.state), describe(second.state); a != b {
 			t.Fatalf("the first knows\n%s\nthe second\n%s", a, b)
 		}
-		for _, r := range []*reader{first, second} {
-			if audit := r.book.Audit(); len(audit) > 0 {
+		for _, r := range []*replica{first, second} {
+			if audit := r.state.Audit(); len(audit) > 0 {
 				t.Fatal(audit)
 			}
 		}
@@ -203,11 +203,11 @@
 			if k[:4] != "pack" {
 				continue
 			}
-			es, err := taskbatch.Decode(it.Value)
-			if err != nil || len(it.Value) > limit && len(es) > 1 {
+			entries, err := taskbatch.Decode(it.Value)
+			if err != nil || len(it.Value) > limit && len(entries) > 1 {
 				t.Fatal(k, err, len(it.Value))
 			}
-			for _, e := range es {
+			for _, e := range entries {
 				taskID := jobs.TaskID(e.JobID, e.Index)
 				if held[taskID] != "" {
 					t.Fatalf("%s is in %s and %s", taskID, held[taskID], k)
@@ -220,20 +220,20 @@
 
 // Ends on several packs of one controller are one put and removals; what others write
 // goes by itself, and a task that is tried again leaves for a new pack.
-func TestUniting(t *testing.T) {
-	r := newReader()
+func TestBatchesOfOneControllerAreMerged(t *testing.T) {
+	r := newReplica()
 	keys := 0
-	form := formOf(16)
-	form.OwnsMachine, form.NewBatchKey = func(h string) bool { return h != "i-2" }, func() string { keys++; return fmt.Sprint("pack/new-", keys) }
-	_ = r.book.ApplyJob("wk-0", jobs.Encode(specOf("wk-0")))
+	context := testContext(16)
+	context.OwnsMachine, context.NewBatchKey = func(h string) bool { return h != "i-2" }, func() string { keys++; return fmt.Sprint("pack/new-", keys) }
+	_ = r.state.ApplyJob("wk-0", jobs.Encode(liveJob("wk-0")))
 	for i, machine := range []string{"i-1", "i-1", "i-2", "i-2"} {
 		on := jobs.Task{State: jobs.Placed, Machine: machine, Attempt: 1}
-		_, _ = r.book.ApplyBatch(fmt.Sprint("pack/", i), taskbatch.Encode([]taskbatch.Entry{{JobID: "wk-0", Index: 2 * i, Task: on}, {JobID: "wk-0", Index: 2*i + 1, Task: on}}), 1)
+		_, _ = r.state.ApplyBatch(fmt.Sprint("pack/", i), taskbatch.Encode([]taskbatch.Entry{{JobID: "wk-0", Index: 2 * i, Task: on}, {JobID: "wk-0", Index: 2*i + 1, Task: on}}), 1)
 	}
-	tasks := r.book.Jobs["wk-0"].Tasks
-	p := packer(16, 100)
-	p.TxnContext = form
-	batches := p.Build([]Decision{end(tasks[0]), end(tasks[2]), end(tasks[4]), end(tasks[6])})
+	tasks := r.state.Jobs["wk-0"].Tasks
+	batcher := testBatcher(16, 100)
+	batcher.TxnContext = context
+	batches := batcher.Build([]Decision{complete(tasks[0]), complete(tasks[2]), complete(tasks[4]), complete(tasks[6])})
 	if len(batches) != 3 {
 		t.Fatalf("%d batches", len(batches))
 	}
@@ -241,12 +241,12 @@
 	if len(own) != 2 || own[0].Put == "" || own[1].Remove == "" {
 		t.Fatalf("%+v", own)
 	}
-	if es, err := taskbatch.Decode(own[0].Value); err != nil || len(es) != 4 || es[0].Task.State != jobs.Finished || es[1].Task.State != jobs.Placed {
-		t.Errorf("%+v %v", es, err)
+	if entries, err := taskbatch.Decode(own[0].Value); err != nil || len(entries) != 4 || entries[0].Task.State != jobs.Finished || entries[1].Task.State != jobs.Placed {
+		t.Errorf("%+v %v", entries, err)
 	}
 	for _, b := range batches[1:] {
-		if ws := b.Txn.Writes; len(ws) != 1 || ws[0].Put == "" {
-			t.Errorf("%+v", ws)
+		if writes := b.Txn.Writes; len(writes) != 1 || writes[0].Put == "" {
+			t.Errorf("%+v", writes)
 		}
 	}
 	// Of a pack that others write too, what is on this controller's machines leaves it
@@ -254,29 +254,29 @@
 	on := func(n int, machine string) taskbatch.Entry {
 		return taskbatch.Entry{JobID: "wk-0", Index: n, Task: jobs.Task{State: jobs.Placed, Machine: machine, Attempt: 1}}
 	}
-	_, _ = r.book.ApplyBatch("pack/mixed", taskbatch.Encode([]taskbatch.Entry{on(10, "i-1"), on(11, "i-2"), on(12, "i-1")}), 1)
-	mixed := packer(16, 100)
-	mixed.TxnContext = form
-	ws := mixed.Build([]Decision{end(tasks[10])})[0].Txn.Writes
-	if len(ws) != 2 || ws[1].Put != "pack/mixed" {
-		t.Fatalf("%+v", ws)
+	_, _ = r.state.ApplyBatch("pack/mixed", taskbatch.Encode([]taskbatch.Entry{on(10, "i-1"), on(11, "i-2"), on(12, "i-1")}), 1)
+	mixed := testBatcher(16, 100)
+	mixed.TxnContext = context
+	writes := mixed.Build([]Decision{complete(tasks[10])})[0].Txn.Writes
+	if len(writes) != 2 || writes[1].Put != "pack/mixed" {
+		t.Fatalf("%+v", writes)
 	}
-	left, _ := taskbatch.Decode(ws[1].Value)
-	if own, _ := taskbatch.Decode(ws[0].Value); len(left) != 1 || left[0].Index != 11 || len(own) != 2 {
+	left, _ := taskbatch.Decode(writes[1].Value)
+	if own, _ := taskbatch.Decode(writes[0].Value); len(left) != 1 || left[0].Index != 11 || len(own) != 2 {
 		t.Errorf("%+v and %+v", left, own)
 	}
 	// A job that is over is left out only where all is known up to the pack's stamp.
-	_ = r.book.ApplyJob("wk-0", nil)
+	_ = r.state.ApplyJob("wk-0", nil)
 	gone := []Decision{{Changes: TransitionTask(tasks[0], jobs.Task{State: jobs.Pending, Attempt: 1})}}
-	q := packer(16, 100)
-	q.TxnContext = form
-	if es, _ := taskbatch.Decode(q.Build(gone)[0].Txn.Writes[0].Value); len(es) != 2 {
-		t.Errorf("%+v", es)
+	batcher = testBatcher(16, 100)
+	batcher.TxnContext = context
+	if entries, _ := taskbatch.Decode(batcher.Build(gone)[0].Txn.Writes[0].Value); len(entries) != 2 {
+		t.Errorf("%+v", entries)
 	}
-	form.KnownEpoch = 1
-	q = packer(16, 100)
-	q.TxnContext = form
-	if es, _ := taskbatch.Decode(q.Build(gone)[0].Txn.Writes[0].Value); len(es) != 1 {
-		t.Errorf("%+v", es)
+	context.KnownEpoch = 1
+	batcher = testBatcher(16, 100)
+	batcher.TxnContext = context
+	if entries, _ := taskbatch.Decode(batcher.Build(gone)[0].Txn.Writes[0].Value); len(entries) != 1 {
+		t.Errorf("%+v", entries)
 	}
 }
--- a/internal/decide/batcher.go
+++ b/internal/decide/batcher.go
@@ -23,7 +23,7 @@
 	Allows           func(spent, writes int) bool // by the budget, now
 	RecordBytes      func(key string) int         // bytes of a record as it is
 	// Quarantine is told of a decision that no transaction can hold, and why.
-	Quarantine func(d *Decision, why string)
+	Quarantine func(decision *Decision, why string)
 
 	transactions  []*Transaction
 	open          *Transaction            // that takes whatever comes next
@@ -36,242 +36,242 @@
 // Build makes batches of decisions, each with its transaction. Those that touch a
 // record under a transaction are dropped, to be decided again later, and so are
 // those, but for urgent ones, that the budget does not allow at once.
-func (p *Batcher) Build(ds []Decision) []*Transaction {
-	p.writerOf, p.changed, p.ownedBatches = map[string]*Transaction{}, map[*clusterstate.Task]bool{}, map[*clusterstate.TaskRecord]bool{}
-	for i := range ds {
-		if keys := ds[i].Keys(); len(keys) > 0 || len(ds[i].BatchEntries) > 0 {
-			p.addDecision(&ds[i], keys)
+func (b *Batcher) Build(decisions []Decision) []*Transaction {
+	b.writerOf, b.changed, b.ownedBatches = map[string]*Transaction{}, map[*clusterstate.Task]bool{}, map[*clusterstate.TaskRecord]bool{}
+	for i := range decisions {
+		if keys := decisions[i].Keys(); len(keys) > 0 || len(decisions[i].BatchEntries) > 0 {
+			b.addDecision(&decisions[i], keys)
 		} else {
-			ds[i].Drop() // it decides nothing
+			decisions[i].Drop() // it decides nothing
 		}
 	}
 	var out []*Transaction
-	for _, b := range p.transactions {
-		out = append(out, p.finish(b)...)
+	for _, txn := range b.transactions {
+		out = append(out, b.finish(txn)...)
 	}
 	return out
 }
 
 // finish makes a batch's transaction, or those of its halves if it passes a limit.
-func (p *Batcher) finish(b *Transaction) []*Transaction {
-	if len(b.Decisions) == 0 {
+func (b *Batcher) finish(txn *Transaction) []*Transaction {
+	if len(txn.Decisions) == 0 {
 		return nil
 	}
-	b.build(p.TxnContext)
-	why := p.Limits.Fault(&b.Txn)
+	txn.build(b.TxnContext)
+	why := b.Limits.Fault(&txn.Txn)
 	if why == "" {
-		return []*Transaction{b}
+		return []*Transaction{txn}
 	}
-	if len(b.Decisions) == 1 {
-		p.Quarantine(&b.Decisions[0], why)
-		p.dropTaken(&b.Decisions[0])
+	if len(txn.Decisions) == 1 {
+		b.Quarantine(&txn.Decisions[0], why)
+		b.dropTaken(&txn.Decisions[0])
 		return nil
 	}
-	first, second := p.halves(b)
-	return append(p.finish(first), p.finish(second)...)
+	first, second := b.halves(txn)
+	return append(b.finish(first), b.finish(second)...)
 }
 
 // Split makes the two halves of a batch whose transaction was refused, on the very
 // versions that it was made from: what has changed since fails them.
-func (p *Batcher) Split(b *Transaction) []*Transaction {
-	was := map[string]uint64{}
-	for _, c := range b.Txn.Preconditions {
-		was[c.Key] = c.Revision
+func (b *Batcher) Split(txn *Transaction) []*Transaction {
+	builtOn := map[string]uint64{}
+	for _, c := range txn.Txn.Preconditions {
+		builtOn[c.Key] = c.Revision
 	}
-	now := p.Revision
-	p.Revision = func(key string) uint64 {
-		if revision, ok := was[key]; ok {
+	now := b.Revision
+	b.Revision = func(key string) uint64 {
+		if revision, ok := builtOn[key]; ok {
 			return revision
 		}
 		return now(key)
 	}
-	first, second := p.halves(b)
-	return append(p.finish(first), p.finish(second)...)
+	first, second := b.halves(txn)
+	return append(b.finish(first), b.finish(second)...)
 }
 
 // halves shares a batch's decisions out over two. Those of the second half that write
 // what the first does are dropped, to be decided again once that is known.
-func (p *Batcher) halves(b *Transaction) (first, second *Transaction) {
-	first, second = p.newTransaction(), p.newTransaction()
+func (b *Batcher) halves(txn *Transaction) (first, second *Transaction) {
+	first, second = b.newTransaction(), b.newTransaction()
 	written := map[string]bool{}
-	for i := range b.Decisions {
-		d := &b.Decisions[i]
-		keys := d.Keys()
+	for i := range txn.Decisions {
+		decision := &txn.Decisions[i]
+		keys := decision.Keys()
 		switch {
-		case i < (len(b.Decisions)+1)/2:
+		case i < (len(txn.Decisions)+1)/2:
 			for _, k := range keys {
 				written[k] = true
 			}
-			p.add(first, d, keys)
+			b.add(first, decision, keys)
 		case slices.ContainsFunc(keys, func(k string) bool { return written[k] }):
-			p.dropTaken(d)
+			b.dropTaken(decision)
 		default:
-			p.add(second, d, keys)
+			b.add(second, decision, keys)
 		}
 	}
 	return first, second
 }
 
 // dropTaken drops a decision that was taken in.
-func (p *Batcher) dropTaken(d *Decision) {
-	if d.CompletesJob {
-		p.CompletionWrites -= len(d.Writes)
+func (b *Batcher) dropTaken(decision *Decision) {
+	if decision.CompletesJob {
+		b.CompletionWrites -= len(decision.Writes)
 	}
-	d.Drop()
+	decision.Drop()
 }
 
 // newTransaction is an empty batch.
-func (p *Batcher) newTransaction() *Transaction {
-	b := &Transaction{edits: map[string]map[*clusterstate.Task]Change{}, preconditions: map[string]bool{}, newBatches: map[string][]taskbatch.Entry{}, splitBatches: map[string]bool{}}
-	for _, k := range p.Preconditions {
-		b.preconditions[k] = true
+func (b *Batcher) newTransaction() *Transaction {
+	txn := &Transaction{edits: map[string]map[*clusterstate.Task]Change{}, preconditions: map[string]bool{}, newBatches: map[string][]taskbatch.Entry{}, splitBatches: map[string]bool{}}
+	for _, k := range b.Preconditions {
+		txn.preconditions[k] = true
 	}
-	return b
+	return txn
 }
 
 // addDecision puts a decision into a batch, or drops it.
-func (p *Batcher) addDecision(d *Decision, keys []string) {
-	b, more, ok := p.admissible(d, keys)
+func (b *Batcher) addDecision(decision *Decision, keys []string) {
+	txn, newWrites, ok := b.admissible(decision, keys)
 	if !ok {
-		d.Drop()
+		decision.Drop()
 		return
 	}
-	fixed := b != nil // a slice of it is in that batch already
-	alone := p.touchesSharedBatch(d)
-	if b == nil && !alone {
-		b = p.open
+	mustShare := txn != nil // a slice of it is in that batch already
+	alone := b.touchesSharedBatch(decision)
+	if txn == nil && !alone {
+		txn = b.open
 	}
-	if b != nil && !p.hasRoom(b, d, keys) {
-		if fixed {
-			d.Drop()
+	if txn != nil && !b.hasRoom(txn, decision, keys) {
+		if mustShare {
+			decision.Drop()
 			return
 		}
-		b = nil
+		txn = nil
 	}
-	if b == nil {
-		b = p.newTransaction()
-		p.transactions = append(p.transactions, b)
+	if txn == nil {
+		txn = b.newTransaction()
+		b.transactions = append(b.transactions, txn)
 		if !alone {
-			p.open = b
+			b.open = txn
 		}
 	}
-	p.plannedWrites += more
-	if d.CompletesJob {
-		p.CompletionWrites += len(d.Writes)
+	b.plannedWrites += newWrites
+	if decision.CompletesJob {
+		b.CompletionWrites += len(decision.Writes)
 	}
-	p.add(b, d, keys)
+	b.add(txn, decision, keys)
 	for _, k := range keys {
-		p.writerOf[k] = b
+		b.writerOf[k] = txn
 	}
-	for _, c := range d.Changes {
-		p.changed[c.Task] = true
+	for _, c := range decision.Changes {
+		b.changed[c.Task] = true
 	}
 }
 
 // admissible tells whether a decision may be taken now, with the batch that it must
 // share because of a slice, if any, and how many records it writes that no batch
 // writes yet.
-func (p *Batcher) admissible(d *Decision, keys []string) (b *Transaction, more int, ok bool) {
+func (b *Batcher) admissible(decision *Decision, keys []string) (txn *Transaction, newWrites int, ok bool) {
 	for _, k := range keys {
-		if p.writerOf[k] == nil {
-			more++
+		if b.writerOf[k] == nil {
+			newWrites++
 		}
 	}
-	for _, x := range d.BatchEntries {
-		if p.open == nil || p.open.newBatches[x.Controller] == nil {
-			more++
+	for _, entry := range decision.BatchEntries {
+		if b.open == nil || b.open.newBatches[entry.Controller] == nil {
+			newWrites++
 		}
 	}
-	ok = (d.Urgent || more == 0 || p.Allows(p.plannedWrites, more)) && !(d.CompletesJob && p.CompletionWrites >= p.Limits.Ops)
+	ok = (decision.Urgent || newWrites == 0 || b.Allows(b.plannedWrites, newWrites)) && !(decision.CompletesJob && b.CompletionWrites >= b.Limits.Ops)
 	for _, k := range keys {
-		ok = ok && !p.Busy(k)
-		if x := p.writerOf[k]; x != nil {
-			ok = ok && (b == nil || b == x)
-			b = x
+		ok = ok && !b.Busy(k)
+		if entry := b.writerOf[k]; entry != nil {
+			ok = ok && (txn == nil || txn == entry)
+			txn = entry
 		}
 	}
-	for _, w := range d.Writes {
-		ok = ok && p.writerOf[WriteKey(w)] == nil
+	for _, write := range decision.Writes {
+		ok = ok && b.writerOf[WriteKey(write)] == nil
 	}
-	for _, c := range d.Changes {
+	for _, c := range decision.Changes {
 		key := c.Task.Stored.Key
-		ok = ok && !p.changed[c.Task] && c.Task.Job.Tasks[c.Task.Index] == c.Task && (p.writerOf[key] == nil || p.writerOf[key].edits[key] != nil)
+		ok = ok && !b.changed[c.Task] && c.Task.Job.Tasks[c.Task.Index] == c.Task && (b.writerOf[key] == nil || b.writerOf[key].edits[key] != nil)
 	}
-	return b, more, ok
+	return txn, newWrites, ok
 }
 
 // hasRoom tells whether a batch holds a decision more.
-func (p *Batcher) hasRoom(b *Transaction, d *Decision, keys []string) bool {
-	ops, preconditions, size := p.cost(b, d, keys)
-	begun := len(b.newBatches) + len(b.splitBatches) // under keys that are still to come
-	return len(b.writes)+len(b.recordOrder)+begun+ops <= p.Limits.Ops && len(b.preconditions)+begun+preconditions <= p.Limits.Preconditions && b.estimatedBytes+size <= tuning.TxnBytes
+func (b *Batcher) hasRoom(txn *Transaction, decision *Decision, keys []string) bool {
+	ops, preconditions, size := b.cost(txn, decision, keys)
+	newKeys := len(txn.newBatches) + len(txn.splitBatches) // under keys that are still to come
+	return len(txn.writes)+len(txn.recordOrder)+newKeys+ops <= b.Limits.Ops && len(txn.preconditions)+newKeys+preconditions <= b.Limits.Preconditions && txn.estimatedBytes+size <= tuning.TxnBytes
 }
 
 // cost is what a decision adds to a batch: records, conditions and bytes.
-func (p *Batcher) cost(b *Transaction, d *Decision, keys []string) (ops, preconditions, size int) {
+func (b *Batcher) cost(txn *Transaction, decision *Decision, keys []string) (ops, preconditions, size int) {
 	for _, k := range keys {
-		if _, ok := b.edits[k]; !ok {
+		if _, ok := txn.edits[k]; !ok {
 			ops++
-			size += p.RecordBytes(k) + 3*len(k) + 120
+			size += b.RecordBytes(k) + 3*len(k) + 120
 		}
-		if !b.preconditions[k] {
+		if !txn.preconditions[k] {
 			preconditions++
 		}
 	}
-	for _, w := range d.Writes {
-		size += len(w.Value)
+	for _, write := range decision.Writes {
+		size += len(write.Value)
 	}
-	begun := map[string]bool{}
-	for _, x := range d.BatchEntries {
-		if b.newBatches[x.Controller] == nil {
-			begun[x.Controller] = true
+	newKeys := map[string]bool{}
+	for _, entry := range decision.BatchEntries {
+		if txn.newBatches[entry.Controller] == nil {
+			newKeys[entry.Controller] = true
 		}
 		size += tuning.ChangeBytes
 	}
-	for _, c := range d.Changes {
-		if key := c.Task.Stored.Key; !b.splitBatches[key] && p.splitsBatch(c.Task) {
-			begun[key] = true
+	for _, c := range decision.Changes {
+		if key := c.Task.Stored.Key; !txn.splitBatches[key] && b.splitsBatch(c.Task) {
+			newKeys[key] = true
 		}
 	}
-	for _, k := range d.ReadSet {
-		if !b.preconditions[k] {
+	for _, k := range decision.ReadSet {
+		if !txn.preconditions[k] {
 			preconditions++
 			size += len(k) + 40
 		}
 	}
-	return ops + len(begun), preconditions + len(begun), size + len(d.Changes)*tuning.ChangeBytes
+	return ops + len(newKeys), preconditions + len(newKeys), size + len(decision.Changes)*tuning.ChangeBytes
 }
 
 // splitsBatch tells whether writing a task takes this controller's tasks out of a pack that
 // others write too.
-func (p *Batcher) splitsBatch(t *clusterstate.Task) bool {
-	return t.OnMachine() && t.Stored.IsBatch() && !p.ownsBatch(t.Stored) && p.OwnsMachine(t.Machine)
+func (b *Batcher) splitsBatch(t *clusterstate.Task) bool {
+	return t.OnMachine() && t.Stored.IsBatch() && !b.ownsBatch(t.Stored) && b.OwnsMachine(t.Machine)
 }
 
-func (p *Batcher) add(b *Transaction, d *Decision, keys []string) {
-	_, _, size := p.cost(b, d, keys)
-	b.estimatedBytes += size
-	b.Decisions = append(b.Decisions, *d)
-	b.Urgent = b.Urgent || d.Urgent
+func (b *Batcher) add(txn *Transaction, decision *Decision, keys []string) {
+	_, _, size := b.cost(txn, decision, keys)
+	txn.estimatedBytes += size
+	txn.Decisions = append(txn.Decisions, *decision)
+	txn.Urgent = txn.Urgent || decision.Urgent
 	for _, k := range keys {
-		b.preconditions[k] = true
+		txn.preconditions[k] = true
 	}
-	for _, k := range d.ReadSet {
-		b.preconditions[k] = true
+	for _, k := range decision.ReadSet {
+		txn.preconditions[k] = true
 	}
-	b.writes = append(b.writes, d.Writes...)
-	for _, c := range d.Changes {
+	txn.writes = append(txn.writes, decision.Writes...)
+	for _, c := range decision.Changes {
 		key := c.Task.Stored.Key
-		if b.edits[key] == nil {
-			b.edits[key] = map[*clusterstate.Task]Change{}
-			b.recordOrder = append(b.recordOrder, key)
+		if txn.edits[key] == nil {
+			txn.edits[key] = map[*clusterstate.Task]Change{}
+			txn.recordOrder = append(txn.recordOrder, key)
 		}
-		b.edits[key][c.Task] = c
-		if p.splitsBatch(c.Task) {
-			b.splitBatches[key] = true
+		txn.edits[key][c.Task] = c
+		if b.splitsBatch(c.Task) {
+			txn.splitBatches[key] = true
 		}
 	}
-	for _, x := range d.BatchEntries {
-		b.newBatches[x.Controller] = append(b.newBatches[x.Controller], x.Entry)
+	for _, entry := range decision.BatchEntries {
+		txn.newBatches[entry.Controller] = append(txn.newBatches[entry.Controller], entry.Entry)
 	}
 }
--- a/internal/decide/decide.go
+++ b/internal/decide/decide.go
@@ -52,11 +52,11 @@
 func Remove(key string) store.Write { return store.Write{Remove: key} }
 
 // WriteKey is the key of a write.
-func WriteKey(w store.Write) string {
-	if w.Put != "" {
-		return w.Put
+func WriteKey(write store.Write) string {
+	if write.Put != "" {
+		return write.Put
 	}
-	return w.Remove
+	return write.Remove
 }
 
 // Priority is the rank of the job whose tasks a decision changes, the first for others.
@@ -69,38 +69,38 @@
 
 // Keys lists the records that a decision writes.
 func (d *Decision) Keys() []string {
-	out := make([]string, 0, len(d.Writes)+1)
-	for _, w := range d.Writes {
-		out = append(out, WriteKey(w))
+	keys := make([]string, 0, len(d.Writes)+1)
+	for _, write := range d.Writes {
+		keys = append(keys, WriteKey(write))
 	}
-	for _, c := range d.Changes {
-		if !slices.Contains(out, c.Task.Stored.Key) {
-			out = append(out, c.Task.Stored.Key)
+	for _, change := range d.Changes {
+		if !slices.Contains(keys, change.Task.Stored.Key) {
+			keys = append(keys, change.Task.Stored.Key)
 		}
 	}
-	return out
+	return keys
 }
 
 // String names what a decision is about, for the log.
 func (d *Decision) String() string {
-	var what []string
-	for _, c := range d.Changes {
-		what = append(what, c.Task.ID+" "+string(c.Next.State))
+	var subjects []string
+	for _, change := range d.Changes {
+		subjects = append(subjects, change.Task.ID+" "+string(change.Next.State))
 	}
-	for _, x := range d.BatchEntries {
-		what = append(what, jobs.TaskID(x.Entry.JobID, x.Entry.Index)+" "+string(x.Entry.Task.State))
+	for _, entry := range d.BatchEntries {
+		subjects = append(subjects, jobs.TaskID(entry.Entry.JobID, entry.Entry.Index)+" "+string(entry.Entry.Task.State))
 	}
-	for _, w := range d.Writes {
-		what = append(what, WriteKey(w))
+	for _, write := range d.Writes {
+		subjects = append(subjects, WriteKey(write))
 	}
-	if len(what) > maxNamed {
-		what = append(what[:maxNamed], fmt.Sprintf("and %d more", len(what)-maxNamed))
+	if len(subjects) > maxSubjects {
+		subjects = append(subjects[:maxSubjects], fmt.Sprintf("and %d more", len(subjects)-maxSubjects))
 	}
-	return strings.Join(what, ", ")
+	return strings.Join(subjects, ", ")
 }
 
-// maxNamed: tasks and records that a line of the log names.
-const maxNamed = 4
+// maxSubjects: tasks and records that a line of the log names.
+const maxSubjects = 4
 
 // Drop ends a decision that is not taken now.
 func (d *Decision) Drop() {
--- a/internal/decide/limits_test.go
+++ b/internal/decide/limits_test.go
@@ -14,14 +14,14 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// TestAnyLimits draws limits, records and decisions: every transaction is within all
+// TestAnyDecisionsKeepAnyLimits draws limits, records and decisions: every transaction is within all
 // limits as it is sent, no record is written by two, and every decision is in one
 // transaction or told that it was not taken, once. Before what is sent was counted, a
 // new pack's own condition was not: transactions of 65 conditions were refused, and
 // made again alike (docs/incidents/refused-transactions.md).
-func TestAnyLimits(t *testing.T) {
+func TestAnyDecisionsKeepAnyLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := newReader()
+		r := newReplica()
 		limits := store.Limits{Ops: rapid.IntRange(1, 24).Draw(t, "ops"), ValueBytes: rapid.SampledFrom([]int{300, 1000, 8192}).Draw(t, "value")}
 		limits.Preconditions, limits.BodyBytes = 4*limits.Ops, rapid.SampledFrom([]int{1500, 9000, 64 << 10}).Draw(t, "body")
 		machine := rapid.SampledFrom([]string{"i-1", "i-2", "i-3", "i-4"})
@@ -34,51 +34,51 @@
 			return on
 		}
 		for i := range 6 {
-			_ = r.book.ApplyJob(fmt.Sprint("wk-", i), jobs.Encode(specOf(fmt.Sprint("wk-", i))))
+			_ = r.state.ApplyJob(fmt.Sprint("wk-", i), jobs.Encode(liveJob(fmt.Sprint("wk-", i))))
 		}
 		for i := range 3 { // jobs in slices, then jobs in packs
 			for from := range rapid.IntRange(1, 5).Draw(t, "slices") {
-				_, _ = r.book.ApplyTaskRange(jobs.TaskRangeKey(fmt.Sprint("wk-", i), 4*from), jobs.EncodeTaskRange(draw(4), limits.ValueBytes))
+				_, _ = r.state.ApplyTaskRange(jobs.TaskRangeKey(fmt.Sprint("wk-", i), 4*from), jobs.EncodeTaskRange(draw(4), limits.ValueBytes))
 			}
 		}
 		for k := range rapid.IntRange(0, 12).Draw(t, "packs") {
-			var es []taskbatch.Entry
+			var entries []taskbatch.Entry
 			for n, x := range draw(rapid.IntRange(1, 8).Draw(t, "tasks")) {
-				es = append(es, taskbatch.Entry{JobID: fmt.Sprint("wk-", 3+k%3), Index: 10*k + n, Task: x})
+				entries = append(entries, taskbatch.Entry{JobID: fmt.Sprint("wk-", 3+k%3), Index: 10*k + n, Task: x})
 			}
-			_, _ = r.book.ApplyBatch(fmt.Sprint("pack/", k), taskbatch.Encode(es), 1)
+			_, _ = r.state.ApplyBatch(fmt.Sprint("pack/", k), taskbatch.Encode(entries), 1)
 		}
 		keys := 0
-		p := packer(limits.Ops, rapid.IntRange(0, 60).Draw(t, "budget"))
-		p.Limits = limits
-		p.OwnsMachine = func(h string) bool { return h != "i-4" }
-		p.NewBatchKey = func() string { keys++; return fmt.Sprint("pack/new-", keys) }
-		aside := 0
-		p.Quarantine = func(*Decision, string) { aside++ }
+		batcher := testBatcher(limits.Ops, rapid.IntRange(0, 60).Draw(t, "budget"))
+		batcher.Limits = limits
+		batcher.OwnsMachine = func(h string) bool { return h != "i-4" }
+		batcher.NewBatchKey = func() string { keys++; return fmt.Sprint("pack/new-", keys) }
+		quarantined := 0
+		batcher.Quarantine = func(*Decision, string) { quarantined++ }
 
-		told := map[int]int{} // decision to how often it was told that it was not taken
-		var ds []Decision
+		drops := map[int]int{} // decision to how often it was dropped
+		var decisions []Decision
 		add := func(d Decision) {
-			i := len(ds)
+			i := len(decisions)
 			d.OnSettled = func(ok bool) {
 				if ok {
 					t.Fatal("nothing was committed")
 				}
-				told[i]++
+				drops[i]++
 			}
 			for range rapid.IntRange(0, 6).Draw(t, "seen") {
 				d.ReadSet = append(d.ReadSet, fmt.Sprint("host/seen-", rapid.IntRange(0, 300).Draw(t, "which")))
 			}
 			d.Urgent = rapid.Bool().Draw(t, "urgent")
-			ds = append(ds, d)
+			decisions = append(decisions, d)
 		}
 		for range rapid.IntRange(0, 60).Draw(t, "decisions") {
-			j := r.book.Jobs[fmt.Sprint("wk-", rapid.IntRange(0, 5).Draw(t, "job"))]
+			j := r.state.Jobs[fmt.Sprint("wk-", rapid.IntRange(0, 5).Draw(t, "job"))]
 			n := rapid.IntRange(0, 119).Draw(t, "n")
 			x := j.Tasks[n]
 			switch {
 			case rapid.IntRange(0, 7).Draw(t, "kind") == 0:
-				add(Decision{Writes: []store.Write{Put(fmt.Sprint("host/w-", len(ds)), strings.Repeat("x", rapid.IntRange(1, limits.ValueBytes).Draw(t, "bytes")))}})
+				add(Decision{Writes: []store.Write{Put(fmt.Sprint("host/w-", len(decisions)), strings.Repeat("x", rapid.IntRange(1, limits.ValueBytes).Draw(t, "bytes")))}})
 			case x == nil:
 				task := jobs.Task{State: jobs.Placed, Machine: "i-1", Attempt: 1, Reason: strings.Repeat("w", rapid.IntRange(0, 200).Draw(t, "why"))}
 				add(Decision{BatchEntries: []BatchEntry{{rapid.SampledFrom([]string{"n0", "n1"}).Draw(t, "part"), taskbatch.Entry{JobID: j.ID, Index: n, Task: task}}}})
@@ -103,18 +103,18 @@
 				}
 			}
 		}
-		batches := p.Build(ds)
+		batches := batcher.Build(decisions)
 		check(batches)
 		dropped := func() int {
-			for i, times := range told {
+			for i, times := range drops {
 				if times != 1 {
-					t.Fatalf("decision %d was told %d times", i, times)
+					t.Fatalf("decision %d was dropped %d times", i, times)
 				}
 			}
-			return len(told)
+			return len(drops)
 		}
-		if taken+dropped() != len(ds) {
-			t.Fatalf("%d decisions: %d taken, %d dropped", len(ds), taken, dropped())
+		if taken+dropped() != len(decisions) {
+			t.Fatalf("%d decisions: %d taken, %d dropped", len(decisions), taken, dropped())
 		}
 		// What is refused all the same is halved, down to single decisions.
 		for len(batches) > 0 {
@@ -127,29 +127,29 @@
 			if len(b.Decisions) == 1 {
 				b.Decisions[0].Drop()
 			} else {
-				halves := p.Split(b)
+				halves := batcher.Split(b)
 				check(halves)
 				batches = append(batches, halves...)
 			}
-			if taken+dropped() != len(ds) {
-				t.Fatalf("%d decisions: %d taken, %d dropped", len(ds), taken, dropped())
+			if taken+dropped() != len(decisions) {
+				t.Fatalf("%d decisions: %d taken, %d dropped", len(decisions), taken, dropped())
 			}
 		}
 	})
 }
 
 // A decision that no transaction holds is set aside by itself, and what was with it goes.
-func TestTooLarge(t *testing.T) {
-	p := packer(4, 100)
+func TestOversizedDecisionIsQuarantinedAlone(t *testing.T) {
+	batcher := testBatcher(4, 100)
 	var why []string
-	p.Quarantine = func(d *Decision, w string) { why = append(why, d.String()+": "+w) }
+	batcher.Quarantine = func(d *Decision, w string) { why = append(why, d.String()+": "+w) }
 	large := Decision{Writes: []store.Write{Put("host/large", strings.Repeat("x", 9000))}}
 	many := Decision{}
 	for i := range 40 {
 		many.ReadSet = append(many.ReadSet, fmt.Sprint("host/", i))
 	}
 	many.Writes = []store.Write{Remove("host/many")}
-	batches := p.Build([]Decision{{Writes: []store.Write{Put("host/1", 1)}}, large, many, {Writes: []store.Write{Put("host/2", 2)}}, {Writes: []store.Write{Put("host/two words", 2)}}})
+	batches := batcher.Build([]Decision{{Writes: []store.Write{Put("host/1", 1)}}, large, many, {Writes: []store.Write{Put("host/2", 2)}}, {Writes: []store.Write{Put("host/two words", 2)}}})
 	taken := 0
 	for _, b := range batches {
 		taken += len(b.Decisions)
@@ -160,9 +160,9 @@
 }
 
 // What is set aside is not made again before its pause is over, which doubles.
-func TestAside(t *testing.T) {
-	_, tasks := sliced(t, 2)
-	d, other := end(tasks[0]), end(tasks[1])
+func TestQuarantinePauseDoubles(t *testing.T) {
+	_, tasks := stateWithTaskRanges(t, 2)
+	d, other := complete(tasks[0]), complete(tasks[1])
 	now := time.Unix(0, 0)
 	var a Quarantine
 	if a.Contains(&d, now) || !a.Add(&d, now) || !a.Contains(&d, now) || a.Contains(&other, now) {
@@ -174,7 +174,7 @@
 		}
 		now = now.Add(want)
 		if a.Add(&d, now) {
-			t.Error("told as news twice")
+			t.Error("drops as news twice")
 		}
 	}
 	for i := range 2 * tuning.MaxQuarantined {
@@ -186,7 +186,7 @@
 }
 
 // A fault that concerns each of 4,000 machines keeps none of them from being set aside.
-func TestAsideOf4000Machines(t *testing.T) {
+func TestQuarantineHolds4000Machines(t *testing.T) {
 	now := time.Unix(0, 0)
 	about := func(i int) *Decision {
 		return &Decision{Writes: []store.Write{Put(fmt.Sprintf("host/i-%06d", i), i)}}
--- a/internal/decide/quarantine.go
+++ b/internal/decide/quarantine.go
@@ -24,35 +24,35 @@
 }
 
 // Add sets a decision aside. It tells whether that is news, to be logged.
-func (a *Quarantine) Add(d *Decision, now time.Time) bool {
-	a.Total++
-	if a.entries == nil {
-		a.entries = map[uint64]quarantined{}
+func (q *Quarantine) Add(decision *Decision, now time.Time) bool {
+	q.Total++
+	if q.entries == nil {
+		q.entries = map[uint64]quarantined{}
 	}
-	about := d.fingerprint()
-	old, known := a.entries[about]
-	if !known && len(a.entries) >= tuning.MaxQuarantined {
-		a.evict(now)
+	fingerprint := decision.fingerprint()
+	previous, known := q.entries[fingerprint]
+	if !known && len(q.entries) >= tuning.MaxQuarantined {
+		q.evict(now)
 	}
-	pause := min(max(2*old.pause, tuning.QuarantineFirst), tuning.MaxQuarantine)
-	a.entries[about] = quarantined{now.Add(pause), pause}
+	pause := min(max(2*previous.pause, tuning.QuarantineFirst), tuning.MaxQuarantine)
+	q.entries[fingerprint] = quarantined{now.Add(pause), pause}
 	return !known
 }
 
 // Contains tells whether a decision like this one is set aside now.
-func (a *Quarantine) Contains(d *Decision, now time.Time) bool {
-	return len(a.entries) > 0 && now.Before(a.entries[d.fingerprint()].until)
+func (q *Quarantine) Contains(decision *Decision, now time.Time) bool {
+	return len(q.entries) > 0 && now.Before(q.entries[decision.fingerprint()].until)
 }
 
 // evict makes room: what may be tried again goes, or, where nothing may, all.
-func (a *Quarantine) evict(now time.Time) {
-	for k, s := range a.entries {
-		if !now.Before(s.until) {
-			delete(a.entries, k)
+func (q *Quarantine) evict(now time.Time) {
+	for fingerprint, entry := range q.entries {
+		if !now.Before(entry.until) {
+			delete(q.entries, fingerprint)
 		}
 	}
-	if len(a.entries) >= tuning.MaxQuarantined {
-		clear(a.entries)
+	if len(q.entries) >= tuning.MaxQuarantined {
+		clear(q.entries)
 	}
 }
 
@@ -60,15 +60,15 @@
 // written. Another machine, and times and counts in the records, do not make it
 // another one.
 func (d *Decision) fingerprint() uint64 {
-	h := xxhash.New()
-	for _, c := range d.Changes {
-		fmt.Fprintln(h, c.Task.ID, c.Next.State, c.Next.Attempt)
+	hash := xxhash.New()
+	for _, change := range d.Changes {
+		fmt.Fprintln(hash, change.Task.ID, change.Next.State, change.Next.Attempt)
 	}
-	for _, x := range d.BatchEntries {
-		fmt.Fprintln(h, x.Entry.JobID, x.Entry.Index, x.Entry.Task.State, x.Entry.Task.Attempt)
+	for _, entry := range d.BatchEntries {
+		fmt.Fprintln(hash, entry.Entry.JobID, entry.Entry.Index, entry.Entry.Task.State, entry.Entry.Task.Attempt)
 	}
-	for _, w := range d.Writes {
-		fmt.Fprintln(h, w.Put, w.Remove)
+	for _, write := range d.Writes {
+		fmt.Fprintln(hash, write.Put, write.Remove)
 	}
-	return h.Sum64()
+	return hash.Sum64()
 }
--- a/internal/decide/transaction.go
+++ b/internal/decide/transaction.go
@@ -41,27 +41,27 @@
 }
 
 // buildWrites makes what the batch writes: what is put stands before what is removed.
-func (b *Transaction) buildWrites(f TxnContext) []store.Write {
-	out := slices.Clone(b.writes)
-	for _, k := range b.recordOrder {
-		if sl := recordOf(b.edits[k]); !sl.IsBatch() {
-			out = append(out, rangeWrite(sl, b.edits[k], f.Limits.ValueBytes))
+func (t *Transaction) buildWrites(context TxnContext) []store.Write {
+	out := slices.Clone(t.writes)
+	for _, key := range t.recordOrder {
+		if record := recordOf(t.edits[key]); !record.IsBatch() {
+			out = append(out, rangeWrite(record, t.edits[key], context.Limits.ValueBytes))
 		}
 	}
-	return append(out, b.batchWrites(f)...)
+	return append(out, t.batchWrites(context)...)
 }
 
 // build makes the batch's transaction, whole as it is sent.
-func (b *Transaction) build(f TxnContext) {
-	t := store.Txn{Writes: b.buildWrites(f)}
-	keys := maps.Clone(b.preconditions)
-	for _, w := range t.Writes {
-		keys[WriteKey(w)] = true
+func (t *Transaction) build(context TxnContext) {
+	txn := store.Txn{Writes: t.buildWrites(context)}
+	keys := maps.Clone(t.preconditions)
+	for _, write := range txn.Writes {
+		keys[WriteKey(write)] = true
 	}
-	for _, k := range clusterstate.SortedKeys(keys) {
-		t.Preconditions = append(t.Preconditions, store.Precondition{Key: k, Revision: f.Revision(k)})
+	for _, key := range clusterstate.SortedKeys(keys) {
+		txn.Preconditions = append(txn.Preconditions, store.Precondition{Key: key, Revision: context.Revision(key)})
 	}
-	b.Txn = t
+	t.Txn = txn
 }
 
 // recordOf is the slice that some changed tasks are in.
@@ -76,18 +76,18 @@
 // job that is over, none of whose tasks may be on a machine, is removed. One of a job
 // whose record cannot be read is kept: it may be live, and its tries must not be used
 // again.
-func rangeWrite(sl *clusterstate.TaskRecord, edits map[*clusterstate.Task]Change, limit int) store.Write {
-	records := make([]jobs.Task, len(sl.Tasks))
-	rest := true
-	for i, t := range sl.Tasks {
+func rangeWrite(record *clusterstate.TaskRecord, edits map[*clusterstate.Task]Change, valueLimit int) store.Write {
+	records := make([]jobs.Task, len(record.Tasks))
+	atRest := true
+	for i, t := range record.Tasks {
 		records[i] = t.Task
-		if c, ok := edits[t]; ok {
-			records[i] = c.Next
+		if change, ok := edits[t]; ok {
+			records[i] = change.Next
 		}
-		rest = rest && !records[i].OnMachine()
+		atRest = atRest && !records[i].OnMachine()
 	}
-	if rest && !sl.Job.RecordUnreadable && (sl.Job.Record == nil || sl.Job.Record.State != jobs.Live) {
-		return Remove(sl.Key)
+	if atRest && !record.Job.RecordUnreadable && (record.Job.Record == nil || record.Job.Record.State != jobs.Live) {
+		return Remove(record.Key)
 	}
-	return store.Write{Put: sl.Key, Value: jobs.EncodeTaskRange(records, limit)}
+	return store.Write{Put: record.Key, Value: jobs.EncodeTaskRange(records, valueLimit)}
 }
