--- a/internal/commit/commit.go
+++ b/internal/commit/commit.go
@@ -94,32 +94,43 @@
 	}
 }
 
-// newBatcher packs decisions by what is known now.
+// newBatcher makes a batcher of what is known now.
 func (c *Committer) newBatcher() *decide.Batcher {
 	return &decide.Batcher{
-		TxnContext: decide.TxnContext{
-			Limits:        store.Limits{Ops: c.StoreLimits.TxnOps, Preconditions: c.StoreLimits.TxnOps * tuning.PreconditionsPerOp, BodyBytes: tuning.MaxRequestBody, ValueBytes: c.ValueBytes},
+		Context: decide.TxnContext{
+			Limits: store.Limits{
+				Ops:           c.StoreLimits.TxnOps,
+				Preconditions: c.StoreLimits.TxnOps * tuning.PreconditionsPerOp,
+				BodyBytes:     tuning.MaxRequestBody,
+				ValueBytes:    c.ValueBytes,
+			},
 			Preconditions: append([]string{members.ViewKey, c.fence.key}, c.Preconditions()...),
-			Revision:      c.Mirror.Revision, KnownEpoch: c.Mirror.Epoch, OwnsMachine: c.OwnsMachine, NewBatchKey: c.newBatchKey,
+			KnownEpoch:    c.Mirror.Epoch,
+			Records:       c.Mirror,
+			Machines:      c,
+			BatchKeys:     c,
 		},
 		CompletionWrites: c.completionWrites,
-		Busy:             c.Busy,
-		Allows:           c.Client.Allows,
-		RecordBytes:      func(key string) int { return len(c.Mirror.Get(key)) },
-		Quarantine:       c.quarantineDecision,
+		InFlight:         c,
+		Budget:           c.Client,
+		Quarantine:       c,
 	}
 }
 
-// quarantineDecision takes note of a decision that cannot be committed as it is.
-func (c *Committer) quarantineDecision(d *decide.Decision, why string) {
-	if c.quarantine.Add(d, c.Now) {
-		c.Log.Error("decision set aside", "why", why, "about", d.String())
+// OwnsMachine tells whether a machine belongs to this controller.
+func (c *Committer) OwnsMachine(machine string) bool { return c.Env.OwnsMachine(machine) }
+
+// QuarantineDecision keeps a decision that cannot be committed from being made again at
+// once, and logs it the first time. It is for the Batcher.
+func (c *Committer) QuarantineDecision(decision *decide.Decision, reason error) {
+	if c.quarantine.Add(decision, c.Now) {
+		c.Log.Error("decision quarantined", "reason", reason, "decision", decision.String())
 	}
 }
 
-// newBatchKey is the key of a new pack: every incarnation of a controller has its own
-// epoch, so none is ever used twice.
-func (c *Committer) newBatchKey() string {
+// NewBatchKey is the key of a new batch record: every incarnation of a controller has its
+// own epoch, so none is ever used twice. It is for the Batcher.
+func (c *Committer) NewBatchKey() string {
 	c.batchesBegun++
 	return fmt.Sprintf("%s%d-%s-%d", taskbatch.KeyPrefix, c.Epoch(), c.Name, c.batchesBegun)
 }
--- a/internal/commit/settlement.go
+++ b/internal/commit/settlement.go
@@ -17,7 +17,7 @@
 func (c *Committer) splitRefused(b *decide.Transaction) {
 	c.finish(b.Txn.Writes, nil, false)
 	if len(b.Decisions) == 1 {
-		c.quarantineDecision(&b.Decisions[0], "refused by the state service")
+		c.QuarantineDecision(&b.Decisions[0], store.ErrRefused)
 		c.finish(nil, b.Decisions, false)
 		return
 	}
--- a/internal/decide/batch_records.go
+++ b/internal/decide/batch_records.go
@@ -12,9 +12,9 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// touchesSharedBatch tells whether a decision writes a pack with tasks on other controllers'
-// machines. Its owner writes it all the time, so the transaction may well conflict,
-// and nothing else should fail with it.
+// touchesSharedBatch tells whether a decision writes a batch record with tasks on other
+// controllers' machines. Their owners write it all the time, so the transaction may well
+// conflict, and nothing else should fail with it.
 func (b *Batcher) touchesSharedBatch(decision *Decision) bool {
 	for _, change := range decision.Changes {
 		if change.Task.Stored.IsBatch() && !b.ownsBatch(change.Task.Stored) {
@@ -24,109 +24,131 @@
 	return false
 }
 
-// ownsBatch tells whether no task of a pack is on another controller's machine.
+// splitsBatch tells whether writing a task moves this controller's tasks out of a batch
+// record that other controllers write too.
+func (b *Batcher) splitsBatch(task *clusterstate.Task) bool {
+	return task.OnMachine() && task.Stored.IsBatch() &&
+		!b.ownsBatch(task.Stored) && b.Context.Machines.OwnsMachine(task.Machine)
+}
+
+// ownsBatch tells whether no task of a batch record is on another controller's machine.
 func (b *Batcher) ownsBatch(record *clusterstate.TaskRecord) bool {
-	own, known := b.ownedBatches[record]
+	owned, known := b.ownedBatches[record]
 	if !known {
-		own = ownsAllTasks(record, b.OwnsMachine)
-		b.ownedBatches[record] = own
+		owned = ownsAllTasks(record, b.Context.Machines)
+		b.ownedBatches[record] = owned
 	}
-	return own
+	return owned
 }
 
-func ownsAllTasks(record *clusterstate.TaskRecord, owned func(machine string) bool) bool {
-	for _, t := range record.Tasks {
-		if t.OnMachine() && record.Holds(t) && !owned(t.Machine) {
+func ownsAllTasks(record *clusterstate.TaskRecord, machines MachineOwner) bool {
+	for _, task := range record.Tasks {
+		if task.OnMachine() && record.Holds(task) && !machines.OwnsMachine(task.Machine) {
 			return false
 		}
 	}
 	return true
 }
 
-// pendingBatch is a pack as it is to be written.
+// pendingBatch is a batch record as it is to be written.
 type pendingBatch struct {
-	key     string // none for a new one
+	key     string // empty for a new one
 	entries []taskbatch.Entry
-	owned   bool
-	value   json.RawMessage // as united, if it was
+	owned   bool            // by this controller alone
+	value   json.RawMessage // encoded, where it was merged
 }
 
-// batchWrites is the packs that the batch changes and those that it begins. Those of
-// this controller alone are united where they fit together: it is one put and one
-// removal instead of two puts, and from then on one change instead of two.
+// batchWrites are the writes of the batch records that the transaction changes and of
+// those that it creates, in the order new, changed, removed.
 func (t *Transaction) batchWrites(context TxnContext) []store.Write {
-	var pending []pendingBatch
-	for _, key := range t.recordOrder {
-		record := recordOf(t.edits[key])
-		if !record.IsBatch() {
-			continue
-		}
-		entries := remaining(record, t.edits[key], context.KnownEpoch)
-		if ownsAllTasks(record, context.OwnsMachine) {
-			pending = append(pending, pendingBatch{key: key, entries: entries, owned: true})
-			continue
-		}
-		own, others := splitOwned(record, t.edits[key], entries, context.OwnsMachine)
-		pending = append(pending, pendingBatch{key: key, entries: others}, pendingBatch{entries: own, owned: true})
-	}
-	mergeSmall(pending, context.Limits.ValueBytes)
-	for _, controller := range clusterstate.SortedKeys(t.newBatches) {
-		pending = append(pending, pendingBatch{entries: t.newBatches[controller]})
-	}
 	var created, updated, removed []store.Write
-	for _, batch := range pending {
-		if len(batch.entries) == 0 && batch.key == "" {
-			continue
-		}
+	for _, batch := range t.pendingBatches(context) {
 		if len(batch.entries) == 0 {
-			removed = append(removed, Remove(batch.key))
+			if batch.key != "" {
+				removed = append(removed, Remove(batch.key))
+			}
 			continue
 		}
 		values := []json.RawMessage{batch.value}
 		if batch.value == nil {
 			values = taskbatch.Split(batch.entries, context.Limits.ValueBytes)
 		}
+		if batch.key != "" && len(values) > 0 {
+			updated = append(updated, store.Write{Put: batch.key, Value: values[0]})
+			values = values[1:]
+		}
 		for _, value := range values {
-			if batch.key == "" {
-				created = append(created, store.Write{Put: context.NewBatchKey(), Value: value})
-			} else {
-				updated = append(updated, store.Write{Put: batch.key, Value: value})
-			}
-			batch.key = ""
+			created = append(created, store.Write{Put: context.BatchKeys.NewBatchKey(), Value: value})
 		}
 	}
 	return slices.Concat(created, updated, removed)
 }
 
-// remaining is a pack's entries with some of its tasks changed, without those that
-// leave it and those of jobs that are over.
-func remaining(record *clusterstate.TaskRecord, edits map[*clusterstate.Task]Change, knownEpoch uint64) []taskbatch.Entry {
-	var out []taskbatch.Entry
-	for _, t := range record.Tasks {
-		next := t.Task
-		change, edited := edits[t]
+// pendingBatches are the batch records that the transaction changes and those that it
+// creates. Those of this controller alone are merged where they fit together: it is one
+// put and one removal instead of two puts, and from then on one change instead of two.
+func (t *Transaction) pendingBatches(context TxnContext) []pendingBatch {
+	var batches []pendingBatch
+	for _, key := range t.recordOrder {
+		record := recordOf(t.edits[key])
+		if !record.IsBatch() {
+			continue
+		}
+		entries := remainingEntries(record, t.edits[key], context.KnownEpoch)
+		if ownsAllTasks(record, context.Machines) {
+			batches = append(batches, pendingBatch{key: key, entries: entries, owned: true})
+			continue
+		}
+		own, others := splitOwned(record, t.edits[key], entries, context.Machines)
+		batches = append(batches, pendingBatch{key: key, entries: others}, pendingBatch{entries: own, owned: true})
+	}
+	mergeSmall(batches, context.Limits.ValueBytes)
+	for _, controller := range clusterstate.SortedKeys(t.newBatches) {
+		batches = append(batches, pendingBatch{entries: t.newBatches[controller]})
+	}
+	return batches
+}
+
+// remainingEntries are a batch record's entries with some of its tasks changed, without
+// those that leave it and those of jobs that are over, as known up to an epoch.
+func remainingEntries(
+	record *clusterstate.TaskRecord,
+	edits map[*clusterstate.Task]Change,
+	knownEpoch uint64,
+) []taskbatch.Entry {
+	var entries []taskbatch.Entry
+	for _, task := range record.Tasks {
+		next := task.Task
+		change, edited := edits[task]
 		if edited {
 			next = change.Next
 		}
-		if record.Holds(t) && !change.LeavesBatch && !t.ObsoleteAs(&next, knownEpoch) {
-			out = append(out, taskbatch.Entry{JobID: t.Job.ID, Index: t.Index, Task: next})
+		if record.Holds(task) && !change.LeavesBatch && !task.ObsoleteAs(&next, knownEpoch) {
+			entries = append(entries, taskbatch.Entry{JobID: task.Job.ID, Index: task.Index, Task: next})
 		}
 	}
-	return out
+	return entries
 }
 
-// splitOwned takes the tasks on this controller's machines out of a pack that others write
-// as well, when it writes one of them: after a change of view every pack has tasks of
-// all owners, and while they write the same packs most of their transactions conflict.
-func splitOwned(record *clusterstate.TaskRecord, edits map[*clusterstate.Task]Change, entries []taskbatch.Entry, owned func(machine string) bool) (own, others []taskbatch.Entry) {
+// splitOwned takes the tasks on this controller's machines out of a batch record that
+// other controllers write as well, when it writes one of them: after a change of view every
+// batch record has tasks of all owners, and while they write the same records most of
+// their transactions conflict.
+func splitOwned(
+	record *clusterstate.TaskRecord,
+	edits map[*clusterstate.Task]Change,
+	entries []taskbatch.Entry,
+	machines MachineOwner,
+) (own, others []taskbatch.Entry) {
 	ownTasks := map[string]bool{}
 	writesOwn := false
-	for _, t := range record.Tasks {
-		if t.OnMachine() && record.Holds(t) && owned(t.Machine) {
-			ownTasks[t.ID] = true
-			// What only gets another try is put where it stands: after all controllers
-			// went down that is all of a pack, and it costs one change and not three.
-			change, edited := edits[t]
+	for _, task := range record.Tasks {
+		if task.OnMachine() && record.Holds(task) && machines.OwnsMachine(task.Machine) {
+			ownTasks[task.ID] = true
+			// A task that only gets another attempt is written where it is: after all
+			// controllers were down those are all tasks of a batch record, and it costs
+			// one change instead of three.
+			change, edited := edits[task]
 			writesOwn = writesOwn || edited && change.Next.State != jobs.Placed
 		}
 	}
@@ -143,23 +165,27 @@
 	return own, others
 }
 
-// mergeSmall moves the entries of small packs into larger ones of the same controller.
-func mergeSmall(pending []pendingBatch, limit int) {
+// mergeSmall moves the entries of small batch records into larger ones of the same
+// controller. valueLimit is the bytes of a value.
+func mergeSmall(batches []pendingBatch, valueLimit int) {
 	var own []*pendingBatch
-	for i := range pending {
-		if pending[i].owned && len(pending[i].entries) > 0 {
-			own = append(own, &pending[i])
+	for i := range batches {
+		if batches[i].owned && len(batches[i].entries) > 0 {
+			own = append(own, &batches[i])
 		}
 	}
-	slices.SortStableFunc(own, func(a, b *pendingBatch) int { return cmp.Compare(len(b.entries), len(a.entries)) })
-	full := int(float64(limit) * tuning.BatchFillShare)
+	slices.SortStableFunc(own, func(a, b *pendingBatch) int {
+		return cmp.Compare(len(b.entries), len(a.entries))
+	})
+	maxBytes := int(float64(valueLimit) * tuning.BatchFillShare)
+	maxEntries := maxBytes / tuning.BatchTaskBytes
 	for i, into := range own {
 		for _, from := range own[i+1:] {
-			if len(into.entries) == 0 || len(from.entries) == 0 || len(into.entries)+len(from.entries) > full/tuning.BatchTaskBytes {
+			if len(into.entries) == 0 || len(from.entries) == 0 || len(into.entries)+len(from.entries) > maxEntries {
 				continue
 			}
 			merged := slices.Concat(into.entries, from.entries)
-			if value := taskbatch.Encode(merged); len(value) <= full {
+			if value := taskbatch.Encode(merged); len(value) <= maxBytes {
 				into.entries, into.value, from.entries = merged, value, nil
 			}
 		}
--- a/internal/decide/batch_records_test.go
+++ b/internal/decide/batch_records_test.go
@@ -26,6 +26,11 @@
 	log   []store.Event
 }
 
+// Revision and Get make it the Records of a Batcher; all records count as 100 bytes.
+func (s *fakeStore) Revision(key string) uint64 { return s.items[key].Revision }
+
+func (s *fakeStore) Get(string) json.RawMessage { return make(json.RawMessage, 100) }
+
 func (s *fakeStore) commit(writes []store.Write) {
 	s.epoch++
 	for _, w := range writes {
@@ -103,12 +108,13 @@
 		keys := 0
 		limit := rapid.SampledFrom([]int{250, 600, 8192}).Draw(t, "limit")
 		context := testContext(16)
-		context.Limits.ValueBytes, context.OwnsMachine = limit, func(machine string) bool { return machine != "i-2" }
-		context.Revision = func(key string) uint64 { return s.items[key].Revision }
-		context.NewBatchKey = func() string {
+		context.Limits.ValueBytes = limit
+		context.Machines = ownerFunc(func(machine string) bool { return machine != "i-2" })
+		context.Records = s
+		context.BatchKeys = batchKeyFunc(func() string {
 			keys++
 			return fmt.Sprintf("pack/%d", (keys*7)%100000) // in no order
-		}
+		})
 		step := func() {
 			first.follow(s, -1)
 			context.KnownEpoch = first.mirror.Epoch
@@ -147,7 +153,7 @@
 				}
 			}
 			batcher := testBatcher(16, 1000)
-			batcher.TxnContext = context
+			batcher.Context = context
 			for _, b := range batcher.Build(decisions) {
 				s.commit(b.Txn.Writes)
 				first.follow(s, -1)
@@ -224,7 +230,11 @@
 	r := newReplica()
 	keys := 0
 	context := testContext(16)
-	context.OwnsMachine, context.NewBatchKey = func(h string) bool { return h != "i-2" }, func() string { keys++; return fmt.Sprint("pack/new-", keys) }
+	context.Machines = ownerFunc(func(machine string) bool { return machine != "i-2" })
+	context.BatchKeys = batchKeyFunc(func() string {
+		keys++
+		return fmt.Sprint("pack/new-", keys)
+	})
 	_ = r.state.ApplyJob("wk-0", jobs.Encode(liveJob("wk-0")))
 	for i, machine := range []string{"i-1", "i-1", "i-2", "i-2"} {
 		on := jobs.Task{State: jobs.Placed, Machine: machine, Attempt: 1}
@@ -232,7 +242,7 @@
 	}
 	tasks := r.state.Jobs["wk-0"].Tasks
 	batcher := testBatcher(16, 100)
-	batcher.TxnContext = context
+	batcher.Context = context
 	batches := batcher.Build([]Decision{complete(tasks[0]), complete(tasks[2]), complete(tasks[4]), complete(tasks[6])})
 	if len(batches) != 3 {
 		t.Fatalf("%d batches", len(batches))
@@ -256,7 +266,7 @@
 	}
 	_, _ = r.state.ApplyBatch("pack/mixed", taskbatch.Encode([]taskbatch.Entry{on(10, "i-1"), on(11, "i-2"), on(12, "i-1")}), 1)
 	mixed := testBatcher(16, 100)
-	mixed.TxnContext = context
+	mixed.Context = context
 	writes := mixed.Build([]Decision{complete(tasks[10])})[0].Txn.Writes
 	if len(writes) != 2 || writes[1].Put != "pack/mixed" {
 		t.Fatalf("%+v", writes)
@@ -269,13 +279,13 @@
 	_ = r.state.ApplyJob("wk-0", nil)
 	gone := []Decision{{Changes: TransitionTask(tasks[0], jobs.Task{State: jobs.Pending, Attempt: 1})}}
 	batcher = testBatcher(16, 100)
-	batcher.TxnContext = context
+	batcher.Context = context
 	if entries, _ := taskbatch.Decode(batcher.Build(gone)[0].Txn.Writes[0].Value); len(entries) != 2 {
 		t.Errorf("%+v", entries)
 	}
 	context.KnownEpoch = 1
 	batcher = testBatcher(16, 100)
-	batcher.TxnContext = context
+	batcher.Context = context
 	if entries, _ := taskbatch.Decode(batcher.Build(gone)[0].Txn.Writes[0].Value); len(entries) != 1 {
 		t.Errorf("%+v", entries)
 	}
--- a/internal/decide/batcher.go
+++ b/internal/decide/batcher.go
@@ -4,40 +4,84 @@
 	"slices"
 
 	"github.com/harrierreel/harrierreel/internal/clusterstate"
-	"github.com/harrierreel/harrierreel/internal/taskbatch"
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Batcher packs decisions into transactions within the state service's limits.
-// Decisions about the same slice share a transaction, and one write of it.
+// What a record adds to a request besides its value and its key, in bytes: as an estimate,
+// with its precondition.
+const (
+	writeOverheadBytes        = 120
+	preconditionOverheadBytes = 40
+	// keyMentions: a written record's key stands in its write, in its precondition and in
+	// an entry of its value.
+	keyMentions = 3
+)
+
+// InFlight knows which records are under a transaction that is not settled yet.
+type InFlight interface {
+	Busy(key string) bool
+}
+
+// Budget is the writes that the state service allows. *store.Client is one.
+type Budget interface {
+	// Allows tells whether so many writes may leave now, after those planned already.
+	Allows(planned, writes int) bool
+}
+
+// Quarantiner takes the decisions that no transaction can hold.
+type Quarantiner interface {
+	// QuarantineDecision is given the reason, a *LimitError from a Batcher.
+	QuarantineDecision(decision *Decision, reason error)
+}
+
+// LimitError is the reason why a decision fits into no transaction.
+type LimitError struct {
+	// Exceeded names the limit, with the count and what is allowed.
+	Exceeded string
+}
+
+// Error names the limit.
+func (e *LimitError) Error() string {
+	return "transaction of one decision exceeds a limit: " + e.Exceeded
+}
+
+// Batcher batches decisions into transactions within the state service's limits.
+// Decisions about the same task record share a transaction, and one write of it. It is
+// made for one Build or one Split.
 //
-// What a decision will add is guessed when it is taken in. What is sent is counted
-// when it is made: new packs, split ones and their conditions are known only then. A
-// transaction beyond a limit is refused whole, and everything in it with it
+// What a decision will add is estimated when it is taken in. What is sent is counted
+// when it is built: new batch records, split ones and their preconditions are known only
+// then. A transaction beyond a limit is refused whole, and everything in it with it
 // (docs/incidents/refused-transactions.md).
 type Batcher struct {
-	TxnContext
-	// CompletionWrites is how many writes of jobs' ends are under way; Pack adds to it.
+	Context TxnContext
+	// CompletionWrites counts the writes of completed jobs that are in flight. Build and
+	// Split update it.
 	CompletionWrites int
-	Busy             func(key string) bool        // under a transaction
-	Allows           func(spent, writes int) bool // by the budget, now
-	RecordBytes      func(key string) int         // bytes of a record as it is
-	// Quarantine is told of a decision that no transaction can hold, and why.
-	Quarantine func(decision *Decision, why string)
+	InFlight         InFlight
+	Budget           Budget
+	Quarantine       Quarantiner
 
-	transactions  []*Transaction
-	open          *Transaction            // that takes whatever comes next
-	writerOf      map[string]*Transaction // record to the batch that writes it
-	changed       map[*clusterstate.Task]bool
-	ownedBatches  map[*clusterstate.TaskRecord]bool // packs looked at: with no task on others' machines
+	transactions []*Transaction
+	// open is the transaction that takes whatever comes next.
+	open *Transaction
+	// writerOf maps a record to the transaction that writes it.
+	writerOf map[string]*Transaction
+	changed  map[*clusterstate.Task]bool
+	// ownedBatches caches, by batch record, whether no task of it is on another
+	// controller's machine.
+	ownedBatches map[*clusterstate.TaskRecord]bool
+	// plannedWrites counts the records that the transactions write.
 	plannedWrites int
 }
 
-// Build makes batches of decisions, each with its transaction. Those that touch a
-// record under a transaction are dropped, to be decided again later, and so are
-// those, but for urgent ones, that the budget does not allow at once.
+// Build makes transactions of decisions. Decisions that touch a record in flight are
+// dropped, to be made again later, and so are those, but for urgent ones, that the budget
+// does not allow at once.
 func (b *Batcher) Build(decisions []Decision) []*Transaction {
-	b.writerOf, b.changed, b.ownedBatches = map[string]*Transaction{}, map[*clusterstate.Task]bool{}, map[*clusterstate.TaskRecord]bool{}
+	b.writerOf = map[string]*Transaction{}
+	b.changed = map[*clusterstate.Task]bool{}
+	b.ownedBatches = map[*clusterstate.TaskRecord]bool{}
 	for i := range decisions {
 		if keys := decisions[i].Keys(); len(keys) > 0 || len(decisions[i].BatchEntries) > 0 {
 			b.addDecision(&decisions[i], keys)
@@ -45,65 +89,75 @@
 			decisions[i].Drop() // it decides nothing
 		}
 	}
-	var out []*Transaction
+	var built []*Transaction
 	for _, txn := range b.transactions {
-		out = append(out, b.finish(txn)...)
+		built = append(built, b.finish(txn)...)
 	}
-	return out
+	return built
 }
 
-// finish makes a batch's transaction, or those of its halves if it passes a limit.
+// finish builds a transaction, or those of its halves if it exceeds a limit.
 func (b *Batcher) finish(txn *Transaction) []*Transaction {
 	if len(txn.Decisions) == 0 {
 		return nil
 	}
-	txn.build(b.TxnContext)
-	why := b.Limits.Fault(&txn.Txn)
-	if why == "" {
+	txn.build(b.Context)
+	exceeded := b.Context.Limits.Fault(&txn.Txn)
+	if exceeded == "" {
 		return []*Transaction{txn}
 	}
 	if len(txn.Decisions) == 1 {
-		b.Quarantine(&txn.Decisions[0], why)
+		b.Quarantine.QuarantineDecision(&txn.Decisions[0], &LimitError{Exceeded: exceeded})
 		b.dropTaken(&txn.Decisions[0])
 		return nil
 	}
+	return b.finishHalves(txn)
+}
+
+func (b *Batcher) finishHalves(txn *Transaction) []*Transaction {
 	first, second := b.halves(txn)
 	return append(b.finish(first), b.finish(second)...)
 }
 
-// Split makes the two halves of a batch whose transaction was refused, on the very
-// versions that it was made from: what has changed since fails them.
+// Split makes two transactions of one that was refused, at the same revisions that it was
+// built from: they conflict where a record has changed since.
 func (b *Batcher) Split(txn *Transaction) []*Transaction {
-	builtOn := map[string]uint64{}
-	for _, c := range txn.Txn.Preconditions {
-		builtOn[c.Key] = c.Revision
-	}
-	now := b.Revision
-	b.Revision = func(key string) uint64 {
-		if revision, ok := builtOn[key]; ok {
-			return revision
-		}
-		return now(key)
+	pinned := pinnedRecords{Records: b.Context.Records, revisions: map[string]uint64{}}
+	for _, precondition := range txn.Txn.Preconditions {
+		pinned.revisions[precondition.Key] = precondition.Revision
 	}
-	first, second := b.halves(txn)
-	return append(b.finish(first), b.finish(second)...)
+	b.Context.Records = pinned
+	return b.finishHalves(txn)
 }
 
-// halves shares a batch's decisions out over two. Those of the second half that write
-// what the first does are dropped, to be decided again once that is known.
+// pinnedRecords are records of which some are taken at a revision from before.
+type pinnedRecords struct {
+	Records
+	revisions map[string]uint64
+}
+
+func (p pinnedRecords) Revision(key string) uint64 {
+	if revision, ok := p.revisions[key]; ok {
+		return revision
+	}
+	return p.Records.Revision(key)
+}
+
+// halves divides a transaction's decisions between two. Those of the second half that
+// write what the first does are dropped, to be made again once its outcome is known.
 func (b *Batcher) halves(txn *Transaction) (first, second *Transaction) {
-	first, second = b.newTransaction(), b.newTransaction()
+	first, second = newTransaction(b.Context.Preconditions), newTransaction(b.Context.Preconditions)
 	written := map[string]bool{}
 	for i := range txn.Decisions {
 		decision := &txn.Decisions[i]
 		keys := decision.Keys()
 		switch {
 		case i < (len(txn.Decisions)+1)/2:
-			for _, k := range keys {
-				written[k] = true
+			for _, key := range keys {
+				written[key] = true
 			}
 			b.add(first, decision, keys)
-		case slices.ContainsFunc(keys, func(k string) bool { return written[k] }):
+		case slices.ContainsFunc(keys, func(key string) bool { return written[key] }):
 			b.dropTaken(decision)
 		default:
 			b.add(second, decision, keys)
@@ -120,154 +174,204 @@
 	decision.Drop()
 }
 
-// newTransaction is an empty batch.
-func (b *Batcher) newTransaction() *Transaction {
-	txn := &Transaction{edits: map[string]map[*clusterstate.Task]Change{}, preconditions: map[string]bool{}, newBatches: map[string][]taskbatch.Entry{}, splitBatches: map[string]bool{}}
-	for _, k := range b.Preconditions {
-		txn.preconditions[k] = true
-	}
-	return txn
-}
-
-// addDecision puts a decision into a batch, or drops it.
+// addDecision puts a decision into a transaction, or drops it.
 func (b *Batcher) addDecision(decision *Decision, keys []string) {
-	txn, newWrites, ok := b.admissible(decision, keys)
+	newWrites := b.countNewWrites(decision, keys)
+	writer, ok := b.admit(decision, keys, newWrites)
 	if !ok {
 		decision.Drop()
 		return
 	}
-	mustShare := txn != nil // a slice of it is in that batch already
-	alone := b.touchesSharedBatch(decision)
-	if txn == nil && !alone {
-		txn = b.open
-	}
-	if txn != nil && !b.hasRoom(txn, decision, keys) {
-		if mustShare {
-			decision.Drop()
-			return
-		}
-		txn = nil
-	}
+	txn := b.transactionFor(decision, keys, writer)
 	if txn == nil {
-		txn = b.newTransaction()
-		b.transactions = append(b.transactions, txn)
-		if !alone {
-			b.open = txn
-		}
+		decision.Drop()
+		return
 	}
 	b.plannedWrites += newWrites
 	if decision.CompletesJob {
 		b.CompletionWrites += len(decision.Writes)
 	}
 	b.add(txn, decision, keys)
-	for _, k := range keys {
-		b.writerOf[k] = txn
+	for _, key := range keys {
+		b.writerOf[key] = txn
+	}
+	for _, change := range decision.Changes {
+		b.changed[change.Task] = true
 	}
-	for _, c := range decision.Changes {
-		b.changed[c.Task] = true
+}
+
+// transactionFor is the transaction that takes a decision: the writer of one of its
+// records where there is one, else the open one, else a new one. It is nil where the
+// writer has no room.
+func (b *Batcher) transactionFor(decision *Decision, keys []string, writer *Transaction) *Transaction {
+	alone := b.touchesSharedBatch(decision)
+	candidate := writer
+	if candidate == nil && !alone {
+		candidate = b.open
 	}
+	if candidate != nil && b.hasRoom(candidate, decision, keys) {
+		return candidate
+	}
+	if writer != nil {
+		return nil
+	}
+	txn := newTransaction(b.Context.Preconditions)
+	b.transactions = append(b.transactions, txn)
+	if !alone {
+		b.open = txn
+	}
+	return txn
 }
 
-// admissible tells whether a decision may be taken now, with the batch that it must
-// share because of a slice, if any, and how many records it writes that no batch
-// writes yet.
-func (b *Batcher) admissible(decision *Decision, keys []string) (txn *Transaction, newWrites int, ok bool) {
-	for _, k := range keys {
-		if b.writerOf[k] == nil {
-			newWrites++
+// countNewWrites counts the records that a decision writes and no transaction does yet.
+func (b *Batcher) countNewWrites(decision *Decision, keys []string) int {
+	count := 0
+	for _, key := range keys {
+		if b.writerOf[key] == nil {
+			count++
 		}
 	}
 	for _, entry := range decision.BatchEntries {
 		if b.open == nil || b.open.newBatches[entry.Controller] == nil {
-			newWrites++
+			count++
 		}
 	}
-	ok = (decision.Urgent || newWrites == 0 || b.Allows(b.plannedWrites, newWrites)) && !(decision.CompletesJob && b.CompletionWrites >= b.Limits.Ops)
-	for _, k := range keys {
-		ok = ok && !b.Busy(k)
-		if entry := b.writerOf[k]; entry != nil {
-			ok = ok && (txn == nil || txn == entry)
-			txn = entry
-		}
+	return count
+}
+
+// admit tells whether a decision may be taken now, with the transaction that it must
+// share because of a task record, if any.
+func (b *Batcher) admit(decision *Decision, keys []string, newWrites int) (writer *Transaction, ok bool) {
+	if !decision.Urgent && newWrites > 0 && !b.Budget.Allows(b.plannedWrites, newWrites) {
+		return nil, false
+	}
+	if decision.CompletesJob && b.CompletionWrites >= b.Context.Limits.Ops {
+		return nil, false
+	}
+	if slices.ContainsFunc(keys, b.InFlight.Busy) {
+		return nil, false
 	}
 	for _, write := range decision.Writes {
-		ok = ok && b.writerOf[WriteKey(write)] == nil
+		if b.writerOf[WriteKey(write)] != nil {
+			return nil, false
+		}
+	}
+	for _, change := range decision.Changes {
+		if !b.mayChange(change.Task) {
+			return nil, false
+		}
+	}
+	return b.soleWriter(keys)
+}
+
+// soleWriter is the transaction that writes some of these records, nil where none does;
+// not ok where two do.
+func (b *Batcher) soleWriter(keys []string) (writer *Transaction, ok bool) {
+	for _, key := range keys {
+		other := b.writerOf[key]
+		if other == nil {
+			continue
+		}
+		if writer != nil && writer != other {
+			return nil, false
+		}
+		writer = other
 	}
-	for _, c := range decision.Changes {
-		key := c.Task.Stored.Key
-		ok = ok && !b.changed[c.Task] && c.Task.Job.Tasks[c.Task.Index] == c.Task && (b.writerOf[key] == nil || b.writerOf[key].edits[key] != nil)
+	return writer, true
+}
+
+// mayChange tells whether a task may be changed: it is current, no decision has changed it
+// yet, and its record is not written whole by another decision.
+func (b *Batcher) mayChange(task *clusterstate.Task) bool {
+	if b.changed[task] || task.Job.Tasks[task.Index] != task {
+		return false
 	}
-	return txn, newWrites, ok
+	writer := b.writerOf[task.Stored.Key]
+	return writer == nil || writer.edits[task.Stored.Key] != nil
 }
 
-// hasRoom tells whether a batch holds a decision more.
+// hasRoom tells whether a transaction can take a decision more.
 func (b *Batcher) hasRoom(txn *Transaction, decision *Decision, keys []string) bool {
-	ops, preconditions, size := b.cost(txn, decision, keys)
-	newKeys := len(txn.newBatches) + len(txn.splitBatches) // under keys that are still to come
-	return len(txn.writes)+len(txn.recordOrder)+newKeys+ops <= b.Limits.Ops && len(txn.preconditions)+newKeys+preconditions <= b.Limits.Preconditions && txn.estimatedBytes+size <= tuning.TxnBytes
+	added := b.costOf(txn, decision, keys)
+	writes := len(txn.writes) + len(txn.recordOrder) + txn.pendingKeys() + added.writes
+	preconditions := len(txn.preconditions) + txn.pendingKeys() + added.preconditions
+	return writes <= b.Context.Limits.Ops &&
+		preconditions <= b.Context.Limits.Preconditions &&
+		txn.estimatedBytes+added.bytes <= tuning.TxnBytes
+}
+
+// cost is what a decision adds to a transaction, as an estimate.
+type cost struct {
+	writes        int
+	preconditions int
+	bytes         int
 }
 
-// cost is what a decision adds to a batch: records, conditions and bytes.
-func (b *Batcher) cost(txn *Transaction, decision *Decision, keys []string) (ops, preconditions, size int) {
-	for _, k := range keys {
-		if _, ok := txn.edits[k]; !ok {
-			ops++
-			size += b.RecordBytes(k) + 3*len(k) + 120
+func (b *Batcher) costOf(txn *Transaction, decision *Decision, keys []string) cost {
+	newKeys := b.pendingKeysOf(txn, decision)
+	total := cost{
+		writes:        newKeys,
+		preconditions: newKeys,
+		bytes:         (len(decision.BatchEntries) + len(decision.Changes)) * tuning.ChangeBytes,
+	}
+	for _, key := range keys {
+		if _, edited := txn.edits[key]; !edited {
+			total.writes++
+			total.bytes += len(b.Context.Records.Get(key)) + keyMentions*len(key) + writeOverheadBytes
 		}
-		if !txn.preconditions[k] {
-			preconditions++
+		if !txn.preconditions[key] {
+			total.preconditions++
 		}
 	}
 	for _, write := range decision.Writes {
-		size += len(write.Value)
+		total.bytes += len(write.Value)
 	}
-	newKeys := map[string]bool{}
-	for _, entry := range decision.BatchEntries {
-		if txn.newBatches[entry.Controller] == nil {
-			newKeys[entry.Controller] = true
+	for _, key := range decision.ReadSet {
+		if !txn.preconditions[key] {
+			total.preconditions++
+			total.bytes += len(key) + preconditionOverheadBytes
 		}
-		size += tuning.ChangeBytes
 	}
-	for _, c := range decision.Changes {
-		if key := c.Task.Stored.Key; !txn.splitBatches[key] && b.splitsBatch(c.Task) {
-			newKeys[key] = true
+	return total
+}
+
+// pendingKeysOf counts the batch records that a decision adds to a transaction under keys
+// which are known only when it is built: new ones, and ones that split from others.
+func (b *Batcher) pendingKeysOf(txn *Transaction, decision *Decision) int {
+	pending := map[string]bool{}
+	for _, entry := range decision.BatchEntries {
+		if txn.newBatches[entry.Controller] == nil {
+			pending[entry.Controller] = true
 		}
 	}
-	for _, k := range decision.ReadSet {
-		if !txn.preconditions[k] {
-			preconditions++
-			size += len(k) + 40
+	for _, change := range decision.Changes {
+		if key := change.Task.Stored.Key; !txn.splitBatches[key] && b.splitsBatch(change.Task) {
+			pending[key] = true
 		}
 	}
-	return ops + len(newKeys), preconditions + len(newKeys), size + len(decision.Changes)*tuning.ChangeBytes
-}
-
-// splitsBatch tells whether writing a task takes this controller's tasks out of a pack that
-// others write too.
-func (b *Batcher) splitsBatch(t *clusterstate.Task) bool {
-	return t.OnMachine() && t.Stored.IsBatch() && !b.ownsBatch(t.Stored) && b.OwnsMachine(t.Machine)
+	return len(pending)
 }
 
+// add puts a decision into a transaction that has room for it.
 func (b *Batcher) add(txn *Transaction, decision *Decision, keys []string) {
-	_, _, size := b.cost(txn, decision, keys)
-	txn.estimatedBytes += size
+	txn.estimatedBytes += b.costOf(txn, decision, keys).bytes
 	txn.Decisions = append(txn.Decisions, *decision)
 	txn.Urgent = txn.Urgent || decision.Urgent
-	for _, k := range keys {
-		txn.preconditions[k] = true
+	for _, key := range keys {
+		txn.preconditions[key] = true
 	}
-	for _, k := range decision.ReadSet {
-		txn.preconditions[k] = true
+	for _, key := range decision.ReadSet {
+		txn.preconditions[key] = true
 	}
 	txn.writes = append(txn.writes, decision.Writes...)
-	for _, c := range decision.Changes {
-		key := c.Task.Stored.Key
+	for _, change := range decision.Changes {
+		key := change.Task.Stored.Key
 		if txn.edits[key] == nil {
 			txn.edits[key] = map[*clusterstate.Task]Change{}
 			txn.recordOrder = append(txn.recordOrder, key)
 		}
-		txn.edits[key][c.Task] = c
-		if b.splitsBatch(c.Task) {
+		txn.edits[key][change.Task] = change
+		if b.splitsBatch(change.Task) {
 			txn.splitBatches[key] = true
 		}
 	}
--- a/internal/decide/batcher_test.go
+++ b/internal/decide/batcher_test.go
@@ -33,18 +33,6 @@
 	return state, out
 }
 
-func testBatcher(ops int, budget int) *Batcher {
-	return &Batcher{
-		TxnContext: testContext(ops), Busy: func(string) bool { return false }, Allows: func(spent, writes int) bool { return spent+writes <= budget },
-		RecordBytes: func(string) int { return 100 }, Quarantine: func(d *Decision, why string) { panic(d.String() + ": " + why) },
-	}
-}
-
-// testContext is the limits of a state service that takes so many changes at once.
-func testContext(ops int) TxnContext {
-	return TxnContext{Limits: store.Limits{Ops: ops, Preconditions: 4 * ops, BodyBytes: 64 << 10, ValueBytes: 8192}, Preconditions: []string{"view", "fence/n0"}, Revision: func(string) uint64 { return 1 }}
-}
-
 func complete(t *clusterstate.Task) Decision {
 	next, _ := jobs.NextTask(t.Task, jobs.TaskEvent{Kind: jobs.Complete})
 	return Decision{Changes: TransitionTask(t, next)}
@@ -95,7 +83,7 @@
 	taken := 0
 	for _, b := range batcher.Build(decisions) {
 		taken += len(b.Decisions)
-		if why := batcher.Limits.Fault(&b.Txn); why != "" {
+		if why := batcher.Context.Limits.Fault(&b.Txn); why != "" {
 			t.Error(why)
 		}
 	}
@@ -135,7 +123,7 @@
 	}
 	dropped = 0
 	batcher = testBatcher(16, 100)
-	batcher.Busy = func(key string) bool { return key == "k/3" }
+	batcher.InFlight = busyFunc(func(key string) bool { return key == "k/3" })
 	if batcher.Build([]Decision{write(3, true, false), write(4, false, false), write(4, false, false)}); dropped != 2 {
 		t.Errorf("%d dropped: one under a transaction, one written already", dropped)
 	}
--- a/internal/decide/limits_test.go
+++ b/internal/decide/limits_test.go
@@ -50,11 +50,14 @@
 		}
 		keys := 0
 		batcher := testBatcher(limits.Ops, rapid.IntRange(0, 60).Draw(t, "budget"))
-		batcher.Limits = limits
-		batcher.OwnsMachine = func(h string) bool { return h != "i-4" }
-		batcher.NewBatchKey = func() string { keys++; return fmt.Sprint("pack/new-", keys) }
+		batcher.Context.Limits = limits
+		batcher.Context.Machines = ownerFunc(func(machine string) bool { return machine != "i-4" })
+		batcher.Context.BatchKeys = batchKeyFunc(func() string {
+			keys++
+			return fmt.Sprint("pack/new-", keys)
+		})
 		quarantined := 0
-		batcher.Quarantine = func(*Decision, string) { quarantined++ }
+		batcher.Quarantine = quarantineFunc(func(*Decision, string) { quarantined++ })
 
 		drops := map[int]int{} // decision to how often it was dropped
 		var decisions []Decision
@@ -142,7 +145,9 @@
 func TestOversizedDecisionIsQuarantinedAlone(t *testing.T) {
 	batcher := testBatcher(4, 100)
 	var why []string
-	batcher.Quarantine = func(d *Decision, w string) { why = append(why, d.String()+": "+w) }
+	batcher.Quarantine = quarantineFunc(func(decision *Decision, exceeded string) {
+		why = append(why, decision.String()+": "+exceeded)
+	})
 	large := Decision{Writes: []store.Write{Put("host/large", strings.Repeat("x", 9000))}}
 	many := Decision{}
 	for i := range 40 {
--- a/internal/decide/quarantine.go
+++ b/internal/decide/quarantine.go
@@ -10,11 +10,14 @@
 )
 
 // Quarantine is the decisions that no transaction can hold, or that the state service
-// refused by themselves. They are not made again alike before a pause that doubles:
-// made at every look, they would take the place of others for ever.
+// refused by themselves. The same decision is not made again before a pause that doubles:
+// made in every cycle, it would take the place of others for ever. The zero value is empty
+// and ready for use.
 type Quarantine struct {
+	// Total counts the additions since the start, repeated ones among them.
+	Total int
+
 	entries map[uint64]quarantined
-	Total   int // ever set aside
 }
 
 // quarantined is one such decision.
@@ -23,7 +26,7 @@
 	pause time.Duration
 }
 
-// Add sets a decision aside. It tells whether that is news, to be logged.
+// Add quarantines a decision, and tells whether it is a new one, which is to be logged.
 func (q *Quarantine) Add(decision *Decision, now time.Time) bool {
 	q.Total++
 	if q.entries == nil {
@@ -35,16 +38,16 @@
 		q.evict(now)
 	}
 	pause := min(max(2*previous.pause, tuning.QuarantineFirst), tuning.MaxQuarantine)
-	q.entries[fingerprint] = quarantined{now.Add(pause), pause}
+	q.entries[fingerprint] = quarantined{until: now.Add(pause), pause: pause}
 	return !known
 }
 
-// Contains tells whether a decision like this one is set aside now.
+// Contains tells whether a decision like this one is in quarantine now.
 func (q *Quarantine) Contains(decision *Decision, now time.Time) bool {
 	return len(q.entries) > 0 && now.Before(q.entries[decision.fingerprint()].until)
 }
 
-// evict makes room: what may be tried again goes, or, where nothing may, all.
+// evict makes room: entries whose pause is over go, or all, where there are none such.
 func (q *Quarantine) evict(now time.Time) {
 	for fingerprint, entry := range q.entries {
 		if !now.Before(entry.until) {
@@ -56,19 +59,20 @@
 	}
 }
 
-// fingerprint is what a decision is about: which tasks become what, which records are
-// written. Another machine, and times and counts in the records, do not make it
-// another one.
+// fingerprint identifies a decision by the states that its tasks take and the records that
+// it writes. Another machine, and times and counts in the records, do not make it another
+// one.
 func (d *Decision) fingerprint() uint64 {
-	hash := xxhash.New()
+	hash := xxhash.New() // whose Write returns no error
 	for _, change := range d.Changes {
-		fmt.Fprintln(hash, change.Task.ID, change.Next.State, change.Next.Attempt)
+		_, _ = fmt.Fprintln(hash, change.Task.ID, change.Next.State, change.Next.Attempt)
 	}
-	for _, entry := range d.BatchEntries {
-		fmt.Fprintln(hash, entry.Entry.JobID, entry.Entry.Index, entry.Entry.Task.State, entry.Entry.Task.Attempt)
+	for _, added := range d.BatchEntries {
+		task := added.Entry.Task
+		_, _ = fmt.Fprintln(hash, added.Entry.JobID, added.Entry.Index, task.State, task.Attempt)
 	}
 	for _, write := range d.Writes {
-		fmt.Fprintln(hash, write.Put, write.Remove)
+		_, _ = fmt.Fprintln(hash, write.Put, write.Remove)
 	}
 	return hash.Sum64()
 }
--- a/internal/decide/transaction.go
+++ b/internal/decide/transaction.go
@@ -1,6 +1,7 @@
 package decide
 
 import (
+	"encoding/json"
 	"maps"
 	"slices"
 
@@ -10,48 +11,91 @@
 	"github.com/harrierreel/harrierreel/internal/taskbatch"
 )
 
-// Transaction is a transaction with the decisions that it commits.
-type Transaction struct {
-	Decisions []Decision
-	Urgent    bool
-	Txn       store.Txn
+// Records is what is known of the state service's records. *store.Mirror is one.
+type Records interface {
+	// Revision is the last known revision of a key, 0 for one that is absent.
+	Revision(key string) uint64
+	// Get is the last known value of a key, nil for one that is absent.
+	Get(key string) json.RawMessage
+}
+
+// MachineOwner knows which machines belong to this controller's shard.
+type MachineOwner interface {
+	OwnsMachine(machine string) bool
+}
 
-	preconditions  map[string]bool // keys that it is conditional on, but for those of new packs
-	writes         []store.Write
-	edits          map[string]map[*clusterstate.Task]Change // slice to what becomes of its tasks
-	recordOrder    []string                                 // the slices, as they came
-	newBatches     map[string][]taskbatch.Entry             // part to the tasks of its new pack
-	splitBatches   map[string]bool                          // packs from which this controller's tasks go into a new one
-	estimatedBytes int                                      // bytes, as a guess
+// BatchKeys names new batch records.
+type BatchKeys interface {
+	// NewBatchKey is a key that was never used before, by any controller.
+	NewBatchKey() string
 }
 
-// TxnContext is what the transactions of a batch hang on besides its decisions.
+// TxnContext is what transactions depend on besides their decisions.
 type TxnContext struct {
 	Limits store.Limits
-	// Preconditions is the keys that every transaction is conditional on.
+	// Preconditions are the keys that every transaction is conditional on.
 	Preconditions []string
-	// Revision is the version of a key that is known.
-	Revision func(key string) uint64
-	// KnownEpoch is up to where all changes of the state service are known.
+	// KnownEpoch is the epoch of the state service up to which all changes are known.
 	KnownEpoch uint64
-	// OwnsMachine tells whether a machine belongs to this controller.
-	OwnsMachine func(machine string) bool
-	// NewBatchKey is the key of a pack that was never used.
-	NewBatchKey func() string
+	Records    Records
+	Machines   MachineOwner
+	BatchKeys  BatchKeys
 }
 
-// buildWrites makes what the batch writes: what is put stands before what is removed.
+// Transaction is a transaction of the state service with the decisions that it commits.
+type Transaction struct {
+	Decisions []Decision
+	// Urgent is set where one of the decisions is urgent.
+	Urgent bool
+	// Txn is what is sent. It is counted against the limits as it is: a change made to it
+	// afterwards would go out unchecked.
+	Txn store.Txn
+
+	// preconditions are the keys that it is conditional on, without those of new batch records.
+	preconditions map[string]bool
+	writes        []store.Write
+	// edits maps the key of a task record to what becomes of its tasks; recordOrder is its
+	// keys in the order in which they came.
+	edits       map[string]map[*clusterstate.Task]Change
+	recordOrder []string
+	// newBatches maps a controller to the entries of its new batch record.
+	newBatches map[string][]taskbatch.Entry
+	// splitBatches are the batch records from which this controller's tasks move to a new one.
+	splitBatches map[string]bool
+	// estimatedBytes is the size of the request as estimated before it is built.
+	estimatedBytes int
+}
+
+// newTransaction makes a transaction without decisions.
+func newTransaction(preconditions []string) *Transaction {
+	txn := &Transaction{
+		edits:         map[string]map[*clusterstate.Task]Change{},
+		preconditions: map[string]bool{},
+		newBatches:    map[string][]taskbatch.Entry{},
+		splitBatches:  map[string]bool{},
+	}
+	for _, key := range preconditions {
+		txn.preconditions[key] = true
+	}
+	return txn
+}
+
+// pendingKeys counts the records that are written under keys which are known only when
+// the transaction is built.
+func (t *Transaction) pendingKeys() int { return len(t.newBatches) + len(t.splitBatches) }
+
+// buildWrites makes the writes. What is put comes before what is removed.
 func (t *Transaction) buildWrites(context TxnContext) []store.Write {
-	out := slices.Clone(t.writes)
+	writes := slices.Clone(t.writes)
 	for _, key := range t.recordOrder {
 		if record := recordOf(t.edits[key]); !record.IsBatch() {
-			out = append(out, rangeWrite(record, t.edits[key], context.Limits.ValueBytes))
+			writes = append(writes, taskRangeWrite(record, t.edits[key], context.Limits.ValueBytes))
 		}
 	}
-	return append(out, t.batchWrites(context)...)
+	return append(writes, t.batchWrites(context)...)
 }
 
-// build makes the batch's transaction, whole as it is sent.
+// build makes Txn, whole as it is sent.
 func (t *Transaction) build(context TxnContext) {
 	txn := store.Txn{Writes: t.buildWrites(context)}
 	keys := maps.Clone(t.preconditions)
@@ -59,35 +103,44 @@
 		keys[WriteKey(write)] = true
 	}
 	for _, key := range clusterstate.SortedKeys(keys) {
-		txn.Preconditions = append(txn.Preconditions, store.Precondition{Key: key, Revision: context.Revision(key)})
+		txn.Preconditions = append(txn.Preconditions, store.Precondition{
+			Key:      key,
+			Revision: context.Records.Revision(key),
+		})
 	}
 	t.Txn = txn
 }
 
-// recordOf is the slice that some changed tasks are in.
+// recordOf is the task record that some changed tasks are in.
 func recordOf(edits map[*clusterstate.Task]Change) *clusterstate.TaskRecord {
-	for t := range edits {
-		return t.Stored
+	for task := range edits {
+		return task.Stored
 	}
 	return nil
 }
 
-// rangeWrite is the record of a slice with some of its tasks changed. A slice of a
-// job that is over, none of whose tasks may be on a machine, is removed. One of a job
-// whose record cannot be read is kept: it may be live, and its tries must not be used
-// again.
-func rangeWrite(record *clusterstate.TaskRecord, edits map[*clusterstate.Task]Change, valueLimit int) store.Write {
-	records := make([]jobs.Task, len(record.Tasks))
-	atRest := true
-	for i, t := range record.Tasks {
-		records[i] = t.Task
-		if change, ok := edits[t]; ok {
-			records[i] = change.Next
+// taskRangeWrite writes a task range with some of its tasks changed. The range of a job
+// that is over is removed once none of its tasks may be on a machine. That of a job whose
+// record cannot be read is kept: the job may be live, and its attempts' numbers must not
+// be used again.
+func taskRangeWrite(
+	record *clusterstate.TaskRecord,
+	edits map[*clusterstate.Task]Change,
+	valueLimit int,
+) store.Write {
+	tasks := make([]jobs.Task, len(record.Tasks))
+	onMachine := false
+	for i, task := range record.Tasks {
+		tasks[i] = task.Task
+		if change, ok := edits[task]; ok {
+			tasks[i] = change.Next
 		}
-		atRest = atRest && !records[i].OnMachine()
+		onMachine = onMachine || tasks[i].OnMachine()
 	}
-	if atRest && !record.Job.RecordUnreadable && (record.Job.Record == nil || record.Job.Record.State != jobs.Live) {
+	job := record.Job
+	over := !job.RecordUnreadable && (job.Record == nil || job.Record.State != jobs.Live)
+	if over && !onMachine {
 		return Remove(record.Key)
 	}
-	return store.Write{Put: record.Key, Value: jobs.EncodeTaskRange(records, valueLimit)}
+	return store.Write{Put: record.Key, Value: jobs.EncodeTaskRange(tasks, valueLimit)}
 }
