--- a/internal/decide/batch_records.go
+++ b/internal/decide/batch_records.go
@@ -35,6 +35,9 @@
 func (b *Batcher) ownsBatch(record *clusterstate.TaskRecord) bool {
 	owned, known := b.ownedBatches[record]
 	if !known {
+		if b.ownedBatches == nil {
+			b.ownedBatches = map[*clusterstate.TaskRecord]bool{}
+		}
 		owned = ownsAllTasks(record, b.Context.Machines)
 		b.ownedBatches[record] = owned
 	}
--- a/internal/decide/batch_records_test.go
+++ b/internal/decide/batch_records_test.go
@@ -403,3 +403,22 @@
 		}
 	}
 }
+
+// A refused transaction on a batch record is split by a batcher that has built nothing.
+func TestSplitOfBatchRecordsWithoutBuild(t *testing.T) {
+	state, context := batchRecords(t, map[string][]taskbatch.Entry{
+		"pack/1": {placedEntry(0, "i-1"), placedEntry(1, "i-1")},
+		"pack/2": {placedEntry(2, "i-1"), placedEntry(3, "i-1")},
+	})
+	tasks := state.Jobs["wk-0"].Tasks
+	refused := buildIn(context, complete(tasks[0]), complete(tasks[2]))
+	if len(refused) != 1 {
+		t.Fatalf("%d transactions", len(refused))
+	}
+	batcher := testBatcher(16, 100)
+	batcher.Context = context
+	halves := batcher.Split(refused[0])
+	if len(halves) != 2 || halves[0].Txn.Writes[0].Put != "pack/1" || halves[1].Txn.Writes[0].Put != "pack/2" {
+		t.Errorf("%+v", halves)
+	}
+}
--- a/internal/decide/batcher.go
+++ b/internal/decide/batcher.go
@@ -81,7 +81,6 @@
 func (b *Batcher) Build(decisions []Decision) []*Transaction {
 	b.writerOf = map[string]*Transaction{}
 	b.changed = map[*clusterstate.Task]bool{}
-	b.ownedBatches = map[*clusterstate.TaskRecord]bool{}
 	for i := range decisions {
 		if keys := decisions[i].Keys(); len(keys) > 0 || len(decisions[i].BatchEntries) > 0 {
 			b.addDecision(&decisions[i], keys)
