--- a/internal/commit/commit.go
+++ b/internal/commit/commit.go
@@ -1,11 +1,10 @@
-// Package commit is the slice that has the state service hold what was decided: it
-// packs decisions into transactions, sends them, settles what was refused, conflicted
-// or left unanswered (settlement.go), and keeps the fence (fence.go). Transactions come
-// out; it has no IO and no clock.
+// Package commit writes decisions to the state service: it batches them into transactions,
+// sends them, settles what was refused, conflicted or left unanswered (settlement.go), and
+// keeps the fence (fence.go). Requests go out by the store client that it is given; it has
+// no IO and no clock of its own.
 package commit
 
 import (
-	"errors"
 	"fmt"
 	"log/slog"
 	"slices"
@@ -19,160 +18,171 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Env is what it is told from outside: settings, and what others know.
-type Env struct {
-	Name        string         // this controller
-	StoreLimits settings.State // limits of a transaction
-	ValueBytes  int            // bytes of a record
-	Log         *slog.Logger
-	Client      *store.Client
-	Mirror      *store.Mirror
-
-	// HasView tells whether any view is known, Epoch is that of this node's role.
-	HasView func() bool
-	Epoch   func() uint64
-	// OwnsMachine tells whether a machine belongs to this controller.
-	OwnsMachine func(machine string) bool
-	// Preconditions is the keys that every decision is conditional on besides the view and the
-	// fence: the tree of quotas and the calendar, where these are on.
-	Preconditions func() []string
-	// ApplyCalendar drops what the calendar forbids, and makes the others conditional on its
-	// allowing them.
-	ApplyCalendar func([]decide.Decision) []decide.Decision
-	// Touch has a task's machine reviewed.
-	Touch func(*clusterstate.Task)
-	// Wake has the loop look again, Follow has the watch opened at once.
-	Wake, WatchNow func()
+// Membership is this controller's place in the view.
+type Membership interface {
+	// HasView tells whether any view is known.
+	HasView() bool
+	// Epoch is the view's epoch in which this controller has its role.
+	Epoch() uint64
+	// OwnsMachine tells whether a machine belongs to this controller's shard.
+	OwnsMachine(machine string) bool
 }
 
-// Committer is what is under way to the state service.
+// Guard restricts what may be decided.
+type Guard interface {
+	// Preconditions are the keys that every decision is conditional on besides the view and
+	// the fence: the quota tree and the calendar, where these are on.
+	Preconditions() []string
+	// ApplyCalendar drops the decisions that the calendar forbids, and makes the others
+	// conditional on its allowing them.
+	ApplyCalendar(decisions []decide.Decision) []decide.Decision
+}
+
+// Loop is the controller's event loop.
+type Loop interface {
+	// ReviewMachineOf has the machine of a task reviewed.
+	ReviewMachineOf(task *clusterstate.Task)
+	// Wake has the loop look for decisions to make.
+	Wake()
+	// WatchNow opens the watch of the state service at once.
+	WatchNow()
+}
+
+// Config is what a Committer is made of.
+type Config struct {
+	// Name is this controller's.
+	Name string
+	// StoreLimits are the limits of a transaction.
+	StoreLimits settings.State
+	// ValueBytes is the limit of a record's value.
+	ValueBytes int
+	Log        *slog.Logger
+	Client     *store.Client
+	Mirror     *store.Mirror
+	Membership Membership
+	Guard      Guard
+	Loop       Loop
+}
+
+// Committer writes decisions to the state service. A record is under at most one
+// transaction of a Committer at a time. Only the controller's event loop may call it.
 type Committer struct {
-	*clusterstate.State
-	Env
-
-	fence            fence
-	inFlight         map[string]bool   // keys under an unfinished transaction
-	batchesBegun     uint64            // begun by this process
-	awaitingWatch    []awaitingEpoch   // conflicted, to be settled when the watch has come so far
-	completionWrites int               // writes of jobs' ends under way
-	quarantine       decide.Quarantine // decisions that can't be committed
+	state  *clusterstate.State
+	config Config
+	client *store.Client
+	mirror *store.Mirror
+	log    *slog.Logger
+
+	fence fence
+	// inFlight are the keys under a transaction that is not settled.
+	inFlight map[string]bool
+	// batchRecords counts the batch records that this process has named.
+	batchRecords uint64
+	// awaitingWatch are the conflicts that the watch settles.
+	awaitingWatch []awaitingEpoch
+	// completionWrites counts the writes of completed jobs in flight.
+	completionWrites int
+	quarantine       decide.Quarantine
 }
 
-// New makes a committer over a book.
-func New(b *clusterstate.State, env Env) *Committer {
-	return &Committer{State: b, Env: env, inFlight: map[string]bool{}, fence: fence{key: FencePrefix + env.Name}}
+// New makes a committer over a state.
+func New(state *clusterstate.State, config Config) *Committer {
+	return &Committer{
+		state:    state,
+		config:   config,
+		client:   config.Client,
+		mirror:   config.Mirror,
+		log:      config.Log,
+		fence:    fence{key: FencePrefix + config.Name},
+		inFlight: map[string]bool{},
+	}
 }
 
 // Busy tells whether a record is under a transaction.
 func (c *Committer) Busy(key string) bool { return c.inFlight[key] }
 
-// Quarantined counts the decisions set aside so far, which a correct program never makes.
+// Quarantined counts the decisions quarantined so far. A correct program never makes one.
 func (c *Committer) Quarantined() int { return c.quarantine.Total }
 
-// Commit packs decisions into transactions within the state service's limits.
-// Those that touch a record under a transaction are left for a later pass, and
-// so are those, but for urgent ones, that the budget does not allow at once.
-func (c *Committer) Commit(ds []decide.Decision) {
-	if c.Client.Unavailable() || !c.HasView() || c.Fencing() {
-		for i := range ds {
-			ds[i].Drop()
+// Commit sends decisions in transactions within the state service's limits. Decisions that
+// touch a record in flight are dropped, to be made again in a later cycle, and so are those,
+// but for urgent ones, that the budget does not allow at once. All are dropped while the
+// state service is unavailable, before a view is known and while the fence is being raised.
+func (c *Committer) Commit(decisions []decide.Decision) {
+	if c.client.Unavailable() || !c.config.Membership.HasView() || c.Fencing() {
+		for i := range decisions {
+			decisions[i].Drop()
 		}
 		return
 	}
-	ds = slices.DeleteFunc(c.ApplyCalendar(ds), func(d decide.Decision) bool {
-		held := c.quarantine.Contains(&d, c.Now)
-		if held {
-			d.Drop()
-		}
-		return held
-	})
-	p := c.newBatcher()
-	batches := p.Build(ds)
-	c.completionWrites = p.CompletionWrites
-	for _, b := range batches {
-		c.send(b)
+	decisions = slices.DeleteFunc(c.config.Guard.ApplyCalendar(decisions), c.dropQuarantined)
+	batcher := c.newBatcher()
+	transactions := batcher.Build(decisions)
+	c.completionWrites = batcher.CompletionWrites
+	for _, txn := range transactions {
+		c.send(txn)
 	}
 }
 
+// dropQuarantined drops a decision that is in quarantine, and tells whether it was.
+func (c *Committer) dropQuarantined(decision decide.Decision) bool {
+	if !c.quarantine.Contains(&decision, c.state.Now) {
+		return false
+	}
+	decision.Drop()
+	return true
+}
+
 // newBatcher makes a batcher of what is known now.
 func (c *Committer) newBatcher() *decide.Batcher {
+	preconditions := []string{members.ViewKey, c.fence.key}
 	return &decide.Batcher{
 		Context: decide.TxnContext{
 			Limits: store.Limits{
-				Ops:           c.StoreLimits.TxnOps,
-				Preconditions: c.StoreLimits.TxnOps * tuning.PreconditionsPerOp,
+				Ops:           c.config.StoreLimits.TxnOps,
+				Preconditions: c.config.StoreLimits.TxnOps * tuning.PreconditionsPerOp,
 				BodyBytes:     tuning.MaxRequestBody,
-				ValueBytes:    c.ValueBytes,
+				ValueBytes:    c.config.ValueBytes,
 			},
-			Preconditions: append([]string{members.ViewKey, c.fence.key}, c.Preconditions()...),
-			KnownEpoch:    c.Mirror.Epoch,
-			Records:       c.Mirror,
-			Machines:      c,
+			Preconditions: append(preconditions, c.config.Guard.Preconditions()...),
+			KnownEpoch:    c.mirror.Epoch,
+			Records:       c.mirror,
+			Machines:      c.config.Membership,
 			BatchKeys:     c,
 		},
 		CompletionWrites: c.completionWrites,
 		InFlight:         c,
-		Budget:           c.Client,
+		Budget:           c.client,
 		Quarantine:       c,
 	}
 }
 
-// OwnsMachine tells whether a machine belongs to this controller.
-func (c *Committer) OwnsMachine(machine string) bool { return c.Env.OwnsMachine(machine) }
-
 // QuarantineDecision keeps a decision that cannot be committed from being made again at
-// once, and logs it the first time. It is for the Batcher.
+// once, and logs it the first time. The Batcher calls it.
 func (c *Committer) QuarantineDecision(decision *decide.Decision, reason error) {
-	if c.quarantine.Add(decision, c.Now) {
-		c.Log.Error("decision quarantined", "reason", reason, "decision", decision.String())
+	if c.quarantine.Add(decision, c.state.Now) {
+		c.log.Error("decision quarantined", "reason", reason, "decision", decision.String())
 	}
 }
 
 // NewBatchKey is the key of a new batch record: every incarnation of a controller has its
-// own epoch, so none is ever used twice. It is for the Batcher.
+// own epoch, so none is ever used twice. The Batcher calls it.
 func (c *Committer) NewBatchKey() string {
-	c.batchesBegun++
-	return fmt.Sprintf("%s%d-%s-%d", taskbatch.KeyPrefix, c.Epoch(), c.Name, c.batchesBegun)
+	c.batchRecords++
+	return fmt.Sprintf("%s%d-%s-%d",
+		taskbatch.KeyPrefix, c.config.Membership.Epoch(), c.config.Name, c.batchRecords)
 }
 
-func (c *Committer) send(b *decide.Transaction) {
-	t := b.Txn
-	for _, w := range t.Writes {
-		c.inFlight[decide.WriteKey(w)] = true
+// send sends a transaction. Its records are in flight until it is settled.
+func (c *Committer) send(txn *decide.Transaction) {
+	for _, write := range txn.Txn.Writes {
+		c.inFlight[decide.WriteKey(write)] = true
 	}
-	p := store.PriorityDecision
-	if b.Urgent {
-		p = store.PriorityUrgent
+	priority := store.PriorityDecision
+	if txn.Urgent {
+		priority = store.PriorityUrgent
 	}
-	c.Client.Commit(p, t, func(epoch uint64, failed []string, err error) {
-		ok := err == nil
-		if ok {
-			c.Mirror.ApplyCommit(t.Writes, epoch)
-		}
-		if errors.Is(err, store.ErrConflict) {
-			c.Log.Debug("conflict", "keys", fmt.Sprint(failed))
-			// The mirror is behind: what it lacks is already in the store.
-			if hasBatchKey(failed) || hasBatchKey(writeKeys(t.Writes)) {
-				c.settleAtEpoch(epoch, t.Writes, b.Decisions)
-				return
-			}
-			c.settleByReading(failed, t.Writes, b.Decisions)
-			return
-		}
-		if errors.Is(err, store.ErrNoAnswer) {
-			// The transaction may have been executed, or may be yet. Nothing is
-			// decided before it is known which: the fence makes it impossible
-			// from now on, and the watch shows whether it was in time. Without
-			// the fence a late release would go beyond a team's limit.
-			c.fence.needed = true
-			c.Log.Info("transaction without answer", "writes", len(t.Writes), "error", err)
-			c.settleByReading(nil, t.Writes, b.Decisions)
-			return
-		}
-		if errors.Is(err, store.ErrRefused) {
-			c.splitRefused(b)
-			return
-		}
-		c.finish(t.Writes, b.Decisions, ok)
+	c.client.Commit(priority, txn.Txn, func(epoch uint64, failed []string, err error) {
+		c.settle(txn, epoch, failed, err)
 	})
 }
--- a/internal/commit/fence.go
+++ b/internal/commit/fence.go
@@ -10,40 +10,43 @@
 // FencePrefix begins the keys of all controllers' fences in the state service.
 const FencePrefix = "fence/"
 
-// fence is a key of this node that every decision of its is conditional on.
-// Changing it makes every transaction still under way fail.
+// fence is a key of this controller that each of its decisions is conditional on. Changing
+// it makes every transaction still in flight fail.
 type fence struct {
-	key     string
-	needed  bool
-	running bool
-	until   uint64 // the watch must get here before anything is decided
+	key string
+	// needed: a transaction had no answer, and the fence is not raised since.
+	needed bool
+	// raising: a request that raises it is in flight.
+	raising bool
+	// epoch is where the watch must come to before anything is decided.
+	epoch uint64
 }
 
-// Fencing tells whether decisions must wait, and raises the fence if needed.
+// Fencing tells whether decisions must wait for the fence, and raises it if needed.
 func (c *Committer) Fencing() bool {
+	if c.fence.needed && !c.fence.raising && !c.client.Unavailable() {
+		c.raiseFence()
+	}
+	return c.fence.needed || c.mirror.Epoch < c.fence.epoch
+}
+
+func (c *Committer) raiseFence() {
 	f := &c.fence
-	if f.needed && !f.running && !c.Client.Unavailable() {
-		f.running = true
-		t := store.Txn{
-			Preconditions: []store.Precondition{{Key: f.key, Revision: c.Mirror.Revision(f.key)}},
-			Writes:        []store.Write{decide.Put(f.key, c.NowMs())},
-		}
-		c.Client.Commit(store.PriorityMembership, t, func(epoch uint64, _ []string, err error) {
-			f.running = false
-			c.Wake()
-			switch {
-			case err == nil:
-				c.Mirror.ApplyCommit(t.Writes, epoch)
-				f.needed, f.until = false, epoch
-			case errors.Is(err, store.ErrConflict):
-				// An earlier try came through unanswered: the watch shows it.
-				c.Client.Get(store.PriorityMembership, f.key, nil, func(it *store.Item, err error) {
-					if err == nil && it != nil {
-						c.Mirror.Put(it.Key, it.Value, it.Revision)
-					}
-				})
-			}
-		})
+	f.raising = true
+	txn := store.Txn{
+		Preconditions: []store.Precondition{{Key: f.key, Revision: c.mirror.Revision(f.key)}},
+		Writes:        []store.Write{decide.Put(f.key, c.state.NowMs())},
 	}
-	return f.needed || c.Mirror.Epoch < f.until
+	c.client.Commit(store.PriorityMembership, txn, func(epoch uint64, _ []string, err error) {
+		f.raising = false
+		c.config.Loop.Wake()
+		switch {
+		case err == nil:
+			c.mirror.ApplyCommit(txn.Writes, epoch)
+			f.needed, f.epoch = false, epoch
+		case errors.Is(err, store.ErrConflict):
+			// An earlier attempt took effect without an answer: the record shows it.
+			c.client.Get(store.PriorityMembership, f.key, nil, c.mirrorItem)
+		}
+	})
 }
--- a/internal/commit/golden_test.go
+++ b/internal/commit/golden_test.go
@@ -8,10 +8,10 @@
 
 // TestGoldenFence holds the transaction that raises the fence, whose value is a time of day.
 func TestGoldenFence(t *testing.T) {
-	c, out := committer()
+	c, requests := newTestCommitter()
 	c.fence.needed = true
-	if !c.Fencing() || len(*out) != 1 {
-		t.Fatalf("sent %+v", *out)
+	if !c.Fencing() || len(*requests) != 1 {
+		t.Fatalf("sent %+v", *requests)
 	}
-	goldentest.Bytes(t, "fence.json", []byte((*out)[0].body))
+	goldentest.Bytes(t, "fence.json", []byte((*requests)[0].body))
 }
--- a/internal/controller/wiring_commit.go
+++ b/internal/controller/wiring_commit.go
@@ -1,28 +1,54 @@
 package controller
 
 import (
+	"github.com/harrierreel/harrierreel/internal/clusterstate"
 	"github.com/harrierreel/harrierreel/internal/commit"
 	"github.com/harrierreel/harrierreel/internal/decide"
 )
 
 // newCommitter makes what sends decisions to the store as transactions.
 func (n *Controller) newCommitter() *commit.Committer {
-	return commit.New(n.State, commit.Env{
+	collaborators := committerCollaborators{controller: n}
+	return commit.New(n.State, commit.Config{
 		Name:        n.settings.NodeName,
 		StoreLimits: n.settings.Cluster.State,
 		ValueBytes:  n.valueBytes(),
 		Log:         n.log,
 		Client:      n.client,
 		Mirror:      n.mirror,
-		HasView:     func() bool { return n.view != nil },
-		Epoch:       n.viewEpoch,
-		OwnsMachine: n.ownsMachine,
-		Preconditions: func() []string {
-			return append(n.api.Preconditions(), n.calendar.Keys()...)
-		},
-		ApplyCalendar: func(decisions []decide.Decision) []decide.Decision { return n.calendar.Guard(decisions) },
-		Touch:         n.reviewMachineOf,
-		Wake:          n.wake,
-		WatchNow:      n.watchNow,
+		Membership:  collaborators,
+		Guard:       collaborators,
+		Loop:        collaborators,
 	})
 }
+
+// committerCollaborators is the controller as the committer sees it: its Membership, Guard
+// and Loop. The calendar and the API are made after the committer, so they are looked up at
+// each call.
+type committerCollaborators struct {
+	controller *Controller
+}
+
+func (c committerCollaborators) HasView() bool { return c.controller.view != nil }
+
+func (c committerCollaborators) Epoch() uint64 { return c.controller.viewEpoch() }
+
+func (c committerCollaborators) OwnsMachine(machine string) bool {
+	return c.controller.ownsMachine(machine)
+}
+
+func (c committerCollaborators) Preconditions() []string {
+	return append(c.controller.api.Preconditions(), c.controller.calendar.Keys()...)
+}
+
+func (c committerCollaborators) ApplyCalendar(decisions []decide.Decision) []decide.Decision {
+	return c.controller.calendar.Guard(decisions)
+}
+
+func (c committerCollaborators) ReviewMachineOf(task *clusterstate.Task) {
+	c.controller.reviewMachineOf(task)
+}
+
+func (c committerCollaborators) Wake() { c.controller.wake() }
+
+func (c committerCollaborators) WatchNow() { c.controller.watchNow() }
