--- a/internal/completion/completion.go
+++ b/internal/completion/completion.go
@@ -1,5 +1,5 @@
-// Package completion is the records of a job that ends: final states that are kept for
-// ever, and live ones that are cleared.
+// Package completion makes the writes for the records of a job that ends: the final state,
+// which is kept for ever, and the live records, which are cleared. It has no IO and no clock.
 package completion
 
 import (
@@ -13,110 +13,154 @@
 	"github.com/harrierreel/harrierreel/internal/store"
 )
 
-// FinalWrites is the records of a job that ends, its live one among them: its tasks
-// are yet to act on it.
-func FinalWrites(j *clusterstate.Job, state jobs.JobState, nowMs int64) []store.Write {
-	rec := *j.Record
-	rec.State, rec.EndMs, rec.DoneCount = state, nowMs, j.DoneCount
+// FinalWrites are the records of a job that ends in a state at a time (Unix, milliseconds).
+// Its live record is among them and not removed, since its tasks are yet to act on it.
+func FinalWrites(job *clusterstate.Job, state jobs.JobState, nowMs int64) []store.Write {
+	record := *job.Record
+	record.State, record.EndMs, record.DoneCount = state, nowMs, job.DoneCount
 	if state == jobs.Done {
-		rec.DoneCount = rec.Spec.TaskCount // of a gang, one done means all are
+		record.DoneCount = record.Spec.TaskCount // of a gang, one done means all are
+	}
+	return []store.Write{
+		decide.Put(jobs.JobPrefix+job.ID, record),
+		decide.Put(jobs.FinalPrefix+job.ID, jobs.Final{State: state, DoneCount: record.DoneCount}),
 	}
-	return []store.Write{decide.Put(jobs.JobPrefix+j.ID, rec), decide.Put(jobs.FinalPrefix+j.ID, jobs.Final{State: state, DoneCount: rec.DoneCount})}
 }
 
-// InOneTransaction is the urgent decision that writes a job's final state and removes
-// its live records in one, when none of its tasks may be on a machine any more and
-// one transaction holds it all.
-func InOneTransaction(j *clusterstate.Job, state jobs.JobState, txnOps int, busy func(string) bool) (decide.Decision, bool) {
-	if len(j.Active) > 0 || len(j.Ranges)+2 > txnOps {
+// jobRecords counts the records that a job's end writes besides its task ranges: the final
+// and the live one.
+const jobRecords = 2
+
+// InOneTransaction is the urgent decision that writes a job's final state and removes its
+// live records. It is ok only where none of the job's tasks may be on a machine any more,
+// one transaction of txnOps writes holds it all, and none of the records is in flight.
+func InOneTransaction(
+	job *clusterstate.Job,
+	state jobs.JobState,
+	txnOps int,
+	busy func(key string) bool,
+) (decision decide.Decision, ok bool) {
+	if len(job.Active) > 0 || len(job.Ranges)+jobRecords > txnOps {
 		return decide.Decision{}, false
 	}
-	for _, sl := range j.Ranges {
-		if busy(sl.Key) {
+	for _, record := range job.Ranges {
+		if busy(record.Key) {
 			return decide.Decision{}, false
 		}
 	}
-	return final(j, state), true
+	return finalDecision(job, state), true
 }
 
-// final is the decision that writes a job's final state in place of its
-// live records. Urgent: users wait for it, the records do not change any more,
-// and as a large decision it would never find the budget that small ones leave.
-func final(j *clusterstate.Job, state jobs.JobState) decide.Decision {
-	d := decide.Decision{Urgent: true, Writes: []store.Write{
-		decide.Put(jobs.FinalPrefix+j.ID, jobs.Final{State: state, DoneCount: j.Record.Spec.TaskCount}),
-		decide.Remove(jobs.JobPrefix + j.ID),
-	}}
-	for _, from := range slices.Sorted(maps.Keys(j.Ranges)) {
-		d.Writes = append(d.Writes, decide.Remove(j.Ranges[from].Key))
+// finalDecision writes a job's final state in place of its live records. It is urgent: users
+// wait for it, the records do not change any more, and as a large decision it would never
+// find the budget that small ones leave.
+func finalDecision(job *clusterstate.Job, state jobs.JobState) decide.Decision {
+	final := jobs.Final{State: state, DoneCount: job.Record.Spec.TaskCount}
+	decision := decide.Decision{
+		Urgent:       true,
+		CompletesJob: true,
+		Writes: []store.Write{
+			decide.Put(jobs.FinalPrefix+job.ID, final),
+			decide.Remove(jobs.JobPrefix + job.ID),
+		},
 	}
-	d.CompletesJob = true
-	return d
+	for _, first := range slices.Sorted(maps.Keys(job.Ranges)) {
+		decision.Writes = append(decision.Writes, decide.Remove(job.Ranges[first].Key))
+	}
+	return decision
 }
 
-// ClearRecords removes the records of a closed job: those of slices without a task on
-// a machine, and the job's own once no slice is left. What packs still say of its
-// tasks is left out when they are next written.
-func ClearRecords(j *clusterstate.Job, txnOps int, busy func(string) bool) []decide.Decision {
-	if len(j.Ranges) == 0 {
-		for _, t := range j.Active {
-			if t.OnMachine() || t.State == clusterstate.Unreadable {
+// ClearRecords removes the records of a closed job, at most txnOps of them: task ranges
+// without a task on a machine, and the job's own once no range is left. What batch records
+// still say of its tasks is left out when they are next written.
+func ClearRecords(job *clusterstate.Job, txnOps int, busy func(key string) bool) []decide.Decision {
+	if len(job.Ranges) == 0 {
+		for _, task := range job.Active {
+			if mayBeOnMachine(task) {
 				return nil
 			}
 		}
-		return []decide.Decision{{Writes: []store.Write{decide.Remove(jobs.JobPrefix + j.ID)}}}
+		return []decide.Decision{removal(jobs.JobPrefix + job.ID)}
 	}
-	var ds []decide.Decision
-	for _, from := range slices.Sorted(maps.Keys(j.Ranges)) {
-		sl := j.Ranges[from]
-		rest := true
-		for _, t := range sl.Tasks {
-			rest = rest && !t.OnMachine() && t.State != clusterstate.Unreadable
-		}
-		if rest && !busy(sl.Key) && len(ds) < txnOps {
-			ds = append(ds, decide.Decision{Writes: []store.Write{decide.Remove(sl.Key)}})
+	var decisions []decide.Decision
+	for _, first := range slices.Sorted(maps.Keys(job.Ranges)) {
+		record := job.Ranges[first]
+		inUse := slices.ContainsFunc(record.Tasks, mayBeOnMachine)
+		if !inUse && !busy(record.Key) && len(decisions) < txnOps {
+			decisions = append(decisions, removal(record.Key))
 		}
 	}
-	return ds
+	return decisions
 }
 
-// WithLastTask is the decision that ends a sweep with its last task, when one slice
-// holds all of the job, or packs do. For a job of one task that is four changes
-// instead of five, and the leader's turn is not waited for.
-func WithLastTask(t *clusterstate.Task) (decide.Decision, bool) {
-	j, sl := t.Job, t.Stored
-	whole := len(j.Ranges) == 1 && len(sl.Tasks) == j.Record.Spec.TaskCount || len(j.Ranges) == 0 && sl.IsBatch()
-	if j.Record.Spec.Kind != jobs.JobArray || !whole || j.DoneCount != j.Record.Spec.TaskCount-1 {
+// mayBeOnMachine tells whether a task is on a machine, or may be for all that is known.
+func mayBeOnMachine(task *clusterstate.Task) bool {
+	return task.OnMachine() || task.State == clusterstate.Unreadable
+}
+
+// removal is the decision to remove one record.
+func removal(key string) decide.Decision {
+	return decide.Decision{Writes: []store.Write{decide.Remove(key)}}
+}
+
+// WithLastTask is the decision that ends a job array with its last task. It is ok only where
+// one task range holds all of the job, or batch records do. For a job of one task that is
+// four writes instead of five, and the leader's next cycle is not waited for.
+func WithLastTask(task *clusterstate.Task) (decision decide.Decision, ok bool) {
+	job := task.Job
+	if job.Record.Spec.Kind != jobs.JobArray || !inOneRecord(task) || job.DoneCount != job.Record.Spec.TaskCount-1 {
 		return decide.Decision{}, false
 	}
-	if _, ok := jobs.NextTask(t.Task, jobs.TaskEvent{Kind: jobs.Complete}); !ok {
+	if _, ok := jobs.NextTask(task.Task, jobs.TaskEvent{Kind: jobs.Complete}); !ok {
 		return decide.Decision{}, false
 	}
-	state, ok := jobs.NextJob(j.Record.State, jobs.TasksAllDone)
+	state, ok := jobs.NextJob(job.Record.State, jobs.TasksAllDone)
 	if !ok {
 		return decide.Decision{}, false
 	}
-	d := final(j, state)
-	if sl.IsBatch() {
-		// The pack is not written for it: its record of the task outlives the job's
-		// by a moment and goes with the next ends. That nobody has given the task
-		// up and started it elsewhere hangs on its machine's record, which changes
+	decision = finalDecision(job, state)
+	if task.Stored.IsBatch() {
+		// The batch record is not written for it: its entry of the task outlives the job's
+		// record by a moment and goes with the next ends. That nobody has given the task
+		// up and started it elsewhere is ensured by its machine's record, which changes
 		// before that.
-		d.ReadSet = append(d.ReadSet, fleet.MachinePrefix+t.Machine)
+		decision.ReadSet = append(decision.ReadSet, fleet.MachinePrefix+task.Machine)
+	}
+	return decision, true
+}
+
+// inOneRecord tells whether a task's range holds all tasks of its job, or batch records do.
+func inOneRecord(task *clusterstate.Task) bool {
+	switch len(task.Job.Ranges) {
+	case 0:
+		return task.Stored.IsBatch()
+	case 1:
+		return len(task.Stored.Tasks) == task.Job.Record.Spec.TaskCount
+	default:
+		return false
 	}
-	return d, true
 }
 
-// ClearBatches removes packs that hold only what is left of jobs that are over, as known
-// up to an epoch.
-func ClearBatches(b *clusterstate.State, known uint64, txnOps int, busy func(string) bool) []decide.Decision {
-	var ds []decide.Decision
-	for _, key := range clusterstate.SortedKeys(b.Batches) {
-		sl := b.Batches[key]
-		inUse := func(t *clusterstate.Task) bool { return sl.Holds(t) && !t.Obsolete(known) }
-		if len(ds) < txnOps && !busy(key) && len(sl.Tasks) > 0 && !slices.ContainsFunc(sl.Tasks, inUse) && sl.Revision <= known {
-			ds = append(ds, decide.Decision{Writes: []store.Write{decide.Remove(key)}})
+// ClearBatches removes batch records, at most txnOps of them, that hold only what is left of
+// jobs that are over, as known up to an epoch of the state service.
+func ClearBatches(
+	state *clusterstate.State,
+	knownEpoch uint64,
+	txnOps int,
+	busy func(key string) bool,
+) []decide.Decision {
+	var decisions []decide.Decision
+	for _, key := range clusterstate.SortedKeys(state.Batches) {
+		if len(decisions) < txnOps && !busy(key) && isObsoleteBatch(state.Batches[key], knownEpoch) {
+			decisions = append(decisions, removal(key))
 		}
 	}
-	return ds
+	return decisions
+}
+
+// isObsoleteBatch tells whether a batch record holds only what is left of jobs that are over.
+// One that lists no tasks is not known to be such, nor is one that is newer than the epoch.
+func isObsoleteBatch(record *clusterstate.TaskRecord, knownEpoch uint64) bool {
+	inUse := func(task *clusterstate.Task) bool { return record.Holds(task) && !task.Obsolete(knownEpoch) }
+	return len(record.Tasks) > 0 && record.Revision <= knownEpoch && !slices.ContainsFunc(record.Tasks, inUse)
 }
