--- /dev/null
+++ b/internal/decide/batch_records.go
@@ -0,0 +1,196 @@
+package decide
+
+import (
+	"cmp"
+	"encoding/json"
+	"slices"
+
+	"github.com/harrierreel/harrierreel/internal/clusterstate"
+	"github.com/harrierreel/harrierreel/internal/jobs"
+	"github.com/harrierreel/harrierreel/internal/store"
+	"github.com/harrierreel/harrierreel/internal/taskbatch"
+	"github.com/harrierreel/harrierreel/internal/tuning"
+)
+
+// touchesSharedBatch tells whether a decision writes a batch record with tasks on other
+// controllers' machines. Their owners write it all the time, so the transaction may well
+// conflict, and nothing else should fail with it.
+func (b *Batcher) touchesSharedBatch(decision *Decision) bool {
+	for _, change := range decision.Changes {
+		if change.Task.Stored.IsBatch() && !b.ownsBatch(change.Task.Stored) {
+			return true
+		}
+	}
+	return false
+}
+
+// splitsBatch tells whether writing a task moves this controller's tasks out of a batch
+// record that other controllers write too.
+func (b *Batcher) splitsBatch(task *clusterstate.Task) bool {
+	return task.OnMachine() && task.Stored.IsBatch() &&
+		!b.ownsBatch(task.Stored) && b.Context.Machines.OwnsMachine(task.Machine)
+}
+
+// ownsBatch tells whether no task of a batch record is on another controller's machine.
+func (b *Batcher) ownsBatch(record *clusterstate.TaskRecord) bool {
+	owned, known := b.ownedBatches[record]
+	if !known {
+		if b.ownedBatches == nil {
+			b.ownedBatches = map[*clusterstate.TaskRecord]bool{}
+		}
+		owned = ownsAllTasks(record, b.Context.Machines)
+		b.ownedBatches[record] = owned
+	}
+	return owned
+}
+
+func ownsAllTasks(record *clusterstate.TaskRecord, machines MachineOwner) bool {
+	for _, task := range record.Tasks {
+		if task.OnMachine() && record.Holds(task) && !machines.OwnsMachine(task.Machine) {
+			return false
+		}
+	}
+	return true
+}
+
+// pendingBatch is a batch record as it is to be written.
+type pendingBatch struct {
+	key     string // empty for a new one
+	entries []taskbatch.Entry
+	owned   bool            // by this controller alone
+	value   json.RawMessage // encoded, where it was merged
+}
+
+// batchWrites are the writes of the batch records that the transaction changes and of
+// those that it creates, in the order new, changed, removed.
+func (t *Transaction) batchWrites(context TxnContext) []store.Write {
+	var created, updated, removed []store.Write
+	for _, batch := range t.pendingBatches(context) {
+		if len(batch.entries) == 0 {
+			if batch.key != "" {
+				removed = append(removed, Remove(batch.key))
+			}
+			continue
+		}
+		values := []json.RawMessage{batch.value}
+		if batch.value == nil {
+			values = taskbatch.Split(batch.entries, context.Limits.ValueBytes)
+		}
+		if batch.key != "" && len(values) > 0 {
+			updated = append(updated, store.Write{Put: batch.key, Value: values[0]})
+			values = values[1:]
+		}
+		for _, value := range values {
+			created = append(created, store.Write{Put: context.BatchKeys.NewBatchKey(), Value: value})
+		}
+	}
+	return slices.Concat(created, updated, removed)
+}
+
+// pendingBatches are the batch records that the transaction changes and those that it
+// creates. Those of this controller alone are merged where they fit together: it is one
+// put and one removal instead of two puts, and from then on one change instead of two.
+func (t *Transaction) pendingBatches(context TxnContext) []pendingBatch {
+	var batches []pendingBatch
+	for _, key := range t.recordOrder {
+		record := recordOf(t.edits[key])
+		if !record.IsBatch() {
+			continue
+		}
+		entries := remainingEntries(record, t.edits[key], context.KnownEpoch)
+		if ownsAllTasks(record, context.Machines) {
+			batches = append(batches, pendingBatch{key: key, entries: entries, owned: true})
+			continue
+		}
+		own, others := splitOwned(record, t.edits[key], entries, context.Machines)
+		batches = append(batches, pendingBatch{key: key, entries: others}, pendingBatch{entries: own, owned: true})
+	}
+	mergeSmall(batches, context.Limits.ValueBytes)
+	for _, controller := range clusterstate.SortedKeys(t.newBatches) {
+		batches = append(batches, pendingBatch{entries: t.newBatches[controller]})
+	}
+	return batches
+}
+
+// remainingEntries are a batch record's entries with some of its tasks changed, without
+// those that leave it and those of jobs that are over, as known up to an epoch.
+func remainingEntries(
+	record *clusterstate.TaskRecord,
+	edits map[*clusterstate.Task]Change,
+	knownEpoch uint64,
+) []taskbatch.Entry {
+	var entries []taskbatch.Entry
+	for _, task := range record.Tasks {
+		next := task.Task
+		change, edited := edits[task]
+		if edited {
+			next = change.Next
+		}
+		if record.Holds(task) && !change.LeavesBatch && !task.ObsoleteAs(&next, knownEpoch) {
+			entries = append(entries, taskbatch.Entry{JobID: task.Job.ID, Index: task.Index, Task: next})
+		}
+	}
+	return entries
+}
+
+// splitOwned takes the tasks on this controller's machines out of a batch record that
+// other controllers write as well, when it writes one of them: after a change of view every
+// batch record has tasks of all owners, and while they write the same records most of
+// their transactions conflict.
+func splitOwned(
+	record *clusterstate.TaskRecord,
+	edits map[*clusterstate.Task]Change,
+	entries []taskbatch.Entry,
+	machines MachineOwner,
+) (own, others []taskbatch.Entry) {
+	ownTasks := map[string]bool{}
+	writesOwn := false
+	for _, task := range record.Tasks {
+		if task.OnMachine() && record.Holds(task) && machines.OwnsMachine(task.Machine) {
+			ownTasks[task.ID] = true
+			// A task that only gets another attempt is written where it is: after all
+			// controllers were down those are all tasks of a batch record, and it costs
+			// one change instead of three.
+			change, edited := edits[task]
+			writesOwn = writesOwn || edited && change.Next.State != jobs.Placed
+		}
+	}
+	if !writesOwn {
+		return nil, entries
+	}
+	for _, entry := range entries {
+		if ownTasks[jobs.TaskID(entry.JobID, entry.Index)] {
+			own = append(own, entry)
+		} else {
+			others = append(others, entry)
+		}
+	}
+	return own, others
+}
+
+// mergeSmall moves the entries of small batch records into larger ones of the same
+// controller. valueLimit is the bytes of a value.
+func mergeSmall(batches []pendingBatch, valueLimit int) {
+	var own []*pendingBatch
+	for i := range batches {
+		if batches[i].owned && len(batches[i].entries) > 0 {
+			own = append(own, &batches[i])
+		}
+	}
+	slices.SortStableFunc(own, func(a, b *pendingBatch) int {
+		return cmp.Compare(len(b.entries), len(a.entries))
+	})
+	maxBytes := int(float64(valueLimit) * tuning.BatchFillShare)
+	maxEntries := maxBytes / tuning.BatchTaskBytes
+	for i, into := range own {
+		for _, from := range own[i+1:] {
+			if len(into.entries) == 0 || len(from.entries) == 0 || len(into.entries)+len(from.entries) > maxEntries {
+				continue
+			}
+			merged := slices.Concat(into.entries, from.entries)
+			if value := taskbatch.Encode(merged); len(value) <= maxBytes {
+				into.entries, into.value, from.entries = merged, value, nil
+			}
+		}
+	}
+}
