--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -1,6 +1,7 @@
 package queue
 
 import (
+	"encoding/json"
 	"fmt"
 	"log/slog"
 	"slices"
@@ -60,26 +61,42 @@
 	return d
 }
 
+// batcherSide is what a batcher asks of the desk: every record is known at revision 1, and
+// the budget allows all.
+type batcherSide struct{ d *desk }
+
+func (batcherSide) Revision(string) uint64      { return 1 }
+func (batcherSide) Get(string) json.RawMessage  { return nil }
+func (batcherSide) Allows(_, _ int) bool        { return true }
+func (b batcherSide) Busy(key string) bool      { return b.d.Queue.Busy(key) }
+func (b batcherSide) OwnsMachine(m string) bool { return b.d.Machines[m].Owner == "n0" }
+
+func (b batcherSide) NewBatchKey() string {
+	b.d.keys++
+	return fmt.Sprint(taskbatch.KeyPrefix, b.d.keys)
+}
+
+func (b batcherSide) QuarantineDecision(decision *decide.Decision, reason error) {
+	b.d.t.Error(decision, reason)
+}
+
 func (d *desk) commit(ds []decide.Decision) {
 	d.taken = append(d.taken, ds...)
-	mine := func(machine string) bool { return d.Machines[machine].Owner == "n0" }
-	form := decide.TxnContext{
-		Limits: store.Limits{
-			Ops:           16,
-			Preconditions: 64,
-			BodyBytes:     64 << 10,
-			ValueBytes:    8192,
-		},
-		Revision:    func(string) uint64 { return 1 },
-		OwnsMachine: mine,
-		NewBatchKey: func() string { d.keys++; return fmt.Sprint(taskbatch.KeyPrefix, d.keys) },
-	}
 	p := decide.Batcher{
-		TxnContext:  form,
-		Busy:        d.Busy,
-		Allows:      func(int, int) bool { return true },
-		RecordBytes: func(string) int { return 0 },
-		Quarantine:  func(x *decide.Decision, why string) { d.t.Error(x, why) },
+		Context: decide.TxnContext{
+			Limits: store.Limits{
+				Ops:           16,
+				Preconditions: 64,
+				BodyBytes:     64 << 10,
+				ValueBytes:    8192,
+			},
+			Records:   batcherSide{d},
+			Machines:  batcherSide{d},
+			BatchKeys: batcherSide{d},
+		},
+		InFlight:   batcherSide{d},
+		Budget:     batcherSide{d},
+		Quarantine: batcherSide{d},
 	}
 	for _, b := range p.Build(ds) {
 		for _, w := range b.Txn.Writes {
