--- a/internal/agent/session.go
+++ b/internal/agent/session.go
@@ -98,20 +98,20 @@
 	PreemptionNoticeS                    *float64
 	PreemptionNoticeAt                   time.Time
 
-	LastStatus    time.Time // newest report by beat or command
-	LastHeartbeat time.Time // newest report by beat: an answered command renews no lease
-	LastCall      time.Time // last direct command sent
-	Ahead         time.Time // since when it shows a later baton than ours, zero if it doesn't
-	Busy          bool      // a direct command is under way
-	CallFails     int
-	Connected     bool // it has answered a direct command, so it was there under this owner
+	LastStatus       time.Time // newest report by beat or command
+	LastHeartbeat    time.Time // newest report by beat: an answered command renews no lease
+	LastCall         time.Time // last direct command sent
+	HigherTokenSince time.Time // since when it shows a later baton than ours, zero if it doesn't
+	CommandPending   bool      // a direct command is under way
+	FailedCalls      int
+	Connected        bool // it has answered a direct command, so it was there under this owner
 
 	// launched holds the tries whose launch was sent under this baton; one
 	// that a later report lacks has been on the machine and is gone.
 	launched map[string]launch
-	// lost holds tasks that were recorded on the machine when it became
+	// missing holds tasks that were recorded on the machine when it became
 	// known without reporting them: their tries are over.
-	lost map[string]uint64
+	missing map[string]uint64
 }
 
 type launch struct {
@@ -135,7 +135,7 @@
 	s.Epoch, s.Counter = epoch, counter
 	s.State = Unseen
 	s.launched = map[string]launch{}
-	s.lost = map[string]uint64{}
+	s.missing = map[string]uint64{}
 }
 
 // NewEpoch moves the session to a later view. What was ahead of the former one is compared
@@ -143,7 +143,7 @@
 // machines that others spoke to meanwhile for ones that nobody can speak to.
 func (s *Session) NewEpoch(epoch uint64) {
 	if epoch > s.Epoch {
-		s.Ahead = time.Time{}
+		s.HigherTokenSince = time.Time{}
 		s.restart(epoch, 0)
 	}
 }
@@ -152,14 +152,14 @@
 func (s *Session) ObserveToken(fencingToken uint64, now time.Time) {
 	switch {
 	case fencingToken <= s.FencingToken():
-		s.Ahead = time.Time{}
-	case s.Ahead.IsZero():
-		s.Ahead = now
+		s.HigherTokenSince = time.Time{}
+	case s.HigherTokenSince.IsZero():
+		s.HigherTokenSince = now
 	}
 }
 
-// Newer tells whether a report is newer than all seen so far.
-func (s *Session) Newer(r *Heartbeat) bool {
+// IsNewer tells whether a report is newer than all seen so far.
+func (s *Session) IsNewer(r *Heartbeat) bool {
 	return r.AgentEpoch > s.AgentEpoch || (r.AgentEpoch == s.AgentEpoch && r.HeartbeatSeq > s.HeartbeatSeq)
 }
 
@@ -167,7 +167,7 @@
 // their tries; it is asked for when the machine becomes known. Accept returns
 // false when the report is old and changes nothing.
 func (s *Session) Accept(r *Heartbeat, now time.Time, placed map[string]uint64) bool {
-	if !s.Newer(r) {
+	if !s.IsNewer(r) {
 		return false
 	}
 	if r.AgentEpoch > s.AgentEpoch && s.AgentEpoch != 0 && s.State == Known {
@@ -175,10 +175,10 @@
 		// including tries whose launch is still on its way (the session no
 		// longer matches).
 		for p, l := range s.launched {
-			s.lost[p] = l.attempt
+			s.missing[p] = l.attempt
 		}
 		for p, attempt := range placed {
-			s.lost[p] = attempt
+			s.missing[p] = attempt
 		}
 	}
 	s.ObserveToken(r.FencingToken, now)
@@ -202,7 +202,7 @@
 		s.State = Known
 		for p, attempt := range placed {
 			if _, ok := s.reported(p, attempt); !ok {
-				s.lost[p] = attempt
+				s.missing[p] = attempt
 			}
 		}
 	}
@@ -211,7 +211,7 @@
 
 // CommandSent notes that a launch goes out in a direct command.
 func (s *Session) CommandSent(orders []Command, now time.Time) {
-	s.Busy, s.LastCall = true, now
+	s.CommandPending, s.LastCall = true, now
 	for _, o := range orders {
 		if o.Verb == Launch {
 			s.launched[o.TaskID] = launch{o.Attempt, true}
@@ -221,7 +221,7 @@
 
 // CommandAnswered notes that the direct command was executed.
 func (s *Session) CommandAnswered() {
-	s.Busy, s.CallFails, s.Connected = false, 0, true
+	s.CommandPending, s.FailedCalls, s.Connected = false, 0, true
 	for p, l := range s.launched {
 		l.busy = false
 		s.launched[p] = l
@@ -231,7 +231,7 @@
 // CommandRefused notes a 409: nothing was executed. The session starts again under the
 // same baton and believes the next report that carries it.
 func (s *Session) CommandRefused() {
-	s.Busy, s.CallFails, s.Connected = false, 0, true
+	s.CommandPending, s.FailedCalls, s.Connected = false, 0, true
 	s.restart(s.Epoch, s.Counter)
 }
 
@@ -239,8 +239,8 @@
 // executed, or even come back much later, as long as its token is the highest:
 // so the counter goes up before the machine's reports are believed again.
 func (s *Session) CommandUnanswered() {
-	s.Busy = false
-	s.CallFails++
+	s.CommandPending = false
+	s.FailedCalls++
 	if s.Counter+1 >= FencingTokenSpan {
 		return // the next view makes room again
 	}
@@ -276,7 +276,7 @@
 	if s.State != Known {
 		return Unclear, TaskStatus{}
 	}
-	if lost, ok := s.lost[taskID]; ok && lost == attempt {
+	if lost, ok := s.missing[taskID]; ok && lost == attempt {
 		return Missing, TaskStatus{}
 	}
 	if p, ok := s.reported(taskID, attempt); ok {
@@ -315,7 +315,7 @@
 	if l, ok := s.launched[taskID]; ok && l.attempt <= attempt {
 		delete(s.launched, taskID)
 	}
-	if t, ok := s.lost[taskID]; ok && t <= attempt {
-		delete(s.lost, taskID)
+	if t, ok := s.missing[taskID]; ok && t <= attempt {
+		delete(s.missing, taskID)
 	}
 }
--- a/internal/shard/command.go
+++ b/internal/shard/command.go
@@ -14,7 +14,7 @@
 
 // command sends orders to a worker directly, or shows it the baton.
 func (pt *Shard) command(s *agent.Session, orders []agent.Command) {
-	if s.Busy || s.Endpoint == "" {
+	if s.CommandPending || s.Endpoint == "" {
 		return
 	}
 	if pt.calls >= tuning.MaxWorkerCalls || !pt.mayCall(s) {
@@ -23,7 +23,7 @@
 	}
 	since := pt.Now.Sub(s.LastCall)
 	if s.State != agent.Known || pt.unmetDeadline(s) {
-		if since < tuning.AdoptAgain<<min(s.CallFails, 3) {
+		if since < tuning.AdoptAgain<<min(s.FailedCalls, 3) {
 			return
 		}
 		orders = pt.stopsOfCancelled(s.Machine)
@@ -58,7 +58,7 @@
 		if s.FencingToken() != fencingToken {
 			// A new view came meanwhile; what this command did shows in the
 			// first report under the new baton.
-			s.Busy = false
+			s.CommandPending = false
 			return
 		}
 		var r agent.Heartbeat
--- a/internal/shard/health.go
+++ b/internal/shard/health.go
@@ -36,11 +36,11 @@
 		unheard[s.Machine] = true
 	}
 	switch {
-	case !s.Ahead.IsZero() && pt.Now.Sub(s.Ahead) > times.GoneBy():
+	case !s.HigherTokenSince.IsZero() && pt.Now.Sub(s.HigherTokenSince) > times.GoneBy():
 		// Nobody of this view can speak to it: its lease is over, and what it holds with it.
 		return pt.TransitionMachine(s.Machine, fleet.Unhealthy, "has seen a later baton than this view's")
-	case !pt.Reconciling.Steady() && s.HeartbeatSeq == 0 && s.CallFails > 0, // never heard
-		unresponsive > times.UnresponsiveAfter() || s.CallFails >= tuning.UnresponsiveCalls && unresponsive > times.Late():
+	case !pt.Reconciling.Steady() && s.HeartbeatSeq == 0 && s.FailedCalls > 0, // never heard
+		unresponsive > times.UnresponsiveAfter() || s.FailedCalls >= tuning.UnresponsiveCalls && unresponsive > times.Late():
 		unheard[s.Machine] = false
 	case s.State != agent.Known:
 	case s.PreemptionNoticeS != nil && m.State != fleet.Warned:
--- a/internal/shard/part.go
+++ b/internal/shard/part.go
@@ -127,7 +127,7 @@
 			continue
 		}
 		s.NewEpoch(pt.Epoch())
-		if pt.Reconciling.Steady() || s.CallFails == 0 {
+		if pt.Reconciling.Steady() || s.FailedCalls == 0 {
 			s.LastCall = time.Time{}
 		}
 	}
--- a/internal/shard/reconcile.go
+++ b/internal/shard/reconcile.go
@@ -20,7 +20,7 @@
 	switch {
 	case pt.Reconciling.Steady():
 		return true
-	case s.CallFails > 0:
+	case s.FailedCalls > 0:
 		return pt.callsToDoubted < tuning.DoubtedCalls && !pt.Rental.GivenUp(s.Machine)
 	case s.HeartbeatSeq == 0:
 		return pt.callsToUnmet < tuning.AwaitedCalls && !pt.Rental.GivenUp(s.Machine)
@@ -40,7 +40,7 @@
 func (pt *Shard) beginCall(s *agent.Session) (over func()) {
 	count := &pt.callsToUnmet
 	switch {
-	case s.CallFails > 0:
+	case s.FailedCalls > 0:
 		count = &pt.callsToDoubted
 	case s.HeartbeatSeq != 0:
 		return func() {}
--- a/internal/shard/review.go
+++ b/internal/shard/review.go
@@ -80,7 +80,7 @@
 		return
 	}
 	orders := []agent.Command{}
-	if s.State == agent.Known && !s.Busy && r.AgentEpoch == s.AgentEpoch && r.HeartbeatSeq == s.HeartbeatSeq {
+	if s.State == agent.Known && !s.CommandPending && r.AgentEpoch == s.AgentEpoch && r.HeartbeatSeq == s.HeartbeatSeq {
 		// Only orders that may be repeated go this way; launches are sent to
 		// the worker directly, so that there is one place where the answer
 		// tells whether they were executed.
