--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -8,12 +8,19 @@
 	"github.com/harrierreel/harrierreel/internal/goldentest"
 )
 
-// What workers send and are sent keeps its form, byte for byte.
-
-func TestGoldenReports(t *testing.T) {
-	warning, zero := 12.5, 0.0
+// What workers send keeps its form, byte for byte.
+func TestGoldenHeartbeats(t *testing.T) {
+	notice, zero := 12.5, 0.0
 	full := Heartbeat{
-		Machine: "i-0042", Endpoint: "10.0.0.9:7000", MachineType: "g4", Zone: "north", Spot: true, AgentEpoch: 3, HeartbeatSeq: 77, FencingToken: 5242881, PreemptionNoticeS: &warning,
+		Machine:           "i-0042",
+		Endpoint:          "10.0.0.9:7000",
+		MachineType:       "g4",
+		Zone:              "north",
+		Spot:              true,
+		AgentEpoch:        3,
+		HeartbeatSeq:      77,
+		FencingToken:      5242881,
+		PreemptionNoticeS: &notice,
 		Tasks: []TaskStatus{
 			{TaskID: "wk-000412/0", Attempt: 2, Status: Ended, Cause: CauseError, Checkpointed: true},
 			{TaskID: "wk-000412/1", Attempt: 1, Status: Ended, Cause: CauseDone},
@@ -28,7 +35,9 @@
 	}
 	goldentest.Filled(t, full)
 	for name, want := range map[string]Heartbeat{
-		"report-full.json": full, "report-empty.json": {Machine: "i-0042", PreemptionNoticeS: &zero, Tasks: []TaskStatus{}}, "report-null.json": {Machine: "i-0042"},
+		"report-full.json":  full,
+		"report-empty.json": {Machine: "i-0042", PreemptionNoticeS: &zero, Tasks: []TaskStatus{}},
+		"report-null.json":  {Machine: "i-0042"},
 	} {
 		goldentest.JSON(t, name, want)
 		var got Heartbeat
@@ -38,17 +47,18 @@
 	}
 }
 
+// What workers are sent keeps its form, byte for byte.
 func TestGoldenCommands(t *testing.T) {
 	grace, zero := 7.5, 0.0
-	orders := []Command{
+	commands := []Command{
 		{Verb: Stop, TaskID: "wk-000412/0", Attempt: 2, GracePeriodS: &grace},
 		{Verb: Stop, TaskID: "wk-000412/1", Attempt: 1, GracePeriodS: &zero},
 		{Verb: Launch, TaskID: "wk-000412/2", Attempt: 1},
 		{Verb: Forget, TaskID: "wk-000412/3", Attempt: 4},
 	}
-	goldentest.Filled(t, orders)
-	goldentest.JSON(t, "orders.json", orders)
-	goldentest.Bytes(t, "commands-full.json", EncodeCommands(5242881, 3, orders))
+	goldentest.Filled(t, commands)
+	goldentest.JSON(t, "orders.json", commands)
+	goldentest.Bytes(t, "commands-full.json", EncodeCommands(5242881, 3, commands))
 	goldentest.Bytes(t, "commands-empty.json", EncodeCommands(5242881, 3, []Command{}))
 	goldentest.Bytes(t, "commands-null.json", EncodeCommands(5242881, 3, nil))
 }
--- a/internal/agent/session.go
+++ b/internal/agent/session.go
@@ -1,127 +1,84 @@
-// Package agent is the conversation with one worker: its reports, the
-// baton, and which of its tasks are known to be on it.
+// Package agent is the conversation with one worker's agent: its heartbeats with status,
+// the fencing token, the commands, and which attempts of tasks are known to be on the
+// machine. It has no IO and no clock.
 package agent
 
 import (
 	"cmp"
 	"slices"
 	"time"
-
-	"github.com/harrierreel/harrierreel/internal/jobs"
 )
 
-// FencingTokenSpan is the room for a machine's counter below the view's epoch.
+// FencingTokenSpan is how many values a session's counter has below the view's epoch: a
+// fencing token is epoch*FencingTokenSpan + counter.
 const FencingTokenSpan = 1 << 20
 
-// Task states and causes as workers report them.
-const (
-	Ended   = "ended"
-	Running = "running"
-	Pulling = "pulling"
-	Waiting = "waiting"
-	Saving  = "saving"
-
-	CauseDone   = "done"
-	CauseError  = "error"
-	CauseNoRoom = "no_room"
-	CauseInUse  = "in_use"
-	CauseNoSuch = "no_such"
-)
-
-// TaskStatus is a task in a report.
-type TaskStatus struct {
-	TaskID       string `json:"piece"`
-	Attempt      uint64 `json:"try"`
-	Status       string `json:"status"`
-	Cause        string `json:"cause,omitempty"`
-	Checkpointed bool   `json:"saved,omitempty"`
-}
-
-// Heartbeat is what a worker says of itself.
-type Heartbeat struct {
-	Machine           string       `json:"host"`
-	Endpoint          string       `json:"endpoint"`
-	MachineType       string       `json:"build"`
-	Zone              string       `json:"site"`
-	Spot              bool         `json:"loaner"`
-	AgentEpoch        uint64       `json:"tenure"`
-	HeartbeatSeq      uint64       `json:"tick"`
-	FencingToken      uint64       `json:"baton"`
-	PreemptionNoticeS *float64     `json:"warning_s"`
-	Tasks             []TaskStatus `json:"pieces"`
-}
-
-// Command is a command.
-type Command struct {
-	Verb         string   `json:"verb"`
-	TaskID       string   `json:"piece"`
-	Attempt      uint64   `json:"try"`
-	GracePeriodS *float64 `json:"wind_down_s,omitempty"`
-}
-
-// Verbs of orders.
-const (
-	Launch = "launch"
-	Stop   = "stop"
-	Forget = "reap"
-)
-
-// EncodeCommands is the body of a direct command under a fencing token, for one session of the
-// worker.
-func EncodeCommands(token, session uint64, orders []Command) []byte {
-	return jobs.Encode(struct {
-		Baton  uint64    `json:"baton"`
-		Tenure uint64    `json:"tenure"`
-		Orders []Command `json:"orders"`
-	}{token, session, orders})
-}
-
 // State is the state of a session.
 type State string
 
-// States of a session. Only in Known do reports count as the truth about the
-// machine's tasks.
+// States of a session. Only in Known do heartbeats count as the truth about the machine's
+// tasks.
 const (
-	Unseen State = "unseen" // the worker has not shown our baton yet
-	Known  State = "known"  // the last report carried our baton
+	Unseen State = "unseen" // the worker has not shown the token in force yet
+	Known  State = "known"  // a heartbeat has carried the token in force
 )
 
-// Session is the owner's state for one machine.
+// Session is what the controller that owns a machine keeps of the conversation with its
+// agent. Its token only ever goes up; after each raise the session is Unseen until the
+// worker has shown the new token.
 type Session struct {
-	Machine, Endpoint, MachineType, Zone string
-	Spot                                 bool
-	State                                State
-	Epoch                                uint64 // view epoch that the baton is made of
-	Counter                              uint64
-	AgentEpoch, HeartbeatSeq             uint64
-	Tasks                                map[string][]TaskStatus // newest try first
-	PreemptionNoticeS                    *float64
-	PreemptionNoticeAt                   time.Time
-
-	LastStatus       time.Time // newest report by beat or command
-	LastHeartbeat    time.Time // newest report by beat: an answered command renews no lease
-	LastCall         time.Time // last direct command sent
-	HigherTokenSince time.Time // since when it shows a later baton than ours, zero if it doesn't
-	CommandPending   bool      // a direct command is under way
-	FailedCalls      int
+	// The machine, as its newest heartbeat describes it.
+	Machine     string
+	Endpoint    string
+	MachineType string
+	Zone        string
+	Spot        bool
+
+	State        State
+	Epoch        uint64 // of the view, upper part of the fencing token
+	Counter      uint64 // lower part of the fencing token
+	AgentEpoch   uint64 // of the newest heartbeat
+	HeartbeatSeq uint64 // of the newest heartbeat
+	// Tasks are the attempts of the newest heartbeat by task, the highest attempt first.
+	Tasks map[string][]TaskStatus
+
+	// PreemptionNoticeS is the time, in seconds from LastStatus, after which the cloud
+	// takes the machine; nil without a notice.
+	PreemptionNoticeS  *float64
+	PreemptionNoticeAt time.Time // when the notice was first seen
+
+	LastStatus    time.Time // newest status, by heartbeat or as the answer to a command
+	LastHeartbeat time.Time // newest heartbeat: an answered command renews no lease
+	LastCall      time.Time // last direct command sent
+	// HigherTokenSince is since when the worker shows a token above the one in force; zero
+	// if it doesn't.
+	HigherTokenSince time.Time
+	CommandPending   bool // a direct command is unanswered
+	FailedCalls      int  // direct commands without an answer, in a row
 	Connected        bool // it has answered a direct command, so it was there under this owner
 
-	// launched holds the tries whose launch was sent under this baton; one
-	// that a later report lacks has been on the machine and is gone.
-	launched map[string]launch
-	// missing holds tasks that were recorded on the machine when it became
-	// known without reporting them: their tries are over.
+	// launched holds the attempts whose launch was sent under the token in force, by task;
+	// one that a later heartbeat lacks has been on the machine and is gone.
+	launched map[string]sentLaunch
+	// missing holds the attempts that were recorded on the machine when it became known
+	// without reporting them, by task: they are over.
 	missing map[string]uint64
 }
 
-type launch struct {
+// sentLaunch is a launch that went out in a direct command.
+type sentLaunch struct {
 	attempt uint64
-	busy    bool // the command carrying it is unanswered
+	pending bool // the command is unanswered
 }
 
-// NewSession starts a session for a machine under a view epoch.
+// NewSession starts a session with a machine's agent under a view's epoch.
 func NewSession(machine string, epoch uint64, now time.Time) *Session {
-	s := &Session{Machine: machine, Tasks: map[string][]TaskStatus{}, LastStatus: now, LastHeartbeat: now}
+	s := &Session{
+		Machine:       machine,
+		Tasks:         map[string][]TaskStatus{},
+		LastStatus:    now,
+		LastHeartbeat: now,
+	}
 	s.restart(epoch, 0)
 	return s
 }
@@ -129,18 +86,19 @@
 // FencingToken is the token in force.
 func (s *Session) FencingToken() uint64 { return s.Epoch*FencingTokenSpan + s.Counter }
 
-// restart is the one place where a session loses its standing: a new epoch or
-// a raised counter means that the worker must show the new baton first.
+// restart is the one place where a session ceases to be Known: a new epoch or a raised
+// counter means that the worker must show the new token first.
 func (s *Session) restart(epoch, counter uint64) {
 	s.Epoch, s.Counter = epoch, counter
 	s.State = Unseen
-	s.launched = map[string]launch{}
+	s.launched = map[string]sentLaunch{}
 	s.missing = map[string]uint64{}
 }
 
-// NewEpoch moves the session to a later view. What was ahead of the former one is compared
-// anew: a controller that was out of the view for longer than a lease would otherwise take
-// machines that others spoke to meanwhile for ones that nobody can speak to.
+// NewEpoch moves the session to a later view; an epoch that is not later changes nothing.
+// Whether the worker has seen a higher token is compared anew: a controller that was out
+// of the view for longer than a lease would otherwise take machines that others commanded
+// meanwhile for ones that nobody can command.
 func (s *Session) NewEpoch(epoch uint64) {
 	if epoch > s.Epoch {
 		s.HigherTokenSince = time.Time{}
@@ -148,7 +106,7 @@
 	}
 }
 
-// ObserveToken takes note of the highest baton that the worker has seen.
+// ObserveToken takes note of the highest token that the worker has seen.
 func (s *Session) ObserveToken(fencingToken uint64, now time.Time) {
 	switch {
 	case fencingToken <= s.FencingToken():
@@ -158,63 +116,78 @@
 	}
 }
 
-// IsNewer tells whether a report is newer than all seen so far.
-func (s *Session) IsNewer(r *Heartbeat) bool {
-	return r.AgentEpoch > s.AgentEpoch || (r.AgentEpoch == s.AgentEpoch && r.HeartbeatSeq > s.HeartbeatSeq)
+// IsNewer tells whether a heartbeat is newer than all accepted so far.
+func (s *Session) IsNewer(heartbeat *Heartbeat) bool {
+	if heartbeat.AgentEpoch != s.AgentEpoch {
+		return heartbeat.AgentEpoch > s.AgentEpoch
+	}
+	return heartbeat.HeartbeatSeq > s.HeartbeatSeq
 }
 
-// Accept enters a report. placed names the tasks recorded on the machine with
-// their tries; it is asked for when the machine becomes known. Accept returns
-// false when the report is old and changes nothing.
-func (s *Session) Accept(r *Heartbeat, now time.Time, placed map[string]uint64) bool {
-	if !s.IsNewer(r) {
+// Accept enters a heartbeat. placed names the tasks recorded on the machine with their
+// attempts. Accept returns false when the heartbeat is old and changes nothing.
+func (s *Session) Accept(heartbeat *Heartbeat, now time.Time, placed map[string]uint64) bool {
+	if !s.IsNewer(heartbeat) {
 		return false
 	}
-	if r.AgentEpoch > s.AgentEpoch && s.AgentEpoch != 0 && s.State == Known {
-		// The lease ran out: the worker killed and forgot everything,
-		// including tries whose launch is still on its way (the session no
-		// longer matches).
-		for p, l := range s.launched {
-			s.missing[p] = l.attempt
-		}
-		for p, attempt := range placed {
-			s.missing[p] = attempt
-		}
+	if heartbeat.AgentEpoch > s.AgentEpoch && s.AgentEpoch != 0 && s.State == Known {
+		s.leaseExpired(placed)
 	}
-	s.ObserveToken(r.FencingToken, now)
-	s.AgentEpoch, s.HeartbeatSeq = r.AgentEpoch, r.HeartbeatSeq
+	s.ObserveToken(heartbeat.FencingToken, now)
+	s.AgentEpoch, s.HeartbeatSeq = heartbeat.AgentEpoch, heartbeat.HeartbeatSeq
 	s.LastStatus = now
-	s.Endpoint, s.MachineType, s.Zone, s.Spot = r.Endpoint, r.MachineType, r.Zone, r.Spot
-	if r.PreemptionNoticeS != nil && s.PreemptionNoticeS == nil {
+	s.Endpoint = heartbeat.Endpoint
+	s.MachineType = heartbeat.MachineType
+	s.Zone = heartbeat.Zone
+	s.Spot = heartbeat.Spot
+	if heartbeat.PreemptionNoticeS != nil && s.PreemptionNoticeS == nil {
 		s.PreemptionNoticeAt = now
 	}
-	s.PreemptionNoticeS = r.PreemptionNoticeS
-	// A report lists each attempt until it is reaped: an ended one may stand beside the
-	// next one of the same task, in any order.
-	s.Tasks = make(map[string][]TaskStatus, len(r.Tasks))
-	for _, p := range r.Tasks {
-		s.Tasks[p.TaskID] = append(s.Tasks[p.TaskID], p)
-	}
-	for _, ps := range s.Tasks {
-		slices.SortStableFunc(ps, func(a, b TaskStatus) int { return cmp.Compare(b.Attempt, a.Attempt) })
-	}
-	if r.FencingToken == s.FencingToken() && s.State == Unseen {
+	s.PreemptionNoticeS = heartbeat.PreemptionNoticeS
+	s.Tasks = byTask(heartbeat.Tasks)
+	if heartbeat.FencingToken == s.FencingToken() && s.State == Unseen {
 		s.State = Known
-		for p, attempt := range placed {
-			if _, ok := s.reported(p, attempt); !ok {
-				s.missing[p] = attempt
+		for taskID, attempt := range placed {
+			if _, ok := s.reported(taskID, attempt); !ok {
+				s.missing[taskID] = attempt
 			}
 		}
 	}
 	return true
 }
 
-// CommandSent notes that a launch goes out in a direct command.
-func (s *Session) CommandSent(orders []Command, now time.Time) {
+// leaseExpired notes that the worker's lease expired: it killed and forgot everything,
+// including attempts whose launch is still on its way, since the agent epoch that it was
+// sent for no longer matches.
+func (s *Session) leaseExpired(placed map[string]uint64) {
+	for taskID, sent := range s.launched {
+		s.missing[taskID] = sent.attempt
+	}
+	for taskID, attempt := range placed {
+		s.missing[taskID] = attempt
+	}
+}
+
+// byTask sorts the attempts of a heartbeat by task, the highest attempt first. A heartbeat
+// lists each attempt until it is told to forget it: an ended one may stand beside the next
+// one of the same task, in any order.
+func byTask(statuses []TaskStatus) map[string][]TaskStatus {
+	tasks := make(map[string][]TaskStatus, len(statuses))
+	for _, status := range statuses {
+		tasks[status.TaskID] = append(tasks[status.TaskID], status)
+	}
+	for _, attempts := range tasks {
+		slices.SortStableFunc(attempts, func(a, b TaskStatus) int { return cmp.Compare(b.Attempt, a.Attempt) })
+	}
+	return tasks
+}
+
+// CommandSent notes that commands go out in a direct command, and which of them launch.
+func (s *Session) CommandSent(commands []Command, now time.Time) {
 	s.CommandPending, s.LastCall = true, now
-	for _, o := range orders {
-		if o.Verb == Launch {
-			s.launched[o.TaskID] = launch{o.Attempt, true}
+	for _, command := range commands {
+		if command.Verb == Launch {
+			s.launched[command.TaskID] = sentLaunch{attempt: command.Attempt, pending: true}
 		}
 	}
 }
@@ -222,100 +195,39 @@
 // CommandAnswered notes that the direct command was executed.
 func (s *Session) CommandAnswered() {
 	s.CommandPending, s.FailedCalls, s.Connected = false, 0, true
-	for p, l := range s.launched {
-		l.busy = false
-		s.launched[p] = l
+	for taskID, sent := range s.launched {
+		sent.pending = false
+		s.launched[taskID] = sent
 	}
 }
 
-// CommandRefused notes a 409: nothing was executed. The session starts again under the
-// same baton and believes the next report that carries it.
+// CommandRefused notes that the worker answered 409: nothing was executed. The session
+// starts again under the same token and believes the next heartbeat that carries it.
 func (s *Session) CommandRefused() {
 	s.CommandPending, s.FailedCalls, s.Connected = false, 0, true
 	s.restart(s.Epoch, s.Counter)
 }
 
-// CommandUnanswered notes that a direct command got no answer. It may still be
-// executed, or even come back much later, as long as its token is the highest:
-// so the counter goes up before the machine's reports are believed again.
+// CommandUnanswered notes that a direct command got no answer. It may still be executed,
+// or even arrive much later, as long as its token is the highest: so the counter goes up
+// before the machine's heartbeats are believed again.
 func (s *Session) CommandUnanswered() {
 	s.CommandPending = false
 	s.FailedCalls++
 	if s.Counter+1 >= FencingTokenSpan {
-		return // the next view makes room again
+		return // the next view starts the counter again
 	}
 	s.restart(s.Epoch, s.Counter+1)
 }
 
-// Stalled discounts time in which the owner did not run: a machine is not
-// silent for that. The notice that the cloud gave runs on all the same.
+// Stalled discounts time in which the owner did not run: the machine was not unresponsive
+// in it. The notice that the cloud gave runs on all the same.
 func (s *Session) Stalled(gap time.Duration) {
-	s.LastStatus, s.LastHeartbeat, s.LastCall = s.LastStatus.Add(gap), s.LastHeartbeat.Add(gap), s.LastCall.Add(gap)
+	s.LastStatus = s.LastStatus.Add(gap)
+	s.LastHeartbeat = s.LastHeartbeat.Add(gap)
+	s.LastCall = s.LastCall.Add(gap)
 	if s.PreemptionNoticeS != nil {
 		left := *s.PreemptionNoticeS - gap.Seconds()
 		s.PreemptionNoticeS = &left
 	}
 }
-
-// Verdict says what a session knows of a recorded try.
-type Verdict string
-
-// Verdicts on a task recorded on the machine.
-const (
-	Unclear  Verdict = "unclear"   // wait for a report under our baton
-	ToLaunch Verdict = "to launch" // never sent
-	Sent     Verdict = "sent"      // launch under way
-	OnIt     Verdict = "on it"     // reported, not ended
-	Over     Verdict = "over"      // reported ended
-	Missing  Verdict = "missing"   // was sent or recorded, and is not there
-)
-
-// Judge tells where a recorded try stands. The reported piece is returned for
-// OnIt and Over.
-func (s *Session) Judge(taskID string, attempt uint64) (Verdict, TaskStatus) {
-	if s.State != Known {
-		return Unclear, TaskStatus{}
-	}
-	if lost, ok := s.missing[taskID]; ok && lost == attempt {
-		return Missing, TaskStatus{}
-	}
-	if p, ok := s.reported(taskID, attempt); ok {
-		if p.Status == Ended {
-			return Over, p
-		}
-		return OnIt, p
-	}
-	l, sent := s.launched[taskID]
-	switch {
-	case sent && l.attempt == attempt && l.busy:
-		return Sent, TaskStatus{}
-	case sent && l.attempt == attempt:
-		return Missing, TaskStatus{}
-	}
-	for _, p := range s.Tasks[taskID] {
-		if p.Status != Ended {
-			return Unclear, p // another try is still on the machine
-		}
-	}
-	return ToLaunch, TaskStatus{}
-}
-
-// reported finds an attempt in the newest report.
-func (s *Session) reported(taskID string, attempt uint64) (TaskStatus, bool) {
-	for _, p := range s.Tasks[taskID] {
-		if p.Attempt == attempt {
-			return p, true
-		}
-	}
-	return TaskStatus{}, false
-}
-
-// ForgetTask drops the notes on a try whose end has been committed.
-func (s *Session) ForgetTask(taskID string, attempt uint64) {
-	if l, ok := s.launched[taskID]; ok && l.attempt <= attempt {
-		delete(s.launched, taskID)
-	}
-	if t, ok := s.missing[taskID]; ok && t <= attempt {
-		delete(s.missing, taskID)
-	}
-}
