--- /dev/null
+++ b/internal/sharding/pick_test.go
@@ -0,0 +1,91 @@
+package sharding
+
+import (
+	"fmt"
+	"testing"
+)
+
+func TestPickPrefersImageThenFullest(t *testing.T) {
+	whole := Resources{Cores: 10, Accelerators: 4, MemoryGB: 10}
+	need := Resources{Cores: 1, Accelerators: 1, MemoryGB: 1}
+	candidates := []Candidate{
+		{Machine: "full", Free: Resources{Cores: 10}, Capacity: whole, Load: 1},
+		{Machine: "empty", Free: whole, Capacity: whole},
+		{Machine: "half", Free: Resources{5, 2, 5}, Capacity: whole, Load: 0.5},
+	}
+	if got := candidates[Pick(need, false, candidates)].Machine; got != "half" {
+		t.Errorf("fullest that fits: got %s", got)
+	}
+	candidates[1].HasImage = true
+	if got := candidates[Pick(need, false, candidates)].Machine; got != "empty" {
+		t.Errorf("cached image first: got %s", got)
+	}
+	if Pick(Resources{Accelerators: 5}, false, candidates) != -1 {
+		t.Error("nothing fits")
+	}
+}
+
+func TestSpotMachinesBeforeImages(t *testing.T) {
+	candidates := []Candidate{
+		{Machine: "a", Free: Resources{Cores: 9}, Capacity: Resources{Cores: 9}, HasImage: true},
+		{Machine: "b", Free: Resources{Cores: 9}, Capacity: Resources{Cores: 9}, Spot: true, ImagePullS: 9},
+	}
+	if i := Pick(Resources{Cores: 1}, true, candidates); i != 1 {
+		t.Error("a task that may use spot machines leaves the others to those that may not")
+	}
+	if i := Pick(Resources{Cores: 1}, false, candidates[:1]); i != 0 {
+		t.Errorf("picked %d of one machine", i)
+	}
+}
+
+// Work without accelerators goes where they are in use already, not where it would
+// leave free ones without cores; work with accelerators goes by load alone.
+func TestWorkWithoutAcceleratorsStrandsFewest(t *testing.T) {
+	whole := Resources{Cores: 32, Accelerators: 4, MemoryGB: 256}
+	candidates := []Candidate{
+		{Machine: "i-1", Capacity: whole, Free: Resources{Cores: 16, Accelerators: 4, MemoryGB: 128}, Load: 0.5},
+		{Machine: "i-2", Capacity: whole, Free: Resources{Cores: 16, Accelerators: 0, MemoryGB: 128}, Load: 0.5},
+		{Machine: "i-3", Capacity: whole, Free: Resources{Cores: 30, Accelerators: 3, MemoryGB: 250}, Load: 0.1},
+	}
+	pick := func(need Resources) string { return candidates[Pick(need, false, candidates)].Machine }
+	if got := pick(Resources{Cores: 12, MemoryGB: 20}); got != "i-2" {
+		t.Errorf("cores alone went to %s", got)
+	}
+	if got := pick(Resources{Cores: 18, MemoryGB: 20}); got != "i-3" {
+		t.Errorf("many cores went to %s", got)
+	}
+	if got := pick(Resources{Cores: 4, Accelerators: 1, MemoryGB: 20}); got != "i-1" {
+		t.Errorf("an accelerator went to %s", got)
+	}
+	// A machine that holds the image still goes first.
+	candidates[0].HasImage = true
+	if got := pick(Resources{Cores: 12, MemoryGB: 20}); got != "i-1" {
+		t.Errorf("with its image elsewhere it went to %s", got)
+	}
+}
+
+// BenchmarkPick is the choice among 2,000 machines for work with and without
+// accelerators.
+func BenchmarkPick(b *testing.B) {
+	whole := Resources{Cores: 64, Accelerators: 8, MemoryGB: 512}
+	var candidates []Candidate
+	for i := range 2000 {
+		free := Resources{Cores: float64(i % 64), Accelerators: float64(i % 9), MemoryGB: float64(i % 512)}
+		candidates = append(candidates, Candidate{
+			Machine:  fmt.Sprint("i-", i),
+			Capacity: whole,
+			Free:     free,
+			Load:     whole.Sub(free).ShareOf(whole),
+		})
+	}
+	for name, need := range map[string]Resources{
+		"accelerators": {Cores: 4, Accelerators: 1, MemoryGB: 8},
+		"cores alone":  {Cores: 4, MemoryGB: 8},
+	} {
+		b.Run(name, func(b *testing.B) {
+			for b.Loop() {
+				Pick(need, false, candidates)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/sharding/resources_test.go
@@ -0,0 +1,28 @@
+package sharding
+
+import "testing"
+
+func TestShareOfAMachine(t *testing.T) {
+	whole := Resources{Cores: 10, Accelerators: 4, MemoryGB: 100}
+	if got := (Resources{Cores: 5, Accelerators: 1, MemoryGB: 10}).ShareOf(whole); got != 0.5 {
+		t.Errorf("share %v", got)
+	}
+	if got := (Resources{Accelerators: 1}).ShareOf(Resources{Cores: 1}); got <= 1 {
+		t.Errorf("a task that can never fit has share %v", got)
+	}
+}
+
+func TestHowManyFit(t *testing.T) {
+	free := Resources{Cores: 32, Accelerators: 4, MemoryGB: 100}
+	for need, want := range map[Resources]int{
+		{Cores: 8, Accelerators: 1, MemoryGB: 10}:  4,
+		{Cores: 8, Accelerators: 1, MemoryGB: 40}:  2,
+		{Cores: 33, Accelerators: 1, MemoryGB: 40}: 0,
+		{Cores: 10.666666, MemoryGB: 1}:            3,
+		{}:                                         0,
+	} {
+		if got := free.HowMany(need); got != want {
+			t.Errorf("%v: %d, not %d", need, got, want)
+		}
+	}
+}
