--- a/internal/shard/command.go
+++ b/internal/shard/command.go
@@ -28,13 +28,12 @@
 		}
 		orders = pt.stopsOfCancelled(s.Machine)
 	} else {
-		fresh := false
+		launches := false
 		for _, o := range orders {
-			fresh = fresh || o.Verb == agent.Launch
+			launches = launches || o.Verb == agent.Launch
 		}
-		if pt.overdue(s) && since >= tuning.AdoptAgain {
-			fresh = true
-		} else if len(orders) == 0 || (!fresh && since < tuning.CommandGap) {
+		if overdue := pt.overdue(s) && since >= tuning.AdoptAgain; !overdue &&
+			(len(orders) == 0 || (!launches && since < tuning.CommandGap)) {
 			return
 		}
 	}
