--- a/internal/controller/wiring_shard.go
+++ b/internal/controller/wiring_shard.go
@@ -1,34 +1,93 @@
 package controller
 
 import (
+	"time"
+
 	"github.com/harrierreel/harrierreel/internal/shard"
 )
 
 // newShard makes what this controller does for the machines of its shard.
 func (n *Controller) newShard() *shard.Shard {
-	return shard.New(n.State, shard.Env{
-		Name:            n.settings.NodeName,
-		Cluster:         n.settings.Cluster,
-		ValueBytes:      n.valueBytes(),
-		Log:             n.log,
-		Queue:           n.queue,
-		Rental:          n.provisioner,
-		Call:            n.transport.Worker,
-		Wake:            n.wake,
-		MayAnswerAgents: func() bool { return !n.outsideView() && n.caughtUp() && !n.membership.Uncertain() },
-		OutsideView:     n.outsideView,
-		Epoch:           n.viewEpoch,
-		KnownEpoch:      n.knownEpoch,
-		Members:         n.memberNames,
-		OwnerOf:         n.ownerOf,
-		Complain:        n.reachability.Complain,
-		Busy:            n.committer.Busy,
-		Allows:          n.client.Allows,
-		HasSpareWrites:  n.client.HasSpareWrites,
-		Commit:          n.committer.Commit,
-		Cancelled:       n.cancellations.Cancelled,
-		MayRenewLeases:  func() bool { return n.cancellations.MayRenewLeases(n.Now) },
-		MayLaunch:       func() bool { return n.cancellations.MayLaunch(n.Now) },
-		LeaseWithheld:   func() { n.cancellations.LeasesWithheld++ },
+	config := shard.Config{
+		Name:       n.settings.NodeName,
+		Cluster:    n.settings.Cluster,
+		ValueBytes: n.valueBytes(),
+		Log:        n.log,
+	}
+	return shard.New(n.State, config, shard.Collaborators{
+		View:          shardView{n},
+		Agents:        shardAgents{n},
+		Loop:          shardLoop{n},
+		Scheduler:     n.queue,
+		Provisioner:   shardProvisioner{n},
+		Commits:       n.committer,
+		Budget:        shardBudget{n},
+		Cancellations: shardCancellations{n},
+		Complaints:    n.reachability,
 	})
 }
+
+// shardView is the view as the shard sees it.
+type shardView struct{ controller *Controller }
+
+func (v shardView) OutsideView() bool             { return v.controller.outsideView() }
+func (v shardView) Epoch() uint64                 { return v.controller.viewEpoch() }
+func (v shardView) KnownEpoch() uint64            { return v.controller.knownEpoch() }
+func (v shardView) Members() []string             { return v.controller.memberNames() }
+func (v shardView) OwnerOf(machine string) string { return v.controller.ownerOf(machine) }
+
+func (v shardView) MayAnswerAgents() bool {
+	n := v.controller
+	return !n.outsideView() && n.caughtUp() && !n.membership.Uncertain()
+}
+
+// shardAgents sends the shard's requests to workers' agents.
+type shardAgents struct{ controller *Controller }
+
+func (a shardAgents) Call(
+	endpoint, method, target string, body []byte, timeout time.Duration,
+	done func(status int, body []byte, err error),
+) {
+	a.controller.transport.Worker(endpoint, method, target, body, timeout, done)
+}
+
+// shardLoop wakes the controller's loop for the shard.
+type shardLoop struct{ controller *Controller }
+
+func (l shardLoop) Wake() { l.controller.wake() }
+
+// shardProvisioner is what the shard asks of the provisioner.
+type shardProvisioner struct{ controller *Controller }
+
+func (p shardProvisioner) GivenUp(machine string) bool {
+	return p.controller.provisioner.GivenUp(machine)
+}
+
+func (p shardProvisioner) Draining(machine string) bool {
+	_, draining := p.controller.provisioner.Summary.Drain[machine]
+	return draining
+}
+
+// shardBudget is the budget of writes as the shard sees it.
+type shardBudget struct{ controller *Controller }
+
+func (b shardBudget) Allows(spent, writes int) bool { return b.controller.client.Allows(spent, writes) }
+func (b shardBudget) HasSpareWrites() bool          { return b.controller.client.HasSpareWrites() }
+func (b shardBudget) UsesBatches() bool             { return b.controller.usesBatches() }
+
+// shardCancellations is what the shard asks of the acknowledged cancellations.
+type shardCancellations struct{ controller *Controller }
+
+func (c shardCancellations) Cancelled(jobID string) bool {
+	return c.controller.cancellations.Cancelled(jobID)
+}
+
+func (c shardCancellations) MayRenewLeases() bool {
+	return c.controller.cancellations.MayRenewLeases(c.controller.Now)
+}
+
+func (c shardCancellations) MayLaunch() bool {
+	return c.controller.cancellations.MayLaunch(c.controller.Now)
+}
+
+func (c shardCancellations) LeaseWithheld() { c.controller.cancellations.LeasesWithheld++ }
--- a/internal/shard/command.go
+++ b/internal/shard/command.go
@@ -21,7 +21,7 @@
 		pt.deferCall(s)
 		return
 	}
-	since := pt.Now.Sub(s.LastCall)
+	since := pt.state.Now.Sub(s.LastCall)
 	if s.State != agent.Known || pt.unmetDeadline(s) {
 		if since < tuning.AdoptAgain<<min(s.FailedCalls, 3) {
 			return
@@ -43,13 +43,13 @@
 	}
 	fencingToken, agentEpoch := s.FencingToken(), max(s.AgentEpoch, 1)
 	body := agent.EncodeCommands(fencingToken, agentEpoch, orders)
-	s.CommandSent(orders, pt.Now)
+	s.CommandSent(orders, pt.state.Now)
 	pt.calls++
 	answered := pt.beginCall(s)
-	pt.Call(s.Endpoint, "POST", "/commands", body, tuning.CommandTimeout, func(status int, answer []byte, err error) {
+	pt.agents.Call(s.Endpoint, "POST", "/commands", body, tuning.CommandTimeout, func(status int, answer []byte, err error) {
 		pt.calls--
 		answered()
-		pt.Wake()
+		pt.loop.Wake()
 		pt.toReview[s.Machine] = true
 		if pt.sessions[s.Machine] != s {
 			return
@@ -62,22 +62,22 @@
 		}
 		var r agent.Heartbeat
 		if err != nil || (status != 200 && status != 409) || json.Unmarshal(answer, &r) != nil || r.Machine != s.Machine {
-			pt.Log.Debug("command without answer", "machine", s.Machine, "status", status, "error", err)
+			pt.config.Log.Debug("command without answer", "machine", s.Machine, "status", status, "error", err)
 			s.CommandUnanswered()
-			pt.Reconciling.Record(s.Machine, reconcile.Silent, pt.Now)
-			pt.healthOf(s.Machine).Rest(pt.Now.Add(tuning.UnansweredRest))
+			pt.Reconciling.Record(s.Machine, reconcile.Silent, pt.state.Now)
+			pt.healthOf(s.Machine).Rest(pt.state.Now.Add(tuning.UnansweredRest))
 			return
 		}
 		if status == 409 {
 			s.CommandRefused()
-			s.Accept(&r, pt.Now, pt.placedOn(s.Machine))
+			s.Accept(&r, pt.state.Now, pt.placedOn(s.Machine))
 			if r.AgentEpoch != agentEpoch {
 				s.LastCall = time.Time{} // try again with the right session
 			}
 			return
 		}
 		s.CommandAnswered()
-		s.Accept(&r, pt.Now, pt.placedOn(s.Machine))
+		s.Accept(&r, pt.state.Now, pt.placedOn(s.Machine))
 	})
 }
 
@@ -87,15 +87,15 @@
 // (meet-hung-cancelled-launch). A stop is safe, whatever the machine holds.
 func (pt *Shard) stopsOfCancelled(machine string) []agent.Command {
 	var placed []agent.TaskStatus
-	for _, taskID := range clusterstate.SortedKeys(pt.TasksOnMachine[machine]) {
-		placed = append(placed, agent.TaskStatus{TaskID: taskID, Attempt: pt.TasksOnMachine[machine][taskID].Attempt})
+	for _, taskID := range clusterstate.SortedKeys(pt.state.TasksOnMachine[machine]) {
+		placed = append(placed, agent.TaskStatus{TaskID: taskID, Attempt: pt.state.TasksOnMachine[machine][taskID].Attempt})
 	}
 	return cancellation.StopCommands(placed, pt.cancelled)
 }
 
 // unmetDeadline tells whether a machine without a record has yet to answer a command.
 func (pt *Shard) unmetDeadline(s *agent.Session) bool {
-	return !s.Connected && pt.Machines[s.Machine] == nil
+	return !s.Connected && pt.state.Machines[s.Machine] == nil
 }
 
 // CanPlace tells whether a task may go on a machine of this part now.
@@ -104,10 +104,10 @@
 	if s == nil || s.State != agent.Known || s.PreemptionNoticeS != nil {
 		return false
 	}
-	if pt.Now.Sub(s.LastStatus) > jobs.Seconds(pt.Cluster.Workers.ReportS*tuning.FreshReports) {
+	if pt.state.Now.Sub(s.LastStatus) > jobs.Seconds(pt.config.Cluster.Workers.ReportS*tuning.FreshReports) {
 		return false
 	}
-	jobID := pt.Queue.ClaimedFor(m)
+	jobID := pt.scheduler.ClaimedFor(m)
 	return pt.takes(t, m) && (jobID == "" || jobID == t.Job.ID)
 }
 
@@ -123,13 +123,13 @@
 
 // healthy tells whether a machine would take new tasks if it is reconciled.
 func (pt *Shard) healthy(m *clusterstate.Machine) bool {
-	if !pt.InUse(m) || pt.MachineTypes[m.MachineType] == nil {
+	if !pt.InUse(m) || pt.state.MachineTypes[m.MachineType] == nil {
 		return false
 	}
-	if _, draining := pt.Rental.Summary.Drain[m.Name]; draining {
+	if pt.provisioner.Draining(m.Name) {
 		return false
 	}
-	return !pt.health[m.Name].Rests(pt.Now)
+	return !pt.health[m.Name].Rests(pt.state.Now)
 }
 
 // keepSession makes sure that a machine of ours has a session.
@@ -146,7 +146,7 @@
 		if len(pt.sessions) >= tuning.MaxSessions {
 			return nil
 		}
-		s = agent.NewSession(machine, pt.Epoch(), pt.Now)
+		s = agent.NewSession(machine, pt.view.Epoch(), pt.state.Now)
 		pt.sessions[machine] = s
 	}
 	return s
--- /dev/null
+++ b/internal/shard/controller_test.go
@@ -0,0 +1,151 @@
+package shard
+
+import (
+	"errors"
+	"log/slog"
+	"testing"
+	"time"
+
+	"github.com/harrierreel/harrierreel/internal/clusterstate"
+	"github.com/harrierreel/harrierreel/internal/decide"
+	"github.com/harrierreel/harrierreel/internal/queue"
+	"github.com/harrierreel/harrierreel/internal/quota"
+	"github.com/harrierreel/harrierreel/internal/settings"
+)
+
+// owner is the shard of n0, whose collaborators do as the test says.
+type owner struct {
+	*Shard
+	t          *testing.T
+	controller *fakeController
+}
+
+func newOwner(t *testing.T) *owner {
+	t.Helper()
+	o := &owner{t: t, controller: newFakeController()}
+	state := clusterstate.New(
+		quota.Flat(map[string]quota.Team{"t": {Name: "t"}}),
+		func(machine string) { o.ReviewMachine(machine) },
+	)
+	state.Now = time.UnixMilli(1e12)
+	config := Config{
+		Name: "n0",
+		Cluster: settings.Cluster{
+			Workers: settings.Workers{ReportS: 3, LeaseS: 30, CancelS: 60},
+			State:   settings.State{TxnOps: 16},
+		},
+		ValueBytes: 8192,
+		Log:        slog.New(slog.DiscardHandler),
+	}
+	o.Shard = New(state, config, Collaborators{
+		View:          o.controller,
+		Agents:        o.controller,
+		Loop:          o.controller,
+		Scheduler:     newScheduler(o, state, config),
+		Provisioner:   o.controller,
+		Commits:       o.controller,
+		Budget:        o.controller,
+		Cancellations: o.controller,
+		Complaints:    o.controller,
+	})
+	return o
+}
+
+// newScheduler is the real queue over the shard under test.
+func newScheduler(o *owner, state *clusterstate.State, config Config) *queue.Queue {
+	return queue.New(state, queue.Env{
+		Name:           config.Name,
+		TxnOps:         config.Cluster.State.TxnOps,
+		ValueBytes:     config.ValueBytes,
+		MaxRangeTasks:  30,
+		Log:            config.Log,
+		UsesBatches:    o.controller.UsesBatches,
+		Busy:           func(string) bool { return false },
+		Allows:         o.controller.Allows,
+		HasSpareWrites: o.controller.HasSpareWrites,
+		Ready:          func(m *clusterstate.Machine) bool { return o.Ready(m) },
+		CanPlace:       func(t *clusterstate.Task, m *clusterstate.Machine) bool { return o.CanPlace(t, m) },
+		Commit:         o.controller.Commit,
+	})
+}
+
+// agentCall is a request to a worker's agent.
+type agentCall func(
+	endpoint, method, target string, body []byte, timeout time.Duration,
+	done func(status int, body []byte, err error),
+)
+
+// fakeController is all collaborators but the scheduler. It takes every decision at once,
+// and no machine is scaled in.
+type fakeController struct {
+	inView               bool
+	owner                string // of the machines without a record
+	cancelled            string // a job whose cancellation was acknowledged
+	cancellationsUnknown bool   // not all acknowledged cancellations are known
+	leasesWithheld       int
+	calls                []string
+	call                 agentCall
+	answer               func(body []byte) (int, []byte, error)
+	busy                 func(key string) bool
+	complain             func(owner, machine string, here bool)
+	decisions            []decide.Decision // committed
+}
+
+func newFakeController() *fakeController {
+	c := &fakeController{
+		inView:   true,
+		owner:    "n0",
+		answer:   func([]byte) (int, []byte, error) { return 0, nil, errors.New("no answer") },
+		busy:     func(string) bool { return false },
+		complain: func(string, string, bool) {},
+	}
+	c.call = func(
+		_, method, target string, body []byte, _ time.Duration,
+		done func(int, []byte, error),
+	) {
+		c.calls = append(c.calls, method+" "+target+" "+string(body))
+		done(c.answer(body))
+	}
+	return c
+}
+
+func (c *fakeController) OutsideView() bool     { return !c.inView }
+func (c *fakeController) MayAnswerAgents() bool { return c.inView }
+func (c *fakeController) Epoch() uint64         { return 5 }
+func (c *fakeController) KnownEpoch() uint64    { return 9 }
+func (c *fakeController) Members() []string     { return []string{"n0"} }
+func (c *fakeController) OwnerOf(string) string { return c.owner }
+
+func (c *fakeController) Call(
+	endpoint, method, target string, body []byte, timeout time.Duration,
+	done func(status int, body []byte, err error),
+) {
+	c.call(endpoint, method, target, body, timeout, done)
+}
+
+func (c *fakeController) Wake() {}
+
+func (c *fakeController) GivenUp(string) bool  { return false }
+func (c *fakeController) Draining(string) bool { return false }
+
+func (c *fakeController) Busy(key string) bool { return c.busy(key) }
+
+func (c *fakeController) Commit(decisions []decide.Decision) {
+	c.decisions = append(c.decisions, decisions...)
+	for i := range decisions {
+		if decisions[i].OnSettled != nil {
+			decisions[i].OnSettled(true)
+		}
+	}
+}
+
+func (c *fakeController) Allows(int, int) bool { return true }
+func (c *fakeController) HasSpareWrites() bool { return true }
+func (c *fakeController) UsesBatches() bool    { return false }
+
+func (c *fakeController) Cancelled(jobID string) bool { return c.cancelled == jobID }
+func (c *fakeController) MayRenewLeases() bool        { return !c.cancellationsUnknown }
+func (c *fakeController) MayLaunch() bool             { return !c.cancellationsUnknown }
+func (c *fakeController) LeaseWithheld()              { c.leasesWithheld++ }
+
+func (c *fakeController) Complain(owner, machine string, here bool) { c.complain(owner, machine, here) }
--- a/internal/shard/health.go
+++ b/internal/shard/health.go
@@ -16,27 +16,27 @@
 // watchHealth keeps a machine's record in step with what its owner hears, and notes in
 // unheard a machine that it does not hear, or (true) that answers commands only.
 func (pt *Shard) watchHealth(s *agent.Session, unheard map[string]bool) []decide.Decision {
-	m := pt.Machines[s.Machine]
+	m := pt.state.Machines[s.Machine]
 	if m == nil {
 		if s.State == agent.Known && s.Connected { // an old report of a machine that is gone may carry our baton
-			rec := fleet.MachineRecord{State: fleet.Up, Endpoint: s.Endpoint, MachineType: s.MachineType, Zone: s.Zone, Spot: s.Spot, SinceMs: pt.NowMs()}
+			rec := fleet.MachineRecord{State: fleet.Up, Endpoint: s.Endpoint, MachineType: s.MachineType, Zone: s.Zone, Spot: s.Spot, SinceMs: pt.state.NowMs()}
 			return []decide.Decision{{Writes: []store.Write{decide.Put(fleet.MachinePrefix+s.Machine, rec)}}}
 		}
-		if pt.Now.Sub(s.LastStatus) > tuning.ForgetSession {
+		if pt.state.Now.Sub(s.LastStatus) > tuning.ForgetSession {
 			delete(pt.sessions, s.Machine)
 		}
 		return nil
 	}
-	unresponsive := pt.Now.Sub(s.LastStatus)
-	times := pt.Cluster.Workers
-	if pt.Now.Sub(s.LastHeartbeat) > times.OutboundPartitionedAfter() {
+	unresponsive := pt.state.Now.Sub(s.LastStatus)
+	times := pt.config.Cluster.Workers
+	if pt.state.Now.Sub(s.LastHeartbeat) > times.OutboundPartitionedAfter() {
 		// What it answers to commands is true, but renews no lease: all that it holds ends
 		// with that, again and again. Without this a task was begun on such a machine
 		// five times (meet-mute-one, docs/incidents/mute-machines.md).
 		unheard[s.Machine] = true
 	}
 	switch {
-	case !s.HigherTokenSince.IsZero() && pt.Now.Sub(s.HigherTokenSince) > times.GoneBy():
+	case !s.HigherTokenSince.IsZero() && pt.state.Now.Sub(s.HigherTokenSince) > times.GoneBy():
 		// Nobody of this view can speak to it: its lease is over, and what it holds with it.
 		return pt.TransitionMachine(s.Machine, fleet.Unhealthy, "has seen a later baton than this view's")
 	case !pt.Reconciling.Steady() && s.HeartbeatSeq == 0 && s.FailedCalls > 0, // never heard
@@ -54,8 +54,8 @@
 // publishUnresponsive is the decisions that write which of this part's machines are not
 // heard, where that has changed.
 func (pt *Shard) publishUnresponsive(unheard map[string]bool) []decide.Decision {
-	told := pt.unresponsiveLists[pt.Name]
-	want := told.Divide(unheard, pt.Epoch(), pt.ValueBytes)
+	told := pt.unresponsiveLists[pt.config.Name]
+	want := told.Divide(unheard, pt.view.Epoch(), pt.config.ValueBytes)
 	// The first list is written last: it has the others count.
 	numbers := map[int]bool{1: true}
 	for number := range want {
@@ -68,7 +68,7 @@
 	for _, number := range slices.Backward(slices.Sorted(maps.Keys(numbers))) {
 		list, needed := want[number]
 		had, has := told[number]
-		key := fleet.UnresponsiveKey(pt.Name, number)
+		key := fleet.UnresponsiveKey(pt.config.Name, number)
 		w := decide.Put(key, list.Entries())
 		if !needed {
 			// Not before its machines stand elsewhere.
@@ -79,12 +79,12 @@
 		} else if list.Same(had) && (has || number == 1) {
 			continue
 		}
-		if pt.Busy(key) {
+		if pt.commits.Busy(key) {
 			continue
 		}
 		ds = append(ds, decide.Decision{Writes: []store.Write{w}, OnSettled: func(ok bool) {
 			if ok {
-				pt.Log.Info("machines not heard", "machines", len(unheard))
+				pt.config.Log.Info("machines not heard", "machines", len(unheard))
 			}
 		}})
 	}
@@ -93,10 +93,10 @@
 
 // UnresponsiveKeys are the keys of the lists in which this owner says what it does not hear.
 func (pt *Shard) UnresponsiveKeys() []string {
-	keys := []string{fleet.UnresponsiveKey(pt.Name, 1)}
-	for number := range pt.unresponsiveLists[pt.Name] {
+	keys := []string{fleet.UnresponsiveKey(pt.config.Name, 1)}
+	for number := range pt.unresponsiveLists[pt.config.Name] {
 		if number > 1 {
-			keys = append(keys, fleet.UnresponsiveKey(pt.Name, number))
+			keys = append(keys, fleet.UnresponsiveKey(pt.config.Name, number))
 		}
 	}
 	return keys
@@ -107,7 +107,7 @@
 	if m.State == fleet.Lost {
 		return fleet.Unresponsiveness{Since: m.Since}, true
 	}
-	u, is := pt.Unresponsive[m.Owner][m.Name]
+	u, is := pt.state.Unresponsive[m.Owner][m.Name]
 	return u, is
 }
 
@@ -122,13 +122,13 @@
 	if m.State != fleet.Up {
 		return false
 	}
-	_, unresponsive := pt.Unresponsive[m.Owner][m.Name]
-	return !unresponsive && !pt.Rental.GivenUp(m.Name)
+	_, unresponsive := pt.state.Unresponsive[m.Owner][m.Name]
+	return !unresponsive && !pt.provisioner.GivenUp(m.Name)
 }
 
 // overdue tells whether a machine should have reported by now. It is then
 // asked directly: where reports are seldom, waiting for the next would leave
 // its tasks dead for long.
 func (pt *Shard) overdue(s *agent.Session) bool {
-	return pt.Now.Sub(s.LastStatus) > pt.Cluster.Workers.Late()
+	return pt.state.Now.Sub(s.LastStatus) > pt.config.Cluster.Workers.Late()
 }
--- a/internal/shard/part.go
+++ b/internal/shard/part.go
@@ -6,67 +6,29 @@
 
 import (
 	"encoding/json"
-	"log/slog"
 	"slices"
 	"time"
 
 	"github.com/harrierreel/harrierreel/internal/agent"
 	"github.com/harrierreel/harrierreel/internal/clusterstate"
-	"github.com/harrierreel/harrierreel/internal/decide"
 	"github.com/harrierreel/harrierreel/internal/fleet"
-	"github.com/harrierreel/harrierreel/internal/provisioning"
-	"github.com/harrierreel/harrierreel/internal/queue"
 	"github.com/harrierreel/harrierreel/internal/reconcile"
-	"github.com/harrierreel/harrierreel/internal/settings"
 )
 
-// Env is what an owner is told from outside: settings, and what others know.
-type Env struct {
-	Name       string
-	Cluster    settings.Cluster
-	ValueBytes int // bytes of a record
-	Log        *slog.Logger
-	Queue      *queue.Queue
-	Rental     *provisioning.Provisioner
-
-	// Call sends a request to a worker; its answer comes back on the loop.
-	Call func(endpoint, method, target string, body []byte, timeout time.Duration, done func(status int, body []byte, err error))
-	// Wake has the loop look again.
-	Wake func()
-	// MayAnswerAgents tells whether this node may answer workers, Outside whether it is
-	// outside the view.
-	MayAnswerAgents, OutsideView func() bool
-	// Epoch is the view's, Members are those in it.
-	Epoch   func() uint64
-	Members func() []string
-	// KnownEpoch is up to where all changes of the state service are known.
-	KnownEpoch func() uint64
-	// OwnerOf is the controller that a machine belongs to; Complain notes that a
-	// worker came here although it was sent there.
-	OwnerOf  func(machine string) string
-	Complain func(owner, machine string, here bool)
-	// Busy tells whether a record is under a transaction.
-	Busy func(key string) bool
-	// Allows tells whether the budget has so many changes now, Spare whether there is some
-	// to spare.
-	Allows         func(spent, writes int) bool
-	HasSpareWrites func() bool
-	// Commit takes decisions.
-	Commit func([]decide.Decision)
-
-	// Cancelled tells whether a job was told to be cancelled though its record here may
-	// not show it. Renews tells whether workers' leases may be renewed, Launches whether
-	// tasks may be launched; Withheld counts a report whose lease was not renewed
-	// (package cancellation).
-	Cancelled                 func(jobID string) bool
-	MayRenewLeases, MayLaunch func() bool
-	LeaseWithheld             func()
-}
-
 // Shard is what an owner keeps of its machines.
 type Shard struct {
-	*clusterstate.State
-	Env
+	config Config
+	state  *clusterstate.State
+
+	view          View
+	agents        AgentCaller
+	loop          LoopWaker
+	scheduler     Scheduler
+	provisioner   Provisioner
+	commits       CommitQueue
+	budget        WriteBudget
+	cancellations Cancellations
+	complaints    ComplaintLog
 
 	// Reconciling is what is known of this controller's machines since it started.
 	Reconciling *reconcile.Tracker
@@ -95,11 +57,30 @@
 	lastEnds         time.Time // when ended tasks were last committed
 }
 
-// New makes the part of an owner over a book.
-func New(b *clusterstate.State, env Env) *Shard {
+// New makes the shard of a controller over what is known from the records.
+func New(state *clusterstate.State, config Config, collaborators Collaborators) *Shard {
 	return &Shard{
-		State: b, Env: env, Reconciling: reconcile.New(env.Cluster.Workers.ReportS, env.Log), sessions: map[string]*agent.Session{}, health: map[string]*fleet.Health{}, newestHeartbeats: map[string][2]uint64{}, foreignHeartbeats: map[string]foreignHeartbeat{}, unresponsiveLists: map[string]fleet.UnresponsiveLists{},
-		toReview: map[string]bool{}, revisit: map[string]bool{}, gathering: map[string]bool{}, vanished: map[string]bool{},
+		config:            config,
+		state:             state,
+		view:              collaborators.View,
+		agents:            collaborators.Agents,
+		loop:              collaborators.Loop,
+		scheduler:         collaborators.Scheduler,
+		provisioner:       collaborators.Provisioner,
+		commits:           collaborators.Commits,
+		budget:            collaborators.Budget,
+		cancellations:     collaborators.Cancellations,
+		complaints:        collaborators.Complaints,
+		Reconciling:       reconcile.New(config.Cluster.Workers.ReportS, config.Log),
+		sessions:          map[string]*agent.Session{},
+		health:            map[string]*fleet.Health{},
+		newestHeartbeats:  map[string][2]uint64{},
+		foreignHeartbeats: map[string]foreignHeartbeat{},
+		unresponsiveLists: map[string]fleet.UnresponsiveLists{},
+		toReview:          map[string]bool{},
+		revisit:           map[string]bool{},
+		gathering:         map[string]bool{},
+		vanished:          map[string]bool{},
 	}
 }
 
@@ -122,27 +103,27 @@
 func (pt *Shard) NewView() {
 	clear(pt.foreignHeartbeats)
 	for machine, s := range pt.sessions {
-		if pt.OwnerOf(machine) != pt.Name {
+		if pt.view.OwnerOf(machine) != pt.config.Name {
 			delete(pt.sessions, machine)
 			continue
 		}
-		s.NewEpoch(pt.Epoch())
+		s.NewEpoch(pt.view.Epoch())
 		if pt.Reconciling.Steady() || s.FailedCalls == 0 {
 			s.LastCall = time.Time{}
 		}
 	}
 	var own []string
-	for _, m := range pt.Machines {
-		if m.Owner == pt.Name {
+	for _, m := range pt.state.Machines {
+		if m.Owner == pt.config.Name {
 			pt.keepSession(m)
 			own = append(own, m.Name)
 		}
 	}
 	var others []string
-	if len(own) < len(pt.Machines) {
-		others = slices.DeleteFunc(pt.Members(), func(m string) bool { return m == pt.Name })
+	if len(own) < len(pt.state.Machines) {
+		others = slices.DeleteFunc(pt.view.Members(), func(m string) bool { return m == pt.config.Name })
 	}
-	pt.Reconciling.View(pt.Epoch(), own, others, pt.Now)
+	pt.Reconciling.View(pt.view.Epoch(), own, others, pt.state.Now)
 	pt.lastSweep = time.Time{}
 }
 
@@ -165,10 +146,10 @@
 		lists[number] = list
 	}
 	if _, is := lists[1]; !is {
-		delete(pt.Unresponsive, owner)
+		delete(pt.state.Unresponsive, owner)
 		return nil
 	}
-	pt.Unresponsive[owner] = lists.Join(pt.Unresponsive[owner], pt.Now)
+	pt.state.Unresponsive[owner] = lists.Join(pt.state.Unresponsive[owner], pt.state.Now)
 	pt.confirmComplaints(owner)
 	return nil
 }
--- a/internal/shard/part_test.go
+++ b/internal/shard/part_test.go
@@ -2,74 +2,18 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
-	"log/slog"
 	"strconv"
 	"strings"
 	"testing"
 	"time"
 
 	"github.com/harrierreel/harrierreel/internal/agent"
-	"github.com/harrierreel/harrierreel/internal/clusterstate"
-	"github.com/harrierreel/harrierreel/internal/decide"
 	"github.com/harrierreel/harrierreel/internal/fleet"
 	"github.com/harrierreel/harrierreel/internal/http1"
 	"github.com/harrierreel/harrierreel/internal/jobs"
-	"github.com/harrierreel/harrierreel/internal/provisioning"
-	"github.com/harrierreel/harrierreel/internal/queue"
-	"github.com/harrierreel/harrierreel/internal/quota"
-	"github.com/harrierreel/harrierreel/internal/settings"
 )
 
-// owner is the part of n0, with a worker that answers as the test says.
-type owner struct {
-	*Shard
-	t         *testing.T
-	speaks    bool
-	elsewhere string
-	told      string // a job that was told to be cancelled
-	unproven  bool   // not all that was told is known
-	withheld  int
-	calls     []string
-	answer    func(body []byte) (int, []byte, error)
-	taken     []decide.Decision
-}
-
-func newOwner(t *testing.T) *owner {
-	o := &owner{t: t, speaks: true, elsewhere: "n0", answer: func([]byte) (int, []byte, error) { return 0, nil, errors.New("no answer") }}
-	b := clusterstate.New(quota.Flat(map[string]quota.Team{"t": {Name: "t"}}), func(machine string) { o.ReviewMachine(machine) })
-	b.Now = time.UnixMilli(1e12)
-	log := slog.New(slog.DiscardHandler)
-	cluster := settings.Cluster{Workers: settings.Workers{ReportS: 3, LeaseS: 30, CancelS: 60}, State: settings.State{TxnOps: 16}}
-	not := func(string) bool { return false }
-	q := queue.New(b, queue.Env{
-		Name: "n0", TxnOps: 16, ValueBytes: 8192, MaxRangeTasks: 30, UsesBatches: func() bool { return false }, Log: log, Busy: not, Allows: func(int, int) bool { return true }, HasSpareWrites: func() bool { return true },
-		Ready: func(m *clusterstate.Machine) bool { return o.Ready(m) }, CanPlace: func(x *clusterstate.Task, m *clusterstate.Machine) bool { return o.CanPlace(x, m) }, Commit: o.commit,
-	})
-	re := provisioning.New(b, provisioning.Env{Cluster: cluster, Log: log, Queue: q, IsLeader: func() (bool, uint64) { return true, 5 }})
-	o.Shard = New(b, Env{
-		Name: "n0", Cluster: cluster, ValueBytes: 8192, Log: log, Queue: q, Rental: re, Wake: func() {}, MayAnswerAgents: func() bool { return o.speaks },
-		OutsideView: func() bool { return !o.speaks }, Epoch: func() uint64 { return 5 }, KnownEpoch: func() uint64 { return 9 }, Members: func() []string { return []string{"n0"} }, OwnerOf: func(string) string { return o.elsewhere }, Complain: func(string, string, bool) {},
-		Busy: not, Allows: func(int, int) bool { return true }, HasSpareWrites: func() bool { return true }, Commit: o.commit,
-		Cancelled: func(jobID string) bool { return o.told == jobID }, MayRenewLeases: func() bool { return !o.unproven }, MayLaunch: func() bool { return !o.unproven }, LeaseWithheld: func() { o.withheld++ },
-		Call: func(_, method, target string, body []byte, _ time.Duration, done func(int, []byte, error)) {
-			o.calls = append(o.calls, method+" "+target+" "+string(body))
-			done(o.answer(body))
-		},
-	})
-	return o
-}
-
-func (o *owner) commit(ds []decide.Decision) {
-	o.taken = append(o.taken, ds...)
-	for i := range ds {
-		if ds[i].OnSettled != nil {
-			ds[i].OnSettled(true)
-		}
-	}
-}
-
 func (o *owner) beat(body string) (status int, answer string) {
 	o.Heartbeat([]byte(body), func(r http1.Reply) { status, answer = r.Status, string(r.Body) })
 	return status, answer
@@ -95,11 +39,11 @@
 	if s, _ := o.beat(strings.Replace(text("2", ""), `"baton":0`, `"baton":99999999`, 1)); s != 421 {
 		t.Errorf("a worker that has seen a later baton: %d", s)
 	}
-	o.elsewhere = "n1"
+	o.controller.owner = "n1"
 	if s, body := o.beat(text("3", "")); s != 421 || body != `{"reports_to":"n1"}` {
 		t.Errorf("another's machine: %d %s", s, body)
 	}
-	o.speaks = false
+	o.controller.inView = false
 	if s, _ := o.beat(text("4", "")); s != 503 {
 		t.Errorf("outside the view: %d", s)
 	}
@@ -109,12 +53,12 @@
 // launched, its end is committed, and only then reaped.
 func TestFromLaunchToReap(t *testing.T) {
 	o := newOwner(t)
-	o.MachineTypes["g4"] = &jobs.MachineType{Name: "g4", Cores: 8, Accelerators: 4, MemoryGB: 64}
-	_ = o.ApplyMachine("i-1", "n0", jobs.Encode(fleet.MachineRecord{State: fleet.Up, MachineType: "g4", Zone: "a", Endpoint: "w:1"}))
+	o.state.MachineTypes["g4"] = &jobs.MachineType{Name: "g4", Cores: 8, Accelerators: 4, MemoryGB: 64}
+	_ = o.state.ApplyMachine("i-1", "n0", jobs.Encode(fleet.MachineRecord{State: fleet.Up, MachineType: "g4", Zone: "a", Endpoint: "w:1"}))
 	spec := jobs.Spec{ID: "wk-1", Class: "c", Team: "t", Kind: jobs.Service, Priority: "prod", TaskCount: 2, Cores: 1, Accelerators: 1, MemoryGB: 1, Image: "b"}
-	_ = o.ApplyJob("wk-1", jobs.Encode(jobs.Record{State: jobs.Live, Spec: spec}))
+	_ = o.state.ApplyJob("wk-1", jobs.Encode(jobs.Record{State: jobs.Live, Spec: spec}))
 	held, heartbeatSeq := "", 1
-	o.answer = func(body []byte) (int, []byte, error) {
+	o.controller.answer = func(body []byte) (int, []byte, error) {
 		var c struct {
 			Baton  uint64
 			Orders []struct{ Verb, Piece string }
@@ -131,14 +75,14 @@
 	o.beat(text("1", ""))
 	for k := range 8 {
 		if k == 3 { // placed once the machine is adopted
-			_, _ = o.ApplyTaskRange("task/wk-1/0", jobs.EncodeTaskRange([]jobs.Task{{State: jobs.Placed, Machine: "i-1", Attempt: 3}}, 8192))
+			_, _ = o.state.ApplyTaskRange("task/wk-1/0", jobs.EncodeTaskRange([]jobs.Task{{State: jobs.Placed, Machine: "i-1", Attempt: 3}}, 8192))
 		}
-		o.Now = o.Now.Add(time.Second)
+		o.state.Now = o.state.Now.Add(time.Second)
 		o.ReviewMachine("i-1")
 		o.Reconcile()
 	}
-	if len(o.calls) < 2 || strings.Contains(o.calls[0], "launch") || !strings.Contains(strings.Join(o.calls, "\n"), `"verb":"launch","piece":"wk-1/0","try":3`) {
-		t.Fatalf("calls:\n%s", strings.Join(o.calls, "\n"))
+	if len(o.controller.calls) < 2 || strings.Contains(o.controller.calls[0], "launch") || !strings.Contains(strings.Join(o.controller.calls, "\n"), `"verb":"launch","piece":"wk-1/0","try":3`) {
+		t.Fatalf("calls:\n%s", strings.Join(o.controller.calls, "\n"))
 	}
 	held = `{"piece":"wk-1/0","try":3,"status":"ended","cause":"error"}`
 	_, answer := o.beat(strings.Replace(text("9", held), `"baton":0`, `"baton":5242880`, 1))
@@ -147,7 +91,7 @@
 	}
 	o.Reconcile()
 	ended := false
-	for _, d := range o.taken {
+	for _, d := range o.controller.decisions {
 		for _, c := range d.Changes {
 			ended = ended || c.Next.State == jobs.Pending && c.Next.Failures == 1 && c.Next.Attempt == 3
 		}
@@ -155,7 +99,7 @@
 	if !ended {
 		t.Error("its end was not decided")
 	}
-	_, _ = o.ApplyTaskRange("task/wk-1/0", jobs.EncodeTaskRange([]jobs.Task{{State: jobs.Pending, Attempt: 3, Failures: 1}}, 8192))
+	_, _ = o.state.ApplyTaskRange("task/wk-1/0", jobs.EncodeTaskRange([]jobs.Task{{State: jobs.Pending, Attempt: 3, Failures: 1}}, 8192))
 	_, answer = o.beat(strings.Replace(text("99", held), `"baton":0`, `"baton":5242880`, 1))
 	if !strings.Contains(answer, `"verb":"reap","piece":"wk-1/0","try":3`) {
 		t.Errorf("not reaped: %s", answer)
@@ -165,16 +109,16 @@
 // A machine whose reports stay out is written down as not heard, and heard again.
 func TestQuiet(t *testing.T) {
 	o := newOwner(t)
-	_ = o.ApplyMachine("i-1", "n0", jobs.Encode(fleet.MachineRecord{State: fleet.Up, MachineType: "g4", Zone: "a", Endpoint: "w:1"}))
+	_ = o.state.ApplyMachine("i-1", "n0", jobs.Encode(fleet.MachineRecord{State: fleet.Up, MachineType: "g4", Zone: "a", Endpoint: "w:1"}))
 	o.beat(text("1", ""))
 	o.Reconcile()
-	o.taken = nil
+	o.controller.decisions = nil
 	for range 12 {
-		o.Now = o.Now.Add(time.Second)
+		o.state.Now = o.state.Now.Add(time.Second)
 		o.Reconcile()
 	}
 	told := ""
-	for _, d := range o.taken {
+	for _, d := range o.controller.decisions {
 		for _, w := range d.Writes {
 			if w.Put == fleet.UnresponsivePrefix+"n0" {
 				told = string(w.Value)
@@ -187,7 +131,7 @@
 	if err := o.ApplyUnresponsive("n0", json.RawMessage(told)); err != nil {
 		t.Fatal(err)
 	}
-	if m := o.Machines["i-1"]; o.InUse(m) || o.Ready(m) {
+	if m := o.state.Machines["i-1"]; o.InUse(m) || o.Ready(m) {
 		t.Error("a machine that is not heard is in use")
 	}
 	if o.ApplyUnresponsive("n0", json.RawMessage("7")) == nil {
@@ -200,13 +144,13 @@
 func (o *owner) toldQuiet() int {
 	o.t.Helper()
 	changes := 0
-	for _, d := range o.taken {
+	for _, d := range o.controller.decisions {
 		for _, w := range d.Writes {
 			name, is := strings.CutPrefix(w.Put+w.Remove, fleet.UnresponsivePrefix)
 			if !is {
 				continue
 			}
-			if len(w.Value) > o.ValueBytes {
+			if len(w.Value) > o.config.ValueBytes {
 				o.t.Errorf("%d bytes in %s", len(w.Value), w.Put)
 			}
 			if err := o.ApplyUnresponsive(name, w.Value); err != nil {
@@ -215,7 +159,7 @@
 			changes++
 		}
 	}
-	o.taken = nil
+	o.controller.decisions = nil
 	return changes
 }
 
@@ -226,14 +170,14 @@
 	o := newOwner(t)
 	machine := func(i int) string { return fmt.Sprintf("i-%06d", i) }
 	for i := range machines {
-		if err := o.ApplyMachine(machine(i), "n0", jobs.Encode(fleet.MachineRecord{State: fleet.Up, MachineType: "g4", Zone: "a", Endpoint: "w:1"})); err != nil {
+		if err := o.state.ApplyMachine(machine(i), "n0", jobs.Encode(fleet.MachineRecord{State: fleet.Up, MachineType: "g4", Zone: "a", Endpoint: "w:1"})); err != nil {
 			t.Fatal(err)
 		}
 	}
 	heartbeatSeq := 0
 	pass := func(reports func(i int) bool) {
 		for range 7 {
-			o.Now = o.Now.Add(time.Second)
+			o.state.Now = o.state.Now.Add(time.Second)
 			heartbeatSeq++
 			for i := range machines {
 				if reports(i) {
@@ -254,17 +198,17 @@
 		{"a third does", func(i int) bool { return i%3 == 0 }, 2666},
 		{"all report again", func(int) bool { return true }, 0},
 	} {
-		o.taken = nil
+		o.controller.decisions = nil
 		pass(c.reports)
 		o.toldQuiet()
 		pass(c.reports)
 		o.toldQuiet()
-		if len(o.sessions) != machines || len(o.Unresponsive["n0"]) != c.quiet {
-			t.Errorf("%s: %d sessions, %d machines told unresponsive, not %d", c.name, len(o.sessions), len(o.Unresponsive["n0"]), c.quiet)
+		if len(o.sessions) != machines || len(o.state.Unresponsive["n0"]) != c.quiet {
+			t.Errorf("%s: %d sessions, %d machines told unresponsive, not %d", c.name, len(o.sessions), len(o.state.Unresponsive["n0"]), c.quiet)
 		}
 		used := 0
 		for i := range machines {
-			if o.InUse(o.Machines[machine(i)]) {
+			if o.InUse(o.state.Machines[machine(i)]) {
 				used++
 			}
 		}
@@ -286,16 +230,16 @@
 // the machine's reports prove nothing yet.
 func TestWhatWasTold(t *testing.T) {
 	o := newOwner(t)
-	_ = o.ApplyMachine("i-1", "n0", jobs.Encode(fleet.MachineRecord{State: fleet.Up, MachineType: "g4", Zone: "a", Endpoint: "w:1"}))
+	_ = o.state.ApplyMachine("i-1", "n0", jobs.Encode(fleet.MachineRecord{State: fleet.Up, MachineType: "g4", Zone: "a", Endpoint: "w:1"}))
 	held := `{"piece":"wk-000001/0","try":3,"status":"running"},{"piece":"wk-000002/0","try":1,"status":"running"},{"piece":"wk-000001/1","try":1,"status":"ended","cause":"done"}`
-	o.unproven = true
-	if s, _ := o.beat(text("1", held)); s != 503 || o.withheld != 1 {
-		t.Errorf("%d while unproven, %d withheld", s, o.withheld)
+	o.controller.cancellationsUnknown = true
+	if s, _ := o.beat(text("1", held)); s != 503 || o.controller.leasesWithheld != 1 {
+		t.Errorf("%d while unproven, %d withheld", s, o.controller.leasesWithheld)
 	}
 	if s := o.sessions["i-1"]; s == nil || s.HeartbeatSeq != 1 {
 		t.Errorf("the report was not taken in: %+v", s)
 	}
-	o.unproven, o.told = false, "wk-000001"
+	o.controller.cancellationsUnknown, o.controller.cancelled = false, "wk-000001"
 	const stop = `"orders":[{"verb":"stop","piece":"wk-000001/0","try":3,"wind_down_s":0}]`
 	if s, body := o.beat(text("2", held)); s != 200 || o.sessions["i-1"].State != agent.Unseen || !strings.Contains(body, stop) {
 		t.Errorf("%d %s in %s", s, body, o.sessions["i-1"].State)
@@ -308,17 +252,17 @@
 func TestStopsWithoutTheStateService(t *testing.T) {
 	for _, told := range []bool{false, true} {
 		o := newOwner(t)
-		o.MachineTypes["g4"] = &jobs.MachineType{Name: "g4", Cores: 8, Accelerators: 4, MemoryGB: 64}
-		_ = o.ApplyMachine("i-1", "n0", jobs.Encode(fleet.MachineRecord{State: fleet.Up, MachineType: "g4", Zone: "a", Endpoint: "w:1"}))
+		o.state.MachineTypes["g4"] = &jobs.MachineType{Name: "g4", Cores: 8, Accelerators: 4, MemoryGB: 64}
+		_ = o.state.ApplyMachine("i-1", "n0", jobs.Encode(fleet.MachineRecord{State: fleet.Up, MachineType: "g4", Zone: "a", Endpoint: "w:1"}))
 		spec := jobs.Spec{ID: "wk-000001", Class: "c", Team: "t", Kind: jobs.Service, Priority: "prod", TaskCount: 3, Cores: 1, Accelerators: 1, MemoryGB: 1, Image: "b"}
-		_ = o.ApplyJob("wk-000001", jobs.Encode(jobs.Record{State: jobs.Live, Spec: spec}))
-		_, _ = o.ApplyTaskRange("task/wk-000001/0", jobs.EncodeTaskRange([]jobs.Task{{State: jobs.Placed, Machine: "i-1", Attempt: 3}}, 8192))
-		_, _ = o.ApplyTaskRange("task/wk-000001/1", jobs.EncodeTaskRange([]jobs.Task{{State: jobs.Placed, Machine: "i-1", Attempt: 1}}, 8192))
-		o.Busy = func(key string) bool { return key == "task/wk-000001/0" }
+		_ = o.state.ApplyJob("wk-000001", jobs.Encode(jobs.Record{State: jobs.Live, Spec: spec}))
+		_, _ = o.state.ApplyTaskRange("task/wk-000001/0", jobs.EncodeTaskRange([]jobs.Task{{State: jobs.Placed, Machine: "i-1", Attempt: 3}}, 8192))
+		_, _ = o.state.ApplyTaskRange("task/wk-000001/1", jobs.EncodeTaskRange([]jobs.Task{{State: jobs.Placed, Machine: "i-1", Attempt: 1}}, 8192))
+		o.controller.busy = func(key string) bool { return key == "task/wk-000001/0" }
 		if told {
-			o.told = "wk-000001"
+			o.controller.cancelled = "wk-000001"
 		} else {
-			o.unproven = true
+			o.controller.cancellationsUnknown = true
 		}
 		s := o.session("i-1")
 		s.State, s.AgentEpoch, s.HeartbeatSeq = agent.Known, 1, 1
--- a/internal/shard/reconcile.go
+++ b/internal/shard/reconcile.go
@@ -21,9 +21,9 @@
 	case pt.Reconciling.Steady():
 		return true
 	case s.FailedCalls > 0:
-		return pt.callsToDoubted < tuning.DoubtedCalls && !pt.Rental.GivenUp(s.Machine)
+		return pt.callsToDoubted < tuning.DoubtedCalls && !pt.provisioner.GivenUp(s.Machine)
 	case s.HeartbeatSeq == 0:
-		return pt.callsToUnmet < tuning.AwaitedCalls && !pt.Rental.GivenUp(s.Machine)
+		return pt.callsToUnmet < tuning.AwaitedCalls && !pt.provisioner.GivenUp(s.Machine)
 	}
 	return true
 }
@@ -61,15 +61,15 @@
 	switch {
 	case pt.Reconciling.Steady():
 	case s.State != agent.Known:
-		if pt.Rental.GivenUp(s.Machine) {
-			pt.Reconciling.Record(s.Machine, reconcile.Silent, pt.Now)
+		if pt.provisioner.GivenUp(s.Machine) {
+			pt.Reconciling.Record(s.Machine, reconcile.Silent, pt.state.Now)
 		}
 	case len(rv.commands) > 0 || len(rv.decisions) > 0 || rv.gathering || rv.busy:
-		pt.Reconciling.Record(s.Machine, reconcile.Shows, pt.Now)
-		pt.Reconciling.Record(s.Machine, reconcile.Departs, pt.Now)
+		pt.Reconciling.Record(s.Machine, reconcile.Shows, pt.state.Now)
+		pt.Reconciling.Record(s.Machine, reconcile.Departs, pt.state.Now)
 	default:
-		pt.Reconciling.Record(s.Machine, reconcile.Shows, pt.Now)
-		pt.Reconciling.Record(s.Machine, reconcile.Agrees, pt.Now)
+		pt.Reconciling.Record(s.Machine, reconcile.Shows, pt.state.Now)
+		pt.Reconciling.Record(s.Machine, reconcile.Agrees, pt.state.Now)
 	}
 }
 
@@ -93,10 +93,10 @@
 // The machine's record is no condition, as it is where a task is placed elsewhere: the
 // task is recorded on it before and after, so that whoever deletes it frees the task.
 func (pt *Shard) placeAgain() []decide.Decision {
-	if len(pt.vanished) == 0 || !pt.Allows(0, tuning.MinBatchWrites) || pt.Now.Sub(pt.placedAgainAt) < tuning.PlaceAgainEvery {
+	if len(pt.vanished) == 0 || !pt.budget.Allows(0, tuning.MinBatchWrites) || pt.state.Now.Sub(pt.placedAgainAt) < tuning.PlaceAgainEvery {
 		return nil
 	}
-	pt.placedAgainAt = pt.Now
+	pt.placedAgainAt = pt.state.Now
 	var all []*clusterstate.Task
 	awaits, has := map[*clusterstate.TaskRecord]bool{}, map[*clusterstate.TaskRecord]int{}
 	for taskID := range pt.vanished {
@@ -108,7 +108,7 @@
 		if _, known := awaits[t.Stored]; !known {
 			awaits[t.Stored] = pt.awaits(t.Stored)
 		}
-		if !awaits[t.Stored] && !pt.Busy(t.Stored.Key) {
+		if !awaits[t.Stored] && !pt.commits.Busy(t.Stored.Key) {
 			all = append(all, t)
 			has[t.Stored]++
 		}
@@ -158,7 +158,7 @@
 		}
 		d.Changes = append(d.Changes, decide.TransitionTask(m, next)...)
 	}
-	if len(d.Keys()) > min(tuning.MaxPlaceAgainRecords, pt.Cluster.State.TxnOps) {
+	if len(d.Keys()) > min(tuning.MaxPlaceAgainRecords, pt.config.Cluster.State.TxnOps) {
 		return []decide.Decision{pt.TaskLost(t, jobs.Lost, 0)}
 	}
 	return []decide.Decision{d}
@@ -167,10 +167,10 @@
 // task is the record of a task by its name, nil if there is none.
 func (pt *Shard) task(taskID string) *clusterstate.Task {
 	jobID, num, ok := jobs.SplitTaskID(taskID)
-	if !ok || pt.Jobs[jobID] == nil {
+	if !ok || pt.state.Jobs[jobID] == nil {
 		return nil
 	}
-	return pt.Jobs[jobID].Tasks[num]
+	return pt.state.Jobs[jobID].Tasks[num]
 }
 
 // reconcileOrder is the order in which decisions are made while this controller reconciles; on any
@@ -189,12 +189,12 @@
 // canPlaceAgain tells whether a task is known to be gone from a machine of this controller's
 // that may be given it once more.
 func (pt *Shard) canPlaceAgain(t *clusterstate.Task) bool {
-	s, m := pt.sessions[t.Machine], pt.Machines[t.Machine]
+	s, m := pt.sessions[t.Machine], pt.state.Machines[t.Machine]
 	if s == nil || m == nil || t.State != jobs.Placed || t.Job.Record == nil || t.Job.Record.State != jobs.Live {
 		return false
 	}
 	verdict, _ := s.Judge(t.ID, t.Attempt)
-	return verdict == agent.Missing && s.PreemptionNoticeS == nil && pt.Queue.ClaimedFor(m) == "" && pt.healthy(m) && pt.Queue.MayBegin(&t.Job.Record.Spec)
+	return verdict == agent.Missing && s.PreemptionNoticeS == nil && pt.scheduler.ClaimedFor(m) == "" && pt.healthy(m) && pt.scheduler.MayBegin(&t.Job.Record.Spec)
 }
 
 // awaits tells whether a machine with a task of a record has yet to be heard.
@@ -214,7 +214,7 @@
 // on the list of those that it does not hear, 0 if some are not.
 func (pt *Shard) MachinesHeardEpoch() uint64 {
 	for _, h := range pt.Reconciling.Decommissioned() {
-		if m := pt.Machines[h]; m != nil && m.Owner == pt.Name && pt.InUse(m) {
+		if m := pt.state.Machines[h]; m != nil && m.Owner == pt.config.Name && pt.InUse(m) {
 			return 0
 		}
 	}
--- a/internal/shard/reconcile_test.go
+++ b/internal/shard/reconcile_test.go
@@ -18,16 +18,16 @@
 // out meanwhile, and a job with a task recorded on each.
 func restarted(t *testing.T, n int, shape string) *owner {
 	o := newOwner(t)
-	o.MachineTypes["g4"] = &jobs.MachineType{Name: "g4", Cores: 8, Accelerators: 4, MemoryGB: 64}
+	o.state.MachineTypes["g4"] = &jobs.MachineType{Name: "g4", Cores: 8, Accelerators: 4, MemoryGB: 64}
 	spec := jobs.Spec{ID: "wk-1", Class: "c", Team: "t", Kind: shape, Priority: "prod", TaskCount: n, Cores: 1, Accelerators: 1, MemoryGB: 1, Image: "b"}
-	_ = o.ApplyJob("wk-1", jobs.Encode(jobs.Record{State: jobs.Live, Spec: spec}))
+	_ = o.state.ApplyJob("wk-1", jobs.Encode(jobs.Record{State: jobs.Live, Spec: spec}))
 	var tasks []jobs.Task
 	for i := range n {
 		machine := fmt.Sprintf("i-%d", i+1)
-		_ = o.ApplyMachine(machine, "n0", jobs.Encode(fleet.MachineRecord{State: fleet.Up, MachineType: "g4", Zone: "a", Endpoint: "w:" + machine}))
+		_ = o.state.ApplyMachine(machine, "n0", jobs.Encode(fleet.MachineRecord{State: fleet.Up, MachineType: "g4", Zone: "a", Endpoint: "w:" + machine}))
 		tasks = append(tasks, jobs.Task{State: jobs.Placed, Machine: machine, Attempt: uint64(i + 1)})
 	}
-	_, _ = o.ApplyTaskRange("task/wk-1/0", jobs.EncodeTaskRange(tasks, 8192))
+	_, _ = o.state.ApplyTaskRange("task/wk-1/0", jobs.EncodeTaskRange(tasks, 8192))
 	o.NewView()
 	return o
 }
@@ -40,10 +40,10 @@
 
 // pass is one look; what it decides.
 func (o *owner) pass() (ds []decide.Decision) {
-	o.taken = nil
-	o.Now = o.Now.Add(tuning.PlaceAgainEvery)
+	o.controller.decisions = nil
+	o.state.Now = o.state.Now.Add(tuning.PlaceAgainEvery)
 	o.Reconcile()
-	for _, d := range o.taken {
+	for _, d := range o.controller.decisions {
 		if len(d.Changes) > 0 {
 			ds = append(ds, d)
 		}
@@ -56,7 +56,7 @@
 func TestPlacedAnew(t *testing.T) {
 	for shape, decisions := range map[string]int{jobs.Gang: 1, jobs.JobArray: 3} {
 		o := restarted(t, 3, shape)
-		o.Call = func(string, string, string, []byte, time.Duration, func(int, []byte, error)) {} // no answer yet
+		o.controller.call = func(string, string, string, []byte, time.Duration, func(int, []byte, error)) {} // no answer yet
 		o.shows("i-1", "")
 		o.shows("i-2", "")
 		if ds := o.pass(); len(ds) != 0 {
@@ -110,7 +110,7 @@
 	o := restarted(t, 200, jobs.JobArray)
 	var ends []func()
 	calls := 0
-	o.Call = func(endpoint, _, _ string, _ []byte, _ time.Duration, done func(int, []byte, error)) {
+	o.controller.call = func(endpoint, _, _ string, _ []byte, _ time.Duration, done func(int, []byte, error)) {
 		calls++
 		ends = append(ends, func() { done(0, nil, errors.New("no answer")) })
 	}
@@ -121,7 +121,7 @@
 	for _, f := range ends {
 		f()
 	}
-	o.Now = o.Now.Add(time.Millisecond) // no sweep
+	o.state.Now = o.state.Now.Add(time.Millisecond) // no sweep
 	o.Reconcile()
 	if calls != 2*tuning.AwaitedCalls {
 		t.Errorf("%d calls once those were over", calls)
--- a/internal/shard/review.go
+++ b/internal/shard/review.go
@@ -36,18 +36,18 @@
 		respond(http1.Reply{Status: 400, Body: http1.ErrorBody("not a report")})
 		return
 	}
-	if !pt.MayAnswerAgents() {
+	if !pt.view.MayAnswerAgents() {
 		respond(http1.Refuse("not in the view"))
 		return
 	}
 	news := pt.isNewHeartbeat(&r)
 	owner := ""
-	if m := pt.Machines[r.Machine]; m != nil {
+	if m := pt.state.Machines[r.Machine]; m != nil {
 		owner = m.Owner
 	} else {
-		owner = pt.OwnerOf(r.Machine)
+		owner = pt.view.OwnerOf(r.Machine)
 	}
-	if owner != pt.Name {
+	if owner != pt.config.Name {
 		pt.Reconciling.Redirected(owner)
 		if news {
 			pt.noteForeignHeartbeat(owner, &r)
@@ -63,19 +63,19 @@
 	if r.FencingToken > s.FencingToken() {
 		// Another controller holds a later baton: this one is behind, and a
 		// 200 would only keep the worker here while its lease runs out.
-		s.ObserveToken(r.FencingToken, pt.Now)
+		s.ObserveToken(r.FencingToken, pt.state.Now)
 		respond(misdirected(owner))
 		return
 	}
-	s.LastHeartbeat = pt.Now
-	if s.Accept(&r, pt.Now, pt.placedOn(r.Machine)) {
+	s.LastHeartbeat = pt.state.Now
+	if s.Accept(&r, pt.state.Now, pt.placedOn(r.Machine)) {
 		pt.toReview[r.Machine] = true
-		pt.Wake()
+		pt.loop.Wake()
 	}
-	if !pt.MayRenewLeases() {
+	if !pt.cancellations.MayRenewLeases() {
 		// The report counts, its lease does not: what was told to be cancelled and has not
 		// come here must end with it.
-		pt.LeaseWithheld()
+		pt.cancellations.LeaseWithheld()
 		respond(http1.Refuse("not all cancellations are known"))
 		return
 	}
@@ -114,15 +114,15 @@
 
 // cancelled tells whether a job is cancelled, as its record shows or as was told.
 func (pt *Shard) cancelled(jobID string) bool {
-	j := pt.Jobs[jobID]
-	return j != nil && j.Record != nil && j.Record.State == jobs.Cancelled || pt.Cancelled(jobID)
+	j := pt.state.Jobs[jobID]
+	return j != nil && j.Record != nil && j.Record.State == jobs.Cancelled || pt.cancellations.Cancelled(jobID)
 }
 
 // isNewHeartbeat tells whether a report is newer than all that came here of a known machine. An old one
 // that comes late, once the machine has another owner, doesn't tell that it can't reach it.
 func (pt *Shard) isNewHeartbeat(r *agent.Heartbeat) bool {
 	mark, last := [2]uint64{r.AgentEpoch, r.HeartbeatSeq}, pt.newestHeartbeats[r.Machine]
-	if pt.Machines[r.Machine] == nil || slices.Compare(mark[:], last[:]) <= 0 {
+	if pt.state.Machines[r.Machine] == nil || slices.Compare(mark[:], last[:]) <= 0 {
 		return false
 	}
 	pt.newestHeartbeats[r.Machine] = mark
@@ -145,7 +145,7 @@
 
 func (pt *Shard) placedOn(machine string) map[string]uint64 {
 	out := map[string]uint64{}
-	for taskID, t := range pt.TasksOnMachine[machine] {
+	for taskID, t := range pt.state.TasksOnMachine[machine] {
 		out[taskID] = t.Attempt
 	}
 	return out
@@ -162,10 +162,10 @@
 // review compares a machine's records with its reports.
 func (pt *Shard) review(s *agent.Session) review {
 	var out review
-	for _, taskID := range clusterstate.SortedKeys(pt.TasksOnMachine[s.Machine]) {
-		t := pt.TasksOnMachine[s.Machine][taskID]
-		over := t.Job.Record == nil || t.Job.Record.State != jobs.Live || pt.Cancelled(t.Job.ID)
-		if pt.Busy(t.Stored.Key) {
+	for _, taskID := range clusterstate.SortedKeys(pt.state.TasksOnMachine[s.Machine]) {
+		t := pt.state.TasksOnMachine[s.Machine][taskID]
+		over := t.Job.Record == nil || t.Job.Record.State != jobs.Live || pt.cancellations.Cancelled(t.Job.ID)
+		if pt.commits.Busy(t.Stored.Key) {
 			out.busy = true
 			if over && s.State == agent.Known {
 				// A transaction may be without an answer for as long as the state service is
@@ -175,7 +175,7 @@
 			continue // its end is touched again
 		}
 		verdict, p := s.Judge(taskID, t.Attempt)
-		m := pt.Machines[s.Machine]
+		m := pt.state.Machines[s.Machine]
 		rec := reconcile.Recorded{Verdict: verdict, Over: over, Stopping: t.State == jobs.Stopping, Leaving: m == nil || m.State == fleet.Deleting || m.State == fleet.Deleted}
 		if verdict == agent.OnIt {
 			pt.noteRunning(s, t, p)
@@ -185,7 +185,7 @@
 		pt.count(s.Machine, diff, answer)
 		switch answer {
 		case reconcile.Launch:
-			if pt.tooSoon(t) || !pt.MayLaunch() {
+			if pt.tooSoon(t) || !pt.cancellations.MayLaunch() {
 				pt.revisit[s.Machine] = true
 				continue
 			}
@@ -202,12 +202,12 @@
 		return out
 	}
 	for _, taskID := range clusterstate.SortedKeys(s.Tasks) {
-		t := pt.TasksOnMachine[s.Machine][taskID]
+		t := pt.state.TasksOnMachine[s.Machine][taskID]
 		for _, p := range s.Tasks[taskID] {
 			recorded := t != nil && t.Attempt == p.Attempt
 			// What is cancelled is stopped at once; its end is reaped only once no record can
 			// name it any more.
-			writing := !recorded && pt.writing(taskID) && (p.Status == agent.Ended || !pt.Cancelled(jobOf(taskID)))
+			writing := !recorded && pt.writing(taskID) && (p.Status == agent.Ended || !pt.cancellations.Cancelled(jobOf(taskID)))
 			diff, answer := reconcile.OfReported(p.Status, recorded, writing)
 			if !recorded {
 				pt.count(s.Machine, diff, answer)
@@ -241,10 +241,10 @@
 	ready := make([]time.Time, 0, len(t.Job.Active))
 	for _, o := range t.Job.Active {
 		if o.OnMachine() {
-			ready = append(ready, pt.Images.Ready(o.Machine, spec.Image))
+			ready = append(ready, pt.state.Images.Ready(o.Machine, spec.Image))
 		}
 	}
-	return pt.Now.Before(gangs.LaunchAt(pt.Images.Ready(t.Machine, spec.Image), ready, jobs.Seconds(pt.Cluster.Workers.GangWaitS)))
+	return pt.state.Now.Before(gangs.LaunchAt(pt.state.Images.Ready(t.Machine, spec.Image), ready, jobs.Seconds(pt.config.Cluster.Workers.GangWaitS)))
 }
 
 // noteRunning takes note that a task was seen running.
@@ -254,17 +254,17 @@
 	}
 	t.ObservedRunning = true
 	if t.Job.Record != nil {
-		pt.Log.Debug("runs", "task", t.ID, "class", t.Job.Record.Spec.Class, "machine", s.Machine, "try", t.Attempt, "since_accepted_ms", pt.NowMs()-t.Job.Record.AcceptedMs, "since_placed_ms", pt.Now.Sub(t.Since).Milliseconds())
+		pt.config.Log.Debug("runs", "task", t.ID, "class", t.Job.Record.Spec.Class, "machine", s.Machine, "try", t.Attempt, "since_accepted_ms", pt.state.NowMs()-t.Job.Record.AcceptedMs, "since_placed_ms", pt.state.Now.Sub(t.Since).Milliseconds())
 	}
 }
 
 // writing tells whether the record of a task is under a transaction.
 func (pt *Shard) writing(taskID string) bool {
-	if _, booked := pt.Reservations[taskID]; booked {
+	if _, booked := pt.state.Reservations[taskID]; booked {
 		return true
 	}
 	t := pt.task(taskID)
-	return t != nil && pt.Busy(t.Stored.Key)
+	return t != nil && pt.commits.Busy(t.Stored.Key)
 }
 
 // shouldCheckpoint tells whether a task should save before its machine is taken.
@@ -276,12 +276,12 @@
 	if spec.Kind == jobs.Service {
 		return true // a replica has nothing to finish: start it elsewhere
 	}
-	left := *s.PreemptionNoticeS - pt.Now.Sub(s.LastStatus).Seconds()
+	left := *s.PreemptionNoticeS - pt.state.Now.Sub(s.LastStatus).Seconds()
 	if spec.CheckpointIntervalS > 0 {
 		return left <= spec.CheckpointTimeS+tuning.SaveMargin
 	}
 	// What cannot finish in time had better begin elsewhere at once.
-	return spec.ExpectedDurationS-pt.Now.Sub(t.Since).Seconds() > left*tuning.NoticeDoubt
+	return spec.ExpectedDurationS-pt.state.Now.Sub(t.Since).Seconds() > left*tuning.NoticeDoubt
 }
 
 func (pt *Shard) stopCommand(t *clusterstate.Task, over bool) agent.Command {
@@ -297,7 +297,7 @@
 	if t.Job.Record == nil || t.Job.Record.State != jobs.Live {
 		kind = jobs.Lost
 	}
-	next, ok := jobs.NextTask(t.Task, jobs.TaskEvent{Kind: kind, NotBeforeMs: pt.NowMs() + pause.Milliseconds()})
+	next, ok := jobs.NextTask(t.Task, jobs.TaskEvent{Kind: kind, NotBeforeMs: pt.state.NowMs() + pause.Milliseconds()})
 	if !ok {
 		return decide.Decision{}
 	}
@@ -316,7 +316,7 @@
 		if t.Job.Record.Spec.Kind == jobs.Service {
 			return pt.TaskLost(t, jobs.Lost, 0)
 		}
-		m := pt.Machines[s.Machine]
+		m := pt.state.Machines[s.Machine]
 		inUse := m != nil && m.State != fleet.Deleting && m.State != fleet.Deleted
 		if d, whole := completion.WithLastTask(t); whole && (inUse || !t.Stored.IsBatch()) {
 			return d
@@ -329,7 +329,7 @@
 	case agent.CauseNoSuch:
 		return pt.TaskLost(t, jobs.Fail, jobs.Backoff(t.Failures))
 	case agent.CauseNoRoom, agent.CauseInUse:
-		h.Rest(pt.Now.Add(tuning.RefusedRest))
+		h.Rest(pt.state.Now.Add(tuning.RefusedRest))
 		return pt.TaskLost(t, jobs.Lost, tuning.Backoff)
 	}
 	return pt.TaskLost(t, jobs.Lost, 0)
@@ -339,28 +339,28 @@
 // several machines is itself to blame and costs no machine; a machine on which
 // several blameless jobs fail, or one that others finish elsewhere, is faulty.
 func (pt *Shard) blame(machine string, h *fleet.Health, t *clusterstate.Task) {
-	if pt.Trust(t.Job, machine) == jobs.Probing {
+	if pt.state.Trust(t.Job, machine) == jobs.Probing {
 		return
 	}
 	blameless := func(jobID string) bool {
-		j := pt.Jobs[jobID]
-		return j != nil && j.Record != nil && j.Record.State == jobs.Live && pt.Trust(j, "") == jobs.Trusted
+		j := pt.state.Jobs[jobID]
+		return j != nil && j.Record != nil && j.Record.State == jobs.Live && pt.state.Trust(j, "") == jobs.Trusted
 	}
-	if h.Failed(t.Job.ID, pt.Now, t.Job.DoneCount > 0, blameless) {
+	if h.Failed(t.Job.ID, pt.state.Now, t.Job.DoneCount > 0, blameless) {
 		pt.commitTransition(machine, fleet.Unhealthy, "tasks fail on it")
 	}
 }
 
 // commitTransition commits an event of a machine's record.
 func (pt *Shard) commitTransition(machine string, e fleet.Event, why string) {
-	pt.Commit(pt.TransitionMachine(machine, e, why))
+	pt.commits.Commit(pt.TransitionMachine(machine, e, why))
 }
 
 // TransitionMachine is the decision that a machine's record changes by an event, if it
 // does.
 func (pt *Shard) TransitionMachine(machine string, e fleet.Event, why string) []decide.Decision {
-	m := pt.Machines[machine]
-	if m == nil || pt.Busy(fleet.MachinePrefix+machine) {
+	m := pt.state.Machines[machine]
+	if m == nil || pt.commits.Busy(fleet.MachinePrefix+machine) {
 		return nil
 	}
 	rec := m.MachineRecord
@@ -369,10 +369,10 @@
 		return nil
 	}
 	from := rec.State
-	rec.State, rec.Reason, rec.SinceMs = state, why, pt.NowMs()
+	rec.State, rec.Reason, rec.SinceMs = state, why, pt.state.NowMs()
 	return []decide.Decision{{Writes: []store.Write{decide.Put(fleet.MachinePrefix+machine, rec)}, OnSettled: func(ok bool) {
 		if ok {
-			pt.Log.Info("machine", "machine", machine, "from", string(from), "to", string(state), "why", why)
+			pt.config.Log.Info("machine", "machine", machine, "from", string(from), "to", string(state), "why", why)
 		}
 	}}}
 }
@@ -381,27 +381,27 @@
 // many tasks of a record end soon after one another, and all of them are one write.
 func (pt *Shard) gathers() bool {
 	gap := tuning.GatherFor
-	if pt.HasSpareWrites() {
+	if pt.budget.HasSpareWrites() {
 		gap = 0
-		if pt.Queue.UsesBatches() {
+		if pt.budget.UsesBatches() {
 			gap = tuning.BatchEvery
 		}
 	}
-	return pt.Now.Sub(pt.lastEnds) < gap
+	return pt.state.Now.Sub(pt.lastEnds) < gap
 }
 
 // Reconcile does what an owner does for its part: it looks at the machines
 // that something has happened to, and from time to time at those that need
 // looking after without it.
 func (pt *Shard) Reconcile() {
-	if pt.OutsideView() {
+	if pt.view.OutsideView() {
 		clear(pt.toReview)
 		return
 	}
-	ds := pt.Queue.Place()
-	sweep := pt.Now.Sub(pt.lastSweep) >= tuning.SweepEvery
+	ds := pt.scheduler.Place()
+	sweep := pt.state.Now.Sub(pt.lastSweep) >= tuning.SweepEvery
 	if sweep {
-		pt.lastSweep = pt.Now
+		pt.lastSweep = pt.state.Now
 		unheard := map[string]bool{}
 		for _, machine := range clusterstate.SortedKeys(pt.sessions) {
 			s := pt.sessions[machine]
@@ -425,7 +425,7 @@
 	}
 	for _, machine := range clusterstate.SortedKeys(pt.toReview) {
 		s := pt.sessions[machine]
-		if m := pt.Machines[machine]; s == nil && m != nil && m.Owner == pt.Name && m.State != fleet.Deleted {
+		if m := pt.state.Machines[machine]; s == nil && m != nil && m.Owner == pt.config.Name && m.State != fleet.Deleted {
 			pt.keepSession(m)
 			s = pt.sessions[machine]
 		}
@@ -444,7 +444,7 @@
 		case gather:
 			pt.gathering[machine] = true
 		default:
-			pt.lastEnds = pt.Now
+			pt.lastEnds = pt.state.Now
 			ds = append(ds, rv.decisions...)
 		}
 		pt.command(s, rv.commands)
@@ -455,7 +455,7 @@
 	}
 	pt.awaitingCall = pt.awaitingCall[:0]
 	ds = append(ds, pt.placeAgain()...)
-	pt.Reconciling.Settle(pt.Now, pt.KnownEpoch())
+	pt.Reconciling.Settle(pt.state.Now, pt.view.KnownEpoch())
 	// Where the budget does not allow all, a guest's thousands of ends must not
 	// stand before those that others wait for.
 	sort.SliceStable(ds, func(a, b int) bool {
@@ -464,5 +464,5 @@
 		}
 		return ds[a].Priority() < ds[b].Priority()
 	})
-	pt.Commit(ds)
+	pt.commits.Commit(ds)
 }
--- a/internal/shard/visits.go
+++ b/internal/shard/visits.go
@@ -21,13 +21,13 @@
 // taken for complaints they had a sound controller left out of the view (meet-next-views,
 // docs/incidents/reports-for-next.md).
 func (pt *Shard) noteForeignHeartbeat(owner string, r *agent.Heartbeat) {
-	_, unresponsive := pt.Unresponsive[owner][r.Machine]
-	if unresponsive || r.FencingToken/agent.FencingTokenSpan >= pt.Epoch() {
+	_, unresponsive := pt.state.Unresponsive[owner][r.Machine]
+	if unresponsive || r.FencingToken/agent.FencingTokenSpan >= pt.view.Epoch() {
 		delete(pt.foreignHeartbeats, r.Machine)
-		pt.Complain(owner, r.Machine, true)
+		pt.complaints.Complain(owner, r.Machine, true)
 		return
 	}
-	pt.foreignHeartbeats[r.Machine] = foreignHeartbeat{owner, pt.Now}
+	pt.foreignHeartbeats[r.Machine] = foreignHeartbeat{owner, pt.state.Now}
 }
 
 // confirmComplaints has visits that were doubted complain after all, once the owner tells that it does
@@ -35,13 +35,13 @@
 func (pt *Shard) confirmComplaints(owner string) {
 	for _, machine := range clusterstate.SortedKeys(pt.foreignHeartbeats) {
 		v := pt.foreignHeartbeats[machine]
-		_, unresponsive := pt.Unresponsive[owner][machine]
+		_, unresponsive := pt.state.Unresponsive[owner][machine]
 		switch {
-		case pt.Now.Sub(v.at) > tuning.ComplaintGap:
+		case pt.state.Now.Sub(v.at) > tuning.ComplaintGap:
 			delete(pt.foreignHeartbeats, machine)
 		case v.owner == owner && unresponsive:
 			delete(pt.foreignHeartbeats, machine)
-			pt.Complain(owner, machine, true)
+			pt.complaints.Complain(owner, machine, true)
 		}
 	}
 }
--- a/internal/shard/visits_test.go
+++ b/internal/shard/visits_test.go
@@ -26,7 +26,7 @@
 	visits := func(o *owner, token uint64) {
 		o.t.Helper()
 		for heartbeatSeq := range 3 {
-			o.Now = o.Now.Add(time.Second)
+			o.state.Now = o.state.Now.Add(time.Second)
 			if s, _ := o.beat(fmt.Sprintf(`{"host":"i-1","tenure":1,"tick":%d,"baton":%d}`, o.newestHeartbeats["i-1"][1]+uint64(heartbeatSeq)+1, token)); s != 421 {
 				o.t.Fatalf("status %d", s)
 			}
@@ -51,7 +51,7 @@
 		}, 1},
 		{"long afterwards", func(o *owner) {
 			visits(o, earlier)
-			o.Now = o.Now.Add(tuning.ComplaintGap + time.Second)
+			o.state.Now = o.state.Now.Add(tuning.ComplaintGap + time.Second)
 			unresponsive(o, "n1", `["i-1"]`)
 		}, 0},
 		{"a view later", func(o *owner) { visits(o, earlier); o.NewView(); unresponsive(o, "n1", `["i-1"]`) }, 0},
@@ -59,15 +59,15 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			o := newOwner(t)
-			o.elsewhere = "n1"
+			o.controller.owner = "n1"
 			complaints := 0
-			o.Complain = func(owner, machine string, here bool) {
+			o.controller.complain = func(owner, machine string, here bool) {
 				if owner != "n1" || machine != "i-1" || !here {
 					t.Errorf("%s of %s, here %v", machine, owner, here)
 				}
 				complaints++
 			}
-			if err := o.ApplyMachine("i-1", "n1", jobs.Encode(fleet.MachineRecord{State: fleet.Up, MachineType: "g4", Zone: "a", Endpoint: "w:1"})); err != nil {
+			if err := o.state.ApplyMachine("i-1", "n1", jobs.Encode(fleet.MachineRecord{State: fleet.Up, MachineType: "g4", Zone: "a", Endpoint: "w:1"})); err != nil {
 				t.Fatal(err)
 			}
 			c.play(o)
