--- a/internal/shard/command.go
+++ b/internal/shard/commands.go
@@ -7,7 +7,6 @@
 	"github.com/harrierreel/harrierreel/internal/agent"
 	"github.com/harrierreel/harrierreel/internal/cancellation"
 	"github.com/harrierreel/harrierreel/internal/clusterstate"
-	"github.com/harrierreel/harrierreel/internal/jobs"
 	"github.com/harrierreel/harrierreel/internal/reconcile"
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
@@ -93,61 +92,44 @@
 	return cancellation.StopCommands(placed, pt.cancelled)
 }
 
-// unmetDeadline tells whether a machine without a record has yet to answer a command.
-func (pt *Shard) unmetDeadline(s *agent.Session) bool {
-	return !s.Connected && pt.state.Machines[s.Machine] == nil
-}
-
-// CanPlace tells whether a task may go on a machine of this part now.
-func (pt *Shard) CanPlace(t *clusterstate.Task, m *clusterstate.Machine) bool {
-	s := pt.sessions[m.Name]
-	if s == nil || s.State != agent.Known || s.PreemptionNoticeS != nil {
-		return false
-	}
-	if pt.state.Now.Sub(s.LastStatus) > jobs.Seconds(pt.config.Cluster.Workers.ReportS*tuning.FreshReports) {
-		return false
+func limitCommands(o []agent.Command) []agent.Command {
+	if len(o) > tuning.MaxCommands {
+		return o[:tuning.MaxCommands]
 	}
-	jobID := pt.scheduler.ClaimedFor(m)
-	return pt.takes(t, m) && (jobID == "" || jobID == t.Job.ID)
-}
-
-// takes tells whether a machine is one that a task may go on, by its record.
-func (pt *Shard) takes(t *clusterstate.Task, m *clusterstate.Machine) bool {
-	return pt.Ready(m) && clusterstate.FitsTask(t, m)
+	return o
 }
 
-// Ready tells whether a machine takes new tasks at all, by its record.
-func (pt *Shard) Ready(m *clusterstate.Machine) bool {
-	return pt.Reconciling.Open(m.Name) && pt.healthy(m)
-}
-
-// healthy tells whether a machine would take new tasks if it is reconciled.
-func (pt *Shard) healthy(m *clusterstate.Machine) bool {
-	if !pt.InUse(m) || pt.state.MachineTypes[m.MachineType] == nil {
-		return false
+// mayCall tells whether a call may be spent on a machine while this controller reconciles:
+// those that died must not hold up those that run.
+func (pt *Shard) mayCall(s *agent.Session) bool {
+	switch {
+	case pt.Reconciling.Steady():
+		return true
+	case s.FailedCalls > 0:
+		return pt.callsToDoubted < tuning.DoubtedCalls && !pt.provisioner.GivenUp(s.Machine)
+	case s.HeartbeatSeq == 0:
+		return pt.callsToUnmet < tuning.AwaitedCalls && !pt.provisioner.GivenUp(s.Machine)
 	}
-	if pt.provisioner.Draining(m.Name) {
-		return false
-	}
-	return !pt.health[m.Name].Rests(pt.state.Now)
+	return true
 }
 
-// keepSession makes sure that a machine of ours has a session.
-func (pt *Shard) keepSession(m *clusterstate.Machine) {
-	if s := pt.session(m.Name); s != nil && s.Endpoint == "" {
-		s.Endpoint, s.MachineType, s.Zone, s.Spot = m.Endpoint, m.MachineType, m.Zone, m.Spot
+// deferCall has a machine looked at again when a call comes free, and not with the next
+// sweep: 64 machines every 0.4 s were ten seconds for all of a fleet's.
+func (pt *Shard) deferCall(s *agent.Session) {
+	if !pt.Reconciling.Steady() {
+		pt.awaitingCall = append(pt.awaitingCall, s.Machine)
 	}
 }
 
-// session returns the session of a machine of ours, starting it if need be.
-func (pt *Shard) session(machine string) *agent.Session {
-	s := pt.sessions[machine]
-	if s == nil {
-		if len(pt.sessions) >= tuning.MaxSessions {
-			return nil
-		}
-		s = agent.NewSession(machine, pt.view.Epoch(), pt.state.Now)
-		pt.sessions[machine] = s
+// beginCall counts a call to a machine; the caller calls what it gets once it is over.
+func (pt *Shard) beginCall(s *agent.Session) (over func()) {
+	count := &pt.callsToUnmet
+	switch {
+	case s.FailedCalls > 0:
+		count = &pt.callsToDoubted
+	case s.HeartbeatSeq != 0:
+		return func() {}
 	}
-	return s
+	*count++
+	return func() { *count-- }
 }
--- a/internal/shard/health.go
+++ b/internal/shard/health.go
@@ -1,18 +1,50 @@
 package shard
 
 import (
-	"maps"
-	"slices"
-	"time"
-
 	"github.com/harrierreel/harrierreel/internal/agent"
 	"github.com/harrierreel/harrierreel/internal/clusterstate"
 	"github.com/harrierreel/harrierreel/internal/decide"
 	"github.com/harrierreel/harrierreel/internal/fleet"
+	"github.com/harrierreel/harrierreel/internal/jobs"
 	"github.com/harrierreel/harrierreel/internal/store"
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
+func (pt *Shard) healthOf(machine string) *fleet.Health {
+	h := pt.health[machine]
+	if h == nil {
+		h = &fleet.Health{}
+		pt.health[machine] = h
+	}
+	return h
+}
+
+// commitTransition commits an event of a machine's record.
+func (pt *Shard) commitTransition(machine string, e fleet.Event, why string) {
+	pt.commits.Commit(pt.TransitionMachine(machine, e, why))
+}
+
+// TransitionMachine is the decision that a machine's record changes by an event, if it
+// does.
+func (pt *Shard) TransitionMachine(machine string, e fleet.Event, why string) []decide.Decision {
+	m := pt.state.Machines[machine]
+	if m == nil || pt.commits.Busy(fleet.MachinePrefix+machine) {
+		return nil
+	}
+	rec := m.MachineRecord
+	state, ok := fleet.Next(rec.State, e)
+	if !ok {
+		return nil
+	}
+	from := rec.State
+	rec.State, rec.Reason, rec.SinceMs = state, why, pt.state.NowMs()
+	return []decide.Decision{{Writes: []store.Write{decide.Put(fleet.MachinePrefix+machine, rec)}, OnSettled: func(ok bool) {
+		if ok {
+			pt.config.Log.Info("machine", "machine", machine, "from", string(from), "to", string(state), "why", why)
+		}
+	}}}
+}
+
 // watchHealth keeps a machine's record in step with what its owner hears, and notes in
 // unheard a machine that it does not hear, or (true) that answers commands only.
 func (pt *Shard) watchHealth(s *agent.Session, unheard map[string]bool) []decide.Decision {
@@ -51,84 +83,36 @@
 	return nil
 }
 
-// publishUnresponsive is the decisions that write which of this part's machines are not
-// heard, where that has changed.
-func (pt *Shard) publishUnresponsive(unheard map[string]bool) []decide.Decision {
-	told := pt.unresponsiveLists[pt.config.Name]
-	want := told.Divide(unheard, pt.view.Epoch(), pt.config.ValueBytes)
-	// The first list is written last: it has the others count.
-	numbers := map[int]bool{1: true}
-	for number := range want {
-		numbers[number] = true
-	}
-	for number := range told {
-		numbers[number] = true
-	}
-	var ds []decide.Decision
-	for _, number := range slices.Backward(slices.Sorted(maps.Keys(numbers))) {
-		list, needed := want[number]
-		had, has := told[number]
-		key := fleet.UnresponsiveKey(pt.config.Name, number)
-		w := decide.Put(key, list.Entries())
-		if !needed {
-			// Not before its machines stand elsewhere.
-			if !want[1].Same(told[1]) {
-				continue
-			}
-			w = decide.Remove(key)
-		} else if list.Same(had) && (has || number == 1) {
-			continue
-		}
-		if pt.commits.Busy(key) {
-			continue
-		}
-		ds = append(ds, decide.Decision{Writes: []store.Write{w}, OnSettled: func(ok bool) {
-			if ok {
-				pt.config.Log.Info("machines not heard", "machines", len(unheard))
-			}
-		}})
+// CanPlace tells whether a task may go on a machine of this part now.
+func (pt *Shard) CanPlace(t *clusterstate.Task, m *clusterstate.Machine) bool {
+	s := pt.sessions[m.Name]
+	if s == nil || s.State != agent.Known || s.PreemptionNoticeS != nil {
+		return false
 	}
-	return ds
-}
-
-// UnresponsiveKeys are the keys of the lists in which this owner says what it does not hear.
-func (pt *Shard) UnresponsiveKeys() []string {
-	keys := []string{fleet.UnresponsiveKey(pt.config.Name, 1)}
-	for number := range pt.unresponsiveLists[pt.config.Name] {
-		if number > 1 {
-			keys = append(keys, fleet.UnresponsiveKey(pt.config.Name, number))
-		}
+	if pt.state.Now.Sub(s.LastStatus) > jobs.Seconds(pt.config.Cluster.Workers.ReportS*tuning.FreshReports) {
+		return false
 	}
-	return keys
+	jobID := pt.scheduler.ClaimedFor(m)
+	return pt.takes(t, m) && (jobID == "" || jobID == t.Job.ID)
 }
 
-// UnresponsivenessOf is what a machine's owner says of it while it sends no reports.
-func (pt *Shard) UnresponsivenessOf(m *clusterstate.Machine) (fleet.Unresponsiveness, bool) {
-	if m.State == fleet.Lost {
-		return fleet.Unresponsiveness{Since: m.Since}, true
-	}
-	u, is := pt.state.Unresponsive[m.Owner][m.Name]
-	return u, is
+// takes tells whether a machine is one that a task may go on, by its record.
+func (pt *Shard) takes(t *clusterstate.Task, m *clusterstate.Machine) bool {
+	return pt.Ready(m) && clusterstate.FitsTask(t, m)
 }
 
-// UnresponsiveSince tells since when nobody has heard a machine in any way, if so.
-func (pt *Shard) UnresponsiveSince(m *clusterstate.Machine) (time.Time, bool) {
-	u, is := pt.UnresponsivenessOf(m)
-	return u.Since, is && !u.OutboundPartitioned
+// Ready tells whether a machine takes new tasks at all, by its record.
+func (pt *Shard) Ready(m *clusterstate.Machine) bool {
+	return pt.Reconciling.Open(m.Name) && pt.healthy(m)
 }
 
-// InUse tells whether a machine is up and sends reports.
-func (pt *Shard) InUse(m *clusterstate.Machine) bool {
-	if m.State != fleet.Up {
+// healthy tells whether a machine would take new tasks if it is reconciled.
+func (pt *Shard) healthy(m *clusterstate.Machine) bool {
+	if !pt.InUse(m) || pt.state.MachineTypes[m.MachineType] == nil {
 		return false
 	}
-	_, unresponsive := pt.state.Unresponsive[m.Owner][m.Name]
-	return !unresponsive && !pt.provisioner.GivenUp(m.Name)
-}
-
-// overdue tells whether a machine should have reported by now. It is then
-// asked directly: where reports are seldom, waiting for the next would leave
-// its tasks dead for long.
-func (pt *Shard) overdue(s *agent.Session) bool {
-	return pt.state.Now.Sub(s.LastStatus) > pt.config.Cluster.Workers.Late()
+	if pt.provisioner.Draining(m.Name) {
+		return false
+	}
+	return !pt.health[m.Name].Rests(pt.state.Now)
 }
--- a/internal/shard/reconcile.go
+++ b/internal/shard/reconcile.go
@@ -1,222 +1,100 @@
 package shard
 
 import (
-	"cmp"
-	"slices"
-	"strings"
+	"sort"
 
 	"github.com/harrierreel/harrierreel/internal/agent"
 	"github.com/harrierreel/harrierreel/internal/clusterstate"
-	"github.com/harrierreel/harrierreel/internal/decide"
-	"github.com/harrierreel/harrierreel/internal/gangs"
-	"github.com/harrierreel/harrierreel/internal/jobs"
-	"github.com/harrierreel/harrierreel/internal/reconcile"
+	"github.com/harrierreel/harrierreel/internal/fleet"
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// mayCall tells whether a call may be spent on a machine while this controller reconciles:
-// those that died must not hold up those that run.
-func (pt *Shard) mayCall(s *agent.Session) bool {
-	switch {
-	case pt.Reconciling.Steady():
-		return true
-	case s.FailedCalls > 0:
-		return pt.callsToDoubted < tuning.DoubtedCalls && !pt.provisioner.GivenUp(s.Machine)
-	case s.HeartbeatSeq == 0:
-		return pt.callsToUnmet < tuning.AwaitedCalls && !pt.provisioner.GivenUp(s.Machine)
-	}
-	return true
-}
-
-// deferCall has a machine looked at again when a call comes free, and not with the next
-// sweep: 64 machines every 0.4 s were ten seconds for all of a fleet's.
-func (pt *Shard) deferCall(s *agent.Session) {
-	if !pt.Reconciling.Steady() {
-		pt.awaitingCall = append(pt.awaitingCall, s.Machine)
-	}
-}
-
-// beginCall counts a call to a machine; the caller calls what it gets once it is over.
-func (pt *Shard) beginCall(s *agent.Session) (over func()) {
-	count := &pt.callsToUnmet
-	switch {
-	case s.FailedCalls > 0:
-		count = &pt.callsToDoubted
-	case s.HeartbeatSeq != 0:
-		return func() {}
-	}
-	*count++
-	return func() { *count-- }
-}
-
-// count notes a difference, once for every look of a pass.
-func (pt *Shard) count(machine string, d reconcile.Difference, a reconcile.Answer) {
-	if pt.countDifferences {
-		pt.Reconciling.Count(machine, d, a)
-	}
-}
-
-// compared takes in what a look at a machine has found.
-func (pt *Shard) compared(s *agent.Session, rv *review) {
-	switch {
-	case pt.Reconciling.Steady():
-	case s.State != agent.Known:
-		if pt.provisioner.GivenUp(s.Machine) {
-			pt.Reconciling.Record(s.Machine, reconcile.Silent, pt.state.Now)
-		}
-	case len(rv.commands) > 0 || len(rv.decisions) > 0 || rv.gathering || rv.busy:
-		pt.Reconciling.Record(s.Machine, reconcile.Shows, pt.state.Now)
-		pt.Reconciling.Record(s.Machine, reconcile.Departs, pt.state.Now)
-	default:
-		pt.Reconciling.Record(s.Machine, reconcile.Shows, pt.state.Now)
-		pt.Reconciling.Record(s.Machine, reconcile.Agrees, pt.state.Now)
-	}
-}
-
-// free is what becomes of a recorded task that is not on its machine. While this
-// controller reconciles, one that vanished from a machine that may hold it still, as it
-// does where the lease ran out, is left to placeAnew.
-func (pt *Shard) free(t *clusterstate.Task, why reconcile.Difference, out *review) {
-	if !pt.Reconciling.Steady() && why == reconcile.Vanished && pt.canPlaceAgain(t) {
-		pt.vanished[t.ID] = true
-		out.gathering = true
+// Reconcile does what an owner does for its part: it looks at the machines
+// that something has happened to, and from time to time at those that need
+// looking after without it.
+func (pt *Shard) Reconcile() {
+	if pt.view.OutsideView() {
+		clear(pt.toReview)
 		return
 	}
-	out.decisions = append(out.decisions, pt.TaskLost(t, jobs.Lost, 0))
-}
-
-// placeAgain places tasks that have vanished where they were, under another try: one
-// change instead of two, the image is there, and the room was promised to nobody else.
-// What is in one record is written at once, when all the machines that it is about were
-// heard: one machine at a time, a pack of 200 tasks was written 100 times.
-//
-// The machine's record is no condition, as it is where a task is placed elsewhere: the
-// task is recorded on it before and after, so that whoever deletes it frees the task.
-func (pt *Shard) placeAgain() []decide.Decision {
-	if len(pt.vanished) == 0 || !pt.budget.Allows(0, tuning.MinBatchWrites) || pt.state.Now.Sub(pt.placedAgainAt) < tuning.PlaceAgainEvery {
-		return nil
-	}
-	pt.placedAgainAt = pt.state.Now
-	var all []*clusterstate.Task
-	awaits, has := map[*clusterstate.TaskRecord]bool{}, map[*clusterstate.TaskRecord]int{}
-	for taskID := range pt.vanished {
-		t := pt.task(taskID)
-		if t == nil || !t.OnMachine() || !pt.canPlaceAgain(t) {
-			delete(pt.vanished, taskID) // a look at its machine tells what it is now
-			continue
-		}
-		if _, known := awaits[t.Stored]; !known {
-			awaits[t.Stored] = pt.awaits(t.Stored)
+	ds := pt.scheduler.Place()
+	sweep := pt.state.Now.Sub(pt.lastSweep) >= tuning.SweepEvery
+	if sweep {
+		pt.lastSweep = pt.state.Now
+		unheard := map[string]bool{}
+		for _, machine := range clusterstate.SortedKeys(pt.sessions) {
+			s := pt.sessions[machine]
+			ds = append(ds, pt.watchHealth(s, unheard)...)
+			if s.State != agent.Known || pt.unmetDeadline(s) || s.PreemptionNoticeS != nil || pt.overdue(s) {
+				pt.toReview[machine] = true
+			}
 		}
-		if !awaits[t.Stored] && !pt.commits.Busy(t.Stored.Key) {
-			all = append(all, t)
-			has[t.Stored]++
+		for machine := range pt.revisit {
+			pt.toReview[machine] = true
 		}
+		clear(pt.revisit)
+		ds = append(ds, pt.publishUnresponsive(unheard)...)
 	}
-	// The records first that bring back most by one change; Pass puts them in turn.
-	slices.SortFunc(all, func(a, b *clusterstate.Task) int {
-		return cmp.Or(cmp.Compare(has[b.Stored], has[a.Stored]), strings.Compare(a.Stored.Key, b.Stored.Key), cmp.Compare(a.Index, b.Index))
-	})
-	var ds []decide.Decision
-	for _, t := range all {
-		ds = append(ds, pt.placeTaskAgain(t)...)
-	}
-	return ds
-}
-
-// placeTaskAgain is the decision that places a task, or its gang, where it was.
-func (pt *Shard) placeTaskAgain(t *clusterstate.Task) []decide.Decision {
-	mates := []*clusterstate.Task{t}
-	if spec := &t.Job.Record.Spec; spec.IsGang() && spec.TaskCount > 1 {
-		mates = mates[:0]
-		for n := range spec.TaskCount {
-			mates = append(mates, t.Job.Tasks[n])
+	gather := pt.gathers()
+	if !gather {
+		for machine := range pt.gathering {
+			pt.toReview[machine] = true
 		}
+		clear(pt.gathering)
 	}
-	if mates[0] != t {
-		// The first of a gang speaks for it; without that one it is not whole.
-		if m := mates[0]; m != nil && pt.vanished[m.ID] {
-			return nil
+	for _, machine := range clusterstate.SortedKeys(pt.toReview) {
+		s := pt.sessions[machine]
+		if m := pt.state.Machines[machine]; s == nil && m != nil && m.Owner == pt.config.Name && m.State != fleet.Deleted {
+			pt.keepSession(m)
+			s = pt.sessions[machine]
 		}
-	}
-	d := decide.Decision{ReadSet: []string{jobs.JobPrefix + t.Job.ID}}
-	var records []*jobs.Task
-	for _, m := range mates {
-		if m == nil || !m.OnMachine() || !pt.canPlaceAgain(m) {
-			if m != nil && m.OnMachine() && pt.awaits(m.Stored) {
-				return nil
-			}
-			return []decide.Decision{pt.TaskLost(t, jobs.Lost, 0)}
+		if s == nil {
+			continue
 		}
-		records = append(records, &m.Task)
-	}
-	attempt := gangs.NextAttempt(records)
-	for _, m := range mates {
-		next, ok := jobs.NextTask(m.Task, jobs.TaskEvent{Kind: jobs.PlaceAgain, Attempt: attempt})
-		if !ok {
-			return []decide.Decision{pt.TaskLost(t, jobs.Lost, 0)}
+		pt.countDifferences = true
+		rv := pt.review(s)
+		pt.countDifferences = false
+		if len(rv.decisions) > 0 || len(rv.commands) > 0 || rv.gathering {
+			pt.revisit[machine] = true
 		}
-		d.Changes = append(d.Changes, decide.TransitionTask(m, next)...)
-	}
-	if len(d.Keys()) > min(tuning.MaxPlaceAgainRecords, pt.config.Cluster.State.TxnOps) {
-		return []decide.Decision{pt.TaskLost(t, jobs.Lost, 0)}
-	}
-	return []decide.Decision{d}
-}
-
-// task is the record of a task by its name, nil if there is none.
-func (pt *Shard) task(taskID string) *clusterstate.Task {
-	jobID, num, ok := jobs.SplitTaskID(taskID)
-	if !ok || pt.state.Jobs[jobID] == nil {
-		return nil
-	}
-	return pt.state.Jobs[jobID].Tasks[num]
-}
-
-// reconcileOrder is the order in which decisions are made while this controller reconciles; on any
-// other day they go by rank alone.
-func (pt *Shard) reconcileOrder(d *decide.Decision) reconcile.Order {
-	if pt.Reconciling.Steady() || len(d.Changes) == 0 {
-		return reconcile.Ends
-	}
-	t := d.Changes[0].Task
-	if t.Job.Record == nil {
-		return reconcile.Cancelled
-	}
-	return reconcile.OrderOf(&t.Job.Record.Spec, t.Job.Record.State != jobs.Live, d.Changes[0].Next.State == jobs.Placed)
-}
-
-// canPlaceAgain tells whether a task is known to be gone from a machine of this controller's
-// that may be given it once more.
-func (pt *Shard) canPlaceAgain(t *clusterstate.Task) bool {
-	s, m := pt.sessions[t.Machine], pt.state.Machines[t.Machine]
-	if s == nil || m == nil || t.State != jobs.Placed || t.Job.Record == nil || t.Job.Record.State != jobs.Live {
-		return false
-	}
-	verdict, _ := s.Judge(t.ID, t.Attempt)
-	return verdict == agent.Missing && s.PreemptionNoticeS == nil && pt.scheduler.ClaimedFor(m) == "" && pt.healthy(m) && pt.scheduler.MayBegin(&t.Job.Record.Spec)
-}
-
-// awaits tells whether a machine with a task of a record has yet to be heard.
-func (pt *Shard) awaits(sl *clusterstate.TaskRecord) bool {
-	if pt.Reconciling.Phase() != reconcile.Hearing {
-		return false
-	}
-	for _, t := range sl.Tasks {
-		if t.OnMachine() && sl.Holds(t) && pt.Reconciling.Awaits(t.Machine) {
-			return true
+		pt.compared(s, &rv)
+		switch {
+		case len(rv.decisions) == 0:
+		case gather:
+			pt.gathering[machine] = true
+		default:
+			pt.lastEnds = pt.state.Now
+			ds = append(ds, rv.decisions...)
 		}
-	}
-	return false
+		pt.command(s, rv.commands)
+	}
+	clear(pt.toReview)
+	for _, machine := range pt.awaitingCall {
+		pt.toReview[machine] = true
+	}
+	pt.awaitingCall = pt.awaitingCall[:0]
+	ds = append(ds, pt.placeAgain()...)
+	pt.Reconciling.Settle(pt.state.Now, pt.view.KnownEpoch())
+	// Where the budget does not allow all, a guest's thousands of ends must not
+	// stand before those that others wait for.
+	sort.SliceStable(ds, func(a, b int) bool {
+		if x, y := pt.reconcileOrder(&ds[a]), pt.reconcileOrder(&ds[b]); x != y {
+			return x < y
+		}
+		return ds[a].Priority() < ds[b].Priority()
+	})
+	pt.commits.Commit(ds)
 }
 
-// MachinesHeardEpoch is the view under which all of this controller's machines were heard, or are
-// on the list of those that it does not hear, 0 if some are not.
-func (pt *Shard) MachinesHeardEpoch() uint64 {
-	for _, h := range pt.Reconciling.Decommissioned() {
-		if m := pt.state.Machines[h]; m != nil && m.Owner == pt.config.Name && pt.InUse(m) {
-			return 0
+// gathers tells whether ends wait for others: while writes are short, and with packs,
+// many tasks of a record end soon after one another, and all of them are one write.
+func (pt *Shard) gathers() bool {
+	gap := tuning.GatherFor
+	if pt.budget.HasSpareWrites() {
+		gap = 0
+		if pt.budget.UsesBatches() {
+			gap = tuning.BatchEvery
 		}
 	}
-	return pt.Reconciling.Heard()
+	return pt.state.Now.Sub(pt.lastEnds) < gap
 }
--- a/internal/shard/part.go
+++ b/internal/shard/shard.go
@@ -5,7 +5,6 @@
 package shard
 
 import (
-	"encoding/json"
 	"slices"
 	"time"
 
@@ -127,33 +126,6 @@
 	pt.lastSweep = time.Time{}
 }
 
-// ApplyUnresponsive takes in which machines an owner does not hear. The name is that of one of
-// its lists, the key without fleet.UnresponsivePrefix.
-func (pt *Shard) ApplyUnresponsive(name string, value json.RawMessage) error {
-	owner, number := fleet.ParseUnresponsiveKey(name)
-	lists := pt.unresponsiveLists[owner]
-	if value == nil {
-		delete(lists, number)
-	} else {
-		list, err := fleet.DecodeUnresponsiveList(value)
-		if err != nil {
-			return err
-		}
-		if lists == nil {
-			lists = fleet.UnresponsiveLists{}
-			pt.unresponsiveLists[owner] = lists
-		}
-		lists[number] = list
-	}
-	if _, is := lists[1]; !is {
-		delete(pt.state.Unresponsive, owner)
-		return nil
-	}
-	pt.state.Unresponsive[owner] = lists.Join(pt.state.Unresponsive[owner], pt.state.Now)
-	pt.confirmComplaints(owner)
-	return nil
-}
-
 // MachineRemoved forgets a machine. Its session must not bring the record back; should
 // the worker report after all, it is met as a new one.
 func (pt *Shard) MachineRemoved(machine string) {
