--- a/internal/shard/collaborators.go
+++ b/internal/shard/collaborators.go
@@ -84,7 +84,7 @@
 type CommitQueue interface {
 	// Busy tells whether a record is under a transaction; a decision about it waits.
 	Busy(key string) bool
-	// Commit takes decisions, the most urgent first.
+	// Commit takes decisions, to be committed in this order.
 	Commit(decisions []decide.Decision)
 }
 
--- a/internal/shard/commands.go
+++ b/internal/shard/commands.go
@@ -11,123 +11,138 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// command sends orders to a worker directly, or shows it the baton.
-func (pt *Shard) command(s *agent.Session, orders []agent.Command) {
-	if s.CommandPending || s.Endpoint == "" {
+// command sends commands to a machine's agent directly, or shows it the fencing token.
+func (s *Shard) command(session *agent.Session, commands []agent.Command) {
+	if session.CommandPending || session.Endpoint == "" {
 		return
 	}
-	if pt.calls >= tuning.MaxWorkerCalls || !pt.mayCall(s) {
-		pt.deferCall(s)
+	if s.calls >= tuning.MaxWorkerCalls || !s.mayCall(session) {
+		s.deferCall(session)
 		return
 	}
-	since := pt.state.Now.Sub(s.LastCall)
-	if s.State != agent.Known || pt.unmetDeadline(s) {
-		if since < tuning.AdoptAgain<<min(s.FailedCalls, 3) {
-			return
-		}
-		orders = pt.stopsOfCancelled(s.Machine)
-	} else {
-		launches := false
-		for _, o := range orders {
-			launches = launches || o.Verb == agent.Launch
-		}
-		if overdue := pt.overdue(s) && since >= tuning.AdoptAgain; !overdue &&
-			(len(orders) == 0 || (!launches && since < tuning.CommandGap)) {
+	sinceLastCall := s.state.Now.Sub(session.LastCall)
+	if session.State != agent.Known || s.awaitsFirstAnswer(session) {
+		if sinceLastCall < tuning.AdoptAgain<<min(session.FailedCalls, 3) {
 			return
 		}
+		commands = s.stopsOfCancelled(session.Machine)
+	} else if !s.commandDue(session, commands, sinceLastCall) {
+		return
 	}
-	orders = limitCommands(orders)
-	if orders == nil {
-		orders = []agent.Command{}
+	commands = limitCommands(commands)
+	if commands == nil {
+		commands = []agent.Command{}
 	}
-	fencingToken, agentEpoch := s.FencingToken(), max(s.AgentEpoch, 1)
-	body := agent.EncodeCommands(fencingToken, agentEpoch, orders)
-	s.CommandSent(orders, pt.state.Now)
-	pt.calls++
-	answered := pt.beginCall(s)
-	pt.agents.Call(s.Endpoint, "POST", "/commands", body, tuning.CommandTimeout, func(status int, answer []byte, err error) {
-		pt.calls--
-		answered()
-		pt.loop.Wake()
-		pt.toReview[s.Machine] = true
-		if pt.sessions[s.Machine] != s {
-			return
-		}
-		if s.FencingToken() != fencingToken {
-			// A new view came meanwhile; what this command did shows in the
-			// first report under the new baton.
-			s.CommandPending = false
-			return
+	s.call(session, commands)
+}
+
+// commandDue tells whether a known machine is sent commands now. One that is overdue is
+// called also without any.
+func (s *Shard) commandDue(session *agent.Session, commands []agent.Command, sinceLastCall time.Duration) bool {
+	if s.overdue(session) && sinceLastCall >= tuning.AdoptAgain {
+		return true
+	}
+	for _, command := range commands {
+		if command.Verb == agent.Launch {
+			return true
 		}
-		var r agent.Heartbeat
-		if err != nil || (status != 200 && status != 409) || json.Unmarshal(answer, &r) != nil || r.Machine != s.Machine {
-			pt.config.Log.Debug("command without answer", "machine", s.Machine, "status", status, "error", err)
-			s.CommandUnanswered()
-			pt.Reconciling.Record(s.Machine, reconcile.Silent, pt.state.Now)
-			pt.healthOf(s.Machine).Rest(pt.state.Now.Add(tuning.UnansweredRest))
+	}
+	return len(commands) > 0 && sinceLastCall >= tuning.CommandGap
+}
+
+// call sends a direct command.
+func (s *Shard) call(session *agent.Session, commands []agent.Command) {
+	fencingToken, agentEpoch := session.FencingToken(), max(session.AgentEpoch, 1)
+	body := agent.EncodeCommands(fencingToken, agentEpoch, commands)
+	session.CommandSent(commands, s.state.Now)
+	s.calls++
+	callEnded := s.countCall(session)
+	done := func(status int, answer []byte, err error) {
+		s.calls--
+		callEnded()
+		s.loop.Wake()
+		s.toReview[session.Machine] = true
+		if s.sessions[session.Machine] != session {
 			return
 		}
-		if status == 409 {
-			s.CommandRefused()
-			s.Accept(&r, pt.state.Now, pt.placedOn(s.Machine))
-			if r.AgentEpoch != agentEpoch {
-				s.LastCall = time.Time{} // try again with the right session
-			}
+		if session.FencingToken() != fencingToken {
+			// A new view came meanwhile; what this command did shows in the first heartbeat
+			// under the new token.
+			session.CommandPending = false
 			return
 		}
-		s.CommandAnswered()
-		s.Accept(&r, pt.state.Now, pt.placedOn(s.Machine))
-	})
+		s.answered(session, agentEpoch, status, answer, err)
+	}
+	s.agents.Call(session.Endpoint, "POST", "/commands", body, tuning.CommandTimeout, done)
 }
 
-// stopsOfCancelled are stops of what the records place on a machine, though it is cancelled. A
-// machine that does not answer may have a launch waiting that left before the user was told,
-// and carries out in order what came behind it: without the stop that would start
-// (meet-hung-cancelled-launch). A stop is safe, whatever the machine holds.
-func (pt *Shard) stopsOfCancelled(machine string) []agent.Command {
-	var placed []agent.TaskStatus
-	for _, taskID := range clusterstate.SortedKeys(pt.state.TasksOnMachine[machine]) {
-		placed = append(placed, agent.TaskStatus{TaskID: taskID, Attempt: pt.state.TasksOnMachine[machine][taskID].Attempt})
+// answered takes in the answer to a direct command that was sent for an agent epoch.
+func (s *Shard) answered(session *agent.Session, agentEpoch uint64, status int, answer []byte, err error) {
+	executed, refused := status == statusOK, status == statusConflict
+	var heartbeat agent.Heartbeat
+	if err != nil || (!executed && !refused) ||
+		json.Unmarshal(answer, &heartbeat) != nil || heartbeat.Machine != session.Machine {
+		s.config.Log.Debug("command unanswered", "machine", session.Machine, "status", status, "error", err)
+		session.CommandUnanswered()
+		s.Reconciling.Record(session.Machine, reconcile.Silent, s.state.Now)
+		s.healthOf(session.Machine).Rest(s.state.Now.Add(tuning.UnansweredRest))
+		return
+	}
+	if executed {
+		session.CommandAnswered()
+		s.accept(session, &heartbeat)
+		return
+	}
+	session.CommandRefused()
+	s.accept(session, &heartbeat)
+	if heartbeat.AgentEpoch != agentEpoch {
+		session.LastCall = time.Time{} // try again with the right agent epoch
 	}
-	return cancellation.StopCommands(placed, pt.cancelled)
 }
 
-func limitCommands(o []agent.Command) []agent.Command {
-	if len(o) > tuning.MaxCommands {
-		return o[:tuning.MaxCommands]
+// stopsOfCancelled are stops of what the records place on a machine, though it is
+// cancelled. A machine that does not answer may have a launch waiting that left before the
+// cancellation was acknowledged, and carries out in order what came behind it: without the
+// stop that would start (meet-hung-cancelled-launch). A stop is safe, whatever the machine
+// holds.
+func (s *Shard) stopsOfCancelled(machine string) []agent.Command {
+	var placed []agent.TaskStatus
+	for _, taskID := range clusterstate.SortedKeys(s.state.TasksOnMachine[machine]) {
+		attempt := s.state.TasksOnMachine[machine][taskID].Attempt
+		placed = append(placed, agent.TaskStatus{TaskID: taskID, Attempt: attempt})
 	}
-	return o
+	return cancellation.StopCommands(placed, s.cancelled)
 }
 
 // mayCall tells whether a call may be spent on a machine while this controller reconciles:
-// those that died must not hold up those that run.
-func (pt *Shard) mayCall(s *agent.Session) bool {
+// those that died must not delay the calls to those that run.
+func (s *Shard) mayCall(session *agent.Session) bool {
 	switch {
-	case pt.Reconciling.Steady():
+	case s.Reconciling.Steady():
 		return true
-	case s.FailedCalls > 0:
-		return pt.callsToDoubted < tuning.DoubtedCalls && !pt.provisioner.GivenUp(s.Machine)
-	case s.HeartbeatSeq == 0:
-		return pt.callsToUnmet < tuning.AwaitedCalls && !pt.provisioner.GivenUp(s.Machine)
+	case session.FailedCalls > 0:
+		return s.callsToUnanswered < tuning.DoubtedCalls && !s.provisioner.GivenUp(session.Machine)
+	case session.HeartbeatSeq == 0:
+		return s.callsToUnseen < tuning.AwaitedCalls && !s.provisioner.GivenUp(session.Machine)
 	}
 	return true
 }
 
-// deferCall has a machine looked at again when a call comes free, and not with the next
+// deferCall has a machine reviewed again when a call comes free, and not with the next
 // sweep: 64 machines every 0.4 s were ten seconds for all of a fleet's.
-func (pt *Shard) deferCall(s *agent.Session) {
-	if !pt.Reconciling.Steady() {
-		pt.awaitingCall = append(pt.awaitingCall, s.Machine)
+func (s *Shard) deferCall(session *agent.Session) {
+	if !s.Reconciling.Steady() {
+		s.awaitingCall = append(s.awaitingCall, session.Machine)
 	}
 }
 
-// beginCall counts a call to a machine; the caller calls what it gets once it is over.
-func (pt *Shard) beginCall(s *agent.Session) (over func()) {
-	count := &pt.callsToUnmet
+// countCall counts a call to a machine; the caller calls ended once the call is over.
+func (s *Shard) countCall(session *agent.Session) (ended func()) {
+	count := &s.callsToUnseen
 	switch {
-	case s.FailedCalls > 0:
-		count = &pt.callsToDoubted
-	case s.HeartbeatSeq != 0:
+	case session.FailedCalls > 0:
+		count = &s.callsToUnanswered
+	case session.HeartbeatSeq != 0:
 		return func() {}
 	}
 	*count++
--- a/internal/shard/health.go
+++ b/internal/shard/health.go
@@ -10,109 +10,123 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-func (pt *Shard) healthOf(machine string) *fleet.Health {
-	h := pt.health[machine]
-	if h == nil {
-		h = &fleet.Health{}
-		pt.health[machine] = h
+// healthOf is what is known of a machine's failures.
+func (s *Shard) healthOf(machine string) *fleet.Health {
+	health := s.health[machine]
+	if health == nil {
+		health = &fleet.Health{}
+		s.health[machine] = health
 	}
-	return h
+	return health
 }
 
-// commitTransition commits an event of a machine's record.
-func (pt *Shard) commitTransition(machine string, e fleet.Event, why string) {
-	pt.commits.Commit(pt.TransitionMachine(machine, e, why))
-}
-
-// TransitionMachine is the decision that a machine's record changes by an event, if it
-// does.
-func (pt *Shard) TransitionMachine(machine string, e fleet.Event, why string) []decide.Decision {
-	m := pt.state.Machines[machine]
-	if m == nil || pt.commits.Busy(fleet.MachinePrefix+machine) {
+// TransitionMachine is the decision that an event changes the state of a machine's record,
+// if it does; reason goes into the record.
+func (s *Shard) TransitionMachine(machine string, event fleet.Event, reason string) []decide.Decision {
+	m := s.state.Machines[machine]
+	if m == nil || s.commits.Busy(fleet.MachinePrefix+machine) {
 		return nil
 	}
-	rec := m.MachineRecord
-	state, ok := fleet.Next(rec.State, e)
+	record := m.MachineRecord
+	from := record.State
+	to, ok := fleet.Next(from, event)
 	if !ok {
 		return nil
 	}
-	from := rec.State
-	rec.State, rec.Reason, rec.SinceMs = state, why, pt.state.NowMs()
-	return []decide.Decision{{Writes: []store.Write{decide.Put(fleet.MachinePrefix+machine, rec)}, OnSettled: func(ok bool) {
+	record.State, record.Reason, record.SinceMs = to, reason, s.state.NowMs()
+	settled := func(ok bool) {
 		if ok {
-			pt.config.Log.Info("machine", "machine", machine, "from", string(from), "to", string(state), "why", why)
+			s.config.Log.Info(
+				"machine state changed",
+				"machine", machine,
+				"from", string(from),
+				"to", string(to),
+				"reason", reason,
+			)
 		}
-	}}}
+	}
+	return []decide.Decision{{
+		Writes:    []store.Write{decide.Put(fleet.MachinePrefix+machine, record)},
+		OnSettled: settled,
+	}}
 }
 
-// watchHealth keeps a machine's record in step with what its owner hears, and notes in
-// unheard a machine that it does not hear, or (true) that answers commands only.
-func (pt *Shard) watchHealth(s *agent.Session, unheard map[string]bool) []decide.Decision {
-	m := pt.state.Machines[s.Machine]
-	if m == nil {
-		if s.State == agent.Known && s.Connected { // an old report of a machine that is gone may carry our baton
-			rec := fleet.MachineRecord{State: fleet.Up, Endpoint: s.Endpoint, MachineType: s.MachineType, Zone: s.Zone, Spot: s.Spot, SinceMs: pt.state.NowMs()}
-			return []decide.Decision{{Writes: []store.Write{decide.Put(fleet.MachinePrefix+s.Machine, rec)}}}
-		}
-		if pt.state.Now.Sub(s.LastStatus) > tuning.ForgetSession {
-			delete(pt.sessions, s.Machine)
-		}
-		return nil
+// watchHealth keeps a machine's record in step with what its owner hears. It notes in
+// unresponsive a machine that sends no heartbeats, with true if it answers commands.
+func (s *Shard) watchHealth(session *agent.Session, unresponsive map[string]bool) []decide.Decision {
+	machine := s.state.Machines[session.Machine]
+	if machine == nil {
+		return s.watchUnrecorded(session)
 	}
-	unresponsive := pt.state.Now.Sub(s.LastStatus)
-	times := pt.config.Cluster.Workers
-	if pt.state.Now.Sub(s.LastHeartbeat) > times.OutboundPartitionedAfter() {
+	settings := s.config.Cluster.Workers
+	if s.state.Now.Sub(session.LastHeartbeat) > settings.OutboundPartitionedAfter() {
 		// What it answers to commands is true, but renews no lease: all that it holds ends
 		// with that, again and again. Without this a task was begun on such a machine
 		// five times (meet-mute-one, docs/incidents/mute-machines.md).
-		unheard[s.Machine] = true
+		unresponsive[session.Machine] = true
 	}
 	switch {
-	case !s.HigherTokenSince.IsZero() && pt.state.Now.Sub(s.HigherTokenSince) > times.GoneBy():
-		// Nobody of this view can speak to it: its lease is over, and what it holds with it.
-		return pt.TransitionMachine(s.Machine, fleet.Unhealthy, "has seen a later baton than this view's")
-	case !pt.Reconciling.Steady() && s.HeartbeatSeq == 0 && s.FailedCalls > 0, // never heard
-		unresponsive > times.UnresponsiveAfter() || s.FailedCalls >= tuning.UnresponsiveCalls && unresponsive > times.Late():
-		unheard[s.Machine] = false
-	case s.State != agent.Known:
-	case s.PreemptionNoticeS != nil && m.State != fleet.Warned:
-		return pt.TransitionMachine(s.Machine, fleet.Notice, "the cloud will take it")
-	case m.State == fleet.Lost: // written by an earlier version
-		return pt.TransitionMachine(s.Machine, fleet.Heard, "reports again")
+	case !session.HigherTokenSince.IsZero() && s.state.Now.Sub(session.HigherTokenSince) > settings.GoneBy():
+		// Nobody of this view can command it: its lease has expired, and what it holds with it.
+		return s.TransitionMachine(session.Machine, fleet.Unhealthy, "has seen a later baton than this view's")
+	case s.isUnresponsive(session):
+		unresponsive[session.Machine] = false
+	case session.State != agent.Known:
+	case session.PreemptionNoticeS != nil && machine.State != fleet.Warned:
+		return s.TransitionMachine(session.Machine, fleet.Notice, "the cloud will take it")
+	case machine.State == fleet.Lost: // written by an earlier version
+		return s.TransitionMachine(session.Machine, fleet.Heard, "reports again")
 	}
 	return nil
 }
 
-// CanPlace tells whether a task may go on a machine of this part now.
-func (pt *Shard) CanPlace(t *clusterstate.Task, m *clusterstate.Machine) bool {
-	s := pt.sessions[m.Name]
-	if s == nil || s.State != agent.Known || s.PreemptionNoticeS != nil {
-		return false
+// watchUnrecorded records a machine without a record once it is certain that it is there,
+// and forgets one that does not report.
+func (s *Shard) watchUnrecorded(session *agent.Session) []decide.Decision {
+	// An old heartbeat of a machine that is gone may carry the token in force: only an
+	// answered command shows that it is there.
+	if session.State == agent.Known && session.Connected {
+		record := fleet.MachineRecord{
+			State:       fleet.Up,
+			Endpoint:    session.Endpoint,
+			MachineType: session.MachineType,
+			Zone:        session.Zone,
+			Spot:        session.Spot,
+			SinceMs:     s.state.NowMs(),
+		}
+		write := decide.Put(fleet.MachinePrefix+session.Machine, record)
+		return []decide.Decision{{Writes: []store.Write{write}}}
 	}
-	if pt.state.Now.Sub(s.LastStatus) > jobs.Seconds(pt.config.Cluster.Workers.ReportS*tuning.FreshReports) {
-		return false
+	if s.state.Now.Sub(session.LastStatus) > tuning.ForgetSession {
+		delete(s.sessions, session.Machine)
 	}
-	jobID := pt.scheduler.ClaimedFor(m)
-	return pt.takes(t, m) && (jobID == "" || jobID == t.Job.ID)
+	return nil
 }
 
-// takes tells whether a machine is one that a task may go on, by its record.
-func (pt *Shard) takes(t *clusterstate.Task, m *clusterstate.Machine) bool {
-	return pt.Ready(m) && clusterstate.FitsTask(t, m)
+// CanPlace tells whether a task may go on a machine of this shard now.
+func (s *Shard) CanPlace(task *clusterstate.Task, machine *clusterstate.Machine) bool {
+	session := s.sessions[machine.Name]
+	if session == nil || session.State != agent.Known || session.PreemptionNoticeS != nil {
+		return false
+	}
+	maxAge := jobs.Seconds(s.config.Cluster.Workers.ReportS * tuning.FreshReports)
+	if s.state.Now.Sub(session.LastStatus) > maxAge {
+		return false
+	}
+	claimedFor := s.scheduler.ClaimedFor(machine)
+	return s.Ready(machine) && clusterstate.FitsTask(task, machine) &&
+		(claimedFor == "" || claimedFor == task.Job.ID)
 }
 
 // Ready tells whether a machine takes new tasks at all, by its record.
-func (pt *Shard) Ready(m *clusterstate.Machine) bool {
-	return pt.Reconciling.Open(m.Name) && pt.healthy(m)
+func (s *Shard) Ready(machine *clusterstate.Machine) bool {
+	return s.Reconciling.Open(machine.Name) && s.isHealthy(machine)
 }
 
-// healthy tells whether a machine would take new tasks if it is reconciled.
-func (pt *Shard) healthy(m *clusterstate.Machine) bool {
-	if !pt.InUse(m) || pt.state.MachineTypes[m.MachineType] == nil {
-		return false
-	}
-	if pt.provisioner.Draining(m.Name) {
-		return false
-	}
-	return !pt.health[m.Name].Rests(pt.state.Now)
+// isHealthy tells whether a machine takes new tasks once it is reconciled.
+func (s *Shard) isHealthy(machine *clusterstate.Machine) bool {
+	return s.InUse(machine) &&
+		s.state.MachineTypes[machine.MachineType] != nil &&
+		!s.provisioner.Draining(machine.Name) &&
+		!s.health[machine.Name].Rests(s.state.Now)
 }
--- a/internal/shard/heartbeat.go
+++ b/internal/shard/heartbeat.go
@@ -9,111 +9,151 @@
 	"github.com/harrierreel/harrierreel/internal/fleet"
 	"github.com/harrierreel/harrierreel/internal/http1"
 	"github.com/harrierreel/harrierreel/internal/jobs"
+	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Heartbeat answers a worker's report.
-func (pt *Shard) Heartbeat(body []byte, respond func(http1.Reply)) {
-	var r agent.Heartbeat
-	if err := json.Unmarshal(body, &r); err != nil || !fleet.ValidName(r.Machine) {
-		respond(http1.Reply{Status: 400, Body: http1.ErrorBody("not a report")})
+// Statuses of HTTP that heartbeats and direct commands are answered with; 503 is
+// http1.Refuse's.
+const (
+	statusOK          = 200
+	statusBadRequest  = 400
+	statusConflict    = 409 // a command was refused, nothing was executed
+	statusMisdirected = 421 // another controller owns the machine
+)
+
+// heartbeatMark is the agent epoch and the sequence number of a heartbeat, which order
+// those of a machine.
+type heartbeatMark [2]uint64
+
+// Heartbeat answers a worker's heartbeat. Only the machine's owner answers 200, which
+// renews the worker's lease, and only while it may; others send the worker to the owner.
+func (s *Shard) Heartbeat(body []byte, respond func(http1.Reply)) {
+	var heartbeat agent.Heartbeat
+	if err := json.Unmarshal(body, &heartbeat); err != nil || !fleet.ValidName(heartbeat.Machine) {
+		respond(http1.Reply{Status: statusBadRequest, Body: http1.ErrorBody("not a report")})
 		return
 	}
-	if !pt.view.MayAnswerAgents() {
+	if !s.view.MayAnswerAgents() {
 		respond(http1.Refuse("not in the view"))
 		return
 	}
-	news := pt.isNewHeartbeat(&r)
-	owner := ""
-	if m := pt.state.Machines[r.Machine]; m != nil {
-		owner = m.Owner
-	} else {
-		owner = pt.view.OwnerOf(r.Machine)
-	}
-	if owner != pt.config.Name {
-		pt.Reconciling.Redirected(owner)
-		if news {
-			pt.noteForeignHeartbeat(owner, &r)
+	isNew := s.isNewHeartbeat(&heartbeat)
+	owner := s.ownerOf(heartbeat.Machine)
+	if owner != s.config.Name {
+		s.Reconciling.Redirected(owner)
+		if isNew {
+			s.noteForeignHeartbeat(owner, &heartbeat)
 		}
 		respond(misdirected(owner))
 		return
 	}
-	s := pt.session(r.Machine)
-	if s == nil {
+	session := s.sessionOf(heartbeat.Machine)
+	if session == nil {
 		respond(http1.Refuse("too many machines"))
 		return
 	}
-	if r.FencingToken > s.FencingToken() {
-		// Another controller holds a later baton: this one is behind, and a
-		// 200 would only keep the worker here while its lease runs out.
-		s.ObserveToken(r.FencingToken, pt.state.Now)
+	if heartbeat.FencingToken > session.FencingToken() {
+		// Another controller holds a higher token: this one is behind, and a 200 would only
+		// keep the worker here while its lease expires.
+		session.ObserveToken(heartbeat.FencingToken, s.state.Now)
 		respond(misdirected(owner))
 		return
 	}
-	s.LastHeartbeat = pt.state.Now
-	if s.Accept(&r, pt.state.Now, pt.placedOn(r.Machine)) {
-		pt.toReview[r.Machine] = true
-		pt.loop.Wake()
+	session.LastHeartbeat = s.state.Now
+	if s.accept(session, &heartbeat) {
+		s.toReview[heartbeat.Machine] = true
+		s.loop.Wake()
 	}
-	if !pt.cancellations.MayRenewLeases() {
-		// The report counts, its lease does not: what was told to be cancelled and has not
-		// come here must end with it.
-		pt.cancellations.LeaseWithheld()
+	if !s.cancellations.MayRenewLeases() {
+		// The status counts, its lease does not: what was acknowledged as cancelled and is
+		// not known here must end with it.
+		s.cancellations.LeaseWithheld()
 		respond(http1.Refuse("not all cancellations are known"))
 		return
 	}
-	orders := []agent.Command{}
-	if s.State == agent.Known && !s.CommandPending && r.AgentEpoch == s.AgentEpoch && r.HeartbeatSeq == s.HeartbeatSeq {
-		// Only orders that may be repeated go this way; launches are sent to
-		// the worker directly, so that there is one place where the answer
-		// tells whether they were executed.
-		for _, o := range pt.review(s).commands {
-			if o.Verb != agent.Launch {
-				orders = append(orders, o)
-			}
+	commands := limitCommands(s.stopsFirst(&heartbeat, s.repeatableCommands(session, &heartbeat)))
+	respond(http1.Reply{Status: statusOK, Body: jobs.Encode(struct {
+		FencingToken uint64          `json:"baton"`
+		Commands     []agent.Command `json:"orders"`
+	}{session.FencingToken(), commands})})
+}
+
+// ownerOf is the controller that owns a machine: by its record, else by the view.
+func (s *Shard) ownerOf(machine string) string {
+	if m := s.state.Machines[machine]; m != nil {
+		return m.Owner
+	}
+	return s.view.OwnerOf(machine)
+}
+
+// repeatableCommands are the commands that the answer to the newest heartbeat carries:
+// only those that may be repeated. Launches are sent to the agent directly, so that there
+// is one place where the answer tells whether they were executed.
+func (s *Shard) repeatableCommands(session *agent.Session, heartbeat *agent.Heartbeat) []agent.Command {
+	commands := []agent.Command{}
+	isNewest := heartbeat.AgentEpoch == session.AgentEpoch && heartbeat.HeartbeatSeq == session.HeartbeatSeq
+	if session.State != agent.Known || session.CommandPending || !isNewest {
+		return commands
+	}
+	for _, command := range s.review(session, ignoreDifference).commands {
+		if command.Verb != agent.Launch {
+			commands = append(commands, command)
 		}
 	}
-	respond(http1.Reply{Status: 200, Body: jobs.Encode(struct {
-		Baton  uint64          `json:"baton"`
-		Orders []agent.Command `json:"orders"`
-	}{s.FencingToken(), limitCommands(pt.stopsFirst(&r, orders))})})
+	return commands
 }
 
-// stopsFirst puts before the orders a stop for each reported task whose job is known to
-// be cancelled, also while the machine's reports prove nothing or a command to it is
-// under way: each answer that renews a lease carries them.
-func (pt *Shard) stopsFirst(r *agent.Heartbeat, orders []agent.Command) []agent.Command {
-	stops := cancellation.StopCommands(r.Tasks, pt.cancelled)
+// stopsFirst puts before the commands a stop for each reported task whose job is known to
+// be cancelled, also while the machine's heartbeats prove nothing or a command to it is
+// unanswered: each answer that renews a lease carries them.
+func (s *Shard) stopsFirst(heartbeat *agent.Heartbeat, commands []agent.Command) []agent.Command {
+	stops := cancellation.StopCommands(heartbeat.Tasks, s.cancelled)
 	if len(stops) == 0 {
-		return orders
+		return commands
 	}
-	for _, o := range orders {
-		if o.Verb != agent.Stop || !slices.ContainsFunc(stops, func(s agent.Command) bool { return s.TaskID == o.TaskID && s.Attempt == o.Attempt }) {
-			stops = append(stops, o)
+	for _, command := range commands {
+		stopped := slices.ContainsFunc(stops, func(stop agent.Command) bool {
+			return stop.TaskID == command.TaskID && stop.Attempt == command.Attempt
+		})
+		if command.Verb != agent.Stop || !stopped {
+			stops = append(stops, command)
 		}
 	}
 	return stops
 }
 
-// cancelled tells whether a job is cancelled, as its record shows or as was told.
-func (pt *Shard) cancelled(jobID string) bool {
-	j := pt.state.Jobs[jobID]
-	return j != nil && j.Record != nil && j.Record.State == jobs.Cancelled || pt.cancellations.Cancelled(jobID)
+// cancelled tells whether a job is cancelled, as its record shows or as was acknowledged.
+func (s *Shard) cancelled(jobID string) bool {
+	job := s.state.Jobs[jobID]
+	return job != nil && job.Record != nil && job.Record.State == jobs.Cancelled || s.cancellations.Cancelled(jobID)
 }
 
-// isNewHeartbeat tells whether a report is newer than all that came here of a known machine. An old one
-// that comes late, once the machine has another owner, doesn't tell that it can't reach it.
-func (pt *Shard) isNewHeartbeat(r *agent.Heartbeat) bool {
-	mark, last := [2]uint64{r.AgentEpoch, r.HeartbeatSeq}, pt.newestHeartbeats[r.Machine]
-	if pt.state.Machines[r.Machine] == nil || slices.Compare(mark[:], last[:]) <= 0 {
+// isNewHeartbeat tells whether a heartbeat is newer than all that came here of a machine
+// with a record. An old one that comes late, once the machine has another owner, doesn't
+// tell that the machine can't reach that one.
+func (s *Shard) isNewHeartbeat(heartbeat *agent.Heartbeat) bool {
+	mark := heartbeatMark{heartbeat.AgentEpoch, heartbeat.HeartbeatSeq}
+	last := s.newestHeartbeats[heartbeat.Machine]
+	if s.state.Machines[heartbeat.Machine] == nil || slices.Compare(mark[:], last[:]) <= 0 {
 		return false
 	}
-	pt.newestHeartbeats[r.Machine] = mark
+	s.newestHeartbeats[heartbeat.Machine] = mark
 	return true
 }
 
+// limitCommands cuts commands to what one message may carry; the next carries the rest.
+func limitCommands(commands []agent.Command) []agent.Command {
+	if len(commands) > tuning.MaxCommands {
+		return commands[:tuning.MaxCommands]
+	}
+	return commands
+}
+
+// misdirected is the answer to a heartbeat that the owner should get; "" if none is known.
 func misdirected(owner string) http1.Reply {
 	if owner == "" {
-		return http1.Reply{Status: 421, Body: []byte("{}")}
+		return http1.Reply{Status: statusMisdirected, Body: []byte("{}")}
 	}
-	return http1.Reply{Status: 421, Body: jobs.Encode(map[string]string{"reports_to": owner})}
+	body := jobs.Encode(map[string]string{"reports_to": owner})
+	return http1.Reply{Status: statusMisdirected, Body: body}
 }
--- a/internal/shard/part_test.go
+++ b/internal/shard/part_test.go
@@ -264,11 +264,11 @@
 		} else {
 			o.controller.cancellationsUnknown = true
 		}
-		s := o.session("i-1")
+		s := o.sessionOf("i-1")
 		s.State, s.AgentEpoch, s.HeartbeatSeq = agent.Known, 1, 1
 		s.Tasks = map[string][]agent.TaskStatus{"wk-000001/0": {{TaskID: "wk-000001/0", Attempt: 3, Status: agent.Running}}}
 		stops, launches := 0, 0
-		for _, x := range o.review(s).commands {
+		for _, x := range o.review(s, ignoreDifference).commands {
 			switch {
 			case x.Verb == agent.Launch:
 				launches++
--- a/internal/shard/reconcile.go
+++ b/internal/shard/reconcile.go
@@ -5,96 +5,122 @@
 
 	"github.com/harrierreel/harrierreel/internal/agent"
 	"github.com/harrierreel/harrierreel/internal/clusterstate"
+	"github.com/harrierreel/harrierreel/internal/decide"
 	"github.com/harrierreel/harrierreel/internal/fleet"
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Reconcile does what an owner does for its part: it looks at the machines
-// that something has happened to, and from time to time at those that need
-// looking after without it.
-func (pt *Shard) Reconcile() {
-	if pt.view.OutsideView() {
-		clear(pt.toReview)
+// Reconcile is one reconciliation of the shard: it reviews the machines that something has
+// happened to, with each sweep also those that need it without that, and commits what
+// follows.
+func (s *Shard) Reconcile() {
+	if s.view.OutsideView() {
+		clear(s.toReview)
 		return
 	}
-	ds := pt.scheduler.Place()
-	sweep := pt.state.Now.Sub(pt.lastSweep) >= tuning.SweepEvery
-	if sweep {
-		pt.lastSweep = pt.state.Now
-		unheard := map[string]bool{}
-		for _, machine := range clusterstate.SortedKeys(pt.sessions) {
-			s := pt.sessions[machine]
-			ds = append(ds, pt.watchHealth(s, unheard)...)
-			if s.State != agent.Known || pt.unmetDeadline(s) || s.PreemptionNoticeS != nil || pt.overdue(s) {
-				pt.toReview[machine] = true
-			}
+	decisions := s.scheduler.Place()
+	if s.state.Now.Sub(s.lastSweep) >= tuning.SweepEvery {
+		decisions = append(decisions, s.sweep()...)
+	}
+	decisions = append(decisions, s.reviewMachines()...)
+	decisions = append(decisions, s.placeAgain()...)
+	s.Reconciling.Settle(s.state.Now, s.view.KnownEpoch())
+	// Where the budget does not allow all, a guest's thousands of ends must not stand
+	// before those that others wait for.
+	sort.SliceStable(decisions, func(a, b int) bool {
+		orderA, orderB := s.recoveryOrder(&decisions[a]), s.recoveryOrder(&decisions[b])
+		if orderA != orderB {
+			return orderA < orderB
 		}
-		for machine := range pt.revisit {
-			pt.toReview[machine] = true
+		return decisions[a].Priority() < decisions[b].Priority()
+	})
+	s.commits.Commit(decisions)
+}
+
+// sweep looks over all sessions: it watches the health of their machines and marks those
+// for review that need it though nothing has happened to them.
+func (s *Shard) sweep() []decide.Decision {
+	s.lastSweep = s.state.Now
+	var decisions []decide.Decision
+	unresponsive := map[string]bool{}
+	for _, machine := range clusterstate.SortedKeys(s.sessions) {
+		session := s.sessions[machine]
+		decisions = append(decisions, s.watchHealth(session, unresponsive)...)
+		if session.State != agent.Known || s.awaitsFirstAnswer(session) ||
+			session.PreemptionNoticeS != nil || s.overdue(session) {
+			s.toReview[machine] = true
 		}
-		clear(pt.revisit)
-		ds = append(ds, pt.publishUnresponsive(unheard)...)
 	}
-	gather := pt.gathers()
-	if !gather {
-		for machine := range pt.gathering {
-			pt.toReview[machine] = true
-		}
-		clear(pt.gathering)
+	for machine := range s.reviewAgain {
+		s.toReview[machine] = true
 	}
-	for _, machine := range clusterstate.SortedKeys(pt.toReview) {
-		s := pt.sessions[machine]
-		if m := pt.state.Machines[machine]; s == nil && m != nil && m.Owner == pt.config.Name && m.State != fleet.Deleted {
-			pt.keepSession(m)
-			s = pt.sessions[machine]
+	clear(s.reviewAgain)
+	return append(decisions, s.publishUnresponsive(unresponsive)...)
+}
+
+// reviewMachines reviews the machines that are marked for it, sends them commands, and
+// returns what is to be committed.
+func (s *Shard) reviewMachines() []decide.Decision {
+	delayEnds := s.delaysEnds()
+	if !delayEnds {
+		for machine := range s.delayedEnds {
+			s.toReview[machine] = true
 		}
-		if s == nil {
+		clear(s.delayedEnds)
+	}
+	var decisions []decide.Decision
+	for _, machine := range clusterstate.SortedKeys(s.toReview) {
+		session := s.sessionToReview(machine)
+		if session == nil {
 			continue
 		}
-		pt.countDifferences = true
-		rv := pt.review(s)
-		pt.countDifferences = false
-		if len(rv.decisions) > 0 || len(rv.commands) > 0 || rv.gathering {
-			pt.revisit[machine] = true
+		found := s.review(session, s.Reconciling.Count)
+		if len(found.decisions) > 0 || len(found.commands) > 0 || found.vanished {
+			s.reviewAgain[machine] = true
 		}
-		pt.compared(s, &rv)
+		s.noteReview(session, &found)
 		switch {
-		case len(rv.decisions) == 0:
-		case gather:
-			pt.gathering[machine] = true
+		case len(found.decisions) == 0:
+		case delayEnds:
+			s.delayedEnds[machine] = true
 		default:
-			pt.lastEnds = pt.state.Now
-			ds = append(ds, rv.decisions...)
+			s.lastEnds = s.state.Now
+			decisions = append(decisions, found.decisions...)
 		}
-		pt.command(s, rv.commands)
+		s.command(session, found.commands)
 	}
-	clear(pt.toReview)
-	for _, machine := range pt.awaitingCall {
-		pt.toReview[machine] = true
+	clear(s.toReview)
+	for _, machine := range s.awaitingCall {
+		s.toReview[machine] = true
 	}
-	pt.awaitingCall = pt.awaitingCall[:0]
-	ds = append(ds, pt.placeAgain()...)
-	pt.Reconciling.Settle(pt.state.Now, pt.view.KnownEpoch())
-	// Where the budget does not allow all, a guest's thousands of ends must not
-	// stand before those that others wait for.
-	sort.SliceStable(ds, func(a, b int) bool {
-		if x, y := pt.reconcileOrder(&ds[a]), pt.reconcileOrder(&ds[b]); x != y {
-			return x < y
-		}
-		return ds[a].Priority() < ds[b].Priority()
-	})
-	pt.commits.Commit(ds)
+	s.awaitingCall = s.awaitingCall[:0]
+	return decisions
+}
+
+// sessionToReview is a machine's session, started if the machine is recorded as this
+// controller's; nil if it is another's.
+func (s *Shard) sessionToReview(machine string) *agent.Session {
+	if session := s.sessions[machine]; session != nil {
+		return session
+	}
+	m := s.state.Machines[machine]
+	if m == nil || m.Owner != s.config.Name || m.State == fleet.Deleted {
+		return nil
+	}
+	s.keepSession(m)
+	return s.sessions[machine]
 }
 
-// gathers tells whether ends wait for others: while writes are short, and with packs,
-// many tasks of a record end soon after one another, and all of them are one write.
-func (pt *Shard) gathers() bool {
+// delaysEnds tells whether ends wait to be committed with others: while writes are scarce,
+// and with batch records, many tasks of a record end soon after one another, and all of
+// them are one write.
+func (s *Shard) delaysEnds() bool {
 	gap := tuning.GatherFor
-	if pt.budget.HasSpareWrites() {
+	if s.budget.HasSpareWrites() {
 		gap = 0
-		if pt.budget.UsesBatches() {
+		if s.budget.UsesBatches() {
 			gap = tuning.BatchEvery
 		}
 	}
-	return pt.state.Now.Sub(pt.lastEnds) < gap
+	return s.state.Now.Sub(s.lastEnds) < gap
 }
--- a/internal/shard/recovery.go
+++ b/internal/shard/recovery.go
@@ -14,129 +14,169 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// placeAgain places tasks that have vanished where they were, under another try: one
-// change instead of two, the image is there, and the room was promised to nobody else.
+// noteReview tells the tracker of the reconciliation what a machine's review has found.
+func (s *Shard) noteReview(session *agent.Session, found *review) {
+	switch {
+	case s.Reconciling.Steady():
+	case session.State != agent.Known:
+		if s.provisioner.GivenUp(session.Machine) {
+			s.Reconciling.Record(session.Machine, reconcile.Silent, s.state.Now)
+		}
+	case len(found.commands) > 0 || len(found.decisions) > 0 || found.vanished || found.busy:
+		s.Reconciling.Record(session.Machine, reconcile.Shows, s.state.Now)
+		s.Reconciling.Record(session.Machine, reconcile.Departs, s.state.Now)
+	default:
+		s.Reconciling.Record(session.Machine, reconcile.Shows, s.state.Now)
+		s.Reconciling.Record(session.Machine, reconcile.Agrees, s.state.Now)
+	}
+}
+
+// placeAgain places tasks that have vanished where they were, under another attempt: one
+// write instead of two, the image is there, and the capacity was promised to nobody else.
 // What is in one record is written at once, when all the machines that it is about were
-// heard: one machine at a time, a pack of 200 tasks was written 100 times.
+// heard: one machine at a time, a batch record of 200 tasks was written 100 times.
 //
-// The machine's record is no condition, as it is where a task is placed elsewhere: the
+// The machine's record is no precondition, as it is where a task is placed elsewhere: the
 // task is recorded on it before and after, so that whoever deletes it frees the task.
-func (pt *Shard) placeAgain() []decide.Decision {
-	if len(pt.vanished) == 0 || !pt.budget.Allows(0, tuning.MinBatchWrites) || pt.state.Now.Sub(pt.placedAgainAt) < tuning.PlaceAgainEvery {
+func (s *Shard) placeAgain() []decide.Decision {
+	if len(s.vanishedTasks) == 0 || !s.budget.Allows(0, tuning.MinBatchWrites) ||
+		s.state.Now.Sub(s.placedAgainAt) < tuning.PlaceAgainEvery {
 		return nil
 	}
-	pt.placedAgainAt = pt.state.Now
-	var all []*clusterstate.Task
-	awaits, has := map[*clusterstate.TaskRecord]bool{}, map[*clusterstate.TaskRecord]int{}
-	for taskID := range pt.vanished {
-		t := pt.task(taskID)
-		if t == nil || !t.OnMachine() || !pt.canPlaceAgain(t) {
-			delete(pt.vanished, taskID) // a look at its machine tells what it is now
+	s.placedAgainAt = s.state.Now
+	var decisions []decide.Decision
+	for _, task := range s.tasksToPlaceAgain() {
+		decisions = append(decisions, s.placeTaskAgain(task)...)
+	}
+	return decisions
+}
+
+// tasksToPlaceAgain are the vanished tasks whose records can be written now. Those records
+// come first that bring back the most tasks by one write; the commit queue takes them in
+// this order.
+func (s *Shard) tasksToPlaceAgain() []*clusterstate.Task {
+	var tasks []*clusterstate.Task
+	awaitsMachine := map[*clusterstate.TaskRecord]bool{}
+	taskCount := map[*clusterstate.TaskRecord]int{}
+	for taskID := range s.vanishedTasks {
+		task := s.task(taskID)
+		if task == nil || !task.OnMachine() || !s.canPlaceAgain(task) {
+			delete(s.vanishedTasks, taskID) // its machine's review tells what it is now
 			continue
 		}
-		if _, known := awaits[t.Stored]; !known {
-			awaits[t.Stored] = pt.awaits(t.Stored)
+		if _, known := awaitsMachine[task.Stored]; !known {
+			awaitsMachine[task.Stored] = s.awaitsMachine(task.Stored)
 		}
-		if !awaits[t.Stored] && !pt.commits.Busy(t.Stored.Key) {
-			all = append(all, t)
-			has[t.Stored]++
+		if !awaitsMachine[task.Stored] && !s.commits.Busy(task.Stored.Key) {
+			tasks = append(tasks, task)
+			taskCount[task.Stored]++
 		}
 	}
-	// The records first that bring back most by one change; Pass puts them in turn.
-	slices.SortFunc(all, func(a, b *clusterstate.Task) int {
-		return cmp.Or(cmp.Compare(has[b.Stored], has[a.Stored]), strings.Compare(a.Stored.Key, b.Stored.Key), cmp.Compare(a.Index, b.Index))
+	slices.SortFunc(tasks, func(a, b *clusterstate.Task) int {
+		return cmp.Or(
+			cmp.Compare(taskCount[b.Stored], taskCount[a.Stored]),
+			strings.Compare(a.Stored.Key, b.Stored.Key),
+			cmp.Compare(a.Index, b.Index),
+		)
 	})
-	var ds []decide.Decision
-	for _, t := range all {
-		ds = append(ds, pt.placeTaskAgain(t)...)
-	}
-	return ds
+	return tasks
 }
 
 // placeTaskAgain is the decision that places a task, or its gang, where it was.
-func (pt *Shard) placeTaskAgain(t *clusterstate.Task) []decide.Decision {
-	mates := []*clusterstate.Task{t}
-	if spec := &t.Job.Record.Spec; spec.IsGang() && spec.TaskCount > 1 {
-		mates = mates[:0]
-		for n := range spec.TaskCount {
-			mates = append(mates, t.Job.Tasks[n])
-		}
+func (s *Shard) placeTaskAgain(task *clusterstate.Task) []decide.Decision {
+	members := gangOf(task)
+	if first := members[0]; first != task && first != nil && s.vanishedTasks[first.ID] {
+		return nil // the first of a gang decides for it; without that one it is not whole
 	}
-	if mates[0] != t {
-		// The first of a gang speaks for it; without that one it is not whole.
-		if m := mates[0]; m != nil && pt.vanished[m.ID] {
-			return nil
-		}
-	}
-	d := decide.Decision{ReadSet: []string{jobs.JobPrefix + t.Job.ID}}
+	lost := func() []decide.Decision { return []decide.Decision{s.TaskLost(task, jobs.Lost, 0)} }
 	var records []*jobs.Task
-	for _, m := range mates {
-		if m == nil || !m.OnMachine() || !pt.canPlaceAgain(m) {
-			if m != nil && m.OnMachine() && pt.awaits(m.Stored) {
+	for _, member := range members {
+		if member == nil || !member.OnMachine() || !s.canPlaceAgain(member) {
+			if member != nil && member.OnMachine() && s.awaitsMachine(member.Stored) {
 				return nil
 			}
-			return []decide.Decision{pt.TaskLost(t, jobs.Lost, 0)}
+			return lost()
 		}
-		records = append(records, &m.Task)
+		records = append(records, &member.Task)
 	}
+	decision := decide.Decision{ReadSet: []string{jobs.JobPrefix + task.Job.ID}}
 	attempt := gangs.NextAttempt(records)
-	for _, m := range mates {
-		next, ok := jobs.NextTask(m.Task, jobs.TaskEvent{Kind: jobs.PlaceAgain, Attempt: attempt})
+	for _, member := range members {
+		next, ok := jobs.NextTask(member.Task, jobs.TaskEvent{Kind: jobs.PlaceAgain, Attempt: attempt})
 		if !ok {
-			return []decide.Decision{pt.TaskLost(t, jobs.Lost, 0)}
+			return lost()
 		}
-		d.Changes = append(d.Changes, decide.TransitionTask(m, next)...)
+		decision.Changes = append(decision.Changes, decide.TransitionTask(member, next)...)
 	}
-	if len(d.Keys()) > min(tuning.MaxPlaceAgainRecords, pt.config.Cluster.State.TxnOps) {
-		return []decide.Decision{pt.TaskLost(t, jobs.Lost, 0)}
+	if len(decision.Keys()) > min(tuning.MaxPlaceAgainRecords, s.config.Cluster.State.TxnOps) {
+		return lost()
 	}
-	return []decide.Decision{d}
+	return []decide.Decision{decision}
 }
 
-// reconcileOrder is the order in which decisions are made while this controller reconciles; on any
-// other day they go by rank alone.
-func (pt *Shard) reconcileOrder(d *decide.Decision) reconcile.Order {
-	if pt.Reconciling.Steady() || len(d.Changes) == 0 {
-		return reconcile.Ends
+// gangOf is the tasks of a task's gang in order, nil where one is missing, or the task
+// alone.
+func gangOf(task *clusterstate.Task) []*clusterstate.Task {
+	spec := &task.Job.Record.Spec
+	if !spec.IsGang() || spec.TaskCount <= 1 {
+		return []*clusterstate.Task{task}
 	}
-	t := d.Changes[0].Task
-	if t.Job.Record == nil {
-		return reconcile.Cancelled
+	members := make([]*clusterstate.Task, 0, spec.TaskCount)
+	for index := range spec.TaskCount {
+		members = append(members, task.Job.Tasks[index])
 	}
-	return reconcile.OrderOf(&t.Job.Record.Spec, t.Job.Record.State != jobs.Live, d.Changes[0].Next.State == jobs.Placed)
+	return members
 }
 
-// canPlaceAgain tells whether a task is known to be gone from a machine of this controller's
-// that may be given it once more.
-func (pt *Shard) canPlaceAgain(t *clusterstate.Task) bool {
-	s, m := pt.sessions[t.Machine], pt.state.Machines[t.Machine]
-	if s == nil || m == nil || t.State != jobs.Placed || t.Job.Record == nil || t.Job.Record.State != jobs.Live {
+// canPlaceAgain tells whether a task is known to be gone from a machine of this shard that
+// may be given it once more.
+func (s *Shard) canPlaceAgain(task *clusterstate.Task) bool {
+	session, machine := s.sessions[task.Machine], s.state.Machines[task.Machine]
+	if session == nil || machine == nil || task.State != jobs.Placed || !isLive(task.Job) {
 		return false
 	}
-	verdict, _ := s.Judge(t.ID, t.Attempt)
-	return verdict == agent.Missing && s.PreemptionNoticeS == nil && pt.scheduler.ClaimedFor(m) == "" && pt.healthy(m) && pt.scheduler.MayBegin(&t.Job.Record.Spec)
+	verdict, _ := session.Judge(task.ID, task.Attempt)
+	return verdict == agent.Missing &&
+		session.PreemptionNoticeS == nil &&
+		s.scheduler.ClaimedFor(machine) == "" &&
+		s.isHealthy(machine) &&
+		s.scheduler.MayBegin(&task.Job.Record.Spec)
 }
 
-// awaits tells whether a machine with a task of a record has yet to be heard.
-func (pt *Shard) awaits(sl *clusterstate.TaskRecord) bool {
-	if pt.Reconciling.Phase() != reconcile.Hearing {
+// awaitsMachine tells whether a machine with a task of a record has yet to be heard.
+func (s *Shard) awaitsMachine(record *clusterstate.TaskRecord) bool {
+	if s.Reconciling.Phase() != reconcile.Hearing {
 		return false
 	}
-	for _, t := range sl.Tasks {
-		if t.OnMachine() && sl.Holds(t) && pt.Reconciling.Awaits(t.Machine) {
+	for _, task := range record.Tasks {
+		if task.OnMachine() && record.Holds(task) && s.Reconciling.Awaits(task.Machine) {
 			return true
 		}
 	}
 	return false
 }
 
-// MachinesHeardEpoch is the view under which all of this controller's machines were heard, or are
-// on the list of those that it does not hear, 0 if some are not.
-func (pt *Shard) MachinesHeardEpoch() uint64 {
-	for _, h := range pt.Reconciling.Decommissioned() {
-		if m := pt.state.Machines[h]; m != nil && m.Owner == pt.config.Name && pt.InUse(m) {
+// recoveryOrder is the order in which decisions are committed while this controller
+// reconciles; at all other times they go by priority alone.
+func (s *Shard) recoveryOrder(decision *decide.Decision) reconcile.Order {
+	if s.Reconciling.Steady() || len(decision.Changes) == 0 {
+		return reconcile.Ends
+	}
+	change := decision.Changes[0]
+	job := change.Task.Job
+	if job.Record == nil {
+		return reconcile.Cancelled
+	}
+	return reconcile.OrderOf(&job.Record.Spec, job.Record.State != jobs.Live, change.Next.State == jobs.Placed)
+}
+
+// MachinesHeardEpoch is the view under which all of this controller's machines were heard,
+// or are published as unresponsive; 0 if some are neither.
+func (s *Shard) MachinesHeardEpoch() uint64 {
+	for _, name := range s.Reconciling.Decommissioned() {
+		if machine := s.state.Machines[name]; machine != nil && machine.Owner == s.config.Name && s.InUse(machine) {
 			return 0
 		}
 	}
-	return pt.Reconciling.Heard()
+	return s.Reconciling.Heard()
 }
--- a/internal/shard/review.go
+++ b/internal/shard/review.go
@@ -14,78 +14,122 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// review is what a look at a machine calls for.
+// review is what the comparison of a machine's records with its heartbeats calls for.
 type review struct {
 	commands  []agent.Command
-	decisions []decide.Decision // a machine's ends and frees
-	gathering bool              // tasks have vanished that are placed there once more
+	decisions []decide.Decision // ends of attempts, and tasks that are freed
+	vanished  bool              // tasks are gone that are to be placed there once more
 	busy      bool              // a record is under a transaction
 }
 
-// review compares a machine's records with its reports.
-func (pt *Shard) review(s *agent.Session) review {
-	var out review
-	for _, taskID := range clusterstate.SortedKeys(pt.state.TasksOnMachine[s.Machine]) {
-		t := pt.state.TasksOnMachine[s.Machine][taskID]
-		over := t.Job.Record == nil || t.Job.Record.State != jobs.Live || pt.cancellations.Cancelled(t.Job.ID)
-		if pt.commits.Busy(t.Stored.Key) {
-			out.busy = true
-			if over && s.State == agent.Known {
-				// A transaction may be without an answer for as long as the state service is
-				// away; a stop of what is over does not wait for it.
-				out.commands = append(out.commands, cancellation.StopCommands(s.Tasks[taskID], func(string) bool { return true })...)
-			}
-			continue // its end is touched again
+// differenceCounter takes note of a difference and its answer. A review for the answer to
+// a heartbeat counts none, since the next reconciliation finds them again.
+type differenceCounter func(machine string, difference reconcile.Difference, answer reconcile.Answer)
+
+func ignoreDifference(string, reconcile.Difference, reconcile.Answer) {}
+
+// review compares a machine's records with its heartbeats.
+func (s *Shard) review(session *agent.Session, count differenceCounter) review {
+	var found review
+	for _, taskID := range clusterstate.SortedKeys(s.state.TasksOnMachine[session.Machine]) {
+		s.reviewRecorded(session, s.state.TasksOnMachine[session.Machine][taskID], count, &found)
+	}
+	if session.State != agent.Known {
+		return found
+	}
+	for _, taskID := range clusterstate.SortedKeys(session.Tasks) {
+		for _, status := range session.Tasks[taskID] {
+			s.reviewReported(session, status, count, &found)
 		}
-		verdict, p := s.Judge(taskID, t.Attempt)
-		m := pt.state.Machines[s.Machine]
-		rec := reconcile.Recorded{Verdict: verdict, Over: over, Stopping: t.State == jobs.Stopping, Leaving: m == nil || m.State == fleet.Deleting || m.State == fleet.Deleted}
-		if verdict == agent.OnIt {
-			pt.noteRunning(s, t, p)
-			rec.Save = !over && pt.shouldCheckpoint(s, t, p)
+	}
+	return found
+}
+
+// reviewRecorded compares a task that is recorded on a machine with its heartbeats.
+func (s *Shard) reviewRecorded(
+	session *agent.Session, task *clusterstate.Task, count differenceCounter, found *review,
+) {
+	over := !isLive(task.Job) || s.cancellations.Cancelled(task.Job.ID)
+	if s.commits.Busy(task.Stored.Key) {
+		found.busy = true
+		if over && session.State == agent.Known {
+			// A transaction may be without an answer for as long as the key-value store is
+			// away; a stop of what is over does not wait for it.
+			always := func(string) bool { return true }
+			found.commands = append(found.commands, cancellation.StopCommands(session.Tasks[task.ID], always)...)
 		}
-		diff, answer := reconcile.OfRecorded(rec)
-		pt.count(s.Machine, diff, answer)
-		switch answer {
-		case reconcile.Launch:
-			if pt.tooSoon(t) || !pt.cancellations.MayLaunch() {
-				pt.revisit[s.Machine] = true
-				continue
-			}
-			out.commands = append(out.commands, agent.Command{Verb: agent.Launch, TaskID: taskID, Attempt: t.Attempt})
-		case reconcile.Stop:
-			out.commands = append(out.commands, pt.stopCommand(t, over))
-		case reconcile.End:
-			out.decisions = append(out.decisions, pt.ended(s, t, p))
-		case reconcile.Free:
-			pt.free(t, diff, &out)
+		return // its end has the machine reviewed again
+	}
+	verdict, status := session.Judge(task.ID, task.Attempt)
+	recorded := reconcile.Recorded{
+		Verdict:  verdict,
+		Over:     over,
+		Stopping: task.State == jobs.Stopping,
+		Leaving:  s.isLeaving(session.Machine),
+	}
+	if verdict == agent.OnIt {
+		s.noteRunning(session, task, status)
+		recorded.Save = !over && s.shouldCheckpoint(session, task, status)
+	}
+	difference, answer := reconcile.OfRecorded(recorded)
+	count(session.Machine, difference, answer)
+	switch answer {
+	case reconcile.Launch:
+		if s.launchesLater(task) || !s.cancellations.MayLaunch() {
+			s.reviewAgain[session.Machine] = true
+			return
 		}
+		launch := agent.Command{Verb: agent.Launch, TaskID: task.ID, Attempt: task.Attempt}
+		found.commands = append(found.commands, launch)
+	case reconcile.Stop:
+		found.commands = append(found.commands, stopCommand(task, over))
+	case reconcile.End:
+		found.decisions = append(found.decisions, s.attemptEnded(session, task, status))
+	case reconcile.Free:
+		s.free(task, difference, found)
+	case reconcile.Wait, reconcile.Keep, reconcile.Forget:
 	}
-	if s.State != agent.Known {
-		return out
-	}
-	for _, taskID := range clusterstate.SortedKeys(s.Tasks) {
-		t := pt.state.TasksOnMachine[s.Machine][taskID]
-		for _, p := range s.Tasks[taskID] {
-			recorded := t != nil && t.Attempt == p.Attempt
-			// What is cancelled is stopped at once; its end is reaped only once no record can
-			// name it any more.
-			writing := !recorded && pt.writing(taskID) && (p.Status == agent.Ended || !pt.cancellations.Cancelled(jobOf(taskID)))
-			diff, answer := reconcile.OfReported(p.Status, recorded, writing)
-			if !recorded {
-				pt.count(s.Machine, diff, answer)
-			}
-			switch answer {
-			case reconcile.Forget:
-				out.commands = append(out.commands, agent.Command{Verb: agent.Forget, TaskID: taskID, Attempt: p.Attempt})
-				s.ForgetTask(taskID, p.Attempt)
-			case reconcile.Stop:
-				zero := 0.0
-				out.commands = append(out.commands, agent.Command{Verb: agent.Stop, TaskID: taskID, Attempt: p.Attempt, GracePeriodS: &zero})
-			}
+}
+
+// reviewReported compares an attempt of a machine's newest heartbeat with the records.
+func (s *Shard) reviewReported(
+	session *agent.Session, status agent.TaskStatus, count differenceCounter, found *review,
+) {
+	task := s.state.TasksOnMachine[session.Machine][status.TaskID]
+	recorded := task != nil && task.Attempt == status.Attempt
+	// What is cancelled is stopped at once; its end is forgotten only once no record can
+	// name it any more.
+	writing := !recorded && s.isBeingWritten(status.TaskID) &&
+		(status.Status == agent.Ended || !s.cancellations.Cancelled(jobOf(status.TaskID)))
+	difference, answer := reconcile.OfReported(status.Status, recorded, writing)
+	if !recorded {
+		count(session.Machine, difference, answer)
+	}
+	switch answer {
+	case reconcile.Forget:
+		forget := agent.Command{Verb: agent.Forget, TaskID: status.TaskID, Attempt: status.Attempt}
+		found.commands = append(found.commands, forget)
+		session.ForgetTask(status.TaskID, status.Attempt)
+	case reconcile.Stop:
+		gracePeriodS := 0.0
+		stop := agent.Command{
+			Verb:         agent.Stop,
+			TaskID:       status.TaskID,
+			Attempt:      status.Attempt,
+			GracePeriodS: &gracePeriodS,
 		}
+		found.commands = append(found.commands, stop)
+	case reconcile.Wait, reconcile.Keep, reconcile.Launch, reconcile.Free, reconcile.End:
 	}
-	return out
+}
+
+// isLive tells whether a job is recorded as live.
+func isLive(job *clusterstate.Job) bool { return job.Record != nil && job.Record.State == jobs.Live }
+
+// isLeaving tells whether a machine is deleted, or about to be, or has no record.
+func (s *Shard) isLeaving(machine string) bool {
+	m := s.state.Machines[machine]
+	return m == nil || m.State == fleet.Deleting || m.State == fleet.Deleted
 }
 
 // jobOf is the job of a task.
@@ -94,96 +138,90 @@
 	return jobID
 }
 
-// tooSoon tells whether a task of a gang should wait with its launch for the fetches of
-// the others (gangs.LaunchAt).
-func (pt *Shard) tooSoon(t *clusterstate.Task) bool {
-	spec := &t.Job.Record.Spec
+// task is what is known of a task by its name, nil if there is none.
+func (s *Shard) task(taskID string) *clusterstate.Task {
+	jobID, index, ok := jobs.SplitTaskID(taskID)
+	if !ok || s.state.Jobs[jobID] == nil {
+		return nil
+	}
+	return s.state.Jobs[jobID].Tasks[index]
+}
+
+// launchesLater tells whether a task of a gang should wait with its launch for the image
+// pulls of the others (gangs.LaunchAt).
+func (s *Shard) launchesLater(task *clusterstate.Task) bool {
+	spec := &task.Job.Record.Spec
 	if !spec.IsGang() || spec.ImageGB <= 0 {
 		return false
 	}
-	ready := make([]time.Time, 0, len(t.Job.Active))
-	for _, o := range t.Job.Active {
-		if o.OnMachine() {
-			ready = append(ready, pt.state.Images.Ready(o.Machine, spec.Image))
+	ready := make([]time.Time, 0, len(task.Job.Active))
+	for _, member := range task.Job.Active {
+		if member.OnMachine() {
+			ready = append(ready, s.state.Images.Ready(member.Machine, spec.Image))
 		}
 	}
-	return pt.state.Now.Before(gangs.LaunchAt(pt.state.Images.Ready(t.Machine, spec.Image), ready, jobs.Seconds(pt.config.Cluster.Workers.GangWaitS)))
+	gangWait := jobs.Seconds(s.config.Cluster.Workers.GangWaitS)
+	launchAt := gangs.LaunchAt(s.state.Images.Ready(task.Machine, spec.Image), ready, gangWait)
+	return s.state.Now.Before(launchAt)
 }
 
-// noteRunning takes note that a task was seen running.
-func (pt *Shard) noteRunning(s *agent.Session, t *clusterstate.Task, p agent.TaskStatus) {
-	if p.Status != agent.Running || t.ObservedRunning {
+// noteRunning takes note that a task was seen running. Operators' scripts read its log
+// line, whose keys and message stay as they are.
+func (s *Shard) noteRunning(session *agent.Session, task *clusterstate.Task, status agent.TaskStatus) {
+	if status.Status != agent.Running || task.ObservedRunning {
 		return
 	}
-	t.ObservedRunning = true
-	if t.Job.Record != nil {
-		pt.config.Log.Debug("runs", "task", t.ID, "class", t.Job.Record.Spec.Class, "machine", s.Machine, "try", t.Attempt, "since_accepted_ms", pt.state.NowMs()-t.Job.Record.AcceptedMs, "since_placed_ms", pt.state.Now.Sub(t.Since).Milliseconds())
+	task.ObservedRunning = true
+	if task.Job.Record != nil {
+		s.config.Log.Debug(
+			"runs",
+			"task", task.ID,
+			"class", task.Job.Record.Spec.Class,
+			"machine", session.Machine,
+			"try", task.Attempt,
+			"since_accepted_ms", s.state.NowMs()-task.Job.Record.AcceptedMs,
+			"since_placed_ms", s.state.Now.Sub(task.Since).Milliseconds(),
+		)
 	}
 }
 
-// writing tells whether the record of a task is under a transaction.
-func (pt *Shard) writing(taskID string) bool {
-	if _, booked := pt.state.Reservations[taskID]; booked {
+// isBeingWritten tells whether the record of a task is under a transaction.
+func (s *Shard) isBeingWritten(taskID string) bool {
+	if _, reserved := s.state.Reservations[taskID]; reserved {
 		return true
 	}
-	t := pt.task(taskID)
-	return t != nil && pt.commits.Busy(t.Stored.Key)
+	task := s.task(taskID)
+	return task != nil && s.commits.Busy(task.Stored.Key)
 }
 
-// shouldCheckpoint tells whether a task should save before its machine is taken.
-func (pt *Shard) shouldCheckpoint(s *agent.Session, t *clusterstate.Task, p agent.TaskStatus) bool {
-	if s.PreemptionNoticeS == nil || p.Status != agent.Running {
+// shouldCheckpoint tells whether a task should write a checkpoint now, since its machine
+// will be taken.
+func (s *Shard) shouldCheckpoint(session *agent.Session, task *clusterstate.Task, status agent.TaskStatus) bool {
+	if session.PreemptionNoticeS == nil || status.Status != agent.Running {
 		return false
 	}
-	spec := &t.Job.Record.Spec
+	spec := &task.Job.Record.Spec
 	if spec.Kind == jobs.Service {
 		return true // a replica has nothing to finish: start it elsewhere
 	}
-	left := *s.PreemptionNoticeS - pt.state.Now.Sub(s.LastStatus).Seconds()
+	leftS := *session.PreemptionNoticeS - s.state.Now.Sub(session.LastStatus).Seconds()
 	if spec.CheckpointIntervalS > 0 {
-		return left <= spec.CheckpointTimeS+tuning.SaveMargin
+		return leftS <= spec.CheckpointTimeS+tuning.SaveMargin
 	}
 	// What cannot finish in time had better begin elsewhere at once.
-	return spec.ExpectedDurationS-pt.state.Now.Sub(t.Since).Seconds() > left*tuning.NoticeDoubt
-}
-
-func (pt *Shard) stopCommand(t *clusterstate.Task, over bool) agent.Command {
-	grace := 0.0
-	if !over && t.Job.Record.Spec.CheckpointIntervalS > 0 {
-		grace = t.Job.Record.Spec.CheckpointTimeS + 1
-	}
-	return agent.Command{Verb: agent.Stop, TaskID: t.ID, Attempt: t.Attempt, GracePeriodS: &grace}
+	return spec.ExpectedDurationS-s.state.Now.Sub(task.Since).Seconds() > leftS*tuning.NoticeDoubt
 }
 
-// count notes a difference, once for every look of a pass.
-func (pt *Shard) count(machine string, d reconcile.Difference, a reconcile.Answer) {
-	if pt.countDifferences {
-		pt.Reconciling.Count(machine, d, a)
+// stopCommand stops a recorded attempt, with time for a checkpoint unless its job is over.
+func stopCommand(task *clusterstate.Task, over bool) agent.Command {
+	gracePeriodS := 0.0
+	if !over && task.Job.Record.Spec.CheckpointIntervalS > 0 {
+		gracePeriodS = task.Job.Record.Spec.CheckpointTimeS + 1
 	}
-}
-
-// compared takes in what a look at a machine has found.
-func (pt *Shard) compared(s *agent.Session, rv *review) {
-	switch {
-	case pt.Reconciling.Steady():
-	case s.State != agent.Known:
-		if pt.provisioner.GivenUp(s.Machine) {
-			pt.Reconciling.Record(s.Machine, reconcile.Silent, pt.state.Now)
-		}
-	case len(rv.commands) > 0 || len(rv.decisions) > 0 || rv.gathering || rv.busy:
-		pt.Reconciling.Record(s.Machine, reconcile.Shows, pt.state.Now)
-		pt.Reconciling.Record(s.Machine, reconcile.Departs, pt.state.Now)
-	default:
-		pt.Reconciling.Record(s.Machine, reconcile.Shows, pt.state.Now)
-		pt.Reconciling.Record(s.Machine, reconcile.Agrees, pt.state.Now)
-	}
-}
-
-// task is the record of a task by its name, nil if there is none.
-func (pt *Shard) task(taskID string) *clusterstate.Task {
-	jobID, num, ok := jobs.SplitTaskID(taskID)
-	if !ok || pt.state.Jobs[jobID] == nil {
-		return nil
+	return agent.Command{
+		Verb:         agent.Stop,
+		TaskID:       task.ID,
+		Attempt:      task.Attempt,
+		GracePeriodS: &gracePeriodS,
 	}
-	return pt.state.Jobs[jobID].Tasks[num]
 }
--- a/internal/shard/sessions.go
+++ b/internal/shard/sessions.go
@@ -6,42 +6,48 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// session returns the session of a machine of ours, starting it if need be.
-func (pt *Shard) session(machine string) *agent.Session {
-	s := pt.sessions[machine]
-	if s == nil {
-		if len(pt.sessions) >= tuning.MaxSessions {
+// sessionOf returns the session of a machine of this shard, starting it if need be; nil if
+// there are too many.
+func (s *Shard) sessionOf(machine string) *agent.Session {
+	session := s.sessions[machine]
+	if session == nil {
+		if len(s.sessions) >= tuning.MaxSessions {
 			return nil
 		}
-		s = agent.NewSession(machine, pt.view.Epoch(), pt.state.Now)
-		pt.sessions[machine] = s
+		session = agent.NewSession(machine, s.view.Epoch(), s.state.Now)
+		s.sessions[machine] = session
 	}
-	return s
+	return session
 }
 
-// keepSession makes sure that a machine of ours has a session.
-func (pt *Shard) keepSession(m *clusterstate.Machine) {
-	if s := pt.session(m.Name); s != nil && s.Endpoint == "" {
-		s.Endpoint, s.MachineType, s.Zone, s.Spot = m.Endpoint, m.MachineType, m.Zone, m.Spot
+// keepSession makes sure that a machine of this shard has a session.
+func (s *Shard) keepSession(machine *clusterstate.Machine) {
+	session := s.sessionOf(machine.Name)
+	if session == nil || session.Endpoint != "" {
+		return
 	}
+	session.Endpoint = machine.Endpoint
+	session.MachineType = machine.MachineType
+	session.Zone = machine.Zone
+	session.Spot = machine.Spot
 }
 
-func (pt *Shard) placedOn(machine string) map[string]uint64 {
-	out := map[string]uint64{}
-	for taskID, t := range pt.state.TasksOnMachine[machine] {
-		out[taskID] = t.Attempt
+// accept enters a heartbeat, or the answer to a command, into a machine's session.
+func (s *Shard) accept(session *agent.Session, heartbeat *agent.Heartbeat) (isNew bool) {
+	placed := map[string]uint64{}
+	for taskID, task := range s.state.TasksOnMachine[session.Machine] {
+		placed[taskID] = task.Attempt
 	}
-	return out
+	return session.Accept(heartbeat, s.state.Now, placed)
 }
 
-// unmetDeadline tells whether a machine without a record has yet to answer a command.
-func (pt *Shard) unmetDeadline(s *agent.Session) bool {
-	return !s.Connected && pt.state.Machines[s.Machine] == nil
+// awaitsFirstAnswer tells whether a machine without a record has yet to answer a command.
+func (s *Shard) awaitsFirstAnswer(session *agent.Session) bool {
+	return !session.Connected && s.state.Machines[session.Machine] == nil
 }
 
-// overdue tells whether a machine should have reported by now. It is then
-// asked directly: where reports are seldom, waiting for the next would leave
-// its tasks dead for long.
-func (pt *Shard) overdue(s *agent.Session) bool {
-	return pt.state.Now.Sub(s.LastStatus) > pt.config.Cluster.Workers.Late()
+// overdue tells whether a machine should have reported by now. It is then called directly:
+// where heartbeats are seldom, waiting for the next would leave its tasks dead for long.
+func (s *Shard) overdue(session *agent.Session) bool {
+	return s.state.Now.Sub(session.LastStatus) > s.config.Cluster.Workers.Late()
 }
--- a/internal/shard/shard.go
+++ b/internal/shard/shard.go
@@ -1,7 +1,7 @@
-// Package shard is the slice of an owner: the machines that a controller owns under
-// the view, the sessions with their workers, what their reports mean for the
-// records, what is commanded, and which machines are not heard. Decisions, answers
-// and calls come out; it has no IO and no clock.
+// Package shard is what a controller does for the machines of its shard, those that it
+// owns under the view: the sessions with their agents, what heartbeats mean for the
+// records, which commands are sent, and which machines are unresponsive. Decisions,
+// answers and calls come out; it has no IO and no clock.
 package shard
 
 import (
@@ -14,10 +14,11 @@
 	"github.com/harrierreel/harrierreel/internal/reconcile"
 )
 
-// Shard is what an owner keeps of its machines.
+// Shard is what a controller keeps of the machines that it owns. It belongs to the
+// controller's loop: all methods are called from there.
 type Shard struct {
 	config Config
-	state  *clusterstate.State
+	state  *clusterstate.State // what is known from the records
 
 	view          View
 	agents        AgentCaller
@@ -32,28 +33,29 @@
 	// Reconciling is what is known of this controller's machines since it started.
 	Reconciling *reconcile.Tracker
 
-	sessions          map[string]*agent.Session
-	health            map[string]*fleet.Health
-	newestHeartbeats  map[string][2]uint64        // machine to session and number of its newest report here
-	foreignHeartbeats map[string]foreignHeartbeat // machine to its last report here that may be an old one
+	sessions map[string]*agent.Session // by machine
+	health   map[string]*fleet.Health  // by machine
 
-	unresponsiveLists map[string]fleet.UnresponsiveLists // by owner, what pt.Quiet is joined of
+	newestHeartbeats  map[string]heartbeatMark    // by machine, the newest that came here
+	foreignHeartbeats map[string]foreignHeartbeat // by machine, the last here that may be an old one
 
-	// What changed since a pass last looked at it.
-	toReview  map[string]bool // machines to review
-	revisit   map[string]bool // machines to review again before long
-	gathering map[string]bool // machines with ends that are being gathered
+	// unresponsiveLists are the lists that state.Unresponsive is joined of, by owner.
+	unresponsiveLists map[string]fleet.UnresponsiveLists
+
+	// What changed since the last reconciliation.
+	toReview    map[string]bool // machines to review
+	reviewAgain map[string]bool // machines to review again with the next sweep
+	delayedEnds map[string]bool // machines with ends that wait to be committed with others
 
 	awaitingCall  []string        // machines for which no call was free
-	vanished      map[string]bool // tasks to be placed once more where they were
-	placedAgainAt time.Time
-
-	calls            int  // to workers under way
-	callsToUnmet     int  // of them to machines that have not reported yet
-	callsToDoubted   int  // of them to machines that left a call unanswered
-	countDifferences bool // the look under way is the one that differences are counted at
-	lastSweep        time.Time
-	lastEnds         time.Time // when ended tasks were last committed
+	vanishedTasks map[string]bool // tasks to be placed once more where they were
+	placedAgainAt time.Time       // when vanishedTasks were last gone through
+
+	calls             int // to agents under way
+	callsToUnseen     int // of them to machines that have not reported yet
+	callsToUnanswered int // of them to machines that left a call unanswered
+	lastSweep         time.Time
+	lastEnds          time.Time // when ended tasks were last committed
 }
 
 // New makes the shard of a controller over what is known from the records.
@@ -73,65 +75,66 @@
 		Reconciling:       reconcile.New(config.Cluster.Workers.ReportS, config.Log),
 		sessions:          map[string]*agent.Session{},
 		health:            map[string]*fleet.Health{},
-		newestHeartbeats:  map[string][2]uint64{},
+		newestHeartbeats:  map[string]heartbeatMark{},
 		foreignHeartbeats: map[string]foreignHeartbeat{},
 		unresponsiveLists: map[string]fleet.UnresponsiveLists{},
 		toReview:          map[string]bool{},
-		revisit:           map[string]bool{},
-		gathering:         map[string]bool{},
-		vanished:          map[string]bool{},
+		reviewAgain:       map[string]bool{},
+		delayedEnds:       map[string]bool{},
+		vanishedTasks:     map[string]bool{},
 	}
 }
 
-// ReviewMachine has a machine reviewed.
-func (pt *Shard) ReviewMachine(machine string) { pt.toReview[machine] = true }
+// ReviewMachine has a machine's records compared with its heartbeats at the next
+// reconciliation.
+func (s *Shard) ReviewMachine(machine string) { s.toReview[machine] = true }
 
 // HasSession tells whether a machine has a session here.
-func (pt *Shard) HasSession(machine string) bool { return pt.sessions[machine] != nil }
+func (s *Shard) HasSession(machine string) bool { return s.sessions[machine] != nil }
 
-// Stalled discounts time in which this node did not listen.
-func (pt *Shard) Stalled(gap time.Duration) {
-	clear(pt.foreignHeartbeats)
-	for _, s := range pt.sessions {
-		s.Stalled(gap)
+// Stalled discounts time in which this controller's loop did not run.
+func (s *Shard) Stalled(gap time.Duration) {
+	clear(s.foreignHeartbeats)
+	for _, session := range s.sessions {
+		session.Stalled(gap)
 	}
 }
 
-// NewView begins every session anew under the view's epoch, and ends those of
-// machines that are another owner's now.
-func (pt *Shard) NewView() {
-	clear(pt.foreignHeartbeats)
-	for machine, s := range pt.sessions {
-		if pt.view.OwnerOf(machine) != pt.config.Name {
-			delete(pt.sessions, machine)
+// NewView begins every session anew under the view's epoch, and ends those of machines
+// that another controller owns now.
+func (s *Shard) NewView() {
+	clear(s.foreignHeartbeats)
+	for machine, session := range s.sessions {
+		if s.view.OwnerOf(machine) != s.config.Name {
+			delete(s.sessions, machine)
 			continue
 		}
-		s.NewEpoch(pt.view.Epoch())
-		if pt.Reconciling.Steady() || s.FailedCalls == 0 {
-			s.LastCall = time.Time{}
+		session.NewEpoch(s.view.Epoch())
+		if s.Reconciling.Steady() || session.FailedCalls == 0 {
+			session.LastCall = time.Time{}
 		}
 	}
 	var own []string
-	for _, m := range pt.state.Machines {
-		if m.Owner == pt.config.Name {
-			pt.keepSession(m)
-			own = append(own, m.Name)
+	for _, machine := range s.state.Machines {
+		if machine.Owner == s.config.Name {
+			s.keepSession(machine)
+			own = append(own, machine.Name)
 		}
 	}
 	var others []string
-	if len(own) < len(pt.state.Machines) {
-		others = slices.DeleteFunc(pt.view.Members(), func(m string) bool { return m == pt.config.Name })
+	if len(own) < len(s.state.Machines) {
+		others = slices.DeleteFunc(s.view.Members(), func(name string) bool { return name == s.config.Name })
 	}
-	pt.Reconciling.View(pt.view.Epoch(), own, others, pt.state.Now)
-	pt.lastSweep = time.Time{}
+	s.Reconciling.View(s.view.Epoch(), own, others, s.state.Now)
+	s.lastSweep = time.Time{}
 }
 
-// MachineRemoved forgets a machine. Its session must not bring the record back; should
-// the worker report after all, it is met as a new one.
-func (pt *Shard) MachineRemoved(machine string) {
-	delete(pt.health, machine)
-	delete(pt.newestHeartbeats, machine)
-	delete(pt.foreignHeartbeats, machine)
-	delete(pt.sessions, machine)
-	pt.Reconciling.Lost(machine)
+// MachineRemoved forgets a machine. Its session must not bring the record back; should the
+// worker report after all, it is met as a new one.
+func (s *Shard) MachineRemoved(machine string) {
+	delete(s.health, machine)
+	delete(s.newestHeartbeats, machine)
+	delete(s.foreignHeartbeats, machine)
+	delete(s.sessions, machine)
+	s.Reconciling.Lost(machine)
 }
--- a/internal/shard/task_end.go
+++ b/internal/shard/task_end.go
@@ -13,73 +13,78 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// TaskLost commits that a task is no longer on its machine.
-func (pt *Shard) TaskLost(t *clusterstate.Task, kind jobs.TaskEventKind, pause time.Duration) decide.Decision {
-	if t.Job.Record == nil || t.Job.Record.State != jobs.Live {
+// TaskLost is the decision that a task is no longer on its machine, for the reason that
+// kind names; it is not placed again before the pause is over. It is empty if the task is
+// in a state that the event does not change.
+func (s *Shard) TaskLost(task *clusterstate.Task, kind jobs.TaskEventKind, pause time.Duration) decide.Decision {
+	if !isLive(task.Job) {
 		kind = jobs.Lost
 	}
-	next, ok := jobs.NextTask(t.Task, jobs.TaskEvent{Kind: kind, NotBeforeMs: pt.state.NowMs() + pause.Milliseconds()})
+	event := jobs.TaskEvent{Kind: kind, NotBeforeMs: s.state.NowMs() + pause.Milliseconds()}
+	next, ok := jobs.NextTask(task.Task, event)
 	if !ok {
 		return decide.Decision{}
 	}
-	return decide.Decision{Changes: decide.TransitionTask(t, next), ReadSet: []string{jobs.JobPrefix + t.Job.ID}}
+	return decide.Decision{
+		Changes: decide.TransitionTask(task, next),
+		ReadSet: []string{jobs.JobPrefix + task.Job.ID},
+	}
 }
 
-// ended commits a reported end.
-func (pt *Shard) ended(s *agent.Session, t *clusterstate.Task, p agent.TaskStatus) decide.Decision {
-	h := pt.healthOf(s.Machine)
-	if t.Job.Record == nil || t.Job.Record.State != jobs.Live {
-		return pt.TaskLost(t, jobs.Lost, 0)
+// attemptEnded is the decision about a reported end.
+func (s *Shard) attemptEnded(session *agent.Session, task *clusterstate.Task, status agent.TaskStatus) decide.Decision {
+	health := s.healthOf(session.Machine)
+	if !isLive(task.Job) {
+		return s.TaskLost(task, jobs.Lost, 0)
 	}
-	switch p.Cause {
+	switch status.Cause {
 	case agent.CauseDone:
-		h.Succeeded()
-		if t.Job.Record.Spec.Kind == jobs.Service {
-			return pt.TaskLost(t, jobs.Lost, 0)
+		health.Succeeded()
+		if task.Job.Record.Spec.Kind == jobs.Service {
+			return s.TaskLost(task, jobs.Lost, 0)
 		}
-		m := pt.state.Machines[s.Machine]
-		inUse := m != nil && m.State != fleet.Deleting && m.State != fleet.Deleted
-		if d, whole := completion.WithLastTask(t); whole && (inUse || !t.Stored.IsBatch()) {
-			return d
+		decision, whole := completion.WithLastTask(task)
+		if whole && (!s.isLeaving(session.Machine) || !task.Stored.IsBatch()) {
+			return decision
 		}
-		return pt.TaskLost(t, jobs.Complete, 0)
+		return s.TaskLost(task, jobs.Complete, 0)
 	case agent.CauseError:
-		d := pt.TaskLost(t, jobs.Fail, jobs.Backoff(t.Failures))
-		pt.blame(s.Machine, h, t)
-		return d
+		decision := s.TaskLost(task, jobs.Fail, jobs.Backoff(task.Failures))
+		s.blame(session.Machine, health, task)
+		return decision
 	case agent.CauseNoSuch:
-		return pt.TaskLost(t, jobs.Fail, jobs.Backoff(t.Failures))
+		return s.TaskLost(task, jobs.Fail, jobs.Backoff(task.Failures))
 	case agent.CauseNoRoom, agent.CauseInUse:
-		h.Rest(pt.state.Now.Add(tuning.RefusedRest))
-		return pt.TaskLost(t, jobs.Lost, tuning.Backoff)
+		health.Rest(s.state.Now.Add(tuning.RefusedRest))
+		return s.TaskLost(task, jobs.Lost, tuning.Backoff)
 	}
-	return pt.TaskLost(t, jobs.Lost, 0)
+	return s.TaskLost(task, jobs.Lost, 0)
 }
 
-// free is what becomes of a recorded task that is not on its machine. While this
-// controller reconciles, one that vanished from a machine that may hold it still, as it
-// does where the lease ran out, is left to placeAnew.
-func (pt *Shard) free(t *clusterstate.Task, why reconcile.Difference, out *review) {
-	if !pt.Reconciling.Steady() && why == reconcile.Vanished && pt.canPlaceAgain(t) {
-		pt.vanished[t.ID] = true
-		out.gathering = true
+// blame tells a faulty machine from a faulty job. A job that has failed on several
+// machines is itself to blame and costs no machine; a machine on which several blameless
+// jobs fail, or one that others finish elsewhere, is faulty.
+func (s *Shard) blame(machine string, health *fleet.Health, task *clusterstate.Task) {
+	if s.state.Trust(task.Job, machine) == jobs.Probing {
 		return
 	}
-	out.decisions = append(out.decisions, pt.TaskLost(t, jobs.Lost, 0))
+	blameless := func(jobID string) bool {
+		job := s.state.Jobs[jobID]
+		return job != nil && isLive(job) && s.state.Trust(job, "") == jobs.Trusted
+	}
+	if health.Failed(task.Job.ID, s.state.Now, task.Job.DoneCount > 0, blameless) {
+		s.commits.Commit(s.TransitionMachine(machine, fleet.Unhealthy, "tasks fail on it"))
+	}
 }
 
-// blame tells a faulty machine from a faulty job. A job that has failed on
-// several machines is itself to blame and costs no machine; a machine on which
-// several blameless jobs fail, or one that others finish elsewhere, is faulty.
-func (pt *Shard) blame(machine string, h *fleet.Health, t *clusterstate.Task) {
-	if pt.state.Trust(t.Job, machine) == jobs.Probing {
+// free is what becomes of a recorded task that is not on its machine. While this
+// controller reconciles, one that vanished from a machine that may hold it still, as it
+// does where the lease expired, is left to placeAgain.
+func (s *Shard) free(task *clusterstate.Task, difference reconcile.Difference, found *review) {
+	if !s.Reconciling.Steady() && difference == reconcile.Vanished && s.canPlaceAgain(task) {
+		s.vanishedTasks[task.ID] = true
+		found.vanished = true
 		return
 	}
-	blameless := func(jobID string) bool {
-		j := pt.state.Jobs[jobID]
-		return j != nil && j.Record != nil && j.Record.State == jobs.Live && pt.state.Trust(j, "") == jobs.Trusted
-	}
-	if h.Failed(t.Job.ID, pt.state.Now, t.Job.DoneCount > 0, blameless) {
-		pt.commitTransition(machine, fleet.Unhealthy, "tasks fail on it")
-	}
+	found.decisions = append(found.decisions, s.TaskLost(task, jobs.Lost, 0))
 }
