--- a/internal/shard/controller_test.go
+++ b/internal/shard/fixture_test.go
@@ -3,11 +3,15 @@
 import (
 	"errors"
 	"log/slog"
+	"strings"
 	"testing"
 	"time"
 
 	"github.com/harrierreel/harrierreel/internal/clusterstate"
 	"github.com/harrierreel/harrierreel/internal/decide"
+	"github.com/harrierreel/harrierreel/internal/fleet"
+	"github.com/harrierreel/harrierreel/internal/http1"
+	"github.com/harrierreel/harrierreel/internal/jobs"
 	"github.com/harrierreel/harrierreel/internal/queue"
 	"github.com/harrierreel/harrierreel/internal/quota"
 	"github.com/harrierreel/harrierreel/internal/settings"
@@ -51,6 +55,70 @@
 	return o
 }
 
+// addMachineType makes the type of the machines known.
+func (o *owner) addMachineType() {
+	o.state.MachineTypes["g4"] = &jobs.MachineType{Name: "g4", Cores: 8, Accelerators: 4, MemoryGB: 64}
+}
+
+// addMachine records a machine as up.
+func (o *owner) addMachine(name, owner, endpoint string) {
+	o.t.Helper()
+	record := fleet.MachineRecord{State: fleet.Up, MachineType: "g4", Zone: "a", Endpoint: endpoint}
+	if err := o.state.ApplyMachine(name, owner, jobs.Encode(record)); err != nil {
+		o.t.Fatal(err)
+	}
+}
+
+// addJob records a job as live.
+func (o *owner) addJob(spec jobs.Spec) {
+	o.t.Helper()
+	if err := o.state.ApplyJob(spec.ID, jobs.Encode(jobs.Record{State: jobs.Live, Spec: spec})); err != nil {
+		o.t.Fatal(err)
+	}
+}
+
+// putTasks records a range of tasks.
+func (o *owner) putTasks(key string, tasks ...jobs.Task) {
+	o.t.Helper()
+	if _, err := o.state.ApplyTaskRange(key, jobs.EncodeTaskRange(tasks, o.config.ValueBytes)); err != nil {
+		o.t.Fatal(err)
+	}
+}
+
+// specOf is a job of small tasks.
+func specOf(jobID, kind string, taskCount int) jobs.Spec {
+	return jobs.Spec{
+		ID:           jobID,
+		Class:        "c",
+		Team:         "t",
+		Kind:         kind,
+		Priority:     "prod",
+		TaskCount:    taskCount,
+		Cores:        1,
+		Accelerators: 1,
+		MemoryGB:     1,
+		Image:        "b",
+	}
+}
+
+// heartbeat sends a heartbeat and returns its answer.
+func (o *owner) heartbeat(body string) (status int, answer string) {
+	o.Heartbeat([]byte(body), func(r http1.Reply) { status, answer = r.Status, string(r.Body) })
+	return status, answer
+}
+
+// heartbeatBody is a heartbeat of machine i-1 that shows no token.
+func heartbeatBody(heartbeatSeq, statuses string) string {
+	const form = `{"host":"i-1","endpoint":"w:1","build":"g4","site":"a",` +
+		`"tenure":1,"tick":%T,"baton":0,"pieces":[%P]}`
+	return strings.NewReplacer("%T", heartbeatSeq, "%P", statuses).Replace(form)
+}
+
+// withToken has a heartbeat show the token in force: that of epoch 5.
+func withToken(body string) string {
+	return strings.Replace(body, `"baton":0`, `"baton":5242880`, 1)
+}
+
 // newScheduler is the real queue over the shard under test.
 func newScheduler(o *owner, state *clusterstate.State, config Config) *queue.Queue {
 	return queue.New(state, queue.Env{
--- a/internal/shard/unresponsive.go
+++ b/internal/shard/unresponsive.go
@@ -23,9 +23,9 @@
 		return true
 	}
 	settings := s.config.Cluster.Workers
-	silence := s.state.Now.Sub(session.LastStatus)
-	return silence > settings.UnresponsiveAfter() ||
-		session.FailedCalls >= tuning.UnresponsiveCalls && silence > settings.Late()
+	sinceStatus := s.state.Now.Sub(session.LastStatus)
+	return sinceStatus > settings.UnresponsiveAfter() ||
+		session.FailedCalls >= tuning.UnresponsiveCalls && sinceStatus > settings.Late()
 }
 
 // ApplyUnresponsive takes in which machines an owner lists as unresponsive. The name is
