--- a/internal/cancellation/ack_log.go
+++ b/internal/cancellation/ack_log.go
@@ -1,10 +1,3 @@
-// Package cancellation sees that what a user was told is cancelled is gone in time though
-// the state service answers nobody. Each controller keeps a log of the cancellations that
-// it has told and passes them to the others (Log); whoever is told acts on them though its
-// mirror lags (Heard); an owner renews its workers' leases only while it can prove that it
-// has heard of all that was told (Proof); and where an owner cannot be reached, whoever
-// told commands its machines directly (Courier). Why all four: docs/notes/cancellation.md.
-// It has no IO and no clock.
 package cancellation
 
 import (
@@ -13,88 +6,73 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// LogPosition is a place in the log of one process: Seq entries of it.
-type LogPosition struct {
-	Incarnation uint64 `json:"inc"` // the process; another start is another one
-	Seq         uint64 `json:"seq"`
-}
-
-// AckEntries is what a line passes on of its sender's log. The entries follow one another and
-// begin with number First.
-type AckEntries struct {
-	Incarnation uint64   `json:"inc"`
-	First       uint64   `json:"first,omitempty"`
-	JobIDs      []string `json:"uids,omitempty"`
-	LogLength   uint64   `json:"upto"` // entries of the log as it left
-	// Nonce is that of the question which this line ends the answer to, 0 for none.
-	Nonce uint64 `json:"nonce,omitempty"`
-}
-
-// Query is the question for all that the other side has told.
-type Query struct {
-	Nonce    uint64      `json:"nonce"`
-	Received LogPosition `json:"taken"` // what the asker has taken in of the other's log
-}
-
-// AckLog is what one process has told users to be cancelled, in the order in which it first
-// did. An entry is made before the first answer that tells it leaves, whoever committed
-// the cancellation. The oldest entries are dropped beyond a bound; who has not taken them
-// in sees the gap and proves nothing by what follows.
+// AckLog holds the cancellations that one process has acknowledged to users, in the order of the first acknowledgement.
+// An entry is made before the first answer that acknowledges the cancellation leaves, whichever controller committed
+// it. Beyond tuning.MaxAckLogEntries the oldest entries are dropped; a peer that has not received them sees the gap
+// and proves nothing by the entries that follow.
 type AckLog struct {
 	incarnation uint64
 	dropped     uint64 // entries before those kept
 	jobIDs      []string
-	known       map[string]bool
+	known       map[string]bool // the jobs of jobIDs
 }
 
-// NewAckLog makes the log of a process.
+// NewAckLog makes the empty log of a process.
 func NewAckLog(incarnation uint64) *AckLog {
 	return &AckLog{incarnation: incarnation, known: map[string]bool{}}
 }
 
-// Position is where the log stands.
+// Position is the end of the log.
 func (l *AckLog) Position() LogPosition {
 	return LogPosition{l.incarnation, l.dropped + uint64(len(l.jobIDs))}
 }
 
-// Append enters a job. It tells whether the entry is new.
+// Append enters a job and reports whether the entry is new.
 func (l *AckLog) Append(jobID string) bool {
 	if l.known[jobID] {
 		return false
 	}
 	if len(l.jobIDs) >= tuning.MaxAckLogEntries {
-		half := len(l.jobIDs) / 2
-		for _, old := range l.jobIDs[:half] {
-			delete(l.known, old)
-		}
-		l.jobIDs = slices.Clone(l.jobIDs[half:])
-		l.dropped += uint64(half)
+		l.dropOldestHalf()
 	}
 	l.known[jobID] = true
 	l.jobIDs = append(l.jobIDs, jobID)
 	return true
 }
 
-// EntriesAfter is the lines that bring somebody from a mark to where the log stands; the last
-// one carries the nonce. There is always one.
+func (l *AckLog) dropOldestHalf() {
+	half := len(l.jobIDs) / 2
+	for _, jobID := range l.jobIDs[:half] {
+		delete(l.known, jobID)
+	}
+	l.jobIDs = slices.Clone(l.jobIDs[half:])
+	l.dropped += uint64(half)
+}
+
+// EntriesAfter returns the messages that bring a peer from a position to the end of the log; the last one carries the
+// nonce. There is always at least one. A position of another incarnation counts as the beginning.
 func (l *AckLog) EntriesAfter(from LogPosition, nonce uint64) []AckEntries {
 	seq := l.dropped
 	if from.Incarnation == l.incarnation {
 		seq = max(seq, min(from.Seq, l.Position().Seq))
 	}
-	var out []AckEntries
+	var messages []AckEntries
 	for rest := l.jobIDs[seq-l.dropped:]; ; {
-		n := min(len(rest), tuning.MaxAcksPerLine)
-		t := AckEntries{Incarnation: l.incarnation, JobIDs: rest[:n:n], LogLength: l.Position().Seq}
-		if n > 0 {
-			t.First = seq + 1
+		count := min(len(rest), tuning.MaxAcksPerLine)
+		entries := AckEntries{
+			Incarnation: l.incarnation,
+			JobIDs:      rest[:count:count],
+			LogLength:   l.Position().Seq,
+		}
+		if count > 0 {
+			entries.First = seq + 1
 		}
-		seq += uint64(n)
-		rest = rest[n:]
+		seq += uint64(count)
+		rest = rest[count:]
 		if len(rest) == 0 {
-			t.Nonce = nonce
-			return append(out, t)
+			entries.Nonce = nonce
+			return append(messages, entries)
 		}
-		out = append(out, t)
+		messages = append(messages, entries)
 	}
 }
--- a/internal/cancellation/golden_test.go
+++ b/internal/cancellation/golden_test.go
@@ -8,23 +8,30 @@
 
 func TestGoldenMessage(t *testing.T) {
 	full := Message{
-		Entries:  &AckEntries{Incarnation: 3, First: 4, JobIDs: []string{"wk-1", "wk-2"}, LogLength: 5, Nonce: 6},
-		Query:    &Query{Nonce: 7, Received: LogPosition{Incarnation: 8, Seq: 9}},
-		Received: map[string]LogPosition{"ctl-b": {Incarnation: 10, Seq: 11}, "ctl-c": {Incarnation: 12, Seq: 13}},
+		Entries: &AckEntries{Incarnation: 3, First: 4, JobIDs: []string{"wk-1", "wk-2"}, LogLength: 5, Nonce: 6},
+		Query:   &Query{Nonce: 7, Received: LogPosition{Incarnation: 8, Seq: 9}},
+		Received: map[string]LogPosition{
+			"ctl-b": {Incarnation: 10, Seq: 11},
+			"ctl-c": {Incarnation: 12, Seq: 13},
+		},
 	}
 	goldentest.Filled(t, full)
 	goldentest.JSON(t, "message.json", full)
 	goldentest.JSON(t, "message-least.json", Message{})
-	goldentest.JSON(t, "message-zeros.json", Message{Entries: &AckEntries{}, Query: &Query{}, Received: map[string]LogPosition{"ctl-b": {}}})
+	goldentest.JSON(t, "message-zeros.json", Message{
+		Entries:  &AckEntries{},
+		Query:    &Query{},
+		Received: map[string]LogPosition{"ctl-b": {}},
+	})
 }
 
-// TestGoldenAnswer holds the lines that a log's answer consists of.
+// TestGoldenAnswer holds the messages that a log's answer consists of.
 func TestGoldenAnswer(t *testing.T) {
-	l := NewAckLog(3)
-	goldentest.JSON(t, "answer-empty.json", l.EntriesAfter(LogPosition{}, 6))
+	log := NewAckLog(3)
+	goldentest.JSON(t, "answer-empty.json", log.EntriesAfter(LogPosition{}, 6))
 	for _, jobID := range []string{"wk-1", "wk-2", "wk-3"} {
-		l.Append(jobID)
+		log.Append(jobID)
 	}
-	goldentest.JSON(t, "answer-all.json", l.EntriesAfter(LogPosition{}, 6))
-	goldentest.JSON(t, "answer-rest.json", l.EntriesAfter(LogPosition{Incarnation: 3, Seq: 1}, 0))
+	goldentest.JSON(t, "answer-all.json", log.EntriesAfter(LogPosition{}, 6))
+	goldentest.JSON(t, "answer-rest.json", log.EntriesAfter(LogPosition{Incarnation: 3, Seq: 1}, 0))
 }
--- a/internal/cancellation/peer_acks.go
+++ b/internal/cancellation/peer_acks.go
@@ -7,101 +7,102 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// PeerAcks is what one process has taken in of the others' logs: the jobs that are cancelled
-// though its mirror may not show it yet. Cancelled is final, so to act on it is always
-// safe; an entry is let go once the mirror is proven to show it.
+// PeerAcks holds what one process has received of the other controllers' logs: jobs that are cancelled although the
+// mirror may not show it yet. A cancellation is final, so it is always safe to act on it. An entry is dropped once the
+// mirror is proven to show it.
 type PeerAcks struct {
-	peers map[string]*peerLog
-	jobs  map[string]time.Time // job to when it was heard of
+	peers map[string]*peerLog  // by name; exactly the controllers that the settings name
+	jobs  map[string]time.Time // by job ID, when its cancellation was received
 }
 
-// peerLog is what is known of one other controller's process.
+// peerLog is what is known of the log of one other controller's process.
 type peerLog struct {
-	incarnation uint64
-	since       time.Time // the first line of this process came
-	received    uint64    // entries of its log that were taken in, or that the mirror shows
-	length      uint64    // length of its log by its newest line
+	incarnation uint64    // 0 until a message came
+	since       time.Time // when the first message of this incarnation came
+	received    uint64    // entries of its log that were received, or that the mirror shows
+	length      uint64    // length of its log by its newest message
 }
 
 // NewPeerAcks makes an empty one for the controllers that the settings name.
 func NewPeerAcks(peers []string) *PeerAcks {
-	h := &PeerAcks{peers: map[string]*peerLog{}, jobs: map[string]time.Time{}}
-	for _, p := range peers {
-		h.peers[p] = &peerLog{}
+	a := &PeerAcks{peers: map[string]*peerLog{}, jobs: map[string]time.Time{}}
+	for _, peer := range peers {
+		a.peers[peer] = &peerLog{}
 	}
-	return h
+	return a
 }
 
-// Cancelled tells whether a job was heard to be cancelled.
-func (h *PeerAcks) Cancelled(jobID string) bool {
-	_, ok := h.jobs[jobID]
+// Cancelled reports whether a job is known to be cancelled by an acknowledgement.
+func (a *PeerAcks) Cancelled(jobID string) bool {
+	_, ok := a.jobs[jobID]
 	return ok
 }
 
-// Received is the mark up to which each other controller's log was taken in, for it to stop
-// telling.
-func (h *PeerAcks) Received() map[string]LogPosition {
-	out := map[string]LogPosition{}
-	for name, p := range h.peers {
-		if p.incarnation != 0 {
-			out[name] = LogPosition{p.incarnation, p.received}
+// Received is the position up to which each other controller's log was received. They are sent it as a confirmation,
+// so that they stop resending.
+func (a *PeerAcks) Received() map[string]LogPosition {
+	positions := map[string]LogPosition{}
+	for name, peer := range a.peers {
+		if peer.incarnation != 0 {
+			positions[name] = LogPosition{peer.incarnation, peer.received}
 		}
 	}
-	return out
+	return positions
 }
 
-// Record enters a job that this process itself has told: its own mirror may lag as well.
-func (h *PeerAcks) Record(jobID string, now time.Time) {
-	if _, known := h.jobs[jobID]; !known {
-		h.jobs[jobID] = now
+// Record enters a job whose cancellation this process itself acknowledges: its own mirror may lag as well.
+func (a *PeerAcks) Record(jobID string, now time.Time) {
+	if _, known := a.jobs[jobID]; !known {
+		a.jobs[jobID] = now
 	}
 }
 
-// Receive takes in a line and gives back the jobs that are news. Lines arrive in order on a
-// connection, but a cut may hold them: those of an earlier process may follow those of the
-// next, so what is not this process's own next entry moves no mark.
-func (h *PeerAcks) Receive(from string, t AckEntries, now time.Time) []string {
-	p := h.peers[from]
-	if p == nil || t.Incarnation == 0 {
+// Receive enters a message and returns the jobs that are new. Messages arrive in order on a connection, but a network
+// partition may hold them: those of an earlier incarnation may follow those of the next. So only entries that continue
+// what was received of the present incarnation move its position.
+func (a *PeerAcks) Receive(from string, entries AckEntries, now time.Time) []string {
+	peer := a.peers[from]
+	if peer == nil || entries.Incarnation == 0 {
 		return nil
 	}
-	if p.incarnation != t.Incarnation {
-		*p = peerLog{incarnation: t.Incarnation, since: now}
+	if peer.incarnation != entries.Incarnation {
+		*peer = peerLog{incarnation: entries.Incarnation, since: now}
 	}
-	p.length = max(p.length, t.LogLength)
-	var news []string
-	for _, jobID := range t.JobIDs {
-		if _, known := h.jobs[jobID]; known {
+	peer.length = max(peer.length, entries.LogLength)
+	var added []string
+	for _, jobID := range entries.JobIDs {
+		if _, known := a.jobs[jobID]; known {
 			continue
 		}
-		if len(h.jobs) >= tuning.MaxPeerCancellations {
-			return news // not taken in: nothing is proven by it
+		if len(a.jobs) >= tuning.MaxPeerCancellations {
+			return added // the rest is not received, so the position stays and nothing is proven by it
 		}
-		h.jobs[jobID] = now
-		news = append(news, jobID)
+		a.jobs[jobID] = now
+		added = append(added, jobID)
 	}
-	if n := uint64(len(t.JobIDs)); n > 0 && t.First > 0 && t.First <= p.received+1 {
-		p.received = max(p.received, t.First+n-1)
+	count := uint64(len(entries.JobIDs))
+	if count > 0 && entries.First > 0 && entries.First <= peer.received+1 {
+		peer.received = max(peer.received, entries.First+count-1)
 	}
-	return news
+	return added
 }
 
-// logLengths is how long the others' logs were by the newest lines.
-func (h *PeerAcks) logLengths() map[string]LogPosition {
-	out := make(map[string]LogPosition, len(h.peers))
-	for name, p := range h.peers {
-		out[name] = LogPosition{p.incarnation, p.length}
+// logLengths is how long the other controllers' logs are by their newest messages.
+func (a *PeerAcks) logLengths() map[string]LogPosition {
+	positions := make(map[string]LogPosition, len(a.peers))
+	for name, peer := range a.peers {
+		positions[name] = LogPosition{peer.incarnation, peer.length}
 	}
-	return out
+	return positions
 }
 
-// mirrorCaughtUp takes in that the mirror shows all that was told up to a moment, and with it the
-// logs as far as they had come by lines from before it.
-func (h *PeerAcks) mirrorCaughtUp(at time.Time, marks map[string]LogPosition) {
-	for name, m := range marks {
-		if p := h.peers[name]; p != nil && p.incarnation == m.Incarnation {
-			p.received = max(p.received, m.Seq)
+// mirrorCaughtUp notes that the mirror shows every cancellation acknowledged before a time, and with them the logs up
+// to the lengths that were known at that time.
+func (a *PeerAcks) mirrorCaughtUp(at time.Time, logLengths map[string]LogPosition) {
+	for name, position := range logLengths {
+		if peer := a.peers[name]; peer != nil && peer.incarnation == position.Incarnation {
+			peer.received = max(peer.received, position.Seq)
 		}
 	}
-	maps.DeleteFunc(h.jobs, func(_ string, heard time.Time) bool { return heard.Before(at) })
+	maps.DeleteFunc(a.jobs, func(_ string, receivedAt time.Time) bool { return receivedAt.Before(at) })
 }
--- a/internal/cancellation/proof.go
+++ b/internal/cancellation/proof.go
@@ -6,106 +6,121 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// ProofState is how an owner stands to what users were told.
+// ProofState is whether an owner's proof of knowledge is recent enough to renew leases.
 type ProofState string
 
-// Standings of an owner.
+// The states of a proof.
 const (
-	Proven  ProofState = "proven"  // leases are renewed
-	Lapsing ProofState = "lapsing" // no lease is renewed: what was missed must end with it
+	ProofValid   ProofState = "valid"   // leases are renewed
+	ProofExpired ProofState = "expired" // no lease is renewed: tasks of cancellations not received end by lease expiry
 )
 
-// Proof is up to which moment an owner has heard of every cancellation told to any user,
-// and what follows from that. A worker's lease ends lease_s after it *sent* the last
-// report that was answered 200. So if no 200 leaves later than cancel_s - lease_s after
-// that moment, less a margin, then whatever was told after it is gone within cancel_s,
-// even on a machine that nobody else reaches.
+// Proof is the time up to which the owner of a shard provably knows every cancellation that any controller has
+// acknowledged to a user, and what follows for leases. A worker's lease expires lease_s after the worker *sent* the
+// last heartbeat that was answered 200. So if no 200 leaves later than cancel_s - lease_s after the proven time, less
+// a margin, then the tasks of every cancellation acknowledged after it are gone within cancel_s, even on a machine
+// that no other controller reaches.
 //
-// Two things prove it. The mirror, at an epoch that the state service answered to a
-// question asked at that moment: a cancellation is committed before it is told. Or, with
-// the state service away, an answer of each controller that the settings name to a
-// question sent at that moment, with all that its process has told.
+// There are two ways to prove a time. The first is the mirror, at an epoch which the state service returned to a
+// request sent at that time: a cancellation is committed before it is acknowledged. The second, while the state
+// service is unavailable, is an answer by every controller that the settings name to a query sent at that time, with
+// all entries of its process's log.
 type Proof struct {
-	*PeerAcks
-	window    time.Duration // 0: turned off, as no time is left for it
-	provenAt  time.Time     // proven up to here, zero for never
-	queriedAt time.Time     // last round of questions
-	nonce     uint64
-	rounds    []round // newest last
+	peerAcks  *PeerAcks
+	window    time.Duration // see Window; 0 turns the proof off: leases are always renewed
+	provenAt  time.Time     // zero for never
+	queriedAt time.Time     // when the last query round began
+	nonce     uint64        // of the last query round
+	rounds    []queryRound  // newest last
 	state     ProofState
 }
 
-// round is one question to each of the others.
-type round struct {
+// queryRound is one query to all other controllers.
+type queryRound struct {
 	nonce    uint64
-	sent     time.Time
-	answered map[string]uint64 // by which process
+	sentAt   time.Time
+	answered map[string]uint64 // by peer, the incarnation that answered
 }
 
-// Window is how long after the proven moment leases may be renewed, 0 where the settings
-// leave no time for it (the program refuses such settings at its start).
+// Window is how long after the proven time leases may be renewed. It is 0 where the settings leave no time for it; the
+// program refuses such settings at its start. Both parameters are in seconds.
 func Window(leaseS, cancelS float64) time.Duration {
-	w := time.Duration((cancelS*(1-tuning.ProofDrift)-leaseS)*float64(time.Second)) - tuning.ProofMargin
-	return max(w, 0)
+	window := time.Duration((cancelS*(1-tuning.ProofDrift)-leaseS)*float64(time.Second)) - tuning.ProofMargin
+	return max(window, 0)
 }
 
-// NewProof makes the proof of a process that has proven nothing. Nonces begin with its
-// own: an answer to an earlier process's question must not pass for one to its own.
+// NewProof makes the proof of a process that has proven nothing yet. The nonce should be random: an answer to a query
+// of an earlier process of this controller must not be taken for an answer to this one's.
 func NewProof(peers []string, window time.Duration, nonce uint64) *Proof {
-	return &Proof{PeerAcks: NewPeerAcks(peers), window: window, nonce: nonce, state: Lapsing}
+	return &Proof{peerAcks: NewPeerAcks(peers), window: window, nonce: nonce, state: ProofExpired}
 }
 
-// Advance is the one place where the standing changes.
-func (p *Proof) Advance(now time.Time) (standing ProofState, changed bool) {
-	next := Proven
+// Advance updates the state; it changes nowhere else.
+func (p *Proof) Advance(now time.Time) (state ProofState, changed bool) {
+	state = ProofValid
 	if !p.MayRenewLeases(now) {
-		next = Lapsing
+		state = ProofExpired
 	}
-	changed = next != p.state
-	p.state = next
-	return next, changed
+	changed = state != p.state
+	p.state = state
+	return state, changed
 }
 
-// MayRenewLeases tells whether a worker's lease may be renewed now.
+// MayRenewLeases reports whether a worker's lease may be renewed now.
 func (p *Proof) MayRenewLeases(now time.Time) bool {
 	return p.window == 0 || !p.provenAt.IsZero() && now.Sub(p.provenAt) < p.window
 }
 
-// MayLaunch tells whether a task may be launched now. It may begin a call's wait later, on
-// a machine whose lease was renewed last while the call was under way.
+// MayLaunch reports whether a task may be launched now. It is stricter than MayRenewLeases, since the task may start as
+// late as the call's timeout, on a machine whose lease was last renewed while the call was under way.
 func (p *Proof) MayLaunch(now time.Time) bool {
 	return p.MayRenewLeases(now.Add(min(2*tuning.CommandTimeout, p.window/2)))
 }
 
-// Age is how old the proof is.
+// Age is the time since the proven time.
 func (p *Proof) Age(now time.Time) time.Duration { return now.Sub(p.provenAt) }
 
-// StoreQuery is what a question to the state service goes by: when it was asked, and how far
-// the others' logs had come by then.
+// Cancelled reports whether a job is known to be cancelled by an acknowledgement, though the mirror may not show it.
+func (p *Proof) Cancelled(jobID string) bool { return p.peerAcks.Cancelled(jobID) }
+
+// Received is the position up to which each other controller's log was received.
+func (p *Proof) Received() map[string]LogPosition { return p.peerAcks.Received() }
+
+// Receive enters a peer's message and returns the jobs that are new (PeerAcks.Receive).
+func (p *Proof) Receive(from string, entries AckEntries, now time.Time) []string {
+	return p.peerAcks.Receive(from, entries, now)
+}
+
+// StoreQuery is a request to the state service: when it was sent, and how long the other controllers' logs were then.
 type StoreQuery struct {
-	asked      time.Time
+	sentAt     time.Time
 	logLengths map[string]LogPosition
 }
 
-// BeginStoreQuery is the basis of a question to the state service that is asked now.
-func (p *Proof) BeginStoreQuery(now time.Time) StoreQuery { return StoreQuery{now, p.logLengths()} }
+// BeginStoreQuery notes that a request to the state service is sent now.
+func (p *Proof) BeginStoreQuery(now time.Time) StoreQuery {
+	return StoreQuery{now, p.peerAcks.logLengths()}
+}
 
-// StoreQueryAnswered takes in that the mirror shows all changes up to an answer to that question.
-func (p *Proof) StoreQueryAnswered(b StoreQuery) {
-	if b.asked.After(p.provenAt) {
-		p.provenAt = b.asked
+// StoreQueryAnswered notes that the mirror shows all changes up to the answer to that request.
+func (p *Proof) StoreQueryAnswered(query StoreQuery) {
+	if query.sentAt.After(p.provenAt) {
+		p.provenAt = query.sentAt
 	}
-	p.mirrorCaughtUp(b.asked, b.logLengths)
+	p.peerAcks.mirrorCaughtUp(query.sentAt, query.logLengths)
 }
 
-// NextQuery is the next round's nonce, if one is due: where the state service does not
-// answer, or has proven nothing for half of the time that there is.
-func (p *Proof) NextQuery(now time.Time, down bool) (nonce uint64, due bool) {
-	least := p.window / 2
-	if down {
-		least = min(least, tuning.ProofQueryAfter)
+// NextQuery begins a query round to the other controllers, if one is due, and returns its nonce. A round is due where
+// the state service is unavailable, or has proven nothing for half of the window.
+func (p *Proof) NextQuery(now time.Time, storeUnavailable bool) (nonce uint64, due bool) {
+	minAge := p.window / 2
+	if storeUnavailable {
+		minAge = min(minAge, tuning.ProofQueryAfter)
+	}
+	if p.window == 0 || p.provenAt.IsZero() || len(p.peerAcks.peers) == 0 {
+		return 0, false
 	}
-	if p.window == 0 || p.provenAt.IsZero() || len(p.peers) == 0 || now.Sub(p.provenAt) < least || now.Sub(p.queriedAt) < tuning.ProofQueryEvery {
+	if now.Sub(p.provenAt) < minAge || now.Sub(p.queriedAt) < tuning.ProofQueryEvery {
 		return 0, false
 	}
 	p.queriedAt = now
@@ -113,38 +128,39 @@
 	if len(p.rounds) >= tuning.ProofRounds {
 		p.rounds = p.rounds[1:]
 	}
-	p.rounds = append(p.rounds, round{p.nonce, now, map[string]uint64{}})
+	p.rounds = append(p.rounds, queryRound{p.nonce, now, map[string]uint64{}})
 	return p.nonce, true
 }
 
-// PeerAnswered takes in a line that ends an answer, after its entries (Take). It counts only
-// if nothing of the log is missing, and only of a process that was heard of before the
-// moment proven so far: what an earlier one told since then nobody lists any more.
-func (p *Proof) PeerAnswered(from string, t AckEntries) {
-	other := p.peers[from]
-	if t.Nonce == 0 || other == nil || other.incarnation != t.Incarnation || other.received < t.LogLength {
+// PeerAnswered notes the last message of an answer, after Receive has entered its entries. It counts only if no entry
+// of the peer's log is missing, and only by an incarnation whose first message came before the proven time: what an
+// earlier incarnation has acknowledged since then is in no log any more.
+func (p *Proof) PeerAnswered(from string, entries AckEntries) {
+	peer := p.peerAcks.peers[from]
+	if entries.Nonce == 0 || peer == nil || peer.incarnation != entries.Incarnation || peer.received < entries.LogLength {
 		return
 	}
 	for i := range p.rounds {
-		if p.rounds[i].nonce == t.Nonce {
-			p.rounds[i].answered[from] = t.Incarnation
+		if p.rounds[i].nonce == entries.Nonce {
+			p.rounds[i].answered[from] = entries.Incarnation
 			p.closeRound(i)
 			return
 		}
 	}
 }
 
-// closeRound takes a round in that all have answered, each by the process that was there at
-// the moment proven so far.
+// closeRound proves the time at which a round was sent, if all peers have answered it, each by the incarnation that was
+// there at the time proven before.
 func (p *Proof) closeRound(i int) {
-	r := p.rounds[i]
-	for name, other := range p.peers {
-		if incarnation, ok := r.answered[name]; !ok || incarnation != other.incarnation || !other.since.Before(p.provenAt) {
+	round := p.rounds[i]
+	for name, peer := range p.peerAcks.peers {
+		incarnation, ok := round.answered[name]
+		if !ok || incarnation != peer.incarnation || !peer.since.Before(p.provenAt) {
 			return
 		}
 	}
-	if r.sent.After(p.provenAt) {
-		p.provenAt = r.sent
+	if round.sentAt.After(p.provenAt) {
+		p.provenAt = round.sentAt
 	}
 	p.rounds = p.rounds[i+1:]
 }
--- a/internal/cancellation/service.go
+++ b/internal/cancellation/service.go
@@ -6,191 +6,237 @@
 	"time"
 
 	"github.com/harrierreel/harrierreel/internal/clusterstate"
-	"github.com/harrierreel/harrierreel/internal/jobs"
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Message is what one line between controllers carries of this.
-type Message struct {
-	Entries  *AckEntries            `json:"told,omitempty"`
-	Query    *Query                 `json:"ask,omitempty"`
-	Received map[string]LogPosition `json:"taken,omitempty"` // of each other controller's log, by the sender
+// Config is the settings of a Service.
+type Config struct {
+	Name         string        // of this controller
+	Peers        []string      // all other controllers that the settings name
+	ProofWindow  time.Duration // how long after a proof leases may be renewed, see Window
+	CancelWithin time.Duration // cancel_s: when a cancelled job's tasks must be gone after the acknowledgement
+	Log          *slog.Logger
 }
 
-// Valid tells whether a message may be what a controller sent.
-func (m *Message) Valid() bool {
-	if t := m.Entries; t != nil {
-		n := uint64(len(t.JobIDs))
-		if t.Incarnation == 0 || n > tuning.MaxAcksPerLine || n > 0 && (t.First == 0 || t.First+n-1 > t.LogLength) {
-			return false
-		}
-		for _, jobID := range t.JobIDs {
-			if !jobs.ValidID(jobID) {
-				return false
-			}
-		}
-	}
-	return (m.Query == nil || m.Query.Nonce != 0) && len(m.Received) <= tuning.MaxPeers
-}
-
-// Env is what it is told from outside.
-type Env struct {
-	Name      string
-	Peers     []string // all other controllers that the settings name
-	Window    time.Duration
-	CancelFor time.Duration // cancel_s
-	Log       *slog.Logger
-	// Send has a line sent to a peer; it may be lost.
-	Send func(peer string, m Message)
-	// Call sends a request to a worker; its answer comes back on the loop.
-	Call func(endpoint, method, target string, body []byte, timeout time.Duration, done func(status int, body []byte, err error))
-	// OwnerOf is the controller that a machine belongs to.
-	OwnerOf func(machine string) string
-	// StoreUnavailable tells that the state service does not answer.
-	StoreUnavailable func() bool
-	// ReviewMachine has a machine looked at.
-	ReviewMachine func(machine string)
-}
-
-// Service is what one controller keeps of cancellations that were told.
-type Service struct {
-	*clusterstate.State
-	Env
-	*Proof
+// PeerSender sends messages to other controllers.
+type PeerSender interface {
+	// SendToPeer sends a message, which may be lost.
+	SendToPeer(peer string, message Message)
+}
+
+// AgentCaller calls the agents of workers.
+type AgentCaller interface {
+	// CallAgent sends a request; done is called on the event loop.
+	CallAgent(endpoint, method, target string, body []byte, timeout time.Duration,
+		done func(status int, body []byte, err error))
+}
 
-	log         *AckLog
-	acks        map[string]LogPosition // of this log, by peer
-	sentEntries uint64                 // entries passed on once
-	sentAt      time.Time              // they were last passed on again
-	relay       StopRelay
+// Shards knows which controller owns which machine.
+type Shards interface {
+	// OwnerOf is the controller whose shard has the machine, "" while no view is known.
+	OwnerOf(machine string) string
+	// ReviewMachine has the machine's records compared with its heartbeat soon.
+	ReviewMachine(machine string)
+}
+
+// StoreStatus tells whether the state service answers.
+type StoreStatus interface {
+	Unavailable() bool
+}
+
+// Collaborators are the parts of the controller that a Service calls.
+type Collaborators struct {
+	Peers  PeerSender
+	Agents AgentCaller
+	Shards Shards
+	Store  StoreStatus
+}
 
-	// LeasesWithheld counts reports whose lease was not renewed, Delivered stops that were
-	// commanded past an owner that had not confirmed them.
-	LeasesWithheld, StopsRelayed int
-	withheldBefore               int // Withheld when it began to lapse
+// Service is one controller's part in carrying out acknowledged cancellations. It is used on the event loop only.
+type Service struct {
+	config Config
+	state  *clusterstate.State
+	peers  PeerSender
+	agents AgentCaller
+	shards Shards
+	store  StoreStatus
+
+	proof         *Proof
+	log           *AckLog
+	confirmations map[string]LogPosition // by peer, up to where it has received this log
+	sentEntries   uint64                 // entries that were sent to all peers once
+	sentAt        time.Time              // when entries were last sent
+	relay         StopRelay
+
+	// LeasesWithheld counts heartbeats that were not answered 200 since no proof was valid.
+	LeasesWithheld int
+	// StopsRelayed counts stop commands that were sent to machines of other owners.
+	StopsRelayed int
+
+	withheldBefore int // LeasesWithheld when the proof expired
 }
 
-// New makes the service of a process; chance gives it a name of its own.
-func New(b *clusterstate.State, env Env, chance func() uint64) *Service {
-	incarnation := chance()>>1 | 1
-	return &Service{State: b, Env: env, Proof: NewProof(env.Peers, env.Window, chance()>>2), log: NewAckLog(incarnation), acks: map[string]LogPosition{}}
+// New makes the service of a process; random supplies its incarnation and its first nonce.
+func New(state *clusterstate.State, config Config, collaborators Collaborators, random func() uint64) *Service {
+	incarnation := random()>>1 | 1
+	return &Service{
+		config:        config,
+		state:         state,
+		peers:         collaborators.Peers,
+		agents:        collaborators.Agents,
+		shards:        collaborators.Shards,
+		store:         collaborators.Store,
+		proof:         NewProof(config.Peers, config.ProofWindow, random()>>2),
+		log:           NewAckLog(incarnation),
+		confirmations: map[string]LogPosition{},
+	}
 }
 
-// Acknowledge notes that a user is about to be told that a job is cancelled. Whoever tells
-// calls it before the answer leaves.
+// Cancelled reports whether a job is known to be cancelled by an acknowledgement, though the mirror may not show it.
+func (s *Service) Cancelled(jobID string) bool { return s.proof.Cancelled(jobID) }
+
+// MayRenewLeases reports whether a worker's lease may be renewed now.
+func (s *Service) MayRenewLeases(now time.Time) bool { return s.proof.MayRenewLeases(now) }
+
+// MayLaunch reports whether a task may be launched now.
+func (s *Service) MayLaunch(now time.Time) bool { return s.proof.MayLaunch(now) }
+
+// BeginStoreQuery notes that a request to the state service is sent now.
+func (s *Service) BeginStoreQuery(now time.Time) StoreQuery { return s.proof.BeginStoreQuery(now) }
+
+// StoreQueryAnswered notes that the mirror shows all changes up to the answer to that request.
+func (s *Service) StoreQueryAnswered(query StoreQuery) { s.proof.StoreQueryAnswered(query) }
+
+// Acknowledge notes that a user is about to be told that a job is cancelled. It must be called before the answer
+// leaves.
 func (s *Service) Acknowledge(jobID string) {
 	if s.log.Append(jobID) {
-		s.Record(jobID, s.Now)
-		s.relay.add(jobID, s.log.Position().Seq, s.Now)
+		s.proof.peerAcks.Record(jobID, s.state.Now)
+		s.relay.add(jobID, s.log.Position().Seq, s.state.Now)
 		s.reviewMachinesOf(jobID)
 	}
 }
 
-// reviewMachinesOf has the machines with a job's tasks looked at: they are to be stopped.
+// reviewMachinesOf has the machines that hold tasks of a cancelled job reviewed, which stops the tasks.
 func (s *Service) reviewMachinesOf(jobID string) {
-	if j := s.Jobs[jobID]; j != nil {
-		for _, t := range j.Active {
-			if t.OnMachine() {
-				s.ReviewMachine(t.Machine)
+	if job := s.state.Jobs[jobID]; job != nil {
+		for _, task := range job.Active {
+			if task.OnMachine() {
+				s.shards.ReviewMachine(task.Machine)
 			}
 		}
 	}
 }
 
-// Handshake is what every line to the others carries: where the log stands, and how far
-// theirs were taken in.
+// Handshake is what every periodic line to the other controllers carries: the length of this log, and up to where
+// theirs were received.
 func (s *Service) Handshake() Message {
-	m := s.log.Position()
-	return Message{Entries: &AckEntries{Incarnation: m.Incarnation, LogLength: m.Seq}, Received: s.Received()}
+	end := s.log.Position()
+	return Message{
+		Entries:  &AckEntries{Incarnation: end.Incarnation, LogLength: end.Seq},
+		Received: s.proof.Received(),
+	}
 }
 
-// Receive takes in a line of another controller.
-func (s *Service) Receive(from string, m Message) {
-	if s.peers[from] == nil {
+// Receive handles a message of another controller. One that the settings do not name is ignored.
+func (s *Service) Receive(from string, message Message) {
+	if s.proof.peerAcks.peers[from] == nil {
 		return
 	}
-	if m.Entries != nil {
-		for _, jobID := range s.Proof.Receive(from, *m.Entries, s.Now) {
+	if message.Entries != nil {
+		for _, jobID := range s.proof.Receive(from, *message.Entries, s.state.Now) {
 			s.reviewMachinesOf(jobID)
 		}
-		s.PeerAnswered(from, *m.Entries)
+		s.proof.PeerAnswered(from, *message.Entries)
 	}
-	if mark, ok := m.Received[s.Name]; ok && mark.Incarnation == s.log.incarnation {
-		s.acks[from] = mark
+	if position, ok := message.Received[s.config.Name]; ok && position.Incarnation == s.log.incarnation {
+		s.confirmations[from] = position
 	}
-	if m.Query != nil {
-		for _, t := range s.log.EntriesAfter(m.Query.Received, m.Query.Nonce) {
-			s.Send(from, Message{Entries: &t})
+	if message.Query != nil {
+		for _, entries := range s.log.EntriesAfter(message.Query.Received, message.Query.Nonce) {
+			s.peers.SendToPeer(from, Message{Entries: &entries})
 		}
 	}
 }
 
-// confirmed tells whether a controller has taken an entry of this log in.
+// confirmed reports whether a controller has received an entry of this log.
 func (s *Service) confirmed(peer string, seq uint64) bool {
-	m := s.acks[peer]
-	return m.Incarnation == s.log.incarnation && m.Seq >= seq
+	position := s.confirmations[peer]
+	return position.Incarnation == s.log.incarnation && position.Seq >= seq
 }
 
 func (s *Service) confirmedByAll(seq uint64) bool {
-	return !slices.ContainsFunc(s.Peers, func(p string) bool { return !s.confirmed(p, seq) })
+	return !slices.ContainsFunc(s.config.Peers, func(peer string) bool { return !s.confirmed(peer, seq) })
 }
 
-// Reconcile passes on what was told, asks the others where the state service does not answer,
-// and has stops delivered. It is called with each pulse of the loop.
+// Reconcile sends what peers have not received, queries them where the state service does not answer, and relays
+// stops. The controller calls it with each tick of the event loop.
 func (s *Service) Reconcile() {
 	s.Broadcast()
-	now := s.log.Position().Seq
-	if s.sentEntries == now && len(s.relay.undelivered) > 0 && s.Now.Sub(s.sentAt) >= tuning.AckResend {
-		s.sentAt = s.Now
-		first := s.relay.undelivered[0].seq
-		for _, p := range s.Peers {
-			if !s.confirmed(p, now) {
-				s.send(LogPosition{s.log.incarnation, max(s.acks[p].Seq, first-1)}, []string{p})
-			}
-		}
-	}
-	if nonce, due := s.NextQuery(s.Now, s.StoreUnavailable()); due {
-		taken := s.Received()
-		for _, p := range s.Peers {
-			s.Send(p, Message{Query: &Query{Nonce: nonce, Received: taken[p]}})
+	s.resendUnconfirmed()
+	if nonce, due := s.proof.NextQuery(s.state.Now, s.store.Unavailable()); due {
+		received := s.proof.Received()
+		for _, peer := range s.config.Peers {
+			s.peers.SendToPeer(peer, Message{Query: &Query{Nonce: nonce, Received: received[peer]}})
 		}
 	}
 	s.relayStops()
 	s.logTransitions()
 }
 
-// Broadcast passes on what was told since it last did, in the same turn of the loop as the
-// answers that tell it: a question about the job that another controller has had for a
-// while must not be answered by what it knew before. Of many, those of some turns go
-// together.
+// Broadcast sends the entries that were made since it last did. The controller calls it in the same turn of the event
+// loop in which the answers leave: another controller that is asked about the job must not answer by what it knew
+// before. In a burst the entries of several turns are sent together.
 func (s *Service) Broadcast() {
-	if now := s.log.Position().Seq; s.sentEntries < now && s.Now.Sub(s.sentAt) >= tuning.AckGatherFor {
-		s.send(LogPosition{s.log.incarnation, s.sentEntries}, s.Peers)
-		s.sentEntries, s.sentAt = now, s.Now
+	if end := s.log.Position().Seq; s.sentEntries < end && s.state.Now.Sub(s.sentAt) >= tuning.AckGatherFor {
+		s.sendEntries(LogPosition{s.log.incarnation, s.sentEntries}, s.config.Peers)
+		s.sentEntries, s.sentAt = end, s.state.Now
 	}
 }
 
-// send passes entries on after a mark.
-func (s *Service) send(from LogPosition, to []string) {
-	for _, t := range s.log.EntriesAfter(from, 0) {
-		for _, p := range to {
-			s.Send(p, Message{Entries: &t})
+// resendUnconfirmed sends the entries that a peer has not confirmed once more, at most every tuning.AckResend and only
+// while a pending stop needs it.
+func (s *Service) resendUnconfirmed() {
+	end := s.log.Position().Seq
+	if s.sentEntries != end || len(s.relay.undelivered) == 0 || s.state.Now.Sub(s.sentAt) < tuning.AckResend {
+		return
+	}
+	s.sentAt = s.state.Now
+	first := s.relay.undelivered[0].seq
+	for _, peer := range s.config.Peers {
+		if !s.confirmed(peer, end) {
+			from := LogPosition{s.log.incarnation, max(s.confirmations[peer].Seq, first-1)}
+			s.sendEntries(from, []string{peer})
+		}
+	}
+}
+
+// sendEntries sends the entries after a position.
+func (s *Service) sendEntries(from LogPosition, peers []string) {
+	for _, entries := range s.log.EntriesAfter(from, 0) {
+		for _, peer := range peers {
+			s.peers.SendToPeer(peer, Message{Entries: &entries})
 		}
 	}
 }
 
-// logTransitions logs when leases are no longer renewed, and when they are again.
+// logTransitions logs when leases are no longer renewed, and when they are again. A proof that becomes valid for the
+// first time is no such transition, nor is an expiry in which no heartbeat came.
 func (s *Service) logTransitions() {
-	standing, changed := s.Advance(s.Now)
-	if !changed || s.provenAt.IsZero() {
+	state, changed := s.proof.Advance(s.state.Now)
+	if !changed || s.proof.provenAt.IsZero() {
 		return
 	}
-	switch {
-	case standing == Lapsing:
-		s.withheldBefore = s.LeasesWithheld
-		s.Log.Info("leases are not renewed: not all cancellations told are known", "proven_ms_ago", s.Age(s.Now).Milliseconds())
-	case s.LeasesWithheld > s.withheldBefore:
-		s.Log.Info("leases are renewed again", "reports_not_answered", s.LeasesWithheld-s.withheldBefore)
+	switch state {
+	case ProofExpired:
 		s.withheldBefore = s.LeasesWithheld
+		s.config.Log.Info("lease renewal suspended",
+			"reason", "not all acknowledged cancellations are known",
+			"proof_age_ms", s.proof.Age(s.state.Now).Milliseconds())
+	case ProofValid:
+		if s.LeasesWithheld > s.withheldBefore {
+			s.config.Log.Info("lease renewal resumed", "heartbeats_refused", s.LeasesWithheld-s.withheldBefore)
+			s.withheldBefore = s.LeasesWithheld
+		}
 	}
 }
--- a/internal/cancellation/service_test.go
+++ b/internal/cancellation/service_test.go
@@ -11,112 +11,135 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// pair is controllers that hear one another at once, and how many lines were sent.
-type pair struct {
-	services map[string]*Service
-	lines    int
-	entries  int
-	cut      bool
+// testNetwork connects controllers that receive one another's messages at once, and counts what is sent.
+type testNetwork struct {
+	t           *testing.T
+	services    map[string]*Service
+	messages    int
+	entries     int
+	partitioned bool // no message arrives
 }
 
-func newPair(names ...string) *pair {
-	p := &pair{services: map[string]*Service{}}
+// testController is one controller's collaborators.
+type testController struct {
+	network *testNetwork
+	name    string
+}
+
+func (c testController) SendToPeer(peer string, message Message) {
+	c.network.messages++
+	if message.Entries != nil {
+		c.network.entries += len(message.Entries.JobIDs)
+	}
+	if !message.Valid() {
+		c.network.t.Fatalf("a message that no controller would accept: %+v", message)
+	}
+	if !c.network.partitioned {
+		c.network.services[peer].Receive(c.name, message)
+	}
+}
+
+func (c testController) CallAgent(_, method, target string, _ []byte, _ time.Duration, _ func(int, []byte, error)) {
+	c.network.t.Fatalf("agent called: %s %s", method, target)
+}
+
+func (c testController) OwnerOf(string) string { return c.name }
+func (c testController) ReviewMachine(string)  {}
+func (c testController) Unavailable() bool     { return false }
+
+func newTestNetwork(t *testing.T, names ...string) *testNetwork {
+	t.Helper()
+	network := &testNetwork{t: t, services: map[string]*Service{}}
 	for i, name := range names {
 		var peers []string
-		for _, other := range names {
-			if other != name {
-				peers = append(peers, other)
+		for _, peer := range names {
+			if peer != name {
+				peers = append(peers, peer)
 			}
 		}
-		b := clusterstate.New(quota.Flat(nil), func(string) {})
-		b.Now = start
+		state := clusterstate.New(quota.Flat(nil), func(string) {})
+		state.Now = start
+		config := Config{
+			Name:         name,
+			Peers:        peers,
+			ProofWindow:  20 * time.Second,
+			CancelWithin: 60 * time.Second,
+			Log:          slog.New(slog.DiscardHandler),
+		}
+		controller := testController{network, name}
+		collaborators := Collaborators{Peers: controller, Agents: controller, Shards: controller, Store: controller}
 		next := uint64(i+1) * 1000
-		p.services[name] = New(b, Env{
-			Name: name, Peers: peers, Window: 20 * time.Second, CancelFor: 60 * time.Second, Log: slog.New(slog.DiscardHandler),
-			OwnerOf: func(string) string { return name }, ReviewMachine: func(string) {}, StoreUnavailable: func() bool { return false },
-			Send: func(to string, m Message) {
-				p.lines++
-				if m.Entries != nil {
-					p.entries += len(m.Entries.JobIDs)
-				}
-				if !m.Valid() {
-					panic("a line that nobody would take")
-				}
-				if !p.cut {
-					p.services[to].Receive(name, m)
-				}
-			},
-		}, func() uint64 { next += 8; return next })
+		network.services[name] = New(state, config, collaborators, func() uint64 { next += 8; return next })
 	}
-	return p
+	return network
 }
 
-// turn has a pulse pass everywhere, and each controller say how it stands.
-func (p *pair) turn(d time.Duration, names ...string) {
+// tick advances each controller's time and has it reconcile and send its handshake.
+func (n *testNetwork) tick(d time.Duration, names ...string) {
 	for _, name := range names {
-		s := p.services[name]
-		s.Now = s.Now.Add(d)
+		s := n.services[name]
+		s.state.Now = s.state.Now.Add(d)
 		s.Reconcile()
-		if !p.cut {
-			for _, other := range s.Peers {
-				p.services[other].Receive(name, s.Handshake())
+		if !n.partitioned {
+			for _, peer := range s.config.Peers {
+				n.services[peer].Receive(name, s.Handshake())
 			}
 		}
 	}
 }
 
-// 2,000 cancellations in a second are passed on with the next pulses in a few lines, are
-// confirmed, and are not passed on again.
-func TestSwarm(t *testing.T) {
-	p := newPair("n0", "n1", "n2")
-	all := []string{"n0", "n1", "n2"}
-	p.turn(time.Second, all...)
-	p.lines = 0
-	for pulse := range 10 {
+// 2,000 cancellations in a second are sent with the next ticks in a few messages, are confirmed, and are not sent
+// again.
+func TestBurstOfCancellationsIsSentOnceInFewMessages(t *testing.T) {
+	names := []string{"n0", "n1", "n2"}
+	network := newTestNetwork(t, names...)
+	network.tick(time.Second, names...)
+	network.messages = 0
+	for tick := range 10 {
 		for i := range 200 {
-			p.services["n0"].Acknowledge(fmt.Sprintf("wk-%06d", pulse*200+i))
+			network.services["n0"].Acknowledge(fmt.Sprintf("wk-%06d", tick*200+i))
 		}
-		p.turn(100*time.Millisecond, all...)
+		network.tick(100*time.Millisecond, names...)
 	}
-	for _, name := range all {
-		if got := len(p.services[name].jobs); got != 2000 {
+	for _, name := range names {
+		if got := len(network.services[name].proof.peerAcks.jobs); got != 2000 {
 			t.Errorf("%s knows %d", name, got)
 		}
 	}
-	if p.lines > 2*10 || p.entries != 2*2000 {
-		t.Errorf("%d lines, %d entries", p.lines, p.entries)
+	if network.messages > 2*10 || network.entries != 2*2000 {
+		t.Errorf("%d messages, %d entries", network.messages, network.entries)
 	}
-	p.lines = 0
+	network.messages = 0
 	for range 50 {
-		p.turn(100*time.Millisecond, all...)
+		network.tick(100*time.Millisecond, names...)
 	}
-	if p.lines != 0 {
-		t.Errorf("%d lines after all was confirmed", p.lines)
+	if network.messages != 0 {
+		t.Errorf("%d messages after all was confirmed", network.messages)
 	}
 }
 
-// What is not confirmed is passed on again, once a second and no more than its time.
-func TestToldAgain(t *testing.T) {
-	p := newPair("n0", "n1")
-	p.turn(time.Second, "n0", "n1")
-	p.cut = true
-	p.lines = 0
-	p.services["n0"].Acknowledge("wk-000001")
+// What is not confirmed is sent again, once a second, until it is confirmed.
+func TestUnconfirmedCancellationIsResentUntilConfirmed(t *testing.T) {
+	network := newTestNetwork(t, "n0", "n1")
+	network.tick(time.Second, "n0", "n1")
+	network.partitioned = true
+	network.messages = 0
+	network.services["n0"].Acknowledge("wk-000001")
 	for range 20 {
-		p.turn(100*time.Millisecond, "n0", "n1")
+		network.tick(100*time.Millisecond, "n0", "n1")
 	}
-	if p.lines < 2 || p.lines > 4 {
-		t.Errorf("%d lines in two seconds", p.lines)
+	if network.messages < 2 || network.messages > 4 {
+		t.Errorf("%d messages in two seconds", network.messages)
 	}
-	p.cut = false
-	p.turn(tuning.AckResend, "n0", "n1")
-	if !p.services["n1"].Cancelled("wk-000001") {
-		t.Error("not known once the way is open")
+	network.partitioned = false
+	network.tick(tuning.AckResend, "n0", "n1")
+	if !network.services["n1"].Cancelled("wk-000001") {
+		t.Error("not known after the partition")
 	}
-	p.lines = 0
-	p.turn(2*tuning.AckResend, "n0", "n1")
-	p.turn(2*tuning.AckResend, "n0", "n1")
-	if p.lines != 0 {
-		t.Errorf("%d lines after it was confirmed", p.lines)
+	network.messages = 0
+	network.tick(2*tuning.AckResend, "n0", "n1")
+	network.tick(2*tuning.AckResend, "n0", "n1")
+	if network.messages != 0 {
+		t.Errorf("%d messages after it was confirmed", network.messages)
 	}
 }
--- a/internal/cancellation/stop_relay.go
+++ b/internal/cancellation/stop_relay.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"net/http"
 	"time"
 
 	"github.com/harrierreel/harrierreel/internal/agent"
@@ -9,144 +10,169 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// StopRelay brings the stops of what this process has told to the machines of owners that
-// have not confirmed it. A worker executes a command under the token that it shows, from
-// any controller, and a stop of a cancelled task is safe under every token: it changes
-// nothing that its owner decides, who frees the place by the worker's own report.
+// StopRelay sends stop commands for the cancellations that this process has acknowledged to machines whose owners have
+// not confirmed them. A worker executes a command that carries its current fencing token, whichever controller sends
+// it, and stopping a cancelled task is safe under every token: it changes nothing that the owner decides, and the
+// owner frees the task's machine by the worker's own heartbeat.
 type StopRelay struct {
-	undelivered []pendingStop // oldest first
-	attempts    map[string]*relayAttempt
-	calls       int
-	next        time.Time
+	undelivered []pendingStop            // oldest first
+	attempts    map[string]*relayAttempt // by machine
+	calls       int                      // under way
+	nextScan    time.Time                // not before
 }
 
-// pendingStop is a told cancellation that may still need this process's help.
+// pendingStop is an acknowledged cancellation whose tasks this process may still have to stop.
 type pendingStop struct {
 	jobID          string
 	seq            uint64 // of its entry in the log
 	acknowledgedAt time.Time
 }
 
-// relayAttempt is where the courier stands with one machine.
+// relayAttempt is how far the stop commands for one machine are.
 type relayAttempt struct {
-	state relayState
-	next  time.Time // not before
+	state   relayState
+	retryAt time.Time // not before
 }
 
-// relayState names the step of a visit.
-type relayState string
+// relayState is the step of an attempt.
+type relayState uint8
 
-// States of a visit.
 const (
-	resting  relayState = "resting"  // until its time
-	showing  relayState = "showing"  // asked for token, session and tasks
-	stopping relayState = "stopping" // stops are under way
+	relayIdle     relayState = iota // until its retry time
+	relayQuerying                   // asked the machine for its token, epoch and tasks
+	relayStopping                   // stop commands are under way
 )
 
-// add enters what was told.
-func (c *StopRelay) add(jobID string, seq uint64, now time.Time) {
-	c.undelivered = append(c.undelivered, pendingStop{jobID, seq, now})
+// add enters a cancellation that was acknowledged now.
+func (r *StopRelay) add(jobID string, seq uint64, now time.Time) {
+	r.undelivered = append(r.undelivered, pendingStop{jobID, seq, now})
 }
 
-// relayStops looks which machines hold tasks of what was told, whose owners have not confirmed
-// it, and visits them.
+// attempt returns the attempt for a machine, a new idle one if there is none.
+func (r *StopRelay) attempt(machine string) *relayAttempt {
+	attempt := r.attempts[machine]
+	if attempt == nil {
+		if r.attempts == nil {
+			r.attempts = map[string]*relayAttempt{}
+		}
+		attempt = &relayAttempt{state: relayIdle}
+		r.attempts[machine] = attempt
+	}
+	return attempt
+}
+
+// relayStops finds the machines that hold tasks of acknowledged cancellations which their owners have not confirmed,
+// and stops the tasks.
 func (s *Service) relayStops() {
-	c := &s.relay
-	if len(c.undelivered) == 0 || s.Now.Before(c.next) {
+	r, now := &s.relay, s.state.Now
+	if len(r.undelivered) == 0 || now.Before(r.nextScan) {
 		return
 	}
-	c.next = s.Now.Add(tuning.StopRelayEvery)
-	rest := c.undelivered[:0]
-	for _, d := range c.undelivered {
-		age := s.Now.Sub(d.acknowledgedAt)
-		if age > s.CancelFor {
-			continue // by now the leases have ended it
+	r.nextScan = now.Add(tuning.StopRelayEvery)
+	rest := r.undelivered[:0]
+	for _, stop := range r.undelivered {
+		age := now.Sub(stop.acknowledgedAt)
+		if age > s.config.CancelWithin {
+			continue // by now lease expiry has ended its tasks
 		}
-		if !s.confirmedByAll(d.seq) {
-			rest = append(rest, d)
+		if !s.confirmedByAll(stop.seq) {
+			rest = append(rest, stop)
 			if age >= tuning.StopRelayAfter {
-				s.relayToMachines(d)
+				s.relayToMachines(stop)
 			}
 		}
 	}
-	clear(c.undelivered[len(rest):])
-	c.undelivered = rest
-	for machine, v := range c.attempts {
-		if v.state == resting && s.Now.Sub(v.next) > s.CancelFor {
-			delete(c.attempts, machine)
+	clear(r.undelivered[len(rest):])
+	r.undelivered = rest
+	for machine, attempt := range r.attempts {
+		if attempt.state == relayIdle && now.Sub(attempt.retryAt) > s.config.CancelWithin {
+			delete(r.attempts, machine)
 		}
 	}
 }
 
-// relayToMachines visits the machines that hold a job's tasks, of owners that have not
-// confirmed that it is cancelled.
-func (s *Service) relayToMachines(d pendingStop) {
-	j := s.Jobs[d.jobID]
-	if j == nil {
+// relayToMachines begins attempts for the machines that hold tasks of a job, of owners that have not confirmed its
+// cancellation.
+func (s *Service) relayToMachines(stop pendingStop) {
+	job := s.state.Jobs[stop.jobID]
+	if job == nil {
 		return
 	}
-	for _, t := range j.Active {
-		owner := s.OwnerOf(t.Machine)
-		if !t.OnMachine() || owner == s.Name || s.confirmed(owner, d.seq) {
+	for _, task := range job.Active {
+		owner := s.shards.OwnerOf(task.Machine)
+		if !task.OnMachine() || owner == s.config.Name || s.confirmed(owner, stop.seq) {
 			continue
 		}
-		if m := s.Machines[t.Machine]; m != nil && m.Endpoint != "" {
-			s.relayToMachine(t.Machine, m.Endpoint)
+		if m := s.state.Machines[task.Machine]; m != nil && m.Endpoint != "" {
+			s.relayToMachine(task.Machine, m.Endpoint)
 		}
 	}
 }
 
-// relayToMachine asks a machine what it holds, and has it stop what is cancelled.
+// relayToMachine asks a machine which tasks it holds, and commands it to stop those that are cancelled.
 func (s *Service) relayToMachine(machine, endpoint string) {
-	c := &s.relay
-	v := c.attempts[machine]
-	if v == nil {
-		if c.attempts == nil {
-			c.attempts = map[string]*relayAttempt{}
-		}
-		v = &relayAttempt{state: resting}
-		c.attempts[machine] = v
-	}
-	if v.state != resting || s.Now.Before(v.next) || c.calls >= tuning.MaxStopRelayCalls {
+	r := &s.relay
+	attempt := r.attempt(machine)
+	if attempt.state != relayIdle || s.state.Now.Before(attempt.retryAt) || r.calls >= tuning.MaxStopRelayCalls {
 		return
 	}
-	v.state = showing
-	rest := func(pause time.Duration) { v.state, v.next = resting, s.Now.Add(pause) }
-	c.calls++
-	s.Call(endpoint, "GET", "/show", nil, tuning.CommandTimeout, func(status int, answer []byte, err error) {
-		c.calls--
-		var r agent.Heartbeat
-		if err != nil || status != 200 || json.Unmarshal(answer, &r) != nil || r.Machine != machine {
-			rest(tuning.StopRelayRetry)
-			return
-		}
-		orders := StopCommands(r.Tasks, func(jobID string) bool { return s.log.known[jobID] || s.Cancelled(jobID) })
-		if len(orders) == 0 {
-			rest(tuning.StopRelayRetryClean) // a launch may be on its way still
+	attempt.state = relayQuerying
+	r.calls++
+	onAnswer := func(status int, answer []byte, err error) {
+		r.calls--
+		var heartbeat agent.Heartbeat
+		if err != nil || status != http.StatusOK || json.Unmarshal(answer, &heartbeat) != nil ||
+			heartbeat.Machine != machine {
+			s.rest(attempt, tuning.StopRelayRetry)
 			return
 		}
-		v.state = stopping
-		c.calls++
-		s.StopsRelayed += len(orders)
-		s.Call(endpoint, "POST", "/commands", agent.EncodeCommands(r.FencingToken, r.AgentEpoch, orders), tuning.CommandTimeout, func(int, []byte, error) {
-			c.calls--
-			rest(tuning.StopRelayRetry)
-		})
+		s.stopCancelled(attempt, endpoint, &heartbeat)
+	}
+	s.agents.CallAgent(endpoint, http.MethodGet, "/show", nil, tuning.CommandTimeout, onAnswer)
+}
+
+// stopCancelled commands a machine to stop the cancelled tasks of its heartbeat.
+func (s *Service) stopCancelled(attempt *relayAttempt, endpoint string, heartbeat *agent.Heartbeat) {
+	commands := StopCommands(heartbeat.Tasks, func(jobID string) bool {
+		return s.log.known[jobID] || s.Cancelled(jobID)
 	})
+	if len(commands) == 0 {
+		s.rest(attempt, tuning.StopRelayRetryClean) // a launch by the owner may still be under way
+		return
+	}
+	attempt.state = relayStopping
+	s.relay.calls++
+	s.StopsRelayed += len(commands)
+	body := agent.EncodeCommands(heartbeat.FencingToken, heartbeat.AgentEpoch, commands)
+	onAnswer := func(int, []byte, error) {
+		s.relay.calls--
+		s.rest(attempt, tuning.StopRelayRetry)
+	}
+	s.agents.CallAgent(endpoint, http.MethodPost, "/commands", body, tuning.CommandTimeout, onAnswer)
+}
+
+// rest ends an attempt; the machine is not called again during the pause.
+func (s *Service) rest(attempt *relayAttempt, pause time.Duration) {
+	attempt.state, attempt.retryAt = relayIdle, s.state.Now.Add(pause)
 }
 
-// StopCommands is a stop at once for each reported task that is not ended and whose job is
-// cancelled.
-func StopCommands(pieces []agent.TaskStatus, cancelled func(jobID string) bool) []agent.Command {
-	var out []agent.Command
-	for _, p := range pieces {
-		if p.Status == agent.Ended || len(out) >= tuning.MaxCommands {
+// StopCommands returns a stop command without grace period for each reported task that has not ended and whose job is
+// cancelled, at most tuning.MaxCommands.
+func StopCommands(tasks []agent.TaskStatus, cancelled func(jobID string) bool) []agent.Command {
+	var commands []agent.Command
+	for _, task := range tasks {
+		if task.Status == agent.Ended || len(commands) >= tuning.MaxCommands {
 			continue
 		}
-		if jobID, _, ok := jobs.SplitTaskID(p.TaskID); ok && cancelled(jobID) {
-			zero := 0.0
-			out = append(out, agent.Command{Verb: agent.Stop, TaskID: p.TaskID, Attempt: p.Attempt, GracePeriodS: &zero})
+		if jobID, _, ok := jobs.SplitTaskID(task.TaskID); ok && cancelled(jobID) {
+			gracePeriodS := 0.0
+			commands = append(commands, agent.Command{
+				Verb:         agent.Stop,
+				TaskID:       task.TaskID,
+				Attempt:      task.Attempt,
+				GracePeriodS: &gracePeriodS,
+			})
 		}
 	}
-	return out
+	return commands
 }
--- a/internal/controller/wiring_cancellation.go
+++ b/internal/controller/wiring_cancellation.go
@@ -2,24 +2,51 @@
 
 import (
 	"math/rand/v2"
+	"time"
 
 	"github.com/harrierreel/harrierreel/internal/cancellation"
 	"github.com/harrierreel/harrierreel/internal/jobs"
 )
 
-// newCancellations makes the service of acknowledged cancellations. The number of its process is drawn without the seed,
-// since it decides nothing.
+// newCancellations makes the service of acknowledged cancellations. The incarnation of its process is drawn without the
+// seed, since it decides nothing.
 func (n *Controller) newCancellations() *cancellation.Service {
-	return cancellation.New(n.State, cancellation.Env{
-		Name:             n.settings.NodeName,
-		Peers:            n.settings.PeerNames(),
-		Window:           n.proofWindow(),
-		CancelFor:        jobs.Seconds(n.settings.Cluster.Workers.CancelS),
-		Log:              n.log,
-		Send:             n.send,
-		Call:             n.transport.Worker,
-		OwnerOf:          n.ownerOf,
-		StoreUnavailable: n.client.Unavailable,
-		ReviewMachine:    n.reviewMachine,
-	}, rand.Uint64)
+	config := cancellation.Config{
+		Name:         n.settings.NodeName,
+		Peers:        n.settings.PeerNames(),
+		ProofWindow:  n.proofWindow(),
+		CancelWithin: jobs.Seconds(n.settings.Cluster.Workers.CancelS),
+		Log:          n.log,
+	}
+	collaborators := cancellation.Collaborators{
+		Peers:  cancellationTransport{n},
+		Agents: cancellationTransport{n},
+		Shards: cancellationShards{n},
+		Store:  n.client,
+	}
+	return cancellation.New(n.State, config, collaborators, rand.Uint64)
 }
+
+// cancellationTransport sends messages of cancellations to other controllers and to agents.
+type cancellationTransport struct{ controller *Controller }
+
+// SendToPeer implements cancellation.PeerSender.
+func (t cancellationTransport) SendToPeer(peer string, message cancellation.Message) {
+	t.controller.send(peer, message)
+}
+
+// CallAgent implements cancellation.AgentCaller.
+func (t cancellationTransport) CallAgent(endpoint, method, target string, body []byte, timeout time.Duration,
+	done func(status int, body []byte, err error),
+) {
+	t.controller.transport.Worker(endpoint, method, target, body, timeout, done)
+}
+
+// cancellationShards implements cancellation.Shards.
+type cancellationShards struct{ controller *Controller }
+
+// OwnerOf implements cancellation.Shards.
+func (s cancellationShards) OwnerOf(machine string) string { return s.controller.ownerOf(machine) }
+
+// ReviewMachine implements cancellation.Shards.
+func (s cancellationShards) ReviewMachine(machine string) { s.controller.reviewMachine(machine) }
