--- a/internal/controller/wiring_readconsistency.go
+++ b/internal/controller/wiring_readconsistency.go
@@ -5,7 +5,8 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// newAckLog makes the log of what users were told of jobs. Without peers nobody else answers, so nothing waits.
+// newAckLog makes the log of the jobs' states that users were answered with. Without peers no other controller answers,
+// so no answer is delayed.
 func (n *Controller) newAckLog() *readconsistency.AckLog {
 	if len(n.settings.Peers) == 0 {
 		return readconsistency.NewAckLog(0)
--- a/internal/readconsistency/ack_log.go
+++ b/internal/readconsistency/ack_log.go
@@ -1,19 +1,3 @@
-// Package readconsistency is what users were told of jobs: accepted, then done or cancelled. No
-// controller answers a user with something older than what another one has told. Three
-// things see to that together (docs/incidents/older-answers.md):
-//
-//   - Whoever is about to tell something new notes it, passes it to the other controllers
-//     in the same turn, and lets the answer leave a moment later (Log.Tell). Whoever has
-//     heard of it answers with nothing older (Log.Newest).
-//   - An answer that may become older, "no such job" or a live job, comes from a read of
-//     the state service that left after the question came, and leaves no later than that
-//     same moment after the read. So where the lines between controllers are lost, whatever
-//     was read before the change has been answered before the change is told.
-//   - What took longer is read again, and in the end the user is sent away. A mirror that
-//     is not known to be so new answers later, by what was heard, and not at all while
-//     another member's lines don't come in.
-//
-// It has no IO and no clock.
 package readconsistency
 
 import (
@@ -24,67 +8,69 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// AckLog is what this process has told or heard of, of the jobs last spoken of. Live stands
-// for accepted; the ends are newer than that and final.
+// AckLog holds the newest state that this process has acknowledged to a user or received from another controller, for
+// the last tuning.MaxAcks jobs. jobs.Live stands for accepted; an end is newer than that and final.
 type AckLog struct {
-	delay      time.Duration // from when something is noted until it may be told
-	acks       map[string]acknowledgement
-	order      []string             // as first entered
-	unsent     []string             // to be passed on
-	lastGossip map[string]time.Time // each other controller last
+	delay       time.Duration              // from recording a state to its first answer
+	acks        map[string]acknowledgement // by job ID
+	order       []string                   // job IDs, as first recorded
+	unsent      []string                   // IDs of jobs whose acknowledgement peers have not been sent
+	lastGossip map[string]time.Time       // by peer, when its last line came
 }
 
 type acknowledgement struct {
-	jobs.Final
-	since time.Time
+	final      jobs.Final
+	recordedAt time.Time
 }
 
-// NewAckLog makes an empty log; what is new is told so long after it was noted.
-func NewAckLog(ahead time.Duration) *AckLog {
-	return &AckLog{delay: ahead, acks: map[string]acknowledgement{}, lastGossip: map[string]time.Time{}}
+// NewAckLog makes an empty log. An answer with a new state leaves no earlier than delay after it was recorded.
+func NewAckLog(delay time.Duration) *AckLog {
+	return &AckLog{delay: delay, acks: map[string]acknowledgement{}, lastGossip: map[string]time.Time{}}
 }
 
-// PeerAlive notes that a line of another controller came, whatever it said.
+// PeerAlive notes that a line of another controller came, whatever its content.
 func (l *AckLog) PeerAlive(from string, now time.Time) { l.lastGossip[from] = now }
 
-// HearsAll tells whether lines of all of these come in: none has been silent for long.
+// HearsAll reports whether lines of all these controllers have come of late.
 func (l *AckLog) HearsAll(names []string, now time.Time) bool {
-	return !slices.ContainsFunc(names, func(n string) bool { return now.Sub(l.lastGossip[n]) > tuning.PeerUnresponsiveAfter })
+	return !slices.ContainsFunc(names, func(name string) bool {
+		return now.Sub(l.lastGossip[name]) > tuning.PeerUnresponsiveAfter
+	})
 }
 
-// Latest is the newest that was told of a job, as far as is known.
+// Latest is the newest state of a job that is known to be acknowledged.
 func (l *AckLog) Latest(jobID string) (jobs.Final, bool) {
-	w, ok := l.acks[jobID]
-	return w.Final, ok
+	ack, ok := l.acks[jobID]
+	return ack.final, ok
 }
 
-// Acknowledge notes what a user is about to be told of a job, to be passed on if it is news. It
-// gives back how long the answer has to wait.
-func (l *AckLog) Acknowledge(jobID string, f jobs.Final, now time.Time) time.Duration {
-	if l.record(jobID, f, now) {
+// Acknowledge records the state of a job that a user is about to be answered with, for TakeUnsent if it is new, and
+// returns how long the answer has to wait. Whoever answers calls Latest first, and answers with that if it is newer.
+func (l *AckLog) Acknowledge(jobID string, final jobs.Final, now time.Time) time.Duration {
+	if l.record(jobID, final, now) {
 		l.unsent = append(l.unsent, jobID)
 	}
-	w := l.acks[jobID]
-	if w.State != f.State {
-		return 0 // something newer was told; the caller looks that up first
+	ack := l.acks[jobID]
+	if ack.final.State != final.State {
+		return 0 // a newer state was acknowledged; the caller looks that up first
 	}
-	return max(0, w.since.Add(l.delay).Sub(now))
+	return max(0, ack.recordedAt.Add(l.delay).Sub(now))
 }
 
-// ApplyPeerAcks takes in what another controller has told.
-func (l *AckLog) ApplyPeerAcks(line Acks, now time.Time) {
-	for _, jobID := range line.Accepted {
+// ApplyPeerAcks records what another controller has acknowledged. It is not sent on.
+func (l *AckLog) ApplyPeerAcks(acks Acks, now time.Time) {
+	for _, jobID := range acks.Accepted {
 		l.record(jobID, jobs.Final{State: jobs.Live}, now)
 	}
-	for jobID, f := range line.Ended {
-		l.record(jobID, f, now)
+	for jobID, final := range acks.Ended {
+		l.record(jobID, final, now)
 	}
 }
 
-// record enters what is newer than what is known.
-func (l *AckLog) record(jobID string, f jobs.Final, now time.Time) bool {
+// record enters a state that is newer than the known one, and reports whether it was.
+func (l *AckLog) record(jobID string, final jobs.Final, now time.Time) bool {
 	old, known := l.acks[jobID]
-	if known && (old.State != jobs.Live || f.State == jobs.Live) {
+	if known && (old.final.State != jobs.Live || final.State == jobs.Live) {
 		return false
 	}
 	if !known {
@@ -94,54 +80,28 @@
 		}
 		l.order = append(l.order, jobID)
 	}
-	l.acks[jobID] = acknowledgement{f, now}
+	l.acks[jobID] = acknowledgement{final, now}
 	return true
 }
 
-// Acks is what one line between controllers passes on.
-type Acks struct {
-	Accepted []string              `json:"accepted,omitempty"`
-	Ended    map[string]jobs.Final `json:"ended,omitempty"`
-}
-
-// Valid tells whether a line may be what a controller sent.
-func (l *Acks) Valid() bool {
-	if l == nil {
-		return true
-	}
-	if len(l.Accepted)+len(l.Ended) > tuning.MaxAcksPerLine {
-		return false
-	}
-	for _, jobID := range l.Accepted {
-		if !jobs.ValidID(jobID) {
-			return false
-		}
-	}
-	for jobID, f := range l.Ended {
-		if !jobs.ValidID(jobID) || f.State != jobs.Done && f.State != jobs.Cancelled || f.DoneCount < 0 {
-			return false
-		}
-	}
-	return true
-}
-
-// TakeUnsent is the lines that pass on what was told since it was last called.
+// TakeUnsent returns the messages for the other controllers with what was acknowledged since it was last called.
 func (l *AckLog) TakeUnsent() []Acks {
-	var out []Acks
+	var messages []Acks
 	for len(l.unsent) > 0 {
-		n := min(len(l.unsent), tuning.MaxAcksPerLine)
-		line := Acks{Ended: map[string]jobs.Final{}}
-		for _, jobID := range l.unsent[:n] {
-			switch w, ok := l.acks[jobID]; {
-			case !ok:
-			case w.State == jobs.Live:
-				line.Accepted = append(line.Accepted, jobID)
+		count := min(len(l.unsent), tuning.MaxAcksPerLine)
+		message := Acks{Ended: map[string]jobs.Final{}}
+		for _, jobID := range l.unsent[:count] {
+			ack, ok := l.acks[jobID]
+			switch {
+			case !ok: // dropped beyond the bound
+			case ack.final.State == jobs.Live:
+				message.Accepted = append(message.Accepted, jobID)
 			default:
-				line.Ended[jobID] = w.Final
+				message.Ended[jobID] = ack.final
 			}
 		}
-		l.unsent = l.unsent[n:]
-		out = append(out, line)
+		l.unsent = l.unsent[count:]
+		messages = append(messages, message)
 	}
-	return out
+	return messages
 }
--- a/internal/readconsistency/golden_test.go
+++ b/internal/readconsistency/golden_test.go
@@ -7,8 +7,14 @@
 	"github.com/harrierreel/harrierreel/internal/jobs"
 )
 
-func TestGoldenLine(t *testing.T) {
-	full := Acks{Accepted: []string{"wk-1", "wk-2"}, Ended: map[string]jobs.Final{"wk-3": {State: jobs.Done, DoneCount: 9}, "wk-4": {State: jobs.Cancelled, DoneCount: 1}}}
+func TestGoldenAcks(t *testing.T) {
+	full := Acks{
+		Accepted: []string{"wk-1", "wk-2"},
+		Ended: map[string]jobs.Final{
+			"wk-3": {State: jobs.Done, DoneCount: 9},
+			"wk-4": {State: jobs.Cancelled, DoneCount: 1},
+		},
+	}
 	goldentest.Filled(t, full)
 	goldentest.JSON(t, "line.json", full)
 	goldentest.JSON(t, "line-least.json", Acks{})
--- /dev/null
+++ b/internal/readconsistency/message.go
@@ -0,0 +1,34 @@
+package readconsistency
+
+import (
+	"github.com/harrierreel/harrierreel/internal/jobs"
+	"github.com/harrierreel/harrierreel/internal/tuning"
+)
+
+// Acks is the acknowledgements that one line between controllers carries.
+type Acks struct {
+	Accepted []string              `json:"accepted,omitempty"` // IDs of jobs acknowledged as live
+	Ended    map[string]jobs.Final `json:"ended,omitempty"`    // by job ID
+}
+
+// Valid reports whether a controller may have sent the acknowledgements. None at all (nil) are valid.
+func (a *Acks) Valid() bool {
+	if a == nil {
+		return true
+	}
+	if len(a.Accepted)+len(a.Ended) > tuning.MaxAcksPerLine {
+		return false
+	}
+	for _, jobID := range a.Accepted {
+		if !jobs.ValidID(jobID) {
+			return false
+		}
+	}
+	for jobID, final := range a.Ended {
+		ended := final.State == jobs.Done || final.State == jobs.Cancelled
+		if !jobs.ValidID(jobID) || !ended || final.DoneCount < 0 {
+			return false
+		}
+	}
+	return true
+}
--- /dev/null
+++ b/internal/readconsistency/message_test.go
@@ -0,0 +1,38 @@
+package readconsistency
+
+import (
+	"fmt"
+	"testing"
+
+	"github.com/harrierreel/harrierreel/internal/jobs"
+	"github.com/harrierreel/harrierreel/internal/tuning"
+)
+
+func TestOnlyAcksThatAControllerSendsAreValid(t *testing.T) {
+	long := Acks{}
+	for i := range tuning.MaxAcksPerLine + 1 {
+		long.Accepted = append(long.Accepted, fmt.Sprintf("wk-%06d", i))
+	}
+	ended := func(jobID string, final jobs.Final) *Acks {
+		return &Acks{Ended: map[string]jobs.Final{jobID: final}}
+	}
+	for name, c := range map[string]struct {
+		acks *Acks
+		want bool
+	}{
+		"none":                         {nil, true},
+		"empty":                        {&Acks{}, true},
+		"more than a line holds":       {&long, false},
+		"accepted job without ID":      {&Acks{Accepted: []string{"x/../y"}}, false},
+		"ended job that is live":       {ended("wk-000001", jobs.Final{State: jobs.Live}), false},
+		"negative count of done tasks": {ended("wk-000001", jobs.Final{State: jobs.Done, DoneCount: -1}), false},
+		"ended job without ID":         {ended("", jobs.Final{State: jobs.Done}), false},
+		"ended job":                    {ended("wk-000001", jobs.Final{State: jobs.Cancelled, DoneCount: 2}), true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if c.acks.Valid() != c.want {
+				t.Errorf("valid %v: %+v", !c.want, c.acks)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/readconsistency/model_test.go
@@ -0,0 +1,197 @@
+package readconsistency
+
+import (
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"github.com/harrierreel/harrierreel/internal/jobs"
+	"github.com/harrierreel/harrierreel/internal/tuning"
+)
+
+const modelJobID = "wk-000001"
+
+// model is one job in the state service, controllers that answer a user about it, and the user. Each step is 5 ms.
+// Reads, mirrors and messages take some steps; messages may be lost.
+type model struct {
+	t           *rapid.T
+	now         time.Time
+	committed   []stateAt // the states of the job in the state service
+	controllers []*controller
+	pending     []event
+	received    stateAt // the newest that the user has received
+	partitioned bool    // messages between controllers are lost
+}
+
+type stateAt struct {
+	final jobs.Final
+	at    time.Time
+}
+
+type controller struct {
+	log *AckLog
+}
+
+type event struct {
+	at time.Time
+	do func()
+}
+
+// rank orders the states of a job: unknown, live, ended.
+func rank(state jobs.JobState) int {
+	return map[jobs.JobState]int{"": 0, jobs.Live: 1, jobs.Done: 2, jobs.Cancelled: 2}[state]
+}
+
+// after has something happen in a drawn number of ms.
+func (m *model) after(minimum, maximum int, do func()) {
+	delay := time.Duration(rapid.IntRange(minimum, maximum).Draw(m.t, "ms")) * ms
+	m.pending = append(m.pending, event{m.now.Add(delay), do})
+}
+
+// runPending lets happen what is due.
+func (m *model) runPending() {
+	for i := 0; i < len(m.pending); i++ {
+		if e := m.pending[i]; !e.at.After(m.now) {
+			m.pending = append(m.pending[:i], m.pending[i+1:]...)
+			i--
+			e.do()
+		}
+	}
+}
+
+func (m *model) stored() jobs.Final {
+	if len(m.committed) == 0 {
+		return jobs.Final{}
+	}
+	return m.committed[len(m.committed)-1].final
+}
+
+// commit has the job accepted, or ended, by a controller that then answers the user. A job does not end before its user
+// knows of it: its tasks take longer, and who cancels it has been answered that it is accepted. A late response to an
+// acceptance is no answer by itself: the job is read.
+func (m *model) commit(c *controller, final jobs.Final) {
+	sentAt := m.now
+	m.after(0, 60, func() {
+		if rank(final.State) != rank(m.stored().State)+1 || rank(final.State) == 2 && m.received.final.State == "" {
+			return
+		}
+		m.committed = append(m.committed, stateAt{final, m.now})
+		m.after(0, 400, func() {
+			if final.State == jobs.Live && m.now.Sub(sentAt) > tuning.ReadFresh {
+				m.read(c)
+				return
+			}
+			m.answer(c, final)
+		})
+	})
+}
+
+// answer answers the user with a state that may be acknowledged at any time, once the answer may leave.
+func (m *model) answer(c *controller, final jobs.Final) {
+	if latest, ok := c.log.Latest(modelJobID); ok && rank(latest.State) > rank(final.State) {
+		final = latest
+	}
+	wait := c.log.Acknowledge(modelJobID, final, m.now)
+	m.sendUnsent(c)
+	if wait > 0 {
+		m.pending = append(m.pending, event{m.now.Add(wait), func() { m.answer(c, final) }})
+		return
+	}
+	m.leave(final)
+}
+
+// sendUnsent sends new acknowledgements to the other controllers.
+func (m *model) sendUnsent(c *controller) {
+	for _, message := range c.log.TakeUnsent() {
+		if !message.Valid() {
+			m.t.Fatalf("not valid: %+v", message)
+		}
+		for _, other := range m.controllers {
+			if other != c && !m.partitioned {
+				m.after(0, 15, func() { other.log.ApplyPeerAcks(message, m.now) })
+			}
+		}
+	}
+}
+
+// leave has an answer leave now.
+func (m *model) leave(final jobs.Final) {
+	if rank(final.State) < rank(m.received.final.State) {
+		m.t.Fatalf("%q leaves %v after the user received %q",
+			final.State, m.now.Sub(m.received.at), m.received.final.State)
+	}
+	m.after(1, 3, func() {
+		if rank(final.State) > rank(m.received.final.State) {
+			m.received = stateAt{final, m.now}
+		}
+	})
+}
+
+// read answers a question by a read of the state service, or by the mirror that a watch brought up to date: a state
+// that may be outdated later only if it was read a moment ago.
+func (m *model) read(c *controller) {
+	sentAt := m.now
+	m.after(0, 60, func() { // it arrives there
+		final := m.stored()
+		m.after(0, 60, func() { m.readAnswered(c, final, sentAt) })
+	})
+}
+
+func (m *model) readAnswered(c *controller, final jobs.Final, sentAt time.Time) {
+	latest, known := c.log.Latest(modelJobID)
+	switch {
+	case rank(final.State) == 2:
+		m.answer(c, final)
+	case known && rank(latest.State) > rank(final.State):
+		if rank(latest.State) == 2 {
+			m.answer(c, latest)
+		} // accepted, and not found: read again, here the user is told to retry
+	case m.now.Sub(sentAt) > tuning.ReadFresh:
+	case final.State == "":
+		m.leave(final)
+	default: // live: if its acceptance is new, a later read answers with it
+		if c.log.Acknowledge(modelJobID, final, m.now) == 0 {
+			m.leave(final)
+			return
+		}
+		m.sendUnsent(c)
+	}
+}
+
+// act is a commit, a fault, or users' questions.
+func (m *model) act(action int, c *controller) {
+	switch action {
+	case 0:
+		m.commit(c, jobs.Final{State: jobs.Live})
+	case 1:
+		end := rapid.SampledFrom([]jobs.JobState{jobs.Done, jobs.Cancelled}).Draw(m.t, "end")
+		m.commit(c, jobs.Final{State: end, DoneCount: 1})
+	case 2:
+		m.partitioned = !m.partitioned
+	case 3, 4, 5, 6, 7, 8:
+		m.read(c)
+	default: // users ask all controllers
+		for _, other := range m.controllers {
+			m.read(other)
+		}
+	}
+}
+
+// Whichever controller commits, whichever is asked, however late reads, their answers, messages and commits' responses
+// are, and if all messages are lost: once the user has received a state, no answer that leaves later has an older one.
+// Without the delay before a new state is acknowledged this fails within a few draws.
+func TestNoAnswerIsOlderThanWhatTheUserReceived(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		m := &model{t: t, now: start}
+		for range rapid.IntRange(2, 5).Draw(t, "controllers") {
+			m.controllers = append(m.controllers, &controller{log: NewAckLog(tuning.AckDelay)})
+		}
+		for range 150 {
+			m.now = m.now.Add(5 * ms)
+			m.runPending()
+			c := rapid.SampledFrom(m.controllers).Draw(t, "controller")
+			m.act(rapid.IntRange(0, 15).Draw(t, "action"), c)
+		}
+	})
+}
