--- a/internal/readconsistency/ack_log.go
+++ b/internal/readconsistency/ack_log.go
@@ -11,10 +11,10 @@
 // AckLog holds the newest state that this process has acknowledged to a user or received from another controller, for
 // the last tuning.MaxAcks jobs. jobs.Live stands for accepted; an end is newer than that and final.
 type AckLog struct {
-	delay       time.Duration              // from recording a state to its first answer
-	acks        map[string]acknowledgement // by job ID
-	order       []string                   // job IDs, as first recorded
-	unsent      []string                   // IDs of jobs whose acknowledgement peers have not been sent
+	delay      time.Duration              // from recording a state to its first answer
+	acks       map[string]acknowledgement // by job ID
+	order      []string                   // job IDs, as first recorded
+	unsent     []string                   // IDs of jobs whose acknowledgement peers have not been sent
 	lastGossip map[string]time.Time       // by peer, when its last line came
 }
 
--- a/internal/readconsistency/model_test.go
+++ b/internal/readconsistency/model_test.go
@@ -38,8 +38,8 @@
 	do func()
 }
 
-// rank orders the states of a job: unknown, live, ended.
-func rank(state jobs.JobState) int {
+// progress orders the states of a job: unknown, live, ended.
+func progress(state jobs.JobState) int {
 	return map[jobs.JobState]int{"": 0, jobs.Live: 1, jobs.Done: 2, jobs.Cancelled: 2}[state]
 }
 
@@ -73,7 +73,7 @@
 func (m *model) commit(c *controller, final jobs.Final) {
 	sentAt := m.now
 	m.after(0, 60, func() {
-		if rank(final.State) != rank(m.stored().State)+1 || rank(final.State) == 2 && m.received.final.State == "" {
+		if progress(final.State) != progress(m.stored().State)+1 || progress(final.State) == 2 && m.received.final.State == "" {
 			return
 		}
 		m.committed = append(m.committed, stateAt{final, m.now})
@@ -89,7 +89,7 @@
 
 // answer answers the user with a state that may be acknowledged at any time, once the answer may leave.
 func (m *model) answer(c *controller, final jobs.Final) {
-	if latest, ok := c.log.Latest(modelJobID); ok && rank(latest.State) > rank(final.State) {
+	if latest, ok := c.log.Latest(modelJobID); ok && progress(latest.State) > progress(final.State) {
 		final = latest
 	}
 	wait := c.log.Acknowledge(modelJobID, final, m.now)
@@ -117,12 +117,12 @@
 
 // leave has an answer leave now.
 func (m *model) leave(final jobs.Final) {
-	if rank(final.State) < rank(m.received.final.State) {
+	if progress(final.State) < progress(m.received.final.State) {
 		m.t.Fatalf("%q leaves %v after the user received %q",
 			final.State, m.now.Sub(m.received.at), m.received.final.State)
 	}
 	m.after(1, 3, func() {
-		if rank(final.State) > rank(m.received.final.State) {
+		if progress(final.State) > progress(m.received.final.State) {
 			m.received = stateAt{final, m.now}
 		}
 	})
@@ -141,10 +141,10 @@
 func (m *model) readAnswered(c *controller, final jobs.Final, sentAt time.Time) {
 	latest, known := c.log.Latest(modelJobID)
 	switch {
-	case rank(final.State) == 2:
+	case progress(final.State) == 2:
 		m.answer(c, final)
-	case known && rank(latest.State) > rank(final.State):
-		if rank(latest.State) == 2 {
+	case known && progress(latest.State) > progress(final.State):
+		if progress(latest.State) == 2 {
 			m.answer(c, latest)
 		} // accepted, and not found: read again, here the user is told to retry
 	case m.now.Sub(sentAt) > tuning.ReadFresh:
