--- a/internal/readconsistency/model_test.go
+++ b/internal/readconsistency/model_test.go
@@ -73,7 +73,8 @@
 func (m *model) commit(c *controller, final jobs.Final) {
 	sentAt := m.now
 	m.after(0, 60, func() {
-		if progress(final.State) != progress(m.stored().State)+1 || progress(final.State) == 2 && m.received.final.State == "" {
+		ends := progress(final.State) == 2
+		if progress(final.State) != progress(m.stored().State)+1 || ends && m.received.final.State == "" {
 			return
 		}
 		m.committed = append(m.committed, stateAt{final, m.now})
