--- /dev/null
+++ b/internal/reconcile/difference_test.go
@@ -0,0 +1,57 @@
+package reconcile
+
+import (
+	"fmt"
+	"testing"
+
+	"github.com/harrierreel/harrierreel/internal/agent"
+)
+
+func TestEachDifferenceOfARecordedAttemptHasOneAnswer(t *testing.T) {
+	for _, c := range []struct {
+		recorded   Recorded
+		difference Difference
+		answer     Answer
+	}{
+		{Recorded{Verdict: agent.Unclear, Over: true}, Unclear, Wait},
+		{Recorded{Verdict: agent.Sent}, UnderWay, Wait},
+		{Recorded{Verdict: agent.ToLaunch}, Unsent, Launch},
+		{Recorded{Verdict: agent.ToLaunch, Over: true}, RunsOver, Free},
+		{Recorded{Verdict: agent.ToLaunch, Stopping: true}, RunsOver, Free},
+		{Recorded{Verdict: agent.ToLaunch, Leaving: true}, NoMachine, Free},
+		{Recorded{Verdict: agent.OnIt}, Alike, Continue},
+		{Recorded{Verdict: agent.OnIt, Leaving: true}, Alike, Continue},
+		{Recorded{Verdict: agent.OnIt, Over: true}, RunsOver, Stop},
+		{Recorded{Verdict: agent.OnIt, Stopping: true}, RunsOver, Stop},
+		{Recorded{Verdict: agent.OnIt, Save: true}, RunsReclaimed, Stop},
+		{Recorded{Verdict: agent.Over, Over: true}, EndedHere, End},
+		{Recorded{Verdict: agent.Missing, Over: true}, Vanished, Free},
+	} {
+		t.Run(fmt.Sprintf("%+v", c.recorded), func(t *testing.T) {
+			if difference, answer := OfRecorded(c.recorded); difference != c.difference || answer != c.answer {
+				t.Errorf("%s, %s", difference, answer)
+			}
+		})
+	}
+}
+
+func TestEachReportedAttemptHasOneAnswer(t *testing.T) {
+	for _, c := range []struct {
+		status            string
+		recorded, writing bool
+		want              Answer
+	}{
+		{agent.Running, true, false, Continue},
+		{agent.Ended, true, false, Continue},
+		{agent.Running, false, true, Wait},
+		{agent.Ended, false, true, Wait},
+		{agent.Running, false, false, Stop},
+		{agent.Ended, false, false, Forget},
+	} {
+		t.Run(fmt.Sprintf("%s, recorded %v, writing %v", c.status, c.recorded, c.writing), func(t *testing.T) {
+			if _, answer := OfReported(c.status, c.recorded, c.writing); answer != c.want {
+				t.Error(answer)
+			}
+		})
+	}
+}
--- a/internal/reconcile/machine_state.go
+++ b/internal/reconcile/machine_state.go
@@ -1,56 +1,78 @@
-// Package reconcile is how a controller that starts reconciles what machines report with
-// what is recorded: which machines have been heard, what differs, and what may be
-// decided before all of it is known. After all controllers went down nothing else knows.
-// It has no IO and no clock.
 package reconcile
 
-// Machine is where a machine stands between its records and its reports.
-type Machine string
+// MachineState is how far the comparison of one machine's records with its heartbeats is.
+type MachineState string
 
-// States of a machine.
+// The states of a machine.
 const (
-	MachineUnheard        Machine = "unheard"    // no report under our baton yet
-	Heard                 Machine = "heard"      // not compared yet
-	Differs               Machine = "differs"    // something is still to be done about it
-	Reconciled            Machine = "reconciled" // records and reports agree
-	MachineDecommissioned Machine = "given up"   // no longer waited for: it does not answer, or is lost
+	MachineUnregistered   MachineState = "unregistered"   // no heartbeat under this view's fencing token yet
+	MachineRegistered     MachineState = "registered"     // not compared yet
+	MachineDiffers        MachineState = "differs"        // something is still to be done about it
+	MachineReconciled     MachineState = "reconciled"     // records and heartbeats agree
+	MachineDecommissioned MachineState = "decommissioned" // no longer waited for: it does not answer, or is lost
 )
 
 // Event is what happens to a machine.
 type Event string
 
-// Events of a machine.
+// The events of a machine.
 const (
-	Shows      Event = "shows"   // reports under our baton
-	Agrees     Event = "agrees"  // compared, nothing differs
-	Departs    Event = "departs" // compared, something differs
-	Silent     Event = "silent"  // left a call unanswered, or is given up
-	PlaceAgain Event = "anew"    // another baton: what it said before counts no more
+	Shows        Event = "heartbeat under this view's fencing token"
+	Agrees       Event = "compared, nothing differs"
+	Departs      Event = "compared, something differs"
+	Silent       Event = "call unanswered, or decommissioned"
+	TokenChanged Event = "fencing token changed" // what it reported before no longer counts
 )
 
-// Next is the one place where a machine's state changes.
-func Next(m Machine, e Event) (Machine, bool) {
-	switch e {
+// Next returns a machine's state after an event, and whether the event changes it. A machine's state changes nowhere
+// else.
+func Next(state MachineState, event Event) (next MachineState, changed bool) {
+	switch event {
 	case Shows:
-		if m == MachineUnheard || m == MachineDecommissioned {
-			return Heard, true
-		}
+		return transition(state, MachineRegistered, MachineUnregistered, MachineDecommissioned)
 	case Agrees:
-		if m == Heard || m == Differs {
-			return Reconciled, true
-		}
+		return transition(state, MachineReconciled, MachineRegistered, MachineDiffers)
 	case Departs:
-		if m == Heard || m == Reconciled {
-			return Differs, true
-		}
+		return transition(state, MachineDiffers, MachineRegistered, MachineReconciled)
 	case Silent:
-		if m == MachineUnheard {
-			return MachineDecommissioned, true
-		}
-	case PlaceAgain:
-		if m == Heard || m == Differs || m == Reconciled {
-			return MachineUnheard, true
+		return transition(state, MachineDecommissioned, MachineUnregistered)
+	case TokenChanged:
+		return transition(state, MachineUnregistered, MachineRegistered, MachineDiffers, MachineReconciled)
+	}
+	return state, false
+}
+
+// transition goes from one of some states to another; any other state stays.
+func transition(state, to MachineState, from ...MachineState) (next MachineState, changed bool) {
+	for _, f := range from {
+		if state == f {
+			return to, true
 		}
 	}
-	return m, false
+	return state, false
+}
+
+// Counts is how many machines are in each state. The summary log line prints it.
+type Counts struct {
+	Unregistered   int
+	Registered     int
+	Differs        int
+	Reconciled     int
+	Decommissioned int
+}
+
+// of is the count of a state.
+func (c *Counts) of(state MachineState) *int {
+	switch state {
+	case MachineUnregistered:
+		return &c.Unregistered
+	case MachineRegistered:
+		return &c.Registered
+	case MachineDiffers:
+		return &c.Differs
+	case MachineReconciled:
+		return &c.Reconciled
+	case MachineDecommissioned:
+	}
+	return &c.Decommissioned
 }
--- a/internal/reconcile/order.go
+++ b/internal/reconcile/order.go
@@ -2,31 +2,30 @@
 
 import "github.com/harrierreel/harrierreel/internal/jobs"
 
-// Order is the order in which changes are made while they are short: what has a lower one
-// goes first.
+// Order is the order in which changes are committed while the budget of changes is short; the lowest goes first.
 type Order int
 
-// The turns.
+// The orders.
 const (
-	Cancelled Order = iota // a rule hangs on it
-	Ends                   // and frees: others can use what they leave
-	Serving
+	Cancelled Order = iota // cancel_s bounds how late it may be
+	Ends                   // and frees: others can use the capacity
+	Services
 	Gangs // their tasks wait for one another for gang_wait_s only
-	Rest
+	Others
 )
 
-// OrderOf is the turn of a change of a job's tasks: anew tells that it begins them once
-// more, over that their job is not live.
-func OrderOf(spec *jobs.Spec, over, anew bool) Order {
+// OrderOf is the order of a change of a job's tasks. over tells that the job is not live, placesAgain that the change
+// places the tasks again.
+func OrderOf(spec *jobs.Spec, over, placesAgain bool) Order {
 	switch {
 	case over:
 		return Cancelled
-	case !anew:
+	case !placesAgain:
 		return Ends
 	case spec.Kind == jobs.Service:
-		return Serving
+		return Services
 	case spec.IsGang():
 		return Gangs
 	}
-	return Rest
+	return Others
 }
--- a/internal/reconcile/phase.go
+++ b/internal/reconcile/phase.go
@@ -6,83 +6,76 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Phase is how far a controller that has started has come.
+// Phase is how far a controller that has started is.
 type Phase string
 
-// Phases, in order. Steady is the end: from then on nothing here holds anything back.
+// The phases, in order. Steady is the last: from then on this package holds nothing back.
 const (
-	Reading     Phase = "reading"     // the state service; it is in no view yet
-	Hearing     Phase = "hearing"     // some machines have not been heard, or others had no time to
-	Reconciling Phase = "reconciling" // of those heard, some still differ
+	Loading     Phase = "loading"     // reads the state service; it is in no view yet
+	Hearing     Phase = "hearing"     // own machines are unregistered, or other owners had no time to hear theirs
+	Reconciling Phase = "reconciling" // some registered machines still differ
 	Steady      Phase = "steady"
 )
 
-// Permission is what a controller does.
+// Permission is a kind of decision that may be held back.
 type Permission string
 
-// Duties.
+// The permissions.
 const (
-	Halt    Permission = "stop what is cancelled or not recorded"
-	Settle  Permission = "free, end and begin again what machines tell"
-	Hand    Permission = "place on machines that are reconciled"
-	HandAny Permission = "place on machines of others, by their records"
-	Rent    Permission = "rent"
+	StopTasks       Permission = "stop tasks that are cancelled or not recorded"
+	ApplyHeartbeats Permission = "free, end and restart tasks by machines' heartbeats"
+	PlaceOnOwn      Permission = "place tasks on own machines that are reconciled"
+	PlaceOnOthers   Permission = "place tasks on other owners' machines, by their records"
+	ScaleOut        Permission = "scale out"
 )
 
-// permitted is what may be decided in each phase. Who may decide at all, as a member or a
-// leader, is not told here (standby.Checks, the view's stamp).
+// permitted is what may be decided in each phase. Whether a controller may decide at all, as a member or as the leader,
+// is not decided here but by standby.Checks and by the view's revision.
 var permitted = map[Phase]map[Permission]bool{
-	Reading:     {},
-	Hearing:     {Halt: true, Settle: true, Hand: true},
-	Reconciling: {Halt: true, Settle: true, Hand: true, HandAny: true, Rent: true},
-	Steady:      {Halt: true, Settle: true, Hand: true, HandAny: true, Rent: true},
+	Loading: {},
+	Hearing: {StopTasks: true, ApplyHeartbeats: true, PlaceOnOwn: true},
+	Reconciling: {
+		StopTasks:       true,
+		ApplyHeartbeats: true,
+		PlaceOnOwn:      true,
+		PlaceOnOthers:   true,
+		ScaleOut:        true,
+	},
+	Steady: {
+		StopTasks:       true,
+		ApplyHeartbeats: true,
+		PlaceOnOwn:      true,
+		PlaceOnOthers:   true,
+		ScaleOut:        true,
+	},
 }
 
-// Permits tells whether a duty may be done in a phase.
-func (p Phase) Permits(d Permission) bool { return permitted[p][d] }
-
-// Counts is how many machines are in each state.
-type Counts struct {
-	Unregistered, Heard, Differs, Reconciled, Decommissioned int
-}
-
-// of is the count of a state.
-func (c *Counts) of(m Machine) *int {
-	switch m {
-	case MachineUnheard:
-		return &c.Unregistered
-	case Heard:
-		return &c.Heard
-	case Differs:
-		return &c.Differs
-	case Reconciled:
-		return &c.Reconciled
-	case MachineDecommissioned:
-	}
-	return &c.Decommissioned
-}
+// Permits reports whether a permission is given in a phase.
+func (p Phase) Permits(permission Permission) bool { return permitted[p][permission] }
 
 // Facts is what a phase follows from.
 type Facts struct {
-	Begun bool // this controller is in a view
-	Counts
-	Others bool          // some owners of the rest have not told that they heard theirs
-	For    time.Duration // since it came into its first view
-	Viewed time.Duration // since the newest view
+	InView        bool // this controller is, or was, in a view
+	Machines      Counts
+	AwaitsOwners  bool          // some owners of other machines have not reported that they heard theirs
+	SinceStart    time.Duration // since this controller came into its first view
+	SinceLastView time.Duration
 }
 
-// Advance is the one place where the phase changes. within is by when machines that run
-// are heard (two report intervals and some), most by when reconciling is over in any case:
-// what still differs then is what differs on any day.
-func (p Phase) Advance(f Facts, within, most time.Duration) Phase {
+// Advance returns the next phase. A phase changes nowhere else. hearWithin is when all machines that run have sent
+// heartbeats (two intervals and some), finishWithin when reconciliation ends in any case: what still differs then is
+// what differs on any day.
+func (p Phase) Advance(facts Facts, hearWithin, finishWithin time.Duration) Phase {
 	switch {
-	case p == Steady || !f.Begun:
+	case p == Steady || !facts.InView:
 		return p
-	case f.For >= most:
+	case facts.SinceStart >= finishWithin:
 		return Steady
-	case f.Unregistered > 0 && f.For < within, f.Others && f.Viewed < tuning.ReconcileOthers:
+	case facts.Machines.Unregistered > 0 && facts.SinceStart < hearWithin:
+		return Hearing
+	case facts.AwaitsOwners && facts.SinceLastView < tuning.ReconcileOthers:
 		return Hearing
-	case f.Heard+f.Differs > 0:
+	case facts.Machines.Registered+facts.Machines.Differs > 0:
 		return Reconciling
 	}
 	return Steady
--- a/internal/reconcile/tracker.go
+++ b/internal/reconcile/tracker.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"log/slog"
 	"maps"
+	"slices"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
@@ -11,194 +12,246 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Tracker is one controller's reconciling of its own machines, from its start until it is
-// steady. Then it forgets them and holds nothing back.
+// Tracker is one controller's reconciliation of its own machines, from its start until it is steady. Then it forgets
+// them and holds nothing back. It is used on the event loop only.
 type Tracker struct {
-	phase    Phase
-	since    time.Time         // of the first view
-	viewed   time.Time         // of the newest view
-	opened   time.Time         // when it last went on from hearing
-	epoch    uint64            // of it
-	others   map[string]uint64 // owners that have not told that they heard their machines, or by when it is known which
-	within   time.Duration
-	limit    time.Duration
-	machines map[string]Machine
-	counts   Counts
-	lost     []string // given up when it became steady
-
-	heard, reconciled *hdrhistogram.Histogram // ms from the first view, by machine
-	differences       map[Difference]int
-	answers           map[Answer]int
-	redirected        map[string]int // reports that were sent on, by the controller that they were sent to
-	log               *slog.Logger
-}
-
-// New makes the tracker of a controller whose workers report every reportS seconds.
+	phase        Phase
+	startedAt    time.Time // of the first view
+	viewedAt     time.Time // of the newest view
+	heardAt      time.Time // when it last left the phase Hearing
+	viewEpoch    uint64    // of the newest view
+	hearWithin   time.Duration
+	finishWithin time.Duration
+
+	// awaitedOwners is the other owners: 0 until they report that they heard their machines, then the epoch by which
+	// it is known here which they did not hear.
+	awaitedOwners  map[string]uint64
+	machines       map[string]MachineState // own, by name
+	counts         Counts                  // of machines
+	decommissioned []string                // own, when it became steady
+
+	summary *summary // nil once steady
+	log     *slog.Logger
+}
+
+// summary is what the log line at the end of the reconciliation tells.
+type summary struct {
+	registeredAfter *hdrhistogram.Histogram // ms from the first view, by machine
+	reconciledAfter *hdrhistogram.Histogram // the same
+	differences     map[Difference]int
+	answers         map[Answer]int
+	redirected      map[string]int // heartbeats that were redirected, by the owner that they were redirected to
+}
+
+// New makes the tracker of a controller whose workers send a heartbeat every reportS seconds.
 func New(reportS float64, log *slog.Logger) *Tracker {
-	h := func() *hdrhistogram.Histogram {
-		return hdrhistogram.New(1, tuning.MaxReconcile.Milliseconds()*2, 2)
-	}
+	heartbeats := time.Duration(tuning.ReconcileReports * reportS * float64(time.Second))
 	return &Tracker{
-		phase:  Reading,
-		within: time.Duration(tuning.ReconcileReports*reportS*float64(time.Second)) + tuning.ReconcileSlack, limit: tuning.MaxReconcile,
-		machines: map[string]Machine{}, heard: h(), reconciled: h(), differences: map[Difference]int{}, answers: map[Answer]int{}, redirected: map[string]int{}, log: log,
+		phase:        Loading,
+		hearWithin:   heartbeats + tuning.ReconcileSlack,
+		finishWithin: tuning.MaxReconcile,
+		machines:     map[string]MachineState{},
+		summary: &summary{
+			registeredAfter: newHistogram(),
+			reconciledAfter: newHistogram(),
+			differences:     map[Difference]int{},
+			answers:         map[Answer]int{},
+			redirected:      map[string]int{},
+		},
+		log: log,
 	}
 }
 
-// Phase is how far it has come.
+func newHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(1, tuning.MaxReconcile.Milliseconds()*2, 2)
+}
+
+// Phase is the present phase.
 func (t *Tracker) Phase() Phase { return t.phase }
 
-// Steady tells whether reconciling is over.
+// Steady reports whether reconciliation is over.
 func (t *Tracker) Steady() bool { return t.phase == Steady }
 
-// Permits tells whether a duty may be done now.
-func (t *Tracker) Permits(d Permission) bool { return t.phase.Permits(d) }
+// Permits reports whether a permission is given now.
+func (t *Tracker) Permits(permission Permission) bool { return t.phase.Permits(permission) }
 
-// MayRent tells whether machines may be rented: once the queue has been offered those that
-// were heard last.
+// MayRent reports whether machines may be scaled out: once the queue has been offered those that registered last.
 func (t *Tracker) MayRent(now time.Time) bool {
-	return t.Permits(Rent) && now.Sub(t.opened) >= tuning.ReconcileRent
+	return t.Permits(ScaleOut) && now.Sub(t.heardAt) >= tuning.ReconcileRent
 }
 
-// Open tells whether a machine takes new work: own ones once they are reconciled, others'
-// once their owners had the time to hear them and to tell which they do not.
+// Open reports whether tasks may be placed on a machine: on an own one once it is reconciled, on another owner's once
+// the owner had the time to hear its machines and to report which it does not hear.
 func (t *Tracker) Open(machine string) bool {
-	m, own := t.machines[machine]
-	return t.Steady() || own && t.Permits(Hand) && m == Reconciled || !own && t.Permits(HandAny)
+	if t.Steady() {
+		return true
+	}
+	state, own := t.machines[machine]
+	if own {
+		return t.Permits(PlaceOnOwn) && state == MachineReconciled
+	}
+	return t.Permits(PlaceOnOthers)
 }
 
-// Awaits tells whether a machine has yet to be heard and may soon be: what hangs on
-// several machines is decided once for all of them.
+// Awaits reports whether a machine has yet to register and may do so soon. What depends on several machines is decided
+// once for all of them.
 func (t *Tracker) Awaits(machine string) bool {
-	return t.phase == Hearing && t.machines[machine] == MachineUnheard
+	return t.phase == Hearing && t.machines[machine] == MachineUnregistered
 }
 
-// View begins reconciling with the first view, and takes in which machines are this
-// controller's under a later one, and which others have some: all machines have to show
-// the new baton.
+// View begins reconciliation with the first view, and sets which machines are this controller's under a later one and
+// which other controllers own some: all machines have to send a heartbeat under the new fencing token.
 func (t *Tracker) View(epoch uint64, machines, others []string, now time.Time) {
-	t.epoch = epoch
+	t.viewEpoch = epoch
 	if t.Steady() {
 		return
 	}
-	if t.since.IsZero() {
-		t.since = now
+	if t.startedAt.IsZero() {
+		t.startedAt = now
 	}
-	t.viewed, t.others = now, map[string]uint64{}
-	for _, o := range others {
-		t.others[o] = 0
+	t.viewedAt = now
+	t.awaitedOwners = map[string]uint64{}
+	for _, owner := range others {
+		t.awaitedOwners[owner] = 0
 	}
-	was := t.machines
-	t.machines, t.counts = make(map[string]Machine, len(machines)), Counts{}
-	for _, h := range machines {
-		m, known := was[h]
+	before := t.machines
+	t.machines, t.counts = make(map[string]MachineState, len(machines)), Counts{}
+	for _, machine := range machines {
+		state, known := before[machine]
 		if !known {
-			m = MachineUnheard
-		}
-		if next, ok := Next(m, PlaceAgain); ok {
-			m = next
+			state = MachineUnregistered
 		}
-		t.machines[h] = m
-		*t.counts.of(m)++
+		state, _ = Next(state, TokenChanged)
+		t.machines[machine] = state
+		*t.counts.of(state)++
 	}
 	t.Settle(now, 0)
 }
 
-// Record takes in what happened to a machine of this controller's.
-func (t *Tracker) Record(machine string, e Event, now time.Time) {
+// Record applies an event to a machine of this controller's.
+func (t *Tracker) Record(machine string, event Event, now time.Time) {
 	if t.phase != Hearing && t.phase != Reconciling {
 		return
 	}
-	m, known := t.machines[machine]
+	state, known := t.machines[machine]
 	if !known {
-		m = MachineUnheard // no record named it
+		state = MachineUnregistered // no record named it
 		t.counts.Unregistered++
 	}
-	next, _ := Next(m, e)
+	next, changed := Next(state, event)
 	t.machines[machine] = next
-	*t.counts.of(m)--
+	*t.counts.of(state)--
 	*t.counts.of(next)++
-	switch {
-	case next == m:
-	case next == Heard:
-		_ = t.heard.RecordValue(now.Sub(t.since).Milliseconds() + 1)
-	case next == Reconciled:
-		_ = t.reconciled.RecordValue(now.Sub(t.since).Milliseconds() + 1)
+	if !changed {
+		return
+	}
+	// A value beyond the histogram's range is left out of the summary.
+	afterMs := now.Sub(t.startedAt).Milliseconds() + 1
+	switch next {
+	case MachineRegistered:
+		_ = t.summary.registeredAfter.RecordValue(afterMs)
+	case MachineReconciled:
+		_ = t.summary.reconciledAfter.RecordValue(afterMs)
+	case MachineUnregistered, MachineDiffers, MachineDecommissioned:
 	}
 }
 
-// Lost forgets a machine: it is another's, or gone.
+// Lost removes a machine that is another owner's now, or gone.
 func (t *Tracker) Lost(machine string) {
-	if m, known := t.machines[machine]; known {
-		*t.counts.of(m)--
+	if state, known := t.machines[machine]; known {
+		*t.counts.of(state)--
 		delete(t.machines, machine)
 	}
 }
 
-// Count notes a difference and its answer, at the first look at a machine.
-func (t *Tracker) Count(machine string, d Difference, a Answer) {
-	if m := t.machines[machine]; !t.Steady() && d != Unclear && m != Differs && m != Reconciled {
-		t.differences[d]++
-		t.answers[a]++
+// Count counts a difference and its answer for the summary, at the first comparison of a machine.
+func (t *Tracker) Count(machine string, difference Difference, answer Answer) {
+	state := t.machines[machine]
+	if t.Steady() || difference == Unclear || state == MachineDiffers || state == MachineReconciled {
+		return
 	}
+	t.summary.differences[difference]++
+	t.summary.answers[answer]++
 }
 
-// Heard is the view under which all of this controller's machines were heard or given up,
+// Heard is the epoch of the view under which all of this controller's machines have registered or were decommissioned,
 // 0 if they were not.
 func (t *Tracker) Heard() uint64 {
-	if t.since.IsZero() || t.counts.Unregistered > 0 {
+	if t.startedAt.IsZero() || t.counts.Unregistered > 0 {
 		return 0
 	}
-	return t.epoch
+	return t.viewEpoch
 }
 
-// OtherHeard takes in that another member has heard its machines under a view, and has
-// written by an epoch of the state service which of them it does not hear. It counts once
-// that is known here: else those would be taken for machines that run.
+// OtherHeard notes that another owner has heard its machines under the view of an epoch, and that the state service
+// holds at epoch by which of them it does not hear. It counts once that is known here: otherwise those would be taken
+// for machines that run.
 func (t *Tracker) OtherHeard(name string, epoch, by uint64) {
-	if _, awaited := t.others[name]; awaited && epoch >= t.epoch {
-		t.others[name] = max(by, 1)
+	if _, awaited := t.awaitedOwners[name]; awaited && epoch >= t.viewEpoch {
+		t.awaitedOwners[name] = max(by, 1)
 	}
 }
 
-// Decommissioned lists the machines that are no longer waited for.
+// Decommissioned lists the own machines that are no longer waited for, in no order.
 func (t *Tracker) Decommissioned() []string {
-	out := t.lost
-	for h, m := range t.machines {
-		if m == MachineDecommissioned {
-			out = append(out, h)
+	machines := slices.Clone(t.decommissioned)
+	for machine, state := range t.machines {
+		if state == MachineDecommissioned {
+			machines = append(machines, machine)
 		}
 	}
-	return out
+	return machines
 }
 
-// Redirected counts a report of another's machine.
+// Redirected counts a heartbeat of another owner's machine for the summary.
 func (t *Tracker) Redirected(owner string) {
 	if !t.Steady() {
-		t.redirected[owner]++
+		t.summary.redirected[owner]++
 	}
 }
 
-// Settle moves the phase on by what is known up to an epoch of the state service, and tells the log when reconciling is over.
+// Settle advances the phase by what is known up to an epoch of the state service, and logs the summary when
+// reconciliation is over.
 func (t *Tracker) Settle(now time.Time, known uint64) {
-	maps.DeleteFunc(t.others, func(_ string, by uint64) bool { return by > 0 && by <= known })
-	next := t.phase.Advance(Facts{Begun: !t.since.IsZero(), Counts: t.counts, Others: len(t.others) > 0, For: now.Sub(t.since), Viewed: now.Sub(t.viewed)}, t.within, t.limit)
+	maps.DeleteFunc(t.awaitedOwners, func(_ string, by uint64) bool { return by > 0 && by <= known })
+	facts := Facts{
+		InView:        !t.startedAt.IsZero(),
+		Machines:      t.counts,
+		AwaitsOwners:  len(t.awaitedOwners) > 0,
+		SinceStart:    now.Sub(t.startedAt),
+		SinceLastView: now.Sub(t.viewedAt),
+	}
+	next := t.phase.Advance(facts, t.hearWithin, t.finishWithin)
 	if next == t.phase {
 		return
 	}
-	t.log.Debug("reconciling", "phase", string(next), "machines", fmt.Sprintf("%+v", t.counts), "after_ms", now.Sub(t.since).Milliseconds())
+	t.log.Debug("reconciliation phase changed",
+		"phase", string(next),
+		"machines", fmt.Sprintf("%+v", t.counts),
+		"duration_ms", facts.SinceStart.Milliseconds())
 	if t.phase == Hearing {
-		t.opened = now
+		t.heardAt = now
 	}
 	t.phase = next
-	if next != Steady {
-		return
+	if next == Steady {
+		t.finish(facts.SinceStart)
 	}
-	if t.heard.TotalCount() > 0 {
-		t.log.Info("reconciled", "machines", fmt.Sprintf("%+v", t.counts), "after_ms", now.Sub(t.since).Milliseconds(),
-			"heard_half_ms", t.heard.ValueAtQuantile(50), "heard_last_ms", t.heard.Max(), "reconciled_half_ms", t.reconciled.ValueAtQuantile(50), "reconciled_last_ms", t.reconciled.Max(),
-			"differences", fmt.Sprint(t.differences), "answers", fmt.Sprint(t.answers), "sent_on", fmt.Sprint(t.redirected))
+}
+
+// finish logs the summary and forgets the machines.
+func (t *Tracker) finish(after time.Duration) {
+	if s := t.summary; s.registeredAfter.TotalCount() > 0 {
+		t.log.Info("machines reconciled",
+			"machines", fmt.Sprintf("%+v", t.counts),
+			"duration_ms", after.Milliseconds(),
+			"registered_p50_ms", s.registeredAfter.ValueAtQuantile(50),
+			"registered_max_ms", s.registeredAfter.Max(),
+			"reconciled_p50_ms", s.reconciledAfter.ValueAtQuantile(50),
+			"reconciled_max_ms", s.reconciledAfter.Max(),
+			"differences", fmt.Sprint(s.differences),
+			"answers", fmt.Sprint(s.answers),
+			"redirected", fmt.Sprint(s.redirected))
 	}
-	t.lost = t.Decommissioned()
-	t.machines, t.heard, t.reconciled, t.differences, t.answers, t.redirected, t.counts = nil, nil, nil, nil, nil, nil, Counts{}
+	t.decommissioned = t.Decommissioned()
+	t.machines, t.counts, t.summary = nil, Counts{}, nil
 }
--- a/internal/reconcile/tracker_test.go
+++ b/internal/reconcile/tracker_test.go
@@ -1,182 +1,159 @@
 package reconcile
 
 import (
-	"fmt"
 	"log/slog"
 	"slices"
 	"testing"
 	"time"
 
 	"pgregory.net/rapid"
-
-	"github.com/harrierreel/harrierreel/internal/agent"
-	"github.com/harrierreel/harrierreel/internal/jobs"
 )
 
 var start = time.UnixMilli(1e12)
 
-// Whatever happens to machines in whatever order, the counts are those of a recount,
-// phases only go on but for a later view, a machine is open only once it was compared and
-// agreed under the newest baton, and in the end all is steady.
-func TestAnyOrder(t *testing.T) {
+// newTracker makes a tracker whose workers send a heartbeat every 8 s.
+func newTracker() *Tracker { return New(8, slog.New(slog.DiscardHandler)) }
+
+// trackerModel is a tracker, and what it should know of its machines.
+type trackerModel struct {
+	t        *rapid.T
+	tracker  *Tracker
+	machines []string
+	now      time.Time
+	agreed   map[string]bool // machines that were compared and agreed under the newest fencing token
+}
+
+// apply applies an event to a machine.
+func (m *trackerModel) apply(machine string, event Event) {
+	if event == TokenChanged {
+		m.tracker.View(1, m.machines, nil, m.now)
+		clear(m.agreed)
+		return
+	}
+	tracker, before := m.tracker, m.tracker.Phase()
+	unregistered := []MachineState{MachineUnregistered, MachineDecommissioned, ""}
+	registered := !tracker.Steady() && !slices.Contains(unregistered, tracker.machines[machine])
+	tracker.Record(machine, event, m.now)
+	m.agreed[machine] = event == Agrees && registered || m.agreed[machine] && event != Departs
+	tracker.Settle(m.now, 9)
+	if before == Reconciling && tracker.Phase() == Hearing || before == Steady && tracker.Phase() != Steady {
+		m.t.Fatalf("%s after %s", tracker.Phase(), before)
+	}
+}
+
+// check checks the tracker against the model; machine is the one that an event was applied to.
+func (m *trackerModel) check(machine string) {
+	tracker := m.tracker
+	if tracker.Steady() {
+		if !tracker.Open(machine) || tracker.machines != nil {
+			m.t.Fatal("something is held back though steady")
+		}
+		return
+	}
+	if tracker.Open(machine) != m.agreed[machine] {
+		m.t.Fatalf("%s is open: %v, agreed: %v", machine, tracker.Open(machine), m.agreed[machine])
+	}
+	var recounted Counts
+	for _, state := range tracker.machines {
+		*recounted.of(state)++
+	}
+	if recounted != tracker.counts {
+		m.t.Fatalf("%+v, recounted %+v", tracker.counts, recounted)
+	}
+	if tracker.Permits(ScaleOut) && tracker.counts.Unregistered > 0 && m.now.Sub(start) < tracker.hearWithin {
+		m.t.Fatal("scales out before all machines have registered")
+	}
+}
+
+// Whatever happens to machines in whatever sequence: the counts are those of a recount, phases only advance except at a
+// later view, a machine is open only once it was compared and agreed under the newest fencing token, and in the end the
+// tracker is steady.
+func TestEventsInAnySequenceLeadToSteady(t *testing.T) {
+	events := []Event{Shows, Agrees, Departs, Silent, TokenChanged}
 	rapid.Check(t, func(t *rapid.T) {
-		tr := New(8, slog.New(slog.DiscardHandler))
-		machines := []string{"i-1", "i-2", "i-3", "i-4"}
-		now, agreed := start, map[string]bool{}
-		if tr.Permits(Settle) || tr.Permits(Rent) {
+		m := &trackerModel{
+			t:        t,
+			tracker:  newTracker(),
+			machines: []string{"i-1", "i-2", "i-3", "i-4"},
+			now:      start,
+			agreed:   map[string]bool{},
+		}
+		if m.tracker.Permits(ApplyHeartbeats) || m.tracker.Permits(ScaleOut) {
 			t.Fatal("something may be done before the first view")
 		}
-		tr.View(1, machines, nil, now)
+		m.tracker.View(1, m.machines, nil, m.now)
 		for range rapid.IntRange(0, 40).Draw(t, "steps") {
-			now = now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond)
-			h := rapid.SampledFrom(machines).Draw(t, "host")
-			before := tr.Phase()
-			switch e := rapid.SampledFrom([]Event{Shows, Agrees, Departs, Silent, PlaceAgain}).Draw(t, "event"); e {
-			case PlaceAgain:
-				tr.View(1, machines, nil, now)
-				clear(agreed)
-			default:
-				heard := !tr.Steady() && !slices.Contains([]Machine{MachineUnheard, MachineDecommissioned, ""}, tr.machines[h])
-				tr.Record(h, e, now)
-				agreed[h] = e == Agrees && heard || agreed[h] && e != Departs
-				tr.Settle(now, 9)
-				if before == Reconciling && tr.Phase() == Hearing || before == Steady && tr.Phase() != Steady {
-					t.Fatalf("%s after %s", tr.Phase(), before)
-				}
-			}
-			if tr.Steady() {
-				if !tr.Open(h) || tr.machines != nil {
-					t.Fatal("steady holds something back")
-				}
-				continue
-			}
-			if tr.Open(h) != agreed[h] {
-				t.Fatalf("%s is open: %v, agreed: %v", h, tr.Open(h), agreed[h])
-			}
-			var again Counts
-			for _, m := range tr.machines {
-				*again.of(m)++
-			}
-			if again != tr.counts {
-				t.Fatalf("%+v, recounted %+v", tr.counts, again)
-			}
-			if tr.Permits(Rent) && tr.counts.Unregistered > 0 && now.Sub(start) < tr.within {
-				t.Fatal("rents before all are heard")
-			}
+			m.now = m.now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond)
+			machine := rapid.SampledFrom(m.machines).Draw(t, "machine")
+			m.apply(machine, rapid.SampledFrom(events).Draw(t, "event"))
+			m.check(machine)
 		}
-		tr.Settle(now.Add(2*tr.limit), 9)
-		if !tr.Steady() {
+		m.tracker.Settle(m.now.Add(2*m.tracker.finishWithin), 9)
+		if !m.tracker.Steady() {
 			t.Fatal("never steady")
 		}
 	})
 }
 
-// Another's machine takes nothing until its owner has told that it heard its machines
-// under the newest view, or had the time to; nothing is rented until the queue was offered
-// them. A machine that goes is waited for no longer.
-func TestOthers(t *testing.T) {
-	for _, told := range []bool{false, true} {
-		tr := New(8, slog.New(slog.DiscardHandler))
-		tr.View(4, []string{"i-1", "i-2"}, []string{"n1", "n2"}, start)
-		tr.OtherHeard("n2", 5, 9) // it knows the next view already
-		tr.View(5, []string{"i-1"}, []string{"n1", "n2"}, start)
-		tr.OtherHeard("n1", 4, 9) // under the former one
-		tr.OtherHeard("n2", 5, 9)
-		if tr.Heard() != 0 {
-			t.Error("tells that it heard its machine")
-		}
-		tr.Record("i-1", Shows, start)
-		tr.Record("i-1", Departs, start)
-		if tr.Heard() != 5 {
-			t.Error("does not tell that it heard its machine")
-		}
-		open := 5
-		if told {
-			open = 2
-		}
-		for s := range 6 {
-			now := start.Add(time.Duration(s) * time.Second)
-			if told && s == open {
-				tr.OtherHeard("n1", 5, 9)
+// Another owner's machine takes no task until its owner has reported that it heard its machines under the newest view,
+// or had the time to; nothing is scaled out until the queue was offered them. A machine that is removed is waited for
+// no longer.
+func TestOtherOwnersMachinesAreOpenOnceHeardOrAfterABound(t *testing.T) {
+	for name, c := range map[string]struct {
+		reported  bool
+		openAfter int // seconds
+	}{
+		"reported":     {true, 2},
+		"not reported": {false, 5},
+	} {
+		t.Run(name, func(t *testing.T) {
+			tracker := newTracker()
+			tracker.View(4, []string{"i-1", "i-2"}, []string{"n1", "n2"}, start)
+			tracker.OtherHeard("n2", 5, 9) // it knows the next view already
+			tracker.View(5, []string{"i-1"}, []string{"n1", "n2"}, start)
+			tracker.OtherHeard("n1", 4, 9) // under the former one
+			tracker.OtherHeard("n2", 5, 9)
+			if tracker.Heard() != 0 {
+				t.Error("reports that it heard its machine")
 			}
-			tr.Settle(now, 9)
-			if is := s >= open; tr.Open("i-9") != is || tr.Open("i-1") || tr.MayRent(now) != (s >= open+2) {
-				t.Errorf("told %v, after %d s %s, open %v, rents %v", told, s, tr.Phase(), tr.Open("i-9"), tr.MayRent(now))
+			tracker.Record("i-1", Shows, start)
+			tracker.Record("i-1", Departs, start)
+			if tracker.Heard() != 5 {
+				t.Error("does not report that it heard its machine")
 			}
-		}
-		tr.Lost("i-1")
-		tr.Settle(start.Add(6*time.Second), 9)
-		if !tr.Steady() {
-			t.Error("waits for a machine that is gone")
-		}
+			for s := range 6 {
+				now := start.Add(time.Duration(s) * time.Second)
+				if c.reported && s == c.openAfter {
+					tracker.OtherHeard("n1", 5, 9)
+				}
+				tracker.Settle(now, 9)
+				if tracker.Open("i-9") != (s >= c.openAfter) || tracker.Open("i-1") {
+					t.Errorf("after %d s %s, open %v", s, tracker.Phase(), tracker.Open("i-9"))
+				}
+				if tracker.MayRent(now) != (s >= c.openAfter+2) {
+					t.Errorf("after %d s %s, may scale out %v", s, tracker.Phase(), tracker.MayRent(now))
+				}
+			}
+			tracker.Lost("i-1")
+			tracker.Settle(start.Add(6*time.Second), 9)
+			if !tracker.Steady() {
+				t.Error("waits for a machine that was removed")
+			}
+		})
 	}
 }
 
-// What another member does not hear must be known here before its word counts.
-func TestOthersKnown(t *testing.T) {
-	tr := New(8, slog.New(slog.DiscardHandler))
-	tr.View(5, []string{"i-1"}, []string{"n1"}, start)
-	tr.Record("i-1", Shows, start)
-	tr.Record("i-1", Agrees, start)
-	tr.OtherHeard("n1", 5, 20)
-	if tr.Settle(start, 19); tr.Open("i-9") {
+// Which machines another member does not hear must be known here before its report counts.
+func TestOwnersReportCountsOnceItsUnresponsiveMachinesAreKnown(t *testing.T) {
+	tracker := newTracker()
+	tracker.View(5, []string{"i-1"}, []string{"n1"}, start)
+	tracker.Record("i-1", Shows, start)
+	tracker.Record("i-1", Agrees, start)
+	tracker.OtherHeard("n1", 5, 20)
+	if tracker.Settle(start, 19); tracker.Open("i-9") {
 		t.Error("open before its owner's list is known")
 	}
-	if tr.Settle(start, 20); !tr.Open("i-9") {
+	if tracker.Settle(start, 20); !tracker.Open("i-9") {
 		t.Error("not open")
 	}
 }
-
-// Every difference has one answer.
-func TestAnswers(t *testing.T) {
-	for _, c := range []struct {
-		r    Recorded
-		want string
-	}{
-		{Recorded{Verdict: agent.Unclear, Over: true}, fmt.Sprint(Unclear, Wait)},
-		{Recorded{Verdict: agent.Sent}, fmt.Sprint(UnderWay, Wait)},
-		{Recorded{Verdict: agent.ToLaunch}, fmt.Sprint(Unsent, Launch)},
-		{Recorded{Verdict: agent.ToLaunch, Over: true}, fmt.Sprint(OverHere, Free)},
-		{Recorded{Verdict: agent.ToLaunch, Stopping: true}, fmt.Sprint(OverHere, Free)},
-		{Recorded{Verdict: agent.ToLaunch, Leaving: true}, fmt.Sprint(NoMachine, Free)},
-		{Recorded{Verdict: agent.OnIt}, fmt.Sprint(Alike, Keep)},
-		{Recorded{Verdict: agent.OnIt, Leaving: true}, fmt.Sprint(Alike, Keep)},
-		{Recorded{Verdict: agent.OnIt, Over: true}, fmt.Sprint(OverHere, Stop)},
-		{Recorded{Verdict: agent.OnIt, Stopping: true}, fmt.Sprint(OverHere, Stop)},
-		{Recorded{Verdict: agent.OnIt, Save: true}, fmt.Sprint(NoticeRuns, Stop)},
-		{Recorded{Verdict: agent.Over, Over: true}, fmt.Sprint(EndedHere, End)},
-		{Recorded{Verdict: agent.Missing, Over: true}, fmt.Sprint(Vanished, Free)},
-	} {
-		if d, a := OfRecorded(c.r); fmt.Sprint(d, a) != c.want {
-			t.Errorf("%+v: %s, %s", c.r, d, a)
-		}
-	}
-	for _, c := range []struct {
-		status            string
-		recorded, writing bool
-		want              Answer
-	}{
-		{agent.Running, true, false, Keep},
-		{agent.Ended, true, false, Keep},
-		{agent.Running, false, true, Wait},
-		{agent.Ended, false, true, Wait},
-		{agent.Running, false, false, Stop},
-		{agent.Ended, false, false, Forget},
-	} {
-		if _, a := OfReported(c.status, c.recorded, c.writing); a != c.want {
-			t.Errorf("%+v: %s", c, a)
-		}
-	}
-}
-
-// What a rule hangs on goes first, then what ends, serving, gangs and the rest.
-func TestTurns(t *testing.T) {
-	spec := func(shape string, pieces int) *jobs.Spec { return &jobs.Spec{Kind: shape, TaskCount: pieces} }
-	got := []Order{
-		OrderOf(spec(jobs.JobArray, 1), true, true), OrderOf(spec(jobs.Service, 1), false, false), OrderOf(spec(jobs.Service, 3), false, true),
-		OrderOf(spec(jobs.Gang, 2), false, true), OrderOf(spec(jobs.JobArray, 9), false, true),
-	}
-	if !slices.Equal(got, []Order{Cancelled, Ends, Serving, Gangs, Rest}) {
-		t.Error(got)
-	}
-}
