--- a/internal/cancellation/proof_model_test.go
+++ b/internal/cancellation/proof_model_test.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// tick is one turn of the owner and one heartbeat of the machine.
-func (m *model) tick() {
+// advance is one turn of the owner and one heartbeat of the machine.
+func (m *model) advance() {
 	m.exchange()
 	if m.now.Sub(m.renewedAt) > m.lease {
 		clear(m.running)
@@ -245,7 +245,7 @@
 				m.launch()
 				m.act(rapid.IntRange(0, 10).Draw(t, "action"), rapid.SampledFrom(m.ackers).Draw(t, "acker"))
 			}
-			m.tick()
+			m.advance()
 		}
 	})
 }
--- a/internal/cancellation/service_test.go
+++ b/internal/cancellation/service_test.go
@@ -74,8 +74,8 @@
 	return network
 }
 
-// tick advances each controller's time and has it reconcile and send its handshake.
-func (n *testNetwork) tick(d time.Duration, names ...string) {
+// advance moves each controller's time on and has it reconcile and send its handshake.
+func (n *testNetwork) advance(d time.Duration, names ...string) {
 	for _, name := range names {
 		s := n.services[name]
 		s.state.Now = s.state.Now.Add(d)
@@ -93,13 +93,13 @@
 func TestBurstOfCancellationsIsSentOnceInFewMessages(t *testing.T) {
 	names := []string{"n0", "n1", "n2"}
 	network := newTestNetwork(t, names...)
-	network.tick(time.Second, names...)
+	network.advance(time.Second, names...)
 	network.messages = 0
-	for tick := range 10 {
+	for round := range 10 {
 		for i := range 200 {
-			network.services["n0"].Acknowledge(fmt.Sprintf("wk-%06d", tick*200+i))
+			network.services["n0"].Acknowledge(fmt.Sprintf("wk-%06d", round*200+i))
 		}
-		network.tick(100*time.Millisecond, names...)
+		network.advance(100*time.Millisecond, names...)
 	}
 	for _, name := range names {
 		if got := len(network.services[name].proof.peerAcks.jobs); got != 2000 {
@@ -111,7 +111,7 @@
 	}
 	network.messages = 0
 	for range 50 {
-		network.tick(100*time.Millisecond, names...)
+		network.advance(100*time.Millisecond, names...)
 	}
 	if network.messages != 0 {
 		t.Errorf("%d messages after all was confirmed", network.messages)
@@ -121,24 +121,24 @@
 // What is not confirmed is sent again, once a second, until it is confirmed.
 func TestUnconfirmedCancellationIsResentUntilConfirmed(t *testing.T) {
 	network := newTestNetwork(t, "n0", "n1")
-	network.tick(time.Second, "n0", "n1")
+	network.advance(time.Second, "n0", "n1")
 	network.partitioned = true
 	network.messages = 0
 	network.services["n0"].Acknowledge("wk-000001")
 	for range 20 {
-		network.tick(100*time.Millisecond, "n0", "n1")
+		network.advance(100*time.Millisecond, "n0", "n1")
 	}
 	if network.messages < 2 || network.messages > 4 {
 		t.Errorf("%d messages in two seconds", network.messages)
 	}
 	network.partitioned = false
-	network.tick(tuning.AckResend, "n0", "n1")
+	network.advance(tuning.AckResend, "n0", "n1")
 	if !network.services["n1"].Cancelled("wk-000001") {
 		t.Error("not known after the partition")
 	}
 	network.messages = 0
-	network.tick(2*tuning.AckResend, "n0", "n1")
-	network.tick(2*tuning.AckResend, "n0", "n1")
+	network.advance(2*tuning.AckResend, "n0", "n1")
+	network.advance(2*tuning.AckResend, "n0", "n1")
 	if network.messages != 0 {
 		t.Errorf("%d messages after it was confirmed", network.messages)
 	}
--- a/internal/reconcile/tracker_test.go
+++ b/internal/reconcile/tracker_test.go
@@ -68,7 +68,7 @@
 // Whatever happens to machines in whatever sequence: the counts are those of a recount, phases only advance except at a
 // later view, a machine is open only once it was compared and agreed under the newest fencing token, and in the end the
 // tracker is steady.
-func TestEventsInAnySequenceLeadToSteady(t *testing.T) {
+func TestTrackerBecomesSteadyWhateverHappens(t *testing.T) {
 	events := []Event{Shows, Agrees, Departs, Silent, TokenChanged}
 	rapid.Check(t, func(t *rapid.T) {
 		m := &trackerModel{
