--- a/internal/shard/review.go
+++ b/internal/shard/review.go
@@ -87,7 +87,7 @@
 		found.decisions = append(found.decisions, s.attemptEnded(session, task, status))
 	case reconcile.Free:
 		s.free(task, difference, found)
-	case reconcile.Wait, reconcile.Keep, reconcile.Forget:
+	case reconcile.Wait, reconcile.Continue, reconcile.Forget:
 	}
 }
 
@@ -119,7 +119,7 @@
 			GracePeriodS: &gracePeriodS,
 		}
 		found.commands = append(found.commands, stop)
-	case reconcile.Wait, reconcile.Keep, reconcile.Launch, reconcile.Free, reconcile.End:
+	case reconcile.Wait, reconcile.Continue, reconcile.Launch, reconcile.Free, reconcile.End:
 	}
 }
 
