--- a/internal/store/limits.go
+++ b/internal/store/limits.go
@@ -8,51 +8,101 @@
 
 // Limits are the state service's limits on one transaction (PROTOCOL, POST /multi).
 type Limits struct {
-	Ops           int // puts and deletes
-	Preconditions int // conditions
-	BodyBytes     int // bytes of the request
-	ValueBytes    int // bytes of a value
+	Ops           int // puts and removals
+	Preconditions int
+	BodyBytes     int // of the encoded request
+	ValueBytes    int // of one value
 }
 
-// MaxKeyBytes, bytes: a key's length (PROTOCOL, "Controller nodes -> state service").
+// MaxKeyBytes is the longest key that the state service takes, in bytes (PROTOCOL,
+// "Controller nodes -> state service").
 const MaxKeyBytes = 200
 
-// KeyFault tells why the state service would not take a key, "" if it would.
-func KeyFault(key string) string {
+// KeyError is a key that the state service would not take.
+type KeyError struct {
+	Key string
+}
+
+// Error names the key, shortened, and its length.
+func (e *KeyError) Error() string { return fmt.Sprintf("key %.40q of %d bytes", e.Key, len(e.Key)) }
+
+// CheckKey returns a *KeyError if the state service would not take the key.
+func CheckKey(key string) error {
 	if key == "" || len(key) > MaxKeyBytes || strings.ContainsAny(key, " \t\r\n") {
-		return fmt.Sprintf("key %.40q of %d bytes", key, len(key))
+		return &KeyError{Key: key}
 	}
-	return ""
+	return nil
 }
 
-// Fault tells which limit a transaction passes, "" for none. It is counted on what
-// is sent, not on what it was made from.
-func (l Limits) Fault(t *Txn) string {
+// LimitedQuantity is what a limit of Limits counts; its text is the unit.
+type LimitedQuantity string
+
+// Limited quantities.
+const (
+	LimitedOps           LimitedQuantity = "changes"
+	LimitedPreconditions LimitedQuantity = "conditions"
+	LimitedBytes         LimitedQuantity = "bytes"
+)
+
+// LimitError is a transaction that passes a limit.
+type LimitError struct {
+	Quantity LimitedQuantity
+	Count    int
+	Limit    int
+	Key      string // of the value that is too large, "" for the whole transaction
+}
+
+// Error names the count, its limit and the key, if one value is at fault.
+func (e *LimitError) Error() string {
+	if e.Key != "" {
+		return fmt.Sprintf("%d %s of %d in %s", e.Count, e.Quantity, e.Limit, e.Key)
+	}
+	return fmt.Sprintf("%d %s of %d", e.Count, e.Quantity, e.Limit)
+}
+
+// Check returns a *LimitError or *KeyError if the state service would refuse a transaction. It
+// measures what is sent, not what it was made from: the transaction keeps its encoded body and
+// must not be changed afterwards.
+func (l Limits) Check(t *Txn) error {
 	if len(t.Writes) > l.Ops {
-		return fmt.Sprintf("%d changes of %d", len(t.Writes), l.Ops)
+		return &LimitError{Quantity: LimitedOps, Count: len(t.Writes), Limit: l.Ops}
 	}
 	if len(t.Preconditions) > l.Preconditions {
-		return fmt.Sprintf("%d conditions of %d", len(t.Preconditions), l.Preconditions)
+		return &LimitError{Quantity: LimitedPreconditions, Count: len(t.Preconditions), Limit: l.Preconditions}
 	}
 	for i := range t.Preconditions {
-		if why := KeyFault(t.Preconditions[i].Key); why != "" {
-			return why
+		if err := CheckKey(t.Preconditions[i].Key); err != nil {
+			return err
 		}
 	}
 	for i := range t.Writes {
-		w := &t.Writes[i]
-		if why := KeyFault(w.Put + w.Remove); why != "" {
-			return why
-		}
-		if len(w.Value) > l.ValueBytes {
-			return fmt.Sprintf("%d bytes of %d in %s", len(w.Value), l.ValueBytes, w.Put)
+		if err := l.checkWrite(&t.Writes[i]); err != nil {
+			return err
 		}
 	}
 	if err := t.encodeBody(); err != nil {
-		return err.Error()
+		return err
 	}
 	if len(t.body) > l.BodyBytes {
-		return fmt.Sprintf("%d bytes of %d", len(t.body), l.BodyBytes)
+		return &LimitError{Quantity: LimitedBytes, Count: len(t.body), Limit: l.BodyBytes}
+	}
+	return nil
+}
+
+func (l Limits) checkWrite(w *Write) error {
+	if err := CheckKey(w.Put + w.Remove); err != nil {
+		return err
+	}
+	if len(w.Value) > l.ValueBytes {
+		return &LimitError{Quantity: LimitedBytes, Count: len(w.Value), Limit: l.ValueBytes, Key: w.Put}
+	}
+	return nil
+}
+
+// Fault is the text of Check's error, "" for none.
+func (l Limits) Fault(t *Txn) string {
+	if err := l.Check(t); err != nil {
+		return err.Error()
 	}
 	return ""
 }
