--- a/internal/store/calls.go
+++ b/internal/store/calls.go
@@ -1,9 +1,9 @@
 package store
 
 import (
-	"encoding/json"
 	"errors"
 	"fmt"
+	"net/http"
 	"net/url"
 	"strings"
 	"time"
@@ -11,51 +11,51 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Get reads a key. The item is nil when it is absent. sent, if given, is
-// called when the request leaves.
+// Get reads a key. The item is nil when the key is absent. sent, if given, is called when the
+// request leaves.
 func (c *Client) Get(p Priority, key string, sent func(), done func(*Item, error)) {
-	c.enqueue(p, pendingCall{method: "GET", target: "/store/" + key, sent: sent, done: func(status int, body []byte, err error) {
-		err = c.classify(status, err)
-		if errors.Is(err, ErrGone) {
+	call := pendingCall{method: http.MethodGet, target: "/store/" + key, sent: sent}
+	call.done = func(status int, body []byte, err error) {
+		var item Item
+		err = c.decode("read key "+key, status, body, err, &item)
+		switch {
+		case errors.Is(err, ErrGone):
 			done(nil, nil)
-			return
-		}
-		if err != nil {
+		case err != nil:
 			done(nil, err)
-			return
-		}
-		var it Item
-		if err := json.Unmarshal(body, &it); err != nil {
-			done(nil, fmt.Errorf("%w: %v", ErrNoAnswer, err))
-			return
+		default:
+			done(&item, nil)
 		}
-		done(&it, nil)
-	}})
+	}
+	c.enqueue(p, call)
 }
 
-// epochProbeKey is a key that nobody writes: reading it tells the epoch and costs least.
+// epochProbeKey is a key that nobody writes: of all requests that return the epoch, reading an
+// absent key costs least.
 const epochProbeKey = "epoch"
 
 // ReadEpoch reads the state service's present epoch.
-func (c *Client) ReadEpoch(p Priority, done func(uint64, error)) {
-	c.enqueue(p, pendingCall{method: "GET", target: "/store/" + epochProbeKey, done: func(status int, body []byte, err error) {
-		var answer struct {
-			Epoch uint64 `json:"epoch"`
-		}
-		err = c.classify(status, err)
+func (c *Client) ReadEpoch(p Priority, done func(epoch uint64, err error)) {
+	const operation = "read epoch"
+	call := pendingCall{method: http.MethodGet, target: "/store/" + epochProbeKey}
+	call.done = func(status int, body []byte, err error) {
+		var answer epochAnswer
+		err = c.classify(operation, status, err)
 		switch {
 		case errors.Is(err, ErrGone):
-			if err = json.Unmarshal(body, &answer); err == nil && answer.Epoch == 0 {
-				err = ErrNoAnswer
+			err = unmarshal(operation, body, &answer)
+			if err == nil && answer.Epoch == 0 {
+				err = fmt.Errorf("%s: %w: no epoch", operation, ErrNoAnswer)
 			}
 		case err == nil:
-			err = ErrNoAnswer // somebody did write it
+			err = fmt.Errorf("%s: %w: key %q exists", operation, ErrNoAnswer, epochProbeKey)
 		}
 		done(answer.Epoch, err)
-	}})
+	}
+	c.enqueue(p, call)
 }
 
-// ListTarget is the request for a page of keys with a prefix, after since.
+// ListTarget is the request target for a page of the keys with a prefix, after the key since.
 func ListTarget(prefix, since string) string {
 	target := fmt.Sprintf("/store?prefix=%s&limit=%d", url.QueryEscape(prefix), tuning.ListPage)
 	if since != "" {
@@ -64,93 +64,104 @@
 	return target
 }
 
-// WatchTarget is the request for what has changed since an epoch, held so long while
-// nothing has.
+// WatchTarget is the request target for what has changed since an epoch, held for up to hold
+// while nothing has.
 func WatchTarget(since uint64, hold time.Duration) string {
 	return fmt.Sprintf("/follow?prefix=&since=%d&hold_ms=%d", since, hold.Milliseconds())
 }
 
-// List reads a page of keys with a prefix.
+// List reads a page of the keys with a prefix, after the key since ("" for the first page).
 func (c *Client) List(p Priority, prefix, since string, done func(Page, error)) {
-	c.enqueue(p, pendingCall{method: "GET", target: ListTarget(prefix, since), done: func(status int, body []byte, err error) {
+	call := pendingCall{method: http.MethodGet, target: ListTarget(prefix, since)}
+	call.done = func(status int, body []byte, err error) {
 		var page Page
-		if err = c.classify(status, err); err == nil {
-			if jerr := json.Unmarshal(body, &page); jerr != nil {
-				err = fmt.Errorf("%w: %v", ErrNoAnswer, jerr)
-			}
-		}
+		err = c.decode("list keys "+prefix, status, body, err, &page)
 		done(page, err)
-	}})
+	}
+	c.enqueue(p, call)
 }
 
-// Commit runs a transaction. On ErrConflict failed names the keys whose
-// condition did not hold.
+// Commit runs a transaction; epoch is the revision of its writes. On ErrConflict failed names
+// the keys whose preconditions did not hold. On ErrNoAnswer it may still take effect.
 func (c *Client) Commit(p Priority, t Txn, done func(epoch uint64, failed []string, err error)) {
-	if t.body == nil && t.encodeBody() != nil {
-		done(0, nil, ErrRefused)
-		return
-	}
-	for _, w := range t.Writes {
-		kind, _, _ := strings.Cut(w.Put, "/")
-		if w.Remove != "" {
-			kind, _, _ = strings.Cut(w.Remove, "/")
-			kind = "-" + kind
+	const operation = "commit transaction"
+	if t.body == nil {
+		if err := t.encodeBody(); err != nil {
+			done(0, nil, fmt.Errorf("%s: %w: %w", operation, ErrRefused, err))
+			return
 		}
-		c.writeCounts[kind]++
 	}
-	c.enqueue(p, pendingCall{method: "POST", target: "/multi", body: t.body, writes: len(t.Writes), done: func(status int, body []byte, err error) {
-		var answer struct {
-			Epoch  uint64   `json:"epoch"`
-			Failed []string `json:"failed"`
-		}
-		err = c.classify(status, err)
+	c.countWrites(t.Writes)
+	call := pendingCall{method: http.MethodPost, target: "/multi", body: t.body, writes: len(t.Writes)}
+	call.done = func(status int, body []byte, err error) {
+		var answer commitAnswer
+		err = c.classify(operation, status, err)
 		if err == nil || errors.Is(err, ErrConflict) {
-			if jerr := json.Unmarshal(body, &answer); jerr != nil {
-				err = fmt.Errorf("%w: %v", ErrNoAnswer, jerr)
+			if decodeErr := unmarshal(operation, body, &answer); decodeErr != nil {
+				err = decodeErr
 			}
 		}
 		done(answer.Epoch, answer.Failed, err)
-	}})
+	}
+	c.enqueue(p, call)
 }
 
-// GrantLease asks for a lease.
-func (c *Client) GrantLease(ttl time.Duration, done func(hold uint64, err error)) {
-	body := fmt.Appendf(nil, `{"ttl_ms":%d}`, ttl.Milliseconds())
-	c.enqueue(PriorityMembership, pendingCall{method: "POST", target: "/grants", body: body, done: func(status int, body []byte, err error) {
-		var answer struct {
-			Hold uint64 `json:"hold"`
+// countWrites counts writes by the kind of key, the part of it before the first slash.
+func (c *Client) countWrites(writes []Write) {
+	for _, w := range writes {
+		if w.Remove != "" {
+			kind, _, _ := strings.Cut(w.Remove, "/")
+			c.writeCounts["-"+kind]++
+			continue
 		}
-		if err = c.classify(status, err); err == nil {
-			if jerr := json.Unmarshal(body, &answer); jerr != nil || answer.Hold == 0 {
-				err = ErrNoAnswer
-			}
+		kind, _, _ := strings.Cut(w.Put, "/")
+		c.writeCounts[kind]++
+	}
+}
+
+// GrantLease asks for a lease; its ID is never 0 without an error.
+func (c *Client) GrantLease(ttl time.Duration, done func(leaseID uint64, err error)) {
+	const operation = "grant lease"
+	call := pendingCall{
+		method: http.MethodPost,
+		target: "/grants",
+		body:   fmt.Appendf(nil, `{"ttl_ms":%d}`, ttl.Milliseconds()),
+	}
+	call.done = func(status int, body []byte, err error) {
+		var answer leaseAnswer
+		err = c.decode(operation, status, body, err, &answer)
+		if err == nil && answer.LeaseID == 0 {
+			err = fmt.Errorf("%s: %w: no lease ID", operation, ErrNoAnswer)
 		}
-		done(answer.Hold, err)
-	}})
+		done(answer.LeaseID, err)
+	}
+	c.enqueue(PriorityMembership, call)
 }
 
-// RenewLease renews a lease.
-func (c *Client) RenewLease(hold uint64, done func(error)) {
-	c.enqueue(PriorityMembership, pendingCall{method: "POST", target: fmt.Sprintf("/grants/%d/renew", hold), done: func(status int, _ []byte, err error) {
-		done(c.classify(status, err))
-	}})
+// RenewLease renews a lease. ErrGone means that it has expired.
+func (c *Client) RenewLease(leaseID uint64, done func(error)) {
+	call := pendingCall{method: http.MethodPost, target: fmt.Sprintf("/grants/%d/renew", leaseID)}
+	call.done = func(status int, _ []byte, err error) {
+		done(c.classify(fmt.Sprintf("renew lease %d", leaseID), status, err))
+	}
+	c.enqueue(PriorityMembership, call)
 }
 
-// Watch waits for changes after since.
+// Watch waits for changes after the epoch since. ErrGone means that the service no longer
+// knows them and the keys must be listed anew. It leaves at once, whatever the budget.
 func (c *Client) Watch(since uint64, done func(epoch uint64, events []Event, err error)) {
+	const operation = "watch"
 	c.requestTokens--
-	c.watch("GET", WatchTarget(since, c.WatchHold), nil, c.WatchHold+tuning.WatchSlack, func(status int, body []byte, err error) {
+	finish := func(status int, body []byte, err error) {
 		if err != nil {
-			// A held watch that gets no answer says nothing about the service.
-			done(0, nil, ErrNoAnswer)
+			// Not counted as a failure: a held watch without an answer says nothing about
+			// the service.
+			done(0, nil, fmt.Errorf("%s: %w: %w", operation, ErrNoAnswer, err))
 			return
 		}
 		var answer WatchResult
-		if err = c.classify(status, err); err == nil {
-			if jerr := json.Unmarshal(body, &answer); jerr != nil {
-				err = ErrNoAnswer
-			}
-		}
+		err = c.decode(operation, status, body, nil, &answer)
 		done(answer.Epoch, answer.Events, err)
-	})
+	}
+	c.watch(http.MethodGet, WatchTarget(since, c.WatchHold), nil, c.WatchHold+tuning.WatchSlack, finish)
 }
--- a/internal/store/messages.go
+++ b/internal/store/messages.go
@@ -2,6 +2,9 @@
 
 import "encoding/json"
 
+// The tags are the words of the state service's protocol; this file is the one place that
+// maps them.
+
 // Item is a key with its value.
 type Item struct {
 	Key      string          `json:"key"`
@@ -10,13 +13,14 @@
 	LeaseID  uint64          `json:"hold,omitempty"`
 }
 
-// Precondition demands that Key has version Stamp; 0 means absent.
+// Precondition demands that Key is at Revision; 0 demands that it is absent.
 type Precondition struct {
 	Key      string `json:"key"`
 	Revision uint64 `json:"stamp"`
 }
 
-// Write puts or removes a key.
+// Write puts or removes one key: either Put or Remove is set. With a LeaseID the key ends with
+// that lease.
 type Write struct {
 	Put     string          `json:"write,omitempty"`
 	Remove  string          `json:"remove,omitempty"`
@@ -24,15 +28,16 @@
 	LeaseID uint64          `json:"hold,omitempty"`
 }
 
-// Txn is an atomic transaction.
+// Txn is a compare-and-swap: all writes take effect at one revision, or none if one of the
+// preconditions does not hold.
 type Txn struct {
 	Preconditions []Precondition `json:"if"`
 	Writes        []Write        `json:"writes,omitempty"`
 
-	body []byte // as sent, once it was counted
+	body []byte // the request as Limits.Check has measured it, sent as it is
 }
 
-// Event is one change seen by a watch.
+// Event is one change seen by a watch: either Put or Remove is set.
 type Event struct {
 	Put      string          `json:"write"`
 	Remove   string          `json:"remove"`
@@ -47,8 +52,21 @@
 	Epoch   uint64 `json:"epoch"`
 }
 
-// WatchResult is the answer to it.
+// WatchResult is the answer to a watch: the events up to Epoch.
 type WatchResult struct {
 	Epoch  uint64  `json:"epoch"`
 	Events []Event `json:"events"`
 }
+
+type epochAnswer struct {
+	Epoch uint64 `json:"epoch"`
+}
+
+type commitAnswer struct {
+	Epoch  uint64   `json:"epoch"`
+	Failed []string `json:"failed"`
+}
+
+type leaseAnswer struct {
+	LeaseID uint64 `json:"hold"`
+}
