--- a/internal/store/mirror.go
+++ b/internal/store/mirror.go
@@ -8,50 +8,50 @@
 	"strings"
 )
 
-// Mirror is this node's copy of the live keys. It may lag behind the state
-// service, never lead it: only committed values enter it, and every decision
-// made from it carries the stamps it was made from.
+// Mirror is this controller's copy of the live keys. It may lag behind the state service, never
+// lead it: only committed values enter it, and every decision made from it carries the
+// revisions that it was made from.
 type Mirror struct {
 	items map[string]Item
-	// tombstones holds keys removed by our own commits ahead of the watch, so that
-	// an older event still on its way does not bring them back.
+	// tombstones holds the revisions of removals that came by our own commits ahead of the
+	// watch, so that an older event still on its way does not bring the key back.
 	tombstones map[string]uint64
-	// Epoch up to which the watch has been followed.
+	// Epoch is how far the watch has come: all changes up to it are in.
 	Epoch uint64
 	// Changed is called for every change, with a nil value for a removal.
 	Changed func(key string, value json.RawMessage, revision uint64)
-	// Transient, if set, names keys that are only told and not kept: those that
+	// Transient, if set, names keys that are passed on to Changed and not kept: records that
 	// stay in the store for ever would fill the memory.
 	Transient func(key string) bool
 }
 
 // NewMirror makes an empty mirror.
-func NewMirror(changed func(string, json.RawMessage, uint64)) *Mirror {
+func NewMirror(changed func(key string, value json.RawMessage, revision uint64)) *Mirror {
 	return &Mirror{items: map[string]Item{}, tombstones: map[string]uint64{}, Changed: changed}
 }
 
-// Revision is the version of a key, 0 when absent.
+// Revision is the revision of a key, 0 when it is absent.
 func (m *Mirror) Revision(key string) uint64 { return m.items[key].Revision }
 
-// Get returns the value of a key, nil when absent.
+// Get returns the value of a key, nil when it is absent.
 func (m *Mirror) Get(key string) json.RawMessage { return m.items[key].Value }
 
 // Keys lists the keys with a prefix in order.
 func (m *Mirror) Keys(prefix string) []string {
-	var out []string
+	var keys []string
 	for k := range m.items {
 		if strings.HasPrefix(k, prefix) {
-			out = append(out, k)
+			keys = append(keys, k)
 		}
 	}
-	sort.Strings(out)
-	return out
+	sort.Strings(keys)
+	return keys
 }
 
-// Put enters a committed value, unless something as new is there. What is no newer than
-// the watch has come is there already or is gone: the answer to a read or to an own
-// transaction may come after the watch has shown the key's removal, and must not bring it
-// back (docs/incidents/late-answers.md).
+// Put enters a committed value, unless one as new is there. What is no newer than Epoch is
+// there already or is gone: the answer to a read or to an own transaction may come after the
+// watch has shown the key's removal, and must not bring it back
+// (docs/incidents/late-answers.md).
 func (m *Mirror) Put(key string, value json.RawMessage, revision uint64) {
 	if revision <= m.Epoch || m.items[key].Revision >= revision || m.tombstones[key] >= revision {
 		return
@@ -76,12 +76,11 @@
 	}
 }
 
-// ApplyEvents enters what a watch brought. Of one transaction the puts come first: a task
-// that moved from one pack to another must not be gone in between.
+// ApplyEvents enters the events of a watch up to epoch; it sorts them in place. Of one
+// transaction the puts come first: a task that moved from one batch record to another must not
+// be gone in between.
 func (m *Mirror) ApplyEvents(epoch uint64, events []Event) {
-	slices.SortStableFunc(events, func(a, b Event) int {
-		return cmp.Or(cmp.Compare(a.Revision, b.Revision), cmp.Compare(len(a.Remove), 0)-cmp.Compare(len(b.Remove), 0))
-	})
+	slices.SortStableFunc(events, compareEvents)
 	for _, e := range events {
 		if e.Put != "" {
 			m.Put(e.Put, e.Value, e.Revision)
@@ -89,32 +88,38 @@
 			m.Remove(e.Remove, e.Revision)
 		}
 	}
-	if epoch > m.Epoch {
-		m.Epoch = epoch
-	}
-	for k, s := range m.tombstones {
-		if s <= m.Epoch {
-			delete(m.tombstones, k)
+	m.Epoch = max(m.Epoch, epoch)
+	for key, revision := range m.tombstones {
+		if revision <= m.Epoch {
+			delete(m.tombstones, key)
 		}
 	}
 }
 
-// ApplyListing enters a full listing of a prefix that describes the store at or
-// after epoch; keys of the prefix that it lacks are gone.
+// compareEvents orders events by revision, puts before removals.
+func compareEvents(a, b Event) int {
+	if byRevision := cmp.Compare(a.Revision, b.Revision); byRevision != 0 {
+		return byRevision
+	}
+	return cmp.Compare(len(a.Remove), 0) - cmp.Compare(len(b.Remove), 0)
+}
+
+// ApplyListing enters a full listing of a prefix that describes the store at or after epoch;
+// keys of the prefix that it lacks are gone.
 func (m *Mirror) ApplyListing(prefix string, rows []Item, epoch uint64) {
-	have := make(map[string]bool, len(rows))
-	for _, r := range rows {
-		have[r.Key] = true
-		m.Put(r.Key, r.Value, r.Revision)
+	listed := make(map[string]bool, len(rows))
+	for _, row := range rows {
+		listed[row.Key] = true
+		m.Put(row.Key, row.Value, row.Revision)
 	}
-	for _, k := range m.Keys(prefix) {
-		if !have[k] && m.items[k].Revision <= epoch {
-			m.Remove(k, epoch)
+	for _, key := range m.Keys(prefix) {
+		if !listed[key] && m.items[key].Revision <= epoch {
+			m.Remove(key, epoch)
 		}
 	}
 }
 
-// ApplyCommit enters the writes of a transaction that was answered 200.
+// ApplyCommit enters the writes of an own transaction that was answered 200, at its revision.
 func (m *Mirror) ApplyCommit(writes []Write, revision uint64) {
 	for _, w := range writes {
 		if w.Put != "" {
--- a/internal/store/queue.go
+++ b/internal/store/queue.go
@@ -1,6 +1,7 @@
 package store
 
 import (
+	"net/http"
 	"slices"
 	"time"
 
@@ -8,96 +9,110 @@
 )
 
 // Priority orders waiting calls; lower goes first.
-type Priority int
+type Priority uint8
 
-// Priorities: what rules hang on first, then users, then the rest.
+// Priorities: first what the protocol's rules depend on, then users, then the rest.
 const (
-	PriorityMembership Priority = iota
-	PriorityUrgent              // re-reading what is in doubt, and reading the state at a start
-	PriorityUser                // submissions and cancellations
-	PriorityDecision
-	PriorityPoll // answers that a user asks for again by himself
+	PriorityMembership Priority = iota // leases, the view and the fence; exempt from the budget
+	PriorityUrgent                     // re-reading what is in doubt, and reading the state at a start
+	PriorityUser                       // submissions and cancellations
+	PriorityDecision                   // all other transactions
+	PriorityPoll                       // queries that a user repeats by himself
 	priorityLevels
 )
 
+// pendingCall is a call that waits for the budget.
 type pendingCall struct {
-	method, target string
-	body           []byte
-	writes         int
-	sent           func()
-	done           func(int, []byte, error)
-	retries        int // times that it was beyond the limits
+	method  string
+	target  string
+	body    []byte
+	writes  int    // of its transaction, 0 for reads and leases
+	sent    func() // called when the request leaves, if set
+	done    func(status int, body []byte, err error)
+	retries int // times that it was refused with 429
 }
 
-// Dispatch sends what the budget allows by now.
+// Dispatch sends what the budget allows at now. The loop calls it after every event.
 func (c *Client) Dispatch(now time.Time) {
 	c.now = now
-	if c.refilledAt.IsZero() {
-		c.refilledAt = now
-		c.requestTokens, c.writeTokens = c.requestRate/2, c.writeRate/2
-	}
-	c.adaptWriteShare()
-	dt := now.Sub(c.refilledAt).Seconds()
-	c.refilledAt = now
-	c.requestTokens = min(c.requestTokens+dt*c.requestRate, c.requestRate)
-	c.writeTokens = min(c.writeTokens+dt*c.writeRate, c.writeRate)
-	short := false // of writes: what reads only may still pass
-	for p := range c.queues {
-		for i := 0; i < len(c.queues[p]); {
-			q := c.queues[p][i]
+	c.refill()
+	writesExhausted := false
+	for level := range c.queues {
+		priority := Priority(level)
+		for i := 0; i < len(c.queues[priority]); {
+			call := c.queues[priority][i]
 			// Membership may overdraw: a lost lease costs more than a 429.
-			if Priority(p) != PriorityMembership {
+			if priority != PriorityMembership {
 				if c.requestTokens < 1 {
 					return
 				}
-				if q.writes > 0 && (short || c.writeTokens < min(float64(q.writes), c.writeRate)) {
-					// What only reads passes it: the epoch that users' questions wait
-					// for stood behind writes for as long as those were short.
-					short, c.writesLacking = true, true
+				if call.writes > 0 && (writesExhausted || !c.affords(0, call.writes)) {
+					// Reads may pass it: users' questions wait for the epoch, and that
+					// read stood behind writes for as long as those were short. Writes
+					// may not, so that a large transaction is not starved by small ones.
+					writesExhausted = true
+					c.writesLacking = true
 					i++
 					continue
 				}
 			}
-			c.queues[p] = slices.Delete(c.queues[p], i, i+1)
+			c.queues[priority] = slices.Delete(c.queues[priority], i, i+1)
 			c.waiting--
-			c.requestTokens--
-			c.writeTokens -= float64(q.writes)
-			if q.sent != nil {
-				q.sent()
-			}
-			c.send(q.method, q.target, q.body, tuning.StateTimeout, func(status int, body []byte, err error) {
-				if err == nil && status == 429 && q.retries < tuning.Resend {
-					// Not executed, only too early: the budget was planned
-					// wider than the limit.
-					q.retries++
-					c.queues[p] = slices.Insert(c.queues[p], 0, q)
-					c.waiting++
-					if q.writes > 0 {
-						c.rateLimited = true
-						c.writeTokens = min(c.writeTokens, 0)
-					} else {
-						c.requestTokens = min(c.requestTokens, 0)
-					}
-					return
-				}
-				q.done(status, body, err)
-			})
+			c.dispatchCall(priority, call)
 		}
 	}
 }
 
-func (c *Client) enqueue(p Priority, q pendingCall) {
-	limit := tuning.StateQueue
-	if p == PriorityUser || p == PriorityPoll {
-		limit = min(tuning.UserQueue, max(tuning.MinUserQueue, int(c.requestRate*tuning.UserCalls.Seconds())))
+// dispatchCall spends the budget for one call and sends it.
+func (c *Client) dispatchCall(priority Priority, call pendingCall) {
+	c.requestTokens--
+	c.writeTokens -= float64(call.writes)
+	if call.sent != nil {
+		call.sent()
 	}
-	if p != PriorityMembership && len(c.queues[p]) >= limit {
-		// Not an answer of the service: a node that is asked too much must not take
-		// it for down, and send everybody away while it calls itself healthy.
-		q.done(429, nil, nil)
+	done := func(status int, body []byte, err error) {
+		if err == nil && status == http.StatusTooManyRequests && call.retries < tuning.Resend {
+			c.requeue(priority, call)
+			return
+		}
+		call.done(status, body, err)
+	}
+	c.send(call.method, call.target, call.body, tuning.StateTimeout, done)
+}
+
+// requeue puts a call that the service refused with 429 back to the head of its queue. It was
+// not executed, only sent too early: the budget was planned wider than the limit.
+func (c *Client) requeue(priority Priority, call pendingCall) {
+	call.retries++
+	c.queues[priority] = slices.Insert(c.queues[priority], 0, call)
+	c.waiting++
+	if call.writes > 0 {
+		c.rateLimited = true
+		c.writeTokens = min(c.writeTokens, 0)
+	} else {
+		c.requestTokens = min(c.requestTokens, 0)
+	}
+}
+
+// enqueue hands in a call and sends it at once if the budget allows.
+func (c *Client) enqueue(priority Priority, call pendingCall) {
+	if priority != PriorityMembership && len(c.queues[priority]) >= c.queueLimit(priority) {
+		// Answered 429, not as an outage: a controller that is asked too much must not take
+		// the service for down, and refuse every user while it calls itself healthy.
+		call.done(http.StatusTooManyRequests, nil, nil)
 		return
 	}
-	c.queues[p] = append(c.queues[p], q)
+	c.queues[priority] = append(c.queues[priority], call)
 	c.waiting++
 	c.Dispatch(c.now)
 }
+
+// queueLimit is how many calls of a priority may wait. Users' calls are bounded by what the
+// budget serves while a user waits.
+func (c *Client) queueLimit(priority Priority) int {
+	if priority != PriorityUser && priority != PriorityPoll {
+		return tuning.StateQueue
+	}
+	servedInTime := int(c.requestRate * tuning.UserCalls.Seconds())
+	return min(tuning.UserQueue, max(tuning.MinUserQueue, servedInTime))
+}
