--- a/internal/controller/wiring_store.go
+++ b/internal/controller/wiring_store.go
@@ -10,16 +10,19 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// newClient makes the client of the store. Its watch is held no longer than the proof of cancellations allows.
+// newClient makes the client of the state service. Its watch is held for no longer than the
+// acknowledgement of cancellations allows.
 func (n *Controller) newClient() *store.Client {
 	client := store.New(n.transport.State, n.transport.Watch)
-	if held := time.Duration(float64(n.proofWindow()) * tuning.WatchHoldShare); held > 0 {
-		client.WatchHold = min(client.WatchHold, held)
+	watchHold := time.Duration(float64(n.proofWindow()) * tuning.WatchHoldShare)
+	if watchHold > 0 {
+		client.WatchHold = min(client.WatchHold, watchHold)
 	}
 	return client
 }
 
-// proofWindow is how long leases may be renewed after the last proof of cancellations.
+// proofWindow is for how long leases may be renewed after the last proof that no cancellation
+// is missing.
 func (n *Controller) proofWindow() time.Duration {
 	workers := n.settings.Cluster.Workers
 	return cancellation.Window(workers.LeaseS, workers.CancelS)
--- a/internal/store/budget_test.go
+++ b/internal/store/budget_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-func TestBudgetAndPriorities(t *testing.T) {
+func TestDispatchOrdersByPriorityWithinBudget(t *testing.T) {
 	var sent []string
 	call := func(method, target string, _ []byte, _ time.Duration, _ func(int, []byte, error)) {
 		sent = append(sent, target)
@@ -18,14 +18,14 @@
 	c.SetBudget(10, 10, 10)
 	now := time.Unix(0, 0)
 	c.Dispatch(now)
-	nop := func(*Item, error) {}
+	ignore := func(*Item, error) {}
 	for range 8 {
-		c.Get(PriorityUser, "user", nil, nop)
+		c.Get(PriorityUser, "user", nil, ignore)
 	}
 	if len(sent) != 5 {
 		t.Fatalf("half a second's worth at a start: %d", len(sent))
 	}
-	c.Get(PriorityUrgent, "urgent", nil, nop)
+	c.Get(PriorityUrgent, "urgent", nil, ignore)
 	c.RenewLease(1, func(error) {})
 	if sent[len(sent)-1] != "/grants/1/renew" {
 		t.Error("a lease is renewed whatever the budget")
@@ -48,10 +48,10 @@
 	}
 }
 
-func TestCallsBeyondTheLimitsAreSentAgain(t *testing.T) {
-	var dones []func(int, []byte, error)
+func TestRateLimitedCallIsRetried(t *testing.T) {
+	var answers []func(int, []byte, error)
 	call := func(_, _ string, _ []byte, _ time.Duration, done func(int, []byte, error)) {
-		dones = append(dones, done)
+		answers = append(answers, done)
 	}
 	c := New(call, call)
 	c.SetBudget(100, 100, 100)
@@ -59,12 +59,15 @@
 	c.Dispatch(now)
 	var got error
 	ended := 0
-	c.Commit(PriorityUser, Txn{Writes: []Write{{Remove: "k"}}}, func(_ uint64, _ []string, err error) { ended, got = ended+1, err })
+	c.Commit(PriorityUser, Txn{Writes: []Write{{Remove: "k"}}}, func(_ uint64, _ []string, err error) {
+		ended++
+		got = err
+	})
 	for i := range 4 {
-		if len(dones) != i+1 {
-			t.Fatalf("sent %d times, not %d", len(dones), i+1)
+		if len(answers) != i+1 {
+			t.Fatalf("sent %d times, not %d", len(answers), i+1)
 		}
-		dones[i](429, nil, nil)
+		answers[i](429, nil, nil)
 		now = now.Add(time.Second)
 		c.Dispatch(now)
 	}
@@ -73,47 +76,48 @@
 	}
 }
 
-// A node's share of the changes is widened while it wants more and the service
-// refuses none, and given back when it does.
-func TestShareOfWritesAdapts(t *testing.T) {
+// A controller's share of the writes is widened while it wants more and the service refuses
+// none, and given back when it does.
+func TestWriteShareWidensUntilRateLimited(t *testing.T) {
 	status := 200
 	answer := []byte(`{"epoch":1}`)
 	call := func(_, _ string, _ []byte, _ time.Duration, done func(int, []byte, error)) { done(status, answer, nil) }
 	c := New(call, call)
 	c.SetBudget(1000, 10, 60)
 	now := time.Unix(1, 0)
-	second := func() int {
+	txn := Txn{Writes: []Write{{Put: "task/x", Value: json.RawMessage("1")}}}
+	runSecond := func() int {
 		sent := 0
 		for range 100 {
 			now = now.Add(10 * time.Millisecond)
 			c.Dispatch(now)
 			for c.Allows(0, 1) {
-				c.Commit(PriorityDecision, Txn{Writes: []Write{{Put: "task/x", Value: json.RawMessage("1")}}}, func(uint64, []string, error) {})
+				c.Commit(PriorityDecision, txn, func(uint64, []string, error) {})
 				sent++
 			}
 		}
 		return sent
 	}
 	for range 60 {
-		second()
+		runSecond()
 	}
-	if got := second(); got < 55 || got > 61 {
+	if got := runSecond(); got < 55 || got > 61 {
 		t.Errorf("%d writes a second with nobody else, not about 60", got)
 	}
 	status = 429
-	second()
+	runSecond()
 	status = 200
 	for range 3 {
-		second()
+		runSecond()
 	}
-	if got := second(); got > 57 {
+	if got := runSecond(); got > 57 {
 		t.Errorf("%d writes a second soon after a refusal", got)
 	}
 }
 
-// While writes are short, what only reads passes those of its own level: users' questions
-// wait for the epoch, and it is as urgent as many a write.
-func TestReadsPassWritesThatAreShort(t *testing.T) {
+// While the budget of writes is used up, reads pass the writes of their own priority: users'
+// queries wait for the epoch, which is read with the priority of many a write.
+func TestReadsOvertakeWritesWithoutBudget(t *testing.T) {
 	var sent []string
 	call := func(method, target string, _ []byte, _ time.Duration, _ func(int, []byte, error)) {
 		sent = append(sent, method+" "+target)
@@ -121,15 +125,15 @@
 	c := New(call, call)
 	c.SetBudget(100, 10, 10)
 	c.Dispatch(time.Unix(0, 0))
-	writes := func(n int) {
+	commit := func(writes int) {
 		t := Txn{}
-		for i := range n {
+		for i := range writes {
 			t.Writes = append(t.Writes, Write{Put: fmt.Sprint("k", i), Value: json.RawMessage("1")})
 		}
 		c.Commit(PriorityUrgent, t, func(uint64, []string, error) {})
 	}
-	writes(5) // all that there is
-	writes(8)
+	commit(5) // the whole budget
+	commit(8)
 	c.Get(PriorityUrgent, "k", nil, func(*Item, error) {})
 	if len(sent) != 2 || !strings.HasPrefix(sent[1], "GET ") || c.Waiting() != 1 {
 		t.Errorf("sent %v, %d wait", sent, c.Waiting())
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -46,7 +46,7 @@
 	goldentest.JSON(t, "followed-least.json", WatchResult{Events: []Event{}})
 }
 
-// goldenClient sends nothing: it writes calls down and answers with a file.
+// goldenClient makes a client that records its calls and gets one answer to all of them.
 func goldenClient(t *testing.T, status int, answer []byte) (*Client, *bytes.Buffer) {
 	t.Helper()
 	var sent bytes.Buffer
@@ -67,7 +67,8 @@
 	c.ReadEpoch(PriorityDecision, func(uint64, error) {})
 	c.List(PriorityDecision, "job/", "", func(Page, error) {})
 	c.List(PriorityDecision, "job/", "job/wk-1 &", func(Page, error) {})
-	c.Commit(PriorityDecision, Txn{Preconditions: goldenTxn.Preconditions, Writes: goldenTxn.Writes}, func(uint64, []string, error) {})
+	txn := Txn{Preconditions: goldenTxn.Preconditions, Writes: goldenTxn.Writes}
+	c.Commit(PriorityDecision, txn, func(uint64, []string, error) {})
 	c.Commit(PriorityDecision, Txn{}, func(uint64, []string, error) {})
 	c.GrantLease(2500*time.Millisecond, func(uint64, error) {})
 	c.RenewLease(77, func(error) {})
@@ -75,8 +76,7 @@
 	goldentest.Bytes(t, "requests.txt", sent.Bytes())
 }
 
-// TestGoldenAnswers reads answers, of which some have no type of their own, from files
-// that no run writes.
+// TestGoldenAnswers reads answers from files that no run writes.
 func TestGoldenAnswers(t *testing.T) {
 	check := func(name string, got, want any, err, wantErr error) {
 		t.Helper()
@@ -85,7 +85,7 @@
 		}
 	}
 	c, _ := goldenClient(t, 200, goldentest.Read(t, "item.json"))
-	c.Get(PriorityDecision, "job/wk-1", nil, func(it *Item, err error) { check("item", it, &goldenItem, err, nil) })
+	c.Get(PriorityDecision, "job/wk-1", nil, func(item *Item, err error) { check("item", item, &goldenItem, err, nil) })
 	c, _ = goldenClient(t, 200, goldentest.Read(t, "page.json"))
 	c.List(PriorityDecision, "job/", "", func(p Page, err error) {
 		check("page", p, Page{Rows: []Item{goldenItem}, HasNext: true, Epoch: 40}, err, nil)
@@ -101,7 +101,7 @@
 		check("keys of a transaction", failed, []string{"host/a", "job/wk-1"}, err, ErrConflict)
 	})
 	c, _ = goldenClient(t, 200, goldentest.Read(t, "answer-grant.json"))
-	c.GrantLease(time.Second, func(hold uint64, err error) { check("lease", hold, uint64(77), err, nil) })
+	c.GrantLease(time.Second, func(leaseID uint64, err error) { check("lease", leaseID, uint64(77), err, nil) })
 	c, _ = goldenClient(t, 404, goldentest.Read(t, "answer-epoch.json"))
 	c.ReadEpoch(PriorityDecision, func(epoch uint64, err error) { check("epoch", epoch, uint64(43), err, nil) })
 }
