--- a/internal/clusterstate/apply.go
+++ b/internal/clusterstate/apply.go
@@ -8,116 +8,143 @@
 	"github.com/harrierreel/harrierreel/internal/jobs"
 )
 
-// ApplyJob takes a job's record in, nil for one that is gone. One that can't be
-// read counts as gone, and the error says why.
-func (b *State) ApplyJob(jobID string, value json.RawMessage) (err error) {
-	j := b.ensureJob(jobID)
-	var rec *jobs.Record
+// ApplyJob takes in a job's record, nil for one that is gone. One that can't be read counts as
+// gone, and the error says why.
+func (s *State) ApplyJob(jobID string, value json.RawMessage) error {
+	j := s.ensureJob(jobID)
+	var record *jobs.Record
+	var err error
 	if value != nil {
-		if rec, err = jobs.DecodeRecord(jobID, value); err != nil {
-			rec = nil
+		if record, err = jobs.DecodeRecord(jobID, value); err != nil {
+			record = nil
 		}
 	}
 	// What its tasks take and are charged is known from the record only.
 	for _, t := range j.Tasks {
-		b.unindexTask(t)
+		s.unindexTask(t)
 	}
-	j.Record, j.RecordUnreadable = rec, err != nil
+	j.Record = record
+	j.RecordUnreadable = err != nil
 	for _, t := range j.Tasks {
-		b.indexTask(t)
-		b.notifyMachineOf(t)
+		s.indexTask(t)
+		s.notifyMachineOf(t)
 	}
-	b.updateJobIndexes(j)
+	s.updateJobIndexes(j)
 	return err
 }
 
-// ApplyTaskRange takes the record of a slice in. Tasks of which it says nothing
-// new stay as they are. One that can't be read stands for one task that is never
-// placed, and the error says why. It returns the job's uid.
-func (b *State) ApplyTaskRange(key string, value json.RawMessage) (jobID string, err error) {
-	jobID, from, ok := jobs.SplitTaskID(key[len(jobs.TaskPrefix):])
+// ApplyTaskRange takes in the record of a task range, nil for one that is gone. Tasks of which
+// it says nothing new stay as they are. A record that can't be read stands for one unreadable
+// task, and the error says why. It returns the job's ID; key must begin with jobs.TaskPrefix.
+func (s *State) ApplyTaskRange(key string, value json.RawMessage) (jobID string, err error) {
+	jobID, firstIndex, ok := jobs.SplitTaskID(key[len(jobs.TaskPrefix):])
 	if !ok {
-		return "", fmt.Errorf("slice with a strange key %s", key)
+		return "", fmt.Errorf("apply task range: malformed key %q", key)
 	}
-	j := b.ensureJob(jobID)
-	var records []jobs.Task
+	j := s.ensureJob(jobID)
+	var stored []jobs.Task
 	if value != nil {
-		if records, err = jobs.DecodeTaskRange(value); err != nil {
-			// Kept as stopping on no machine: never placed again, never lost.
-			records = []jobs.Task{{State: Unreadable}}
+		if stored, err = jobs.DecodeTaskRange(value); err != nil {
+			stored = []jobs.Task{{State: Unreadable}}
 		}
 	}
-	j.TasksUnreadable = len(records) == 1 && records[0].State == Unreadable
-	sl := j.Ranges[from]
-	if sl == nil {
-		sl = &TaskRecord{Key: key, FirstIndex: from, Job: j}
+	j.TasksUnreadable = len(stored) == 1 && stored[0].State == Unreadable
+	record := j.Ranges[firstIndex]
+	if record == nil {
+		record = &TaskRecord{Key: key, FirstIndex: firstIndex, Job: j}
 	}
-	old := sl.Tasks
-	sl.Tasks = make([]*Task, len(records))
-	for i := range records {
-		if i < len(old) && old[i].Same(&records[i]) {
-			sl.Tasks[i] = old[i]
+	s.replaceRangeTasks(record, stored)
+	if len(stored) > 0 {
+		j.Ranges[firstIndex] = record
+	} else {
+		delete(j.Ranges, firstIndex)
+	}
+	s.updateJobIndexes(j)
+	return jobID, err
+}
+
+// replaceRangeTasks makes a task range hold what is stored of it.
+func (s *State) replaceRangeTasks(record *TaskRecord, stored []jobs.Task) {
+	j := record.Job
+	previous := record.Tasks
+	record.Tasks = make([]*Task, len(stored))
+	for i := range stored {
+		if i < len(previous) && previous[i].Same(&stored[i]) {
+			record.Tasks[i] = previous[i]
 			continue
 		}
-		t := &Task{Task: records[i], ID: jobs.TaskID(jobID, from+i), Index: from + i, Job: j, Stored: sl, Since: b.Now}
-		was := j.Tasks[t.Index]
-		if was != nil {
-			b.unindexTask(was)
-		}
-		j.Tasks[t.Index], sl.Tasks[i] = t, t
-		b.indexTask(t)
-		if was != nil && !t.OnMachine() && t.State != jobs.Finished {
-			b.releaseImage(was)
+		index := record.FirstIndex + i
+		t := &Task{
+			Task:   stored[i],
+			ID:     jobs.TaskID(j.ID, index),
+			Index:  index,
+			Job:    j,
+			Stored: record,
+			Since:  s.Now,
 		}
+		record.Tasks[i] = t
+		s.replaceTask(t)
 	}
-	for i := len(records); i < len(old); i++ {
-		b.unindexTask(old[i])
-		delete(j.Tasks, old[i].Index)
-		j.FirstUnrecorded = min(j.FirstUnrecorded, old[i].Index)
+	for i := len(stored); i < len(previous); i++ {
+		s.unindexTask(previous[i])
+		delete(j.Tasks, previous[i].Index)
+		j.FirstUnrecorded = min(j.FirstUnrecorded, previous[i].Index)
 	}
-	if len(records) > 0 {
-		j.Ranges[from] = sl
-	} else {
-		delete(j.Ranges, from)
+}
+
+// replaceTask enters a task of a task range in the place of what was known of it.
+func (s *State) replaceTask(t *Task) {
+	previous := t.Job.Tasks[t.Index]
+	if previous != nil {
+		s.unindexTask(previous)
+	}
+	t.Job.Tasks[t.Index] = t
+	s.indexTask(t)
+	if previous != nil && !t.OnMachine() && t.State != jobs.Finished {
+		s.releaseImage(previous)
 	}
-	b.updateJobIndexes(j)
-	return jobID, err
 }
 
-// ApplyMachine takes the record of a machine in, nil for one that is gone. owner is
-// the controller that it belongs to. A record that can't be read is an error, and
-// the machine stays as it was.
-func (b *State) ApplyMachine(name, owner string, value json.RawMessage) error {
+// ApplyMachine takes in the record of a machine, nil for one that is gone. owner is the
+// controller that it belongs to. A record that can't be read is an error, and the machine stays
+// as it was.
+func (s *State) ApplyMachine(name, owner string, value json.RawMessage) error {
 	if value == nil {
-		delete(b.Machines, name)
-		b.machinesByName = nil
-		if u := b.Usages[name]; u != nil && u.Allocations == 0 {
-			delete(b.Usages, name)
-		}
-		delete(b.Images, name)
+		s.removeMachine(name)
 		return nil
 	}
-	h, err := fleet.Decode(value)
+	record, err := fleet.Decode(value)
 	if err != nil {
-		return err
+		return fmt.Errorf("apply machine %s: %w", name, err)
 	}
-	m := b.Machines[name]
+	m := s.Machines[name]
 	if m == nil {
-		m = &Machine{Name: name, Owner: owner, Usage: b.usageOf(name)}
-		b.Machines[name] = m
-		b.machinesByName = nil
+		m = &Machine{Name: name, Owner: owner, Usage: s.usageOf(name)}
+		s.Machines[name] = m
+		s.machinesByName = nil
 	}
-	if m.State != h.State {
-		m.Since = b.Now
+	if m.State != record.State {
+		m.Since = s.Now
 	}
-	m.MachineRecord = *h
+	m.MachineRecord = *record
 	return nil
 }
 
-// ApplyClaims takes in which machines are claimed. Of a value that cannot be read
-// nothing counts: the leader writes it anew.
-func (b *State) ApplyClaims(value json.RawMessage) error {
+// removeMachine drops a machine. Its usage stays while something is allocated on it.
+func (s *State) removeMachine(name string) {
+	delete(s.Machines, name)
+	s.machinesByName = nil
+	if usage := s.Usages[name]; usage != nil && usage.Allocations == 0 {
+		delete(s.Usages, name)
+	}
+	delete(s.Images, name)
+}
+
+// ApplyClaims takes in which machines are claimed. Of a value that cannot be read nothing
+// counts: the leader writes it anew.
+func (s *State) ApplyClaims(value json.RawMessage) error {
 	claims, err := fleet.DecodeClaims(value)
-	b.MachineClaims, b.ClaimedBy = claims, claims.ByMachine()
+	s.MachineClaims = claims
+	s.ClaimedBy = claims.ByMachine()
 	return err
 }
--- a/internal/clusterstate/batches.go
+++ b/internal/clusterstate/batches.go
@@ -8,116 +8,145 @@
 	"github.com/harrierreel/harrierreel/internal/taskbatch"
 )
 
-// ApplyBatch takes a pack in, with the stamp of that version of it; nil for one that
-// is gone. Tasks of which it says nothing new stay as they are, also when they come
-// from another pack. Of one that can't be read every task that it held, or may
-// hold, is set aside, and the error says why. It returns the jobs with changed tasks.
-func (b *State) ApplyBatch(key string, value json.RawMessage, revision uint64) (jobIDs []string, err error) {
-	sl := b.Batches[key]
-	if sl == nil {
-		sl = &TaskRecord{Key: key}
+// ApplyBatch takes in a batch record at its revision, nil for one that is gone. Tasks of which
+// it says nothing new stay as they are, also when they come from another batch record. Of one
+// that can't be read every task that it held, or may hold, is quarantined, and the error says
+// why. It returns the jobs with changed tasks, sorted.
+func (s *State) ApplyBatch(key string, value json.RawMessage, revision uint64) (jobIDs []string, err error) {
+	record := s.Batches[key]
+	if record == nil {
+		record = &TaskRecord{Key: key}
 	}
-	delete(b.quarantinedBatches, key)
-	if revision != b.movingRevision {
-		b.movingRevision = revision
-		clear(b.movingTasks)
+	delete(s.quarantinedBatches, key)
+	if revision != s.movingRevision {
+		s.movingRevision = revision
+		clear(s.movingTasks)
 	}
-	var es []taskbatch.Entry
+	var entries []taskbatch.Entry
 	if value != nil {
-		if es, err = taskbatch.Decode(value); err != nil {
-			es = b.quarantineBatch(sl, value)
+		if entries, err = taskbatch.Decode(value); err != nil {
+			entries = s.quarantineBatch(record, value)
 		}
 	}
+	record.Revision = revision
+	changed := s.replaceBatchTasks(record, entries)
+	s.Batches[key] = record
+	if value == nil {
+		delete(s.Batches, key)
+	}
+	for j := range changed {
+		jobIDs = append(jobIDs, j.ID)
+		s.updateJobIndexes(j)
+	}
+	slices.Sort(jobIDs)
+	return jobIDs, err
+}
+
+// replaceBatchTasks makes a batch record hold the tasks of entries and returns the jobs whose
+// tasks changed.
+func (s *State) replaceBatchTasks(record *TaskRecord, entries []taskbatch.Entry) map[*Job]bool {
 	changed := map[*Job]bool{}
-	old := sl.Tasks
-	sl.Revision, sl.Tasks = revision, make([]*Task, 0, len(es))
-	b.batchReads++
-	for i := range es {
-		if t := b.taskFromBatch(sl, &es[i], changed); t != nil {
-			t.batchRead = b.batchReads
-			sl.Tasks = append(sl.Tasks, t)
+	previous := record.Tasks
+	record.Tasks = make([]*Task, 0, len(entries))
+	s.batchReads++
+	for i := range entries {
+		if t := s.taskFromBatch(record, &entries[i], changed); t != nil {
+			t.batchRead = s.batchReads
+			record.Tasks = append(record.Tasks, t)
 		}
 	}
-	for _, t := range old {
-		if t.batchRead != b.batchReads && sl.Holds(t) {
-			b.unindexTask(t)
+	for _, t := range previous {
+		if t.batchRead != s.batchReads && record.Holds(t) {
+			s.unindexTask(t)
 			delete(t.Job.Tasks, t.Index)
-			b.movingTasks[t.ID] = t
+			s.movingTasks[t.ID] = t
 			t.Job.FirstUnrecorded = min(t.Job.FirstUnrecorded, t.Index)
 			changed[t.Job] = true
 		}
 	}
-	if b.Batches[key] = sl; value == nil {
-		delete(b.Batches, key)
-	}
-	for j := range changed {
-		jobIDs = append(jobIDs, j.ID)
-		b.updateJobIndexes(j)
-	}
-	slices.Sort(jobIDs)
-	return jobIDs, err
+	return changed
 }
 
-// isLaterAttempt tells whether of two records of a task the first must be the later one.
+// isLaterAttempt tells whether of two records of a task a must be the later one.
 func isLaterAttempt(a, b *jobs.Task) bool {
-	if done := a.State == jobs.Finished; done != (b.State == jobs.Finished) {
-		return done
+	if finished := a.State == jobs.Finished; finished != (b.State == jobs.Finished) {
+		return finished
 	}
 	return a.Attempt > b.Attempt
 }
 
-// taskFromBatch is the task of an entry of a pack, nil if a later version of another pack
-// is known to hold it. Where packs are read one after the other, a task that moved
-// meanwhile is in an old version of the one and in the new of the other: the change
-// that moved it is at least as late as the one and later than the other.
-func (b *State) taskFromBatch(sl *TaskRecord, e *taskbatch.Entry, changed map[*Job]bool) *Task {
-	j := b.ensureJob(e.JobID)
-	t := j.Tasks[e.Index]
-	if t != nil && t.Stored != sl && t.Stored.IsBatch() {
-		// Tries only grow. A transaction that is carried out once more, after the pack
-		// that it began was removed, brings the pack back with what was true then.
-		if isLaterAttempt(&t.Task, &e.Task) || !isLaterAttempt(&e.Task, &t.Task) && t.Stored.Revision > sl.Revision {
-			return nil
-		}
+// heldByLaterBatch tells whether an entry of a batch record is outdated: the task is known from
+// another batch record that is later.
+//
+// Where batch records are read one after the other, a task that moved meanwhile is in an old
+// version of the one and in the new version of the other: the transaction that moved it is at
+// least as late as the one and later than the other. Attempts come first, since they only grow:
+// a transaction that is carried out once more, after the batch record that it began was
+// removed, brings that record back with what was true then, at a later revision.
+func heldByLaterBatch(known *Task, record *TaskRecord, entry *taskbatch.Entry) bool {
+	if known.Stored == record || !known.Stored.IsBatch() {
+		return false
 	}
-	if t != nil && t.Same(&e.Task) {
-		t.Stored = sl
-		return t
+	if isLaterAttempt(&known.Task, &entry.Task) {
+		return true
 	}
-	if t != nil {
-		b.unindexTask(t)
+	return !isLaterAttempt(&entry.Task, &known.Task) && known.Stored.Revision > record.Revision
+}
+
+// taskFromBatch is the task of an entry of a batch record, nil if a later version of another
+// batch record is known to hold it. It enters the job in changed if the task changed.
+func (s *State) taskFromBatch(record *TaskRecord, entry *taskbatch.Entry, changed map[*Job]bool) *Task {
+	j := s.ensureJob(entry.JobID)
+	known := j.Tasks[entry.Index]
+	if known != nil {
+		if heldByLaterBatch(known, record, entry) {
+			return nil
+		}
+		if known.Same(&entry.Task) {
+			known.Stored = record
+			return known
+		}
+		s.unindexTask(known)
 	}
 	changed[j] = true
-	taskID := jobs.TaskID(e.JobID, e.Index)
-	if moved := b.movingTasks[taskID]; t == nil && moved != nil && moved.Job == j && moved.Same(&e.Task) {
-		moved.Stored, j.Tasks[e.Index] = sl, moved
-		b.indexTask(moved)
-		return moved
+	taskID := jobs.TaskID(entry.JobID, entry.Index)
+	t := s.movingTasks[taskID]
+	if known == nil && t != nil && t.Job == j && t.Same(&entry.Task) {
+		t.Stored = record
+	} else {
+		t = &Task{
+			Task:   entry.Task,
+			ID:     taskID,
+			Index:  entry.Index,
+			Job:    j,
+			Stored: record,
+			Since:  s.Now,
+		}
 	}
-	t = &Task{Task: e.Task, ID: taskID, Index: e.Index, Job: j, Stored: sl, Since: b.Now}
-	j.Tasks[e.Index] = t
-	b.indexTask(t)
+	j.Tasks[entry.Index] = t
+	s.indexTask(t)
 	return t
 }
 
-// quarantineBatch notes that a pack can't be read. What it held before is kept as unreadable:
-// never placed again, never lost.
-func (b *State) quarantineBatch(sl *TaskRecord, value json.RawMessage) []taskbatch.Entry {
+// quarantineBatch notes that a batch record can't be read. It returns what it held before as
+// unreadable tasks: never placed again, never lost.
+func (s *State) quarantineBatch(record *TaskRecord, value json.RawMessage) []taskbatch.Entry {
 	jobIDs, _ := taskbatch.JobIDs(value)
-	b.quarantinedBatches[sl.Key] = jobIDs
-	var es []taskbatch.Entry
-	for _, t := range sl.Tasks {
-		if sl.Holds(t) {
-			es = append(es, taskbatch.Entry{JobID: t.Job.ID, Index: t.Index, Task: jobs.Task{State: Unreadable, Attempt: t.Attempt}})
+	s.quarantinedBatches[record.Key] = jobIDs
+	var entries []taskbatch.Entry
+	for _, t := range record.Tasks {
+		if record.Holds(t) {
+			unreadable := jobs.Task{State: Unreadable, Attempt: t.Attempt}
+			entries = append(entries, taskbatch.Entry{JobID: t.Job.ID, Index: t.Index, Task: unreadable})
 		}
 	}
-	return es
+	return entries
 }
 
-// MayBeQuarantined tells whether a pack that can't be read may hold tasks of a job: nobody
-// knows which, so none may be begun that has no record.
-func (b *State) MayBeQuarantined(jobID string) bool {
-	for _, jobIDs := range b.quarantinedBatches {
+// MayBeQuarantined tells whether a batch record that can't be read may hold tasks of a job:
+// nobody knows which, so none may be begun that has no record.
+func (s *State) MayBeQuarantined(jobID string) bool {
+	for _, jobIDs := range s.quarantinedBatches {
 		if jobIDs == nil || slices.Contains(jobIDs, jobID) {
 			return true
 		}
@@ -125,12 +154,18 @@
 	return false
 }
 
-// Obsolete tells whether a task's record in a pack is of no more use, as it is.
+// Obsolete tells whether a task's present record in a batch record is of no more use; known is
+// as for ObsoleteAs.
 func (t *Task) Obsolete(known uint64) bool { return t.ObsoleteAs(&t.Task, known) }
 
-// ObsoleteAs tells whether a record of a task in a pack would be of no more use: its job's
-// record is gone and it is on no machine. That a job is unknown proves that it is over only
-// where all is known up to the pack's own stamp, for its record came before.
-func (t *Task) ObsoleteAs(rec *jobs.Task, known uint64) bool {
-	return t.Job.Record == nil && !t.Job.RecordUnreadable && !rec.OnMachine() && rec.State != Unreadable && t.Stored.Revision <= known
+// ObsoleteAs tells whether a record of a task in its batch record would be of no more use: its
+// job's record is gone and it is on no machine. known is the revision up to which all records
+// are known: that a job is unknown proves that it is over only if known has reached the batch
+// record's revision, for the job's record came before.
+func (t *Task) ObsoleteAs(record *jobs.Task, known uint64) bool {
+	return t.Job.Record == nil &&
+		!t.Job.RecordUnreadable &&
+		!record.OnMachine() &&
+		record.State != Unreadable &&
+		t.Stored.Revision <= known
 }
--- a/internal/clusterstate/images.go
+++ b/internal/clusterstate/images.go
@@ -6,34 +6,46 @@
 )
 
 // HasImage tells whether a machine probably holds an image.
-func (b *State) HasImage(machine, image string) bool { return b.Images.Has(machine, image) }
+func (s *State) HasImage(machine, image string) bool { return s.Images.Has(machine, image) }
 
-// noteImage notes that a task's image is on its machine.
-func (b *State) noteImage(t *Task) {
-	m := b.Machines[t.Machine]
+// noteImage notes that a task's image is on its machine, or is being pulled to it.
+func (s *State) noteImage(t *Task) {
+	m := s.Machines[t.Machine]
 	if t.Job.Record == nil || m == nil {
 		return
 	}
-	cache := 0.0
-	image := fleet.Image{Name: t.Job.Record.Spec.Image, GB: t.Job.Record.Spec.ImageGB, Since: b.Now, Ready: b.Now}
-	if build := b.MachineTypes[m.MachineType]; build != nil {
-		cache = build.CacheGB
-		if build.ImageGBPerS > 0 {
-			image.Ready = b.Now.Add(jobs.Seconds(image.GB / build.ImageGBPerS))
-		}
+	spec := &t.Job.Record.Spec
+	cacheGB := 0.0
+	if machineType := s.MachineTypes[m.MachineType]; machineType != nil {
+		cacheGB = machineType.CacheGB
+	}
+	s.Images.Add(t.Machine, fleet.Image{
+		Name:  spec.Image,
+		GB:    spec.ImageGB,
+		Since: s.Now,
+		Ready: s.Now.Add(jobs.Seconds(s.pullSeconds(spec.ImageGB, m))),
+	}, cacheGB)
+}
+
+// pullSeconds is how long a machine takes to pull an image, 0 if its rate is unknown.
+func (s *State) pullSeconds(imageGB float64, m *Machine) float64 {
+	machineType := s.MachineTypes[m.MachineType]
+	if machineType == nil || machineType.ImageGBPerS <= 0 {
+		return 0
 	}
-	b.Images.Add(t.Machine, image, cache)
+	return imageGB / machineType.ImageGBPerS
 }
 
 // releaseImage notes that a task that is not done has left its machine.
-func (b *State) releaseImage(t *Task) {
+func (s *State) releaseImage(t *Task) {
 	if t.Job.Record == nil || !t.OnMachine() {
 		return
 	}
-	for _, o := range b.TasksOnMachine[t.Machine] {
-		if o.Job.Record != nil && o.Job.Record.Spec.Image == t.Job.Record.Spec.Image {
+	image := t.Job.Record.Spec.Image
+	for _, other := range s.TasksOnMachine[t.Machine] {
+		if other.Job.Record != nil && other.Job.Record.Spec.Image == image {
 			return
 		}
 	}
-	b.Images.Release(t.Machine, t.Job.Record.Spec.Image, b.Now)
+	s.Images.Release(t.Machine, image, s.Now)
 }
--- a/internal/clusterstate/index.go
+++ b/internal/clusterstate/index.go
@@ -5,60 +5,73 @@
 	"github.com/harrierreel/harrierreel/internal/sharding"
 )
 
-func (b *State) ensureJob(jobID string) *Job {
-	j := b.Jobs[jobID]
+// ensureJob is the job with an ID, begun if need be; updateJobIndexes drops it again if nothing
+// is known of it.
+func (s *State) ensureJob(jobID string) *Job {
+	j := s.Jobs[jobID]
 	if j == nil {
-		j = &Job{ID: jobID, Ranges: map[int]*TaskRecord{}, Tasks: map[int]*Task{}, Active: map[int]*Task{}, Retrying: map[int]*Task{}}
-		b.Jobs[jobID] = j
+		j = &Job{
+			ID:       jobID,
+			Ranges:   map[int]*TaskRecord{},
+			Tasks:    map[int]*Task{},
+			Active:   map[int]*Task{},
+			Retrying: map[int]*Task{},
+		}
+		s.Jobs[jobID] = j
 	}
 	return j
 }
 
-// updateJobIndexes enters a job in the lists that passes go by.
-func (b *State) updateJobIndexes(j *Job) {
+// updateJobIndexes enters a job in the lists that scheduling cycles go by.
+func (s *State) updateJobIndexes(j *Job) {
 	live := j.Record != nil && j.Record.State == jobs.Live
-	enter := func(list map[string]*Job, in bool) {
-		if in {
-			list[j.ID] = j
-		} else {
-			delete(list, j.ID)
-		}
-	}
-	// A gang completes together: one done means every one is.
-	complete := live && j.Record.Spec.Kind != jobs.Service && (j.DoneCount >= j.Record.Spec.TaskCount || (j.Record.Spec.Kind == jobs.Gang && j.DoneCount > 0))
-	enter(b.Complete, complete)
-	enter(b.Queued, live && !complete && len(j.Active)+j.DoneCount < j.Record.Spec.TaskCount)
-	enter(b.Closed, j.Record != nil && !live)
+	complete := live && j.allTasksDone()
+	queued := live && !complete && len(j.Active)+j.DoneCount < j.Record.Spec.TaskCount
+	setMember(s.Complete, j, complete)
+	setMember(s.Queued, j, queued)
+	setMember(s.Closed, j, j.Record != nil && !live)
 	if j.Record == nil && len(j.Tasks) == 0 && len(j.Ranges) == 0 {
-		delete(b.Jobs, j.ID)
+		delete(s.Jobs, j.ID)
+	}
+}
+
+// allTasksDone tells whether a job whose record is known has nothing left to do. A gang
+// completes together: one task done means that every one is.
+func (j *Job) allTasksDone() bool {
+	spec := &j.Record.Spec
+	switch spec.Kind {
+	case jobs.Service:
+		return false
+	case jobs.Gang:
+		return j.DoneCount >= spec.TaskCount || j.DoneCount > 0
+	default:
+		return j.DoneCount >= spec.TaskCount
+	}
+}
+
+func setMember(set map[string]*Job, j *Job, member bool) {
+	if member {
+		set[j.ID] = j
+	} else {
+		delete(set, j.ID)
 	}
 }
 
-// indexTask enters a task in the lists by state, takes its room and charges it.
-func (b *State) indexTask(t *Task) {
+// indexTask enters a task in the indexes by state, allocates its resources and charges it.
+// unindexTask undoes it; between the two neither the task's record nor its job's may change.
+func (s *State) indexTask(t *Task) {
 	t.Resources = sharding.Resources{}
 	if t.Job.Record != nil {
 		t.Resources = t.Job.Record.Spec.Resources()
 	}
 	switch t.State {
 	case jobs.Placed, jobs.Stopping:
-		m := b.TasksOnMachine[t.Machine]
-		if m == nil {
-			m = map[string]*Task{}
-			b.TasksOnMachine[t.Machine] = m
-		}
-		m[t.ID] = t
-		t.Job.PlacedCount++
-		b.countPriority(t, 1)
-		t.Job.Active[t.Index] = t
-		b.AllocateResources(t.Machine, t.Resources)
-		b.noteImage(t)
-		b.notifyMachineOf(t)
+		s.indexPlacedTask(t)
 	case jobs.Released:
-		b.Released[t.ID] = t
+		s.Released[t.ID] = t
 		t.Job.Active[t.Index] = t
-		if t.PreferredMachine != "" && !t.PreferenceReleased {
-			b.AllocateResources(t.PreferredMachine, t.Resources)
+		if t.holdsPreference() {
+			s.AllocateResources(t.PreferredMachine, t.Resources)
 		}
 	case Unreadable:
 		t.Job.Active[t.Index] = t
@@ -67,43 +80,54 @@
 	case jobs.Finished:
 		t.Job.DoneCount++
 	}
-	b.charge(t, 1)
+	s.charge(t, 1)
+}
+
+func (s *State) indexPlacedTask(t *Task) {
+	tasks := s.TasksOnMachine[t.Machine]
+	if tasks == nil {
+		tasks = map[string]*Task{}
+		s.TasksOnMachine[t.Machine] = tasks
+	}
+	tasks[t.ID] = t
+	t.Job.PlacedCount++
+	s.countPriority(t, 1)
+	t.Job.Active[t.Index] = t
+	s.AllocateResources(t.Machine, t.Resources)
+	s.noteImage(t)
+	s.notifyMachineOf(t)
 }
 
-func (b *State) unindexTask(t *Task) {
-	b.charge(t, -1)
-	b.notifyMachineOf(t)
+// unindexTask undoes indexTask.
+func (s *State) unindexTask(t *Task) {
+	s.charge(t, -1)
+	s.notifyMachineOf(t)
 	delete(t.Job.Active, t.Index)
 	delete(t.Job.Retrying, t.Index)
 	switch t.State {
 	case jobs.Placed, jobs.Stopping:
-		delete(b.TasksOnMachine[t.Machine], t.ID)
-		if len(b.TasksOnMachine[t.Machine]) == 0 {
-			delete(b.TasksOnMachine, t.Machine)
+		delete(s.TasksOnMachine[t.Machine], t.ID)
+		if len(s.TasksOnMachine[t.Machine]) == 0 {
+			delete(s.TasksOnMachine, t.Machine)
 		}
 		t.Job.PlacedCount--
-		b.countPriority(t, -1)
-		b.FreeResources(t.Machine, t.Resources)
+		s.countPriority(t, -1)
+		s.FreeResources(t.Machine, t.Resources)
 	case jobs.Released:
-		delete(b.Released, t.ID)
-		if t.PreferredMachine != "" && !t.PreferenceReleased {
-			b.FreeResources(t.PreferredMachine, t.Resources)
+		delete(s.Released, t.ID)
+		if t.holdsPreference() {
+			s.FreeResources(t.PreferredMachine, t.Resources)
 		}
 	case jobs.Finished:
 		t.Job.DoneCount--
-	}
-}
-
-// countPriority counts tasks on machines by the rank of their job.
-func (b *State) countPriority(t *Task, k int) {
-	if t.Job.Record != nil {
-		b.PlacedByPriority[t.Job.Record.Spec.PriorityOrder()] += k
+	case jobs.Pending, Unreadable:
+		// In no other index.
 	}
 }
 
 // notifyMachineOf tells that something changed on a task's machine.
-func (b *State) notifyMachineOf(t *Task) {
+func (s *State) notifyMachineOf(t *Task) {
 	if t.Machine != "" {
-		b.machineChanged(t.Machine)
+		s.machineChanged(t.Machine)
 	}
 }
--- a/internal/clusterstate/state.go
+++ b/internal/clusterstate/state.go
@@ -1,7 +1,8 @@
-// Package clusterstate holds what is known from the records in the state service: jobs,
-// slices, tasks and machines, and what follows from them, kept up with each
-// change: room taken, what teams are charged, which jobs wait. Only changes of the
-// mirror and reservations write it; others read it. It has no IO and no clock.
+// Package clusterstate holds what one controller knows from the records in the state service:
+// jobs, their tasks and machines, and what follows from them, kept up with each change:
+// resources taken, what teams are charged, which jobs wait. Only changes of the mirror and
+// reservations write it; others read it. It has no IO and no clock, and belongs to the
+// controller's event loop: nothing is safe for concurrent use.
 package clusterstate
 
 import (
@@ -15,71 +16,89 @@
 	"github.com/harrierreel/harrierreel/internal/quota"
 )
 
-// State is what one controller knows from the records.
+// State is what one controller knows from the records. The maps are indexes: only this package
+// may change them, and Audit recounts them.
 type State struct {
-	Now              time.Time // of the event under way; whoever hands it in sets it
-	Jobs             map[string]*Job
-	Machines         map[string]*Machine
-	TasksOnMachine   map[string]map[string]*Task // machine to tasks on it
+	Now  time.Time // of the event under way; whoever hands the event in sets it
+	Jobs map[string]*Job
+	// Queued, Complete and Closed are disjoint parts of Jobs.
+	Queued   map[string]*Job // live, with tasks that wait
+	Complete map[string]*Job // live, with all tasks done
+	Closed   map[string]*Job // ended, records to be cleared
+
+	TasksOnMachine   map[string]map[string]*Task // by machine, then by task ID
 	Released         map[string]*Task
-	PlacedByPriority [jobs.Priorities]int // tasks on machines by rank
-	Usages           map[string]*Usage
-	Account          *quota.Account // what is charged: records and decisions under way
-	MachineTypes     map[string]*jobs.MachineType
-	Queued           map[string]*Job // live jobs with tasks that wait
-	Complete         map[string]*Job // live jobs whose tasks are done
-	Closed           map[string]*Job // ended jobs whose records are to be cleared
-	Reservations     map[string]Reservation
-	Images           fleet.Images
-	Batches          map[string]*TaskRecord
-	MachineClaims    fleet.Claims      // machines claimed for gangs, by job
-	ClaimedBy        map[string]string // the same by machine
-	// Unresponsive is by owner the machines that it does not hear.
+	PlacedByPriority [jobs.Priorities]int // tasks on machines by their job's priority
+
+	Machines      map[string]*Machine
+	MachineTypes  map[string]*jobs.MachineType
+	Usages        map[string]*Usage // by machine, also of machines that are not known
+	Images        fleet.Images
+	MachineClaims fleet.Claims      // machines claimed for gangs, by job
+	ClaimedBy     map[string]string // the same by machine
+	// Unresponsive is by controller the machines that it gets no heartbeats from.
 	Unresponsive map[string]fleet.UnresponsiveSet
 
-	// quarantinedBatches is the packs that cannot be read, with the jobs whose tasks they hold,
-	// none if not even that is known.
+	Account      *quota.Account         // what is charged: records and decisions under way
+	Reservations map[string]Reservation // by task ID
+
+	Batches map[string]*TaskRecord // by key
+	// quarantinedBatches is by key the batch records that cannot be read, with the jobs whose
+	// tasks they hold; no jobs if not even those are known.
 	quarantinedBatches map[string][]string
-	batchReads         uint64 // of packs so far
-	// movingTasks is the tasks that packs of one transaction no longer hold: another pack of
-	// the same transaction may be read after them.
+	batchReads         uint64 // batch records applied so far
+	// movingTasks is the tasks that batch records of one transaction no longer hold: another
+	// record of the same transaction, applied after them, may hold them.
 	movingTasks    map[string]*Task
-	movingRevision uint64
+	movingRevision uint64 // of that transaction
 
-	machinesByName []*Machine // by name, nil when it must be sorted anew
-	// machineChanged is told of each machine on which something changed.
+	machinesByName []*Machine // sorted, nil when it must be sorted anew
+	// machineChanged is called for each machine on which something changed.
 	machineChanged func(machine string)
 }
 
-// New makes an empty book. happened is told of each machine on which something
+// New makes an empty state. machineChanged is called for each machine on which something
 // changed.
-func New(tree *quota.Tree, happened func(machine string)) *State {
+func New(tree *quota.Tree, machineChanged func(machine string)) *State {
 	return &State{
-		Jobs: map[string]*Job{}, Machines: map[string]*Machine{}, TasksOnMachine: map[string]map[string]*Task{}, Released: map[string]*Task{},
-		Usages: map[string]*Usage{}, Account: quota.NewAccount(tree), MachineTypes: map[string]*jobs.MachineType{},
-		Queued: map[string]*Job{}, Complete: map[string]*Job{}, Closed: map[string]*Job{}, Reservations: map[string]Reservation{},
-		Images: fleet.Images{}, Batches: map[string]*TaskRecord{}, Unresponsive: map[string]fleet.UnresponsiveSet{}, quarantinedBatches: map[string][]string{}, movingTasks: map[string]*Task{}, machineChanged: happened,
+		Jobs:               map[string]*Job{},
+		Queued:             map[string]*Job{},
+		Complete:           map[string]*Job{},
+		Closed:             map[string]*Job{},
+		TasksOnMachine:     map[string]map[string]*Task{},
+		Released:           map[string]*Task{},
+		Machines:           map[string]*Machine{},
+		MachineTypes:       map[string]*jobs.MachineType{},
+		Usages:             map[string]*Usage{},
+		Images:             fleet.Images{},
+		Unresponsive:       map[string]fleet.UnresponsiveSet{},
+		Account:            quota.NewAccount(tree),
+		Reservations:       map[string]Reservation{},
+		Batches:            map[string]*TaskRecord{},
+		quarantinedBatches: map[string][]string{},
+		movingTasks:        map[string]*Task{},
+		machineChanged:     machineChanged,
 	}
 }
 
-// SortedKeys lists a map's keys in order: what a look decides must not hang on the order
-// that a map happens to have.
+// SortedKeys lists a map's keys in order: no decision may depend on the order that a map
+// happens to have.
 func SortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
-// NowMs is the time of day of the event under way, in ms.
-func (b *State) NowMs() int64 { return b.Now.UnixMilli() }
+// NowMs is the time of day of the event under way, in ms since 1970.
+func (s *State) NowMs() int64 { return s.Now.UnixMilli() }
 
-// QuotaLeaf is the node of the quotas' tree that a job's tasks are charged to.
-func (b *State) QuotaLeaf(s *jobs.Spec) int { return b.Account.Tree().Leaf(s.QuotaKey()) }
+// QuotaLeaf is the node of the quota tree that a job's tasks are charged to.
+func (s *State) QuotaLeaf(spec *jobs.Spec) int { return s.Account.Tree().Leaf(spec.QuotaKey()) }
 
-// MachinesByName lists the machines in order.
-func (b *State) MachinesByName() []*Machine {
-	if b.machinesByName == nil {
-		b.machinesByName = make([]*Machine, 0, len(b.Machines))
-		for _, m := range b.Machines {
-			b.machinesByName = append(b.machinesByName, m)
+// MachinesByName lists the machines in order. Callers must not change the list.
+func (s *State) MachinesByName() []*Machine {
+	if s.machinesByName == nil {
+		s.machinesByName = make([]*Machine, 0, len(s.Machines))
+		for _, m := range s.Machines {
+			s.machinesByName = append(s.machinesByName, m)
 		}
-		slices.SortFunc(b.machinesByName, func(a, b *Machine) int { return strings.Compare(a.Name, b.Name) })
+		slices.SortFunc(s.machinesByName, func(a, b *Machine) int { return strings.Compare(a.Name, b.Name) })
 	}
-	return b.machinesByName
+	return s.machinesByName
 }
--- a/internal/clusterstate/usage.go
+++ b/internal/clusterstate/usage.go
@@ -1,104 +1,121 @@
 package clusterstate
 
 import (
-	"github.com/harrierreel/harrierreel/internal/jobs"
 	"github.com/harrierreel/harrierreel/internal/quota"
 	"github.com/harrierreel/harrierreel/internal/sharding"
 )
 
-// Usage is the room taken on a machine: by tasks on it, by released tasks that
-// the leader has room in mind for, and by decisions under way.
+// Usage is what is taken of a machine: by tasks on it, by released tasks that prefer it, and by
+// decisions under way.
 type Usage struct {
 	Resources   sharding.Resources
-	Allocations int
+	Allocations int // how many of those there are
 }
 
-// Reservation is a release or placement whose transaction runs: it takes room
-// on its machine, counts for its zone and is charged to its team already.
+// Reservation is a release or placement whose transaction runs: it takes resources on its
+// machine, counts for its zone and is charged to its team already.
 type Reservation struct {
 	Task      *Task
 	Machine   string
 	Zone      string
 	Resources sharding.Resources
-	QuotaKey  quota.Key // charged, if any
+	QuotaKey  quota.Key // charged by this reservation; no team if the task is charged already
 	Amount    quota.Amount
 }
 
 // usageOf is a machine's usage, begun if need be.
-func (b *State) usageOf(machine string) *Usage {
-	u := b.Usages[machine]
-	if u == nil {
-		u = &Usage{}
-		b.Usages[machine] = u
+func (s *State) usageOf(machine string) *Usage {
+	usage := s.Usages[machine]
+	if usage == nil {
+		usage = &Usage{}
+		s.Usages[machine] = usage
 	}
-	return u
+	return usage
 }
 
-func (b *State) AllocateResources(machine string, need sharding.Resources) {
-	u := b.usageOf(machine)
-	u.Resources = u.Resources.Add(need)
-	u.Allocations++
+// AllocateResources counts resources as taken on a machine until FreeResources with the same
+// amount.
+func (s *State) AllocateResources(machine string, need sharding.Resources) {
+	usage := s.usageOf(machine)
+	usage.Resources = usage.Resources.Add(need)
+	usage.Allocations++
 }
 
-// FreeResources gives room back; a machine that holds nothing starts from zero again,
-// so that rounding does not add up.
-func (b *State) FreeResources(machine string, need sharding.Resources) {
-	u := b.usageOf(machine)
-	u.Resources = u.Resources.Sub(need)
-	if u.Allocations--; u.Allocations <= 0 {
-		*u = Usage{}
-		if b.Machines[machine] == nil {
-			delete(b.Usages, machine)
-		}
+// FreeResources undoes one AllocateResources. A machine without allocations starts from zero
+// again, so that rounding errors do not add up.
+func (s *State) FreeResources(machine string, need sharding.Resources) {
+	usage := s.usageOf(machine)
+	usage.Resources = usage.Resources.Sub(need)
+	usage.Allocations--
+	if usage.Allocations > 0 {
+		return
+	}
+	*usage = Usage{}
+	if s.Machines[machine] == nil {
+		delete(s.Usages, machine)
 	}
 }
 
-// UsedResources is the room taken on a machine.
-func (b *State) UsedResources(machine string) sharding.Resources {
-	if u := b.Usages[machine]; u != nil {
-		return u.Resources
+// UsedResources is what is taken of a machine.
+func (s *State) UsedResources(machine string) sharding.Resources {
+	if usage := s.Usages[machine]; usage != nil {
+		return usage.Resources
 	}
 	return sharding.Resources{}
 }
 
-// Reserve books what a decision under way will take.
-func (b *State) Reserve(t *Task, machine, zone string) {
-	b.Unreserve(t.ID)
+// Reserve counts what a decision under way will take. It replaces an earlier reservation for
+// the task; Unreserve ends it.
+func (s *State) Reserve(t *Task, machine, zone string) {
+	s.Unreserve(t.ID)
 	spec := &t.Job.Record.Spec
-	r := Reservation{Task: t, Machine: machine, Zone: zone, Resources: spec.Resources()}
-	// A release under way is in no job's active tasks yet; left out here, the
-	// next pass would give its share away a second time.
+	reservation := Reservation{Task: t, Machine: machine, Zone: zone, Resources: spec.Resources()}
+	// A release under way is not among its job's active tasks yet; left out here, the next
+	// scheduling cycle would give its share away a second time.
 	if t.Job.Active[t.Index] == nil {
-		r.QuotaKey, r.Amount = spec.QuotaKey(), spec.Amount()
-		b.Account.Charge(r.QuotaKey, r.Amount, 1)
+		reservation.QuotaKey = spec.QuotaKey()
+		reservation.Amount = spec.Amount()
+		s.Account.Charge(reservation.QuotaKey, reservation.Amount, 1)
 	}
-	b.Reservations[t.ID] = r
-	b.AllocateResources(machine, r.Resources)
-	if t.State == jobs.Released && t.PreferredMachine != "" && !t.PreferenceReleased {
+	s.Reservations[t.ID] = reservation
+	s.AllocateResources(machine, reservation.Resources)
+	if t.holdsPreference() {
 		t.PreferenceReleased = true
-		b.FreeResources(t.PreferredMachine, t.Resources)
+		s.FreeResources(t.PreferredMachine, t.Resources)
 	}
 }
 
-func (b *State) Unreserve(taskID string) {
-	r, ok := b.Reservations[taskID]
+// Unreserve ends the reservation for a task, if there is one, once its transaction is answered.
+func (s *State) Unreserve(taskID string) {
+	reservation, ok := s.Reservations[taskID]
 	if !ok {
 		return
 	}
-	delete(b.Reservations, taskID)
-	b.FreeResources(r.Machine, r.Resources)
-	if t := r.Task; t.PreferenceReleased && t.Job.Tasks[t.Index] == t {
-		t.PreferenceReleased = false // not placed: the leader's booking stands again
-		b.AllocateResources(t.PreferredMachine, t.Resources)
+	delete(s.Reservations, taskID)
+	s.FreeResources(reservation.Machine, reservation.Resources)
+	if t := reservation.Task; t.PreferenceReleased && t.Job.Tasks[t.Index] == t {
+		t.PreferenceReleased = false // not placed: the leader's preference holds again
+		s.AllocateResources(t.PreferredMachine, t.Resources)
+	}
+	if reservation.QuotaKey.Team != "" {
+		s.Account.Charge(reservation.QuotaKey, reservation.Amount, -1)
 	}
-	if r.QuotaKey.Team != "" {
-		b.Account.Charge(r.QuotaKey, r.Amount, -1)
+}
+
+// countsAsActive tells whether a task is charged to its team: it is released, may be on a
+// machine, or cannot be read.
+func (t *Task) countsAsActive() bool { return t.Charged() || t.State == Unreadable }
+
+// charge adds (times = 1) or takes back (times = -1) what a task is charged.
+func (s *State) charge(t *Task, times int) {
+	if t.Job.Record != nil && t.countsAsActive() {
+		s.Account.Charge(t.Job.Record.Spec.QuotaKey(), t.Job.Record.Spec.Amount(), times)
 	}
 }
 
-// charge books a task that is released or may be on a machine.
-func (b *State) charge(t *Task, k int) {
-	if t.Job.Record != nil && (t.Charged() || t.State == Unreadable) {
-		b.Account.Charge(t.Job.Record.Spec.QuotaKey(), t.Job.Record.Spec.Amount(), k)
+// countPriority counts tasks on machines by the priority of their job.
+func (s *State) countPriority(t *Task, times int) {
+	if t.Job.Record != nil {
+		s.PlacedByPriority[t.Job.Record.Spec.PriorityOrder()] += times
 	}
 }
