--- a/internal/clusterstate/audit.go
+++ b/internal/clusterstate/audit.go
@@ -10,80 +10,143 @@
 	"github.com/harrierreel/harrierreel/internal/sharding"
 )
 
-// Audit counts again, from the records alone, what is kept up with each change,
-// and reports what differs. The scenarios run it; it looks at everything.
-func (b *State) Audit() []string {
-	var out []string
-	room := map[string]sharding.Resources{}
-	account := quota.NewAccount(b.Account.Tree())
-	var onRank [jobs.Priorities]int
-	book := func(machine string, need sharding.Resources) { room[machine] = room[machine].Add(need) }
-	for jobID, j := range b.Jobs {
-		done, on, active := 0, 0, 0
-		for _, sl := range j.Ranges {
-			for i, t := range sl.Tasks {
-				if j.Tasks[sl.FirstIndex+i] != t || t.Stored != sl || t.Index != sl.FirstIndex+i {
-					out = append(out, fmt.Sprintf("%s: task %d is not where its slice has it", jobID, sl.FirstIndex+i))
-				}
-			}
-		}
-		for n, t := range j.Tasks {
-			if t.Index != n || t.Job != j || !slices.Contains(t.Stored.Tasks, t) || t.Stored.IsBatch() && b.Batches[t.Stored.Key] != t.Stored {
-				out = append(out, fmt.Sprintf("%s: task %d is not in its slice %s", jobID, n, t.Stored.Key))
-			}
-			switch {
-			case t.OnMachine():
-				on++
-				if j.Record != nil {
-					onRank[j.Record.Spec.PriorityOrder()]++
-				}
-				book(t.Machine, t.Resources)
-			case t.State == jobs.Released && t.PreferredMachine != "" && !t.PreferenceReleased:
-				book(t.PreferredMachine, t.Resources)
-			case t.State == jobs.Finished:
-				done++
-			}
-			if t.Charged() || t.State == Unreadable {
-				active++
+// Audit counts again, from the records alone, what is kept up with each change, and reports
+// what differs. The scenarios and the check of snapshots run it, no live controller does, since
+// it looks at everything.
+func (s *State) Audit() []string {
+	a := audit{
+		state:   s,
+		used:    map[string]sharding.Resources{},
+		account: quota.NewAccount(s.Account.Tree()),
+	}
+	for _, j := range s.Jobs {
+		a.checkTaskRanges(j)
+		a.checkTasks(j)
+		a.checkJob(j)
+	}
+	if a.placedByPriority != s.PlacedByPriority {
+		a.report("%v tasks on machines by priority, kept %v", a.placedByPriority, s.PlacedByPriority)
+	}
+	a.countReservations()
+	a.checkUsages()
+	a.checkAccount()
+	return a.findings
+}
+
+// audit is what was counted so far.
+type audit struct {
+	state            *State
+	findings         []string
+	used             map[string]sharding.Resources // by machine
+	account          *quota.Account
+	placedByPriority [jobs.Priorities]int
+}
+
+func (a *audit) report(format string, args ...any) {
+	a.findings = append(a.findings, fmt.Sprintf(format, args...))
+}
+
+func (a *audit) allocate(machine string, need sharding.Resources) {
+	a.used[machine] = a.used[machine].Add(need)
+}
+
+// checkTaskRanges checks that each task of a range is known under its index.
+func (a *audit) checkTaskRanges(j *Job) {
+	for _, record := range j.Ranges {
+		for i, t := range record.Tasks {
+			index := record.FirstIndex + i
+			if j.Tasks[index] != t || t.Stored != record || t.Index != index {
+				a.report("%s: task %d is not where its task range has it", j.ID, index)
 			}
 		}
-		if done != j.DoneCount || on != j.PlacedCount || active != len(j.Active) {
-			out = append(out, fmt.Sprintf("%s: %d done, %d on machines, %d active; kept %d, %d, %d", jobID, done, on, active, j.DoneCount, j.PlacedCount, len(j.Active)))
+	}
+}
+
+// checkTasks checks that each task is in the record that it is stored in, and counts it.
+func (a *audit) checkTasks(j *Job) {
+	doneCount, placedCount, activeCount := 0, 0, 0
+	for index, t := range j.Tasks {
+		if t.Index != index || t.Job != j || !a.isStored(t) {
+			a.report("%s: task %d is not in its record %s", j.ID, index, t.Stored.Key)
 		}
-		if j.Record == nil {
-			continue
+		switch {
+		case t.OnMachine():
+			placedCount++
+			if j.Record != nil {
+				a.placedByPriority[j.Record.Spec.PriorityOrder()]++
+			}
+			a.allocate(t.Machine, t.Resources)
+		case t.holdsPreference():
+			a.allocate(t.PreferredMachine, t.Resources)
+		case t.State == jobs.Finished:
+			doneCount++
 		}
-		account.Charge(j.Record.Spec.QuotaKey(), j.Record.Spec.Amount(), active)
-		if live := j.Record.State == jobs.Live; live == (b.Closed[jobID] != nil) {
-			out = append(out, fmt.Sprintf("%s: live %v, but closed %v", jobID, live, b.Closed[jobID] != nil))
+		if t.countsAsActive() {
+			activeCount++
 		}
 	}
-	if onRank != b.PlacedByPriority {
-		out = append(out, fmt.Sprintf("%v tasks on machines by rank, kept %v", onRank, b.PlacedByPriority))
+	if doneCount != j.DoneCount || placedCount != j.PlacedCount || activeCount != len(j.Active) {
+		a.report("%s: %d done, %d on machines, %d active; kept %d, %d, %d",
+			j.ID, doneCount, placedCount, activeCount, j.DoneCount, j.PlacedCount, len(j.Active))
+	}
+	if j.Record != nil {
+		a.account.Charge(j.Record.Spec.QuotaKey(), j.Record.Spec.Amount(), activeCount)
+	}
+}
+
+// isStored tells whether a task's record lists it and, if that is a batch record, is known.
+func (a *audit) isStored(t *Task) bool {
+	record := t.Stored
+	return slices.Contains(record.Tasks, t) && (!record.IsBatch() || a.state.Batches[record.Key] == record)
+}
+
+// checkJob checks that a job is among the closed ones exactly if it has ended.
+func (a *audit) checkJob(j *Job) {
+	if j.Record == nil {
+		return
+	}
+	live, closed := j.Record.State == jobs.Live, a.state.Closed[j.ID] != nil
+	if live == closed {
+		a.report("%s: live %v, but closed %v", j.ID, live, closed)
 	}
-	for _, r := range b.Reservations {
-		book(r.Machine, r.Resources)
+}
+
+func (a *audit) countReservations() {
+	for _, r := range a.state.Reservations {
+		a.allocate(r.Machine, r.Resources)
 		if r.QuotaKey.Team != "" {
-			account.Charge(r.QuotaKey, r.Amount, 1)
+			a.account.Charge(r.QuotaKey, r.Amount, 1)
 		}
 	}
-	for machine, u := range b.Usages {
-		if !near(room[machine].Cores, u.Resources.Cores) || !near(room[machine].Accelerators, u.Resources.Accelerators) || !near(room[machine].MemoryGB, u.Resources.MemoryGB) {
-			out = append(out, fmt.Sprintf("%s: %v used, kept %v", machine, room[machine], u.Resources))
+}
+
+func (a *audit) checkUsages() {
+	for machine, usage := range a.state.Usages {
+		if !near(a.used[machine], usage.Resources) {
+			a.report("%s: %v used, kept %v", machine, a.used[machine], usage.Resources)
 		}
-		delete(room, machine)
+		delete(a.used, machine)
 	}
-	for machine, r := range room {
-		if r != (sharding.Resources{}) {
-			out = append(out, fmt.Sprintf("%s: %v used, none kept", machine, r))
+	for machine, used := range a.used {
+		if used != (sharding.Resources{}) {
+			a.report("%s: %v used, none kept", machine, used)
 		}
 	}
-	for i, path := range b.Account.Tree().Paths() {
-		if got, kept := account.Used(i), b.Account.Used(i); got != kept {
-			out = append(out, fmt.Sprintf("node %q: %s charged, kept %s", path, got, kept))
+}
+
+func (a *audit) checkAccount() {
+	kept := a.state.Account
+	for i, path := range kept.Tree().Paths() {
+		if a.account.Used(i) != kept.Used(i) {
+			a.report("node %q: %s charged, kept %s", path, a.account.Used(i), kept.Used(i))
 		}
 	}
-	return out
 }
 
-func near(a, b float64) bool { return math.Abs(a-b) < 1e-6 }
+// near tells whether resources are the same but for rounding errors.
+func near(a, b sharding.Resources) bool {
+	const tolerance = 1e-6
+	return math.Abs(a.Cores-b.Cores) < tolerance &&
+		math.Abs(a.Accelerators-b.Accelerators) < tolerance &&
+		math.Abs(a.MemoryGB-b.MemoryGB) < tolerance
+}
