--- a/internal/store/mirror_test.go
+++ b/internal/store/mirror_test.go
@@ -10,14 +10,14 @@
 // newTestMirror makes a mirror and the values that its changes add up to.
 func newTestMirror(t *testing.T) (*Mirror, map[string]string) {
 	t.Helper()
-	seen := map[string]string{}
+	values := map[string]string{}
 	return NewMirror(func(key string, value json.RawMessage, _ uint64) {
 		if value == nil {
-			delete(seen, key)
+			delete(values, key)
 		} else {
-			seen[key] = string(value)
+			values[key] = string(value)
 		}
-	}), seen
+	}), values
 }
 
 func putEvent(key, value string, revision uint64) Event {
@@ -25,30 +25,30 @@
 }
 
 func TestOwnCommitAheadOfWatchIsKept(t *testing.T) {
-	m, seen := newTestMirror(t)
+	m, values := newTestMirror(t)
 	m.ApplyEvents(5, []Event{putEvent("k", "1", 5)})
 	m.ApplyCommit([]Write{{Remove: "k"}}, 9)
 	m.ApplyEvents(7, []Event{putEvent("k", "2", 7)})
-	if _, ok := seen["k"]; ok {
+	if _, ok := values["k"]; ok {
 		t.Error("an older event brought a removed key back")
 	}
 	m.ApplyEvents(9, []Event{{Remove: "k", Revision: 9}})
 	m.ApplyEvents(11, []Event{putEvent("k", "3", 11)})
-	if seen["k"] != "3" {
-		t.Errorf("%v", seen)
+	if values["k"] != "3" {
+		t.Errorf("%v", values)
 	}
 	m.Put("k", json.RawMessage("old"), 4)
-	if seen["k"] != "3" || m.Revision("k") != 11 {
+	if values["k"] != "3" || m.Revision("k") != 11 {
 		t.Error("an older value replaced a newer one")
 	}
 }
 
 func TestListingRemovesAbsentKeys(t *testing.T) {
-	m, seen := newTestMirror(t)
+	m, values := newTestMirror(t)
 	m.ApplyEvents(5, []Event{putEvent("a/1", "1", 4), putEvent("a/2", "1", 5)})
 	m.ApplyListing("a/", []Item{{Key: "a/2", Value: json.RawMessage("2"), Revision: 6}}, 8)
-	if _, ok := seen["a/1"]; ok || seen["a/2"] != "2" {
-		t.Errorf("%v", seen)
+	if _, ok := values["a/1"]; ok || values["a/2"] != "2" {
+		t.Errorf("%v", values)
 	}
 }
 
@@ -80,12 +80,12 @@
 // What the watch has passed is here or gone: an answer that comes later, to a read or to an own
 // transaction, brings nothing back.
 func TestLateAnswerDoesNotRestoreRemovedKey(t *testing.T) {
-	m, seen := newTestMirror(t)
+	m, values := newTestMirror(t)
 	m.ApplyEvents(7, []Event{putEvent("job/a", "1", 5), {Remove: "job/a", Revision: 7}})
 	m.Put("job/a", json.RawMessage("1"), 5)
 	m.ApplyCommit([]Write{{Put: "job/a", Value: json.RawMessage("1")}}, 5)
-	if len(seen) != 0 || m.Revision("job/a") != 0 {
-		t.Errorf("%v came back", seen)
+	if len(values) != 0 || m.Revision("job/a") != 0 {
+		t.Errorf("%v came back", values)
 	}
 	if m.Put("job/b", json.RawMessage("1"), 8); m.Revision("job/b") != 8 {
 		t.Error("a change that the watch has yet to show was dropped")
