--- a/internal/taskbatch/batch.go
+++ b/internal/taskbatch/batch.go
@@ -1,59 +1,108 @@
-// Package taskbatch is the form of packs: values of the state service that hold the
-// records of many jobs' tasks, so that one change says what has become of all of
-// them. A pack is JSON with the jobs' names in the clear and the tasks packed:
-// protobuf's wire format, so that later versions may add fields, compressed with
-// zstd, which brings a checksum (XXH64). No IO, no clock.
+// Package taskbatch is the form of batch records: values of the state service that hold the
+// records of many jobs' tasks, so that one write says what has become of all of them. A batch
+// record is JSON with the jobs' IDs in the clear and the tasks packed: protobuf's wire format,
+// so that later versions may add fields, compressed with zstd, which brings a checksum (XXH64).
+// No IO, no clock.
 package taskbatch
 
 import (
 	"cmp"
 	"encoding/json"
 	"errors"
+	"fmt"
 	"slices"
 	"strings"
 
 	"github.com/klauspost/compress/zstd"
+	"google.golang.org/protobuf/encoding/protowire"
 
 	"github.com/harrierreel/harrierreel/internal/compression"
 	"github.com/harrierreel/harrierreel/internal/jobs"
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// KeyPrefix is that of packs' keys in the state service. They are listed after jobs.
+// KeyPrefix begins the keys of batch records in the state service. They are listed after jobs.
 const KeyPrefix = "pack/"
 
-// FormatVersion is the newest form of packs that this program reads and writes.
+// FormatVersion is the newest form of batch records that this program reads and writes.
 const FormatVersion = 1
 
-// Entry is the record of one task in a pack.
+// ErrMalformed means that a batch record, or a part of it, cannot be read.
+var ErrMalformed = errors.New("malformed batch record")
+
+// VersionError is a batch record of a form that this program does not know.
+type VersionError struct {
+	Version int
+}
+
+// Error names the version.
+func (e *VersionError) Error() string {
+	return fmt.Sprintf("batch record of unknown version %d", e.Version)
+}
+
+// Entry is the record of one task in a batch record.
 type Entry struct {
 	JobID string
-	Index int // of the job's tasks
+	Index int // among the job's tasks, from 0
 	Task  jobs.Task
 }
 
-// Sort puts entries in the order of packs: by job, then by number.
-func Sort(es []Entry) {
-	slices.SortFunc(es, compare)
+// Sort puts entries in the order of batch records: by job, then by index.
+func Sort(entries []Entry) {
+	slices.SortFunc(entries, compare)
 }
 
 func compare(a, b Entry) int {
 	return cmp.Or(strings.Compare(a.JobID, b.JobID), cmp.Compare(a.Index, b.Index))
 }
 
-// stored is a pack as stored. The jobs' names stand in the clear, so that of a pack
+// stored is a batch record as stored. The jobs' IDs stand in the clear, so that of a record
 // whose rest cannot be read it is still known whose tasks it holds.
 type stored struct {
 	Version int    `json:"v"`
-	Jobs    string `json:"jobs"` // their uids, with spaces between
-	Tasks   string `json:"z"`
+	Jobs    string `json:"jobs"` // their IDs, separated by spaces
+	Tasks   string `json:"z"`    // fields as below, compressed, in base64
 }
 
-// JobIDs lists the jobs whose tasks a pack holds, also of one whose rest can't be read;
+// Fields of the packed form. Field numbers are never used for something else.
+const (
+	fieldName protowire.Number = 1 // of a machine, zone or controller; tasks name it by its position
+	fieldTask protowire.Number = 2
+)
+
+// taskField is a field of one task. Numbers are never used for something else.
+type taskField protowire.Number
+
+// Fields of a task. Names are positions in the list of names, from 1; 0 is none.
+const (
+	taskJob        taskField = 1 // position in the list of jobs, from 0
+	taskIndex      taskField = 2
+	taskState      taskField = 3 // position in states
+	taskController taskField = 4
+	taskZone       taskField = 5
+	taskPreferred  taskField = 6
+	taskMachine    taskField = 7
+	taskAttempt    taskField = 8
+	taskFailures   taskField = 9
+	taskFailedOn   taskField = 10 // repeated
+	taskNotBefore  taskField = 11 // ms since 1970
+	taskReason     taskField = 12 // the text itself
+)
+
+// states numbers the states of tasks in batch records; new ones are added at the end.
+var states = []jobs.TaskState{jobs.Pending, jobs.Released, jobs.Placed, jobs.Stopping, jobs.Finished}
+
+// zstdCodec is the compressor and decompressor of all batch records.
+var zstdCodec = compression.New(
+	tuning.MaxUnpacked,
+	append(slices.Clone(compression.SmallRecords), zstd.WithEncoderLevel(zstd.SpeedFastest))...,
+)
+
+// JobIDs lists the jobs whose tasks a batch record holds, also of one whose rest can't be read;
 // false if not even they can be told.
-func JobIDs(v json.RawMessage) ([]string, bool) {
+func JobIDs(value json.RawMessage) ([]string, bool) {
 	var s stored
-	if json.Unmarshal(v, &s) != nil {
+	if json.Unmarshal(value, &s) != nil {
 		return nil, false
 	}
 	return s.jobIDs()
@@ -71,29 +120,3 @@
 	}
 	return jobIDs, true
 }
-
-var errMalformed = errors.New("a pack that can't be read")
-
-// Fields of the packed form. Field numbers are never used for something else.
-const (
-	fieldName = 1 // of a machine, zone or controller; tasks name them by their place, from 1
-	fieldTask = 2
-
-	taskJob        = 1 // place in the list of jobs, from 0
-	taskIndex      = 2
-	taskState      = 3
-	taskController = 4
-	taskZone       = 5
-	taskPreferred  = 6
-	taskMachine    = 7
-	taskAttempt    = 8
-	taskFailures   = 9
-	taskFailedOn   = 10
-	taskNotBefore  = 11
-	taskReason     = 12
-)
-
-// states numbers the states in packs; new ones are added at the end.
-var states = []jobs.TaskState{jobs.Pending, jobs.Released, jobs.Placed, jobs.Stopping, jobs.Finished}
-
-var zstdCoder = compression.New(tuning.MaxUnpacked, append(slices.Clone(compression.SmallRecords), zstd.WithEncoderLevel(zstd.SpeedFastest))...)
--- a/internal/taskbatch/decode.go
+++ b/internal/taskbatch/decode.go
@@ -11,148 +11,210 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Decode reads a pack and checks it. Unknown fields are ignored; an unknown version
-// is an error.
-func Decode(v json.RawMessage) ([]Entry, error) {
+const (
+	// entryBytes is about what a task takes unpacked, names and all.
+	entryBytes = 18
+	// maxNames is how many names a batch record may hold: four a task.
+	maxNames = 4 * tuning.MaxBatchTasks
+	// maxFailures and maxNotBeforeMs keep what is read within the types of jobs.Task.
+	maxFailures    = 1 << 31
+	maxNotBeforeMs = 1 << 62
+)
+
+// Decode reads a batch record and checks it. Unknown fields are ignored; an unknown version is a
+// *VersionError, anything else wraps ErrMalformed.
+func Decode(value json.RawMessage) ([]Entry, error) {
 	var s stored
-	if err := json.Unmarshal(v, &s); err != nil {
-		return nil, err
+	if err := json.Unmarshal(value, &s); err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	if s.Version != FormatVersion {
-		return nil, fmt.Errorf("unknown version %d of a pack", s.Version)
+		return nil, &VersionError{Version: s.Version}
 	}
 	jobIDs, ok := s.jobIDs()
 	if !ok {
-		return nil, errMalformed
+		return nil, fmt.Errorf("%w: list of jobs", ErrMalformed)
 	}
-	z, err := base64.StdEncoding.DecodeString(s.Tasks)
+	packed, err := unpack(s.Tasks)
 	if err != nil {
 		return nil, err
 	}
-	_, dec := zstdCoder()
-	b, err := dec.DecodeAll(z, nil)
-	if err != nil {
-		return nil, err
+	d := decoder{
+		jobIDs:  jobIDs,
+		entries: make([]Entry, 0, min(len(packed)/entryBytes+1, tuning.MaxBatchTasks)),
 	}
-	d := decoder{jobIDs: jobIDs, out: make([]Entry, 0, min(len(b)/entryBytes+1, tuning.MaxBatchTasks))}
-	for len(b) > 0 {
-		if b, err = d.field(b); err != nil {
+	for len(packed) > 0 {
+		if packed, err = d.field(packed); err != nil {
 			return nil, err
 		}
 	}
-	if len(d.out) == 0 {
-		return nil, errMalformed
+	if len(d.entries) == 0 {
+		return nil, fmt.Errorf("%w: no tasks", ErrMalformed)
 	}
-	return d.out, nil
+	return d.entries, nil
 }
 
-// entryBytes is about what a task takes unpacked, names and all.
-const entryBytes = 18
+// unpack undoes base64 and compression, and so checks the checksum.
+func unpack(tasks string) ([]byte, error) {
+	compressed, err := base64.StdEncoding.DecodeString(tasks)
+	if err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
+	}
+	_, decompressor := zstdCodec()
+	packed, err := decompressor.DecodeAll(compressed, nil)
+	if err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
+	}
+	return packed, nil
+}
 
-// decoder is what was read of a pack so far.
+// decoder is what was read of a batch record so far.
 type decoder struct {
-	jobIDs, names []string
-	out           []Entry
+	jobIDs  []string
+	names   []string
+	entries []Entry
 }
 
+// field reads one field of the packed form and returns what follows it.
 func (d *decoder) field(b []byte) ([]byte, error) {
-	num, typ, n := protowire.ConsumeTag(b)
+	number, wireType, n := protowire.ConsumeTag(b)
 	if n < 0 {
-		return nil, errMalformed
+		return nil, fmt.Errorf("%w: tag", ErrMalformed)
 	}
 	b = b[n:]
-	if typ != protowire.BytesType || num != fieldName && num != fieldTask {
-		if n = protowire.ConsumeFieldValue(num, typ, b); n < 0 {
-			return nil, errMalformed
-		}
-		return b[n:], nil
+	if wireType != protowire.BytesType || number != fieldName && number != fieldTask {
+		return skipField(b, number, wireType)
 	}
-	v, n := protowire.ConsumeBytes(b)
-	if n < 0 || len(d.out) >= tuning.MaxBatchTasks || len(d.names) >= 4*tuning.MaxBatchTasks {
-		return nil, errMalformed
+	value, n := protowire.ConsumeBytes(b)
+	if n < 0 {
+		return nil, fmt.Errorf("%w: field %d", ErrMalformed, number)
 	}
-	if num == fieldName {
-		d.names = append(d.names, string(v))
+	if len(d.entries) >= tuning.MaxBatchTasks || len(d.names) >= maxNames {
+		return nil, fmt.Errorf("%w: too many tasks or names", ErrMalformed)
+	}
+	if number == fieldName {
+		d.names = append(d.names, string(value))
 		return b[n:], nil
 	}
-	e, err := d.task(v)
+	entry, err := d.entry(value)
 	if err != nil {
 		return nil, err
 	}
-	if k := len(d.out); k > 0 && (d.out[k-1].JobID > e.JobID || d.out[k-1].JobID == e.JobID && d.out[k-1].Index >= e.Index) {
-		return nil, errMalformed // a task twice, or out of order
+	if k := len(d.entries); k > 0 && compare(d.entries[k-1], entry) >= 0 {
+		return nil, fmt.Errorf("%w: task %s twice or out of order", ErrMalformed, jobs.TaskID(entry.JobID, entry.Index))
 	}
-	d.out = append(d.out, e)
+	d.entries = append(d.entries, entry)
 	return b[n:], nil
 }
 
-// task reads one task's record.
-func (d *decoder) task(b []byte) (Entry, error) {
-	var job, n, state, fails, after uint64
-	var e Entry
-	t := &e.Task
-	ok := true
-	name := func(v uint64) string {
-		if v == 0 || v > uint64(len(d.names)) {
-			ok = false
-			return ""
-		}
-		return d.names[v-1]
+// skipField skips the value of an unknown field.
+func skipField(b []byte, number protowire.Number, wireType protowire.Type) ([]byte, error) {
+	n := protowire.ConsumeFieldValue(number, wireType, b)
+	if n < 0 {
+		return nil, fmt.Errorf("%w: field %d", ErrMalformed, number)
 	}
+	return b[n:], nil
+}
+
+// entry reads one task's record.
+func (d *decoder) entry(b []byte) (Entry, error) {
+	t := taskDecoder{names: d.names}
+	var err error
 	for len(b) > 0 {
-		num, typ, k := protowire.ConsumeTag(b)
-		if k < 0 {
-			return e, errMalformed
-		}
-		b = b[k:]
-		if num == taskReason && typ == protowire.BytesType {
-			v, k := protowire.ConsumeString(b)
-			if k < 0 {
-				return e, errMalformed
-			}
-			t.Reason, b = v, b[k:]
-			continue
+		if b, err = t.field(b); err != nil {
+			return Entry{}, err
 		}
-		if typ != protowire.VarintType {
-			if k = protowire.ConsumeFieldValue(num, typ, b); k < 0 {
-				return e, errMalformed
-			}
-			b = b[k:]
-			continue
-		}
-		v, k := protowire.ConsumeVarint(b)
-		if k < 0 {
-			return e, errMalformed
+	}
+	if t.outOfRange || t.job >= uint64(len(d.jobIDs)) || t.state >= uint64(len(states)) {
+		return Entry{}, fmt.Errorf("%w: position of a name, job or state", ErrMalformed)
+	}
+	if t.index >= jobs.MaxTasks || t.failures > maxFailures || t.notBeforeMs > maxNotBeforeMs {
+		return Entry{}, fmt.Errorf("%w: number out of range", ErrMalformed)
+	}
+	t.task.State = states[t.state]
+	t.task.Failures = int(t.failures)
+	t.task.NotBeforeMs = int64(t.notBeforeMs)
+	entry := Entry{JobID: d.jobIDs[t.job], Index: int(t.index), Task: t.task}
+	if err := entry.Task.Check(); err != nil {
+		return Entry{}, fmt.Errorf("%w: task %s: %w", ErrMalformed, jobs.TaskID(entry.JobID, entry.Index), err)
+	}
+	return entry, nil
+}
+
+// taskDecoder is what was read of a task so far; numbers are unchecked.
+type taskDecoder struct {
+	names      []string
+	outOfRange bool // a name's position was
+
+	task        jobs.Task
+	job         uint64 // position in the list of jobs
+	index       uint64
+	state       uint64 // position in states
+	failures    uint64
+	notBeforeMs uint64
+}
+
+// field reads one field of a task and returns what follows it.
+func (t *taskDecoder) field(b []byte) ([]byte, error) {
+	number, wireType, n := protowire.ConsumeTag(b)
+	if n < 0 {
+		return nil, fmt.Errorf("%w: tag in a task", ErrMalformed)
+	}
+	b = b[n:]
+	if wireType == protowire.VarintType {
+		value, n := protowire.ConsumeVarint(b)
+		if n < 0 {
+			return nil, fmt.Errorf("%w: field %d of a task", ErrMalformed, number)
 		}
-		b = b[k:]
-		switch num {
-		case taskJob:
-			job = v
-		case taskIndex:
-			n = v
-		case taskState:
-			state = v
-		case taskController:
-			t.Controller = name(v)
-		case taskZone:
-			t.Zone = name(v)
-		case taskPreferred:
-			t.PreferredMachine = name(v)
-		case taskMachine:
-			t.Machine = name(v)
-		case taskAttempt:
-			t.Attempt = v
-		case taskFailures:
-			fails = v
-		case taskFailedOn:
-			t.FailedOn = append(t.FailedOn, name(v))
-		case taskNotBefore:
-			after = v
+		t.set(taskField(number), value)
+		return b[n:], nil
+	}
+	if taskField(number) == taskReason && wireType == protowire.BytesType {
+		reason, n := protowire.ConsumeString(b)
+		if n < 0 {
+			return nil, fmt.Errorf("%w: reason of a task", ErrMalformed)
 		}
+		t.task.Reason = reason
+		return b[n:], nil
 	}
-	if !ok || job >= uint64(len(d.jobIDs)) || n >= jobs.MaxTasks || state >= uint64(len(states)) || fails > 1<<31 || after > 1<<62 {
-		return e, errMalformed
+	return skipField(b, number, wireType)
+}
+
+// set takes in a number; fields of later versions are ignored.
+func (t *taskDecoder) set(field taskField, value uint64) {
+	switch field {
+	case taskJob:
+		t.job = value
+	case taskIndex:
+		t.index = value
+	case taskState:
+		t.state = value
+	case taskController:
+		t.task.Controller = t.name(value)
+	case taskZone:
+		t.task.Zone = t.name(value)
+	case taskPreferred:
+		t.task.PreferredMachine = t.name(value)
+	case taskMachine:
+		t.task.Machine = t.name(value)
+	case taskAttempt:
+		t.task.Attempt = value
+	case taskFailures:
+		t.failures = value
+	case taskFailedOn:
+		t.task.FailedOn = append(t.task.FailedOn, t.name(value))
+	case taskNotBefore:
+		t.notBeforeMs = value
+	case taskReason:
+		// A text, never a number.
+	}
+}
+
+// name is the name at a position from 1.
+func (t *taskDecoder) name(position uint64) string {
+	if position == 0 || position > uint64(len(t.names)) {
+		t.outOfRange = true
+		return ""
 	}
-	e.JobID, e.Index, t.State, t.Failures, t.NotBeforeMs = d.jobIDs[job], int(n), states[state], int(fails), int64(after)
-	return e, t.Check()
+	return t.names[position-1]
 }
--- a/internal/taskbatch/encode.go
+++ b/internal/taskbatch/encode.go
@@ -11,100 +11,116 @@
 	"github.com/harrierreel/harrierreel/internal/jobs"
 )
 
-// names is a table of names as it grows.
-type names struct {
-	list []string
-	at   map[string]int
+// nameTable is a list of names as it grows.
+type nameTable struct {
+	names     []string
+	positions map[string]int // from 1
 }
 
-// place is a name's place from 1, 0 for none.
-func (s *names) place(name string) uint64 {
+// position is a name's position from 1, 0 for none.
+func (t *nameTable) position(name string) uint64 {
 	if name == "" {
 		return 0
 	}
-	i, ok := s.at[name]
+	position, ok := t.positions[name]
 	if !ok {
-		s.list = append(s.list, name)
-		i = len(s.list)
-		s.at[name] = i
+		t.names = append(t.names, name)
+		position = len(t.names)
+		t.positions[name] = position
 	}
-	return uint64(i)
+	return uint64(position)
 }
 
-// Encode writes a pack. The same entries, in any order, give the same bytes.
-func Encode(es []Entry) json.RawMessage {
-	if !slices.IsSortedFunc(es, compare) {
-		es = slices.Clone(es)
-		Sort(es)
+// Encode writes a batch record. The same entries, in any order, give the same bytes.
+func Encode(entries []Entry) json.RawMessage {
+	if !slices.IsSortedFunc(entries, compare) {
+		entries = slices.Clone(entries)
+		Sort(entries)
 	}
 	var jobIDs []string
-	table := names{at: make(map[string]int, len(es))}
-	var tasks, one []byte
-	for i := range es {
-		if len(jobIDs) == 0 || jobIDs[len(jobIDs)-1] != es[i].JobID {
-			jobIDs = append(jobIDs, es[i].JobID)
+	table := nameTable{positions: make(map[string]int, len(entries))}
+	var tasks, task []byte
+	for i := range entries {
+		entry := &entries[i]
+		if len(jobIDs) == 0 || jobIDs[len(jobIDs)-1] != entry.JobID {
+			jobIDs = append(jobIDs, entry.JobID)
 		}
-		one = appendTask(one[:0], &es[i].Task, len(jobIDs)-1, es[i].Index, &table)
+		task = appendTask(task[:0], entry, len(jobIDs)-1, &table)
 		tasks = protowire.AppendTag(tasks, fieldTask, protowire.BytesType)
-		tasks = protowire.AppendBytes(tasks, one)
+		tasks = protowire.AppendBytes(tasks, task)
 	}
-	var b []byte
-	for _, name := range table.list {
-		b = protowire.AppendTag(b, fieldName, protowire.BytesType)
-		b = protowire.AppendString(b, name)
+	// Names come first, so that a reader knows them when it reads the tasks.
+	var packed []byte
+	for _, name := range table.names {
+		packed = protowire.AppendTag(packed, fieldName, protowire.BytesType)
+		packed = protowire.AppendString(packed, name)
 	}
-	enc, _ := zstdCoder()
-	return jobs.Encode(stored{FormatVersion, strings.Join(jobIDs, " "), base64.StdEncoding.EncodeToString(enc.EncodeAll(append(b, tasks...), make([]byte, 0, len(b)+len(tasks))))})
+	packed = append(packed, tasks...)
+	encoder, _ := zstdCodec()
+	compressed := encoder.EncodeAll(packed, make([]byte, 0, len(packed)))
+	return jobs.Encode(stored{
+		Version: FormatVersion,
+		Jobs:    strings.Join(jobIDs, " "),
+		Tasks:   base64.StdEncoding.EncodeToString(compressed),
+	})
 }
 
-func appendTask(b []byte, t *jobs.Task, job, n int, table *names) []byte {
-	number := func(field protowire.Number, v uint64) {
-		if v != 0 {
-			b = protowire.AppendTag(b, field, protowire.VarintType)
-			b = protowire.AppendVarint(b, v)
-		}
-	}
-	number(taskJob, uint64(job))
-	number(taskIndex, uint64(n))
-	number(taskState, uint64(max(slices.Index(states, t.State), 0)))
-	number(taskController, table.place(t.Controller))
-	number(taskZone, table.place(t.Zone))
-	number(taskPreferred, table.place(t.PreferredMachine))
-	number(taskMachine, table.place(t.Machine))
-	number(taskAttempt, t.Attempt)
-	number(taskFailures, uint64(t.Failures))
-	for _, h := range t.FailedOn {
-		number(taskFailedOn, table.place(h))
+// appendTask appends the fields of one task; jobPosition is its job's in the list of jobs.
+func appendTask(b []byte, entry *Entry, jobPosition int, table *nameTable) []byte {
+	t := &entry.Task
+	b = appendNumber(b, taskJob, uint64(jobPosition))
+	b = appendNumber(b, taskIndex, uint64(entry.Index))
+	b = appendNumber(b, taskState, uint64(max(slices.Index(states, t.State), 0)))
+	b = appendNumber(b, taskController, table.position(t.Controller))
+	b = appendNumber(b, taskZone, table.position(t.Zone))
+	b = appendNumber(b, taskPreferred, table.position(t.PreferredMachine))
+	b = appendNumber(b, taskMachine, table.position(t.Machine))
+	b = appendNumber(b, taskAttempt, t.Attempt)
+	b = appendNumber(b, taskFailures, uint64(t.Failures))
+	for _, machine := range t.FailedOn {
+		b = appendNumber(b, taskFailedOn, table.position(machine))
 	}
-	number(taskNotBefore, uint64(max(t.NotBeforeMs, 0)))
+	b = appendNumber(b, taskNotBefore, uint64(max(t.NotBeforeMs, 0)))
 	if t.Reason != "" {
-		b = protowire.AppendTag(b, taskReason, protowire.BytesType)
+		b = protowire.AppendTag(b, protowire.Number(taskReason), protowire.BytesType)
 		b = protowire.AppendString(b, t.Reason)
 	}
 	return b
 }
 
+// appendNumber appends a field, nothing for 0.
+func appendNumber(b []byte, field taskField, value uint64) []byte {
+	if value == 0 {
+		return b
+	}
+	b = protowire.AppendTag(b, protowire.Number(field), protowire.VarintType)
+	return protowire.AppendVarint(b, value)
+}
+
 // withoutPlacementInfo leaves out of entries what only helps to choose machines or to explain.
-func withoutPlacementInfo(es []Entry) []Entry {
-	es = slices.Clone(es)
-	for i := range es {
-		es[i].Task.FailedOn, es[i].Task.Reason = nil, ""
+func withoutPlacementInfo(entries []Entry) []Entry {
+	entries = slices.Clone(entries)
+	for i := range entries {
+		entries[i].Task.FailedOn = nil
+		entries[i].Task.Reason = ""
 	}
-	return es
+	return entries
 }
 
-// Split writes entries as one pack of at most limit bytes, or as many as it takes;
-// where one would do without what is only helpful, that is left out. The first goes
-// under the key that the entries had.
-func Split(es []Entry, limit int) []json.RawMessage {
-	v := Encode(es)
-	if len(v) <= limit || len(es) <= 1 {
-		return []json.RawMessage{v}
+// Split writes entries as one batch record of at most limit bytes, or as many as it takes; where
+// one would do without what is only helpful, that is left out. The first goes under the key that
+// the entries had. A single entry is written whatever its size.
+func Split(entries []Entry, limit int) []json.RawMessage {
+	value := Encode(entries)
+	if len(value) <= limit || len(entries) <= 1 {
+		return []json.RawMessage{value}
 	}
-	if v = Encode(withoutPlacementInfo(es)); len(v) <= limit {
-		return []json.RawMessage{v}
+	value = Encode(withoutPlacementInfo(entries))
+	if len(value) <= limit {
+		return []json.RawMessage{value}
 	}
-	es = slices.Clone(es)
-	Sort(es)
-	return append(Split(es[:len(es)/2], limit), Split(es[len(es)/2:], limit)...)
+	entries = slices.Clone(entries)
+	Sort(entries)
+	half := len(entries) / 2
+	return append(Split(entries[:half], limit), Split(entries[half:], limit)...)
 }
--- a/internal/taskbatch/golden_test.go
+++ b/internal/taskbatch/golden_test.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, dec := zstdCoder()
+	_, dec := zstdCodec()
 	b, err := dec.DecodeAll(packed, nil)
 	if err != nil {
 		t.Fatal(err)
