--- a/internal/taskbatch/batch_test.go
+++ b/internal/taskbatch/batch_test.go
@@ -3,10 +3,11 @@
 import (
 	"encoding/base64"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"os"
 	"reflect"
-	"strings"
+	"slices"
 	"testing"
 
 	"pgregory.net/rapid"
@@ -17,149 +18,225 @@
 
 func TestMain(m *testing.M) { os.Exit(testseed.Main(m)) }
 
-// drawn is any entries of a pack, each task once.
-func drawn(t *rapid.T) []Entry {
-	machine := rapid.SampledFrom([]string{"i-1", "i-2", "i-000003"})
-	have := map[string]bool{}
-	var out []Entry
+func placed(machine string) jobs.Task {
+	return jobs.Task{State: jobs.Placed, Machine: machine, Zone: "a", Attempt: 1}
+}
+
+// drawEntries is any entries of a batch record, each task once.
+func drawEntries(t *rapid.T) []Entry {
+	drawn := map[string]bool{}
+	var entries []Entry
 	for range rapid.IntRange(1, 40).Draw(t, "tasks") {
-		e := Entry{JobID: fmt.Sprintf("wk-%06d", rapid.IntRange(1, 6).Draw(t, "job")), Index: rapid.IntRange(0, jobs.MaxTasks-1).Draw(t, "n")}
-		if taskID := jobs.TaskID(e.JobID, e.Index); have[taskID] {
-			continue
-		} else {
-			have[taskID] = true
+		entry := Entry{
+			JobID: fmt.Sprintf("wk-%06d", rapid.IntRange(1, 6).Draw(t, "job")),
+			Index: rapid.IntRange(0, jobs.MaxTasks-1).Draw(t, "index"),
 		}
-		e.Task = jobs.Task{State: rapid.SampledFrom(states).Draw(t, "state"), Attempt: rapid.Uint64Range(1, 1<<40).Draw(t, "try")}
-		switch e.Task.State {
-		case jobs.Placed, jobs.Stopping:
-			e.Task.Machine, e.Task.Zone, e.Task.Reason = machine.Draw(t, "host"), "a", rapid.SampledFrom([]string{"", "makes room"}).Draw(t, "why")
-		case jobs.Released:
-			e.Task.Controller, e.Task.PreferredMachine = "n1", machine.Draw(t, "want")
-		case jobs.Pending:
-			e.Task.Failures, e.Task.NotBeforeMs = rapid.IntRange(0, 99).Draw(t, "fails"), rapid.Int64Range(0, 1<<42).Draw(t, "after")
-			e.Task.FailedOn = rapid.SliceOfN(machine, 0, 4).Draw(t, "bad")
+		taskID := jobs.TaskID(entry.JobID, entry.Index)
+		if drawn[taskID] {
+			continue
 		}
-		if len(e.Task.FailedOn) == 0 {
-			e.Task.FailedOn = nil
+		drawn[taskID] = true
+		entry.Task = drawTask(t)
+		entries = append(entries, entry)
+	}
+	return entries
+}
+
+func drawTask(t *rapid.T) jobs.Task {
+	machine := rapid.SampledFrom([]string{"i-1", "i-2", "i-000003"})
+	task := jobs.Task{
+		State:   rapid.SampledFrom(states).Draw(t, "state"),
+		Attempt: rapid.Uint64Range(1, 1<<40).Draw(t, "attempt"),
+	}
+	switch task.State {
+	case jobs.Placed, jobs.Stopping:
+		task.Machine = machine.Draw(t, "machine")
+		task.Zone = "a"
+		task.Reason = rapid.SampledFrom([]string{"", "makes room"}).Draw(t, "reason")
+	case jobs.Released:
+		task.Controller = "n1"
+		task.PreferredMachine = machine.Draw(t, "preferred machine")
+	case jobs.Pending:
+		task.Failures = rapid.IntRange(0, 99).Draw(t, "failures")
+		task.NotBeforeMs = rapid.Int64Range(0, 1<<42).Draw(t, "not before")
+		task.FailedOn = rapid.SliceOfN(machine, 0, 4).Draw(t, "failed on")
+		if len(task.FailedOn) == 0 {
+			task.FailedOn = nil // as it is read
 		}
-		out = append(out, e)
+	case jobs.Finished:
+		// Nothing else is kept.
 	}
-	return out
+	return task
 }
 
-func TestRoundTrip(t *testing.T) {
+func TestDecodeReadsWhatEncodeWrites(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		es := drawn(t)
-		v := Encode(es)
-		got, err := Decode(v)
-		Sort(es)
-		if err != nil || !reflect.DeepEqual(got, es) {
-			t.Fatalf("%v: %+v, not %+v", err, got, es)
+		entries := drawEntries(t)
+		value := Encode(entries)
+		decoded, err := Decode(value)
+		Sort(entries)
+		if err != nil || !reflect.DeepEqual(decoded, entries) {
+			t.Fatalf("%v: %+v, not %+v", err, decoded, entries)
 		}
-		jobIDs, ok := JobIDs(v)
-		for _, e := range es {
-			if !ok || !strings.Contains(strings.Join(jobIDs, " "), e.JobID) {
-				t.Fatalf("%v does not name %s", jobIDs, e.JobID)
+		jobIDs, ok := JobIDs(value)
+		for _, entry := range entries {
+			if !ok || !slices.Contains(jobIDs, entry.JobID) {
+				t.Fatalf("%v does not name %s", jobIDs, entry.JobID)
 			}
 		}
-		// However small a value may be, every task is in one of the packs once.
-		var all []Entry
-		for _, part := range Split(es, rapid.IntRange(80, 900).Draw(t, "limit")) {
-			some, err := Decode(part)
+	})
+}
+
+// However small a value may be, every task is in one of the batch records once.
+func TestSplitKeepsEveryTaskOnce(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		entries := drawEntries(t)
+		Sort(entries)
+		var kept []Entry
+		for _, value := range Split(entries, rapid.IntRange(80, 900).Draw(t, "limit")) {
+			decoded, err := Decode(value)
 			if err != nil {
 				t.Fatal(err)
 			}
-			all = append(all, some...)
+			kept = append(kept, decoded...)
 		}
-		if len(all) != len(es) {
-			t.Fatalf("%d tasks of %d after a split", len(all), len(es))
+		if len(kept) != len(entries) {
+			t.Fatalf("%d tasks of %d after a split", len(kept), len(entries))
 		}
-		for i := range es {
-			if all[i].JobID != es[i].JobID || all[i].Index != es[i].Index || all[i].Task.State != es[i].Task.State || all[i].Task.Attempt != es[i].Task.Attempt {
-				t.Fatalf("%+v, not %+v", all[i], es[i])
+		for i, want := range entries {
+			got := kept[i]
+			if compare(got, want) != 0 || got.Task.State != want.Task.State || got.Task.Attempt != want.Task.Attempt {
+				t.Fatalf("%+v, not %+v", got, want)
 			}
 		}
 	})
 }
 
 // A flipped bit is seen, and whose tasks they were is still known.
-func TestDamage(t *testing.T) {
-	var es []Entry
+func TestDamagedRecordStillNamesItsJobs(t *testing.T) {
+	var entries []Entry
 	for i := range 50 {
-		es = append(es, Entry{fmt.Sprint("wk-", i%5), i, jobs.Task{State: jobs.Placed, Machine: fmt.Sprint("i-", i), Zone: "a", Attempt: 1}})
+		entries = append(entries, Entry{JobID: fmt.Sprint("wk-", i%5), Index: i, Task: placed(fmt.Sprint("i-", i))})
 	}
-	var s stored
-	if err := json.Unmarshal(Encode(es), &s); err != nil {
+	s := decodeStored(t, Encode(entries))
+	compressed, err := base64.StdEncoding.DecodeString(s.Tasks)
+	if err != nil {
 		t.Fatal(err)
 	}
-	z, _ := base64.StdEncoding.DecodeString(s.Tasks)
-	for i := range z {
+	for i := range compressed {
 		for bit := range 8 {
-			z[i] ^= 1 << bit
-			bad := jobs.Encode(stored{s.Version, s.Jobs, base64.StdEncoding.EncodeToString(z)})
-			if got, err := Decode(bad); err == nil && len(got) != len(es) {
-				t.Fatalf("byte %d, bit %d: %d tasks", i, bit, len(got))
+			compressed[i] ^= 1 << bit
+			damaged := jobs.Encode(stored{
+				Version: s.Version,
+				Jobs:    s.Jobs,
+				Tasks:   base64.StdEncoding.EncodeToString(compressed),
+			})
+			compressed[i] ^= 1 << bit
+			if decoded, err := Decode(damaged); err == nil && len(decoded) != len(entries) {
+				t.Fatalf("byte %d, bit %d: %d tasks", i, bit, len(decoded))
 			}
-			if jobIDs, ok := JobIDs(bad); !ok || len(jobIDs) != 5 {
+			if jobIDs, ok := JobIDs(damaged); !ok || len(jobIDs) != 5 {
 				t.Fatal(jobIDs)
 			}
-			z[i] ^= 1 << bit
 		}
 	}
-	for name, v := range map[string]string{
-		"another version": `{"v":2,"jobs":"wk-1","z":""}`, "no jobs": `{"v":1,"z":""}`, "no tasks": `{"v":1,"jobs":"wk-1","z":""}`,
-		"not base64": `{"v":1,"jobs":"wk-1","z":"?"}`, "a strange job": `{"v":1,"jobs":"../x","z":""}`, "not JSON": `{`,
-	} {
-		if _, err := Decode([]byte(v)); err == nil {
-			t.Error(name)
-		}
+}
+
+func TestDecodeRefusesMalformedRecords(t *testing.T) {
+	tests := []struct {
+		name  string
+		value string
+	}{
+		{"no jobs", `{"v":1,"z":""}`},
+		{"no tasks", `{"v":1,"jobs":"wk-1","z":""}`},
+		{"not base64", `{"v":1,"jobs":"wk-1","z":"?"}`},
+		{"not compressed", `{"v":1,"jobs":"wk-1","z":"AAAA"}`},
+		{"malformed job ID", `{"v":1,"jobs":"../x","z":""}`},
+		{"not JSON", `{`},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			if _, err := Decode(json.RawMessage(test.value)); !errors.Is(err, ErrMalformed) {
+				t.Errorf("got %v, want %v", err, ErrMalformed)
+			}
+		})
 	}
+	t.Run("another version", func(t *testing.T) {
+		var version *VersionError
+		_, err := Decode(json.RawMessage(`{"v":2,"jobs":"wk-1","z":""}`))
+		if !errors.As(err, &version) || version.Version != 2 {
+			t.Errorf("got %v, want a VersionError of 2", err)
+		}
+	})
 }
 
 // What a task takes of a value, for the counts in docs/notes/records.md.
-func TestSize(t *testing.T) {
-	var es []Entry
-	for i := range 400 {
-		es = append(es, Entry{fmt.Sprintf("wk-%018d", i/8*7919), i % 8, jobs.Task{State: jobs.Placed, Machine: fmt.Sprintf("i-%06d", i*31%997), Zone: fmt.Sprint("zone-", i%3), Attempt: uint64(1 + i%3)}})
+func TestPlacedTaskTakesFewBytes(t *testing.T) {
+	const tasks, maxBytesPerTask = 400, 22
+	var entries []Entry
+	for i := range tasks {
+		entries = append(entries, Entry{
+			JobID: fmt.Sprintf("wk-%018d", i/8*7919),
+			Index: i % 8,
+			Task: jobs.Task{
+				State:   jobs.Placed,
+				Machine: fmt.Sprintf("i-%06d", i*31%997),
+				Zone:    fmt.Sprint("zone-", i%3),
+				Attempt: uint64(1 + i%3),
+			},
+		})
 	}
-	if v := Encode(es); len(v) > 400*22 {
-		t.Errorf("%d bytes for 400 placed tasks of 50 jobs on as many machines", len(v))
-	} else {
-		t.Logf("%d bytes for 400 placed tasks of 50 jobs", len(v))
+	value := Encode(entries)
+	t.Logf("%d bytes for %d placed tasks of 50 jobs", len(value), tasks)
+	if len(value) > tasks*maxBytesPerTask {
+		t.Errorf("%d bytes for %d placed tasks of 50 jobs on as many machines", len(value), tasks)
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add([]byte(Encode([]Entry{{"wk-1", 3, jobs.Task{State: jobs.Placed, Machine: "i-1", Zone: "a", Attempt: 2}}, {"wk-2", 0, jobs.Task{State: jobs.Pending, Attempt: 1, Failures: 1, FailedOn: []string{"i-1"}, NotBeforeMs: 9}}})))
+	f.Add([]byte(Encode([]Entry{
+		{JobID: "wk-1", Index: 3, Task: jobs.Task{State: jobs.Placed, Machine: "i-1", Zone: "a", Attempt: 2}},
+		{JobID: "wk-2", Index: 0, Task: jobs.Task{
+			State:       jobs.Pending,
+			Attempt:     1,
+			Failures:    1,
+			FailedOn:    []string{"i-1"},
+			NotBeforeMs: 9,
+		}},
+	})))
 	f.Add([]byte(`{"v":1,"jobs":"wk-1","z":""}`))
-	f.Fuzz(func(t *testing.T, b []byte) {
-		es, err := Decode(b)
+	f.Fuzz(func(t *testing.T, value []byte) {
+		entries, err := Decode(value)
 		if err != nil {
 			return
 		}
-		again, err := Decode(Encode(es))
-		if err != nil || !reflect.DeepEqual(again, es) {
-			t.Fatalf("%v: %+v, not %+v", err, again, es)
+		again, err := Decode(Encode(entries))
+		if err != nil || !reflect.DeepEqual(again, entries) {
+			t.Fatalf("%v: %+v, not %+v", err, again, entries)
 		}
 	})
 }
 
 func BenchmarkEncode(b *testing.B) {
-	var es []Entry
+	var entries []Entry
 	for i := range 300 {
-		es = append(es, Entry{fmt.Sprintf("wk-%06d", i/8), i % 8, jobs.Task{State: jobs.Placed, Machine: fmt.Sprintf("i-%06d", i), Zone: "a", Attempt: 1}})
+		entries = append(entries, Entry{
+			JobID: fmt.Sprintf("wk-%06d", i/8),
+			Index: i % 8,
+			Task:  placed(fmt.Sprintf("i-%06d", i)),
+		})
 	}
-	v := Encode(es)
+	value := Encode(entries)
 	b.Run("write", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			Encode(es)
+			Encode(entries)
 		}
 	})
 	b.Run("read", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			if _, err := Decode(v); err != nil {
+			if _, err := Decode(value); err != nil {
 				b.Fatal(err)
 			}
 		}
