--- a/internal/jobs/finals.go
+++ b/internal/jobs/final_cache.go
@@ -4,28 +4,30 @@
 // forgotten first, for they can be read again.
 type FinalCache struct {
 	limit int
-	state map[string]Final
+	states map[string]Final
 	order []string
 }
 
 // NewFinalCache makes an empty cache for so many jobs.
-func NewFinalCache(most int) *FinalCache { return &FinalCache{limit: most, state: map[string]Final{}} }
+func NewFinalCache(limit int) *FinalCache {
+	return &FinalCache{limit: limit, states: map[string]Final{}}
+}
 
 // Get returns a job's final state, if it is known.
 func (c *FinalCache) Get(jobID string) (Final, bool) {
-	f, ok := c.state[jobID]
+	f, ok := c.states[jobID]
 	return f, ok
 }
 
 // Put enters a job's state if it is a final one.
 func (c *FinalCache) Put(jobID string, f Final) {
-	if _, ok := c.state[jobID]; ok || (f.State != Done && f.State != Cancelled) {
+	if _, ok := c.states[jobID]; ok || (f.State != Done && f.State != Cancelled) {
 		return
 	}
 	if len(c.order) >= c.limit {
-		delete(c.state, c.order[0])
+		delete(c.states, c.order[0])
 		c.order = c.order[1:]
 	}
-	c.state[jobID] = f
+	c.states[jobID] = f
 	c.order = append(c.order, jobID)
 }
--- a/internal/jobs/golden_test.go
+++ b/internal/jobs/golden_record_test.go
@@ -8,12 +8,12 @@
 	"github.com/harrierreel/harrierreel/internal/goldentest"
 )
 
-const goldenUID = "wk-000412"
+const goldenJobID = "wk-000412"
 
 func goldenRecord() Record {
 	due := 900.5
 	return Record{State: Cancelled, AcceptedMs: 1700000000001, EndMs: 1700000000002, DoneCount: 3, Spec: Spec{
-		ID: goldenUID, Class: "train", Team: "vision", Kind: Gang, Priority: "urgent", TaskCount: 8,
+		ID: goldenJobID, Class: "train", Team: "vision", Kind: Gang, Priority: "urgent", TaskCount: 8,
 		Cores: 1.5, Accelerators: 0.25, MemoryGB: 12.75, Image: "registry/<image>&1", ImageGB: 3.5,
 		MachineTypes: []string{"g2", "g4"}, Zone: "z-b", SameZone: true, SpreadZones: true, Spot: true,
 		ExpectedDurationS: 60.5, CheckpointIntervalS: 30, CheckpointTimeS: 4, DeadlineS: &due,
@@ -30,10 +30,10 @@
 func TestGoldenRecord(t *testing.T) {
 	full := goldenRecord()
 	goldentest.Filled(t, full)
-	least := Record{State: Live, Spec: Spec{ID: goldenUID, Priority: "prod", TaskCount: 1}}
-	for name, r := range map[string]Record{"job.json": full, "job-least.json": least} {
+	minimal := Record{State: Live, Spec: Spec{ID: goldenJobID, Priority: "prod", TaskCount: 1}}
+	for name, r := range map[string]Record{"job.json": full, "job-least.json": minimal} {
 		goldentest.JSON(t, name, r)
-		back, err := DecodeRecord(goldenUID, goldentest.Read(t, name))
+		back, err := DecodeRecord(goldenJobID, goldentest.Read(t, name))
 		if err != nil || !reflect.DeepEqual(*back, r) {
 			t.Errorf("%s: read %+v, %v", name, back, err)
 			continue
@@ -49,7 +49,7 @@
 	goldentest.JSON(t, "final-least.json", Final{State: Cancelled})
 }
 
-func TestGoldenSlice(t *testing.T) {
+func TestGoldenTaskRange(t *testing.T) {
 	full := goldenTask()
 	goldentest.Filled(t, full)
 	goldentest.Filled(t, storedTaskRange{Version: taskRangeVersion, Tasks: []Task{full}})
@@ -77,8 +77,8 @@
 	}
 }
 
-// TestGoldenFirstTask is the first form of a task's record, which is still read.
-func TestGoldenFirstTask(t *testing.T) {
+// TestGoldenTaskFirstVersion is the first form of a task's record, which is still read.
+func TestGoldenTaskFirstVersion(t *testing.T) {
 	for name, task := range map[string]Task{"task-first.json": goldenTask(), "task-first-least.json": {State: Pending}} {
 		goldentest.JSON(t, name, task)
 		back, err := DecodeTaskRange(goldentest.Read(t, name))
@@ -90,7 +90,7 @@
 	}
 }
 
-func TestGoldenBuild(t *testing.T) {
+func TestGoldenMachineType(t *testing.T) {
 	full := MachineType{
 		Name:         "g2",
 		Cores:        64.5,
@@ -108,12 +108,12 @@
 	goldentest.JSON(t, "build-least.json", MachineType{})
 }
 
-func TestGoldenWords(t *testing.T) {
-	words := []string{
-		JobPrefix, TaskPrefix, FinalPrefix, TaskRangeKey(goldenUID, 16),
+func TestGoldenConstants(t *testing.T) {
+	constants := []string{
+		JobPrefix, TaskPrefix, FinalPrefix, TaskRangeKey(goldenJobID, 16),
 		string(Live), string(Cancelled), string(Done),
 		string(Pending), string(Released), string(Placed), string(Stopping), string(Finished),
 		JobArray, Gang, Service,
 	}
-	goldentest.Bytes(t, "words.txt", []byte(strings.Join(append(words, priorities...), "\n")+"\n"))
+	goldentest.Bytes(t, "words.txt", []byte(strings.Join(append(constants, priorities...), "\n")+"\n"))
 }
--- a/internal/jobs/golden_edges_test.go
+++ b/internal/jobs/golden_spec_test.go
@@ -85,7 +85,7 @@
 }
 
 // The cloud's machine types keep their form.
-func TestGoldenBuilds(t *testing.T) {
+func TestGoldenMachineTypesRoundTrip(t *testing.T) {
 	full := MachineType{
 		Name:         "g4",
 		Cores:        32,
--- a/internal/jobs/jobs_test.go
+++ b/internal/jobs/jobs_test.go
@@ -10,12 +10,12 @@
 	"github.com/harrierreel/harrierreel/internal/quota"
 )
 
-const good = `{"uid":"wk-000412","jobclass":"train","owner":"vision","shape":"ensemble","rank":"urgent","pieces":16,
+const validSubmission = `{"uid":"wk-000412","jobclass":"train","owner":"vision","shape":"ensemble","rank":"urgent","pieces":16,
  "cores":8.0,"accelerators":1.0,"memory_gb":64.0,"bundle":"img-07","pull_gb":6.2,"builds":["g8"],"site":null,
  "same_place":true,"scatter":false,"loaner":true,"expect_s":240.0,"snapshot_s":30.0,"stash_s":4.0,"due_s":900.0,"new":{"x":1}}`
 
 func TestParseSpec(t *testing.T) {
-	s, err := ParseSpec([]byte(good))
+	s, err := ParseSpec([]byte(validSubmission))
 	if err != nil || s.TaskCount != 16 || s.ID != "wk-000412" || *s.DeadlineS != 900 || !s.SameZone || s.Zone != "" {
 		t.Fatalf("%+v %v", s, err)
 	}
@@ -32,7 +32,7 @@
 		"bundle":    {`"bundle":"img-07",`, ``},
 		"builds":    {`["g8"]`, `[]`},
 	} {
-		body := strings.Replace(good, change[0], change[1], 1)
+		body := strings.Replace(validSubmission, change[0], change[1], 1)
 		if _, err := ParseSpec([]byte(body)); err == nil || !strings.HasPrefix(err.Error(), strings.TrimSpace(field)) {
 			t.Errorf("%s: %v", field, err)
 		}
@@ -46,9 +46,9 @@
 
 // A field that may not be null may not be missing, whatever its value would mean; a record
 // leaves out what is zero, a submission made of it doesn't.
-func TestMissingFields(t *testing.T) {
+func TestMissingFieldsAreNamed(t *testing.T) {
 	fields := map[string]any{}
-	if err := json.Unmarshal([]byte(good), &fields); err != nil {
+	if err := json.Unmarshal([]byte(validSubmission), &fields); err != nil {
 		t.Fatal(err)
 	}
 	for f, v := range fields {
@@ -66,7 +66,7 @@
 		}
 		fields[f] = v
 	}
-	least := &Spec{
+	minimal := &Spec{
 		ID:        "wk-1",
 		Class:     "c",
 		Team:      "t",
@@ -77,10 +77,10 @@
 		MemoryGB:  1,
 		Image:     "b",
 	}
-	if s, err := ParseSpec(least.Submission()); err != nil || !reflect.DeepEqual(s, least) {
-		t.Errorf("%s: %+v %v", least.Submission(), s, err)
+	if s, err := ParseSpec(minimal.Submission()); err != nil || !reflect.DeepEqual(s, minimal) {
+		t.Errorf("%s: %+v %v", minimal.Submission(), s, err)
 	}
-	if s, err := ParseSpec([]byte(good)); err != nil {
+	if s, err := ParseSpec([]byte(validSubmission)); err != nil {
 		t.Error(err)
 	} else if again, err := ParseSpec(s.Submission()); err != nil || !reflect.DeepEqual(s, again) {
 		t.Errorf("%s: %+v %v", s.Submission(), again, err)
@@ -88,7 +88,7 @@
 }
 
 func TestCanEverRun(t *testing.T) {
-	builds := map[string]*MachineType{"g4": {Name: "g4", Cores: 8, Accelerators: 4, MemoryGB: 64, Zones: []string{"a"}}}
+	machineTypes := map[string]*MachineType{"g4": {Name: "g4", Cores: 8, Accelerators: 4, MemoryGB: 64, Zones: []string{"a"}}}
 	tree := quota.Flat(map[string]quota.Team{"t": {Name: "t", Max: quota.Of(0, 4, 0)}})
 	base := Spec{Team: "t", Kind: JobArray, TaskCount: 9, Cores: 1, Accelerators: 1, MemoryGB: 1}
 	for name, c := range map[string]struct {
@@ -105,7 +105,7 @@
 	} {
 		s := base
 		c.change(&s)
-		if why := CanEverRun(&s, tree, builds); (why == "") != c.ok {
+		if why := CanEverRun(&s, tree, machineTypes); (why == "") != c.ok {
 			t.Errorf("%s: %q", name, why)
 		}
 	}
@@ -129,7 +129,7 @@
 		t.Error("placed twice")
 	}
 	if _, ok := NextTask(x, TaskEvent{Kind: PlaceAgain, Attempt: 1}); ok {
-		t.Error("a try was used again on the same machine")
+		t.Error("an attempt number was used again on the same machine")
 	}
 	if again := step(
 		x,
@@ -147,7 +147,7 @@
 		t.Errorf("%+v", x)
 	}
 	if _, ok := NextTask(x, TaskEvent{Kind: Place, Machine: "i-2", Attempt: 1}); ok {
-		t.Error("a try was used again")
+		t.Error("an attempt number was used again")
 	}
 	x = step(x, TaskEvent{Kind: Place, Machine: "i-2", Attempt: 2})
 	x = step(x, TaskEvent{Kind: Complete})
@@ -168,7 +168,7 @@
 	}
 }
 
-func TestSplitPiece(t *testing.T) {
+func TestSplitTaskID(t *testing.T) {
 	if jobID, n, ok := SplitTaskID("wk-000412/3"); !ok || jobID != "wk-000412" || n != 3 {
 		t.Error(jobID, n, ok)
 	}
@@ -182,7 +182,7 @@
 func FuzzRecords(f *testing.F) {
 	f.Add([]byte(`{"s":"live","at":1,"spec":{"uid":"wk-1","pieces":1,"rank":"prod"}}`))
 	f.Add([]byte(`{"s":"placed","host":"i-1","try":1}`))
-	f.Add([]byte(good))
+	f.Add([]byte(validSubmission))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if r, err := DecodeRecord("wk-1", b); err == nil && r.Spec.ID != "wk-1" {
 			t.Error("another job's record")
@@ -194,7 +194,7 @@
 	})
 }
 
-func TestSlices(t *testing.T) {
+func TestTaskRanges(t *testing.T) {
 	in := []Task{
 		{State: Placed, Machine: "i-1", Attempt: 1},
 		{State: Pending, Attempt: 2, FailedOn: []string{"i-000001", "i-000002"}},
@@ -227,7 +227,7 @@
 	}
 }
 
-func TestTrust(t *testing.T) {
+func TestTrustOf(t *testing.T) {
 	for _, c := range []struct {
 		machines int
 		proven   bool
@@ -239,7 +239,7 @@
 	}
 }
 
-func TestFinalsAreBounded(t *testing.T) {
+func TestFinalCacheIsBounded(t *testing.T) {
 	c := NewFinalCache(2)
 	c.Put("wk-1", Final{State: Live})
 	c.Put("wk-2", Final{State: Done, DoneCount: 3})
--- a/internal/jobs/records.go
+++ b/internal/jobs/records.go
@@ -81,8 +81,8 @@
 
 // TrustOf tells how far to trust a job whose tasks failed on so many different
 // machines. proven: one of its tasks is done, or has run for a while.
-func TrustOf(machines int, proven bool) Trust {
-	if machines >= tuning.ErrorsBlame && !proven {
+func TrustOf(failedMachines int, proven bool) Trust {
+	if failedMachines >= tuning.ErrorsBlame && !proven {
 		return Probing
 	}
 	return Trusted
@@ -148,7 +148,7 @@
 	if state == "" {
 		state = Pending
 	}
-	on := state == Placed || state == Stopping
+	onMachine := state == Placed || state == Stopping
 	switch e.Kind {
 	case Release:
 		if state != Pending {
@@ -178,27 +178,27 @@
 		}
 		t.State, t.Reason = Stopping, e.Reason
 	case Complete:
-		if !on {
+		if !onMachine {
 			return t, false
 		}
 		t = Task{State: Finished, Attempt: t.Attempt}
 	case Lost:
-		if !on {
+		if !onMachine {
 			return t, false
 		}
 		t = Task{State: Pending, Attempt: t.Attempt, Failures: t.Failures, FailedOn: t.FailedOn, NotBeforeMs: e.NotBeforeMs}
 	case Fail:
-		if !on {
+		if !onMachine {
 			return t, false
 		}
-		bad := t.FailedOn
-		if !slices.Contains(bad, t.Machine) {
-			bad = append(slices.Clone(bad), t.Machine)
-			if len(bad) > maxFailedOn {
-				bad = bad[1:]
+		failedOn := t.FailedOn
+		if !slices.Contains(failedOn, t.Machine) {
+			failedOn = append(slices.Clone(failedOn), t.Machine)
+			if len(failedOn) > maxFailedOn {
+				failedOn = failedOn[1:]
 			}
 		}
-		t = Task{State: Pending, Attempt: t.Attempt, Failures: t.Failures + 1, FailedOn: bad, NotBeforeMs: e.NotBeforeMs}
+		t = Task{State: Pending, Attempt: t.Attempt, Failures: t.Failures + 1, FailedOn: failedOn, NotBeforeMs: e.NotBeforeMs}
 	default:
 		return t, false
 	}
@@ -207,11 +207,11 @@
 
 // Withdraw is what becomes of a task that has to make way: one that is released but
 // on no machine is taken back, one that is on a machine is to be stopped.
-func Withdraw(t Task, why string) (Task, bool) {
+func Withdraw(t Task, reason string) (Task, bool) {
 	if t.State == Released {
 		return NextTask(t, TaskEvent{Kind: TakeBack})
 	}
-	return NextTask(t, TaskEvent{Kind: Stop, Reason: why})
+	return NextTask(t, TaskEvent{Kind: Stop, Reason: reason})
 }
 
 // OnMachine tells whether the task may be on a machine.
@@ -221,7 +221,7 @@
 func (t *Task) Charged() bool { return t.OnMachine() || t.State == Released }
 
 // TaskRangeKey is the key of the slice of a job's tasks that begins with task from.
-func TaskRangeKey(jobID string, from int) string { return TaskPrefix + TaskID(jobID, from) }
+func TaskRangeKey(jobID string, firstTask int) string { return TaskPrefix + TaskID(jobID, firstTask) }
 
 // taskRangeVersion is the form in which slices are stored.
 const taskRangeVersion = 1
@@ -240,50 +240,50 @@
 	if len(b) <= limit {
 		return b
 	}
-	lean := slices.Clone(tasks)
-	for i := range lean {
-		lean[i].FailedOn, lean[i].Reason = nil, ""
+	trimmed := slices.Clone(tasks)
+	for i := range trimmed {
+		trimmed[i].FailedOn, trimmed[i].Reason = nil, ""
 	}
-	return Encode(storedTaskRange{taskRangeVersion, lean})
+	return Encode(storedTaskRange{taskRangeVersion, trimmed})
 }
 
 // DecodeTaskRange reads a slice's tasks and checks them.
-func DecodeTaskRange(b []byte) ([]Task, error) {
-	var s storedTaskRange
-	if err := json.Unmarshal(b, &s); err != nil {
+func DecodeTaskRange(body []byte) ([]Task, error) {
+	var stored storedTaskRange
+	if err := json.Unmarshal(body, &stored); err != nil {
 		return nil, err
 	}
 	switch {
-	case s.Version == 0 && s.Tasks == nil:
-		t, err := DecodeTask(b)
+	case stored.Version == 0 && stored.Tasks == nil:
+		t, err := DecodeTask(body)
 		if err != nil {
 			return nil, err
 		}
 		return []Task{*t}, nil
-	case s.Version != taskRangeVersion:
-		return nil, fmt.Errorf("unknown version %d of a slice", s.Version)
-	case len(s.Tasks) == 0 || len(s.Tasks) > MaxTasks:
-		return nil, fmt.Errorf("a slice of %d tasks", len(s.Tasks))
+	case stored.Version != taskRangeVersion:
+		return nil, fmt.Errorf("unknown version %d of a slice", stored.Version)
+	case len(stored.Tasks) == 0 || len(stored.Tasks) > MaxTasks:
+		return nil, fmt.Errorf("a slice of %d tasks", len(stored.Tasks))
 	}
-	for i := range s.Tasks {
-		if err := s.Tasks[i].Check(); err != nil {
+	for i := range stored.Tasks {
+		if err := stored.Tasks[i].Check(); err != nil {
 			return nil, err
 		}
 	}
-	return s.Tasks, nil
+	return stored.Tasks, nil
 }
 
 // TaskID is the name of a task.
-func TaskID(jobID string, n int) string { return jobID + "/" + strconv.Itoa(n) }
+func TaskID(jobID string, index int) string { return jobID + "/" + strconv.Itoa(index) }
 
-// SplitTaskID is the inverse of Piece.
+// SplitTaskID is the inverse of TaskID.
 func SplitTaskID(taskID string) (jobID string, n int, ok bool) {
-	jobID, num, found := strings.Cut(taskID, "/")
-	if !found || !ValidID(jobID) || len(num) > 6 {
+	jobID, index, found := strings.Cut(taskID, "/")
+	if !found || !ValidID(jobID) || len(index) > 6 {
 		return "", 0, false
 	}
-	n, err := strconv.Atoi(num)
-	if err != nil || n < 0 || n >= MaxTasks || strconv.Itoa(n) != num {
+	n, err := strconv.Atoi(index)
+	if err != nil || n < 0 || n >= MaxTasks || strconv.Itoa(n) != index {
 		return "", 0, false
 	}
 	return jobID, n, true
@@ -299,9 +299,9 @@
 }
 
 // DecodeRecord reads a job record and checks it.
-func DecodeRecord(jobID string, b []byte) (*Record, error) {
+func DecodeRecord(jobID string, body []byte) (*Record, error) {
 	var r Record
-	if err := json.Unmarshal(b, &r); err != nil {
+	if err := json.Unmarshal(body, &r); err != nil {
 		return nil, err
 	}
 	if r.Spec.ID != jobID || r.Spec.TaskCount < 1 || r.Spec.TaskCount > MaxTasks || r.Spec.PriorityOrder() < 0 {
@@ -315,9 +315,9 @@
 }
 
 // DecodeTask reads a task record and checks it.
-func DecodeTask(b []byte) (*Task, error) {
+func DecodeTask(body []byte) (*Task, error) {
 	var t Task
-	if err := json.Unmarshal(b, &t); err != nil {
+	if err := json.Unmarshal(body, &t); err != nil {
 		return nil, err
 	}
 	if err := t.Check(); err != nil {
@@ -341,17 +341,17 @@
 }
 
 // Same tells whether two records say the same.
-func (t *Task) Same(o *Task) bool {
-	return t.State == o.State && t.Controller == o.Controller && t.Zone == o.Zone && t.PreferredMachine == o.PreferredMachine && t.Machine == o.Machine &&
-		t.Attempt == o.Attempt && t.Failures == o.Failures && t.NotBeforeMs == o.NotBeforeMs && t.Reason == o.Reason &&
-		slices.Equal(t.FailedOn, o.FailedOn)
+func (t *Task) Same(other *Task) bool {
+	return t.State == other.State && t.Controller == other.Controller && t.Zone == other.Zone && t.PreferredMachine == other.PreferredMachine && t.Machine == other.Machine &&
+		t.Attempt == other.Attempt && t.Failures == other.Failures && t.NotBeforeMs == other.NotBeforeMs && t.Reason == other.Reason &&
+		slices.Equal(t.FailedOn, other.FailedOn)
 }
 
 // Backoff is the pause before a task that has failed so often is tried anew.
-func Backoff(fails int) time.Duration {
-	d := tuning.Backoff << min(fails, 10)
-	return min(d, tuning.BackoffMax)
+func Backoff(failures int) time.Duration {
+	pause := tuning.Backoff << min(failures, 10)
+	return min(pause, tuning.BackoffMax)
 }
 
 // Seconds is a duration of so many of them, as settings and records give it.
-func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func Seconds(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
--- a/internal/jobs/spec.go
+++ b/internal/jobs/spec.go
@@ -79,13 +79,13 @@
 func (s *Spec) QuotaKey() quota.Key { return quota.Key{Team: s.Team, Class: s.Class} }
 
 // AllowsMachineType tells whether a machine type is allowed.
-func (s *Spec) AllowsMachineType(build string) bool {
-	return len(s.MachineTypes) == 0 || slices.Contains(s.MachineTypes, build)
+func (s *Spec) AllowsMachineType(machineType string) bool {
+	return len(s.MachineTypes) == 0 || slices.Contains(s.MachineTypes, machineType)
 }
 
 // Allows tells whether a kind of machine in a zone is allowed.
-func (s *Spec) Allows(build, zone string, spot bool) bool {
-	return s.AllowsMachineType(build) && (s.Zone == "" || s.Zone == zone) && (s.Spot || !spot)
+func (s *Spec) Allows(machineType, zone string, spot bool) bool {
+	return s.AllowsMachineType(machineType) && (s.Zone == "" || s.Zone == zone) && (s.Spot || !spot)
 }
 
 // MaxPerZone is the most tasks that one zone may hold.
@@ -147,7 +147,7 @@
 // FieldError is what is wrong with one field of a submission.
 type FieldError struct{ Field, Reason string }
 
-func (f FieldError) Error() string { return f.Field + ": " + f.Reason }
+func (e FieldError) Error() string { return e.Field + ": " + e.Reason }
 
 // defaultFields are the values of the fields that a file of ours may leave out.
 var defaultFields = map[string]any{
@@ -189,107 +189,107 @@
 	if len(trimmed) == 0 || trimmed[0] != '{' {
 		return nil, []FieldError{{"body", "is not a JSON object"}}
 	}
-	var r raw
-	if err := json.Unmarshal(body, &r); err != nil {
+	var fields raw
+	if err := json.Unmarshal(body, &fields); err != nil {
 		return nil, []FieldError{{"body", err.Error()}}
 	}
-	s := &Spec{}
-	p := parser{}
-	s.ID = p.text("uid", r.ID)
-	if len(p.faults) == 0 && !ValidID(s.ID) {
-		p.fail("uid", "must look like wk-000412")
+	spec := &Spec{}
+	reader := fieldReader{}
+	spec.ID = reader.text("uid", fields.ID)
+	if len(reader.faults) == 0 && !ValidID(spec.ID) {
+		reader.fail("uid", "must look like wk-000412")
 	}
-	s.Class = p.text("jobclass", r.Class)
-	s.Team = p.text("owner", r.Team)
-	s.Kind = p.oneOf("shape", r.Kind, JobArray, Gang, Service)
-	s.Priority = p.oneOf("rank", r.Priority, priorities...)
-	pieces := p.amount("pieces", r.TaskCount)
-	if pieces < 1 || pieces > MaxTasks || pieces != math.Trunc(pieces) {
-		p.fail("pieces", "must be a whole number from 1 to 100000")
+	spec.Class = reader.text("jobclass", fields.Class)
+	spec.Team = reader.text("owner", fields.Team)
+	spec.Kind = reader.oneOf("shape", fields.Kind, JobArray, Gang, Service)
+	spec.Priority = reader.oneOf("rank", fields.Priority, priorities...)
+	taskCount := reader.amount("pieces", fields.TaskCount)
+	if taskCount < 1 || taskCount > MaxTasks || taskCount != math.Trunc(taskCount) {
+		reader.fail("pieces", "must be a whole number from 1 to 100000")
 	}
-	s.TaskCount = int(pieces)
-	s.Cores = p.amount("cores", r.Cores)
-	s.Accelerators = p.amount("accelerators", r.Accelerators)
-	s.MemoryGB = p.amount("memory_gb", r.MemoryGB)
-	s.Image = p.text("bundle", r.Image)
-	s.ImageGB = p.amount("pull_gb", r.ImageGB)
-	if r.MachineTypes != nil {
-		if len(*r.MachineTypes) > maxMachineTypes {
-			p.fail("builds", "has too many entries")
+	spec.TaskCount = int(taskCount)
+	spec.Cores = reader.amount("cores", fields.Cores)
+	spec.Accelerators = reader.amount("accelerators", fields.Accelerators)
+	spec.MemoryGB = reader.amount("memory_gb", fields.MemoryGB)
+	spec.Image = reader.text("bundle", fields.Image)
+	spec.ImageGB = reader.amount("pull_gb", fields.ImageGB)
+	if fields.MachineTypes != nil {
+		if len(*fields.MachineTypes) > maxMachineTypes {
+			reader.fail("builds", "has too many entries")
 		}
-		for i := range *r.MachineTypes {
-			s.MachineTypes = append(s.MachineTypes, p.text("builds", &(*r.MachineTypes)[i]))
+		for i := range *fields.MachineTypes {
+			spec.MachineTypes = append(spec.MachineTypes, reader.text("builds", &(*fields.MachineTypes)[i]))
 		}
-		if len(*r.MachineTypes) == 0 {
-			p.fail("builds", "must not be empty; null allows any")
+		if len(*fields.MachineTypes) == 0 {
+			reader.fail("builds", "must not be empty; null allows any")
 		}
 	}
-	if r.Zone != nil {
-		s.Zone = p.text("site", r.Zone)
+	if fields.Zone != nil {
+		spec.Zone = reader.text("site", fields.Zone)
 	}
-	s.SameZone = p.flag("same_place", r.SameZone)
-	s.SpreadZones = p.flag("scatter", r.SpreadZones)
-	s.Spot = p.flag("loaner", r.Spot)
-	s.ExpectedDurationS = p.amount("expect_s", r.ExpectedDurationS)
-	s.CheckpointIntervalS = p.amount("snapshot_s", r.CheckpointIntervalS)
-	s.CheckpointTimeS = p.amount("stash_s", r.CheckpointTimeS)
-	if r.DeadlineS != nil {
-		due := p.amount("due_s", r.DeadlineS)
-		s.DeadlineS = &due
+	spec.SameZone = reader.flag("same_place", fields.SameZone)
+	spec.SpreadZones = reader.flag("scatter", fields.SpreadZones)
+	spec.Spot = reader.flag("loaner", fields.Spot)
+	spec.ExpectedDurationS = reader.amount("expect_s", fields.ExpectedDurationS)
+	spec.CheckpointIntervalS = reader.amount("snapshot_s", fields.CheckpointIntervalS)
+	spec.CheckpointTimeS = reader.amount("stash_s", fields.CheckpointTimeS)
+	if fields.DeadlineS != nil {
+		deadline := reader.amount("due_s", fields.DeadlineS)
+		spec.DeadlineS = &deadline
 	}
-	if len(p.faults) > 0 {
-		return nil, p.faults
+	if len(reader.faults) > 0 {
+		return nil, reader.faults
 	}
-	return s, nil
+	return spec, nil
 }
 
-// parser keeps the first fault of each field.
-type parser struct{ faults []FieldError }
+// fieldReader keeps the first fault of each field.
+type fieldReader struct{ faults []FieldError }
 
-func (p *parser) fail(field, what string) {
-	if !slices.ContainsFunc(p.faults, func(f FieldError) bool { return f.Field == field }) {
-		p.faults = append(p.faults, FieldError{field, what})
+func (r *fieldReader) fail(field, what string) {
+	if !slices.ContainsFunc(r.faults, func(f FieldError) bool { return f.Field == field }) {
+		r.faults = append(r.faults, FieldError{field, what})
 	}
 }
 
-func (p *parser) text(field string, v *string) string {
+func (r *fieldReader) text(field string, v *string) string {
 	if v == nil {
-		p.fail(field, "is missing")
+		r.fail(field, "is missing")
 		return ""
 	}
 	if *v == "" || len(*v) > maxName {
-		p.fail(field, "must have 1 to 200 bytes")
+		r.fail(field, "must have 1 to 200 bytes")
 	}
 	return *v
 }
 
-func (p *parser) oneOf(field string, v *string, allowed ...string) string {
+func (r *fieldReader) oneOf(field string, v *string, allowed ...string) string {
 	if v == nil {
-		p.fail(field, "is missing")
+		r.fail(field, "is missing")
 		return ""
 	}
 	if !slices.Contains(allowed, *v) {
-		p.fail(field, "must be one of "+strings.Join(allowed, ", "))
+		r.fail(field, "must be one of "+strings.Join(allowed, ", "))
 	}
 	return *v
 }
 
-func (p *parser) flag(field string, v *bool) bool {
+func (r *fieldReader) flag(field string, v *bool) bool {
 	if v == nil {
-		p.fail(field, "is missing")
+		r.fail(field, "is missing")
 		return false
 	}
 	return *v
 }
 
 // amount reads a decimal.
-func (p *parser) amount(field string, v *float64) float64 {
+func (r *fieldReader) amount(field string, v *float64) float64 {
 	if v == nil {
-		p.fail(field, "is missing")
+		r.fail(field, "is missing")
 		return 0
 	}
 	if *v < 0 || *v > maxAmount || math.IsNaN(*v) {
-		p.fail(field, "is out of range")
+		r.fail(field, "is out of range")
 	}
 	return *v
 }
@@ -309,30 +309,30 @@
 }
 
 // Capacity is all that a machine of this type has.
-func (b *MachineType) Capacity() sharding.Resources {
-	return sharding.Resources{Cores: b.Cores, Accelerators: b.Accelerators, MemoryGB: b.MemoryGB}
+func (m *MachineType) Capacity() sharding.Resources {
+	return sharding.Resources{Cores: m.Cores, Accelerators: m.Accelerators, MemoryGB: m.MemoryGB}
 }
 
 // CanEverRun explains why a job can never run, or returns "".
-func CanEverRun(s *Spec, tree *quota.Tree, builds map[string]*MachineType) string {
-	if !tree.Knows(s.Team) {
+func CanEverRun(spec *Spec, tree *quota.Tree, machineTypes map[string]*MachineType) string {
+	if !tree.Knows(spec.Team) {
 		return "unknown team"
 	}
 	fits := false
-	for _, b := range builds {
-		if s.AllowsMachineType(b.Name) && (s.Zone == "" || slices.Contains(b.Zones, s.Zone)) &&
-			b.Capacity().Fits(s.Resources()) {
+	for _, m := range machineTypes {
+		if spec.AllowsMachineType(m.Name) && (spec.Zone == "" || slices.Contains(m.Zones, spec.Zone)) &&
+			m.Capacity().Fits(spec.Resources()) {
 			fits = true
 		}
 	}
 	if !fits {
 		return "a task fits no allowed machine type"
 	}
-	n := s.TaskCount
-	if s.Kind == JobArray {
-		n = 1
+	atOnce := spec.TaskCount
+	if spec.Kind == JobArray {
+		atOnce = 1
 	}
-	if !tree.Ever(tree.Leaf(s.QuotaKey()), s.Amount(), n) {
+	if !tree.Ever(tree.Leaf(spec.QuotaKey()), spec.Amount(), atOnce) {
 		return "needs more than the team's limit"
 	}
 	return ""
