--- a/internal/jobs/final_cache.go
+++ b/internal/jobs/final_cache.go
@@ -3,9 +3,9 @@
 // FinalCache keeps final states, which never change, up to a bound; the oldest are
 // forgotten first, for they can be read again.
 type FinalCache struct {
-	limit int
+	limit  int
 	states map[string]Final
-	order []string
+	order  []string
 }
 
 // NewFinalCache makes an empty cache for so many jobs.
--- /dev/null
+++ b/internal/jobs/machine_type_test.go
@@ -0,0 +1,31 @@
+package jobs
+
+import (
+	"testing"
+
+	"github.com/harrierreel/harrierreel/internal/quota"
+)
+
+func TestCanEverRun(t *testing.T) {
+	machineTypes := map[string]*MachineType{"g4": {Name: "g4", Cores: 8, Accelerators: 4, MemoryGB: 64, Zones: []string{"a"}}}
+	tree := quota.Flat(map[string]quota.Team{"t": {Name: "t", Max: quota.Of(0, 4, 0)}})
+	base := Spec{Team: "t", Kind: JobArray, TaskCount: 9, Cores: 1, Accelerators: 1, MemoryGB: 1}
+	for name, c := range map[string]struct {
+		change func(*Spec)
+		ok     bool
+	}{
+		"array counts one task":   {func(*Spec) {}, true},
+		"gang counts all":         {func(s *Spec) { s.Kind = Gang }, false},
+		"service counts all":      {func(s *Spec) { s.Kind, s.TaskCount = Service, 4 }, true},
+		"unknown team":            {func(s *Spec) { s.Team = "x" }, false},
+		"unknown type":            {func(s *Spec) { s.MachineTypes = []string{"g9"} }, false},
+		"type not in that zone":   {func(s *Spec) { s.Zone = "b" }, false},
+		"too big for any machine": {func(s *Spec) { s.Accelerators = 5 }, false},
+	} {
+		s := base
+		c.change(&s)
+		if why := CanEverRun(&s, tree, machineTypes); (why == "") != c.ok {
+			t.Errorf("%s: %q", name, why)
+		}
+	}
+}
--- /dev/null
+++ b/internal/jobs/submission_test.go
@@ -0,0 +1,86 @@
+package jobs
+
+import (
+	"encoding/json"
+	"fmt"
+	"reflect"
+	"strings"
+	"testing"
+)
+
+const validSubmission = `{"uid":"wk-000412","jobclass":"train","owner":"vision","shape":"ensemble","rank":"urgent","pieces":16,
+ "cores":8.0,"accelerators":1.0,"memory_gb":64.0,"bundle":"img-07","pull_gb":6.2,"builds":["g8"],"site":null,
+ "same_place":true,"scatter":false,"loaner":true,"expect_s":240.0,"snapshot_s":30.0,"stash_s":4.0,"due_s":900.0,"new":{"x":1}}`
+
+func TestParseSpec(t *testing.T) {
+	s, err := ParseSpec([]byte(validSubmission))
+	if err != nil || s.TaskCount != 16 || s.ID != "wk-000412" || *s.DeadlineS != 900 || !s.SameZone || s.Zone != "" {
+		t.Fatalf("%+v %v", s, err)
+	}
+	for field, change := range map[string][2]string{
+		"uid":       {`"wk-000412"`, `"job-1"`},
+		"pieces":    {`"pieces":16`, `"pieces":0`},
+		"pieces ":   {`"pieces":16`, `"pieces":1.5`},
+		"pieces  ":  {`"pieces":16`, `"pieces":100001`},
+		"shape":     {`"ensemble"`, `"heap"`},
+		"rank":      {`"urgent"`, `"highest"`},
+		"cores":     {`8.0`, `-1`},
+		"memory_gb": {`"memory_gb":64.0,`, ``},
+		"owner":     {`"vision"`, `""`},
+		"bundle":    {`"bundle":"img-07",`, ``},
+		"builds":    {`["g8"]`, `[]`},
+	} {
+		body := strings.Replace(validSubmission, change[0], change[1], 1)
+		if _, err := ParseSpec([]byte(body)); err == nil || !strings.HasPrefix(err.Error(), strings.TrimSpace(field)) {
+			t.Errorf("%s: %v", field, err)
+		}
+	}
+	for _, body := range []string{"", "null", "[]", `"x"`, "{", `{"uid":5}`} {
+		if _, err := ParseSpec([]byte(body)); err == nil {
+			t.Errorf("%q was taken", body)
+		}
+	}
+}
+
+// A field that may not be null may not be missing, whatever its value would mean; a record
+// leaves out what is zero, a submission made of it doesn't.
+func TestMissingFieldsAreNamed(t *testing.T) {
+	fields := map[string]any{}
+	if err := json.Unmarshal([]byte(validSubmission), &fields); err != nil {
+		t.Fatal(err)
+	}
+	for f, v := range fields {
+		for _, null := range []bool{false, true} {
+			if delete(fields, f); null {
+				fields[f] = nil
+			}
+			want := f + ": is missing"
+			if f == "builds" || f == "site" || f == "due_s" || f == "new" {
+				want = "<nil>"
+			}
+			if _, err := ParseSpec(Encode(fields)); fmt.Sprint(err) != want {
+				t.Errorf("%s, null %v: %v", f, null, err)
+			}
+		}
+		fields[f] = v
+	}
+	minimal := &Spec{
+		ID:        "wk-1",
+		Class:     "c",
+		Team:      "t",
+		Kind:      JobArray,
+		Priority:  "idle",
+		TaskCount: 1,
+		Cores:     1,
+		MemoryGB:  1,
+		Image:     "b",
+	}
+	if s, err := ParseSpec(minimal.Submission()); err != nil || !reflect.DeepEqual(s, minimal) {
+		t.Errorf("%s: %+v %v", minimal.Submission(), s, err)
+	}
+	if s, err := ParseSpec([]byte(validSubmission)); err != nil {
+		t.Error(err)
+	} else if again, err := ParseSpec(s.Submission()); err != nil || !reflect.DeepEqual(s, again) {
+		t.Errorf("%s: %+v %v", s.Submission(), again, err)
+	}
+}
--- /dev/null
+++ b/internal/jobs/task.go
@@ -0,0 +1,73 @@
+package jobs
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"slices"
+)
+
+// TaskState is the state of a task.
+type TaskState string
+
+// States of a task. A task in no slice is pending and has never run.
+const (
+	Pending  TaskState = "pending"  // waits; earlier tries are used up
+	Released TaskState = "released" // charged to its team and given to a part
+	Placed   TaskState = "placed"   // committed to a machine and try
+	Stopping TaskState = "stopping" // placed, and to be stopped
+	Finished TaskState = "done"     // completed
+)
+
+// Task is a task as stored.
+type Task struct {
+	State            TaskState `json:"s"`
+	Controller       string    `json:"part,omitempty"` // controller that places it
+	Zone             string    `json:"site,omitempty"` // zone chosen by the leader
+	PreferredMachine string    `json:"want,omitempty"` // machine the leader has room in mind on
+	Machine          string    `json:"host,omitempty"`
+	Attempt          uint64    `json:"try,omitempty"` // highest try used
+	Failures         int       `json:"fails,omitempty"`
+	FailedOn         []string  `json:"bad,omitempty"` // machines that it failed on
+	NotBeforeMs      int64     `json:"after,omitempty"`
+	Reason           string    `json:"why,omitempty"` // why it is being stopped
+}
+
+// DecodeTask reads a task record and checks it.
+func DecodeTask(body []byte) (*Task, error) {
+	var t Task
+	if err := json.Unmarshal(body, &t); err != nil {
+		return nil, err
+	}
+	if err := t.Check(); err != nil {
+		return nil, err
+	}
+	return &t, nil
+}
+
+// Check tells what is wrong with a task's record.
+func (t *Task) Check() error {
+	switch t.State {
+	case Pending, Released, Finished:
+	case Placed, Stopping:
+		if t.Machine == "" || t.Attempt == 0 {
+			return errors.New("placed task without machine or try")
+		}
+	default:
+		return fmt.Errorf("unknown task state %q", t.State)
+	}
+	return nil
+}
+
+// Same tells whether two records say the same.
+func (t *Task) Same(other *Task) bool {
+	return t.State == other.State && t.Controller == other.Controller && t.Zone == other.Zone && t.PreferredMachine == other.PreferredMachine && t.Machine == other.Machine &&
+		t.Attempt == other.Attempt && t.Failures == other.Failures && t.NotBeforeMs == other.NotBeforeMs && t.Reason == other.Reason &&
+		slices.Equal(t.FailedOn, other.FailedOn)
+}
+
+// OnMachine tells whether the task may be on a machine.
+func (t *Task) OnMachine() bool { return t.State == Placed || t.State == Stopping }
+
+// Charged tells whether the task counts against its team.
+func (t *Task) Charged() bool { return t.OnMachine() || t.State == Released }
--- /dev/null
+++ b/internal/jobs/task_range_test.go
@@ -0,0 +1,36 @@
+package jobs
+
+import "testing"
+
+func TestTaskRanges(t *testing.T) {
+	in := []Task{
+		{State: Placed, Machine: "i-1", Attempt: 1},
+		{State: Pending, Attempt: 2, FailedOn: []string{"i-000001", "i-000002"}},
+		{State: Finished, Attempt: 1},
+	}
+	out, err := DecodeTaskRange(EncodeTaskRange(in, 8192))
+	if err != nil || len(out) != 3 {
+		t.Fatal(out, err)
+	}
+	for i := range in {
+		if !in[i].Same(&out[i]) {
+			t.Errorf("task %d: %+v", i, out[i])
+		}
+	}
+	lean, err := DecodeTaskRange(EncodeTaskRange(in, 100))
+	if err != nil || lean[1].FailedOn != nil || lean[1].Attempt != 2 || lean[0].Machine != "i-1" {
+		t.Errorf("what does not fit is left out, and nothing else: %+v %v", lean, err)
+	}
+	// The first form held one task.
+	if old, err := DecodeTaskRange(
+		[]byte(`{"s":"placed","host":"i-7","try":3}`),
+	); err != nil || len(old) != 1 ||
+		old[0].Machine != "i-7" {
+		t.Error(old, err)
+	}
+	for _, bad := range []string{`{"s":"placed"}`, `{"v":2,"t":[{"s":"pending"}]}`, `{"v":1,"t":[]}`, `{"v":1,"t":[{"s":"placed"}]}`, `[]`, `null`, `{}`} {
+		if _, err := DecodeTaskRange([]byte(bad)); err == nil {
+			t.Errorf("%s was taken", bad)
+		}
+	}
+}
