--- a/internal/jobs/deadline.go
+++ b/internal/jobs/deadline.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Progress is how far a job's tasks are.
+// Progress counts a job's tasks by how far they are.
 type Progress struct {
-	NeverRun int // tasks that never began
-	Retrying int // tasks that began, and wait to begin again
-	Done     int
+	NeverRun int // never began
+	Retrying int // began, and wait to begin again
+	Done     int // completed
 }
 
-// DeadlineMissed says why a live job's deadline cannot be met any more, judged by its user's
-// estimate of a task's run time; empty while it can be, and for a job without one. It
-// leaves out what a task needs besides (room, an image), so what it says is certain as
-// far as the estimate is right.
+// DeadlineMissed tells the user why a live job's deadline cannot be met any more, judged by the
+// user's estimate of a task's run time; "" while it can be, and for a job without one. It
+// leaves out what a task needs besides (free capacity, an image), so that its answer is certain
+// as far as the estimate is right.
 func (r *Record) DeadlineMissed(progress Progress, now time.Time) string {
 	spec := &r.Spec
 	if spec.DeadlineS == nil || spec.Kind == Service || r.State != Live || progress.Done >= spec.TaskCount {
@@ -26,8 +26,8 @@
 	if !now.Before(deadline) {
 		return fmt.Sprintf("its deadline passed %s ago with %d tasks left", formatSeconds(now.Sub(deadline)), remaining)
 	}
-	// A task that began did so after the job was accepted; one that saved may have any
-	// part of its run behind it.
+	// A task that began did so after the job was accepted; one that made checkpoints may
+	// have any part of its run behind it.
 	earliest := time.UnixMilli(r.AcceptedMs)
 	if progress.NeverRun > 0 || progress.Retrying > 0 && spec.CheckpointIntervalS == 0 {
 		earliest = now
@@ -44,4 +44,5 @@
 	)
 }
 
+// formatSeconds gives a duration in whole seconds.
 func formatSeconds(d time.Duration) string { return fmt.Sprintf("%.0f s", d.Seconds()) }
--- a/internal/jobs/deadline_test.go
+++ b/internal/jobs/deadline_test.go
@@ -5,35 +5,129 @@
 	"time"
 )
 
+const (
+	latenessText   = "its deadline passed 20 s ago with 3 tasks left"
+	impossibleText = "its deadline in 40 s cannot be met: " +
+		"by expect_s it is done in 50 s at the earliest, with 3 tasks left"
+)
+
+func seconds(s float64) *float64 { return &s }
+
+// arrayWithDeadline is a job array of four tasks of 50 s that is due in 100 s.
+func arrayWithDeadline() Spec {
+	return Spec{Kind: JobArray, TaskCount: 4, ExpectedDurationS: 50, DeadlineS: seconds(100)}
+}
+
+// gangWithDeadline is the same as a gang.
+func gangWithDeadline() Spec {
+	spec := arrayWithDeadline()
+	spec.Kind = Gang
+	return spec
+}
+
+// arrayWithCheckpoints also saves its progress.
+func arrayWithCheckpoints() Spec {
+	spec := arrayWithDeadline()
+	spec.CheckpointIntervalS = 10
+	return spec
+}
+
+// deadlineTests are jobs in all states, with what is said of their deadlines; "" for nothing.
+var deadlineTests = map[string]struct {
+	state    JobState
+	spec     Spec
+	progress Progress
+	afterS   float64 // seconds since its acceptance
+	want     string
+}{
+	"no deadline": {
+		state:    Live,
+		spec:     Spec{Kind: JobArray, TaskCount: 4, ExpectedDurationS: 50},
+		progress: Progress{NeverRun: 3, Done: 1},
+		afterS:   1000,
+	},
+	"a service": {
+		state:    Live,
+		spec:     Spec{Kind: Service, TaskCount: 4, DeadlineS: seconds(10)},
+		progress: Progress{NeverRun: 3, Done: 1},
+		afterS:   1000,
+	},
+	"cancelled": {
+		state:    Cancelled,
+		spec:     arrayWithDeadline(),
+		progress: Progress{NeverRun: 3, Done: 1},
+		afterS:   120,
+	},
+	"its last task done": {
+		state:    Live,
+		spec:     arrayWithDeadline(),
+		progress: Progress{Done: 4},
+		afterS:   120,
+	},
+	"passed": {
+		state:    Live,
+		spec:     arrayWithDeadline(),
+		progress: Progress{Done: 1},
+		afterS:   120,
+		want:     latenessText,
+	},
+	"a task that never began": {
+		state:    Live,
+		spec:     arrayWithDeadline(),
+		progress: Progress{NeverRun: 1, Done: 1},
+		afterS:   60,
+		want:     impossibleText,
+	},
+	"just in time": {
+		state:    Live,
+		spec:     arrayWithDeadline(),
+		progress: Progress{NeverRun: 3, Done: 1},
+		afterS:   50,
+	},
+	"all run": {
+		state:    Live,
+		spec:     gangWithDeadline(),
+		progress: Progress{Done: 1},
+		afterS:   60,
+	},
+	"one retries without checkpoints": {
+		state:    Live,
+		spec:     arrayWithDeadline(),
+		progress: Progress{Retrying: 1, Done: 1},
+		afterS:   60,
+		want:     impossibleText,
+	},
+	"one retries from a checkpoint": {
+		state:    Live,
+		spec:     arrayWithCheckpoints(),
+		progress: Progress{Retrying: 1, Done: 1},
+		afterS:   60,
+	},
+	"one retries from a checkpoint, one never began": {
+		state:    Live,
+		spec:     arrayWithCheckpoints(),
+		progress: Progress{Retrying: 1, NeverRun: 1, Done: 1},
+		afterS:   60,
+		want:     impossibleText,
+	},
+	"never possible": {
+		state:  Live,
+		spec:   Spec{Kind: JobArray, TaskCount: 3, ExpectedDurationS: 60, DeadlineS: seconds(50)},
+		afterS: 10,
+		want:   impossibleText,
+	},
+}
+
 // A deadline is called missed only once the estimate rules it out, and never for what has
 // none, has ended or saves its progress.
-func TestUnmetDeadline(t *testing.T) {
-	due := func(s float64) *float64 { return &s }
-	const passed = "its deadline passed 20 s ago with 3 tasks left"
-	const cannot = "its deadline in 40 s cannot be met: by expect_s it is done in 50 s at the earliest, with 3 tasks left"
-	for name, c := range map[string]struct {
-		state JobState
-		spec  Spec
-		p     Progress
-		after float64 // seconds since its acceptance
-		says  string
-	}{
-		"no deadline":                  {Live, Spec{Kind: JobArray, TaskCount: 4, ExpectedDurationS: 50}, Progress{NeverRun: 3, Done: 1}, 1000, ""},
-		"a service":                    {Live, Spec{Kind: Service, TaskCount: 4, DeadlineS: due(10)}, Progress{NeverRun: 3, Done: 1}, 1000, ""},
-		"cancelled":                    {Cancelled, Spec{Kind: JobArray, TaskCount: 4, ExpectedDurationS: 50, DeadlineS: due(100)}, Progress{NeverRun: 3, Done: 1}, 120, ""},
-		"its last task done":           {Live, Spec{Kind: JobArray, TaskCount: 4, ExpectedDurationS: 50, DeadlineS: due(100)}, Progress{Done: 4}, 120, ""},
-		"passed":                       {Live, Spec{Kind: JobArray, TaskCount: 4, ExpectedDurationS: 50, DeadlineS: due(100)}, Progress{Done: 1}, 120, passed},
-		"a task that never began":      {Live, Spec{Kind: JobArray, TaskCount: 4, ExpectedDurationS: 50, DeadlineS: due(100)}, Progress{NeverRun: 1, Done: 1}, 60, cannot},
-		"just in time":                 {Live, Spec{Kind: JobArray, TaskCount: 4, ExpectedDurationS: 50, DeadlineS: due(100)}, Progress{NeverRun: 3, Done: 1}, 50, ""},
-		"all run":                      {Live, Spec{Kind: Gang, TaskCount: 4, ExpectedDurationS: 50, DeadlineS: due(100)}, Progress{Done: 1}, 60, ""},
-		"begins again, lost":           {Live, Spec{Kind: JobArray, TaskCount: 4, ExpectedDurationS: 50, DeadlineS: due(100)}, Progress{Retrying: 1, Done: 1}, 60, cannot},
-		"begins again, saved":          {Live, Spec{Kind: JobArray, TaskCount: 4, ExpectedDurationS: 50, CheckpointIntervalS: 10, DeadlineS: due(100)}, Progress{Retrying: 1, Done: 1}, 60, ""},
-		"one begins again, one didn't": {Live, Spec{Kind: JobArray, TaskCount: 4, ExpectedDurationS: 50, CheckpointIntervalS: 10, DeadlineS: due(100)}, Progress{Retrying: 1, NeverRun: 1, Done: 1}, 60, cannot},
-		"never possible":               {Live, Spec{Kind: JobArray, TaskCount: 3, ExpectedDurationS: 60, DeadlineS: due(50)}, Progress{}, 10, "its deadline in 40 s cannot be met: by expect_s it is done in 50 s at the earliest, with 3 tasks left"},
-	} {
-		r := Record{State: c.state, AcceptedMs: 1e12, Spec: c.spec}
-		if says := r.DeadlineMissed(c.p, time.UnixMilli(1e12).Add(Seconds(c.after))); says != c.says {
-			t.Errorf("%s: %q, not %q", name, says, c.says)
-		}
+func TestDeadlineMissed(t *testing.T) {
+	for name, c := range deadlineTests {
+		t.Run(name, func(t *testing.T) {
+			r := Record{State: c.state, AcceptedMs: 1e12, Spec: c.spec}
+			got := r.DeadlineMissed(c.progress, time.UnixMilli(1e12).Add(Seconds(c.afterS)))
+			if got != c.want {
+				t.Errorf("%q, not %q", got, c.want)
+			}
+		})
 	}
 }
--- a/internal/jobs/golden_spec_test.go
+++ b/internal/jobs/golden_spec_test.go
@@ -72,13 +72,37 @@
 	}
 	for _, body := range []string{
 		`{}`, ``, `[]`, `{"uid":`,
-		`{"uid":"x","jobclass":"","owner":"","shape":"star","rank":"high","pieces":1.5,"cores":-1,"accelerators":-1,"memory_gb":2e9,"bundle":"","pull_gb":-1,"builds":[],"site":"","same_place":null,"scatter":null,"loaner":null,"expect_s":-1,"snapshot_s":-1,"stash_s":-1,"due_s":-1}`,
+		`{"uid":"x","jobclass":"","owner":"","shape":"star","rank":"high","pieces":1.5,` +
+			`"cores":-1,"accelerators":-1,"memory_gb":2e9,"bundle":"","pull_gb":-1,"builds":[],"site":"",` +
+			`"same_place":null,"scatter":null,"loaner":null,` +
+			`"expect_s":-1,"snapshot_s":-1,"stash_s":-1,"due_s":-1}`,
 		`{"builds":[` + strings.Repeat(`"b",`, maxMachineTypes) + `""]}`,
 	} {
 		note([]byte(body))
 	}
 	// Each field with a value of a wrong kind: the answer names it.
-	for _, name := range []string{"uid", "jobclass", "owner", "shape", "rank", "pieces", "cores", "accelerators", "memory_gb", "bundle", "pull_gb", "builds", "site", "same_place", "scatter", "loaner", "expect_s", "snapshot_s", "stash_s", "due_s"} {
+	for _, name := range []string{
+		"uid",
+		"jobclass",
+		"owner",
+		"shape",
+		"rank",
+		"pieces",
+		"cores",
+		"accelerators",
+		"memory_gb",
+		"bundle",
+		"pull_gb",
+		"builds",
+		"site",
+		"same_place",
+		"scatter",
+		"loaner",
+		"expect_s",
+		"snapshot_s",
+		"stash_s",
+		"due_s",
+	} {
 		note(Encode(map[string]any{name: map[string]any{}}))
 	}
 	goldentest.Bytes(t, "submission-faults.txt", []byte(out.String()))
--- a/internal/jobs/ids.go
+++ b/internal/jobs/ids.go
@@ -5,15 +5,15 @@
 	"strings"
 )
 
-// Key prefixes in the state service. Live records and final ones are kept
-// apart, so that a restart reads only what is live.
+// Key prefixes in the state service. Live records and final ones are kept apart, so that a
+// controller that starts reads only what is live.
 const (
-	JobPrefix   = "job/"
-	TaskPrefix  = "task/"
-	FinalPrefix = "final/"
+	JobPrefix   = "job/"   // followed by the job's id: its Record
+	TaskPrefix  = "task/"  // TaskRangeKey: a task range
+	FinalPrefix = "final/" // followed by the job's id: its Final
 )
 
-// ValidID tells whether an id has the form of job ids.
+// ValidID tells whether an id has the form of job ids: wk- and 1 to 19 digits.
 func ValidID(jobID string) bool {
 	digits, ok := strings.CutPrefix(jobID, "wk-")
 	if !ok || len(digits) == 0 || len(digits) > 19 {
@@ -27,21 +27,21 @@
 	return true
 }
 
-// TaskID is the name of a task.
+// TaskID is the id of a task: its job's id and its index.
 func TaskID(jobID string, index int) string { return jobID + "/" + strconv.Itoa(index) }
 
-// SplitTaskID is the inverse of TaskID.
-func SplitTaskID(taskID string) (jobID string, n int, ok bool) {
-	jobID, index, found := strings.Cut(taskID, "/")
-	if !found || !ValidID(jobID) || len(index) > 6 {
+// SplitTaskID is the inverse of TaskID; false for what TaskID never returns.
+func SplitTaskID(taskID string) (jobID string, index int, ok bool) {
+	jobID, digits, found := strings.Cut(taskID, "/")
+	if !found || !ValidID(jobID) || len(digits) > 6 {
 		return "", 0, false
 	}
-	n, err := strconv.Atoi(index)
-	if err != nil || n < 0 || n >= MaxTasks || strconv.Itoa(n) != index {
+	index, err := strconv.Atoi(digits)
+	if err != nil || index < 0 || index >= MaxTasks || strconv.Itoa(index) != digits {
 		return "", 0, false
 	}
-	return jobID, n, true
+	return jobID, index, true
 }
 
-// TaskRangeKey is the key of the slice of a job's tasks that begins with task from.
+// TaskRangeKey is the key of the task range that begins with firstTask.
 func TaskRangeKey(jobID string, firstTask int) string { return TaskPrefix + TaskID(jobID, firstTask) }
--- a/internal/jobs/submission.go
+++ b/internal/jobs/submission.go
@@ -3,10 +3,10 @@
 import (
 	"bytes"
 	"encoding/json"
-	"math"
 )
 
-// raw tells absent fields from zero ones.
+// raw is a submission as received: a nil field was absent or null, which differs from
+// zero. Its name is part of the answers that name a field of a wrong type.
 type raw struct {
 	ID                  *string   `json:"uid"`
 	Class               *string   `json:"jobclass"`
@@ -30,8 +30,8 @@
 	DeadlineS           *float64  `json:"due_s"`
 }
 
-// ParseSpec reads a submission. The error says which field is wrong, the first
-// one if there are several.
+// ParseSpec reads a submission. The error is a FieldError, the first one if there are
+// several.
 func ParseSpec(body []byte) (*Spec, error) {
 	s, faults := CheckSpec(body)
 	if len(faults) > 0 {
@@ -40,12 +40,14 @@
 	return s, nil
 }
 
-// FieldError is what is wrong with one field of a submission.
+// FieldError is what is wrong with one field of a submission. Field is the protocol's name.
 type FieldError struct{ Field, Reason string }
 
+// Error is the text that users are answered with.
 func (e FieldError) Error() string { return e.Field + ": " + e.Reason }
 
-// defaultFields are the values of the fields that a file of ours may leave out.
+// defaultFields are the values of the fields that a job in a pipeline or calendar file may
+// leave out.
 var defaultFields = map[string]any{
 	"accelerators": 0,
 	"pull_gb":      0,
@@ -57,7 +59,7 @@
 	"loaner":       false,
 }
 
-// FillDefaults puts the usual values where a file leaves fields of a job out.
+// FillDefaults sets the usual values where a file leaves fields of a job out.
 func FillDefaults(fields map[string]any) {
 	for f, v := range defaultFields {
 		if fields[f] == nil {
@@ -66,7 +68,7 @@
 	}
 }
 
-// Submission is the request that hands a job in. A record leaves out what is zero; a
+// Submission is the request that submits the job. A record leaves out what is zero; a
 // request may not.
 func (s *Spec) Submission() []byte {
 	fields := map[string]any{}
@@ -77,9 +79,10 @@
 	return Encode(fields)
 }
 
-// CheckSpec reads a submission and names every fault; the specification is nil
-// if there is any. Only fields that may be null may be missing: a job that lacks
-// another was not meant as it would run (docs/incidents/lacking-fields.md).
+// CheckSpec reads a submission and names every fault, in the order of the protocol's
+// fields; the specification is nil if there is any. Only fields that may be null may be
+// missing: a job that lacks another was not meant as it would run
+// (docs/incidents/lacking-fields.md).
 func CheckSpec(body []byte) (*Spec, []FieldError) {
 	trimmed := bytes.TrimLeft(body, " \t\r\n")
 	if len(trimmed) == 0 || trimmed[0] != '{' {
@@ -91,48 +94,10 @@
 	}
 	spec := &Spec{}
 	reader := fieldReader{}
-	spec.ID = reader.text("uid", fields.ID)
-	if len(reader.faults) == 0 && !ValidID(spec.ID) {
-		reader.fail("uid", "must look like wk-000412")
-	}
-	spec.Class = reader.text("jobclass", fields.Class)
-	spec.Team = reader.text("owner", fields.Team)
-	spec.Kind = reader.oneOf("shape", fields.Kind, JobArray, Gang, Service)
-	spec.Priority = reader.oneOf("rank", fields.Priority, priorities...)
-	taskCount := reader.amount("pieces", fields.TaskCount)
-	if taskCount < 1 || taskCount > MaxTasks || taskCount != math.Trunc(taskCount) {
-		reader.fail("pieces", "must be a whole number from 1 to 100000")
-	}
-	spec.TaskCount = int(taskCount)
-	spec.Cores = reader.amount("cores", fields.Cores)
-	spec.Accelerators = reader.amount("accelerators", fields.Accelerators)
-	spec.MemoryGB = reader.amount("memory_gb", fields.MemoryGB)
-	spec.Image = reader.text("bundle", fields.Image)
-	spec.ImageGB = reader.amount("pull_gb", fields.ImageGB)
-	if fields.MachineTypes != nil {
-		if len(*fields.MachineTypes) > maxMachineTypes {
-			reader.fail("builds", "has too many entries")
-		}
-		for i := range *fields.MachineTypes {
-			spec.MachineTypes = append(spec.MachineTypes, reader.text("builds", &(*fields.MachineTypes)[i]))
-		}
-		if len(*fields.MachineTypes) == 0 {
-			reader.fail("builds", "must not be empty; null allows any")
-		}
-	}
-	if fields.Zone != nil {
-		spec.Zone = reader.text("site", fields.Zone)
-	}
-	spec.SameZone = reader.flag("same_place", fields.SameZone)
-	spec.SpreadZones = reader.flag("scatter", fields.SpreadZones)
-	spec.Spot = reader.flag("loaner", fields.Spot)
-	spec.ExpectedDurationS = reader.amount("expect_s", fields.ExpectedDurationS)
-	spec.CheckpointIntervalS = reader.amount("snapshot_s", fields.CheckpointIntervalS)
-	spec.CheckpointTimeS = reader.amount("stash_s", fields.CheckpointTimeS)
-	if fields.DeadlineS != nil {
-		deadline := reader.amount("due_s", fields.DeadlineS)
-		spec.DeadlineS = &deadline
-	}
+	reader.identity(spec, &fields)
+	reader.resources(spec, &fields)
+	reader.placement(spec, &fields)
+	reader.timing(spec, &fields)
 	if len(reader.faults) > 0 {
 		return nil, reader.faults
 	}
--- a/internal/jobs/submission_test.go
+++ b/internal/jobs/submission_test.go
@@ -8,31 +8,33 @@
 	"testing"
 )
 
-const validSubmission = `{"uid":"wk-000412","jobclass":"train","owner":"vision","shape":"ensemble","rank":"urgent","pieces":16,
- "cores":8.0,"accelerators":1.0,"memory_gb":64.0,"bundle":"img-07","pull_gb":6.2,"builds":["g8"],"site":null,
- "same_place":true,"scatter":false,"loaner":true,"expect_s":240.0,"snapshot_s":30.0,"stash_s":4.0,"due_s":900.0,"new":{"x":1}}`
+const validSubmission = `{"uid":"wk-000412","jobclass":"train","owner":"vision","shape":"ensemble","rank":"urgent",
+ "pieces":16,"cores":8.0,"accelerators":1.0,"memory_gb":64.0,"bundle":"img-07",
+ "pull_gb":6.2,"builds":["g8"],"site":null,
+ "same_place":true,"scatter":false,"loaner":true,
+ "expect_s":240.0,"snapshot_s":30.0,"stash_s":4.0,"due_s":900.0,"new":{"x":1}}`
 
 func TestParseSpec(t *testing.T) {
 	s, err := ParseSpec([]byte(validSubmission))
 	if err != nil || s.TaskCount != 16 || s.ID != "wk-000412" || *s.DeadlineS != 900 || !s.SameZone || s.Zone != "" {
 		t.Fatalf("%+v %v", s, err)
 	}
-	for field, change := range map[string][2]string{
-		"uid":       {`"wk-000412"`, `"job-1"`},
-		"pieces":    {`"pieces":16`, `"pieces":0`},
-		"pieces ":   {`"pieces":16`, `"pieces":1.5`},
-		"pieces  ":  {`"pieces":16`, `"pieces":100001`},
-		"shape":     {`"ensemble"`, `"heap"`},
-		"rank":      {`"urgent"`, `"highest"`},
-		"cores":     {`8.0`, `-1`},
-		"memory_gb": {`"memory_gb":64.0,`, ``},
-		"owner":     {`"vision"`, `""`},
-		"bundle":    {`"bundle":"img-07",`, ``},
-		"builds":    {`["g8"]`, `[]`},
+	for name, c := range map[string]struct{ field, old, new string }{
+		"id of another form":         {"uid", `"wk-000412"`, `"job-1"`},
+		"no tasks":                   {"pieces", `"pieces":16`, `"pieces":0`},
+		"a fraction of a task":       {"pieces", `"pieces":16`, `"pieces":1.5`},
+		"too many tasks":             {"pieces", `"pieces":16`, `"pieces":100001`},
+		"unknown kind":               {"shape", `"ensemble"`, `"heap"`},
+		"unknown priority":           {"rank", `"urgent"`, `"highest"`},
+		"negative cores":             {"cores", `8.0`, `-1`},
+		"memory missing":             {"memory_gb", `"memory_gb":64.0,`, ``},
+		"empty team":                 {"owner", `"vision"`, `""`},
+		"image missing":              {"bundle", `"bundle":"img-07",`, ``},
+		"no machine type is allowed": {"builds", `["g8"]`, `[]`},
 	} {
-		body := strings.Replace(validSubmission, change[0], change[1], 1)
-		if _, err := ParseSpec([]byte(body)); err == nil || !strings.HasPrefix(err.Error(), strings.TrimSpace(field)) {
-			t.Errorf("%s: %v", field, err)
+		body := strings.Replace(validSubmission, c.old, c.new, 1)
+		if _, err := ParseSpec([]byte(body)); err == nil || !strings.HasPrefix(err.Error(), c.field+":") {
+			t.Errorf("%s: %v", name, err)
 		}
 	}
 	for _, body := range []string{"", "null", "[]", `"x"`, "{", `{"uid":5}`} {
--- a/internal/jobs/task.go
+++ b/internal/jobs/task.go
@@ -7,14 +7,14 @@
 	"slices"
 )
 
-// TaskState is the state of a task.
+// TaskState is the state of a task, as stored.
 type TaskState string
 
-// States of a task. A task in no slice is pending and has never run.
+// States of a task. A task in no task range is pending and has never run.
 const (
-	Pending  TaskState = "pending"  // waits; earlier tries are used up
-	Released TaskState = "released" // charged to its team and given to a part
-	Placed   TaskState = "placed"   // committed to a machine and try
+	Pending  TaskState = "pending"  // waits; attempts up to Attempt are used up
+	Released TaskState = "released" // charged to its team and given to a controller to place
+	Placed   TaskState = "placed"   // committed to a machine and attempt
 	Stopping TaskState = "stopping" // placed, and to be stopped
 	Finished TaskState = "done"     // completed
 )
@@ -22,15 +22,15 @@
 // Task is a task as stored.
 type Task struct {
 	State            TaskState `json:"s"`
-	Controller       string    `json:"part,omitempty"` // controller that places it
-	Zone             string    `json:"site,omitempty"` // zone chosen by the leader
-	PreferredMachine string    `json:"want,omitempty"` // machine the leader has room in mind on
-	Machine          string    `json:"host,omitempty"`
-	Attempt          uint64    `json:"try,omitempty"` // highest try used
-	Failures         int       `json:"fails,omitempty"`
-	FailedOn         []string  `json:"bad,omitempty"` // machines that it failed on
-	NotBeforeMs      int64     `json:"after,omitempty"`
-	Reason           string    `json:"why,omitempty"` // why it is being stopped
+	Controller       string    `json:"part,omitempty"`  // that is to place it
+	Zone             string    `json:"site,omitempty"`  // chosen by the leader
+	PreferredMachine string    `json:"want,omitempty"`  // where the leader expects free capacity
+	Machine          string    `json:"host,omitempty"`  // that it is placed on
+	Attempt          uint64    `json:"try,omitempty"`   // highest attempt used
+	Failures         int       `json:"fails,omitempty"` // attempts that failed
+	FailedOn         []string  `json:"bad,omitempty"`   // machines that it failed on, oldest first
+	NotBeforeMs      int64     `json:"after,omitempty"` // Unix time in ms before which it isn't placed
+	Reason           string    `json:"why,omitempty"`   // why it is being stopped
 }
 
 // DecodeTask reads a task record and checks it.
@@ -49,25 +49,35 @@
 func (t *Task) Check() error {
 	switch t.State {
 	case Pending, Released, Finished:
+		return nil
 	case Placed, Stopping:
 		if t.Machine == "" || t.Attempt == 0 {
 			return errors.New("placed task without machine or try")
 		}
-	default:
-		return fmt.Errorf("unknown task state %q", t.State)
+		return nil
 	}
-	return nil
+	return fmt.Errorf("unknown task state %q", t.State)
 }
 
 // Same tells whether two records say the same.
 func (t *Task) Same(other *Task) bool {
-	return t.State == other.State && t.Controller == other.Controller && t.Zone == other.Zone && t.PreferredMachine == other.PreferredMachine && t.Machine == other.Machine &&
-		t.Attempt == other.Attempt && t.Failures == other.Failures && t.NotBeforeMs == other.NotBeforeMs && t.Reason == other.Reason &&
+	return t.State == other.State &&
+		t.Controller == other.Controller &&
+		t.Zone == other.Zone &&
+		t.PreferredMachine == other.PreferredMachine &&
+		t.Machine == other.Machine &&
+		t.Attempt == other.Attempt &&
+		t.Failures == other.Failures &&
+		t.NotBeforeMs == other.NotBeforeMs &&
+		t.Reason == other.Reason &&
 		slices.Equal(t.FailedOn, other.FailedOn)
 }
 
 // OnMachine tells whether the task may be on a machine.
 func (t *Task) OnMachine() bool { return t.State == Placed || t.State == Stopping }
 
-// Charged tells whether the task counts against its team.
+// Charged tells whether the task counts against its team's quota.
 func (t *Task) Charged() bool { return t.OnMachine() || t.State == Released }
+
+// isPending tells whether the task waits; the zero Task does.
+func (t *Task) isPending() bool { return t.State == Pending || t.State == "" }
--- a/internal/jobs/task_range.go
+++ b/internal/jobs/task_range.go
@@ -6,31 +6,32 @@
 	"slices"
 )
 
-// taskRangeVersion is the form in which slices are stored.
+// taskRangeVersion is the form in which task ranges are stored.
 const taskRangeVersion = 1
 
-// storedTaskRange is a slice as stored: the records of consecutive tasks of a job.
-// The first form kept one task in each record, without a version.
+// storedTaskRange is a task range as stored: the records of consecutive tasks of a job.
+// The first form kept one task in each record, without a version; it is still read.
 type storedTaskRange struct {
 	Version int    `json:"v"`
 	Tasks   []Task `json:"t"`
 }
 
-// EncodeTaskRange writes a slice. A record may not be longer than limit bytes: what
+// EncodeTaskRange writes a task range. A record may not be longer than limit bytes: what
 // only helps to choose machines is left out where it would not fit.
 func EncodeTaskRange(tasks []Task, limit int) json.RawMessage {
-	b := Encode(storedTaskRange{taskRangeVersion, tasks})
-	if len(b) <= limit {
-		return b
+	body := Encode(storedTaskRange{taskRangeVersion, tasks})
+	if len(body) <= limit {
+		return body
 	}
 	trimmed := slices.Clone(tasks)
 	for i := range trimmed {
-		trimmed[i].FailedOn, trimmed[i].Reason = nil, ""
+		trimmed[i].FailedOn = nil
+		trimmed[i].Reason = ""
 	}
 	return Encode(storedTaskRange{taskRangeVersion, trimmed})
 }
 
-// DecodeTaskRange reads a slice's tasks and checks them.
+// DecodeTaskRange reads the tasks of a task range and checks them.
 func DecodeTaskRange(body []byte) ([]Task, error) {
 	var stored storedTaskRange
 	if err := json.Unmarshal(body, &stored); err != nil {
--- a/internal/jobs/task_range_test.go
+++ b/internal/jobs/task_range_test.go
@@ -17,18 +17,24 @@
 			t.Errorf("task %d: %+v", i, out[i])
 		}
 	}
-	lean, err := DecodeTaskRange(EncodeTaskRange(in, 100))
-	if err != nil || lean[1].FailedOn != nil || lean[1].Attempt != 2 || lean[0].Machine != "i-1" {
-		t.Errorf("what does not fit is left out, and nothing else: %+v %v", lean, err)
+	trimmed, err := DecodeTaskRange(EncodeTaskRange(in, 100))
+	if err != nil || trimmed[1].FailedOn != nil || trimmed[1].Attempt != 2 || trimmed[0].Machine != "i-1" {
+		t.Errorf("what does not fit is left out, and nothing else: %+v %v", trimmed, err)
 	}
 	// The first form held one task.
-	if old, err := DecodeTaskRange(
-		[]byte(`{"s":"placed","host":"i-7","try":3}`),
-	); err != nil || len(old) != 1 ||
-		old[0].Machine != "i-7" {
-		t.Error(old, err)
+	first, err := DecodeTaskRange([]byte(`{"s":"placed","host":"i-7","try":3}`))
+	if err != nil || len(first) != 1 || first[0].Machine != "i-7" {
+		t.Error(first, err)
 	}
-	for _, bad := range []string{`{"s":"placed"}`, `{"v":2,"t":[{"s":"pending"}]}`, `{"v":1,"t":[]}`, `{"v":1,"t":[{"s":"placed"}]}`, `[]`, `null`, `{}`} {
+	for _, bad := range []string{
+		`{"s":"placed"}`,
+		`{"v":2,"t":[{"s":"pending"}]}`,
+		`{"v":1,"t":[]}`,
+		`{"v":1,"t":[{"s":"placed"}]}`,
+		`[]`,
+		`null`,
+		`{}`,
+	} {
 		if _, err := DecodeTaskRange([]byte(bad)); err == nil {
 			t.Errorf("%s was taken", bad)
 		}
--- a/internal/jobs/task_transition.go
+++ b/internal/jobs/task_transition.go
@@ -1,102 +1,175 @@
 package jobs
 
-import (
-	"slices"
-)
+import "slices"
 
-// TaskEvent is what can happen to a task.
+// TaskEvent is what can happen to a task. Each kind of event reads only the fields that
+// its constant names.
 type TaskEvent struct {
-	Kind TaskEventKind
-	Controller, Zone, PreferredMachine,
-	Machine string
-	Attempt     uint64
-	NotBeforeMs int64
-	Reason      string
+	Kind             TaskEventKind
+	Controller       string // that is to place the task
+	Zone             string
+	PreferredMachine string // where the leader expects free capacity
+	Machine          string
+	Attempt          uint64
+	NotBeforeMs      int64  // Unix time in ms before which the task isn't placed again
+	Reason           string // why it is being stopped, as users read it
 }
 
-// TaskEventKind names a task event.
+// TaskEventKind names a task event. Kinds are not stored.
 type TaskEventKind string
 
-// Events of a task.
+// Kinds of task events, with the fields of TaskEvent that they read.
 const (
-	Release    TaskEventKind = "release"   // leader charges it and names a part
-	TakeBack   TaskEventKind = "take back" // part did not place it
-	Place      TaskEventKind = "place"     // machine and try chosen
-	PlaceAgain TaskEventKind = "anew"      // gone from its machine, and placed there once more
-	Stop       TaskEventKind = "stop"      // to be stopped
-	Complete   TaskEventKind = "complete"  // worker reported done
-	Lost       TaskEventKind = "gone"      // no longer on its machine, not its fault
-	Fail       TaskEventKind = "fail"      // failed on its machine
+	// Release: the leader charges the task and names the controller that places it
+	// (Controller, Zone, PreferredMachine).
+	Release TaskEventKind = "release"
+	// TakeBack: the controller did not place it.
+	TakeBack TaskEventKind = "take back"
+	// Place: machine and attempt are chosen (Machine, Zone, Attempt).
+	Place TaskEventKind = "place"
+	// PlaceAgain: lost by its machine and placed there once more (Attempt).
+	PlaceAgain TaskEventKind = "anew"
+	// Stop: it is to be stopped (Reason).
+	Stop TaskEventKind = "stop"
+	// Complete: the agent reported it done.
+	Complete TaskEventKind = "complete"
+	// Lost: no longer on its machine, through no fault of its own (NotBeforeMs).
+	Lost TaskEventKind = "gone"
+	// Fail: it failed on its machine (NotBeforeMs).
+	Fail TaskEventKind = "fail"
 )
 
-// maxFailedOn bounds the machines remembered against a task.
+// maxFailedOn limits the machines that are remembered against a task, so that its record
+// stays short; the oldest are forgotten first.
 const maxFailedOn = 4
 
-// NextTask is the one place where a task changes state.
+// NextTask is the one place where a task changes state. It returns the task unchanged and
+// false if the event is not possible in its state.
 func NextTask(t Task, e TaskEvent) (Task, bool) {
-	state := t.State
-	if state == "" {
-		state = Pending
-	}
-	onMachine := state == Placed || state == Stopping
 	switch e.Kind {
 	case Release:
-		if state != Pending {
-			return t, false
-		}
-		t.State, t.Controller, t.Zone, t.PreferredMachine = Released, e.Controller, e.Zone, e.PreferredMachine
+		return releaseTask(t, e)
 	case TakeBack:
-		if state != Released {
-			return t, false
-		}
-		t.State, t.Controller, t.Zone, t.PreferredMachine = Pending, "", "", ""
+		return takeTaskBack(t)
 	case Place:
-		// A try is never reused: it must be above every earlier one.
-		if (state != Released && state != Pending) || e.Attempt <= t.Attempt {
-			return t, false
-		}
-		t.State, t.Machine, t.Zone, t.Attempt, t.Controller, t.PreferredMachine = Placed, e.Machine, e.Zone, e.Attempt, "", ""
+		return placeTask(t, e)
 	case PlaceAgain:
-		// Gone and Place in one, with the same guard.
-		if state != Placed || e.Attempt <= t.Attempt {
-			return t, false
-		}
-		t.Attempt = e.Attempt
+		return placeTaskAgain(t, e)
 	case Stop:
-		if state != Placed {
-			return t, false
-		}
-		t.State, t.Reason = Stopping, e.Reason
+		return stopTask(t, e)
 	case Complete:
-		if !onMachine {
-			return t, false
-		}
-		t = Task{State: Finished, Attempt: t.Attempt}
+		return completeTask(t)
 	case Lost:
-		if !onMachine {
-			return t, false
-		}
-		t = Task{State: Pending, Attempt: t.Attempt, Failures: t.Failures, FailedOn: t.FailedOn, NotBeforeMs: e.NotBeforeMs}
+		return loseTask(t, e)
 	case Fail:
-		if !onMachine {
-			return t, false
-		}
-		failedOn := t.FailedOn
-		if !slices.Contains(failedOn, t.Machine) {
-			failedOn = append(slices.Clone(failedOn), t.Machine)
-			if len(failedOn) > maxFailedOn {
-				failedOn = failedOn[1:]
-			}
-		}
-		t = Task{State: Pending, Attempt: t.Attempt, Failures: t.Failures + 1, FailedOn: failedOn, NotBeforeMs: e.NotBeforeMs}
-	default:
+		return failTask(t, e)
+	}
+	return t, false
+}
+
+func releaseTask(t Task, e TaskEvent) (Task, bool) {
+	if !t.isPending() {
 		return t, false
 	}
+	t.State = Released
+	t.Controller = e.Controller
+	t.Zone = e.Zone
+	t.PreferredMachine = e.PreferredMachine
 	return t, true
 }
 
-// Withdraw is what becomes of a task that has to make way: one that is released but
-// on no machine is taken back, one that is on a machine is to be stopped.
+func takeTaskBack(t Task) (Task, bool) {
+	if t.State != Released {
+		return t, false
+	}
+	t.State = Pending
+	t.Controller = ""
+	t.Zone = ""
+	t.PreferredMachine = ""
+	return t, true
+}
+
+// placeTask refuses an attempt that is not above every earlier one: an attempt number is
+// never reused.
+func placeTask(t Task, e TaskEvent) (Task, bool) {
+	if (t.State != Released && !t.isPending()) || e.Attempt <= t.Attempt {
+		return t, false
+	}
+	t.State = Placed
+	t.Machine = e.Machine
+	t.Zone = e.Zone
+	t.Attempt = e.Attempt
+	t.Controller = ""
+	t.PreferredMachine = ""
+	return t, true
+}
+
+// placeTaskAgain is Lost and Place in one, with the same guard on the attempt.
+func placeTaskAgain(t Task, e TaskEvent) (Task, bool) {
+	if t.State != Placed || e.Attempt <= t.Attempt {
+		return t, false
+	}
+	t.Attempt = e.Attempt
+	return t, true
+}
+
+func stopTask(t Task, e TaskEvent) (Task, bool) {
+	if t.State != Placed {
+		return t, false
+	}
+	t.State = Stopping
+	t.Reason = e.Reason
+	return t, true
+}
+
+func completeTask(t Task) (Task, bool) {
+	if !t.OnMachine() {
+		return t, false
+	}
+	return Task{State: Finished, Attempt: t.Attempt}, true
+}
+
+func loseTask(t Task, e TaskEvent) (Task, bool) {
+	if !t.OnMachine() {
+		return t, false
+	}
+	return Task{
+		State:       Pending,
+		Attempt:     t.Attempt,
+		Failures:    t.Failures,
+		FailedOn:    t.FailedOn,
+		NotBeforeMs: e.NotBeforeMs,
+	}, true
+}
+
+func failTask(t Task, e TaskEvent) (Task, bool) {
+	if !t.OnMachine() {
+		return t, false
+	}
+	return Task{
+		State:       Pending,
+		Attempt:     t.Attempt,
+		Failures:    t.Failures + 1,
+		FailedOn:    appendFailedOn(t.FailedOn, t.Machine),
+		NotBeforeMs: e.NotBeforeMs,
+	}, true
+}
+
+// appendFailedOn adds a machine to those that a task failed on. It copies the list, which
+// other versions of the task share.
+func appendFailedOn(failedOn []string, machine string) []string {
+	if slices.Contains(failedOn, machine) {
+		return failedOn
+	}
+	failedOn = append(slices.Clone(failedOn), machine)
+	if len(failedOn) > maxFailedOn {
+		failedOn = failedOn[1:]
+	}
+	return failedOn
+}
+
+// Withdraw is the transition of a task that has to be preempted or stopped: one that is
+// released but on no machine is taken back, one that is on a machine is to be stopped.
 func Withdraw(t Task, reason string) (Task, bool) {
 	if t.State == Released {
 		return NextTask(t, TaskEvent{Kind: TakeBack})
--- a/internal/jobs/task_transition_test.go
+++ b/internal/jobs/task_transition_test.go
@@ -2,49 +2,50 @@
 
 import "testing"
 
-func TestNextTask(t *testing.T) {
-	step := func(x Task, e TaskEvent) Task {
-		t.Helper()
-		next, ok := NextTask(x, e)
-		if !ok {
-			t.Fatalf("%s not possible from %s", e.Kind, x.State)
-		}
-		return next
-	}
-	x := step(Task{}, TaskEvent{Kind: Release, Controller: "n1", Zone: "a"})
-	if !x.Charged() || x.OnMachine() {
-		t.Error("released is charged and on no machine")
+// mustTransition applies an event that must be possible.
+func mustTransition(t *testing.T, task Task, event TaskEvent) Task {
+	t.Helper()
+	next, ok := NextTask(task, event)
+	if !ok {
+		t.Fatalf("%s not possible from %s", event.Kind, task.State)
+	}
+	return next
+}
+
+// mustRefuse checks that an event is not possible, and that the task stays as it is.
+func mustRefuse(t *testing.T, task Task, event TaskEvent, fault string) {
+	t.Helper()
+	next, ok := NextTask(task, event)
+	if ok {
+		t.Error(fault)
 	}
-	x = step(x, TaskEvent{Kind: Place, Machine: "i-1", Attempt: 1})
-	if _, ok := NextTask(x, TaskEvent{Kind: Place, Machine: "i-2", Attempt: 2}); ok {
-		t.Error("placed twice")
+	if !ok && !next.Same(&task) {
+		t.Errorf("a refused %s changed %+v into %+v", event.Kind, task, next)
 	}
-	if _, ok := NextTask(x, TaskEvent{Kind: PlaceAgain, Attempt: 1}); ok {
-		t.Error("an attempt number was used again on the same machine")
+}
+
+func TestNextTask(t *testing.T) {
+	task := mustTransition(t, Task{}, TaskEvent{Kind: Release, Controller: "n1", Zone: "a"})
+	if !task.Charged() || task.OnMachine() {
+		t.Error("released is charged and on no machine")
 	}
-	if again := step(
-		x,
-		TaskEvent{Kind: PlaceAgain, Attempt: 2},
-	); again.Attempt != 2 || again.Machine != "i-1" ||
-		again.State != Placed {
+	task = mustTransition(t, task, TaskEvent{Kind: Place, Machine: "i-1", Attempt: 1})
+	mustRefuse(t, task, TaskEvent{Kind: Place, Machine: "i-2", Attempt: 2}, "placed twice")
+	mustRefuse(t, task, TaskEvent{Kind: PlaceAgain, Attempt: 1}, "an attempt number was used again on the same machine")
+	again := mustTransition(t, task, TaskEvent{Kind: PlaceAgain, Attempt: 2})
+	if again.Attempt != 2 || again.Machine != "i-1" || again.State != Placed {
 		t.Errorf("%+v", again)
 	}
-	x = step(x, TaskEvent{Kind: Stop, Reason: "room"})
-	if _, ok := NextTask(x, TaskEvent{Kind: PlaceAgain, Attempt: 9}); ok {
-		t.Error("what is to be stopped was placed once more")
-	}
-	x = step(x, TaskEvent{Kind: Fail, NotBeforeMs: 5})
-	if x.Failures != 1 || len(x.FailedOn) != 1 || x.Charged() || x.Attempt != 1 {
-		t.Errorf("%+v", x)
-	}
-	if _, ok := NextTask(x, TaskEvent{Kind: Place, Machine: "i-2", Attempt: 1}); ok {
-		t.Error("an attempt number was used again")
-	}
-	x = step(x, TaskEvent{Kind: Place, Machine: "i-2", Attempt: 2})
-	x = step(x, TaskEvent{Kind: Complete})
-	for _, e := range []TaskEventKind{Release, Place, PlaceAgain, Stop, Lost, Fail, TakeBack, Complete} {
-		if _, ok := NextTask(x, TaskEvent{Kind: e, Attempt: 9}); ok {
-			t.Errorf("%s after done", e)
-		}
+	task = mustTransition(t, task, TaskEvent{Kind: Stop, Reason: "room"})
+	mustRefuse(t, task, TaskEvent{Kind: PlaceAgain, Attempt: 9}, "what is to be stopped was placed once more")
+	task = mustTransition(t, task, TaskEvent{Kind: Fail, NotBeforeMs: 5})
+	if task.Failures != 1 || len(task.FailedOn) != 1 || task.Charged() || task.Attempt != 1 {
+		t.Errorf("%+v", task)
+	}
+	mustRefuse(t, task, TaskEvent{Kind: Place, Machine: "i-2", Attempt: 1}, "an attempt number was used again")
+	task = mustTransition(t, task, TaskEvent{Kind: Place, Machine: "i-2", Attempt: 2})
+	task = mustTransition(t, task, TaskEvent{Kind: Complete})
+	for _, kind := range []TaskEventKind{Release, Place, PlaceAgain, Stop, Lost, Fail, TakeBack, Complete} {
+		mustRefuse(t, task, TaskEvent{Kind: kind, Attempt: 9}, string(kind)+" after done")
 	}
 }
--- a/internal/jobs/trust.go
+++ b/internal/jobs/trust.go
@@ -6,17 +6,17 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Trust is what a job's failures say of it. It follows from its tasks' records,
-// so that it outlives a change of leader without a change of its own.
+// Trust is what a job's failures say of it. It is derived from its tasks' records alone, so
+// that a new leader comes to the same result and nothing has to be stored for it.
 type Trust string
 
 // Degrees of trust in a live job.
 const (
 	Trusted Trust = "trusted"
-	Probing Trust = "probing" // failed everywhere so far: one try at a time
+	Probing Trust = "probing" // failed everywhere so far: one attempt at a time
 )
 
-// TrustOf tells how far to trust a job whose tasks failed on so many different
+// TrustOf tells how far to trust a job whose tasks failed on failedMachines different
 // machines. proven: one of its tasks is done, or has run for a while.
 func TrustOf(failedMachines int, proven bool) Trust {
 	if failedMachines >= tuning.ErrorsBlame && !proven {
@@ -25,8 +25,13 @@
 	return Trusted
 }
 
-// Backoff is the pause before a task that has failed so often is tried anew.
+// maxBackoffDoublings keeps the doubled pause from overflowing; tuning.BackoffMax is reached
+// before it.
+const maxBackoffDoublings = 10
+
+// Backoff is the pause before a task that has failed so often is placed again: it doubles
+// with each failure, up to tuning.BackoffMax.
 func Backoff(failures int) time.Duration {
-	pause := tuning.Backoff << min(failures, 10)
+	pause := tuning.Backoff << min(failures, maxBackoffDoublings)
 	return min(pause, tuning.BackoffMax)
 }
--- a/internal/jobs/trust_test.go
+++ b/internal/jobs/trust_test.go
@@ -3,13 +3,19 @@
 import "testing"
 
 func TestTrustOf(t *testing.T) {
-	for _, c := range []struct {
-		machines int
-		proven   bool
-		want     Trust
-	}{{0, false, Trusted}, {2, false, Trusted}, {3, false, Probing}, {9, false, Probing}, {9, true, Trusted}} {
-		if got := TrustOf(c.machines, c.proven); got != c.want {
-			t.Errorf("%d machines, proven %v: %s, not %s", c.machines, c.proven, got, c.want)
+	for name, c := range map[string]struct {
+		failedMachines int
+		proven         bool
+		want           Trust
+	}{
+		"no failure":                      {0, false, Trusted},
+		"below the limit":                 {2, false, Trusted},
+		"at the limit":                    {3, false, Probing},
+		"far above the limit":             {9, false, Probing},
+		"far above the limit, but proven": {9, true, Trusted},
+	} {
+		if got := TrustOf(c.failedMachines, c.proven); got != c.want {
+			t.Errorf("%s: %s, not %s", name, got, c.want)
 		}
 	}
 }
