--- a/internal/preempt/preempt.go
+++ b/internal/preempt/preempt.go
@@ -32,7 +32,7 @@
 
 // yields tells whether a running task has to make way: its rank is lower, or it is
 // beyond a guarantee that the waiting one is within. Gangs of several tasks do not.
-func (s *Search) yields(b *clusterstate.State, t *clusterstate.Task) bool {
+func (s *Search) yields(state *clusterstate.State, t *clusterstate.Task) bool {
 	spec := &t.Job.Record.Spec
 	switch {
 	case spec.IsGang():
@@ -40,34 +40,34 @@
 	case spec.PriorityOrder() > s.Priority:
 		return true
 	}
-	return s.Entitled >= 0 && spec.Kind != jobs.Service && s.Account.Yields(s.Entitled, b.QuotaLeaf(spec), spec.Amount())
+	return s.Entitled >= 0 && spec.Kind != jobs.Service && s.Account.Yields(s.Entitled, state.QuotaLeaf(spec), spec.Amount())
 }
 
 // Victims finds the machine where stopping the fewest tasks makes room, one with
 // the image if there is any. Nil if there is none, or if room is coming already.
-func Victims(b *clusterstate.State, s Search) []*clusterstate.Task {
-	spec := &s.Task.Job.Record.Spec
+func Victims(state *clusterstate.State, search Search) []*clusterstate.Task {
+	spec := &search.Task.Job.Record.Spec
 	var best []*clusterstate.Task
-	cached := false
-	for _, m := range b.MachinesByName() {
-		if m.State != fleet.Up || !s.Open(m) || !clusterstate.ZoneAllowed(spec, s.Zones, m.Zone) {
+	bestHasImage := false
+	for _, m := range state.MachinesByName() {
+		if m.State != fleet.Up || !search.Open(m) || !clusterstate.ZoneAllowed(spec, search.Zones, m.Zone) {
 			continue
 		}
-		has := b.HasImage(m.Name, spec.Image)
-		if s.OnlyWithImage && !has || cached && !has {
+		hasImage := state.HasImage(m.Name, spec.Image)
+		if search.OnlyWithImage && !hasImage || bestHasImage && !hasImage {
 			continue
 		}
-		whole := b.MachineTypes[m.MachineType].Capacity()
-		if !whole.Fits(spec.Resources()) {
+		capacity := state.MachineTypes[m.MachineType].Capacity()
+		if !capacity.Fits(spec.Resources()) {
 			continue
 		}
-		free, lower := s.onMachine(b, m.Name, whole.Sub(m.Usage.Resources))
+		free, yielding := search.onMachine(state, m.Name, capacity.Sub(m.Usage.Resources))
 		if free.Fits(spec.Resources()) {
 			return nil // room is coming already
 		}
-		chosen, ok := fewest(spec.Resources(), free, lower)
-		if ok && (best == nil || (has && !cached) || (has == cached && len(chosen) < len(best))) {
-			best, cached = chosen, has
+		victims, ok := fewestVictims(spec.Resources(), free, yielding)
+		if ok && (best == nil || (hasImage && !bestHasImage) || (hasImage == bestHasImage && len(victims) < len(best))) {
+			best, bestHasImage = victims, hasImage
 		}
 	}
 	return best
@@ -76,34 +76,34 @@
 // onMachine is the room that is free on a machine, with what is on its way out, and
 // the tasks that yield, the youngest first: they have the least to lose.
 func (s *Search) onMachine(
-	b *clusterstate.State,
+	state *clusterstate.State,
 	machine string,
 	free sharding.Resources,
 ) (sharding.Resources, []*clusterstate.Task) {
-	var lower []*clusterstate.Task
-	for _, t := range b.TasksOnMachine[machine] {
+	var yielding []*clusterstate.Task
+	for _, t := range state.TasksOnMachine[machine] {
 		switch {
 		case t.Job.Record == nil || s.Busy(t.Stored.Key) || s.Stopping[t]:
 		case t.State == jobs.Stopping:
 			free = free.Add(t.Job.Record.Spec.Resources())
-		case s.yields(b, t):
-			lower = append(lower, t)
+		case s.yields(state, t):
+			yielding = append(yielding, t)
 		}
 	}
-	sort.Slice(lower, func(a, b int) bool {
-		if !lower[a].Since.Equal(lower[b].Since) {
-			return lower[a].Since.After(lower[b].Since)
+	sort.Slice(yielding, func(a, b int) bool {
+		if !yielding[a].Since.Equal(yielding[b].Since) {
+			return yielding[a].Since.After(yielding[b].Since)
 		}
-		return lower[a].ID < lower[b].ID
+		return yielding[a].ID < yielding[b].ID
 	})
-	return free, lower
+	return free, yielding
 }
 
-// fewest takes tasks until need fits; false if it never does.
-func fewest(need, free sharding.Resources, lower []*clusterstate.Task) ([]*clusterstate.Task, bool) {
-	for i, t := range lower {
+// fewestVictims takes tasks until need fits; false if it never does.
+func fewestVictims(need, free sharding.Resources, yielding []*clusterstate.Task) ([]*clusterstate.Task, bool) {
+	for i, t := range yielding {
 		if free = free.Add(t.Job.Record.Spec.Resources()); free.Fits(need) {
-			return slices.Clone(lower[:i+1]), true
+			return slices.Clone(yielding[:i+1]), true
 		}
 	}
 	return nil, false
--- a/internal/preempt/preempt_test.go
+++ b/internal/preempt/preempt_test.go
@@ -13,10 +13,10 @@
 	"github.com/harrierreel/harrierreel/internal/quota"
 )
 
-// full is a book with two machines of four places that others have filled.
-func full(t *testing.T) *clusterstate.State {
+// fullCluster has two machines of four accelerators each, all in use.
+func fullCluster(t *testing.T) *clusterstate.State {
 	t.Helper()
-	b := clusterstate.New(
+	state := clusterstate.New(
 		quota.Flat(
 			map[string]quota.Team{
 				"a": {Name: "a", Guaranteed: quota.Of(0, 4, 0)},
@@ -25,36 +25,36 @@
 		),
 		func(string) {},
 	)
-	b.MachineTypes["g4"] = &jobs.MachineType{Name: "g4", Cores: 32, Accelerators: 4, MemoryGB: 256, CacheGB: 100}
+	state.MachineTypes["g4"] = &jobs.MachineType{Name: "g4", Cores: 32, Accelerators: 4, MemoryGB: 256, CacheGB: 100}
 	at := int64(0)
-	enter := func(jobID, owner, priority, shape, machine, image string, pieces int) {
+	enter := func(jobID, team, priority, kind, machine, image string, taskCount int) {
 		at += 10
-		b.Now = time.Unix(at, 0)
+		state.Now = time.Unix(at, 0)
 		spec := jobs.Spec{
 			ID:           jobID,
 			Class:        "c",
-			Team:         owner,
-			Kind:         shape,
+			Team:         team,
+			Kind:         kind,
 			Priority:     priority,
-			TaskCount:    pieces,
+			TaskCount:    taskCount,
 			Cores:        1,
 			Accelerators: 1,
 			MemoryGB:     1,
 			Image:        image,
 			ImageGB:      1,
 		}
-		if err := b.ApplyJob(jobID, jobs.Encode(jobs.Record{State: jobs.Live, AcceptedMs: 1, Spec: spec})); err != nil {
+		if err := state.ApplyJob(jobID, jobs.Encode(jobs.Record{State: jobs.Live, AcceptedMs: 1, Spec: spec})); err != nil {
 			t.Fatal(err)
 		}
-		var on []jobs.Task
-		for range pieces {
-			on = append(on, jobs.Task{State: jobs.Placed, Machine: machine, Attempt: 1})
+		var records []jobs.Task
+		for range taskCount {
+			records = append(records, jobs.Task{State: jobs.Placed, Machine: machine, Attempt: 1})
 		}
-		_, _ = b.ApplyTaskRange(jobs.TaskRangeKey(jobID, 0), jobs.EncodeTaskRange(on, 8192))
+		_, _ = state.ApplyTaskRange(jobs.TaskRangeKey(jobID, 0), jobs.EncodeTaskRange(records, 8192))
 	}
-	for _, h := range []string{"i-1", "i-2"} {
-		if err := b.ApplyMachine(
-			h,
+	for _, machine := range []string{"i-1", "i-2"} {
+		if err := state.ApplyMachine(
+			machine,
 			"n0",
 			jobs.Encode(fleet.MachineRecord{State: fleet.Up, MachineType: "g4", Zone: "a"}),
 		); err != nil {
@@ -66,19 +66,19 @@
 	enter("wk-3", "b", "urgent", jobs.Service, "i-1", "x", 1)
 	enter("wk-4", "b", "idle", jobs.Gang, "i-2", "x", 2)
 	enter("wk-5", "b", "standard", jobs.JobArray, "i-2", "z", 2)
-	return b
+	return state
 }
 
-func search(b *clusterstate.State, owner, priority string, accel float64) Search {
+func newSearch(state *clusterstate.State, team, priority string, accelerators float64) Search {
 	spec := jobs.Spec{
 		ID:           "wk-9",
 		Class:        "c",
-		Team:         owner,
+		Team:         team,
 		Kind:         jobs.JobArray,
 		Priority:     priority,
 		TaskCount:    1,
 		Cores:        1,
-		Accelerators: accel,
+		Accelerators: accelerators,
 		MemoryGB:     1,
 		Image:        "z",
 	}
@@ -88,17 +88,17 @@
 			Job: j,
 		},
 		Priority: spec.PriorityOrder(),
-		Entitled: b.Account.Entitled(b.QuotaLeaf(&spec), spec.Amount(), 1),
-		Account:  b.Account,
+		Entitled: state.Account.Entitled(state.QuotaLeaf(&spec), spec.Amount(), 1),
+		Account:  state.Account,
 		Open:     func(*clusterstate.Machine) bool { return true },
 		Busy:     func(string) bool { return false },
 		Stopping: map[*clusterstate.Task]bool{},
 	}
 }
 
-func names(ts []*clusterstate.Task) string {
+func taskIDs(tasks []*clusterstate.Task) string {
 	var out []string
-	for _, t := range ts {
+	for _, t := range tasks {
 		out = append(out, t.ID)
 	}
 	slices.Sort(out)
@@ -106,18 +106,18 @@
 }
 
 func TestVictims(t *testing.T) {
-	b := full(t)
+	state := fullCluster(t)
 	for name, c := range map[string]struct {
 		s    Search
 		want string
 	}{
-		"the lower rank yields, where the image is":            {search(b, "b", "prod", 1), "wk-5/1"},
-		"a guarantee, where the image is":                      {search(b, "a", "standard", 1), "wk-5/1"},
-		"within no guarantee nothing of the same rank":         {func() Search { s := search(b, "b", "standard", 1); s.Entitled = -1; return s }(), "wk-2/0"},
-		"idle work beyond its guarantee stops nobody":          {func() Search { s := search(b, "b", "idle", 1); s.Entitled = -1; return s }(), ""},
-		"more than a machine can give without gang or service": {search(b, "b", "prod", 4), "wk-1/0 wk-1/1 wk-2/0 wk-3/0"},
+		"the lower rank yields, where the image is":            {newSearch(state, "b", "prod", 1), "wk-5/1"},
+		"a guarantee, where the image is":                      {newSearch(state, "a", "standard", 1), "wk-5/1"},
+		"within no guarantee nothing of the same rank":         {func() Search { s := newSearch(state, "b", "standard", 1); s.Entitled = -1; return s }(), "wk-2/0"},
+		"idle work beyond its guarantee stops nobody":          {func() Search { s := newSearch(state, "b", "idle", 1); s.Entitled = -1; return s }(), ""},
+		"more than a machine can give without gang or service": {newSearch(state, "b", "prod", 4), "wk-1/0 wk-1/1 wk-2/0 wk-3/0"},
 	} {
-		got := names(Victims(b, c.s))
+		got := taskIDs(Victims(state, c.s))
 		if name == "the lower rank yields, where the image is" || name == "a guarantee, where the image is" {
 			if got != "wk-5/0" && got != "wk-5/1" {
 				t.Errorf("%s: %q", name, got)
@@ -129,25 +129,25 @@
 		}
 	}
 	// What is on its way out makes room already.
-	s := search(b, "a", "standard", 1)
-	on := []jobs.Task{{State: jobs.Stopping, Machine: "i-1", Attempt: 1}}
-	_, _ = b.ApplyTaskRange(jobs.TaskRangeKey("wk-2", 0), jobs.EncodeTaskRange(on, 8192))
-	if got := names(Victims(b, s)); got != "" {
+	s := newSearch(state, "a", "standard", 1)
+	records := []jobs.Task{{State: jobs.Stopping, Machine: "i-1", Attempt: 1}}
+	_, _ = state.ApplyTaskRange(jobs.TaskRangeKey("wk-2", 0), jobs.EncodeTaskRange(records, 8192))
+	if got := taskIDs(Victims(state, s)); got != "" {
 		t.Errorf("stopped %q for room that is coming", got)
 	}
 	// What is under a transaction, or stopped by this look, is left alone.
-	b = full(t)
-	s = search(b, "b", "standard", 1)
+	state = fullCluster(t)
+	s = newSearch(state, "b", "standard", 1)
 	s.Entitled = -1
 	s.Busy = func(key string) bool { return key == jobs.TaskRangeKey("wk-2", 0) }
-	if got := names(Victims(b, s)); got != "" {
+	if got := taskIDs(Victims(state, s)); got != "" {
 		t.Errorf("stopped %q", got)
 	}
 	s.OnlyWithImage = true
-	if got := names(Victims(b, s)); got != "" {
+	if got := taskIDs(Victims(state, s)); got != "" {
 		t.Errorf("stopped %q where its image is not", got)
 	}
-	if fmt.Sprint(b.Audit()) != "[]" {
-		t.Error(b.Audit())
+	if fmt.Sprint(state.Audit()) != "[]" {
+		t.Error(state.Audit())
 	}
 }
