--- a/internal/preempt/preempt.go
+++ b/internal/preempt/preempt.go
@@ -1,5 +1,5 @@
-// Package preempt is who makes way for whom: which tasks on one machine are stopped
-// so that a waiting one finds room there. No IO, no clock.
+// Package preempt decides who is preempted for whom: which tasks on one machine are stopped
+// so that a waiting one fits there. No IO, no clock.
 package preempt
 
 import (
@@ -13,68 +13,102 @@
 	"github.com/harrierreel/harrierreel/internal/sharding"
 )
 
-// Search is a waiting task that others may have to make way for.
+// Search is a waiting task that others may be preempted for, with what limits the choice.
 type Search struct {
-	Task     *clusterstate.Task
+	Task *clusterstate.Task
+	// Priority is the waiting task's, as jobs.Spec.PriorityOrder gives it: 0 the most urgent.
 	Priority int
-	Entitled int // node of the quotas' tree within whose guarantee it lies, below 0 for none
+	// Entitled is the node of the quota tree within whose guarantee the task lies, below 0
+	// for none.
+	Entitled int
 	Account  *quota.Account
-	Zones    map[string]int // of its job's tasks
-	// OnlyWithImage: only where its image is.
+	// Zones counts the tasks of its job by zone.
+	Zones map[string]int
+	// OnlyWithImage leaves out machines that don't have its image.
 	OnlyWithImage bool
-	// Open tells whether it may go on a machine at all.
+	// Open tells whether the task may be placed on a machine at all.
 	Open func(m *clusterstate.Machine) bool
-	// Busy tells whether a record is under a transaction.
+	// Busy tells whether a transaction on the record of a key is under way. Tasks of such
+	// a record can't be stopped now.
 	Busy func(key string) bool
-	// Stopping are tasks that this look stops already.
+	// Stopping are the tasks that the same scheduling cycle stops already.
 	Stopping map[*clusterstate.Task]bool
 }
 
-// yields tells whether a running task has to make way: its rank is lower, or it is
-// beyond a guarantee that the waiting one is within. Gangs of several tasks do not.
-func (s *Search) yields(state *clusterstate.State, t *clusterstate.Task) bool {
-	spec := &t.Job.Record.Spec
-	switch {
-	case spec.IsGang():
-		return false
-	case spec.PriorityOrder() > s.Priority:
+// choice is a machine's tasks that would be preempted.
+type choice struct {
+	victims  []*clusterstate.Task
+	hasImage bool // the machine has the waiting task's image
+}
+
+// betterThan prefers a machine with the image, then the fewest tasks. Of equals the earlier
+// one stays. Any choice is better than none.
+func (c choice) betterThan(other choice) bool {
+	if other.victims == nil {
 		return true
 	}
-	return s.Entitled >= 0 && spec.Kind != jobs.Service && s.Account.Yields(s.Entitled, state.QuotaLeaf(spec), spec.Amount())
+	if c.hasImage != other.hasImage {
+		return c.hasImage
+	}
+	return len(c.victims) < len(other.victims)
 }
 
-// Victims finds the machine where stopping the fewest tasks makes room, one with
-// the image if there is any. Nil if there is none, or if room is coming already.
+// Victims finds the machine where stopping the fewest tasks frees enough capacity, one with
+// the image if there is any, and lists those tasks. Nil if there is none, or if enough will be
+// free somewhere once the tasks that are stopping are gone.
 func Victims(state *clusterstate.State, search Search) []*clusterstate.Task {
 	spec := &search.Task.Job.Record.Spec
-	var best []*clusterstate.Task
-	bestHasImage := false
+	need := spec.Resources()
+	var best choice
 	for _, m := range state.MachinesByName() {
-		if m.State != fleet.Up || !search.Open(m) || !clusterstate.ZoneAllowed(spec, search.Zones, m.Zone) {
+		if !search.mayUse(m) {
 			continue
 		}
 		hasImage := state.HasImage(m.Name, spec.Image)
-		if search.OnlyWithImage && !hasImage || bestHasImage && !hasImage {
+		if !hasImage && (search.OnlyWithImage || best.hasImage) {
 			continue
 		}
 		capacity := state.MachineTypes[m.MachineType].Capacity()
-		if !capacity.Fits(spec.Resources()) {
+		if !capacity.Fits(need) {
 			continue
 		}
 		free, yielding := search.onMachine(state, m.Name, capacity.Sub(m.Usage.Resources))
-		if free.Fits(spec.Resources()) {
-			return nil // room is coming already
+		if free.Fits(need) {
+			return nil
 		}
-		victims, ok := fewestVictims(spec.Resources(), free, yielding)
-		if ok && (best == nil || (hasImage && !bestHasImage) || (hasImage == bestHasImage && len(victims) < len(best))) {
-			best, bestHasImage = victims, hasImage
+		victims, ok := fewestVictims(need, free, yielding)
+		if next := (choice{victims, hasImage}); ok && next.betterThan(best) {
+			best = next
 		}
 	}
-	return best
+	return best.victims
+}
+
+// mayUse tells whether the waiting task may be placed on a machine, if it had free capacity.
+func (s *Search) mayUse(m *clusterstate.Machine) bool {
+	return m.State == fleet.Up &&
+		s.Open(m) &&
+		clusterstate.ZoneAllowed(&s.Task.Job.Record.Spec, s.Zones, m.Zone)
+}
+
+// yields tells whether a running task has to be preempted for the waiting one: its priority is
+// lower, or it is beyond a guarantee that the waiting one is within. Gangs of several tasks
+// never are: losing one task would stop them all.
+func (s *Search) yields(state *clusterstate.State, t *clusterstate.Task) bool {
+	spec := &t.Job.Record.Spec
+	switch {
+	case spec.IsGang():
+		return false
+	case spec.PriorityOrder() > s.Priority:
+		return true
+	case s.Entitled < 0 || spec.Kind == jobs.Service:
+		return false
+	}
+	return s.Account.Yields(s.Entitled, state.QuotaLeaf(spec), spec.Amount())
 }
 
-// onMachine is the room that is free on a machine, with what is on its way out, and
-// the tasks that yield, the youngest first: they have the least to lose.
+// onMachine returns the capacity that is free on a machine once the tasks that are stopping
+// are gone, and the tasks that yield, the youngest first: they lose the least.
 func (s *Search) onMachine(
 	state *clusterstate.State,
 	machine string,
@@ -99,7 +133,7 @@
 	return free, yielding
 }
 
-// fewestVictims takes tasks until need fits; false if it never does.
+// fewestVictims takes tasks until need fits into what is free; false if it never does.
 func fewestVictims(need, free sharding.Resources, yielding []*clusterstate.Task) ([]*clusterstate.Task, bool) {
 	for i, t := range yielding {
 		if free = free.Add(t.Job.Record.Spec.Resources()); free.Fits(need) {
--- a/internal/preempt/preempt_test.go
+++ b/internal/preempt/preempt_test.go
@@ -17,58 +17,71 @@
 func fullCluster(t *testing.T) *clusterstate.State {
 	t.Helper()
 	state := clusterstate.New(
-		quota.Flat(
-			map[string]quota.Team{
-				"a": {Name: "a", Guaranteed: quota.Of(0, 4, 0)},
-				"b": {Name: "b", Guaranteed: quota.Of(0, 2, 0)},
-			},
-		),
+		quota.Flat(map[string]quota.Team{
+			"a": {Name: "a", Guaranteed: quota.Of(0, 4, 0)},
+			"b": {Name: "b", Guaranteed: quota.Of(0, 2, 0)},
+		}),
 		func(string) {},
 	)
 	state.MachineTypes["g4"] = &jobs.MachineType{Name: "g4", Cores: 32, Accelerators: 4, MemoryGB: 256, CacheGB: 100}
-	at := int64(0)
-	enter := func(jobID, team, priority, kind, machine, image string, taskCount int) {
-		at += 10
-		state.Now = time.Unix(at, 0)
-		spec := jobs.Spec{
-			ID:           jobID,
-			Class:        "c",
-			Team:         team,
-			Kind:         kind,
-			Priority:     priority,
-			TaskCount:    taskCount,
-			Cores:        1,
-			Accelerators: 1,
-			MemoryGB:     1,
-			Image:        image,
-			ImageGB:      1,
-		}
-		if err := state.ApplyJob(jobID, jobs.Encode(jobs.Record{State: jobs.Live, AcceptedMs: 1, Spec: spec})); err != nil {
-			t.Fatal(err)
-		}
-		var records []jobs.Task
-		for range taskCount {
-			records = append(records, jobs.Task{State: jobs.Placed, Machine: machine, Attempt: 1})
-		}
-		_, _ = state.ApplyTaskRange(jobs.TaskRangeKey(jobID, 0), jobs.EncodeTaskRange(records, 8192))
-	}
 	for _, machine := range []string{"i-1", "i-2"} {
-		if err := state.ApplyMachine(
-			machine,
-			"n0",
-			jobs.Encode(fleet.MachineRecord{State: fleet.Up, MachineType: "g4", Zone: "a"}),
-		); err != nil {
+		record := jobs.Encode(fleet.MachineRecord{State: fleet.Up, MachineType: "g4", Zone: "a"})
+		if err := state.ApplyMachine(machine, "n0", record); err != nil {
 			t.Fatal(err)
 		}
 	}
-	enter("wk-1", "b", "standard", jobs.JobArray, "i-1", "x", 2)
-	enter("wk-2", "b", "idle", jobs.JobArray, "i-1", "y", 1)
-	enter("wk-3", "b", "urgent", jobs.Service, "i-1", "x", 1)
-	enter("wk-4", "b", "idle", jobs.Gang, "i-2", "x", 2)
-	enter("wk-5", "b", "standard", jobs.JobArray, "i-2", "z", 2)
+	for i, job := range []runningJob{
+		{id: "wk-1", priority: "standard", kind: jobs.JobArray, machine: "i-1", image: "x", taskCount: 2},
+		{id: "wk-2", priority: "idle", kind: jobs.JobArray, machine: "i-1", image: "y", taskCount: 1},
+		{id: "wk-3", priority: "urgent", kind: jobs.Service, machine: "i-1", image: "x", taskCount: 1},
+		{id: "wk-4", priority: "idle", kind: jobs.Gang, machine: "i-2", image: "x", taskCount: 2},
+		{id: "wk-5", priority: "standard", kind: jobs.JobArray, machine: "i-2", image: "z", taskCount: 2},
+	} {
+		state.Now = time.Unix(int64(10*(i+1)), 0)
+		job.enter(t, state)
+	}
 	return state
 }
 
+// runningJob is a job of team b whose tasks all run on one machine.
+type runningJob struct {
+	id        string
+	priority  string
+	kind      string
+	machine   string
+	image     string
+	taskCount int
+}
+
+// enter puts the job and its tasks into the state, as running since its present time.
+func (j *runningJob) enter(t *testing.T, state *clusterstate.State) {
+	t.Helper()
+	spec := jobs.Spec{
+		ID:           j.id,
+		Class:        "c",
+		Team:         "b",
+		Kind:         j.kind,
+		Priority:     j.priority,
+		TaskCount:    j.taskCount,
+		Cores:        1,
+		Accelerators: 1,
+		MemoryGB:     1,
+		Image:        j.image,
+		ImageGB:      1,
+	}
+	record := jobs.Encode(jobs.Record{State: jobs.Live, AcceptedMs: 1, Spec: spec})
+	if err := state.ApplyJob(j.id, record); err != nil {
+		t.Fatal(err)
+	}
+	var records []jobs.Task
+	for range j.taskCount {
+		records = append(records, jobs.Task{State: jobs.Placed, Machine: j.machine, Attempt: 1})
+	}
+	_, _ = state.ApplyTaskRange(jobs.TaskRangeKey(j.id, 0), jobs.EncodeTaskRange(records, 8192))
+}
+
+// newSearch is a waiting task of a team that any machine may take, within whatever guarantee it
+// lies.
 func newSearch(state *clusterstate.State, team, priority string, accelerators float64) Search {
 	spec := jobs.Spec{
 		ID:           "wk-9",
@@ -82,11 +95,9 @@
 		MemoryGB:     1,
 		Image:        "z",
 	}
-	j := &clusterstate.Job{ID: "wk-9", Record: &jobs.Record{Spec: spec}}
+	job := &clusterstate.Job{ID: "wk-9", Record: &jobs.Record{Spec: spec}}
 	return Search{
-		Task: &clusterstate.Task{
-			Job: j,
-		},
+		Task:     &clusterstate.Task{Job: job},
 		Priority: spec.PriorityOrder(),
 		Entitled: state.Account.Entitled(state.QuotaLeaf(&spec), spec.Amount(), 1),
 		Account:  state.Account,
@@ -96,57 +107,86 @@
 	}
 }
 
+// withinNoGuarantee is a search for a task beyond all guarantees.
+func withinNoGuarantee(search Search) Search {
+	search.Entitled = -1
+	return search
+}
+
 func taskIDs(tasks []*clusterstate.Task) string {
-	var out []string
+	var ids []string
 	for _, t := range tasks {
-		out = append(out, t.ID)
+		ids = append(ids, t.ID)
 	}
-	slices.Sort(out)
-	return strings.Join(out, " ")
+	slices.Sort(ids)
+	return strings.Join(ids, " ")
 }
 
 func TestVictims(t *testing.T) {
 	state := fullCluster(t)
 	for name, c := range map[string]struct {
-		s    Search
-		want string
+		search Search
+		want   string
 	}{
-		"the lower rank yields, where the image is":            {newSearch(state, "b", "prod", 1), "wk-5/1"},
-		"a guarantee, where the image is":                      {newSearch(state, "a", "standard", 1), "wk-5/1"},
-		"within no guarantee nothing of the same rank":         {func() Search { s := newSearch(state, "b", "standard", 1); s.Entitled = -1; return s }(), "wk-2/0"},
-		"idle work beyond its guarantee stops nobody":          {func() Search { s := newSearch(state, "b", "idle", 1); s.Entitled = -1; return s }(), ""},
-		"more than a machine can give without gang or service": {newSearch(state, "b", "prod", 4), "wk-1/0 wk-1/1 wk-2/0 wk-3/0"},
+		"the lower priority yields, where the image is": {
+			search: newSearch(state, "b", "prod", 1),
+			want:   "wk-5/0",
+		},
+		"what is beyond a guarantee yields, where the image is": {
+			search: newSearch(state, "a", "standard", 1),
+			want:   "wk-5/0",
+		},
+		"within no guarantee nothing of the same priority": {
+			search: withinNoGuarantee(newSearch(state, "b", "standard", 1)),
+			want:   "wk-2/0",
+		},
+		"idle work within no guarantee stops nobody": {
+			search: withinNoGuarantee(newSearch(state, "b", "idle", 1)),
+		},
+		"a whole machine without a gang": {
+			search: newSearch(state, "b", "prod", 4),
+			want:   "wk-1/0 wk-1/1 wk-2/0 wk-3/0",
+		},
 	} {
-		got := taskIDs(Victims(state, c.s))
-		if name == "the lower rank yields, where the image is" || name == "a guarantee, where the image is" {
-			if got != "wk-5/0" && got != "wk-5/1" {
-				t.Errorf("%s: %q", name, got)
+		t.Run(name, func(t *testing.T) {
+			if got := taskIDs(Victims(state, c.search)); got != c.want {
+				t.Errorf("%q, not %q", got, c.want)
 			}
-			continue
-		}
-		if got != c.want {
-			t.Errorf("%s: %q, not %q", name, got, c.want)
-		}
+		})
 	}
-	// What is on its way out makes room already.
-	s := newSearch(state, "a", "standard", 1)
+	checkAudit(t, state)
+}
+
+// A task that is stopping will free its capacity: nobody else is stopped for it.
+func TestNoVictimsWhereCapacityWillBeFree(t *testing.T) {
+	state := fullCluster(t)
+	search := newSearch(state, "a", "standard", 1)
 	records := []jobs.Task{{State: jobs.Stopping, Machine: "i-1", Attempt: 1}}
 	_, _ = state.ApplyTaskRange(jobs.TaskRangeKey("wk-2", 0), jobs.EncodeTaskRange(records, 8192))
-	if got := taskIDs(Victims(state, s)); got != "" {
-		t.Errorf("stopped %q for room that is coming", got)
+	if got := taskIDs(Victims(state, search)); got != "" {
+		t.Errorf("stopped %q though capacity will be free", got)
 	}
-	// What is under a transaction, or stopped by this look, is left alone.
-	state = fullCluster(t)
-	s = newSearch(state, "b", "standard", 1)
-	s.Entitled = -1
-	s.Busy = func(key string) bool { return key == jobs.TaskRangeKey("wk-2", 0) }
-	if got := taskIDs(Victims(state, s)); got != "" {
+}
+
+// A task whose record is under a transaction can't be stopped, and a machine without the image
+// is no choice where the image is asked for.
+func TestNoVictimsOfBusyRecordsOrWithoutImage(t *testing.T) {
+	state := fullCluster(t)
+	search := withinNoGuarantee(newSearch(state, "b", "standard", 1))
+	search.Busy = func(key string) bool { return key == jobs.TaskRangeKey("wk-2", 0) }
+	if got := taskIDs(Victims(state, search)); got != "" {
 		t.Errorf("stopped %q", got)
 	}
-	s.OnlyWithImage = true
-	if got := taskIDs(Victims(state, s)); got != "" {
+	search.OnlyWithImage = true
+	if got := taskIDs(Victims(state, search)); got != "" {
 		t.Errorf("stopped %q where its image is not", got)
 	}
+	checkAudit(t, state)
+}
+
+// checkAudit fails if what the state derives from its records doesn't agree with them.
+func checkAudit(t *testing.T, state *clusterstate.State) {
+	t.Helper()
 	if fmt.Sprint(state.Audit()) != "[]" {
 		t.Error(state.Audit())
 	}
