--- a/internal/quotareclaim/reclaim.go
+++ b/internal/quotareclaim/reclaim.go
@@ -21,72 +21,72 @@
 // Plan lists up to most tasks (and the rest of a gang) whose end brings every node of
 // an account inside its limits, with what is on its way out counted already. Of a gang all tasks go, since
 // the rest could not go on. Tasks that were released but are on no machine go first.
-func Plan(b *clusterstate.State, account *quota.Account, most int) []Stop {
+func Plan(state *clusterstate.State, account *quota.Account, limit int) []Stop {
 	over := account.Over()
 	if len(over) == 0 {
 		return nil
 	}
 	tree := account.Tree()
-	all := candidates(b)
-	account = without(account, all)
-	var out []Stop
+	tasks := candidates(state)
+	account = without(account, tasks)
+	var stops []Stop
 	chosen := map[*clusterstate.Task]bool{}
 	for _, node := range over {
-		for _, t := range all {
+		for _, t := range tasks {
 			excess := account.Excess(node)
-			if excess == (quota.Amount{}) || len(out) >= most {
+			if excess == (quota.Amount{}) || len(stops) >= limit {
 				break
 			}
 			spec := &t.Job.Record.Spec
-			if chosen[t] || t.State == jobs.Stopping || !tree.Under(b.QuotaLeaf(spec), node) || !spec.Amount().Helps(excess) {
+			if chosen[t] || t.State == jobs.Stopping || !tree.Under(state.QuotaLeaf(spec), node) || !spec.Amount().Helps(excess) {
 				continue
 			}
-			for _, mate := range mates(t) {
+			for _, mate := range gangMates(t) {
 				if !chosen[mate] && mate.State != jobs.Stopping {
 					chosen[mate] = true
 					account.Charge(spec.QuotaKey(), spec.Amount(), -1)
-					out = append(out, Stop{mate, tree.Path(node)})
+					stops = append(stops, Stop{mate, tree.Path(node)})
 				}
 			}
 		}
 	}
-	return out
+	return stops
 }
 
 // For lists the tasks whose end lets count more tasks of a job, which are within the
 // guarantee of a node, into limits that others have filled with what they borrowed:
 // as few as do, youngest first, with what is on its way out counted already. Nil if
 // that can't be had, or if it is coming.
-func For(b *clusterstate.State, account *quota.Account, entitled int, spec *jobs.Spec, count int) []Stop {
-	leaf := b.QuotaLeaf(spec)
-	all := candidates(b)
-	account = without(account, all)
-	var out []Stop
-	for _, t := range all {
+func For(state *clusterstate.State, account *quota.Account, entitled int, spec *jobs.Spec, count int) []Stop {
+	leaf := state.QuotaLeaf(spec)
+	tasks := candidates(state)
+	account = without(account, tasks)
+	var stops []Stop
+	for _, t := range tasks {
 		full := account.FullAt(leaf, spec.Amount(), count)
 		if full < 0 {
-			return out
+			return stops
 		}
 		other := &t.Job.Record.Spec
 		gang := other.IsGang()
-		if gang || other.Kind == jobs.Service || t.State == jobs.Stopping || !account.Tree().Under(b.QuotaLeaf(other), full) ||
+		if gang || other.Kind == jobs.Service || t.State == jobs.Stopping || !account.Tree().Under(state.QuotaLeaf(other), full) ||
 			!other.Amount().Helps(spec.Amount()) ||
-			!account.Yields(entitled, b.QuotaLeaf(other), other.Amount()) {
+			!account.Yields(entitled, state.QuotaLeaf(other), other.Amount()) {
 			continue
 		}
 		account.Charge(other.QuotaKey(), other.Amount(), -1)
-		out = append(out, Stop{t, account.Tree().Path(full)})
+		stops = append(stops, Stop{t, account.Tree().Path(full)})
 	}
 	if account.FullAt(leaf, spec.Amount(), count) >= 0 {
 		return nil
 	}
-	return out
+	return stops
 }
 
 // without is a copy of an account without what is on its way out.
-func without(account *quota.Account, all []*clusterstate.Task) *quota.Account {
+func without(account *quota.Account, tasks []*clusterstate.Task) *quota.Account {
 	account = account.Clone()
-	for _, t := range all {
+	for _, t := range tasks {
 		if t.State == jobs.Stopping {
 			account.Charge(t.Job.Record.Spec.QuotaKey(), t.Job.Record.Spec.Amount(), -1)
 		}
@@ -96,12 +96,12 @@
 
 // candidates lists the charged tasks of live jobs in the order in which they would
 // go: released ones, then the youngest.
-func candidates(b *clusterstate.State) []*clusterstate.Task {
+func candidates(state *clusterstate.State) []*clusterstate.Task {
 	var out []*clusterstate.Task
-	for _, t := range b.Released {
+	for _, t := range state.Released {
 		out = append(out, t)
 	}
-	for _, on := range b.TasksOnMachine {
+	for _, on := range state.TasksOnMachine {
 		for _, t := range on {
 			out = append(out, t)
 		}
@@ -122,8 +122,8 @@
 	return out
 }
 
-// mates lists a task with the rest of its gang.
-func mates(t *clusterstate.Task) []*clusterstate.Task {
+// gangMates lists a task with the rest of its gang.
+func gangMates(t *clusterstate.Task) []*clusterstate.Task {
 	if t.Job.Record.Spec.Kind != jobs.Gang {
 		return []*clusterstate.Task{t}
 	}
--- a/internal/quotareclaim/reclaim_test.go
+++ b/internal/quotareclaim/reclaim_test.go
@@ -25,8 +25,8 @@
 	"c": {Name: "c"},
 }
 
-// tree has a and b under one organisation with a limit, c beside it.
-func tree(t interface{ Fatal(...any) }, limit float64) *quota.Tree {
+// limitedTree has a and b under one organisation with a limit, c beside it.
+func limitedTree(t interface{ Fatal(...any) }, limit float64) *quota.Tree {
 	out, faults := quota.Build(
 		&quota.Document{
 			Organisations: []quota.Org{
@@ -42,14 +42,14 @@
 	return out
 }
 
-// runs enters a job whose tasks are on a machine since second at.
-func runs(b *clusterstate.State, jobID, owner, shape, priority string, states []jobs.TaskState, at int64) {
-	b.Now = time.Unix(at, 0)
+// enterJob enters a job whose tasks are on a machine since second at.
+func enterJob(state *clusterstate.State, jobID, team, kind, priority string, states []jobs.TaskState, at int64) {
+	state.Now = time.Unix(at, 0)
 	spec := jobs.Spec{
 		ID:           jobID,
 		Class:        "x",
-		Team:         owner,
-		Kind:         shape,
+		Team:         team,
+		Kind:         kind,
 		Priority:     priority,
 		TaskCount:    len(states),
 		Cores:        1,
@@ -57,7 +57,7 @@
 		MemoryGB:     1,
 		Image:        "i",
 	}
-	_ = b.ApplyJob(jobID, jobs.Encode(jobs.Record{State: jobs.Live, AcceptedMs: 1, Spec: spec}))
+	_ = state.ApplyJob(jobID, jobs.Encode(jobs.Record{State: jobs.Live, AcceptedMs: 1, Spec: spec}))
 	var records []jobs.Task
 	for _, s := range states {
 		r := jobs.Task{State: s, Attempt: 1}
@@ -66,7 +66,7 @@
 		}
 		records = append(records, r)
 	}
-	_, _ = b.ApplyTaskRange(jobs.TaskRangeKey(jobID, 0), jobs.EncodeTaskRange(records, 8192))
+	_, _ = state.ApplyTaskRange(jobs.TaskRangeKey(jobID, 0), jobs.EncodeTaskRange(records, 8192))
 }
 
 func placed(n int) []jobs.TaskState {
@@ -77,95 +77,95 @@
 	return out
 }
 
-func names(stops []Stop) string {
-	var out []string
+func taskIDs(stops []Stop) string {
+	var ids []string
 	for _, s := range stops {
-		out = append(out, s.Task.ID)
+		ids = append(ids, s.Task.ID)
 	}
-	return strings.Join(out, " ")
+	return strings.Join(ids, " ")
 }
 
 func TestPlan(t *testing.T) {
-	b := clusterstate.New(tree(t, 8), func(string) {})
-	runs(b, "wk-1", "a", jobs.JobArray, "standard", placed(3), 10)
-	runs(b, "wk-2", "b", jobs.JobArray, "standard", placed(2), 20)
-	runs(b, "wk-3", "b", jobs.Gang, "standard", placed(2), 30)
-	runs(b, "wk-4", "c", jobs.JobArray, "idle", placed(5), 40)
-	runs(b, "wk-5", "a", jobs.JobArray, "idle", placed(1), 5)
+	state := clusterstate.New(limitedTree(t, 8), func(string) {})
+	enterJob(state, "wk-1", "a", jobs.JobArray, "standard", placed(3), 10)
+	enterJob(state, "wk-2", "b", jobs.JobArray, "standard", placed(2), 20)
+	enterJob(state, "wk-3", "b", jobs.Gang, "standard", placed(2), 30)
+	enterJob(state, "wk-4", "c", jobs.JobArray, "idle", placed(5), 40)
+	enterJob(state, "wk-5", "a", jobs.JobArray, "idle", placed(1), 5)
 	for limit, want := range map[float64]string{
 		8: "", 7: "wk-5/0", 6: "wk-5/0 wk-3/0 wk-3/1", 5: "wk-5/0 wk-3/0 wk-3/1", 4: "wk-5/0 wk-3/0 wk-3/1 wk-2/0",
 	} {
-		if got := names(Plan(b, b.Account.On(tree(t, limit)), 50)); got != want {
+		if got := taskIDs(Plan(state, state.Account.On(limitedTree(t, limit)), 50)); got != want {
 			t.Errorf("limit %g: %s, not %s", limit, got, want)
 		}
 	}
 	// What is released but on no machine goes first; what is on its way out counts.
-	runs(b, "wk-6", "a", jobs.JobArray, "prod", []jobs.TaskState{jobs.Released, jobs.Stopping}, 1)
-	if got := names(Plan(b, b.Account.On(tree(t, 8)), 50)); got != "wk-6/0" {
+	enterJob(state, "wk-6", "a", jobs.JobArray, "prod", []jobs.TaskState{jobs.Released, jobs.Stopping}, 1)
+	if got := taskIDs(Plan(state, state.Account.On(limitedTree(t, 8)), 50)); got != "wk-6/0" {
 		t.Error(got)
 	}
-	if got := Plan(b, b.Account.On(tree(t, 4)), 3); len(got) < 3 || len(got) > 4 { // a gang goes whole
+	if got := Plan(state, state.Account.On(limitedTree(t, 4)), 3); len(got) < 3 || len(got) > 4 { // a gang goes whole
 		t.Errorf("%d at most", len(got))
 	}
 }
 
 func TestFor(t *testing.T) {
-	b := clusterstate.New(tree(t, 8), func(string) {})
-	runs(b, "wk-1", "a", jobs.JobArray, "urgent", placed(5), 10)
-	runs(b, "wk-2", "a", jobs.Service, "prod", placed(2), 20)
-	runs(b, "wk-3", "b", jobs.JobArray, "standard", placed(1), 30)
+	state := clusterstate.New(limitedTree(t, 8), func(string) {})
+	enterJob(state, "wk-1", "a", jobs.JobArray, "urgent", placed(5), 10)
+	enterJob(state, "wk-2", "a", jobs.Service, "prod", placed(2), 20)
+	enterJob(state, "wk-3", "b", jobs.JobArray, "standard", placed(1), 30)
 	spec := &jobs.Spec{Team: "b", Class: "x", Accelerators: 1}
-	entitled := b.Account.Entitled(b.QuotaLeaf(spec), spec.Amount(), 1)
-	if got := names(For(b, b.Account, entitled, spec, 1)); got != "wk-1/0" && got != "wk-1/4" {
+	entitled := state.Account.Entitled(state.QuotaLeaf(spec), spec.Amount(), 1)
+	if got := taskIDs(For(state, state.Account, entitled, spec, 1)); got != "wk-1/0" && got != "wk-1/4" {
 		t.Errorf("one place: %s", got)
 	}
-	if got := For(b, b.Account, entitled, spec, 9); got != nil {
-		t.Errorf("more than can be had: %s", names(got))
+	if got := For(state, state.Account, entitled, spec, 9); got != nil {
+		t.Errorf("more than can be had: %s", taskIDs(got))
 	}
 	// It is coming already: nothing else is stopped.
-	runs(b, "wk-4", "a", jobs.JobArray, "urgent", []jobs.TaskState{jobs.Stopping}, 40)
-	runs(b, "wk-5", "a", jobs.JobArray, "urgent", nil, 40)
-	if got := For(b, b.Account, entitled, spec, 1); len(got) != 1 {
-		t.Errorf("with one too many on its way out: %s", names(got))
+	enterJob(state, "wk-4", "a", jobs.JobArray, "urgent", []jobs.TaskState{jobs.Stopping}, 40)
+	enterJob(state, "wk-5", "a", jobs.JobArray, "urgent", nil, 40)
+	if got := For(state, state.Account, entitled, spec, 1); len(got) != 1 {
+		t.Errorf("with one too many on its way out: %s", taskIDs(got))
 	}
 }
 
-// TestEnough draws what runs and a limit: what Plan stops is enough, nothing of it is
+// TestPlanStopsEnoughAndNoMore draws what runs and a limit: what Plan stops is enough, nothing of it is
 // needless but for the rest of a gang, nothing outside the organisation goes, and the
 // order in which things were entered changes nothing.
-func TestEnough(t *testing.T) {
+func TestPlanStopsEnoughAndNoMore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type entry struct {
-			owner, shape, rank string
-			pieces             int
+			team, kind, priority string
+			taskCount            int
 		}
-		var all []entry
+		var entries []entry
 		for range rapid.IntRange(1, 12).Draw(t, "jobs") {
-			all = append(all, entry{
+			entries = append(entries, entry{
 				rapid.SampledFrom([]string{"a", "b", "c"}).
-					Draw(t, "owner"),
-				rapid.SampledFrom([]string{jobs.JobArray, jobs.Gang, jobs.Service}).Draw(t, "shape"),
-				rapid.SampledFrom([]string{"prod", "standard", "idle"}).Draw(t, "rank"),
-				rapid.IntRange(1, 4).Draw(t, "pieces"),
+					Draw(t, "team"),
+				rapid.SampledFrom([]string{jobs.JobArray, jobs.Gang, jobs.Service}).Draw(t, "kind"),
+				rapid.SampledFrom([]string{"prod", "standard", "idle"}).Draw(t, "priority"),
+				rapid.IntRange(1, 4).Draw(t, "task count"),
 			})
 		}
 		plan := func(backward bool, limit float64) (*quota.Account, []Stop) {
-			b := clusterstate.New(tree(t, 1000), func(string) {})
-			for k := range all {
-				i := k
+			state := clusterstate.New(limitedTree(t, 1000), func(string) {})
+			for n := range entries {
+				i := n
 				if backward {
-					i = len(all) - 1 - k
+					i = len(entries) - 1 - n
 				}
-				runs(b, fmt.Sprintf("wk-%d", i), all[i].owner, all[i].shape, all[i].rank, placed(all[i].pieces), int64(i))
+				enterJob(state, fmt.Sprintf("wk-%d", i), entries[i].team, entries[i].kind, entries[i].priority, placed(entries[i].taskCount), int64(i))
 			}
-			account := b.Account.On(tree(t, limit))
-			return account, Plan(b, account, 1000)
+			account := state.Account.On(limitedTree(t, limit))
+			return account, Plan(state, account, 1000)
 		}
 		limit := float64(rapid.IntRange(4, 20).Draw(t, "limit"))
 		account, stops := plan(false, limit)
 		_, again := plan(true, limit)
-		if names(stops) != names(again) {
-			t.Fatalf("%s, entered backward %s", names(stops), names(again))
+		if taskIDs(stops) != taskIDs(again) {
+			t.Fatalf("%s, entered backward %s", taskIDs(stops), taskIDs(again))
 		}
 		after := account.Clone()
 		for _, s := range stops {
@@ -191,45 +191,45 @@
 	})
 }
 
-// TestGuaranteesAreReached draws what runs under a full organisation: whoever is within
+// TestForReachesGuarantees draws what runs under a full organisation: whoever is within
 // a guarantee and kept out by a limit alone gets in by what For stops, nobody falls
 // below his own guarantee for it, and gangs and services are left alone.
-func TestGuaranteesAreReached(t *testing.T) {
+func TestForReachesGuarantees(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := float64(rapid.IntRange(4, 12).Draw(t, "limit"))
-		b := clusterstate.New(tree(t, limit), func(string) {})
-		fixed := 0
+		state := clusterstate.New(limitedTree(t, limit), func(string) {})
+		services := 0
 		for i := range rapid.IntRange(1, 14).Draw(t, "jobs") {
-			owner := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "owner")
-			shape := rapid.SampledFrom([]string{jobs.JobArray, jobs.JobArray, jobs.Service}).Draw(t, "shape")
-			spec := jobs.Spec{Team: owner, Class: "x", Accelerators: 1}
-			if !b.Account.Allows(b.QuotaLeaf(&spec), gpus(1), 1) {
+			team := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "team")
+			kind := rapid.SampledFrom([]string{jobs.JobArray, jobs.JobArray, jobs.Service}).Draw(t, "kind")
+			spec := jobs.Spec{Team: team, Class: "x", Accelerators: 1}
+			if !state.Account.Allows(state.QuotaLeaf(&spec), gpus(1), 1) {
 				break
 			}
-			runs(b, fmt.Sprintf("wk-%d", i), owner, shape, "standard", placed(1), int64(i))
-			if shape == jobs.Service {
-				fixed++
+			enterJob(state, fmt.Sprintf("wk-%d", i), team, kind, "standard", placed(1), int64(i))
+			if kind == jobs.Service {
+				services++
 			}
 		}
-		for _, owner := range []string{"a", "b"} {
-			spec := &jobs.Spec{Team: owner, Class: "x", Accelerators: 1}
-			entitled := b.Account.Entitled(b.QuotaLeaf(spec), gpus(1), 1)
-			if entitled < 0 || b.Account.Allows(b.QuotaLeaf(spec), gpus(1), 1) {
+		for _, team := range []string{"a", "b"} {
+			spec := &jobs.Spec{Team: team, Class: "x", Accelerators: 1}
+			entitled := state.Account.Entitled(state.QuotaLeaf(spec), gpus(1), 1)
+			if entitled < 0 || state.Account.Allows(state.QuotaLeaf(spec), gpus(1), 1) {
 				continue
 			}
-			after := b.Account.Clone()
-			stops := For(b, b.Account, entitled, spec, 1)
+			after := state.Account.Clone()
+			stops := For(state, state.Account, entitled, spec, 1)
 			for _, s := range stops {
 				if s.Task.Job.Record.Spec.Kind == jobs.Service {
 					t.Fatal("a service was stopped")
 				}
 				after.Charge(s.Task.Job.Record.Spec.QuotaKey(), gpus(1), -1)
 			}
-			if fixed == 0 && len(stops) != 1 {
+			if services == 0 && len(stops) != 1 {
 				t.Fatalf("%d stopped for one place", len(stops))
 			}
 			if len(stops) > 0 &&
-				(!after.Allows(b.QuotaLeaf(spec), gpus(1), 1) || after.Used(after.Tree().Leaf(quota.Key{Team: "a"})).Accelerators < 2e6 && owner == "b" || after.Used(after.Tree().Leaf(quota.Key{Team: "b"})).Accelerators < 2e6 && owner == "a") {
+				(!after.Allows(state.QuotaLeaf(spec), gpus(1), 1) || after.Used(after.Tree().Leaf(quota.Key{Team: "a"})).Accelerators < 2e6 && team == "b" || after.Used(after.Tree().Leaf(quota.Key{Team: "b"})).Accelerators < 2e6 && team == "a") {
 				t.Fatal("not enough, or too much")
 			}
 		}
