--- a/internal/quotareclaim/reclaim_test.go
+++ b/internal/quotareclaim/reclaim_test.go
@@ -26,23 +26,28 @@
 }
 
 // limitedTree has a and b under one organisation with a limit, c beside it.
-func limitedTree(t interface{ Fatal(...any) }, limit float64) *quota.Tree {
-	out, faults := quota.Build(
-		&quota.Document{
-			Organisations: []quota.Org{
-				{Name: "o", Limit: &quota.Bounds{Accelerators: limit}, Teams: []quota.OfTeam{{Name: "a"}, {Name: "b"}}},
-			},
-		},
-		teams,
-		nil,
-	)
+func limitedTree(t interface {
+	Helper()
+	Fatal(args ...any)
+}, limit float64,
+) *quota.Tree {
+	t.Helper()
+	document := &quota.Document{
+		Organisations: []quota.Org{{
+			Name:  "o",
+			Limit: &quota.Bounds{Accelerators: limit},
+			Teams: []quota.OfTeam{{Name: "a"}, {Name: "b"}},
+		}},
+	}
+	tree, faults := quota.Build(document, teams, nil)
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
-	return out
+	return tree
 }
 
-// enterJob enters a job whose tasks are on a machine since second at.
+// enterJob enters a job with a task in each of states; those on a machine are there since
+// second at.
 func enterJob(state *clusterstate.State, jobID, team, kind, priority string, states []jobs.TaskState, at int64) {
 	state.Now = time.Unix(at, 0)
 	spec := jobs.Spec{
@@ -93,13 +98,17 @@
 	enterJob(state, "wk-4", "c", jobs.JobArray, "idle", placed(5), 40)
 	enterJob(state, "wk-5", "a", jobs.JobArray, "idle", placed(1), 5)
 	for limit, want := range map[float64]string{
-		8: "", 7: "wk-5/0", 6: "wk-5/0 wk-3/0 wk-3/1", 5: "wk-5/0 wk-3/0 wk-3/1", 4: "wk-5/0 wk-3/0 wk-3/1 wk-2/0",
+		8: "",
+		7: "wk-5/0",
+		6: "wk-5/0 wk-3/0 wk-3/1",
+		5: "wk-5/0 wk-3/0 wk-3/1",
+		4: "wk-5/0 wk-3/0 wk-3/1 wk-2/0",
 	} {
 		if got := taskIDs(Plan(state, state.Account.On(limitedTree(t, limit)), 50)); got != want {
 			t.Errorf("limit %g: %s, not %s", limit, got, want)
 		}
 	}
-	// What is released but on no machine goes first; what is on its way out counts.
+	// What is released but on no machine goes first; what is stopping counts.
 	enterJob(state, "wk-6", "a", jobs.JobArray, "prod", []jobs.TaskState{jobs.Released, jobs.Stopping}, 1)
 	if got := taskIDs(Plan(state, state.Account.On(limitedTree(t, 8)), 50)); got != "wk-6/0" {
 		t.Error(got)
@@ -122,11 +131,11 @@
 	if got := For(state, state.Account, entitled, spec, 9); got != nil {
 		t.Errorf("more than can be had: %s", taskIDs(got))
 	}
-	// It is coming already: nothing else is stopped.
+	// What is stopping counts already.
 	enterJob(state, "wk-4", "a", jobs.JobArray, "urgent", []jobs.TaskState{jobs.Stopping}, 40)
 	enterJob(state, "wk-5", "a", jobs.JobArray, "urgent", nil, 40)
 	if got := For(state, state.Account, entitled, spec, 1); len(got) != 1 {
-		t.Errorf("with one too many on its way out: %s", taskIDs(got))
+		t.Errorf("with one too many stopping: %s", taskIDs(got))
 	}
 }
 
@@ -142,11 +151,10 @@
 		var entries []entry
 		for range rapid.IntRange(1, 12).Draw(t, "jobs") {
 			entries = append(entries, entry{
-				rapid.SampledFrom([]string{"a", "b", "c"}).
-					Draw(t, "team"),
-				rapid.SampledFrom([]string{jobs.JobArray, jobs.Gang, jobs.Service}).Draw(t, "kind"),
-				rapid.SampledFrom([]string{"prod", "standard", "idle"}).Draw(t, "priority"),
-				rapid.IntRange(1, 4).Draw(t, "task count"),
+				team:      rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "team"),
+				kind:      rapid.SampledFrom([]string{jobs.JobArray, jobs.Gang, jobs.Service}).Draw(t, "kind"),
+				priority:  rapid.SampledFrom([]string{"prod", "standard", "idle"}).Draw(t, "priority"),
+				taskCount: rapid.IntRange(1, 4).Draw(t, "task count"),
 			})
 		}
 		plan := func(backward bool, limit float64) (*quota.Account, []Stop) {
@@ -156,7 +164,8 @@
 				if backward {
 					i = len(entries) - 1 - n
 				}
-				enterJob(state, fmt.Sprintf("wk-%d", i), entries[i].team, entries[i].kind, entries[i].priority, placed(entries[i].taskCount), int64(i))
+				e := entries[i]
+				enterJob(state, fmt.Sprintf("wk-%d", i), e.team, e.kind, e.priority, placed(e.taskCount), int64(i))
 			}
 			account := state.Account.On(limitedTree(t, limit))
 			return account, Plan(state, account, 1000)
@@ -191,26 +200,32 @@
 	})
 }
 
+// drawFullOrganisation draws jobs of a and b until one is not allowed any more, and counts the
+// services among them.
+func drawFullOrganisation(t *rapid.T, limit float64) (state *clusterstate.State, services int) {
+	state = clusterstate.New(limitedTree(t, limit), func(string) {})
+	for i := range rapid.IntRange(1, 14).Draw(t, "jobs") {
+		team := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "team")
+		kind := rapid.SampledFrom([]string{jobs.JobArray, jobs.JobArray, jobs.Service}).Draw(t, "kind")
+		spec := jobs.Spec{Team: team, Class: "x", Accelerators: 1}
+		if !state.Account.Allows(state.QuotaLeaf(&spec), gpus(1), 1) {
+			break
+		}
+		enterJob(state, fmt.Sprintf("wk-%d", i), team, kind, "standard", placed(1), int64(i))
+		if kind == jobs.Service {
+			services++
+		}
+	}
+	return state, services
+}
+
 // TestForReachesGuarantees draws what runs under a full organisation: whoever is within
 // a guarantee and kept out by a limit alone gets in by what For stops, nobody falls
 // below his own guarantee for it, and gangs and services are left alone.
 func TestForReachesGuarantees(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := float64(rapid.IntRange(4, 12).Draw(t, "limit"))
-		state := clusterstate.New(limitedTree(t, limit), func(string) {})
-		services := 0
-		for i := range rapid.IntRange(1, 14).Draw(t, "jobs") {
-			team := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "team")
-			kind := rapid.SampledFrom([]string{jobs.JobArray, jobs.JobArray, jobs.Service}).Draw(t, "kind")
-			spec := jobs.Spec{Team: team, Class: "x", Accelerators: 1}
-			if !state.Account.Allows(state.QuotaLeaf(&spec), gpus(1), 1) {
-				break
-			}
-			enterJob(state, fmt.Sprintf("wk-%d", i), team, kind, "standard", placed(1), int64(i))
-			if kind == jobs.Service {
-				services++
-			}
-		}
+		state, services := drawFullOrganisation(t, limit)
 		for _, team := range []string{"a", "b"} {
 			spec := &jobs.Spec{Team: team, Class: "x", Accelerators: 1}
 			entitled := state.Account.Entitled(state.QuotaLeaf(spec), gpus(1), 1)
@@ -228,8 +243,12 @@
 			if services == 0 && len(stops) != 1 {
 				t.Fatalf("%d stopped for one place", len(stops))
 			}
-			if len(stops) > 0 &&
-				(!after.Allows(state.QuotaLeaf(spec), gpus(1), 1) || after.Used(after.Tree().Leaf(quota.Key{Team: "a"})).Accelerators < 2e6 && team == "b" || after.Used(after.Tree().Leaf(quota.Key{Team: "b"})).Accelerators < 2e6 && team == "a") {
+			if len(stops) == 0 {
+				continue
+			}
+			other := map[string]string{"a": "b", "b": "a"}[team]
+			otherUsed := after.Used(after.Tree().Leaf(quota.Key{Team: other}))
+			if !after.Allows(state.QuotaLeaf(spec), gpus(1), 1) || !otherUsed.Covers(teams[other].Guaranteed) {
 				t.Fatal("not enough, or too much")
 			}
 		}
