--- a/internal/quota/amount.go
+++ b/internal/quota/amount.go
@@ -85,6 +85,12 @@
 	return Amount{max(a.Cores-o.Cores, 0), max(a.Accelerators-o.Accelerators, 0), max(a.MemoryGB-o.MemoryGB, 0)}
 }
 
+// Helps tells whether an amount that goes takes anything off an excess.
+func (a Amount) Helps(excess Amount) bool {
+	return a.Cores > 0 && excess.Cores > 0 || a.Accelerators > 0 && excess.Accelerators > 0 ||
+		a.MemoryGB > 0 && excess.MemoryGB > 0
+}
+
 // times is how many times each fits on top of used into a limit, up to n.
 func times(used, one, limit Amount, n int) int {
 	left := int64(n)
--- a/internal/quota/tree.go
+++ b/internal/quota/tree.go
@@ -40,6 +40,24 @@
 	depth      int
 }
 
+// top is a node's limit by itself: what does not borrow ends at its guarantee.
+func (n *Node) top() Amount {
+	if n.Borrow {
+		return n.Max
+	}
+	top := n.Max
+	if n.Guaranteed.Cores > 0 {
+		top.Cores = n.Guaranteed.Cores
+	}
+	if n.Guaranteed.Accelerators > 0 {
+		top.Accelerators = n.Guaranteed.Accelerators
+	}
+	if n.Guaranteed.MemoryGB > 0 {
+		top.MemoryGB = n.Guaranteed.MemoryGB
+	}
+	return top
+}
+
 // Tree is the nodes; the first is the root. It never changes: a change of
 // quotas is another tree.
 type Tree struct {
@@ -144,71 +162,14 @@
 	}
 }
 
-// Account is what the nodes of a tree use.
-type Account struct {
-	tree *Tree
-	used []Amount
-	// by is what was charged to each key, from which the use of another tree
-	// follows; nil in a copy that is only to be tried on.
-	by map[Key]Amount
-}
-
-// NewAccount makes an empty account of a tree.
-func NewAccount(t *Tree) *Account {
-	return &Account{tree: t, used: make([]Amount, len(t.nodes)), by: map[Key]Amount{}}
-}
-
-// Tree is the tree that the account is of.
-func (c *Account) Tree() *Tree { return c.tree }
-
-// Charge books n tasks of amount a to a key's leaf and to all nodes above it; n
-// may be negative. This is the one place where use changes.
-func (c *Account) Charge(k Key, a Amount, n int) {
-	if c.by != nil {
-		if sum := c.by[k].Add(a, n); sum == (Amount{}) {
-			delete(c.by, k)
-		} else {
-			c.by[k] = sum
-		}
-	}
-	c.tree.up(c.tree.Leaf(k), func(i int, _ *Node) bool {
-		c.used[i] = c.used[i].Add(a, n)
-		return true
+// Under tells whether a leaf is a node or below it.
+func (t *Tree) Under(leaf, node int) bool {
+	found := false
+	t.up(leaf, func(i int, _ *Node) bool {
+		found = i == node
+		return !found
 	})
-}
-
-// Rebase makes the account one of another tree: what runs is charged where the
-// new tree has it.
-func (c *Account) Rebase(t *Tree) {
-	c.tree, c.used = t, make([]Amount, len(t.nodes))
-	for k, a := range c.by {
-		t.up(t.Leaf(k), func(i int, _ *Node) bool {
-			c.used[i] = c.used[i].Add(a, 1)
-			return true
-		})
-	}
-}
-
-// Clone copies the account, to charge in it what is only being considered.
-func (c *Account) Clone() *Account {
-	return &Account{tree: c.tree, used: slices.Clone(c.used)}
-}
-
-// On is a copy of the account on another tree.
-func (c *Account) On(t *Tree) *Account {
-	out := &Account{by: c.by}
-	out.Rebase(t)
-	out.by = nil
-	return out
-}
-
-// Used is a node's present use.
-func (c *Account) Used(i int) Amount { return c.used[i] }
-
-// Allows tells whether n more tasks of amount a are inside the limits of a leaf
-// and of all nodes above it.
-func (c *Account) Allows(leaf int, a Amount, n int) bool {
-	return c.FullAt(leaf, a, n) < 0
+	return found
 }
 
 // Ever tells whether n tasks of amount a would be inside all limits if nothing
@@ -221,218 +182,3 @@
 	})
 	return ok
 }
-
-// More is how many more tasks of amount a, up to n, a leaf may have.
-func (c *Account) More(leaf int, a Amount, n int) int {
-	below := -1
-	c.tree.up(leaf, func(i int, node *Node) bool {
-		n = times(c.used[i], a, c.room(i, below, node), n)
-		below = i
-		return n > 0
-	})
-	return n
-}
-
-// top is a node's limit by itself: what does not borrow ends at its guarantee.
-func (n *Node) top() Amount {
-	if n.Borrow {
-		return n.Max
-	}
-	top := n.Max
-	if n.Guaranteed.Cores > 0 {
-		top.Cores = n.Guaranteed.Cores
-	}
-	if n.Guaranteed.Accelerators > 0 {
-		top.Accelerators = n.Guaranteed.Accelerators
-	}
-	if n.Guaranteed.MemoryGB > 0 {
-		top.MemoryGB = n.Guaranteed.MemoryGB
-	}
-	return top
-}
-
-// room is a node's limit for what comes through one of its children: less what
-// its other children that don't lend have left of their guarantees.
-func (c *Account) room(i, through int, node *Node) Amount {
-	top := node.top()
-	for _, k := range node.children {
-		if child := &c.tree.nodes[k]; k != through && !child.Lend {
-			kept := child.Guaranteed.less(c.used[k])
-			top = Amount{
-				keep(top.Cores, kept.Cores),
-				keep(top.Accelerators, kept.Accelerators),
-				keep(top.MemoryGB, kept.MemoryGB),
-			}
-		}
-	}
-	return top
-}
-
-// keep takes away from a limit that is one; nothing left must not read as none.
-func keep(limit, kept int64) int64 {
-	if limit == 0 || kept == 0 {
-		return limit
-	}
-	return max(limit-kept, 1)
-}
-
-// none is the entitlement of what lies within no guarantee.
-const none = -1
-
-// Entitled is the lowest node, from the leaf upward, within whose guarantee n
-// more tasks of amount a lie; none if there is no such node. What is within an
-// organisation's guarantee but beyond its team's is borrowed from the team's
-// siblings.
-func (c *Account) Entitled(leaf int, a Amount, n int) int {
-	node := none
-	c.tree.up(leaf, func(i int, x *Node) bool {
-		if x.Guaranteed != (Amount{}) && c.used[i].Add(a, n).inside(x.Guaranteed) {
-			node = i
-			return false
-		}
-		return true
-	})
-	return node
-}
-
-// FairShareOrder is the place of a node in the queue: 0 for what lies within its own team's
-// guarantee, then what lies within those further up, the nearest first, last what
-// lies within none.
-func (t *Tree) FairShareOrder(entitled, leaf int) int {
-	if entitled == none {
-		return len(t.nodes) + 1
-	}
-	team := leaf
-	if t.nodes[leaf].Kind == Class {
-		team = t.nodes[leaf].parent
-	}
-	return max(t.nodes[team].depth-t.nodes[entitled].depth, 0)
-}
-
-// Yields tells whether a task of amount a, charged to leaf, has to make way for one
-// that is within the guarantee of a node: with it gone, all nodes on its side must
-// still have what they are guaranteed. What shares the guarantee does not yield.
-func (c *Account) Yields(entitled, leaf int, a Amount) bool {
-	if entitled == none {
-		return false
-	}
-	yields := true
-	c.tree.up(leaf, func(i int, n *Node) bool {
-		if c.tree.Under(entitled, i) { // the two sides meet here
-			yields = yields && i != entitled
-			return false
-		}
-		yields = yields && c.used[i].Add(a, -1).Covers(n.Guaranteed)
-		return yields
-	})
-	return yields
-}
-
-// Spares tells whether all nodes on a leaf's side still have what they are guaranteed
-// once amount a of it is gone, up to where its side and that of the one which needs the
-// room meet: what shares a guarantee has no claim against its own side.
-func (c *Account) Spares(needs, leaf int, a Amount) bool {
-	spares := true
-	c.tree.up(leaf, func(i int, n *Node) bool {
-		if c.tree.Under(needs, i) {
-			return false
-		}
-		spares = c.used[i].Add(a, -1).Covers(n.Guaranteed)
-		return spares
-	})
-	return spares
-}
-
-// Way is what the sides of the tree that a leaf is on, from the top down, use of the
-// spare capacity for their weight; nil in a tree that has only the platform's teams.
-// What a node with children runs itself is one more side, of weight 1: with ways
-// that ended there, which job came before which was not transitive, and the order of
-// three jobs depended on the order in which they were looked at.
-func (c *Account) Way(leaf int) []float64 {
-	if !c.tree.shaped {
-		return nil
-	}
-	var out []float64
-	c.tree.up(leaf, func(i int, n *Node) bool {
-		if n.parent >= 0 {
-			out = append(out, c.behind(i))
-		}
-		return true
-	})
-	slices.Reverse(out)
-	if children := c.tree.nodes[leaf].children; len(children) > 0 {
-		own := c.used[leaf]
-		for _, k := range children {
-			own = own.Add(c.used[k], -1)
-		}
-		out = append(out, share(own, c.used[leaf]))
-	}
-	return out
-}
-
-// CompareWays orders two leaves by their ways: who has had less goes first. It is
-// progressive filling: each task goes to the side that is behind.
-func CompareWays(a, b []float64) int { return slices.Compare(a, b) }
-
-// behind is what a node uses beyond its guarantee for its weight, by the resource
-// of which it uses the most of what its parent has in use.
-func (c *Account) behind(i int) float64 {
-	n := &c.tree.nodes[i]
-	return share(c.used[i].less(n.Guaranteed), c.used[n.parent]) / n.Weight
-}
-
-// share is the part of a whole, by the resource of which it is the most.
-func share(part, all Amount) float64 {
-	most := 0.0
-	each(func(_ string, of func(Amount) int64) {
-		if of(all) > 0 {
-			most = max(most, float64(of(part))/float64(of(all)))
-		}
-	})
-	return most
-}
-
-// Over lists the nodes whose use is beyond their limit, as after a change of the
-// tree: the lowest first.
-func (c *Account) Over() []int {
-	var out []int
-	for i := range c.tree.nodes {
-		if c.Excess(i) != (Amount{}) {
-			out = append(out, i)
-		}
-	}
-	slices.SortStableFunc(out, func(a, b int) int { return c.tree.nodes[b].depth - c.tree.nodes[a].depth })
-	return out
-}
-
-// Under tells whether a leaf is a node or below it.
-func (t *Tree) Under(leaf, node int) bool {
-	found := false
-	t.up(leaf, func(i int, _ *Node) bool {
-		found = i == node
-		return !found
-	})
-	return found
-}
-
-// Excess is what a node uses beyond its limit.
-func (c *Account) Excess(i int) Amount {
-	top := c.tree.nodes[i].top()
-	over := c.used[i].less(top)
-	if top.Cores == 0 {
-		over.Cores = 0
-	}
-	if top.Accelerators == 0 {
-		over.Accelerators = 0
-	}
-	if top.MemoryGB == 0 {
-		over.MemoryGB = 0
-	}
-	return over
-}
-
-// Helps tells whether an amount that goes takes anything off an excess.
-func (a Amount) Helps(excess Amount) bool {
-	return a.Cores > 0 && excess.Cores > 0 || a.Accelerators > 0 && excess.Accelerators > 0 ||
-		a.MemoryGB > 0 && excess.MemoryGB > 0
-}
