--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -6,14 +6,14 @@
 type Account struct {
 	tree *Tree
 	used []Amount
-	// by is what was charged to each key, from which the use of another tree
+	// charged is what was charged to each key, from which the use of another tree
 	// follows; nil in a copy that is only to be tried on.
-	by map[Key]Amount
+	charged map[Key]Amount
 }
 
 // NewAccount makes an empty account of a tree.
 func NewAccount(t *Tree) *Account {
-	return &Account{tree: t, used: make([]Amount, len(t.nodes)), by: map[Key]Amount{}}
+	return &Account{tree: t, used: make([]Amount, len(t.nodes)), charged: map[Key]Amount{}}
 }
 
 // Tree is the tree that the account is of.
@@ -22,14 +22,14 @@
 // Charge books n tasks of amount a to a key's leaf and to all nodes above it; n
 // may be negative. This is the one place where use changes.
 func (c *Account) Charge(k Key, a Amount, n int) {
-	if c.by != nil {
-		if sum := c.by[k].Add(a, n); sum == (Amount{}) {
-			delete(c.by, k)
+	if c.charged != nil {
+		if sum := c.charged[k].Add(a, n); sum == (Amount{}) {
+			delete(c.charged, k)
 		} else {
-			c.by[k] = sum
+			c.charged[k] = sum
 		}
 	}
-	c.tree.up(c.tree.Leaf(k), func(i int, _ *Node) bool {
+	c.tree.walkUp(c.tree.Leaf(k), func(i int, _ *Node) bool {
 		c.used[i] = c.used[i].Add(a, n)
 		return true
 	})
@@ -39,8 +39,8 @@
 // new tree has it.
 func (c *Account) Rebase(t *Tree) {
 	c.tree, c.used = t, make([]Amount, len(t.nodes))
-	for k, a := range c.by {
-		t.up(t.Leaf(k), func(i int, _ *Node) bool {
+	for k, a := range c.charged {
+		t.walkUp(t.Leaf(k), func(i int, _ *Node) bool {
 			c.used[i] = c.used[i].Add(a, 1)
 			return true
 		})
@@ -54,9 +54,9 @@
 
 // On is a copy of the account on another tree.
 func (c *Account) On(t *Tree) *Account {
-	out := &Account{by: c.by}
+	out := &Account{charged: c.charged}
 	out.Rebase(t)
-	out.by = nil
+	out.charged = nil
 	return out
 }
 
--- a/internal/quota/account_test.go
+++ b/internal/quota/account_test.go
@@ -11,8 +11,8 @@
 	k := Key{"t", "any"}
 	leaf := tree.Leaf(k)
 	c.Charge(k, Of(50, 1, 1), 1)
-	if c.Entitled(leaf, Of(50, 1, 1), 1) == none || c.Entitled(leaf, gpus(1.5), 1) != none ||
-		c.Entitled(tree.Leaf(Key{"free", ""}), Amount{}, 1) != none {
+	if c.Entitled(leaf, Of(50, 1, 1), 1) == noNode || c.Entitled(leaf, gpus(1.5), 1) != noNode ||
+		c.Entitled(tree.Leaf(Key{"free", ""}), Amount{}, 1) != noNode {
 		t.Error("a guarantee of 0 in one resource says nothing of it; no guarantee guarantees nothing")
 	}
 	if !c.Allows(leaf, Of(1e6, 3, 0), 1) || c.Allows(leaf, gpus(3.5), 1) ||
@@ -58,8 +58,8 @@
 			all = append(all, x)
 		}
 		for i := range tree.nodes {
-			if !c.used[i].inside(tree.nodes[i].top()) {
-				t.Fatalf("%s uses %s of %s", tree.Path(i), c.used[i], tree.nodes[i].top())
+			if !c.used[i].within(tree.nodes[i].effectiveLimit()) {
+				t.Fatalf("%s uses %s of %s", tree.Path(i), c.used[i], tree.nodes[i].effectiveLimit())
 			}
 			if p := tree.nodes[i].parent; p >= 0 && !c.used[p].Covers(c.used[i]) {
 				t.Fatalf("%s uses more than what is above it", tree.Path(i))
@@ -76,7 +76,7 @@
 			t.Errorf("%s keeps %s of nothing", tree.Path(i), c.used[i])
 		}
 	}
-	if len(c.by) != 0 {
+	if len(c.charged) != 0 {
 		t.Error("keys are left")
 	}
 	// The use of another tree follows from the charges alone.
--- a/internal/quota/amount.go
+++ b/internal/quota/amount.go
@@ -14,9 +14,9 @@
 // that a million charges and their ends add up to nothing exactly.
 const unit = 1e-6
 
-// most bounds one task's amount, far above any machine: a thousand million of
+// maxAmount bounds one task's amount, far above any machine: a thousand million of
 // them still add up without overflow.
-const most = 1e9
+const maxAmount = 1e9
 
 // Amount is what teams are measured in, in millionths of a core, an accelerator
 // and a GB of memory.
@@ -33,7 +33,7 @@
 	if math.IsNaN(v) {
 		return 0
 	}
-	return int64(math.Round(min(max(v, -most), most) / unit))
+	return int64(math.Round(min(max(v, -maxAmount), maxAmount) / unit))
 }
 
 // Float gives the amount in cores, accelerators and GB.
@@ -47,8 +47,8 @@
 	return Amount{a.Cores + k*o.Cores, a.Accelerators + k*o.Accelerators, a.MemoryGB + k*o.MemoryGB}
 }
 
-// each calls f with the three resources of some amounts.
-func each(f func(name string, of func(Amount) int64)) {
+// eachResource calls f with the three resources of some amounts.
+func eachResource(f func(name string, of func(Amount) int64)) {
 	f("cores", func(a Amount) int64 { return a.Cores })
 	f("accelerators", func(a Amount) int64 { return a.Accelerators })
 	f("memory_gb", func(a Amount) int64 { return a.MemoryGB })
@@ -57,7 +57,7 @@
 // String names what is not 0.
 func (a Amount) String() string {
 	var out []string
-	each(func(name string, of func(Amount) int64) {
+	eachResource(func(name string, of func(Amount) int64) {
 		if v := of(a); v != 0 {
 			out = append(out, fmt.Sprintf("%g %s", float64(v)*unit, name))
 		}
@@ -68,8 +68,8 @@
 	return strings.Join(out, ", ")
 }
 
-// inside tells whether an amount is within a limit, of which 0 is none.
-func (a Amount) inside(limit Amount) bool {
+// within tells whether an amount is within a limit, of which 0 is none.
+func (a Amount) within(limit Amount) bool {
 	return (limit.Cores == 0 || a.Cores <= limit.Cores) &&
 		(limit.Accelerators == 0 || a.Accelerators <= limit.Accelerators) &&
 		(limit.MemoryGB == 0 || a.MemoryGB <= limit.MemoryGB)
@@ -80,8 +80,8 @@
 	return a.Cores >= o.Cores && a.Accelerators >= o.Accelerators && a.MemoryGB >= o.MemoryGB
 }
 
-// less takes o away, but leaves no less than nothing.
-func (a Amount) less(o Amount) Amount {
+// minus takes o away, but leaves no less than nothing.
+func (a Amount) minus(o Amount) Amount {
 	return Amount{max(a.Cores-o.Cores, 0), max(a.Accelerators-o.Accelerators, 0), max(a.MemoryGB-o.MemoryGB, 0)}
 }
 
@@ -91,10 +91,10 @@
 		a.MemoryGB > 0 && excess.MemoryGB > 0
 }
 
-// times is how many times each fits on top of used into a limit, up to n.
-func times(used, one, limit Amount, n int) int {
+// countFitting is how many times each fits on top of used into a limit, up to n.
+func countFitting(used, one, limit Amount, n int) int {
 	left := int64(n)
-	each(func(_ string, of func(Amount) int64) {
+	eachResource(func(_ string, of func(Amount) int64) {
 		switch now, add, top := of(used), of(one), of(limit); {
 		case top == 0:
 		case now > top:
--- a/internal/quota/bench_test.go
+++ b/internal/quota/bench_test.go
@@ -14,7 +14,7 @@
 }
 
 func (p *persistent) charge(k Key, a Amount, n int) {
-	p.tree.up(p.tree.Leaf(k), func(i int, _ *Node) bool {
+	p.tree.walkUp(p.tree.Leaf(k), func(i int, _ *Node) bool {
 		was, _ := p.used.Get(i)
 		p.used = p.used.Set(i, was.Add(a, n))
 		return true
--- a/internal/quota/build.go
+++ b/internal/quota/build.go
@@ -29,43 +29,43 @@
 // one is told. Teams that the document does not place stand under the root.
 func Build(d *Document, teams map[string]Team, classes []string) (*Tree, []string) {
 	b := &builder{tree: newTree(), teams: teams, classes: classes, names: map[string]bool{}}
-	b.tree.shaped = true
+	b.tree.nested = true
 	if d.GraceS != nil && (*d.GraceS < 0 || *d.GraceS > tuning.MaxGrace.Seconds()) {
 		b.fail("grace_s", "%g is outside 0 to %g", *d.GraceS, tuning.MaxGrace.Seconds())
 	}
-	b.below(0, "", d.Organisations, d.Teams)
+	b.addChildren(0, "", d.Organisations, d.Teams)
 	for _, name := range slices.Sorted(maps.Keys(teams)) {
 		if _, placed := b.tree.teams[name]; !placed {
 			b.tree.addTeam(0, teams[name])
 		}
 	}
-	b.sums()
+	b.checkGuarantees()
 	if len(b.faults) > 0 {
 		return nil, b.faults
 	}
 	return b.tree, nil
 }
 
-func (b *builder) below(parent int, path string, orgs []Org, teams []OfTeam) {
+func (b *builder) addChildren(parent int, path string, orgs []Org, teams []OfTeam) {
 	if b.tree.nodes[parent].depth >= tuning.MaxQuotaDepth-1 && len(orgs) > 0 {
 		b.fail(path, "expected at most %d levels", tuning.MaxQuotaDepth)
 		return
 	}
 	for _, o := range orgs {
-		at := join(path, o.Name)
-		if !b.room(at) {
+		at := joinPath(path, o.Name)
+		if !b.checkRoom(at) {
 			return
 		}
-		b.name(at, o.Name)
-		i := b.tree.add(parent, b.node(at, Organisation, o.Name, o.Weight, o.Borrow, o.Lend, o.Guarantee, o.Limit))
-		b.below(i, at, o.Organisations, o.Teams)
+		b.checkName(at, o.Name)
+		i := b.tree.add(parent, b.makeNode(at, Organisation, o.Name, o.Weight, o.Borrow, o.Lend, o.Guarantee, o.Limit))
+		b.addChildren(i, at, o.Organisations, o.Teams)
 	}
 	for _, t := range teams {
-		b.team(parent, join(path, t.Name), t)
+		b.addTeam(parent, joinPath(path, t.Name), t)
 	}
 }
 
-func (b *builder) team(parent int, at string, t OfTeam) {
+func (b *builder) addTeam(parent int, at string, t OfTeam) {
 	team, known := b.teams[t.Name]
 	if !known {
 		b.fail(at, "no team is called %q; expected one of %s", t.Name, strings.Join(slices.Sorted(maps.Keys(b.teams)), ", "))
@@ -76,11 +76,11 @@
 		return
 	}
 	i := b.tree.addTeam(parent, team)
-	n := b.node(at, TeamNode, t.Name, t.Weight, t.Borrow, t.Lend, nil, nil)
+	n := b.makeNode(at, TeamNode, t.Name, t.Weight, t.Borrow, t.Lend, nil, nil)
 	b.tree.nodes[i].Weight, b.tree.nodes[i].Borrow, b.tree.nodes[i].Lend = n.Weight, n.Borrow, n.Lend
 	for _, c := range t.Classes {
-		cat := join(at, c.Name)
-		if !b.room(cat) {
+		cat := joinPath(at, c.Name)
+		if !b.checkRoom(cat) {
 			return
 		}
 		key := Key{t.Name, c.Name}
@@ -91,12 +91,12 @@
 			b.fail(cat, "class %q stands here twice", c.Name)
 			continue
 		}
-		b.tree.classes[key] = b.tree.add(i, b.node(cat, Class, c.Name, c.Weight, c.Borrow, c.Lend, c.Guarantee, c.Limit))
+		b.tree.classes[key] = b.tree.add(i, b.makeNode(cat, Class, c.Name, c.Weight, c.Borrow, c.Lend, c.Guarantee, c.Limit))
 	}
 }
 
-// room tells whether the tree may have one more node.
-func (b *builder) room(at string) bool {
+// checkRoom tells whether the tree may have one more node.
+func (b *builder) checkRoom(at string) bool {
 	if len(b.tree.nodes) >= tuning.MaxQuotaNodes {
 		b.fail(at, "expected at most %d nodes", tuning.MaxQuotaNodes)
 		return false
@@ -104,7 +104,7 @@
 	return true
 }
 
-func (b *builder) name(at, name string) {
+func (b *builder) checkName(at, name string) {
 	if name == "" || len(name) > tuning.MaxMatrixText || strings.ContainsAny(name, "/ ") {
 		b.fail(at, "expected a name of 1 to %d bytes without / and spaces", tuning.MaxMatrixText)
 	}
@@ -114,7 +114,7 @@
 	b.names[name] = true
 }
 
-func (b *builder) node(
+func (b *builder) makeNode(
 	at string,
 	kind Kind,
 	name string,
@@ -124,7 +124,7 @@
 ) Node {
 	n := Node{
 		Name: name, Kind: kind, Weight: 1, Borrow: borrow == nil || *borrow, Lend: lend == nil || *lend,
-		Guaranteed: b.bounds(at+".guarantee", guarantee), Max: b.bounds(at+".limit", limit),
+		Guaranteed: b.amount(at+".guarantee", guarantee), Max: b.amount(at+".limit", limit),
 	}
 	if weight != nil {
 		if n.Weight = *weight; !(n.Weight > 0 && n.Weight <= tuning.MaxWeight) {
@@ -132,7 +132,7 @@
 			n.Weight = 1
 		}
 	}
-	each(func(res string, of func(Amount) int64) {
+	eachResource(func(res string, of func(Amount) int64) {
 		if top := of(n.Max); top > 0 && of(n.Guaranteed) > top {
 			b.fail(at, "its limit of %g %s is below its guarantee of %g", float64(top)*unit, res, float64(of(n.Guaranteed))*unit)
 		}
@@ -140,7 +140,7 @@
 	return n
 }
 
-func (b *builder) bounds(at string, v *Bounds) Amount {
+func (b *builder) amount(at string, v *Bounds) Amount {
 	if v == nil {
 		return Amount{}
 	}
@@ -148,23 +148,23 @@
 		name string
 		v    float64
 	}{{"cores", v.Cores}, {"accelerators", v.Accelerators}, {"memory_gb", v.MemoryGB}} {
-		if !(x.v >= 0 && x.v <= most) {
-			b.fail(at+"."+x.name, "expected a number from 0 to %g", most)
+		if !(x.v >= 0 && x.v <= maxAmount) {
+			b.fail(at+"."+x.name, "expected a number from 0 to %g", maxAmount)
 		}
 	}
 	return Of(v.Cores, v.Accelerators, v.MemoryGB)
 }
 
-// sums checks that what the children of a node are guaranteed is there: within
+// checkGuarantees checks that what the children of a node are guaranteed is there: within
 // its own guarantee, or within its limit if it has none.
-func (b *builder) sums() {
+func (b *builder) checkGuarantees() {
 	for i := range b.tree.nodes {
 		n := &b.tree.nodes[i]
 		var sum Amount
 		for _, k := range n.children {
 			sum = sum.Add(b.tree.nodes[k].Guaranteed, 1)
 		}
-		each(func(res string, of func(Amount) int64) {
+		eachResource(func(res string, of func(Amount) int64) {
 			bound, what := of(n.Guaranteed), "guarantee"
 			if bound == 0 {
 				bound, what = of(n.Max), "limit"
@@ -183,7 +183,7 @@
 	}
 }
 
-func join(path, name string) string {
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
--- a/internal/quota/document.go
+++ b/internal/quota/document.go
@@ -32,7 +32,7 @@
 	MemoryGB     float64 `hcl:"memory_gb,optional" json:"memory_gb,omitempty"`
 }
 
-func bounds(a Amount) Bounds {
+func toBounds(a Amount) Bounds {
 	c, g, m := a.Float()
 	return Bounds{c, g, m}
 }
--- a/internal/quota/fair_share.go
+++ b/internal/quota/fair_share.go
@@ -8,13 +8,13 @@
 // that ended there, which job came before which was not transitive, and the order of
 // three jobs depended on the order in which they were looked at.
 func (c *Account) Way(leaf int) []float64 {
-	if !c.tree.shaped {
+	if !c.tree.nested {
 		return nil
 	}
 	var out []float64
-	c.tree.up(leaf, func(i int, n *Node) bool {
+	c.tree.walkUp(leaf, func(i int, n *Node) bool {
 		if n.parent >= 0 {
-			out = append(out, c.behind(i))
+			out = append(out, c.fairShareOf(i))
 		}
 		return true
 	})
@@ -24,7 +24,7 @@
 		for _, k := range children {
 			own = own.Add(c.used[k], -1)
 		}
-		out = append(out, share(own, c.used[leaf]))
+		out = append(out, dominantShare(own, c.used[leaf]))
 	}
 	return out
 }
@@ -33,17 +33,17 @@
 // progressive filling: each task goes to the side that is behind.
 func CompareWays(a, b []float64) int { return slices.Compare(a, b) }
 
-// behind is what a node uses beyond its guarantee for its weight, by the resource
+// fairShareOf is what a node uses beyond its guarantee for its weight, by the resource
 // of which it uses the most of what its parent has in use.
-func (c *Account) behind(i int) float64 {
+func (c *Account) fairShareOf(i int) float64 {
 	n := &c.tree.nodes[i]
-	return share(c.used[i].less(n.Guaranteed), c.used[n.parent]) / n.Weight
+	return dominantShare(c.used[i].minus(n.Guaranteed), c.used[n.parent]) / n.Weight
 }
 
-// share is the part of a whole, by the resource of which it is the most.
-func share(part, all Amount) float64 {
+// dominantShare is the part of a whole, by the resource of which it is the most.
+func dominantShare(part, all Amount) float64 {
 	most := 0.0
-	each(func(_ string, of func(Amount) int64) {
+	eachResource(func(_ string, of func(Amount) int64) {
 		if of(all) > 0 {
 			most = max(most, float64(of(part))/float64(of(all)))
 		}
--- a/internal/quota/fair_share_test.go
+++ b/internal/quota/fair_share_test.go
@@ -118,8 +118,8 @@
 			sum += sumTop(t, k)
 		}
 	}
-	if n.top().Accelerators > 0 {
-		sum = min(sum, float64(n.top().Accelerators)*unit)
+	if n.effectiveLimit().Accelerators > 0 {
+		sum = min(sum, float64(n.effectiveLimit().Accelerators)*unit)
 	}
 	return sum
 }
--- a/internal/quota/guarantee.go
+++ b/internal/quota/guarantee.go
@@ -1,16 +1,16 @@
 package quota
 
-// none is the entitlement of what lies within no guarantee.
-const none = -1
+// noNode is the entitlement of what lies within no guarantee.
+const noNode = -1
 
 // Entitled is the lowest node, from the leaf upward, within whose guarantee n
 // more tasks of amount a lie; none if there is no such node. What is within an
 // organisation's guarantee but beyond its team's is borrowed from the team's
 // siblings.
 func (c *Account) Entitled(leaf int, a Amount, n int) int {
-	node := none
-	c.tree.up(leaf, func(i int, x *Node) bool {
-		if x.Guaranteed != (Amount{}) && c.used[i].Add(a, n).inside(x.Guaranteed) {
+	node := noNode
+	c.tree.walkUp(leaf, func(i int, x *Node) bool {
+		if x.Guaranteed != (Amount{}) && c.used[i].Add(a, n).within(x.Guaranteed) {
 			node = i
 			return false
 		}
@@ -23,7 +23,7 @@
 // guarantee, then what lies within those further up, the nearest first, last what
 // lies within none.
 func (t *Tree) FairShareOrder(entitled, leaf int) int {
-	if entitled == none {
+	if entitled == noNode {
 		return len(t.nodes) + 1
 	}
 	team := leaf
@@ -37,11 +37,11 @@
 // that is within the guarantee of a node: with it gone, all nodes on its side must
 // still have what they are guaranteed. What shares the guarantee does not yield.
 func (c *Account) Yields(entitled, leaf int, a Amount) bool {
-	if entitled == none {
+	if entitled == noNode {
 		return false
 	}
 	yields := true
-	c.tree.up(leaf, func(i int, n *Node) bool {
+	c.tree.walkUp(leaf, func(i int, n *Node) bool {
 		if c.tree.Under(entitled, i) { // the two sides meet here
 			yields = yields && i != entitled
 			return false
@@ -57,7 +57,7 @@
 // room meet: what shares a guarantee has no claim against its own side.
 func (c *Account) Spares(needs, leaf int, a Amount) bool {
 	spares := true
-	c.tree.up(leaf, func(i int, n *Node) bool {
+	c.tree.walkUp(leaf, func(i int, n *Node) bool {
 		if c.tree.Under(needs, i) {
 			return false
 		}
--- a/internal/quota/guarantee_test.go
+++ b/internal/quota/guarantee_test.go
@@ -11,7 +11,7 @@
 	leaf := func(team, class string) int { return tree.Leaf(Key{team, class}) }
 	at := func(team, class string, g float64) string {
 		node := c.Entitled(leaf(team, class), gpus(g), 1)
-		if node == none {
+		if node == noNode {
 			return "none"
 		}
 		return fmt.Sprintf("%s turn %d", tree.Path(node), tree.FairShareOrder(node, leaf(team, class)))
@@ -64,7 +64,7 @@
 	if tree.Path(org) != "kenya" || c.Yields(org, price, Amount{}) || !c.Yields(org, staz, gpus(1)) {
 		t.Error("what is borrowed within an organisation takes nothing from a sibling")
 	}
-	if c.Yields(none, staz, gpus(1)) {
+	if c.Yields(noNode, staz, gpus(1)) {
 		t.Error("beyond all guarantees nobody has to yield")
 	}
 	c = NewAccount(tree)
--- a/internal/quota/limits.go
+++ b/internal/quota/limits.go
@@ -14,8 +14,8 @@
 // More is how many more tasks of amount a, up to n, a leaf may have.
 func (c *Account) More(leaf int, a Amount, n int) int {
 	below := -1
-	c.tree.up(leaf, func(i int, node *Node) bool {
-		n = times(c.used[i], a, c.room(i, below, node), n)
+	c.tree.walkUp(leaf, func(i int, node *Node) bool {
+		n = countFitting(c.used[i], a, c.limitThrough(i, below, node), n)
 		below = i
 		return n > 0
 	})
@@ -33,15 +33,15 @@
 	if where == "" {
 		where = "the whole"
 	}
-	return fmt.Sprintf("%s uses %s of %s", where, c.used[i], c.tree.nodes[i].top())
+	return fmt.Sprintf("%s uses %s of %s", where, c.used[i], c.tree.nodes[i].effectiveLimit())
 }
 
 // FullAt is the lowest node, from a leaf upward, whose limit n more tasks of amount
 // a would pass; -1 if there is none.
 func (c *Account) FullAt(leaf int, a Amount, n int) int {
 	full, below := -1, -1
-	c.tree.up(leaf, func(i int, node *Node) bool {
-		if !c.used[i].Add(a, n).inside(c.room(i, below, node)) {
+	c.tree.walkUp(leaf, func(i int, node *Node) bool {
+		if !c.used[i].Add(a, n).within(c.limitThrough(i, below, node)) {
 			full = i
 			return false
 		}
@@ -51,25 +51,25 @@
 	return full
 }
 
-// room is a node's limit for what comes through one of its children: less what
+// limitThrough is a node's limit for what comes through one of its children: less what
 // its other children that don't lend have left of their guarantees.
-func (c *Account) room(i, through int, node *Node) Amount {
-	top := node.top()
+func (c *Account) limitThrough(i, through int, node *Node) Amount {
+	top := node.effectiveLimit()
 	for _, k := range node.children {
 		if child := &c.tree.nodes[k]; k != through && !child.Lend {
-			kept := child.Guaranteed.less(c.used[k])
+			kept := child.Guaranteed.minus(c.used[k])
 			top = Amount{
-				keep(top.Cores, kept.Cores),
-				keep(top.Accelerators, kept.Accelerators),
-				keep(top.MemoryGB, kept.MemoryGB),
+				reserve(top.Cores, kept.Cores),
+				reserve(top.Accelerators, kept.Accelerators),
+				reserve(top.MemoryGB, kept.MemoryGB),
 			}
 		}
 	}
 	return top
 }
 
-// keep takes away from a limit that is one; nothing left must not read as none.
-func keep(limit, kept int64) int64 {
+// reserve takes away from a limit that is one; nothing left must not read as none.
+func reserve(limit, kept int64) int64 {
 	if limit == 0 || kept == 0 {
 		return limit
 	}
@@ -91,8 +91,8 @@
 
 // Excess is what a node uses beyond its limit.
 func (c *Account) Excess(i int) Amount {
-	top := c.tree.nodes[i].top()
-	over := c.used[i].less(top)
+	top := c.tree.nodes[i].effectiveLimit()
+	over := c.used[i].minus(top)
 	if top.Cores == 0 {
 		over.Cores = 0
 	}
--- a/internal/quota/limits_test.go
+++ b/internal/quota/limits_test.go
@@ -92,7 +92,7 @@
 	}
 	c := NewAccount(tree)
 	leaf := tree.Leaf(Key{"a", "c"})
-	if c.Entitled(leaf, gpus(1), 1) != none || !c.Allows(leaf, gpus(1), 1) || !tree.Ever(leaf, gpus(3), 1) ||
+	if c.Entitled(leaf, gpus(1), 1) != noNode || !c.Allows(leaf, gpus(1), 1) || !tree.Ever(leaf, gpus(3), 1) ||
 		tree.Ever(leaf, gpus(4), 1) {
 		t.Error("half a guarantee, or a limit above the team")
 	}
--- a/internal/quota/messages.go
+++ b/internal/quota/messages.go
@@ -58,7 +58,7 @@
 func (c *Account) Excesses() []Over {
 	var out []Over
 	for _, i := range c.Over() {
-		out = append(out, Over{c.tree.Path(i), bounds(c.Excess(i))})
+		out = append(out, Over{c.tree.Path(i), toBounds(c.Excess(i))})
 	}
 	return out
 }
--- a/internal/quota/tree.go
+++ b/internal/quota/tree.go
@@ -40,8 +40,8 @@
 	depth      int
 }
 
-// top is a node's limit by itself: what does not borrow ends at its guarantee.
-func (n *Node) top() Amount {
+// effectiveLimit is a node's limit by itself: what does not borrow ends at its guarantee.
+func (n *Node) effectiveLimit() Amount {
 	if n.Borrow {
 		return n.Max
 	}
@@ -64,8 +64,8 @@
 	nodes   []Node
 	teams   map[string]int
 	classes map[Key]int
-	// shaped: there is more to it than the platform's teams.
-	shaped bool
+	// nested: there is more to it than the platform's teams.
+	nested bool
 }
 
 // Key is what a task is charged to: its team and the class of its job.
@@ -132,7 +132,7 @@
 }
 
 // Shaped tells whether there is more to the tree than the platform's teams.
-func (t *Tree) Shaped() bool { return t.shaped }
+func (t *Tree) Shaped() bool { return t.nested }
 
 // Path names a node with those above it.
 func (t *Tree) Path(i int) string {
@@ -153,8 +153,8 @@
 	return out
 }
 
-// up calls f for a node and those above it, the root last, until it says stop.
-func (t *Tree) up(i int, f func(i int, n *Node) bool) {
+// walkUp calls f for a node and those above it, the root last, until it says stop.
+func (t *Tree) walkUp(i int, f func(i int, n *Node) bool) {
 	for ; i >= 0; i = t.nodes[i].parent {
 		if !f(i, &t.nodes[i]) {
 			return
@@ -165,7 +165,7 @@
 // Under tells whether a leaf is a node or below it.
 func (t *Tree) Under(leaf, node int) bool {
 	found := false
-	t.up(leaf, func(i int, _ *Node) bool {
+	t.walkUp(leaf, func(i int, _ *Node) bool {
 		found = i == node
 		return !found
 	})
@@ -176,8 +176,8 @@
 // else ran.
 func (t *Tree) Ever(leaf int, a Amount, n int) bool {
 	ok := true
-	t.up(leaf, func(_ int, node *Node) bool {
-		ok = (Amount{}).Add(a, n).inside(node.top())
+	t.walkUp(leaf, func(_ int, node *Node) bool {
+		ok = (Amount{}).Add(a, n).within(node.effectiveLimit())
 		return ok
 	})
 	return ok
--- a/internal/quota/view.go
+++ b/internal/quota/view.go
@@ -22,19 +22,19 @@
 	visit = func(i int) int {
 		n := &c.tree.nodes[i]
 		at := len(out)
-		lent := n.Guaranteed.less(c.used[i])
+		lent := n.Guaranteed.minus(c.used[i])
 		v := View{
 			Path:       c.tree.Path(i),
 			Kind:       n.Kind,
 			Depth:      n.depth,
-			Used:       bounds(c.used[i]),
-			Guaranteed: bounds(n.Guaranteed),
-			Limit:      bounds(n.top()),
+			Used:       toBounds(c.used[i]),
+			Guaranteed: toBounds(n.Guaranteed),
+			Limit:      toBounds(n.effectiveLimit()),
 			Weight:     n.Weight,
 		}
 		// Only where there is a guarantee can anything be beyond it.
-		beyond := c.used[i].less(n.Guaranteed)
-		v.Borrowed = bounds(
+		beyond := c.used[i].minus(n.Guaranteed)
+		v.Borrowed = toBounds(
 			Amount{
 				beyond.Cores * sign(n.Guaranteed.Cores),
 				beyond.Accelerators * sign(n.Guaranteed.Accelerators),
@@ -42,7 +42,7 @@
 			},
 		)
 		if n.Lend {
-			v.Lent = bounds(lent)
+			v.Lent = toBounds(lent)
 		}
 		out = append(out, v)
 		sum := waiting[i]
@@ -50,13 +50,13 @@
 			sum += visit(k)
 		}
 		out[at].Waiting = sum
-		over, top := c.Excess(i), n.top()
+		over, top := c.Excess(i), n.effectiveLimit()
 		switch {
 		case over != (Amount{}):
 			out[at].Why = "over its limit by " + over.String()
 		case sum > 0 && (top.Cores > 0 && c.used[i].Cores == top.Cores || top.Accelerators > 0 && c.used[i].Accelerators == top.Accelerators || top.MemoryGB > 0 && c.used[i].MemoryGB == top.MemoryGB):
 			out[at].Why = "at its limit"
-		case sum > 0 && n.Guaranteed != (Amount{}) && c.used[i].inside(n.Guaranteed):
+		case sum > 0 && n.Guaranteed != (Amount{}) && c.used[i].within(n.Guaranteed):
 			out[at].Why = "within its guarantee, waits for room"
 		}
 		return sum
