--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -2,63 +2,71 @@
 
 import "slices"
 
-// Account is what the nodes of a tree use.
+// Account is what the nodes of a tree use. Only the leader's own account says what is in
+// use; copies are for what is being considered.
 type Account struct {
 	tree *Tree
-	used []Amount
+	used []Amount // by node
 	// charged is what was charged to each key, from which the use of another tree
-	// follows; nil in a copy that is only to be tried on.
+	// follows; nil in a copy.
 	charged map[Key]Amount
 }
 
-// NewAccount makes an empty account of a tree.
-func NewAccount(t *Tree) *Account {
-	return &Account{tree: t, used: make([]Amount, len(t.nodes)), charged: map[Key]Amount{}}
+// NewAccount returns an empty account of a tree.
+func NewAccount(tree *Tree) *Account {
+	return &Account{
+		tree:    tree,
+		used:    make([]Amount, len(tree.nodes)),
+		charged: map[Key]Amount{},
+	}
 }
 
 // Tree is the tree that the account is of.
-func (c *Account) Tree() *Tree { return c.tree }
+func (a *Account) Tree() *Tree { return a.tree }
 
-// Charge books n tasks of amount a to a key's leaf and to all nodes above it; n
+// Charge adds count tasks, of amount each, to a key's leaf and to all nodes above it; count
 // may be negative. This is the one place where use changes.
-func (c *Account) Charge(k Key, a Amount, n int) {
-	if c.charged != nil {
-		if sum := c.charged[k].Add(a, n); sum == (Amount{}) {
-			delete(c.charged, k)
+func (a *Account) Charge(key Key, each Amount, count int) {
+	if a.charged != nil {
+		if sum := a.charged[key].Add(each, count); sum == (Amount{}) {
+			delete(a.charged, key)
 		} else {
-			c.charged[k] = sum
+			a.charged[key] = sum
 		}
 	}
-	c.tree.walkUp(c.tree.Leaf(k), func(i int, _ *Node) bool {
-		c.used[i] = c.used[i].Add(a, n)
+	a.chargeNodes(key, each, count)
+}
+
+func (a *Account) chargeNodes(key Key, each Amount, count int) {
+	a.tree.walkUp(a.tree.Leaf(key), func(i int, _ *Node) bool {
+		a.used[i] = a.used[i].Add(each, count)
 		return true
 	})
 }
 
 // Rebase makes the account one of another tree: what runs is charged where the
 // new tree has it.
-func (c *Account) Rebase(t *Tree) {
-	c.tree, c.used = t, make([]Amount, len(t.nodes))
-	for k, a := range c.charged {
-		t.walkUp(t.Leaf(k), func(i int, _ *Node) bool {
-			c.used[i] = c.used[i].Add(a, 1)
-			return true
-		})
+func (a *Account) Rebase(tree *Tree) {
+	a.tree = tree
+	a.used = make([]Amount, len(tree.nodes))
+	for key, sum := range a.charged {
+		a.chargeNodes(key, sum, 1)
 	}
 }
 
-// Clone copies the account, to charge in it what is only being considered.
-func (c *Account) Clone() *Account {
-	return &Account{tree: c.tree, used: slices.Clone(c.used)}
+// Clone copies the account, to charge in the copy what is only being considered. The copy
+// can't be rebased.
+func (a *Account) Clone() *Account {
+	return &Account{tree: a.tree, used: slices.Clone(a.used)}
 }
 
-// On is a copy of the account on another tree.
-func (c *Account) On(t *Tree) *Account {
-	out := &Account{charged: c.charged}
-	out.Rebase(t)
-	out.charged = nil
-	return out
+// On is a copy of the account on another tree. It needs an account that is no copy itself.
+func (a *Account) On(tree *Tree) *Account {
+	rebased := &Account{charged: a.charged}
+	rebased.Rebase(tree)
+	rebased.charged = nil
+	return rebased
 }
 
 // Used is a node's present use.
-func (c *Account) Used(i int) Amount { return c.used[i] }
+func (a *Account) Used(node int) Amount { return a.used[node] }
--- a/internal/quota/amount.go
+++ b/internal/quota/amount.go
@@ -1,7 +1,7 @@
 // Package quota keeps what each team uses against a tree of guarantees and
 // limits: organisations, the platform's teams, job classes. It has one writer, the
 // leader, which charges a task when it releases it and uncharges it once it is
-// truly gone.
+// truly gone. No IO, no clock.
 package quota
 
 import (
@@ -14,8 +14,8 @@
 // that a million charges and their ends add up to nothing exactly.
 const unit = 1e-6
 
-// maxAmount bounds one task's amount, far above any machine: a thousand million of
-// them still add up without overflow.
+// maxAmount limits one task's amount of a resource, far above any machine: a thousand
+// million of them still add up without overflow.
 const maxAmount = 1e9
 
 // Amount is what teams are measured in, in millionths of a core, an accelerator
@@ -24,16 +24,20 @@
 	Cores, Accelerators, MemoryGB int64
 }
 
-// Of makes an amount of cores, accelerators and GB.
+// Of is the amount of so many cores, accelerators and GB of memory.
 func Of(cores, accelerators, memoryGB float64) Amount {
-	return Amount{units(cores), units(accelerators), units(memoryGB)}
+	return Amount{
+		Cores:        toUnits(cores),
+		Accelerators: toUnits(accelerators),
+		MemoryGB:     toUnits(memoryGB),
+	}
 }
 
-func units(v float64) int64 {
-	if math.IsNaN(v) {
+func toUnits(value float64) int64 {
+	if math.IsNaN(value) {
 		return 0
 	}
-	return int64(math.Round(min(max(v, -maxAmount), maxAmount) / unit))
+	return int64(math.Round(min(max(value, -maxAmount), maxAmount) / unit))
 }
 
 // Float gives the amount in cores, accelerators and GB.
@@ -41,13 +45,17 @@
 	return float64(a.Cores) * unit, float64(a.Accelerators) * unit, float64(a.MemoryGB) * unit
 }
 
-// Add adds n times o.
-func (a Amount) Add(o Amount, n int) Amount {
-	k := int64(n)
-	return Amount{a.Cores + k*o.Cores, a.Accelerators + k*o.Accelerators, a.MemoryGB + k*o.MemoryGB}
+// Add adds count times other; count may be negative.
+func (a Amount) Add(other Amount, count int) Amount {
+	k := int64(count)
+	return Amount{
+		Cores:        a.Cores + k*other.Cores,
+		Accelerators: a.Accelerators + k*other.Accelerators,
+		MemoryGB:     a.MemoryGB + k*other.MemoryGB,
+	}
 }
 
-// eachResource calls f with the three resources of some amounts.
+// eachResource calls f with the name of each resource and with what reads it of an amount.
 func eachResource(f func(name string, of func(Amount) int64)) {
 	f("cores", func(a Amount) int64 { return a.Cores })
 	f("accelerators", func(a Amount) int64 { return a.Accelerators })
@@ -56,52 +64,80 @@
 
 // String names what is not 0.
 func (a Amount) String() string {
-	var out []string
+	var texts []string
 	eachResource(func(name string, of func(Amount) int64) {
-		if v := of(a); v != 0 {
-			out = append(out, fmt.Sprintf("%g %s", float64(v)*unit, name))
+		if value := of(a); value != 0 {
+			texts = append(texts, fmt.Sprintf("%g %s", float64(value)*unit, name))
 		}
 	})
-	if len(out) == 0 {
+	if len(texts) == 0 {
 		return "nothing"
 	}
-	return strings.Join(out, ", ")
+	return strings.Join(texts, ", ")
 }
 
-// within tells whether an amount is within a limit, of which 0 is none.
+// within tells whether an amount is within a limit; a limit of 0 in a resource is none.
 func (a Amount) within(limit Amount) bool {
 	return (limit.Cores == 0 || a.Cores <= limit.Cores) &&
 		(limit.Accelerators == 0 || a.Accelerators <= limit.Accelerators) &&
 		(limit.MemoryGB == 0 || a.MemoryGB <= limit.MemoryGB)
 }
 
-// Covers tells whether an amount is at least as large as o in every resource.
-func (a Amount) Covers(o Amount) bool {
-	return a.Cores >= o.Cores && a.Accelerators >= o.Accelerators && a.MemoryGB >= o.MemoryGB
+// Covers tells whether an amount is at least as large as other in every resource.
+func (a Amount) Covers(other Amount) bool {
+	return a.Cores >= other.Cores && a.Accelerators >= other.Accelerators && a.MemoryGB >= other.MemoryGB
+}
+
+// minus takes other away, but leaves no less than nothing.
+func (a Amount) minus(other Amount) Amount {
+	return Amount{
+		Cores:        max(a.Cores-other.Cores, 0),
+		Accelerators: max(a.Accelerators-other.Accelerators, 0),
+		MemoryGB:     max(a.MemoryGB-other.MemoryGB, 0),
+	}
 }
 
-// minus takes o away, but leaves no less than nothing.
-func (a Amount) minus(o Amount) Amount {
-	return Amount{max(a.Cores-o.Cores, 0), max(a.Accelerators-o.Accelerators, 0), max(a.MemoryGB-o.MemoryGB, 0)}
+// whereSet leaves the amount in the resources in which other is more than 0, and 0 in those
+// in which it is not.
+func (a Amount) whereSet(other Amount) Amount {
+	if other.Cores <= 0 {
+		a.Cores = 0
+	}
+	if other.Accelerators <= 0 {
+		a.Accelerators = 0
+	}
+	if other.MemoryGB <= 0 {
+		a.MemoryGB = 0
+	}
+	return a
 }
 
-// Helps tells whether an amount that goes takes anything off an excess.
+// Helps tells whether an amount that is no longer used takes anything off an excess.
 func (a Amount) Helps(excess Amount) bool {
-	return a.Cores > 0 && excess.Cores > 0 || a.Accelerators > 0 && excess.Accelerators > 0 ||
+	return a.Cores > 0 && excess.Cores > 0 ||
+		a.Accelerators > 0 && excess.Accelerators > 0 ||
 		a.MemoryGB > 0 && excess.MemoryGB > 0
 }
 
-// countFitting is how many times each fits on top of used into a limit, up to n.
-func countFitting(used, one, limit Amount, n int) int {
-	left := int64(n)
+// reaches tells whether an amount is exactly a limit in a resource that has one.
+func (a Amount) reaches(limit Amount) bool {
+	return limit.Cores > 0 && a.Cores == limit.Cores ||
+		limit.Accelerators > 0 && a.Accelerators == limit.Accelerators ||
+		limit.MemoryGB > 0 && a.MemoryGB == limit.MemoryGB
+}
+
+// countFitting is how many times each fits on top of used into a limit, up to count.
+func countFitting(used, each, limit Amount, count int) int {
+	fitting := int64(count)
 	eachResource(func(_ string, of func(Amount) int64) {
-		switch now, add, top := of(used), of(one), of(limit); {
-		case top == 0:
-		case now > top:
-			left = 0
-		case add > 0:
-			left = min(left, (top-now)/add)
+		usedNow, step, maximum := of(used), of(each), of(limit)
+		switch {
+		case maximum == 0:
+		case usedNow > maximum:
+			fitting = 0
+		case step > 0:
+			fitting = min(fitting, (maximum-usedNow)/step)
 		}
 	})
-	return int(max(left, 0))
+	return int(max(fitting, 0))
 }
--- a/internal/quota/document.go
+++ b/internal/quota/document.go
@@ -10,14 +10,14 @@
 // Document is the tree around the platform's teams, as operators write it (HCL)
 // and as it is kept in the state service (JSON).
 type Document struct {
-	// GraceS, seconds: for so long after a change of the tree, what is over a
-	// limit may end by itself before it is stopped.
+	// GraceS, in seconds: for so long after a change of the tree, what is over a
+	// limit may end by itself before it is stopped. Nil: tuning.QuotaGrace.
 	GraceS        *float64 `hcl:"grace_s,optional" json:"grace_s,omitempty"`
 	Organisations []Org    `hcl:"organisation,block" json:"organisations,omitempty"`
 	Teams         []OfTeam `hcl:"team,block" json:"teams,omitempty"`
 }
 
-// Grace is how long, in seconds, what is over a limit may end by itself.
+// Grace is how long, in seconds, what is over a limit may end by itself before it is stopped.
 func (d *Document) Grace() float64 {
 	if d.GraceS != nil {
 		return *d.GraceS
@@ -25,19 +25,21 @@
 	return tuning.QuotaGrace.Seconds()
 }
 
-// Bounds are amounts; what is not named is none.
+// Bounds are amounts of cores, accelerators and GB of memory, as a guarantee, a limit or a use
+// is written. Its name is part of answers to operators.
 type Bounds struct {
 	Cores        float64 `hcl:"cores,optional" json:"cores,omitempty"`
 	Accelerators float64 `hcl:"accelerators,optional" json:"accelerators,omitempty"`
 	MemoryGB     float64 `hcl:"memory_gb,optional" json:"memory_gb,omitempty"`
 }
 
-func toBounds(a Amount) Bounds {
-	c, g, m := a.Float()
-	return Bounds{c, g, m}
+func toBounds(amount Amount) Bounds {
+	cores, accelerators, memoryGB := amount.Float()
+	return Bounds{Cores: cores, Accelerators: accelerators, MemoryGB: memoryGB}
 }
 
-// Org is an organisation: of others, and of teams.
+// Org is an organisation of other organisations and of teams. Its name, and those of OfTeam
+// and OfClass, are part of answers to operators.
 type Org struct {
 	Name          string   `hcl:"name,label" json:"name"`
 	Weight        *float64 `hcl:"weight,optional" json:"weight,omitempty"`
@@ -49,7 +51,7 @@
 	Teams         []OfTeam `hcl:"team,block" json:"teams,omitempty"`
 }
 
-// OfTeam is a team's place, and its classes. Its guarantee and limit are the
+// OfTeam is a team's place in the tree, and its classes. Its guarantee and limit are the
 // platform's.
 type OfTeam struct {
 	Name    string    `hcl:"name,label" json:"name"`
@@ -72,12 +74,12 @@
 // StoreKey is where the state service keeps the tree that is in force.
 const StoreKey = "quota"
 
-// Stored is the tree in force as kept in the state service. Every decision is
-// conditional on its stamp.
+// Stored is the tree in force as kept in the state service. Every decision has its revision
+// as a precondition, so that none is made by a former tree.
 type Stored struct {
 	Version int      `json:"v"`
 	Number  int      `json:"n"`  // counts the changes
-	AtMs    int64    `json:"at"` // time of day of the change
+	AtMs    int64    `json:"at"` // of the change, Unix time in ms
 	Doc     Document `json:"doc"`
 }
 
@@ -85,18 +87,18 @@
 const storedVersion = 1
 
 // NewStored is a tree's document as it is to be stored.
-func NewStored(number int, atMs int64, d Document) Stored {
-	return Stored{storedVersion, number, atMs, d}
+func NewStored(number int, atMs int64, document Document) Stored {
+	return Stored{Version: storedVersion, Number: number, AtMs: atMs, Doc: document}
 }
 
 // Decode reads a stored tree.
-func Decode(b []byte) (*Stored, error) {
-	var s Stored
-	if err := json.Unmarshal(b, &s); err != nil {
+func Decode(body []byte) (*Stored, error) {
+	var stored Stored
+	if err := json.Unmarshal(body, &stored); err != nil {
 		return nil, err
 	}
-	if s.Version != storedVersion {
-		return nil, fmt.Errorf("unknown version %d of the quotas", s.Version)
+	if stored.Version != storedVersion {
+		return nil, fmt.Errorf("unknown version %d of the quotas", stored.Version)
 	}
-	return &s, nil
+	return &stored, nil
 }
--- a/internal/quota/fair_share.go
+++ b/internal/quota/fair_share.go
@@ -2,51 +2,50 @@
 
 import "slices"
 
-// Way is what the sides of the tree that a leaf is on, from the top down, use of the
-// spare capacity for their weight; nil in a tree that has only the platform's teams.
-// What a node with children runs itself is one more side, of weight 1: with ways
-// that ended there, which job came before which was not transitive, and the order of
-// three jobs depended on the order in which they were looked at.
-func (c *Account) Way(leaf int) []float64 {
-	if !c.tree.nested {
+// Way is, for each node from the top down to a leaf, what it uses of the spare capacity for
+// its weight; nil in a tree that has only the platform's teams. What a node with children
+// runs itself counts as one more child, of weight 1: while lists ended at such a node, their
+// order was not transitive, and the order of three jobs depended on which two were compared.
+func (a *Account) Way(leaf int) []float64 {
+	if !a.tree.nested {
 		return nil
 	}
-	var out []float64
-	c.tree.walkUp(leaf, func(i int, n *Node) bool {
-		if n.parent >= 0 {
-			out = append(out, c.fairShareOf(i))
+	var shares []float64
+	a.tree.walkUp(leaf, func(i int, node *Node) bool {
+		if node.parent >= 0 {
+			shares = append(shares, a.fairShareOf(i))
 		}
 		return true
 	})
-	slices.Reverse(out)
-	if children := c.tree.nodes[leaf].children; len(children) > 0 {
-		own := c.used[leaf]
+	slices.Reverse(shares)
+	if children := a.tree.nodes[leaf].children; len(children) > 0 {
+		own := a.used[leaf]
 		for _, k := range children {
-			own = own.Add(c.used[k], -1)
+			own = own.Add(a.used[k], -1)
 		}
-		out = append(out, dominantShare(own, c.used[leaf]))
+		shares = append(shares, dominantShare(own, a.used[leaf]))
 	}
-	return out
+	return shares
 }
 
-// CompareWays orders two leaves by their ways: who has had less goes first. It is
-// progressive filling: each task goes to the side that is behind.
+// CompareWays orders two leaves by what Way gives for them: who has had less goes first. It
+// is progressive filling: each task goes to the side that is behind.
 func CompareWays(a, b []float64) int { return slices.Compare(a, b) }
 
 // fairShareOf is what a node uses beyond its guarantee for its weight, by the resource
-// of which it uses the most of what its parent has in use.
-func (c *Account) fairShareOf(i int) float64 {
-	n := &c.tree.nodes[i]
-	return dominantShare(c.used[i].minus(n.Guaranteed), c.used[n.parent]) / n.Weight
+// of which it uses the largest share of what its parent has in use.
+func (a *Account) fairShareOf(i int) float64 {
+	node := &a.tree.nodes[i]
+	return dominantShare(a.used[i].minus(node.Guaranteed), a.used[node.parent]) / node.Weight
 }
 
-// dominantShare is the part of a whole, by the resource of which it is the most.
-func dominantShare(part, all Amount) float64 {
-	most := 0.0
+// dominantShare is the part of a whole, by the resource in which it is the largest.
+func dominantShare(part, whole Amount) float64 {
+	largest := 0.0
 	eachResource(func(_ string, of func(Amount) int64) {
-		if of(all) > 0 {
-			most = max(most, float64(of(part))/float64(of(all)))
+		if of(whole) > 0 {
+			largest = max(largest, float64(of(part))/float64(of(whole)))
 		}
 	})
-	return most
+	return largest
 }
--- a/internal/quota/limits.go
+++ b/internal/quota/limits.go
@@ -5,43 +5,43 @@
 	"slices"
 )
 
-// Allows tells whether n more tasks of amount a are inside the limits of a leaf
+// Allows tells whether count more tasks, of amount each, are within the limits of a leaf
 // and of all nodes above it.
-func (c *Account) Allows(leaf int, a Amount, n int) bool {
-	return c.FullAt(leaf, a, n) < 0
+func (a *Account) Allows(leaf int, each Amount, count int) bool {
+	return a.FullAt(leaf, each, count) < 0
 }
 
-// More is how many more tasks of amount a, up to n, a leaf may have.
-func (c *Account) More(leaf int, a Amount, n int) int {
-	below := -1
-	c.tree.walkUp(leaf, func(i int, node *Node) bool {
-		n = countFitting(c.used[i], a, c.limitThrough(i, below, node), n)
+// More is how many more tasks of amount each, up to count, a leaf may have.
+func (a *Account) More(leaf int, each Amount, count int) int {
+	below := noNode
+	a.tree.walkUp(leaf, func(i int, node *Node) bool {
+		count = countFitting(a.used[i], each, a.limitThrough(below, node), count)
 		below = i
-		return n > 0
+		return count > 0
 	})
-	return n
+	return count
 }
 
-// Full names the lowest node at whose limit a leaf is for one more task of
-// amount a, and why; "" if there is room.
-func (c *Account) Full(leaf int, a Amount) string {
-	i := c.FullAt(leaf, a, 1)
-	if i < 0 {
+// Full names the lowest node whose limit keeps a leaf from one more task of an amount, and
+// what it uses of its limit; "" if no limit does.
+func (a *Account) Full(leaf int, amount Amount) string {
+	node := a.FullAt(leaf, amount, 1)
+	if node < 0 {
 		return ""
 	}
-	where := c.tree.Path(i)
-	if where == "" {
-		where = "the whole"
+	path := a.tree.Path(node)
+	if path == "" {
+		path = "the whole"
 	}
-	return fmt.Sprintf("%s uses %s of %s", where, c.used[i], c.tree.nodes[i].effectiveLimit())
+	return fmt.Sprintf("%s uses %s of %s", path, a.used[node], a.tree.nodes[node].effectiveLimit())
 }
 
-// FullAt is the lowest node, from a leaf upward, whose limit n more tasks of amount
-// a would pass; -1 if there is none.
-func (c *Account) FullAt(leaf int, a Amount, n int) int {
-	full, below := -1, -1
-	c.tree.walkUp(leaf, func(i int, node *Node) bool {
-		if !c.used[i].Add(a, n).within(c.limitThrough(i, below, node)) {
+// FullAt is the lowest node, from a leaf upward, whose limit count more tasks of amount each
+// would pass; -1 if there is none.
+func (a *Account) FullAt(leaf int, each Amount, count int) int {
+	full, below := noNode, noNode
+	a.tree.walkUp(leaf, func(i int, node *Node) bool {
+		if !a.used[i].Add(each, count).within(a.limitThrough(below, node)) {
 			full = i
 			return false
 		}
@@ -53,22 +53,23 @@
 
 // limitThrough is a node's limit for what comes through one of its children: less what
 // its other children that don't lend have left of their guarantees.
-func (c *Account) limitThrough(i, through int, node *Node) Amount {
-	top := node.effectiveLimit()
+func (a *Account) limitThrough(through int, node *Node) Amount {
+	limit := node.effectiveLimit()
 	for _, k := range node.children {
-		if child := &c.tree.nodes[k]; k != through && !child.Lend {
-			kept := child.Guaranteed.minus(c.used[k])
-			top = Amount{
-				reserve(top.Cores, kept.Cores),
-				reserve(top.Accelerators, kept.Accelerators),
-				reserve(top.MemoryGB, kept.MemoryGB),
+		if child := &a.tree.nodes[k]; k != through && !child.Lend {
+			kept := child.Guaranteed.minus(a.used[k])
+			limit = Amount{
+				Cores:        reserve(limit.Cores, kept.Cores),
+				Accelerators: reserve(limit.Accelerators, kept.Accelerators),
+				MemoryGB:     reserve(limit.MemoryGB, kept.MemoryGB),
 			}
 		}
 	}
-	return top
+	return limit
 }
 
-// reserve takes away from a limit that is one; nothing left must not read as none.
+// reserve takes what is kept for others from a limit. A limit of 0 is none and stays none;
+// one of which nothing is left becomes 1 unit, since 0 would read as none.
 func reserve(limit, kept int64) int64 {
 	if limit == 0 || kept == 0 {
 		return limit
@@ -78,29 +79,19 @@
 
 // Over lists the nodes whose use is beyond their limit, as after a change of the
 // tree: the lowest first.
-func (c *Account) Over() []int {
-	var out []int
-	for i := range c.tree.nodes {
-		if c.Excess(i) != (Amount{}) {
-			out = append(out, i)
+func (a *Account) Over() []int {
+	var nodes []int
+	for i := range a.tree.nodes {
+		if a.Excess(i) != (Amount{}) {
+			nodes = append(nodes, i)
 		}
 	}
-	slices.SortStableFunc(out, func(a, b int) int { return c.tree.nodes[b].depth - c.tree.nodes[a].depth })
-	return out
+	slices.SortStableFunc(nodes, func(i, j int) int { return a.tree.nodes[j].depth - a.tree.nodes[i].depth })
+	return nodes
 }
 
 // Excess is what a node uses beyond its limit.
-func (c *Account) Excess(i int) Amount {
-	top := c.tree.nodes[i].effectiveLimit()
-	over := c.used[i].minus(top)
-	if top.Cores == 0 {
-		over.Cores = 0
-	}
-	if top.Accelerators == 0 {
-		over.Accelerators = 0
-	}
-	if top.MemoryGB == 0 {
-		over.MemoryGB = 0
-	}
-	return over
+func (a *Account) Excess(node int) Amount {
+	limit := a.tree.nodes[node].effectiveLimit()
+	return a.used[node].minus(limit).whereSet(limit)
 }
--- a/internal/quota/messages.go
+++ b/internal/quota/messages.go
@@ -6,8 +6,9 @@
 	"fmt"
 )
 
-// Apply is a request to put another tree in force. Base is the number of the tree
-// that it was made from: if another one is in force by then, it is refused.
+// Apply is an operator's request to put another tree in force. Base is the number of the tree
+// that it was made from: if another one is in force by then, the request is refused. Its name
+// is part of answers to operators.
 type Apply struct {
 	Base   int      `json:"base"`
 	DryRun bool     `json:"dry_run,omitempty"`
@@ -20,22 +21,23 @@
 	Faults []string `json:"faults,omitempty"`
 }
 
-// ParseApply reads and checks a request. The refusal tells every fault.
+// ParseApply reads and checks a request. Either the request and its tree are returned, or a
+// refusal with every fault.
 func ParseApply(body []byte, teams map[string]Team, classes []string) (*Apply, *Tree, *Refusal) {
-	var a Apply
-	d := json.NewDecoder(bytes.NewReader(body))
-	d.DisallowUnknownFields()
-	if err := d.Decode(&a); err != nil {
+	var request Apply
+	decoder := json.NewDecoder(bytes.NewReader(body))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&request); err != nil {
 		return nil, nil, &Refusal{Error: "body: " + err.Error()}
 	}
-	tree, faults := Build(&a.Quotas, teams, classes)
+	tree, faults := Build(&request.Quotas, teams, classes)
 	if len(faults) > 0 {
 		return nil, nil, &Refusal{Error: fmt.Sprintf("%d faults in the quotas", len(faults)), Faults: faults}
 	}
-	return &a, tree, nil
+	return &request, tree, nil
 }
 
-// Preview says what a tree means, or would mean, for what runs.
+// Preview tells operators what a tree means, or would mean, for what runs.
 type Preview struct {
 	Number int           `json:"number"` // of the tree in force
 	Over   []Over        `json:"over,omitempty"`
@@ -55,36 +57,36 @@
 }
 
 // Excesses lists the nodes whose use is above their limits.
-func (c *Account) Excesses() []Over {
-	var out []Over
-	for _, i := range c.Over() {
-		out = append(out, Over{c.tree.Path(i), toBounds(c.Excess(i))})
+func (a *Account) Excesses() []Over {
+	var excesses []Over
+	for _, node := range a.Over() {
+		excesses = append(excesses, Over{Path: a.tree.Path(node), By: toBounds(a.Excess(node))})
 	}
-	return out
+	return excesses
 }
 
-// ShownTree is the answer to a look at the tree.
+// ShownTree is the answer to an operator's request to show the tree.
 type ShownTree struct {
 	Number int    `json:"number"`
 	Nodes  []View `json:"nodes"`
 }
 
-// EncodeTree writes a tree with a line for each node: receivers may take no longer
-// lines than 64 KiB.
+// EncodeTree writes a ShownTree with a line for each node: some receivers accept no lines of
+// more than 64 KiB.
 func EncodeTree(number int, nodes []View) []byte {
-	var b bytes.Buffer
-	fmt.Fprintf(&b, `{"number":%d,"nodes":[`, number)
+	var body bytes.Buffer
+	fmt.Fprintf(&body, `{"number":%d,"nodes":[`, number)
 	for i := range nodes {
 		if i > 0 {
-			b.WriteByte(',')
+			body.WriteByte(',')
 		}
-		b.WriteByte('\n')
+		body.WriteByte('\n')
 		line, err := json.Marshal(nodes[i])
 		if err != nil {
 			line = []byte("{}")
 		}
-		b.Write(line)
+		body.Write(line)
 	}
-	b.WriteString("]}")
-	return b.Bytes()
+	body.WriteString("]}")
+	return body.Bytes()
 }
--- a/internal/quota/tree.go
+++ b/internal/quota/tree.go
@@ -6,12 +6,11 @@
 	"strings"
 )
 
-// Team is a team's guarantee and limit as the platform gives them. A maximum of 0
-// means no cap.
+// Team is a team's guarantee and limit as the platform gives them.
 type Team struct {
 	Name       string
 	Guaranteed Amount
-	Max        Amount
+	Max        Amount // 0 in a resource: no limit
 }
 
 // Kind is what a node of the tree stands for.
@@ -25,19 +24,19 @@
 	Class        Kind = "class"
 )
 
-// Node is a node of the tree. Every charge of a node is one of all nodes above
-// it. A limit of 0 in a resource is none; so is a guarantee of 0.
+// Node is a node of the tree. What is charged to a node is charged to all nodes above it. A
+// limit of 0 in a resource is none; so is a guarantee of 0.
 type Node struct {
 	Name       string
 	Kind       Kind
 	Guaranteed Amount
-	Max        Amount
-	Weight     float64 // its share of what is spare among its siblings
+	Max        Amount  // its limit
+	Weight     float64 // of its share among its siblings in what is spare
 	Borrow     bool    // may use more than its guarantee
 	Lend       bool    // others may use what it leaves of its guarantee
 	parent     int     // -1 for the root
-	children   []int
-	depth      int
+	children   []int   // in the order of the document
+	depth      int     // 0 for the root
 }
 
 // effectiveLimit is a node's limit by itself: what does not borrow ends at its guarantee.
@@ -45,27 +44,26 @@
 	if n.Borrow {
 		return n.Max
 	}
-	top := n.Max
+	limit := n.Max
 	if n.Guaranteed.Cores > 0 {
-		top.Cores = n.Guaranteed.Cores
+		limit.Cores = n.Guaranteed.Cores
 	}
 	if n.Guaranteed.Accelerators > 0 {
-		top.Accelerators = n.Guaranteed.Accelerators
+		limit.Accelerators = n.Guaranteed.Accelerators
 	}
 	if n.Guaranteed.MemoryGB > 0 {
-		top.MemoryGB = n.Guaranteed.MemoryGB
+		limit.MemoryGB = n.Guaranteed.MemoryGB
 	}
-	return top
+	return limit
 }
 
-// Tree is the nodes; the first is the root. It never changes: a change of
-// quotas is another tree.
+// Tree holds the nodes of the quotas. It never changes once it is built: a change of quotas is
+// another tree. Nodes are named by their index, 0 for the root.
 type Tree struct {
 	nodes   []Node
-	teams   map[string]int
-	classes map[Key]int
-	// nested: there is more to it than the platform's teams.
-	nested bool
+	teams   map[string]int // node by team
+	classes map[Key]int    // node by class
+	nested  bool           // there is more to it than the platform's teams
 }
 
 // Key is what a task is charged to: its team and the class of its job.
@@ -88,39 +86,40 @@
 	}
 }
 
-func (t *Tree) add(parent int, n Node) int {
-	n.parent, n.depth = parent, t.nodes[parent].depth+1
-	t.nodes = append(t.nodes, n)
-	t.nodes[parent].children = append(t.nodes[parent].children, len(t.nodes)-1)
-	return len(t.nodes) - 1
+// add appends a node below a parent and returns its index.
+func (t *Tree) add(parent int, node Node) int {
+	index := len(t.nodes)
+	node.parent = parent
+	node.depth = t.nodes[parent].depth + 1
+	t.nodes = append(t.nodes, node)
+	t.nodes[parent].children = append(t.nodes[parent].children, index)
+	return index
 }
 
+// addTeam appends a team's node below a parent and returns its index.
 func (t *Tree) addTeam(parent int, team Team) int {
-	i := t.add(
-		parent,
-		Node{
-			Name:       team.Name,
-			Kind:       TeamNode,
-			Guaranteed: team.Guaranteed,
-			Max:        team.Max,
-			Weight:     1,
-			Borrow:     true,
-			Lend:       true,
-		},
-	)
-	t.teams[team.Name] = i
-	return i
+	index := t.add(parent, Node{
+		Name:       team.Name,
+		Kind:       TeamNode,
+		Guaranteed: team.Guaranteed,
+		Max:        team.Max,
+		Weight:     1,
+		Borrow:     true,
+		Lend:       true,
+	})
+	t.teams[team.Name] = index
+	return index
 }
 
 // Leaf is the node that a task is charged to: its class's if its team has one
 // for it, else its team's. Work of a team that the platform no longer names was
 // accepted once and must run: it is charged to the root.
-func (t *Tree) Leaf(k Key) int {
-	if i, ok := t.classes[k]; ok {
-		return i
+func (t *Tree) Leaf(key Key) int {
+	if node, ok := t.classes[key]; ok {
+		return node
 	}
-	if i, ok := t.teams[k.Team]; ok {
-		return i
+	if node, ok := t.teams[key.Team]; ok {
+		return node
 	}
 	return 0
 }
@@ -134,28 +133,28 @@
 // Shaped tells whether there is more to the tree than the platform's teams.
 func (t *Tree) Shaped() bool { return t.nested }
 
-// Path names a node with those above it.
-func (t *Tree) Path(i int) string {
+// Path names a node after those above it, separated by slashes; "" for the root.
+func (t *Tree) Path(node int) string {
 	var names []string
-	for ; i > 0; i = t.nodes[i].parent {
+	for i := node; i > 0; i = t.nodes[i].parent {
 		names = append(names, t.nodes[i].Name)
 	}
 	slices.Reverse(names)
 	return strings.Join(names, "/")
 }
 
-// Paths names all nodes, by index.
+// Paths are the paths of all nodes, by index.
 func (t *Tree) Paths() []string {
-	out := make([]string, len(t.nodes))
+	paths := make([]string, len(t.nodes))
 	for i := range t.nodes {
-		out[i] = t.Path(i)
+		paths[i] = t.Path(i)
 	}
-	return out
+	return paths
 }
 
-// walkUp calls f for a node and those above it, the root last, until it says stop.
-func (t *Tree) walkUp(i int, f func(i int, n *Node) bool) {
-	for ; i >= 0; i = t.nodes[i].parent {
+// walkUp calls f for a node and those above it, the root last, until f returns false.
+func (t *Tree) walkUp(from int, f func(i int, node *Node) bool) {
+	for i := from; i >= 0; i = t.nodes[i].parent {
 		if !f(i, &t.nodes[i]) {
 			return
 		}
@@ -172,13 +171,13 @@
 	return found
 }
 
-// Ever tells whether n tasks of amount a would be inside all limits if nothing
-// else ran.
-func (t *Tree) Ever(leaf int, a Amount, n int) bool {
-	ok := true
+// Ever tells whether count tasks, of amount each, would be within all limits of a leaf and of
+// the nodes above it if nothing else ran.
+func (t *Tree) Ever(leaf int, each Amount, count int) bool {
+	allowed := true
 	t.walkUp(leaf, func(_ int, node *Node) bool {
-		ok = (Amount{}).Add(a, n).within(node.effectiveLimit())
-		return ok
+		allowed = (Amount{}).Add(each, count).within(node.effectiveLimit())
+		return allowed
 	})
-	return ok
+	return allowed
 }
--- a/internal/quota/view.go
+++ b/internal/quota/view.go
@@ -16,54 +16,61 @@
 }
 
 // Show lists all nodes from the root down. waiting counts tasks by leaf.
-func (c *Account) Show(waiting map[int]int) []View {
-	var out []View
-	var visit func(i int) int
-	visit = func(i int) int {
-		n := &c.tree.nodes[i]
-		at := len(out)
-		lent := n.Guaranteed.minus(c.used[i])
-		v := View{
-			Path:       c.tree.Path(i),
-			Kind:       n.Kind,
-			Depth:      n.depth,
-			Used:       toBounds(c.used[i]),
-			Guaranteed: toBounds(n.Guaranteed),
-			Limit:      toBounds(n.effectiveLimit()),
-			Weight:     n.Weight,
-		}
+func (a *Account) Show(waiting map[int]int) []View {
+	_, views := a.appendViews(nil, 0, waiting)
+	return views
+}
+
+// appendViews appends the views of a node and of all below it, and counts the tasks that wait
+// there.
+func (a *Account) appendViews(views []View, i int, waiting map[int]int) (int, []View) {
+	position := len(views)
+	views = append(views, a.view(i))
+	sum := waiting[i]
+	for _, k := range a.tree.nodes[i].children {
+		var below int
+		below, views = a.appendViews(views, k, waiting)
+		sum += below
+	}
+	views[position].Waiting = sum
+	views[position].Why = a.whyWaiting(i, sum)
+	return sum, views
+}
+
+// view shows a node by itself, without what waits.
+func (a *Account) view(i int) View {
+	node := &a.tree.nodes[i]
+	v := View{
+		Path:       a.tree.Path(i),
+		Kind:       node.Kind,
+		Depth:      node.depth,
+		Used:       toBounds(a.used[i]),
+		Guaranteed: toBounds(node.Guaranteed),
+		Limit:      toBounds(node.effectiveLimit()),
 		// Only where there is a guarantee can anything be beyond it.
-		beyond := c.used[i].minus(n.Guaranteed)
-		v.Borrowed = toBounds(
-			Amount{
-				beyond.Cores * sign(n.Guaranteed.Cores),
-				beyond.Accelerators * sign(n.Guaranteed.Accelerators),
-				beyond.MemoryGB * sign(n.Guaranteed.MemoryGB),
-			},
-		)
-		if n.Lend {
-			v.Lent = toBounds(lent)
-		}
-		out = append(out, v)
-		sum := waiting[i]
-		for _, k := range n.children {
-			sum += visit(k)
-		}
-		out[at].Waiting = sum
-		over, top := c.Excess(i), n.effectiveLimit()
-		switch {
-		case over != (Amount{}):
-			out[at].Why = "over its limit by " + over.String()
-		case sum > 0 && (top.Cores > 0 && c.used[i].Cores == top.Cores || top.Accelerators > 0 && c.used[i].Accelerators == top.Accelerators || top.MemoryGB > 0 && c.used[i].MemoryGB == top.MemoryGB):
-			out[at].Why = "at its limit"
-		case sum > 0 && n.Guaranteed != (Amount{}) && c.used[i].within(n.Guaranteed):
-			out[at].Why = "within its guarantee, waits for room"
-		}
-		return sum
+		Borrowed: toBounds(a.used[i].minus(node.Guaranteed).whereSet(node.Guaranteed)),
+		Weight:   node.Weight,
+	}
+	if node.Lend {
+		v.Lent = toBounds(node.Guaranteed.minus(a.used[i]))
 	}
-	visit(0)
-	return out
+	return v
 }
 
-// sign is 1 for an amount that is there, else 0.
-func sign(v int64) int64 { return min(max(v, 0), 1) }
+// whyWaiting tells people what state a node is in that has so many tasks waiting; "" if there
+// is nothing to say.
+func (a *Account) whyWaiting(i, waiting int) string {
+	node := &a.tree.nodes[i]
+	excess := a.Excess(i)
+	switch {
+	case excess != (Amount{}):
+		return "over its limit by " + excess.String()
+	case waiting <= 0:
+		return ""
+	case a.used[i].reaches(node.effectiveLimit()):
+		return "at its limit"
+	case node.Guaranteed != (Amount{}) && a.used[i].within(node.Guaranteed):
+		return "within its guarantee, waits for room"
+	}
+	return ""
+}
