--- a/internal/quota/bench_test.go
+++ b/internal/quota/bench_test.go
@@ -13,23 +13,23 @@
 	used *immutable.Map[int, Amount]
 }
 
-func (p *persistent) charge(k Key, a Amount, n int) {
-	p.tree.walkUp(p.tree.Leaf(k), func(i int, _ *Node) bool {
-		was, _ := p.used.Get(i)
-		p.used = p.used.Set(i, was.Add(a, n))
+func (p *persistent) charge(key Key, each Amount, count int) {
+	p.tree.walkUp(p.tree.Leaf(key), func(i int, _ *Node) bool {
+		before, _ := p.used.Get(i)
+		p.used = p.used.Set(i, before.Add(each, count))
 		return true
 	})
 }
 
-// BenchmarkTry is what a pass of the queue does: a copy, and 100 charges in it, on a
+// BenchmarkCloneAndCharge is what a scheduling cycle does: a copy, and 100 charges in it, on a
 // tree of 1,000 leaves; once with the copy of a slice, once with a persistent map.
-func BenchmarkTry(b *testing.B) {
-	tree, keys := leaves(b)
+func BenchmarkCloneAndCharge(b *testing.B) {
+	tree, keys := thousandLeaves(b)
 	b.Run("copied", func(b *testing.B) {
-		c := NewAccount(tree)
+		account := NewAccount(tree)
 		b.ReportAllocs()
 		for b.Loop() {
-			attempt := c.Clone()
+			attempt := account.Clone()
 			for i := range 100 {
 				attempt.Charge(keys[i*7%len(keys)], gpus(1), 1)
 			}
@@ -49,21 +49,21 @@
 		}
 	})
 	b.Run("copy alone", func(b *testing.B) {
-		c := NewAccount(tree)
+		account := NewAccount(tree)
 		b.ReportAllocs()
 		for b.Loop() {
-			_ = c.Clone()
+			_ = account.Clone()
 		}
 	})
 }
 
 // BenchmarkAllows is the check of one task on its way up the tree.
 func BenchmarkAllows(b *testing.B) {
-	tree, keys := leaves(b)
-	c := NewAccount(tree)
+	tree, keys := thousandLeaves(b)
+	account := NewAccount(tree)
 	i := 0
 	for b.Loop() {
 		i++
-		c.Allows(tree.Leaf(keys[i%len(keys)]), gpus(1), 1)
+		account.Allows(tree.Leaf(keys[i%len(keys)]), gpus(1), 1)
 	}
 }
--- a/internal/quota/build_test.go
+++ b/internal/quota/build_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestEveryFaultOfADocument(t *testing.T) {
+func TestBuildListsEveryFault(t *testing.T) {
 	teams := map[string]Team{
 		"a": {Name: "a", Guaranteed: gpus(5)},
 		"b": {Name: "b", Guaranteed: gpus(5)},
@@ -16,23 +16,40 @@
 	for i := 7; i > 0; i-- {
 		deep = Org{Name: fmt.Sprint("d", i), Organisations: []Org{deep}}
 	}
-	_, faults := Build(&Document{GraceS: one(-1), Organisations: []Org{
-		{
-			Name:      "x",
-			Guarantee: &Bounds{Accelerators: 9},
-			Limit:     &Bounds{Accelerators: 8, Cores: -1},
-			Weight:    one(0),
-			Teams:     []OfTeam{{Name: "a"}, {Name: "b"}, {Name: "nobody"}},
+	document := &Document{
+		GraceS: number(-1),
+		Organisations: []Org{
+			{
+				Name:      "x",
+				Guarantee: &Bounds{Accelerators: 9},
+				Limit:     &Bounds{Accelerators: 8, Cores: -1},
+				Weight:    number(0),
+				Teams:     []OfTeam{{Name: "a"}, {Name: "b"}, {Name: "nobody"}},
+			},
+			{Name: "x", Teams: []OfTeam{{Name: "a"}}},
+			{Name: "y/z"},
+			deep,
 		},
-		{Name: "x", Teams: []OfTeam{{Name: "a"}}},
-		{Name: "y/z"},
-		deep,
-	}, Teams: []OfTeam{{Name: "c", Classes: []OfClass{{Name: "sweep"}, {Name: "sweep"}, {Name: "ghost"}}}}}, teams, []string{"sweep", "lens"})
+		Teams: []OfTeam{{
+			Name:    "c",
+			Classes: []OfClass{{Name: "sweep"}, {Name: "sweep"}, {Name: "ghost"}},
+		}},
+	}
+	_, faults := Build(document, teams, []string{"sweep", "lens"})
 	text := strings.Join(faults, "\n")
 	for _, want := range []string{
-		"grace_s: -1 is outside", "x.limit.cores: expected", "x.weight: expected", "x: its limit of 8 accelerators is below its guarantee of 9",
-		"x/nobody: no team is called", "x: organisation \"x\" stands elsewhere", "x/a: team \"a\" stands elsewhere", "y/z: expected a name", "expected at most 8 levels",
-		"c/sweep: class \"sweep\" stands here twice", "c/ghost: no class is called \"ghost\"; expected one of sweep, lens", "x: its children are guaranteed 10 accelerators, above its guarantee of 9",
+		"grace_s: -1 is outside",
+		"x.limit.cores: expected",
+		"x.weight: expected",
+		"x: its limit of 8 accelerators is below its guarantee of 9",
+		"x/nobody: no team is called",
+		"x: organisation \"x\" stands elsewhere",
+		"x/a: team \"a\" stands elsewhere",
+		"y/z: expected a name",
+		"expected at most 8 levels",
+		"c/sweep: class \"sweep\" stands here twice",
+		"c/ghost: no class is called \"ghost\"; expected one of sweep, lens",
+		"x: its children are guaranteed 10 accelerators, above its guarantee of 9",
 	} {
 		if !strings.Contains(text, want) {
 			t.Errorf("not told: %s", want)
--- a/internal/quota/golden_messages_test.go
+++ b/internal/quota/golden_messages_test.go
@@ -10,8 +10,8 @@
 )
 
 func yes() *bool {
-	v := true
-	return &v
+	value := true
+	return &value
 }
 
 // goldenQuotaFile sets every field of a tree.
@@ -20,7 +20,7 @@
 	classes := []OfClass{
 		{
 			Name:      "sweep",
-			Weight:    one(4),
+			Weight:    number(4),
 			Borrow:    yes(),
 			Lend:      yes(),
 			Guarantee: &Bounds{Cores: 3, Accelerators: 1, MemoryGB: 12},
@@ -28,13 +28,13 @@
 		},
 	}
 	return Document{
-		GraceS: one(45),
+		GraceS: number(45),
 		Organisations: []Org{{
-			Name: "kenya", Weight: one(2), Borrow: yes(), Lend: yes(), Guarantee: some, Limit: more,
+			Name: "kenya", Weight: number(2), Borrow: yes(), Lend: yes(), Guarantee: some, Limit: more,
 			Organisations: []Org{{Name: "nairobi", Borrow: no(), Lend: no()}},
-			Teams:         []OfTeam{{Name: "pricing", Weight: one(3), Borrow: yes(), Lend: yes(), Classes: classes}},
+			Teams:         []OfTeam{{Name: "pricing", Weight: number(3), Borrow: yes(), Lend: yes(), Classes: classes}},
 		}},
-		Teams: []OfTeam{{Name: "lone", Weight: one(1.25), Borrow: yes(), Lend: yes(), Classes: classes}},
+		Teams: []OfTeam{{Name: "lone", Weight: number(1.25), Borrow: yes(), Lend: yes(), Classes: classes}},
 	}
 }
 
@@ -55,9 +55,9 @@
 	golden(t, "apply-full.json", full)
 	golden(t, "apply-lean.json", Apply{Base: 1})
 	teams := map[string]Team{"pricing": {Name: "pricing"}, "lone": {Name: "lone"}}
-	a, _, bad := ParseApply(goldentest.Read(t, "apply-full.json"), teams, nil)
-	if bad != nil || !reflect.DeepEqual(*a, full) {
-		t.Errorf("parsed as %+v: %+v", a, bad)
+	request, _, refused := ParseApply(goldentest.Read(t, "apply-full.json"), teams, nil)
+	if refused != nil || !reflect.DeepEqual(*request, full) {
+		t.Errorf("parsed as %+v: %+v", request, refused)
 	}
 	refusal := Refusal{Error: "2 faults in the quotas", Faults: []string{"kenya: wrong", "italia: wrong"}}
 	preview := Preview{
@@ -96,21 +96,21 @@
 }
 
 // What a tree shows of a world, and the faults of a document, are told as ever.
-func TestGoldenTree(t *testing.T) {
-	c := NewAccount(world(t))
-	c.Charge(Key{Team: "pricing", Class: "sweep"}, Of(2, 1, 8), 7)
-	c.Charge(Key{Team: "storefront", Class: "x"}, Of(1, 1, 1), 3)
+func TestGoldenTreeViewAndFaults(t *testing.T) {
+	account := NewAccount(twoOrganisations(t))
+	account.Charge(Key{Team: "pricing", Class: "sweep"}, Of(2, 1, 8), 7)
+	account.Charge(Key{Team: "storefront", Class: "x"}, Of(1, 1, 1), 3)
 	goldentest.Bytes(
 		t,
 		"world.json",
-		EncodeTree(3, c.Show(map[int]int{c.tree.Leaf(Key{Team: "pricing", Class: "sweep"}): 5})),
+		EncodeTree(3, account.Show(map[int]int{account.tree.Leaf(Key{Team: "pricing", Class: "sweep"}): 5})),
 	)
-	over, err := json.Marshal(c.Excesses())
+	over, err := json.Marshal(account.Excesses())
 	if err != nil {
 		t.Fatal(err)
 	}
 	goldentest.Bytes(t, "excesses.json", over)
-	minus := one(-1)
+	minus := number(-1)
 	_, faults := Build(&Document{GraceS: minus, Organisations: []Org{
 		{
 			Name:      "1st",
--- a/internal/quota/golden_stored_test.go
+++ b/internal/quota/golden_stored_test.go
@@ -26,11 +26,14 @@
 func TestGoldenStored(t *testing.T) {
 	full := NewStored(3, 1700000000001, goldenDocument())
 	goldentest.Filled(t, full)
-	no, none := false, 0.0
+	no, zero := false, 0.0
 	for name, s := range map[string]Stored{
 		"quota.json":       full,
 		"quota-least.json": NewStored(0, 0, Document{}),
-		"quota-zeros.json": NewStored(1, 0, Document{GraceS: &none, Organisations: []Org{{Weight: &none, Borrow: &no, Lend: &no, Guarantee: &Bounds{}}}}),
+		"quota-zeros.json": NewStored(1, 0, Document{
+			GraceS:        &zero,
+			Organisations: []Org{{Weight: &zero, Borrow: &no, Lend: &no, Guarantee: &Bounds{}}},
+		}),
 	} {
 		goldentest.JSON(t, name, s)
 		if back, err := Decode(goldentest.Read(t, name)); err != nil || !reflect.DeepEqual(*back, s) {
--- a/internal/quota/guarantee_test.go
+++ b/internal/quota/guarantee_test.go
@@ -5,21 +5,21 @@
 	"testing"
 )
 
-func TestEntitled(t *testing.T) {
-	tree := world(t)
-	c := NewAccount(tree)
+func TestEntitledIsTheLowestGuarantee(t *testing.T) {
+	tree := twoOrganisations(t)
+	account := NewAccount(tree)
 	leaf := func(team, class string) int { return tree.Leaf(Key{team, class}) }
-	at := func(team, class string, g float64) string {
-		node := c.Entitled(leaf(team, class), gpus(g), 1)
+	entitlement := func(team, class string, accelerators float64) string {
+		node := account.Entitled(leaf(team, class), gpus(accelerators), 1)
 		if node == noNode {
 			return "none"
 		}
 		return fmt.Sprintf("%s turn %d", tree.Path(node), tree.FairShareOrder(node, leaf(team, class)))
 	}
 	for _, step := range []struct {
-		team, class string
-		g           float64
-		want        string
+		team, class  string
+		accelerators float64
+		want         string
 	}{
 		{"pricing", "sweep", 2, "kenya/pricing/sweep turn 0"},
 		{"pricing", "sweep", 2, "kenya/pricing turn 0"},
@@ -32,59 +32,57 @@
 		{"stazioni", "z", 1, "none"},
 		{"lone", "w", 1, "none"},
 	} {
-		if got := at(step.team, step.class, step.g); got != step.want {
+		if got := entitlement(step.team, step.class, step.accelerators); got != step.want {
 			t.Errorf("%v: %s", step, got)
 		}
-		c.Charge(Key{step.team, step.class}, gpus(step.g), 1)
+		account.Charge(Key{step.team, step.class}, gpus(step.accelerators), 1)
 	}
 }
 
-// Who yields to whom. Italia's burst gives way to what Kenya is guaranteed; within
-// an organisation nobody loses what it has of the shared guarantee.
-func TestYields(t *testing.T) {
-	tree := world(t)
-	c := NewAccount(tree)
-	c.Charge(Key{"stazioni", "z"}, gpus(1), 14) // 4 beyond italia's 10
-	c.Charge(Key{"storefront", "x"}, gpus(1), 10)
-	store, price, staz := tree.Leaf(
-		Key{"storefront", "x"},
-	), tree.Leaf(
-		Key{"pricing", "sweep"},
-	), tree.Leaf(
-		Key{"stazioni", "z"},
-	)
-	within := c.Entitled(price, gpus(1), 1)
-	if !c.Yields(within, staz, gpus(1)) || !c.Yields(within, staz, gpus(4)) || c.Yields(within, staz, gpus(5)) {
+// What Italia borrowed is preempted for what Kenya is guaranteed; within an organisation nobody
+// loses what it has of the shared guarantee.
+func TestYieldsWhatIsBorrowed(t *testing.T) {
+	tree := twoOrganisations(t)
+	account := NewAccount(tree)
+	account.Charge(Key{"stazioni", "z"}, gpus(1), 14) // 4 beyond italia's 10
+	account.Charge(Key{"storefront", "x"}, gpus(1), 10)
+	storefront := tree.Leaf(Key{"storefront", "x"})
+	pricing := tree.Leaf(Key{"pricing", "sweep"})
+	stazioni := tree.Leaf(Key{"stazioni", "z"})
+	within := account.Entitled(pricing, gpus(1), 1)
+	if !account.Yields(within, stazioni, gpus(1)) ||
+		!account.Yields(within, stazioni, gpus(4)) ||
+		account.Yields(within, stazioni, gpus(5)) {
 		t.Error("italia must yield what it borrowed, and no more")
 	}
-	if !c.Yields(within, store, gpus(2)) || c.Yields(within, store, gpus(3)) {
+	if !account.Yields(within, storefront, gpus(2)) || account.Yields(within, storefront, gpus(3)) {
 		t.Error("storefront must yield to pricing's guarantee what it borrowed from it")
 	}
-	org := c.Entitled(store, gpus(1), 1)
-	if tree.Path(org) != "kenya" || c.Yields(org, price, Amount{}) || !c.Yields(org, staz, gpus(1)) {
+	org := account.Entitled(storefront, gpus(1), 1)
+	if tree.Path(org) != "kenya" || account.Yields(org, pricing, Amount{}) || !account.Yields(org, stazioni, gpus(1)) {
 		t.Error("what is borrowed within an organisation takes nothing from a sibling")
 	}
-	if c.Yields(noNode, staz, gpus(1)) {
+	if account.Yields(noNode, stazioni, gpus(1)) {
 		t.Error("beyond all guarantees nobody has to yield")
 	}
-	c = NewAccount(tree)
-	c.Charge(Key{"stazioni", "z"}, gpus(1), 10)
-	if c.Yields(c.Entitled(price, gpus(1), 1), staz, gpus(1)) {
-		t.Error("italia must keep its guarantee")
+	account = NewAccount(tree)
+	account.Charge(Key{"stazioni", "z"}, gpus(1), 10)
+	if account.Yields(account.Entitled(pricing, gpus(1), 1), stazioni, gpus(1)) {
+		t.Error("italia is within its guarantee and must not yield")
 	}
 }
 
-// Whoever gives keeps what all nodes on its side are guaranteed, up to where its side and
-// the taker's meet.
-func TestSpares(t *testing.T) {
-	tree := world(t)
-	c := NewAccount(tree)
-	c.Charge(Key{"stazioni", "z"}, gpus(1), 14) // 4 beyond italia's 10
-	store, staz := tree.Leaf(Key{"storefront", "x"}), tree.Leaf(Key{"stazioni", "z"})
-	if !c.Spares(store, staz, gpus(4)) || c.Spares(store, staz, gpus(5)) {
+// Whoever lends keeps what all nodes on its side are guaranteed, up to where its side and
+// the borrower's meet.
+func TestSparesWhatIsNotGuaranteed(t *testing.T) {
+	tree := twoOrganisations(t)
+	account := NewAccount(tree)
+	account.Charge(Key{"stazioni", "z"}, gpus(1), 14) // 4 beyond italia's 10
+	storefront, stazioni := tree.Leaf(Key{"storefront", "x"}), tree.Leaf(Key{"stazioni", "z"})
+	if !account.Spares(storefront, stazioni, gpus(4)) || account.Spares(storefront, stazioni, gpus(5)) {
 		t.Error("italia can spare 4 for kenya")
 	}
-	if !c.Spares(staz, staz, gpus(14)) {
+	if !account.Spares(stazioni, stazioni, gpus(14)) {
 		t.Error("what shares a guarantee has no claim against its own side")
 	}
 }
--- a/internal/quota/helpers_test.go
+++ b/internal/quota/helpers_test.go
@@ -12,17 +12,17 @@
 
 func gpus(n float64) Amount { return Of(0, n, 0) }
 
-func one(v float64) *float64 { return &v }
+func number(value float64) *float64 { return &value }
 
 func no() *bool {
-	v := false
-	return &v
+	value := false
+	return &value
 }
 
-// world has two organisations. Kenya: storefront 8 and pricing 4 of 16 guaranteed,
+// twoOrganisations has two organisations. Kenya: storefront 8 and pricing 4 of 16 guaranteed,
 // 20 at most, pricing with classes. Italia: stazioni 6 of 10 guaranteed. 40 in all
 // are left to the platform's limits.
-func world(t interface {
+func twoOrganisations(t interface {
 	Helper()
 	Fatal(...any)
 },
@@ -39,7 +39,7 @@
 			Name:      "kenya",
 			Guarantee: &Bounds{Accelerators: 16},
 			Limit:     &Bounds{Accelerators: 20},
-			Weight:    one(2),
+			Weight:    number(2),
 			Teams: []OfTeam{
 				{Name: "storefront"},
 				{
@@ -59,10 +59,11 @@
 	return tree
 }
 
-// leaves is a tree of 1,000 leaves on three levels.
-func leaves(b testing.TB) (*Tree, []Key) {
+// thousandLeaves is a tree of 1,000 leaves on three levels.
+func thousandLeaves(tb testing.TB) (*Tree, []Key) {
+	tb.Helper()
 	teams := map[string]Team{}
-	d := &Document{}
+	document := &Document{}
 	var keys []Key
 	for o := range 10 {
 		org := Org{Name: fmt.Sprint("o", o)}
@@ -77,11 +78,11 @@
 			}
 			org.Teams = append(org.Teams, team)
 		}
-		d.Organisations = append(d.Organisations, org)
+		document.Organisations = append(document.Organisations, org)
 	}
-	tree, faults := Build(d, teams, nil)
+	tree, faults := Build(document, teams, nil)
 	if len(faults) > 0 {
-		b.Fatal(faults)
+		tb.Fatal(faults)
 	}
 	return tree, keys
 }
--- a/internal/quota/limits_test.go
+++ b/internal/quota/limits_test.go
@@ -9,10 +9,10 @@
 
 // A job of 100,000 tasks must not be counted one by one on every pass; the count
 // is what counting gives.
-func TestMoreIsWhatCountingGives(t *testing.T) {
+func TestMoreEqualsCountingOneByOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		tree := world(t)
-		c := NewAccount(tree)
+		tree := twoOrganisations(t)
+		account := NewAccount(tree)
 		keys := []Key{
 			{"storefront", "x"},
 			{"pricing", "sweep"},
@@ -22,7 +22,7 @@
 			{"lone", "w"},
 		}
 		for range rapid.IntRange(0, 12).Draw(t, "charges") {
-			c.Charge(
+			account.Charge(
 				rapid.SampledFrom(keys).Draw(t, "key"),
 				Of(1, rapid.SampledFrom([]float64{0.5, 1, 2, 3}).Draw(t, "gpus"), 1),
 				1,
@@ -31,12 +31,12 @@
 		k := rapid.SampledFrom(keys).Draw(t, "more of")
 		a := Of(1, rapid.SampledFrom([]float64{0, 0.3, 1, 2.5}).Draw(t, "each"), 1)
 		leaf, count := tree.Leaf(k), 0
-		attempt := c.Clone()
+		attempt := account.Clone()
 		for count < 30 && attempt.Allows(leaf, a, 1) {
 			attempt.Charge(k, a, 1)
 			count++
 		}
-		if got := c.More(leaf, a, 30); got != count {
+		if got := account.More(leaf, a, 30); got != count {
 			t.Fatalf("%d more of %v, counted %d", got, k, count)
 		}
 	})
@@ -45,59 +45,51 @@
 // What does not lend keeps its guarantee free for itself; what does not borrow ends
 // at its guarantee.
 func TestBorrowAndLend(t *testing.T) {
-	tree := world(t)
-	c := NewAccount(tree)
-	audit, sweep, other := tree.Leaf(
-		Key{"pricing", "audit"},
-	), tree.Leaf(
-		Key{"pricing", "sweep"},
-	), tree.Leaf(
-		Key{"pricing", "y"},
-	)
-	if c.More(audit, gpus(0.5), 10) != 2 {
-		t.Errorf("audit may have %d halves of its 1", c.More(audit, gpus(0.5), 10))
+	tree := twoOrganisations(t)
+	account := NewAccount(tree)
+	audit := tree.Leaf(Key{"pricing", "audit"})
+	sweep := tree.Leaf(Key{"pricing", "sweep"})
+	other := tree.Leaf(Key{"pricing", "y"})
+	if account.More(audit, gpus(0.5), 10) != 2 {
+		t.Errorf("audit may have %d halves of its 1", account.More(audit, gpus(0.5), 10))
 	}
-	c.Charge(Key{"pricing", "y"}, gpus(1), 11)
-	if c.Allows(other, gpus(1), 1) || c.Allows(sweep, gpus(1), 1) || !c.Allows(audit, gpus(1), 1) {
+	account.Charge(Key{"pricing", "y"}, gpus(1), 11)
+	if account.Allows(other, gpus(1), 1) || account.Allows(sweep, gpus(1), 1) || !account.Allows(audit, gpus(1), 1) {
 		t.Error("the last of pricing's 12 is audit's")
 	}
-	if why := c.Full(sweep, gpus(1)); !strings.HasPrefix(why, "kenya/pricing uses") {
+	if why := account.Full(sweep, gpus(1)); !strings.HasPrefix(why, "kenya/pricing uses") {
 		t.Error(why)
 	}
-	c.Charge(Key{"pricing", "audit"}, gpus(1), 1)
-	c.Charge(Key{"storefront", "x"}, gpus(1), 8)
-	if why := c.Full(tree.Leaf(Key{"storefront", "x"}), gpus(1)); !strings.HasPrefix(why, "kenya uses") {
+	account.Charge(Key{"pricing", "audit"}, gpus(1), 1)
+	account.Charge(Key{"storefront", "x"}, gpus(1), 8)
+	if why := account.Full(tree.Leaf(Key{"storefront", "x"}), gpus(1)); !strings.HasPrefix(why, "kenya uses") {
 		t.Error(why)
 	}
 }
 
 // A guarantee smaller than one task entitles none, and keeps it from nothing; a task
 // that is larger than a limit above it can never run.
-func TestTooSmall(t *testing.T) {
-	tree, faults := Build(
-		&Document{
-			Organisations: []Org{
-				{
-					Name:  "o",
-					Limit: &Bounds{Accelerators: 3},
-					Teams: []OfTeam{{Name: "a", Classes: []OfClass{{Name: "c", Guarantee: &Bounds{Accelerators: 0.5}}}}},
-				},
-			},
-		},
-		map[string]Team{"a": {Name: "a", Max: gpus(8)}},
-		nil,
-	)
+func TestGuaranteeAndLimitBesideOneTask(t *testing.T) {
+	class := OfClass{Name: "c", Guarantee: &Bounds{Accelerators: 0.5}}
+	document := &Document{
+		Organisations: []Org{{
+			Name:  "o",
+			Limit: &Bounds{Accelerators: 3},
+			Teams: []OfTeam{{Name: "a", Classes: []OfClass{class}}},
+		}},
+	}
+	tree, faults := Build(document, map[string]Team{"a": {Name: "a", Max: gpus(8)}}, nil)
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
-	c := NewAccount(tree)
+	account := NewAccount(tree)
 	leaf := tree.Leaf(Key{"a", "c"})
-	if c.Entitled(leaf, gpus(1), 1) != noNode || !c.Allows(leaf, gpus(1), 1) || !tree.Ever(leaf, gpus(3), 1) ||
+	if account.Entitled(leaf, gpus(1), 1) != noNode || !account.Allows(leaf, gpus(1), 1) || !tree.Ever(leaf, gpus(3), 1) ||
 		tree.Ever(leaf, gpus(4), 1) {
 		t.Error("half a guarantee, or a limit above the team")
 	}
-	c.Charge(Key{"a", "c"}, gpus(1), 3)
-	if v := c.Show(map[int]int{leaf: 2}); v[1].Path != "o" || v[1].Why != "at its limit" || v[0].Waiting != 2 {
+	account.Charge(Key{"a", "c"}, gpus(1), 3)
+	if v := account.Show(map[int]int{leaf: 2}); v[1].Path != "o" || v[1].Why != "at its limit" || v[0].Waiting != 2 {
 		t.Errorf("%+v", v)
 	}
 }
