--- /dev/null
+++ b/internal/quota/account_test.go
@@ -0,0 +1,91 @@
+package quota
+
+import (
+	"math/rand/v2"
+	"testing"
+)
+
+func TestFlatTreeOfTeams(t *testing.T) {
+	tree := Flat(map[string]Team{"t": {Name: "t", Guaranteed: gpus(2), Max: gpus(4)}, "free": {Name: "free"}})
+	account := NewAccount(tree)
+	key := Key{"t", "any"}
+	leaf := tree.Leaf(key)
+	account.Charge(key, Of(50, 1, 1), 1)
+	if account.Entitled(leaf, Of(50, 1, 1), 1) == noNode || account.Entitled(leaf, gpus(1.5), 1) != noNode ||
+		account.Entitled(tree.Leaf(Key{"free", ""}), Amount{}, 1) != noNode {
+		t.Error("a guarantee of 0 in one resource says nothing of it; no guarantee guarantees nothing")
+	}
+	if !account.Allows(leaf, Of(1e6, 3, 0), 1) || account.Allows(leaf, gpus(3.5), 1) ||
+		!account.Allows(tree.Leaf(Key{"free", ""}), gpus(1e6), 1) {
+		t.Error("0 means no limit, 4 means 4")
+	}
+	if tree.Knows("x") || tree.Leaf(Key{"x", ""}) != 0 || tree.Shaped() || account.Way(leaf) != nil {
+		t.Error("unknown team, or a nested tree that nobody gave")
+	}
+}
+
+// Whatever is charged only if it is allowed, and uncharged in any order: no node is ever above
+// its limit, a child never above its parent, and at the end nothing is left, to the millionth.
+func TestUseNeverExceedsLimits(t *testing.T) {
+	tree := twoOrganisations(t)
+	rng := rand.New(rand.NewPCG(1, 1))
+	account := NewAccount(tree)
+	keys := []Key{
+		{"storefront", "x"},
+		{"pricing", "sweep"},
+		{"pricing", "audit"},
+		{"pricing", "y"},
+		{"stazioni", "z"},
+		{"lone", "w"},
+	}
+	type charge struct {
+		key    Key
+		amount Amount
+	}
+	var charges []charge
+	for range 1_000_000 {
+		if rng.IntN(2) == 0 && len(charges) > 0 {
+			i := rng.IntN(len(charges))
+			account.Charge(charges[i].key, charges[i].amount, -1)
+			charges[i] = charges[len(charges)-1]
+			charges = charges[:len(charges)-1]
+			continue
+		}
+		c := charge{keys[rng.IntN(len(keys))], Of(rng.Float64(), rng.Float64()/3, rng.Float64())}
+		if account.Allows(tree.Leaf(c.key), c.amount, 1) {
+			account.Charge(c.key, c.amount, 1)
+			charges = append(charges, c)
+		}
+		for i := range tree.nodes {
+			if !account.used[i].within(tree.nodes[i].effectiveLimit()) {
+				t.Fatalf("%s uses %s of %s", tree.Path(i), account.used[i], tree.nodes[i].effectiveLimit())
+			}
+			if parent := tree.nodes[i].parent; parent >= 0 && !account.used[parent].Covers(account.used[i]) {
+				t.Fatalf("%s uses more than what is above it", tree.Path(i))
+			}
+		}
+	}
+	again := NewAccount(tree)
+	for _, c := range charges {
+		again.Charge(c.key, c.amount, 1)
+		account.Charge(c.key, c.amount, -1)
+	}
+	for i := range tree.nodes {
+		if account.used[i] != (Amount{}) {
+			t.Errorf("%s keeps %s of nothing", tree.Path(i), account.used[i])
+		}
+	}
+	if len(account.charged) != 0 {
+		t.Error("keys are left")
+	}
+	// The use of another tree follows from the charges alone.
+	other := Flat(map[string]Team{"pricing": {Name: "pricing"}})
+	again.Rebase(other)
+	want := Amount{}
+	for _, c := range charges {
+		want = want.Add(c.amount, 1)
+	}
+	if again.used[0] != want {
+		t.Error("a rebase loses charges")
+	}
+}
