--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -1,5 +1,5 @@
 // Package queue is the slice that gives room to what waits: the order of the queue,
-// the leader's look at it (pass.go), room kept and chosen (room.go), who makes way
+// the leader's look at it (cycle.go), room kept and chosen (candidates.go), who makes way
 // for whom (preempt.go), gangs (gangs.go), and what an owner places in its part
 // (place.go). Decisions come out; it has no IO and no clock.
 package queue
