--- a/internal/queue/accumulation.go
+++ b/internal/queue/accumulation.go
@@ -15,79 +15,79 @@
 // in one zone if it must be in one, place by place as machines boot and others end.
 // It is kept from pass to pass by the leader alone; another leader gathers anew from
 // the accepted times, in the same order.
-type gathering struct {
-	site  string
-	since time.Time      // last more than ever before was kept, or began here
-	most  int            // places kept at once, so far
-	hosts map[string]int // free places kept, by machine
-	busy  []string       // machines kept for what comes free on them
-	at    time.Time      // when those were chosen
+type capacityAccumulation struct {
+	zone         string
+	progressAt   time.Time      // last more than ever before was kept, or began here
+	maxKept      int            // places kept at once, so far
+	freePlaces   map[string]int // free places kept, by machine
+	busyMachines []string       // machines kept for what comes free on them
+	busyChosenAt time.Time      // when those were chosen
 }
 
 // large tells whether a gang needs more machines than are kept for a small job.
-func large(spec *jobs.Spec) bool { return spec.IsGang() && spec.TaskCount > tuning.HoldEach }
+func isLargeGang(spec *jobs.Spec) bool { return spec.IsGang() && spec.TaskCount > tuning.HoldEach }
 
 // gather keeps room for a large gang that does not fit now, and returns how many of
 // its tasks it is kept for, and the zone. What is kept for all of them together stays
 // below a share of the machines: they stand idle meanwhile.
-func (q *Queue) gather(t *clusterstate.Task, p *cycle) (int, string) {
-	spec := &t.Job.Record.Spec
-	g := q.gatherings[t.Job.ID]
-	cands := p.candidates(q, t.WithoutPreference())
-	zones := q.TasksByZone(t.Job)
-	if g == nil || q.Now.Sub(g.since) > tuning.GatherElsewhere {
+func (q *Queue) accumulate(task *clusterstate.Task, cycle *schedulingCycle) (int, string) {
+	spec := &task.Job.Record.Spec
+	accumulation := q.accumulations[task.Job.ID]
+	candidates := cycle.candidates(q, task.WithoutPreference())
+	zones := q.TasksByZone(task.Job)
+	if accumulation == nil || q.Now.Sub(accumulation.progressAt) > tuning.GatherElsewhere {
 		last := ""
-		if g != nil {
-			last = g.site
+		if accumulation != nil {
+			last = accumulation.zone
 		}
-		g = &gathering{site: q.gatherZone(spec, cands, zones, last), since: q.Now}
-		q.gatherings[t.Job.ID] = g
+		accumulation = &capacityAccumulation{zone: q.accumulationZone(spec, candidates, zones, last), progressAt: q.Now}
+		q.accumulations[task.Job.ID] = accumulation
 	}
-	here := func(zone string) bool {
-		return (g.site == "" || zone == g.site) && clusterstate.ZoneAllowed(spec, zones, zone)
+	inZone := func(zone string) bool {
+		return (accumulation.zone == "" || zone == accumulation.zone) && clusterstate.ZoneAllowed(spec, zones, zone)
 	}
-	g.hosts = map[string]int{}
+	accumulation.freePlaces = map[string]int{}
 	left := spec.TaskCount
 	// The machines with the most places first: the gang starts on as few as hold it.
-	sort.SliceStable(cands, func(a, b int) bool {
-		x, y := cands[a].Free.HowMany(spec.Resources()), cands[b].Free.HowMany(spec.Resources())
-		return x > y || x == y && cands[a].Load > cands[b].Load
+	sort.SliceStable(candidates, func(a, b int) bool {
+		x, y := candidates[a].Free.HowMany(spec.Resources()), candidates[b].Free.HowMany(spec.Resources())
+		return x > y || x == y && candidates[a].Load > candidates[b].Load
 	})
-	for i := range cands {
-		c := &cands[i]
-		k := min(left, c.Free.HowMany(spec.Resources()))
-		if k <= 0 || !here(c.Zone) || !p.reserve(q, c.Capacity, spec.Resources(), k) {
+	for i := range candidates {
+		candidate := &candidates[i]
+		chosen := min(left, candidate.Free.HowMany(spec.Resources()))
+		if chosen <= 0 || !inZone(candidate.Zone) || !cycle.allowAccumulation(q, candidate.Capacity, spec.Resources(), chosen) {
 			continue
 		}
-		for range k {
-			p.keep(q, c.Machine, spec.Resources())
+		for range chosen {
+			cycle.hold(q, candidate.Machine, spec.Resources())
 		}
-		g.hosts[c.Machine] = k
-		left -= k
+		accumulation.freePlaces[candidate.Machine] = chosen
+		left -= chosen
 	}
 	kept := spec.TaskCount - left
-	if kept > g.most {
-		g.most, g.since = kept, q.Now
+	if kept > accumulation.maxKept {
+		accumulation.maxKept, accumulation.progressAt = kept, q.Now
 	}
-	if left > 0 && q.Overdue(t.Job) {
-		q.gatherBusy(g, t, left, here, p)
+	if left > 0 && q.Overdue(task.Job) {
+		q.accumulateBusy(accumulation, task, left, inZone, cycle)
 	}
-	return kept, g.site
+	return kept, accumulation.zone
 }
 
 // reserve counts room kept for large gangs; false if it is too much.
-func (p *cycle) reserve(q *Queue, whole, need sharding.Resources, k int) bool {
-	share := need.ShareOf(whole) * float64(k)
-	if p.gathered+share > tuning.HoldShare*float64(len(q.Machines)) {
+func (c *schedulingCycle) allowAccumulation(q *Queue, capacity, need sharding.Resources, chosen int) bool {
+	share := need.ShareOf(capacity) * float64(chosen)
+	if c.accumulatedShare+share > tuning.HoldShare*float64(len(q.Machines)) {
 		return false
 	}
-	p.gathered += share
+	c.accumulatedShare += share
 	return true
 }
 
 // gatherZone is the zone where a gang gathers: the one that has most room for it now,
 // of the others if it did not come together in the last one. "" if it may spread.
-func (q *Queue) gatherZone(spec *jobs.Spec, cands []sharding.Candidate, zones map[string]int, last string) string {
+func (q *Queue) accumulationZone(spec *jobs.Spec, candidates []sharding.Candidate, zones map[string]int, last string) string {
 	if !spec.SameZone {
 		return ""
 	}
@@ -95,16 +95,16 @@
 		return spec.Zone
 	}
 	free := map[string]int{}
-	for _, b := range q.MachineTypes {
-		for _, zone := range b.Zones {
-			if clusterstate.ZoneAllowed(spec, zones, zone) && spec.AllowsMachineType(b.Name) {
+	for _, machineType := range q.MachineTypes {
+		for _, zone := range machineType.Zones {
+			if clusterstate.ZoneAllowed(spec, zones, zone) && spec.AllowsMachineType(machineType.Name) {
 				free[zone] = 0
 			}
 		}
 	}
-	for i := range cands {
-		if clusterstate.ZoneAllowed(spec, zones, cands[i].Zone) {
-			free[cands[i].Zone] += cands[i].Free.HowMany(spec.Resources())
+	for i := range candidates {
+		if clusterstate.ZoneAllowed(spec, zones, candidates[i].Zone) {
+			free[candidates[i].Zone] += candidates[i].Free.HowMany(spec.Resources())
 		}
 	}
 	best := ""
@@ -122,24 +122,24 @@
 // gatherBusy keeps machines for what comes free on them, those first where the next
 // of the gang's tasks is expected to find room soonest. Without it smaller work takes
 // each place as it comes free, for as long as there is any.
-func (q *Queue) gatherBusy(g *gathering, t *clusterstate.Task, left int, here func(string) bool, p *cycle) {
-	spec := &t.Job.Record.Spec
-	if q.Now.Sub(g.at) > tuning.GatherAgain {
-		g.at, g.busy = q.Now, nil
+func (q *Queue) accumulateBusy(accumulation *capacityAccumulation, task *clusterstate.Task, left int, inZone func(string) bool, cycle *schedulingCycle) {
+	spec := &task.Job.Record.Spec
+	if q.Now.Sub(accumulation.busyChosenAt) > tuning.GatherAgain {
+		accumulation.busyChosenAt, accumulation.busyMachines = q.Now, nil
 		type soon struct {
 			host   string
 			at     int64
 			places int
 		}
 		var found []soon
-		for _, m := range p.open(q) {
-			whole := q.MachineTypes[m.MachineType].Capacity()
-			if p.held[m.Name] || g.hosts[m.Name] > 0 || !here(m.Zone) || !clusterstate.FitsTask(t.WithoutPreference(), m) ||
-				!whole.Fits(spec.Resources()) {
+		for _, m := range cycle.openMachines(q) {
+			capacity := q.MachineTypes[m.MachineType].Capacity()
+			if cycle.heldMachines[m.Name] || accumulation.freePlaces[m.Name] > 0 || !inZone(m.Zone) || !clusterstate.FitsTask(task.WithoutPreference(), m) ||
+				!capacity.Fits(spec.Resources()) {
 				continue
 			}
-			if at, ok := q.freeAt(m, spec.Resources()); ok {
-				found = append(found, soon{m.Name, at, whole.HowMany(spec.Resources())})
+			if at, ok := q.expectedFreeMs(m, spec.Resources()); ok {
+				found = append(found, soon{m.Name, at, capacity.HowMany(spec.Resources())})
 			}
 		}
 		slices.SortStableFunc(found, func(a, b soon) int { return int(min(max(a.at-b.at, -1), 1)) })
@@ -147,41 +147,41 @@
 			if left <= 0 {
 				break
 			}
-			g.busy = append(g.busy, f.host)
+			accumulation.busyMachines = append(accumulation.busyMachines, f.host)
 			left -= f.places
 		}
 	}
-	for _, h := range g.busy {
-		m := q.Machines[h]
-		if m == nil || q.MachineTypes[m.MachineType] == nil || p.held[h] {
+	for _, machineName := range accumulation.busyMachines {
+		m := q.Machines[machineName]
+		if m == nil || q.MachineTypes[m.MachineType] == nil || cycle.heldMachines[machineName] {
 			continue
 		}
-		whole := q.MachineTypes[m.MachineType].Capacity()
-		k := whole.HowMany(spec.Resources())
-		if k == 0 || !p.reserve(q, whole, spec.Resources(), k) {
+		capacity := q.MachineTypes[m.MachineType].Capacity()
+		chosen := capacity.HowMany(spec.Resources())
+		if chosen == 0 || !cycle.allowAccumulation(q, capacity, spec.Resources(), chosen) {
 			continue
 		}
-		p.held[h] = true
-		for range k {
-			p.keep(q, h, spec.Resources())
+		cycle.heldMachines[machineName] = true
+		for range chosen {
+			cycle.hold(q, machineName, spec.Resources())
 		}
 	}
 }
 
 // freeAt is when a machine is expected to have room for need, by its tasks' own
 // estimates; false if only replicas, which never end, stand in the way.
-func (q *Queue) freeAt(m *clusterstate.Machine, need sharding.Resources) (int64, bool) {
+func (q *Queue) expectedFreeMs(m *clusterstate.Machine, need sharding.Resources) (int64, bool) {
 	free := q.MachineTypes[m.MachineType].Capacity().Sub(m.Usage.Resources)
 	type end struct {
 		at   int64
 		need sharding.Resources
 	}
 	var ends []end
-	for _, t := range q.TasksOnMachine[m.Name] {
-		if t.Job.Record == nil || t.Job.Record.Spec.Kind == jobs.Service {
+	for _, task := range q.TasksOnMachine[m.Name] {
+		if task.Job.Record == nil || task.Job.Record.Spec.Kind == jobs.Service {
 			continue
 		}
-		ends = append(ends, end{t.Since.UnixMilli() + int64(t.Job.Record.Spec.ExpectedDurationS*1000), t.Resources})
+		ends = append(ends, end{task.Since.UnixMilli() + int64(task.Job.Record.Spec.ExpectedDurationS*1000), task.Resources})
 	}
 	slices.SortFunc(ends, func(a, b end) int { return int(min(max(a.at-b.at, -1), 1)) })
 	at := q.NowMs()
@@ -198,14 +198,14 @@
 // although nothing is booked there.
 func (q *Queue) Gathered() map[string]sharding.Resources {
 	out := map[string]sharding.Resources{}
-	for jobID, g := range q.gatherings {
-		j := q.Queued[jobID]
-		if j == nil {
+	for jobID, accumulation := range q.accumulations {
+		job := q.Queued[jobID]
+		if job == nil {
 			continue
 		}
-		for h, k := range g.hosts {
-			for range k {
-				out[h] = out[h].Add(j.Record.Spec.Resources())
+		for machineName, chosen := range accumulation.freePlaces {
+			for range chosen {
+				out[machineName] = out[machineName].Add(job.Record.Spec.Resources())
 			}
 		}
 	}
@@ -213,10 +213,10 @@
 }
 
 // dropGathered forgets what was gathered for gangs that wait no more.
-func (q *Queue) dropGathered() {
-	for jobID := range q.gatherings {
+func (q *Queue) dropAccumulations() {
+	for jobID := range q.accumulations {
 		if q.Queued[jobID] == nil {
-			delete(q.gatherings, jobID)
+			delete(q.accumulations, jobID)
 		}
 	}
 }
--- a/internal/queue/calendar.go
+++ b/internal/queue/calendar.go
@@ -22,73 +22,73 @@
 
 // letGo gives back the room kept for windows that are about to open: each look at the
 // queue keeps it anew.
-func (q *Queue) letGo() {
-	for _, taskID := range q.kept {
+func (q *Queue) releaseWindowReservations() {
+	for _, taskID := range q.windowReservations {
 		q.Unreserve(taskID)
 	}
-	q.kept = nil
+	q.windowReservations = nil
 }
 
 // prepare keeps room for a job whose window is about to open, and counts what finds
 // none as waiting, so that machines are rented for it. Nothing is stopped for it yet.
 // It returns how many tasks it looked at.
-func (q *Queue) prepare(j *clusterstate.Job, p *cycle, most int) int {
-	spec := &j.Record.Spec
+func (q *Queue) reserveForWindow(job *clusterstate.Job, cycle *schedulingCycle, limit int) int {
+	spec := &job.Record.Spec
 	leaf := q.QuotaLeaf(spec)
-	waits := func(t *clusterstate.Task, entitled, count int) {
+	waits := func(task *clusterstate.Task, entitled, count int) {
 		if count > 0 {
-			p.account.Charge(spec.QuotaKey(), spec.Amount(), count)
+			cycle.account.Charge(spec.QuotaKey(), spec.Amount(), count)
 			q.Waiting = append(
 				q.Waiting,
-				&Waiting{Task: t, Count: count, Priority: spec.PriorityOrder(), Entitled: entitled, WindowOpensSoon: true},
+				&Waiting{Task: task, Count: count, Priority: spec.PriorityOrder(), Entitled: entitled, WindowOpensSoon: true},
 			)
 		}
 	}
 	if spec.IsGang() {
-		all := q.pending(j, spec.TaskCount)
-		if len(all) < spec.TaskCount || !p.account.Allows(leaf, spec.Amount(), spec.TaskCount) {
+		gang := q.pendingTasks(job, spec.TaskCount)
+		if len(gang) < spec.TaskCount || !cycle.account.Allows(leaf, spec.Amount(), spec.TaskCount) {
 			return 1
 		}
-		entitled := p.account.Entitled(leaf, spec.Amount(), spec.TaskCount)
-		offers, _ := q.fitGang(all, p)
-		if offers == nil {
-			waits(all[0], entitled, spec.TaskCount)
+		entitled := cycle.account.Entitled(leaf, spec.Amount(), spec.TaskCount)
+		placements, _ := q.fitGang(gang, cycle)
+		if placements == nil {
+			waits(gang[0], entitled, spec.TaskCount)
 			return 1
 		}
-		p.account.Charge(spec.QuotaKey(), spec.Amount(), spec.TaskCount)
-		for _, o := range offers {
-			q.reserveFor(o.t, o.machine)
+		cycle.account.Charge(spec.QuotaKey(), spec.Amount(), spec.TaskCount)
+		for _, o := range placements {
+			q.reserveUntilNextCycle(o.task, o.machine)
 		}
 		return 1
 	}
-	tasks := q.pending(j, min(most, q.unstarted(j)))
+	tasks := q.pendingTasks(job, min(limit, q.startableCount(job)))
 	if len(tasks) == 0 {
 		return 1
 	}
-	zones := q.TasksByZone(j)
-	cands := p.candidates(q, &clusterstate.Task{Job: j})
-	for i, t := range tasks {
-		if !p.account.Allows(leaf, spec.Amount(), 1) {
+	zones := q.TasksByZone(job)
+	candidates := cycle.candidates(q, &clusterstate.Task{Job: job})
+	for i, task := range tasks {
+		if !cycle.account.Allows(leaf, spec.Amount(), 1) {
 			return i + 1
 		}
-		k := q.pickFor(t, cands, zones)
-		if k < 0 {
-			waits(t, p.account.Entitled(leaf, spec.Amount(), 1), p.account.More(leaf, spec.Amount(), q.unstarted(j)-i))
+		chosen := q.pickCandidate(task, candidates, zones)
+		if chosen < 0 {
+			waits(task, cycle.account.Entitled(leaf, spec.Amount(), 1), cycle.account.More(leaf, spec.Amount(), q.startableCount(job)-i))
 			return i + 1
 		}
-		c := &cands[k]
-		q.reserveFor(t, c.Machine)
-		p.account.Charge(spec.QuotaKey(), spec.Amount(), 1)
-		c.Free = c.Free.Sub(spec.Resources())
-		zones[c.Zone]++
+		candidate := &candidates[chosen]
+		q.reserveUntilNextCycle(task, candidate.Machine)
+		cycle.account.Charge(spec.QuotaKey(), spec.Amount(), 1)
+		candidate.Free = candidate.Free.Sub(spec.Resources())
+		zones[candidate.Zone]++
 	}
 	return len(tasks)
 }
 
 // reserveFor books room for a task until the next look, under a name of its own: the task
 // is under no transaction.
-func (q *Queue) reserveFor(t *clusterstate.Task, machine string) {
-	kept := &clusterstate.Task{Task: t.Task, ID: calendar.Kept + t.ID, Index: t.Index, Job: t.Job}
-	q.Reserve(kept, machine, q.Machines[machine].Zone)
-	q.kept = append(q.kept, kept.ID)
+func (q *Queue) reserveUntilNextCycle(task *clusterstate.Task, machineName string) {
+	reservation := &clusterstate.Task{Task: task.Task, ID: calendar.Kept + task.ID, Index: task.Index, Job: task.Job}
+	q.Reserve(reservation, machineName, q.Machines[machineName].Zone)
+	q.windowReservations = append(q.windowReservations, reservation.ID)
 }
--- a/internal/queue/candidates.go
+++ b/internal/queue/candidates.go
@@ -14,8 +14,8 @@
 
 // heldCapacity is the machines kept for a job.
 type heldCapacity struct {
-	hosts []string
-	at    time.Time
+	machines []string
+	chosenAt time.Time
 }
 
 // Scarce tells whether changes of the state service are few for the number of
@@ -30,21 +30,21 @@
 // as hold the tasks: those with the most room, images counted double. Cheap
 // machines come first: ordinary ones of one part must not be taken while cheap
 // ones of another have room.
-func (q *Queue) gatherParts(spec *jobs.Spec, cands []sharding.Candidate, tasks int) []sharding.Candidate {
+func (q *Queue) concentrate(spec *jobs.Spec, candidates []sharding.Candidate, tasks int) []sharding.Candidate {
 	if !q.Scarce() || spec.Kind != jobs.JobArray || tasks == 1 {
-		return cands
+		return candidates
 	}
 	var out []sharding.Candidate
-	for _, cheap := range []bool{true, false} {
-		var some []sharding.Candidate
-		for _, c := range cands {
-			if c.Spot == cheap {
-				some = append(some, c)
+	for _, spot := range []bool{true, false} {
+		var ofKind []sharding.Candidate
+		for _, c := range candidates {
+			if c.Spot == spot {
+				ofKind = append(ofKind, c)
 			}
 		}
 		if tasks > 0 {
-			some, tasks = fewestParts(spec, some, tasks)
-			out = append(out, some...)
+			ofKind, tasks = fewestControllers(spec, ofKind, tasks)
+			out = append(out, ofKind...)
 		}
 	}
 	return out
@@ -52,59 +52,61 @@
 
 // fewestParts keeps the candidates of as few parts as hold the tasks, and
 // returns how many tasks are left over.
-func fewestParts(spec *jobs.Spec, cands []sharding.Candidate, tasks int) ([]sharding.Candidate, int) {
-	room, cached := map[string]int{}, map[string]int{}
-	for i := range cands {
-		k := cands[i].Free.HowMany(spec.Resources())
-		room[cands[i].Controller] += k
-		if cands[i].HasImage {
-			cached[cands[i].Controller] += k
+func fewestControllers(spec *jobs.Spec, candidates []sharding.Candidate, tasks int) ([]sharding.Candidate, int) {
+	places, cachedPlaces := map[string]int{}, map[string]int{}
+	for i := range candidates {
+		chosen := candidates[i].Free.HowMany(spec.Resources())
+		places[candidates[i].Controller] += chosen
+		if candidates[i].HasImage {
+			cachedPlaces[candidates[i].Controller] += chosen
 		}
 	}
-	order := clusterstate.SortedKeys(room)
-	score := func(part string) int { return min(room[part], tasks) + min(cached[part], tasks) }
+	order := clusterstate.SortedKeys(places)
+	score := func(controller string) int {
+		return min(places[controller], tasks) + min(cachedPlaces[controller], tasks)
+	}
 	sort.SliceStable(order, func(a, b int) bool { return score(order[a]) > score(order[b]) })
-	use := map[string]bool{}
+	used := map[string]bool{}
 	left := tasks
-	for _, part := range order {
+	for _, controller := range order {
 		if left <= 0 {
 			break
 		}
-		use[part] = true
-		left -= room[part]
+		used[controller] = true
+		left -= places[controller]
 	}
-	return slices.DeleteFunc(cands, func(c sharding.Candidate) bool { return !use[c.Controller] }), left
+	return slices.DeleteFunc(candidates, func(c sharding.Candidate) bool { return !used[c.Controller] }), left
 }
 
 // pickFor is the best candidate for one of a job's tasks, or -1.
-func (q *Queue) pickFor(t *clusterstate.Task, cands []sharding.Candidate, zones map[string]int) int {
-	spec := &t.Job.Record.Spec
-	return sharding.PickIf(spec.Resources(), spec.Spot, cands, func(c *sharding.Candidate) bool {
-		return clusterstate.ZoneAllowed(spec, zones, c.Zone) && (t.Zone == "" || t.Zone == c.Zone) &&
-			!slices.Contains(t.FailedOn, c.Machine)
+func (q *Queue) pickCandidate(task *clusterstate.Task, candidates []sharding.Candidate, zones map[string]int) int {
+	spec := &task.Job.Record.Spec
+	return sharding.PickIf(spec.Resources(), spec.Spot, candidates, func(candidate *sharding.Candidate) bool {
+		return clusterstate.ZoneAllowed(spec, zones, candidate.Zone) && (task.Zone == "" || task.Zone == candidate.Zone) &&
+			!slices.Contains(task.FailedOn, candidate.Machine)
 	})
 }
 
 // openFor tells whether the leader may have room on a machine in mind at all.
-func (q *Queue) openFor(m *clusterstate.Machine) bool {
-	return q.ClaimedFor(m) == "" && !q.wanted(m.Name) && !q.Now.Before(q.avoid[m.Name]) && q.Ready(m)
+func (q *Queue) mayPropose(m *clusterstate.Machine) bool {
+	return q.ClaimedFor(m) == "" && !q.claimPending(m.Name) && !q.Now.Before(q.avoidUntil[m.Name]) && q.Ready(m)
 }
 
 // offers tells whether the leader may have room on a machine in mind.
-func (q *Queue) offers(t *clusterstate.Task, m *clusterstate.Machine) bool {
-	return q.openFor(m) && clusterstate.FitsTask(t, m)
+func (q *Queue) canPropose(task *clusterstate.Task, m *clusterstate.Machine) bool {
+	return q.mayPropose(m) && clusterstate.FitsTask(task, m)
 }
 
 // FindMachine picks the machine to have in mind for a task.
-func (q *Queue) FindMachine(t *clusterstate.Task, zones map[string]int) string {
-	cands := q.appendCandidates(
+func (q *Queue) FindMachine(task *clusterstate.Task, zones map[string]int) string {
+	candidates := q.appendCandidates(
 		nil,
 		q.MachinesByName(),
-		func(m *clusterstate.Machine) bool { return q.offers(t, m) },
-		&t.Job.Record.Spec,
+		func(m *clusterstate.Machine) bool { return q.canPropose(task, m) },
+		&task.Job.Record.Spec,
 	)
-	if i := q.pickFor(t, cands, zones); i >= 0 {
-		return cands[i].Machine
+	if i := q.pickCandidate(task, candidates, zones); i >= 0 {
+		return candidates[i].Machine
 	}
 	return ""
 }
@@ -116,51 +118,51 @@
 //
 // What is kept for a job is chosen anew from time to time only: choosing means
 // a look at every machine for each.
-func (q *Queue) holdFor(t *clusterstate.Task, count int, zones map[string]int, p *cycle) {
-	spec := &t.Job.Record.Spec
-	kept := q.holds[t.Job.ID]
+func (q *Queue) holdMachines(task *clusterstate.Task, count int, zones map[string]int, cycle *schedulingCycle) {
+	spec := &task.Job.Record.Spec
+	held := q.holds[task.Job.ID]
 	zones = maps.Clone(zones)
-	if q.Now.Sub(kept.at) > tuning.HoldAgain {
-		kept = heldCapacity{at: q.Now}
+	if q.Now.Sub(held.chosenAt) > tuning.HoldAgain {
+		held = heldCapacity{chosenAt: q.Now}
 		for range count {
-			if float64(len(p.held)+1) > tuning.HoldShare*float64(len(q.Machines)) || p.chosen >= tuning.MaxHeldMachines {
+			if float64(len(cycle.heldMachines)+1) > tuning.HoldShare*float64(len(q.Machines)) || cycle.newlyHeldCount >= tuning.MaxHeldMachines {
 				break
 			}
-			p.chosen++
-			m := q.fullest(t, zones, p)
+			cycle.newlyHeldCount++
+			m := q.nearestFit(task, zones, cycle)
 			if m == nil {
 				break
 			}
-			kept.hosts = append(kept.hosts, m.Name)
-			p.held[m.Name] = true
+			held.machines = append(held.machines, m.Name)
+			cycle.heldMachines[m.Name] = true
 			zones[m.Zone]++
 		}
-		q.holds[t.Job.ID] = kept
+		q.holds[task.Job.ID] = held
 	}
-	for _, h := range kept.hosts {
-		if q.Machines[h] != nil {
-			p.held[h] = true
-			p.keep(q, h, spec.Resources())
+	for _, machineName := range held.machines {
+		if q.Machines[machineName] != nil {
+			cycle.heldMachines[machineName] = true
+			cycle.hold(q, machineName, spec.Resources())
 		}
 	}
 }
 
 // fullest is the machine that lacks least for a task.
-func (q *Queue) fullest(t *clusterstate.Task, zones map[string]int, p *cycle) *clusterstate.Machine {
-	spec := &t.Job.Record.Spec
+func (q *Queue) nearestFit(task *clusterstate.Task, zones map[string]int, cycle *schedulingCycle) *clusterstate.Machine {
+	spec := &task.Job.Record.Spec
 	var best *clusterstate.Machine
-	most := -1.0
-	for _, m := range p.open(q) {
-		if p.held[m.Name] || !clusterstate.FitsTask(t, m) || !clusterstate.ZoneAllowed(spec, zones, m.Zone) {
+	bestShare := -1.0
+	for _, m := range cycle.openMachines(q) {
+		if cycle.heldMachines[m.Name] || !clusterstate.FitsTask(task, m) || !clusterstate.ZoneAllowed(spec, zones, m.Zone) {
 			continue
 		}
-		whole := q.MachineTypes[m.MachineType].Capacity()
-		if !whole.Fits(spec.Resources()) {
+		capacity := q.MachineTypes[m.MachineType].Capacity()
+		if !capacity.Fits(spec.Resources()) {
 			continue
 		}
 		// By how much of the task would fit.
-		if part := 1 / max(spec.Resources().ShareOf(whole.Sub(m.Usage.Resources)), 1e-9); part > most {
-			best, most = m, part
+		if part := 1 / max(spec.Resources().ShareOf(capacity.Sub(m.Usage.Resources)), 1e-9); part > bestShare {
+			best, bestShare = m, part
 		}
 	}
 	return best
--- a/internal/queue/claims.go
+++ b/internal/queue/claims.go
@@ -15,25 +15,25 @@
 // claim is the machines of one gang while the leader places it: wanted until the state
 // service holds it, then held until its tasks' records are settled.
 type claim struct {
-	hosts []string
-	then  func(ok bool) // once it is known whether it is held
-	asked bool          // a write with it is under way
-	held  bool
+	machines     []string
+	onSettled    func(ok bool) // once it is known whether it is held
+	writePending bool          // a write with it is under way
+	held         bool
 }
 
 // Claiming tells whether a gang's machines are being claimed by this leader.
 func (q *Queue) Claiming(jobID string) bool { return q.claims[jobID] != nil }
 
 // claim wants machines for a gang. Nothing else is released to them from now on.
-func (q *Queue) claim(jobID string, machines []string, then func(ok bool)) {
-	q.claims[jobID] = &claim{hosts: machines, then: then}
+func (q *Queue) claimMachines(jobID string, machines []string, then func(ok bool)) {
+	q.claims[jobID] = &claim{machines: machines, onSettled: then}
 	q.ReconcileClaims()
 }
 
 // wanted tells whether a machine is wanted for a gang whose claim is not held yet.
-func (q *Queue) wanted(machine string) bool {
+func (q *Queue) claimPending(machineName string) bool {
 	for _, c := range q.claims {
-		if slices.Contains(c.hosts, machine) {
+		if slices.Contains(c.machines, machineName) {
 			return true
 		}
 	}
@@ -45,7 +45,7 @@
 func (q *Queue) ReconcileClaims() {
 	want := fleet.Claims{}
 	for jobID, c := range q.claims {
-		want[jobID] = c.hosts
+		want[jobID] = c.machines
 	}
 	if q.Busy(fleet.ClaimsKey) {
 		return
@@ -57,14 +57,14 @@
 	writes := q.claimWrites(want)
 	if writes == nil {
 		// No more at once: what is not held yet is looked at anew.
-		q.settleClaims(false, func(c *claim) bool { return !c.held && !c.asked })
+		q.settleClaims(false, func(c *claim) bool { return !c.held && !c.writePending })
 		return
 	}
 	for _, c := range q.claims {
-		c.asked = true
+		c.writePending = true
 	}
 	q.Commit([]decide.Decision{{Writes: writes, Urgent: true, OnSettled: func(ok bool) {
-		q.settleClaims(ok, func(c *claim) bool { return !c.held && c.asked })
+		q.settleClaims(ok, func(c *claim) bool { return !c.held && c.writePending })
 	}}})
 }
 
@@ -118,12 +118,12 @@
 		if c == nil || !which(c) {
 			continue
 		}
-		if c.asked = false; ok {
+		if c.writePending = false; ok {
 			c.held = true
 		} else {
 			delete(q.claims, jobID)
 		}
-		c.then(ok)
+		c.onSettled(ok)
 	}
 }
 
@@ -138,13 +138,13 @@
 
 // DropClaims clears claims that a leader of an earlier version left in machines' records.
 func (q *Queue) DropClaims() {
-	var ds []decide.Decision
+	var decisions []decide.Decision
 	for _, m := range q.MachinesByName() {
 		if m.Claim != "" {
-			rec := m.MachineRecord
-			rec.Claim = ""
-			ds = append(ds, decide.Decision{Writes: []store.Write{decide.Put(fleet.MachinePrefix+m.Name, rec)}})
+			record := m.MachineRecord
+			record.Claim = ""
+			decisions = append(decisions, decide.Decision{Writes: []store.Write{decide.Put(fleet.MachinePrefix+m.Name, record)}})
 		}
 	}
-	q.Commit(ds)
+	q.Commit(decisions)
 }
--- a/internal/queue/cycle.go
+++ b/internal/queue/cycle.go
@@ -20,94 +20,94 @@
 
 // cycle is what one look at the queue keeps: what is being considered is
 // charged, and room is kept for tasks that wait.
-type cycle struct {
-	account  *quota.Account
-	held     map[string]bool             // machines kept for tasks that fit nowhere
-	holds    []sharding.Resources        // room kept, to be given back when the pass ends
-	hosts    []string                    // where
-	full     map[int]bool                // leaves whose next task does not fit their limits
-	nowhere  map[string][]refusal        // what found no room, by where it may go
-	searches int                         // looks for tasks to stop
-	stopping map[*clusterstate.Task]bool // to be stopped by this pass
-	chosen   int                         // machines newly chosen to be kept
-	gathered float64                     // machines' room kept for large gangs
-	lent     lent                        // rooms kept for loans
-	ds       []decide.Decision
-	rounds   rounds
-	machines []*clusterstate.Machine // those that the leader may have room on in mind
-	cands    []sharding.Candidate    // room for the board of one job after another
+type schedulingCycle struct {
+	account          *quota.Account
+	heldMachines     map[string]bool              // machines kept for tasks that fit nowhere
+	heldResources    []sharding.Resources         // room kept, to be given back when the pass ends
+	heldOn           []string                     // where
+	leavesAtLimit    map[int]bool                 // leaves whose next task does not fit their limits
+	unplaceable      map[string][]unplaceableNeed // what found no room, by where it may go
+	victimSearches   int                          // looks for tasks to stop
+	stopping         map[*clusterstate.Task]bool  // to be stopped by this pass
+	newlyHeldCount   int                          // machines newly chosen to be kept
+	accumulatedShare float64                      // machines' room kept for large gangs
+	loans            cycleLoans                   // rooms kept for loans
+	decisions        []decide.Decision
+	rounds           schedulingRounds
+	openMachineCache []*clusterstate.Machine // those that the leader may have room on in mind
+	candidateBuffer  []sharding.Candidate    // room for the board of one job after another
 }
 
 // refusal is a need that found no room in this pass, for so many tasks at once.
-type refusal struct {
-	need   sharding.Resources
-	pieces int
+type unplaceableNeed struct {
+	resources sharding.Resources
+	taskCount int
 }
 
 // placement is a task with the machine that the leader has room in mind on.
 type placement struct {
-	t       *clusterstate.Task
+	task    *clusterstate.Task
 	machine string
 }
 
 // candidates lists the machines with room for a task; it holds until the next.
-func (p *cycle) candidates(q *Queue, t *clusterstate.Task) []sharding.Candidate {
-	p.cands = q.appendCandidates(
-		p.cands,
-		p.open(q),
-		func(m *clusterstate.Machine) bool { return clusterstate.FitsTask(t, m) },
-		&t.Job.Record.Spec,
+func (c *schedulingCycle) candidates(q *Queue, task *clusterstate.Task) []sharding.Candidate {
+	c.candidateBuffer = q.appendCandidates(
+		c.candidateBuffer,
+		c.openMachines(q),
+		func(m *clusterstate.Machine) bool { return clusterstate.FitsTask(task, m) },
+		&task.Job.Record.Spec,
 	)
-	return p.cands
+	return c.candidateBuffer
 }
 
 // open lists the machines that the leader may have room on in mind. It is the
 // same for every job of a pass, and a look at a machine's standing costs more
 // than one at its room.
-func (p *cycle) open(q *Queue) []*clusterstate.Machine {
-	if p.machines == nil {
+func (c *schedulingCycle) openMachines(q *Queue) []*clusterstate.Machine {
+	if c.openMachineCache == nil {
 		for _, m := range q.MachinesByName() {
-			if m.State == fleet.Up && q.openFor(m) {
-				p.machines = append(p.machines, m)
+			if m.State == fleet.Up && q.mayPropose(m) {
+				c.openMachineCache = append(c.openMachineCache, m)
 			}
 		}
 	}
-	return p.machines
+	return c.openMachineCache
 }
 
 // writes is how many records the pass's decisions write, at most.
-func (p *cycle) writes() int {
-	sum, fresh := 0, 0
-	for i := range p.ds {
-		sum += len(p.ds[i].Writes) + len(p.ds[i].Changes)
-		fresh += len(p.ds[i].BatchEntries)
+func (c *schedulingCycle) writeCount() int {
+	sum, batchEntries := 0, 0
+	for i := range c.decisions {
+		sum += len(c.decisions[i].Writes) + len(c.decisions[i].Changes)
+		batchEntries += len(c.decisions[i].BatchEntries)
 	}
-	return sum + fresh/tuning.MaxSharedBatches
+	return sum + batchEntries/tuning.MaxSharedBatches
 }
 
-func (q *Queue) newCycle() *cycle {
-	p := &cycle{
-		account:  q.Account.Clone(),
-		held:     map[string]bool{},
-		full:     map[int]bool{},
-		nowhere:  map[string][]refusal{},
-		stopping: map[*clusterstate.Task]bool{},
+func (q *Queue) newCycle() *schedulingCycle {
+	cycle := &schedulingCycle{
+		account:       q.Account.Clone(),
+		heldMachines:  map[string]bool{},
+		leavesAtLimit: map[int]bool{},
+		unplaceable:   map[string][]unplaceableNeed{},
+		stopping:      map[*clusterstate.Task]bool{},
 	}
 	// A gang whose machines are being claimed has its share already: given away once more,
 	// it is either lacking for the gang or beyond its team's limit.
 	for jobID := range q.claims {
-		if j := q.Jobs[jobID]; j != nil && j.Record != nil {
-			p.account.Charge(j.Record.Spec.QuotaKey(), j.Record.Spec.Amount(), q.uncharged(j))
+		if job := q.Jobs[jobID]; job != nil && job.Record != nil {
+			cycle.account.Charge(job.Record.Spec.QuotaKey(), job.Record.Spec.Amount(), q.unchargedTasks(job))
 		}
 	}
-	return p
+	return cycle
 }
 
 // uncharged is how many tasks of a job are neither released nor being so.
-func (q *Queue) uncharged(j *clusterstate.Job) int {
-	n := j.Record.Spec.TaskCount - len(j.Active)
+func (q *Queue) unchargedTasks(job *clusterstate.Job) int {
+	n := job.Record.Spec.TaskCount - len(job.Active)
 	for _, r := range q.Reservations {
-		if r.Task.Job == j && r.QuotaKey.Team != "" && j.Active[r.Task.Index] == nil {
+		if r.Task.Job == job && r.QuotaKey.Team != "" && job.Active[r.Task.Index] == nil {
 			n--
 		}
 	}
@@ -115,48 +115,48 @@
 }
 
 // keep takes room on a machine until the pass ends.
-func (p *cycle) keep(q *Queue, machine string, need sharding.Resources) {
-	q.AllocateResources(machine, need)
-	p.hosts, p.holds = append(p.hosts, machine), append(p.holds, need)
+func (c *schedulingCycle) hold(q *Queue, machineName string, need sharding.Resources) {
+	q.AllocateResources(machineName, need)
+	c.heldOn, c.heldResources = append(c.heldOn, machineName), append(c.heldResources, need)
 }
 
 // lift gives back what the pass has kept so far, and forgets what found no room beside it.
-func (p *cycle) lift(q *Queue) {
-	for i, h := range p.hosts {
-		q.FreeResources(h, p.holds[i])
+func (c *schedulingCycle) releaseHolds(q *Queue) {
+	for i, machineName := range c.heldOn {
+		q.FreeResources(machineName, c.heldResources[i])
 	}
-	p.hosts, p.holds, p.machines = nil, nil, nil
-	clear(p.nowhere)
+	c.heldOn, c.heldResources, c.openMachineCache = nil, nil, nil
+	clear(c.unplaceable)
 }
 
-func (p *cycle) end(q *Queue) {
-	for _, rooms := range p.lent.rooms {
+func (c *schedulingCycle) end(q *Queue) {
+	for _, rooms := range c.loans.reservations {
 		for _, r := range rooms {
-			q.open(r)
+			q.unblock(r)
 		}
 	}
-	p.lift(q)
+	c.releaseHolds(q)
 }
 
 // places names where a job may go at all.
-func places(s *jobs.Spec, pieces int) string {
+func placementScope(s *jobs.Spec, taskCount int) string {
 	key := s.Zone + "/" + strings.Join(s.MachineTypes, ",")
 	if s.Spot {
 		key += "+"
 	}
-	if pieces > 1 && s.SameZone {
+	if taskCount > 1 && s.SameZone {
 		key += "="
 	}
 	return key
 }
 
 // hopeless tells whether the same or less found no room in this pass already.
-func (p *cycle) hopeless(s *jobs.Spec, pieces int) bool {
-	if p.lent.rooms[s.ID] != nil {
+func (c *schedulingCycle) knownUnplaceable(s *jobs.Spec, taskCount int) bool {
+	if c.loans.reservations[s.ID] != nil {
 		return false // room is kept for it
 	}
-	for _, r := range p.nowhere[places(s, pieces)] {
-		if r.pieces <= pieces && s.Resources().Fits(r.need) {
+	for _, r := range c.unplaceable[placementScope(s, taskCount)] {
+		if r.taskCount <= taskCount && s.Resources().Fits(r.resources) {
 			return true
 		}
 	}
@@ -164,9 +164,9 @@
 }
 
 // refuse notes that so many tasks of a job find no room in this pass.
-func (p *cycle) refuse(s *jobs.Spec, pieces int) {
-	key := places(s, pieces)
-	p.nowhere[key] = append(p.nowhere[key], refusal{s.Resources(), pieces})
+func (c *schedulingCycle) noteUnplaceable(s *jobs.Spec, taskCount int) {
+	key := placementScope(s, taskCount)
+	c.unplaceable[key] = append(c.unplaceable[key], unplaceableNeed{s.Resources(), taskCount})
 }
 
 // Release gives tasks to parts, within each team's limit. Once its decisions
@@ -175,69 +175,69 @@
 // for a place for each of them on every pass took all of a controller's
 // processor time (docs/incidents/ops-swarm.md).
 func (q *Queue) Release() {
-	q.letGo()
-	p := q.newCycle()
-	q.reconcileLoans(p)
-	before := q.StillWaiting()
-	maps.DeleteFunc(q.noRoom, func(jobID string, _ time.Time) bool { return q.Queued[jobID] == nil })
+	q.releaseWindowReservations()
+	cycle := q.newCycle()
+	q.reconcileLoans(cycle)
+	stillWaiting := q.StillWaiting()
+	maps.DeleteFunc(q.noCapacitySince, func(jobID string, _ time.Time) bool { return q.Queued[jobID] == nil })
 	q.Waiting = nil
-	q.dropGathered()
-	budget, most := q.Allows(0, 1), tuning.MaxReleases
+	q.dropAccumulations()
+	budget, limit := q.Allows(0, 1), tuning.MaxReleases
 	if !budget {
-		most = tuning.MaxExaminedJobs
+		limit = tuning.MaxExaminedJobs
 	}
-	seen := map[*clusterstate.Job]bool{}
-	looked := 0
-	for _, j := range q.order(p.account) {
-		if looked >= most || budget && !q.Allows(p.writes(), 1) {
+	examined := map[*clusterstate.Job]bool{}
+	examinedCount := 0
+	for _, job := range q.order(cycle.account) {
+		if examinedCount >= limit || budget && !q.Allows(cycle.writeCount(), 1) {
 			break
 		}
-		seen[j] = true
-		looked += q.examine(j, p, most-looked)
+		examined[job] = true
+		examinedCount += q.examine(job, cycle, limit-examinedCount)
 	}
 	if budget {
-		q.runRounds(p, most-looked)
+		q.runRounds(cycle, limit-examinedCount)
 	}
-	q.preempt(p)
+	q.preempt(cycle)
 	// What was not looked at waits as it did; there may be room for it by now.
-	for _, w := range before {
-		if !seen[w.Task.Job] {
-			w.NotExamined = true
-			q.Waiting = append(q.Waiting, w)
+	for _, waiting := range stillWaiting {
+		if !examined[waiting.Task.Job] {
+			waiting.NotExamined = true
+			q.Waiting = append(q.Waiting, waiting)
 		}
 	}
 	if budget {
-		q.examined = seen // without, what fits somewhere could not be given its place
+		q.examined = examined // without, what fits somewhere could not be given its place
 	}
-	q.serveStarving(p, seen)
-	p.end(q)
-	q.Commit(p.ds)
+	q.serveStarving(cycle, examined)
+	cycle.end(q)
+	q.Commit(cycle.decisions)
 }
 
 // examine looks for room for a job, and returns how many tasks it looked at.
-func (q *Queue) examine(j *clusterstate.Job, p *cycle, most int) int {
-	spec := &j.Record.Spec
-	if p.full[q.QuotaLeaf(spec)] {
-		p.rounds.starving = append(p.rounds.starving, j)
+func (q *Queue) examine(job *clusterstate.Job, cycle *schedulingCycle, limit int) int {
+	spec := &job.Record.Spec
+	if cycle.leavesAtLimit[q.QuotaLeaf(spec)] {
+		cycle.rounds.overLimit = append(cycle.rounds.overLimit, job)
 		return 0
 	}
 	switch q.gate(spec) {
 	case calendar.Shut:
 		return 0
 	case calendar.Soon:
-		if p.rounds.second {
+		if cycle.rounds.second {
 			return 0
 		}
-		return q.prepare(j, p, most)
+		return q.reserveForWindow(job, cycle, limit)
 	case calendar.Free, calendar.Allowed:
 	}
-	q.openRooms(j.ID, p)
-	defer q.shutRooms(j.ID, p)
+	q.unblockLent(job.ID, cycle)
+	defer q.blockLent(job.ID, cycle)
 	if spec.IsGang() {
-		q.releaseGang(j, p)
+		q.releaseGang(job, cycle)
 		return 1
 	}
-	return q.releaseTasks(j, p, most)
+	return q.releaseTasks(job, cycle, limit)
 }
 
 // StillWaiting lists what found no room when it was last looked at and whose
@@ -245,112 +245,112 @@
 func (q *Queue) StillWaiting() []*Waiting {
 	return slices.DeleteFunc(
 		slices.Clone(q.Waiting),
-		func(w *Waiting) bool { return q.Queued[w.Task.Job.ID] != w.Task.Job },
+		func(waiting *Waiting) bool { return q.Queued[waiting.Task.Job.ID] != waiting.Task.Job },
 	)
 }
 
 // releaseTasks releases what waits of a job of independent tasks or replicas,
 // and returns how many tasks it looked at.
-func (q *Queue) releaseTasks(j *clusterstate.Job, p *cycle, most int) int {
-	spec := &j.Record.Spec
+func (q *Queue) releaseTasks(job *clusterstate.Job, cycle *schedulingCycle, limit int) int {
+	spec := &job.Record.Spec
 	leaf := q.QuotaLeaf(spec)
-	var cands []sharding.Candidate
-	room := 0
-	if !p.hopeless(spec, 1) {
-		probe := &clusterstate.Task{Job: j}
-		cands = p.candidates(q, probe)
-		if len(cands) == 0 {
-			p.refuse(spec, 1)
+	var candidates []sharding.Candidate
+	freePlaces := 0
+	if !cycle.knownUnplaceable(spec, 1) {
+		probe := &clusterstate.Task{Job: job}
+		candidates = cycle.candidates(q, probe)
+		if len(candidates) == 0 {
+			cycle.noteUnplaceable(spec, 1)
 		}
-		enough := spec.TaskCount - j.DoneCount - len(j.Active)
-		for i := 0; i < len(cands) && room <= enough; i++ {
-			room += cands[i].Free.HowMany(spec.Resources())
+		enough := spec.TaskCount - job.DoneCount - len(job.Active)
+		for i := 0; i < len(candidates) && freePlaces <= enough; i++ {
+			freePlaces += candidates[i].Free.HowMany(spec.Resources())
 		}
 	}
-	probing := q.Trust(j, "") == jobs.Probing
-	if q.Overdue(j) {
-		most = min(most, 1+spec.TaskCount/tuning.BeginShare) // others behind it are overdue, too
+	probing := q.Trust(job, "") == jobs.Probing
+	if q.Overdue(job) {
+		limit = min(limit, 1+spec.TaskCount/tuning.BeginShare) // others behind it are overdue, too
 	}
-	tasks := q.unlent(q.pending(j, min(most, room+tuning.WaitingEach, q.unstarted(j))), p)
+	tasks := q.withoutBorrowers(q.pendingTasks(job, min(limit, freePlaces+tuning.WaitingEach, q.startableCount(job))), cycle)
 	if probing {
-		tasks = q.probe(j)
+		tasks = q.probeTask(job)
 	}
 	if len(tasks) == 0 {
 		return 1
 	}
-	zones := q.zonesLent(j, p)
-	cands = q.gatherParts(spec, cands, len(tasks))
-	var offers []placement
-	looked := 0
-	for i, t := range tasks {
-		looked++
-		if !p.account.Allows(leaf, spec.Amount(), 1) {
+	zones := q.zonesWithLoans(job, cycle)
+	candidates = q.concentrate(spec, candidates, len(tasks))
+	var placements []placement
+	examinedCount := 0
+	for i, task := range tasks {
+		examinedCount++
+		if !cycle.account.Allows(leaf, spec.Amount(), 1) {
 			// What the team has left waits for this task to fit; smaller ones
 			// behind it would take it away for ever.
-			p.full[leaf] = true
-			p.rounds.starving = append(p.rounds.starving, j)
-			q.giveBack(j, p)
+			cycle.leavesAtLimit[leaf] = true
+			cycle.rounds.overLimit = append(cycle.rounds.overLimit, job)
+			q.reclaimQuota(job, cycle)
 			break
 		}
-		within := p.account.Entitled(leaf, spec.Amount(), 1)
-		k := q.pickFor(t, cands, zones)
-		if k < 0 {
-			if !spec.SameZone && !spec.SpreadZones && t.Zone == "" && len(t.FailedOn) == 0 {
-				p.refuse(spec, 1)
+		entitled := cycle.account.Entitled(leaf, spec.Amount(), 1)
+		chosen := q.pickCandidate(task, candidates, zones)
+		if chosen < 0 {
+			if !spec.SameZone && !spec.SpreadZones && task.Zone == "" && len(task.FailedOn) == 0 {
+				cycle.noteUnplaceable(spec, 1)
 			}
 			if probing {
 				break // no machine is rented, kept or cleared for it
 			}
 			if i > 0 {
-				delete(q.noRoom, j.ID) // some of it found room
+				delete(q.noCapacitySince, job.ID) // some of it found room
 			}
-			q.wait(j, tasks[i:], within, zones, p)
+			q.addWaiting(job, tasks[i:], entitled, zones, cycle)
 			break
 		}
-		c := &cands[k]
+		candidate := &candidates[chosen]
 		if !probing &&
-			q.clearCached(&Waiting{Task: t, Priority: spec.PriorityOrder(), Entitled: within, zones: zones}, c.Machine, p) {
-			c.Free = c.Free.Sub(spec.Resources())
-			p.account.Charge(spec.QuotaKey(), spec.Amount(), 1)
+			q.awaitCachedMachine(&Waiting{Task: task, Priority: spec.PriorityOrder(), Entitled: entitled, zones: zones}, candidate.Machine, cycle) {
+			candidate.Free = candidate.Free.Sub(spec.Resources())
+			cycle.account.Charge(spec.QuotaKey(), spec.Amount(), 1)
 			continue
 		}
-		offers = append(offers, placement{t, c.Machine})
-		p.account.Charge(spec.QuotaKey(), spec.Amount(), 1)
-		c.Free = c.Free.Sub(spec.Resources())
-		c.Load = c.Capacity.Sub(c.Free).ShareOf(c.Capacity)
-		zones[c.Zone]++
-		if !c.HasImage && spec.ImageGB > 0 {
-			c.HasImage = true // for the next of them
+		placements = append(placements, placement{task, candidate.Machine})
+		cycle.account.Charge(spec.QuotaKey(), spec.Amount(), 1)
+		candidate.Free = candidate.Free.Sub(spec.Resources())
+		candidate.Load = candidate.Capacity.Sub(candidate.Free).ShareOf(candidate.Capacity)
+		zones[candidate.Zone]++
+		if !candidate.HasImage && spec.ImageGB > 0 {
+			candidate.HasImage = true // for the next of them
 		}
 	}
-	if len(offers) == len(tasks) {
-		delete(q.noRoom, j.ID)
+	if len(placements) == len(tasks) {
+		delete(q.noCapacitySince, job.ID)
 	}
-	if q.gathers(j, len(offers), room) {
-		for _, o := range offers {
-			p.keep(q, o.machine, spec.Resources())
+	if q.awaitsMoreCapacity(job, len(placements), freePlaces) {
+		for _, o := range placements {
+			cycle.hold(q, o.machine, spec.Resources())
 		}
-		return looked
+		return examinedCount
 	}
-	p.ds = append(p.ds, q.releasing(j, offers)...)
-	return looked
+	cycle.decisions = append(cycle.decisions, q.releaseDecisions(job, placements)...)
+	return examinedCount
 }
 
 // wait notes tasks that found no room: they keep their turn, and a machine is
 // kept for the first of them.
-func (q *Queue) wait(j *clusterstate.Job, tasks []*clusterstate.Task, entitled int, zones map[string]int, p *cycle) {
-	spec := &j.Record.Spec
-	if p.rounds.second {
+func (q *Queue) addWaiting(job *clusterstate.Job, tasks []*clusterstate.Task, entitled int, zones map[string]int, cycle *schedulingCycle) {
+	spec := &job.Record.Spec
+	if cycle.rounds.second {
 		return
 	}
-	long := q.lacksRoom(j)
-	count := p.account.More(q.QuotaLeaf(spec), spec.Amount(), q.unstarted(j))
+	expired := q.lacksCapacity(job)
+	count := cycle.account.More(q.QuotaLeaf(spec), spec.Amount(), q.startableCount(job))
 	if count == 0 {
 		return
 	}
-	p.account.Charge(spec.QuotaKey(), spec.Amount(), count)
-	if long {
-		p.rounds.long = append(p.rounds.long, round{j, count})
+	cycle.account.Charge(spec.QuotaKey(), spec.Amount(), count)
+	if expired {
+		cycle.rounds.expired = append(cycle.rounds.expired, round{job, count})
 	}
 	q.Waiting = append(
 		q.Waiting,
@@ -362,24 +362,24 @@
 			Entitled: entitled,
 		},
 	)
-	q.holdFor(tasks[0], min(count, tuning.HoldEach), zones, p)
+	q.holdMachines(tasks[0], min(count, tuning.HoldEach), zones, cycle)
 }
 
 // gathers tells whether the few tasks of a sweep that there is room for should
 // wait a moment for more of them, to share a slice. Their room is kept.
-func (q *Queue) gathers(j *clusterstate.Job, offers, room int) bool {
-	if !q.Scarce() || q.HasSpareWrites() || q.UsesBatches() || j.Record.Spec.Kind != jobs.JobArray || offers == 0 ||
-		offers >= min(tuning.GatherTasks, j.Record.Spec.TaskCount-j.DoneCount-len(j.Active)) || offers < room {
-		j.GatheringSince = time.Time{}
+func (q *Queue) awaitsMoreCapacity(job *clusterstate.Job, placementCount, room int) bool {
+	if !q.Scarce() || q.HasSpareWrites() || q.UsesBatches() || job.Record.Spec.Kind != jobs.JobArray || placementCount == 0 ||
+		placementCount >= min(tuning.GatherTasks, job.Record.Spec.TaskCount-job.DoneCount-len(job.Active)) || placementCount < room {
+		job.GatheringSince = time.Time{}
 		return false
 	}
-	if j.GatheringSince.IsZero() {
-		j.GatheringSince = q.Now
+	if job.GatheringSince.IsZero() {
+		job.GatheringSince = q.Now
 	}
-	if q.Now.Sub(j.GatheringSince) < tuning.GatherFor {
+	if q.Now.Sub(job.GatheringSince) < tuning.GatherFor {
 		return true
 	}
-	j.GatheringSince = time.Time{}
+	job.GatheringSince = time.Time{}
 	return false
 }
 
@@ -387,95 +387,95 @@
 // mind; those of the leader's own part are placed at once. New tasks of a part
 // make a slice: it does not matter which of a job's tasks goes where, so each
 // part gets consecutive ones.
-func (q *Queue) releasing(j *clusterstate.Job, offers []placement) []decide.Decision {
-	var ds []decide.Decision
+func (q *Queue) releaseDecisions(job *clusterstate.Job, placements []placement) []decide.Decision {
+	var decisions []decide.Decision
 	byPart := map[string][]string{}
-	var fresh []*clusterstate.Task
-	packs := q.UsesBatches()
-	for _, o := range offers {
-		if spec := &j.Record.Spec; packs && spec.Kind == jobs.JobArray && (o.t.Stored == nil || o.t.Stored.IsBatch()) {
-			if d, ok := q.packing(o); ok {
-				ds = append(ds, d)
+	var newTasks []*clusterstate.Task
+	usesBatches := q.UsesBatches()
+	for _, o := range placements {
+		if spec := &job.Record.Spec; usesBatches && spec.Kind == jobs.JobArray && (o.task.Stored == nil || o.task.Stored.IsBatch()) {
+			if decision, ok := q.batchDecision(o); ok {
+				decisions = append(decisions, decision)
 			}
 			continue
 		}
-		if o.t.Stored != nil {
-			if d, ok := q.releaseOld(o); ok {
-				ds = append(ds, d)
+		if o.task.Stored != nil {
+			if decision, ok := q.releaseRecorded(o); ok {
+				decisions = append(decisions, decision)
 			}
 			continue
 		}
-		fresh = append(fresh, o.t)
-		part := q.Machines[o.machine].Owner
-		byPart[part] = append(byPart[part], o.machine)
+		newTasks = append(newTasks, o.task)
+		controller := q.Machines[o.machine].Owner
+		byPart[controller] = append(byPart[controller], o.machine)
 	}
-	slices.SortFunc(fresh, func(a, b *clusterstate.Task) int { return a.Index - b.Index })
-	for _, part := range clusterstate.SortedKeys(byPart) {
-		machines := byPart[part]
+	slices.SortFunc(newTasks, func(a, b *clusterstate.Task) int { return a.Index - b.Index })
+	for _, controller := range clusterstate.SortedKeys(byPart) {
+		machines := byPart[controller]
 		for len(machines) > 0 {
-			k := q.run(fresh, len(machines))
-			ds = append(ds, q.beginTaskRange(j, fresh[:k], machines[:k], q.ours, 1))
-			fresh, machines = fresh[k:], machines[k:]
+			chosen := q.consecutiveCount(newTasks, len(machines))
+			decisions = append(decisions, q.beginTaskRange(job, newTasks[:chosen], machines[:chosen], q.placesDirectly, 1))
+			newTasks, machines = newTasks[chosen:], machines[chosen:]
 		}
 	}
-	return ds
+	return decisions
 }
 
 // packing is the decision that gives a task to a part in a new pack, with all else
 // that goes to that part in the same transaction. One that has been tried before
 // leaves its pack for that: the owner of the machine that it goes to writes it next.
-func (q *Queue) packing(o placement) (decide.Decision, bool) {
+func (q *Queue) batchDecision(o placement) (decide.Decision, bool) {
 	m := q.Machines[o.machine]
-	d := decide.Decision{ReadSet: []string{jobs.JobPrefix + o.t.Job.ID}}
+	decision := decide.Decision{ReadSet: []string{jobs.JobPrefix + o.task.Job.ID}}
 	var next jobs.Task
 	var ok bool
-	if q.ours(o.t, m) {
-		d.ReadSet = append(d.ReadSet, fleet.MachinePrefix+o.machine)
-		next, ok = q.placed(o.t, o.machine, m.Zone, o.t.Attempt+1)
+	if q.placesDirectly(o.task, m) {
+		decision.ReadSet = append(decision.ReadSet, fleet.MachinePrefix+o.machine)
+		next, ok = q.placedTask(o.task, o.machine, m.Zone, o.task.Attempt+1)
 	} else {
-		next, ok = q.released(o.t, m)
+		next, ok = q.releasedTask(o.task, m)
 	}
 	if !ok {
-		return d, false
+		return decision, false
 	}
-	if o.t.Stored != nil {
-		d.Changes = []decide.Change{{Task: o.t, Next: next, LeavesBatch: true}}
+	if o.task.Stored != nil {
+		decision.Changes = []decide.Change{{Task: o.task, Next: next, LeavesBatch: true}}
 	}
-	d.BatchEntries = []decide.BatchEntry{
-		{Controller: m.Owner, Entry: taskbatch.Entry{JobID: o.t.Job.ID, Index: o.t.Index, Task: next}},
+	decision.BatchEntries = []decide.BatchEntry{
+		{Controller: m.Owner, Entry: taskbatch.Entry{JobID: o.task.Job.ID, Index: o.task.Index, Task: next}},
 	}
-	taskID := o.t.ID
-	d.OnSettled = func(bool) { q.Unreserve(taskID) }
-	return d, true
+	taskID := o.task.ID
+	decision.OnSettled = func(bool) { q.Unreserve(taskID) }
+	return decision, true
 }
 
 // released is a task's record given to the part of a machine that the leader has room
 // in mind on; it books the place.
-func (q *Queue) released(t *clusterstate.Task, m *clusterstate.Machine) (jobs.Task, bool) {
+func (q *Queue) releasedTask(task *clusterstate.Task, m *clusterstate.Machine) (jobs.Task, bool) {
 	next, ok := jobs.NextTask(
-		t.Task,
+		task.Task,
 		jobs.TaskEvent{Kind: jobs.Release, Controller: m.Owner, Zone: m.Zone, PreferredMachine: m.Name},
 	)
 	if ok {
-		q.Reserve(t, m.Name, m.Zone)
+		q.Reserve(task, m.Name, m.Zone)
 	}
 	return next, ok
 }
 
 // releaseOld gives a task to a part once more.
-func (q *Queue) releaseOld(o placement) (decide.Decision, bool) {
+func (q *Queue) releaseRecorded(o placement) (decide.Decision, bool) {
 	m := q.Machines[o.machine]
-	if q.ours(o.t, m) {
-		return q.placing(o.t, o.machine, m.Zone, o.t.Attempt+1)
+	if q.placesDirectly(o.task, m) {
+		return q.placeDecision(o.task, o.machine, m.Zone, o.task.Attempt+1)
 	}
-	next, ok := q.released(o.t, m)
+	next, ok := q.releasedTask(o.task, m)
 	if !ok {
 		return decide.Decision{}, false
 	}
-	taskID := o.t.ID
+	taskID := o.task.ID
 	return decide.Decision{
-		Changes:   decide.TransitionTask(o.t, next),
-		ReadSet:   []string{jobs.JobPrefix + o.t.Job.ID},
+		Changes:   decide.TransitionTask(o.task, next),
+		ReadSet:   []string{jobs.JobPrefix + o.task.Job.ID},
 		OnSettled: func(bool) { q.Unreserve(taskID) },
 	}, true
 }
@@ -484,43 +484,43 @@
 // have never been released. The key must not exist yet. Tasks that place allows
 // are placed at once, the others are released to the machine's part.
 func (q *Queue) beginTaskRange(
-	j *clusterstate.Job,
+	job *clusterstate.Job,
 	tasks []*clusterstate.Task,
 	machines []string,
-	place func(*clusterstate.Task, *clusterstate.Machine) bool,
+	placesDirectly func(*clusterstate.Task, *clusterstate.Machine) bool,
 	attempt uint64,
 ) decide.Decision {
-	d := decide.Decision{ReadSet: []string{jobs.JobPrefix + j.ID}}
+	decision := decide.Decision{ReadSet: []string{jobs.JobPrefix + job.ID}}
 	records := make([]jobs.Task, len(tasks))
-	for i, t := range tasks {
+	for i, task := range tasks {
 		m := q.Machines[machines[i]]
-		if place(t, m) {
-			records[i], _ = q.placed(t, machines[i], m.Zone, attempt)
-			if key := fleet.MachinePrefix + machines[i]; !slices.Contains(d.ReadSet, key) {
-				d.ReadSet = append(d.ReadSet, key)
+		if placesDirectly(task, m) {
+			records[i], _ = q.placedTask(task, machines[i], m.Zone, attempt)
+			if key := fleet.MachinePrefix + machines[i]; !slices.Contains(decision.ReadSet, key) {
+				decision.ReadSet = append(decision.ReadSet, key)
 			}
 			continue
 		}
-		records[i], _ = q.released(t, m)
+		records[i], _ = q.releasedTask(task, m)
 	}
-	d.Writes = []store.Write{
-		{Put: jobs.TaskRangeKey(j.ID, tasks[0].Index), Value: jobs.EncodeTaskRange(records, q.ValueBytes)},
+	decision.Writes = []store.Write{
+		{Put: jobs.TaskRangeKey(job.ID, tasks[0].Index), Value: jobs.EncodeTaskRange(records, q.ValueBytes)},
 	}
-	d.OnSettled = func(bool) {
-		for _, t := range tasks {
-			q.Unreserve(t.ID)
+	decision.OnSettled = func(bool) {
+		for _, task := range tasks {
+			q.Unreserve(task.ID)
 		}
 	}
-	return d
+	return decision
 }
 
 // ours tells whether the leader may place a task itself: in its own part, and
 // where changes are scarce in every part, by the machine's record.
-func (q *Queue) ours(t *clusterstate.Task, m *clusterstate.Machine) bool {
+func (q *Queue) placesDirectly(task *clusterstate.Task, m *clusterstate.Machine) bool {
 	if m.Owner != q.Name {
-		return q.Scarce() && q.offers(t, m)
+		return q.Scarce() && q.canPropose(task, m)
 	}
-	return q.CanPlace(t, m)
+	return q.CanPlace(task, m)
 }
 
 func always(*clusterstate.Task, *clusterstate.Machine) bool { return true }
@@ -528,10 +528,10 @@
 func never(*clusterstate.Task, *clusterstate.Machine) bool { return false }
 
 // run is how many of the first of fresh tasks, up to most, are consecutive.
-func (q *Queue) run(fresh []*clusterstate.Task, most int) int {
-	k := 1
-	for k < most && k < len(fresh) && k < q.MaxRangeTasks && fresh[k].Index == fresh[0].Index+k {
-		k++
+func (q *Queue) consecutiveCount(newTasks []*clusterstate.Task, limit int) int {
+	chosen := 1
+	for chosen < limit && chosen < len(newTasks) && chosen < q.MaxRangeTasks && newTasks[chosen].Index == newTasks[0].Index+chosen {
+		chosen++
 	}
-	return k
+	return chosen
 }
--- a/internal/queue/gangs.go
+++ b/internal/queue/gangs.go
@@ -14,63 +14,63 @@
 
 // releaseGang offers a resting gang to a part that can hold it whole, or lets
 // the leader place it across parts; a broken one is stopped.
-func (q *Queue) releaseGang(j *clusterstate.Job, p *cycle) {
-	spec := &j.Record.Spec
-	if q.Claiming(j.ID) {
+func (q *Queue) releaseGang(job *clusterstate.Job, cycle *schedulingCycle) {
+	spec := &job.Record.Spec
+	if q.Claiming(job.ID) {
 		return
 	}
-	if gangs.PhaseOf(spec.TaskCount, taskRecords(j)) == gangs.Broken {
-		for _, num := range slices.Sorted(maps.Keys(j.Tasks)) {
-			t := j.Tasks[num]
-			if next, ok := jobs.Withdraw(t.Task, "gang is not whole"); ok {
-				p.ds = append(p.ds, decide.Decision{Changes: decide.TransitionTask(t, next)})
+	if gangs.PhaseOf(spec.TaskCount, taskRecords(job)) == gangs.Broken {
+		for _, num := range slices.Sorted(maps.Keys(job.Tasks)) {
+			task := job.Tasks[num]
+			if next, ok := jobs.Withdraw(task.Task, "gang is not whole"); ok {
+				cycle.decisions = append(cycle.decisions, decide.Decision{Changes: decide.TransitionTask(task, next)})
 			}
 		}
 		return
 	}
-	all, attempt := q.resting(j)
-	if all == nil {
+	tasks, attempt := q.restingTasks(job)
+	if tasks == nil {
 		return
 	}
-	probing := q.Trust(j, "") == jobs.Probing
+	probing := q.Trust(job, "") == jobs.Probing
 	if probing {
-		for _, t := range all {
-			if q.Now.Sub(t.Since) < jobs.Backoff(int(min(attempt, 10))) {
+		for _, task := range tasks {
+			if q.Now.Sub(task.Since) < jobs.Backoff(int(min(attempt, 10))) {
 				return
 			}
 		}
 	}
 	leaf := q.QuotaLeaf(spec)
-	if !p.account.Allows(leaf, spec.Amount(), spec.TaskCount) {
-		if q.Overdue(j) && p.account.Tree().Ever(leaf, spec.Amount(), spec.TaskCount) {
+	if !cycle.account.Allows(leaf, spec.Amount(), spec.TaskCount) {
+		if q.Overdue(job) && cycle.account.Tree().Ever(leaf, spec.Amount(), spec.TaskCount) {
 			// As with single tasks: what its team has left waits for it.
-			p.full[leaf] = true
+			cycle.leavesAtLimit[leaf] = true
 		}
-		p.rounds.starving = append(p.rounds.starving, j)
+		cycle.rounds.overLimit = append(cycle.rounds.overLimit, job)
 		return
 	}
-	entitled := p.account.Entitled(leaf, spec.Amount(), spec.TaskCount)
-	p.account.Charge(spec.QuotaKey(), spec.Amount(), spec.TaskCount)
-	offers, whole := q.fitGang(all, p)
-	if offers == nil && p.rounds.second {
-		p.account.Charge(spec.QuotaKey(), spec.Amount(), -spec.TaskCount)
+	entitled := cycle.account.Entitled(leaf, spec.Amount(), spec.TaskCount)
+	cycle.account.Charge(spec.QuotaKey(), spec.Amount(), spec.TaskCount)
+	placements, sameController := q.fitGang(tasks, cycle)
+	if placements == nil && cycle.rounds.second {
+		cycle.account.Charge(spec.QuotaKey(), spec.Amount(), -spec.TaskCount)
 		return
 	}
-	if offers == nil && probing {
+	if placements == nil && probing {
 		return
 	}
 	switch {
-	case offers != nil:
-		delete(q.noRoom, j.ID)
-	case q.lacksRoom(j):
-		p.rounds.long = append(p.rounds.long, round{j, spec.TaskCount})
+	case placements != nil:
+		delete(q.noCapacitySince, job.ID)
+	case q.lacksCapacity(job):
+		cycle.rounds.expired = append(cycle.rounds.expired, round{job, spec.TaskCount})
 	}
-	if offers == nil && large(spec) {
-		kept, zone := q.gather(all[0], p)
+	if placements == nil && isLargeGang(spec) {
+		kept, zone := q.accumulate(tasks[0], cycle)
 		q.Waiting = append(
 			q.Waiting,
 			&Waiting{
-				Task:     all[0],
+				Task:     tasks[0],
 				Count:    spec.TaskCount - kept,
 				Priority: spec.PriorityOrder(),
 				Entitled: entitled,
@@ -80,74 +80,74 @@
 		)
 		return
 	}
-	if offers == nil {
+	if placements == nil {
 		q.Waiting = append(
 			q.Waiting,
-			&Waiting{Task: all[0], Count: spec.TaskCount, Priority: spec.PriorityOrder(), Entitled: entitled},
+			&Waiting{Task: tasks[0], Count: spec.TaskCount, Priority: spec.PriorityOrder(), Entitled: entitled},
 		)
-		q.holdFor(all[0].WithoutPreference(), min(spec.TaskCount, tuning.HoldEach), q.TasksByZone(j), p)
+		q.holdMachines(tasks[0].WithoutPreference(), min(spec.TaskCount, tuning.HoldEach), q.TasksByZone(job), cycle)
 		return
 	}
-	q.beginGang(j, all, offers, whole, attempt, p)
+	q.beginGang(job, tasks, placements, sameController, attempt, cycle)
 }
 
 // taskRecords lists what the records say of a job's tasks.
-func taskRecords(j *clusterstate.Job) []*jobs.Task {
-	out := make([]*jobs.Task, 0, len(j.Tasks))
-	for _, t := range j.Tasks {
-		out = append(out, &t.Task)
+func taskRecords(job *clusterstate.Job) []*jobs.Task {
+	out := make([]*jobs.Task, 0, len(job.Tasks))
+	for _, task := range job.Tasks {
+		out = append(out, &task.Task)
 	}
 	return out
 }
 
 // resting is all tasks of a gang that rests, and its next try; nil if it does not rest,
 // or some of its tasks may not be tried yet or are under a transaction.
-func (q *Queue) resting(j *clusterstate.Job) ([]*clusterstate.Task, uint64) {
-	spec := &j.Record.Spec
-	records := taskRecords(j)
+func (q *Queue) restingTasks(job *clusterstate.Job) ([]*clusterstate.Task, uint64) {
+	spec := &job.Record.Spec
+	records := taskRecords(job)
 	if gangs.PhaseOf(spec.TaskCount, records) != gangs.Resting {
 		return nil, 0
 	}
-	all := q.pending(j, spec.TaskCount)
-	if len(all) < spec.TaskCount {
+	tasks := q.pendingTasks(job, spec.TaskCount)
+	if len(tasks) < spec.TaskCount {
 		return nil, 0
 	}
-	return all, gangs.NextAttempt(records)
+	return tasks, gangs.NextAttempt(records)
 }
 
 // beginGang gives a gang the machines that hold it: in one change if that is possible,
 // and otherwise they are claimed first.
 func (q *Queue) beginGang(
-	j *clusterstate.Job,
-	all []*clusterstate.Task,
-	offers []placement,
-	whole bool,
+	job *clusterstate.Job,
+	tasks []*clusterstate.Task,
+	placements []placement,
+	sameController bool,
 	attempt uint64,
-	p *cycle,
+	cycle *schedulingCycle,
 ) {
-	spec := &j.Record.Spec
+	spec := &job.Record.Spec
 	// Where the leader names the machines itself, those of several parts are taken in
 	// one change as well.
-	if (whole || q.oursAll(offers)) && q.inOne(spec, offers) {
-		if d, ok := q.placeGangOffers(j, offers); ok {
-			p.ds = append(p.ds, d)
+	if (sameController || q.placesAllDirectly(placements)) && q.fitsOneTxn(spec, placements) {
+		if decision, ok := q.releaseGangWhole(job, placements); ok {
+			cycle.decisions = append(cycle.decisions, decision)
 			return
 		}
 	}
-	machines := make([]string, len(offers))
-	for i, o := range offers {
+	machines := make([]string, len(placements))
+	for i, o := range placements {
 		machines[i] = o.machine
-		p.keep(q, o.machine, spec.Resources())
+		cycle.hold(q, o.machine, spec.Resources())
 	}
-	q.claimGang(j, all, machines, attempt)
+	q.claimGang(job, tasks, machines, attempt)
 }
 
 // inOne tells whether one transaction can place a gang, with a condition for each
 // machine and the records of all its tasks. The part that it is offered to places it
 // in one decision; a larger gang is placed on claimed machines, in several.
-func (q *Queue) inOne(spec *jobs.Spec, offers []placement) bool {
+func (q *Queue) fitsOneTxn(spec *jobs.Spec, placements []placement) bool {
 	machines := map[string]bool{}
-	for _, o := range offers {
+	for _, o := range placements {
 		machines[o.machine] = true
 	}
 	// View, fence, quotas and claims, the job, and a slice that the first task does not begin.
@@ -158,222 +158,222 @@
 }
 
 // oursAll tells whether the leader may place all of a gang itself.
-func (q *Queue) oursAll(offers []placement) bool {
-	return !slices.ContainsFunc(offers, func(o placement) bool { return !q.ours(o.t, q.Machines[o.machine]) })
+func (q *Queue) placesAllDirectly(placements []placement) bool {
+	return !slices.ContainsFunc(placements, func(o placement) bool { return !q.placesDirectly(o.task, q.Machines[o.machine]) })
 }
 
 // placeGangOffers is the one decision that gives a whole gang to the part that all
 // its machines belong to; the leader's own part places it at once.
-func (q *Queue) placeGangOffers(j *clusterstate.Job, offers []placement) (decide.Decision, bool) {
-	one := decide.Decision{ReadSet: []string{jobs.JobPrefix + j.ID}}
-	var dones []func(bool)
-	add := func(d decide.Decision) {
-		one.Changes = append(one.Changes, d.Changes...)
-		one.Writes = append(one.Writes, d.Writes...)
-		for _, k := range d.ReadSet {
-			if !slices.Contains(one.ReadSet, k) {
-				one.ReadSet = append(one.ReadSet, k)
+func (q *Queue) releaseGangWhole(job *clusterstate.Job, placements []placement) (decide.Decision, bool) {
+	gangDecision := decide.Decision{ReadSet: []string{jobs.JobPrefix + job.ID}}
+	var settled []func(bool)
+	add := func(part decide.Decision) {
+		gangDecision.Changes = append(gangDecision.Changes, part.Changes...)
+		gangDecision.Writes = append(gangDecision.Writes, part.Writes...)
+		for _, k := range part.ReadSet {
+			if !slices.Contains(gangDecision.ReadSet, k) {
+				gangDecision.ReadSet = append(gangDecision.ReadSet, k)
 			}
 		}
-		dones = append(dones, d.OnSettled)
+		settled = append(settled, part.OnSettled)
 	}
-	one.OnSettled = func(ok bool) {
-		for _, f := range dones {
+	gangDecision.OnSettled = func(ok bool) {
+		for _, f := range settled {
 			f(ok)
 		}
 	}
-	place := always
-	var top uint64
-	for _, o := range offers {
-		if !q.ours(o.t, q.Machines[o.machine]) {
-			place = never
+	placesDirectly := always
+	var lastAttempt uint64
+	for _, o := range placements {
+		if !q.placesDirectly(o.task, q.Machines[o.machine]) {
+			placesDirectly = never
 		}
-		top = max(top, o.t.Attempt)
+		lastAttempt = max(lastAttempt, o.task.Attempt)
 	}
-	var fresh []*clusterstate.Task
+	var newTasks []*clusterstate.Task
 	var machines []string
-	for _, o := range offers {
+	for _, o := range placements {
 		m := q.Machines[o.machine]
 		switch {
-		case o.t.Stored == nil:
-			fresh, machines = append(fresh, o.t), append(machines, o.machine)
+		case o.task.Stored == nil:
+			newTasks, machines = append(newTasks, o.task), append(machines, o.machine)
 			continue
-		case place(o.t, m):
-			d, ok := q.placing(o.t, o.machine, m.Zone, top+1)
+		case placesDirectly(o.task, m):
+			part, ok := q.placeDecision(o.task, o.machine, m.Zone, lastAttempt+1)
 			if !ok {
-				one.OnSettled(false)
-				return one, false
+				gangDecision.OnSettled(false)
+				return gangDecision, false
 			}
-			add(d)
+			add(part)
 		default:
-			next, ok := q.released(o.t, m)
+			next, ok := q.releasedTask(o.task, m)
 			if !ok {
-				one.OnSettled(false)
-				return one, false
+				gangDecision.OnSettled(false)
+				return gangDecision, false
 			}
-			taskID := o.t.ID
-			add(decide.Decision{Changes: decide.TransitionTask(o.t, next), OnSettled: func(bool) { q.Unreserve(taskID) }})
+			taskID := o.task.ID
+			add(decide.Decision{Changes: decide.TransitionTask(o.task, next), OnSettled: func(bool) { q.Unreserve(taskID) }})
 		}
 	}
-	for len(fresh) > 0 {
-		k := q.run(fresh, len(fresh))
-		add(q.beginTaskRange(j, fresh[:k], machines[:k], place, top+1))
-		fresh, machines = fresh[k:], machines[k:]
+	for len(newTasks) > 0 {
+		chosen := q.consecutiveCount(newTasks, len(newTasks))
+		add(q.beginTaskRange(job, newTasks[:chosen], machines[:chosen], placesDirectly, lastAttempt+1))
+		newTasks, machines = newTasks[chosen:], machines[chosen:]
 	}
-	if len(one.Keys()) > q.TxnOps {
-		one.OnSettled(false)
-		return one, false
+	if len(gangDecision.Keys()) > q.TxnOps {
+		gangDecision.OnSettled(false)
+		return gangDecision, false
 	}
-	return one, true
+	return gangDecision, true
 }
 
 // fitGang finds a machine for every task of a gang, nil when it does not fit. whole
 // tells that all the machines are of one part.
-func (q *Queue) fitGang(all []*clusterstate.Task, p *cycle) (offers []placement, whole bool) {
-	t := all[0]
-	spec := &t.Job.Record.Spec
-	if p.hopeless(spec, spec.TaskCount) {
+func (q *Queue) fitGang(tasks []*clusterstate.Task, cycle *schedulingCycle) (placements []placement, sameController bool) {
+	task := tasks[0]
+	spec := &task.Job.Record.Spec
+	if cycle.knownUnplaceable(spec, spec.TaskCount) {
 		return nil, false
 	}
-	cands := p.candidates(q, t.WithoutPreference())
-	if len(cands) == 0 {
-		p.refuse(spec, 1)
-		p.refuse(spec, spec.TaskCount)
+	candidates := cycle.candidates(q, task.WithoutPreference())
+	if len(candidates) == 0 {
+		cycle.noteUnplaceable(spec, 1)
+		cycle.noteUnplaceable(spec, spec.TaskCount)
 		return nil, false
 	}
-	zones := q.TasksByZone(t.Job)
-	machines, whole, room := gangs.Fit(
+	zones := q.TasksByZone(task.Job)
+	machines, sameController, room := gangs.Fit(
 		spec,
-		cands,
+		candidates,
 		zones,
-		func(i int, cands []sharding.Candidate, zones map[string]int) int {
-			return q.pickFor(all[i], cands, zones)
+		func(i int, candidates []sharding.Candidate, zones map[string]int) int {
+			return q.pickCandidate(tasks[i], candidates, zones)
 		},
 	)
 	if !room && len(zones) == 0 {
-		p.refuse(spec, spec.TaskCount)
+		cycle.noteUnplaceable(spec, spec.TaskCount)
 	}
-	for i, h := range machines {
-		offers = append(offers, placement{all[i], h})
+	for i, machineName := range machines {
+		placements = append(placements, placement{tasks[i], machineName})
 	}
-	return offers, whole
+	return placements, sameController
 }
 
 // claimGang places a gang larger than a part: its machines are claimed in the
 // state service first, so that no part places anything else on them, then the
 // tasks are placed, then the claims are dropped.
-func (q *Queue) claimGang(j *clusterstate.Job, all []*clusterstate.Task, machines []string, attempt uint64) {
+func (q *Queue) claimGang(job *clusterstate.Job, tasks []*clusterstate.Task, machines []string, attempt uint64) {
 	unique := slices.Clone(machines)
 	slices.Sort(unique)
-	q.claim(j.ID, slices.Compact(unique), func(ok bool) {
-		ds, good := q.placeClaimed(j, all, machines, attempt, ok)
+	q.claimMachines(job.ID, slices.Compact(unique), func(ok bool) {
+		decisions, good := q.placeClaimed(job, tasks, machines, attempt, ok)
 		if !good {
-			for _, d := range ds {
-				d.OnSettled(false)
+			for _, decision := range decisions {
+				decision.OnSettled(false)
 			}
-			delete(q.claims, j.ID)
+			delete(q.claims, job.ID)
 			return
 		}
-		left := len(ds)
-		for i := range ds {
-			inner := ds[i].OnSettled
-			ds[i].OnSettled = func(ok bool) {
+		left := len(decisions)
+		for i := range decisions {
+			inner := decisions[i].OnSettled
+			decisions[i].OnSettled = func(ok bool) {
 				inner(ok)
 				if left--; left == 0 {
-					delete(q.claims, j.ID)
+					delete(q.claims, job.ID)
 				}
 			}
 			// Part of a gang placed and part put off for want of changes would be a
 			// broken one, to be stopped.
-			ds[i].Urgent = true
+			decisions[i].Urgent = true
 		}
-		q.Commit(ds)
+		q.Commit(decisions)
 	})
 }
 
 // placeClaimed is the decisions that place a gang on the machines claimed for
 // it; false if the claims or the room are not there.
 func (q *Queue) placeClaimed(
-	j *clusterstate.Job,
-	all []*clusterstate.Task,
+	job *clusterstate.Job,
+	tasks []*clusterstate.Task,
 	machines []string,
 	attempt uint64,
 	claimed bool,
 ) ([]decide.Decision, bool) {
-	if !claimed || j.Record == nil {
+	if !claimed || job.Record == nil {
 		return nil, false
 	}
 	// The claim may have waited for a while, and others were charged meanwhile
 	// (docs/incidents/claimed-gangs.md).
-	if spec := &j.Record.Spec; !q.Account.Allows(q.QuotaLeaf(spec), spec.Amount(), spec.TaskCount) {
+	if spec := &job.Record.Spec; !q.Account.Allows(q.QuotaLeaf(spec), spec.Amount(), spec.TaskCount) {
 		return nil, false
 	}
-	need := j.Record.Spec.Resources()
+	need := job.Record.Spec.Resources()
 	extra := map[string]sharding.Resources{}
-	for _, h := range machines {
-		m := q.Machines[h]
-		if m == nil || q.ClaimedFor(m) != j.ID || q.MachineTypes[m.MachineType] == nil {
+	for _, machineName := range machines {
+		m := q.Machines[machineName]
+		if m == nil || q.ClaimedFor(m) != job.ID || q.MachineTypes[m.MachineType] == nil {
 			return nil, false
 		}
-		extra[h] = extra[h].Add(need)
-		if !q.MachineTypes[m.MachineType].Capacity().Sub(q.UsedResources(h)).Fits(extra[h]) {
+		extra[machineName] = extra[machineName].Add(need)
+		if !q.MachineTypes[m.MachineType].Capacity().Sub(q.UsedResources(machineName)).Fits(extra[machineName]) {
 			return nil, false
 		}
 	}
-	var ds []decide.Decision
-	var fresh []*clusterstate.Task
+	var decisions []decide.Decision
+	var newTasks []*clusterstate.Task
 	var where []string
-	for i, t := range all {
-		if now := j.Tasks[t.Index]; now != nil {
-			t = now
+	for i, task := range tasks {
+		if now := job.Tasks[task.Index]; now != nil {
+			task = now
 		}
-		if t.Stored == nil {
-			fresh, where = append(fresh, t), append(where, machines[i])
+		if task.Stored == nil {
+			newTasks, where = append(newTasks, task), append(where, machines[i])
 			continue
 		}
-		d, ok := q.placing(t, machines[i], q.Machines[machines[i]].Zone, attempt)
+		decision, ok := q.placeDecision(task, machines[i], q.Machines[machines[i]].Zone, attempt)
 		if !ok {
-			return ds, false
+			return decisions, false
 		}
-		ds = append(ds, d)
+		decisions = append(decisions, decision)
 	}
-	for len(fresh) > 0 {
-		k := q.run(fresh, len(fresh))
-		ds = append(ds, q.beginTaskRange(j, fresh[:k], where[:k], always, attempt))
-		fresh, where = fresh[k:], where[k:]
+	for len(newTasks) > 0 {
+		chosen := q.consecutiveCount(newTasks, len(newTasks))
+		decisions = append(decisions, q.beginTaskRange(job, newTasks[:chosen], where[:chosen], always, attempt))
+		newTasks, where = newTasks[chosen:], where[chosen:]
 	}
-	return ds, true
+	return decisions, true
 }
 
 // placeGang places a gang that was offered to this part, whole or not at all.
-func (q *Queue) placeGang(j *clusterstate.Job, all []*clusterstate.Task) []decide.Decision {
-	if len(all) != j.Record.Spec.TaskCount {
+func (q *Queue) placeReleasedGang(job *clusterstate.Job, tasks []*clusterstate.Task) []decide.Decision {
+	if len(tasks) != job.Record.Spec.TaskCount {
 		return nil
 	}
 	var records []*jobs.Task
-	for _, t := range j.Tasks {
-		records = append(records, &t.Task)
+	for _, task := range job.Tasks {
+		records = append(records, &task.Task)
 	}
 	attempt := gangs.NextAttempt(records)
-	one := decide.Decision{}
-	var pieces []string
-	one.OnSettled = func(bool) {
-		for _, p := range pieces {
-			q.Unreserve(p)
+	gangDecision := decide.Decision{}
+	var taskIDs []string
+	gangDecision.OnSettled = func(bool) {
+		for _, id := range taskIDs {
+			q.Unreserve(id)
 		}
 	}
-	for _, t := range all {
-		d, ok := q.placeOne(t, attempt)
+	for _, task := range tasks {
+		part, ok := q.placeOne(task, attempt)
 		if !ok {
-			one.OnSettled(false)
-			for _, t := range all {
-				t.PlacementTriedAt = q.Now
+			gangDecision.OnSettled(false)
+			for _, task := range tasks {
+				task.PlacementTriedAt = q.Now
 			}
 			return nil // the leader takes it back
 		}
-		pieces = append(pieces, t.ID)
-		one.Changes = append(one.Changes, d.Changes...)
-		one.ReadSet = append(one.ReadSet, d.ReadSet...)
+		taskIDs = append(taskIDs, task.ID)
+		gangDecision.Changes = append(gangDecision.Changes, part.Changes...)
+		gangDecision.ReadSet = append(gangDecision.ReadSet, part.ReadSet...)
 	}
-	return []decide.Decision{one}
+	return []decide.Decision{gangDecision}
 }
--- a/internal/queue/not_examined.go
+++ b/internal/queue/not_examined.go
@@ -16,41 +16,41 @@
 func (q *Queue) NotExamined() []*Waiting {
 	account := q.Account.Clone()
 	known := map[*clusterstate.Job]bool{}
-	for _, w := range q.StillWaiting() {
-		known[w.Task.Job] = true
-		account.Charge(w.Task.Job.Record.Spec.QuotaKey(), w.Task.Job.Record.Spec.Amount(), w.Count)
+	for _, waiting := range q.StillWaiting() {
+		known[waiting.Task.Job] = true
+		account.Charge(waiting.Task.Job.Record.Spec.QuotaKey(), waiting.Task.Job.Record.Spec.Amount(), waiting.Count)
 	}
 	var out []*Waiting
-	for _, j := range q.order(account) {
-		spec := &j.Record.Spec
-		if known[j] || q.examined[j] || !q.MayBegin(spec) || q.Claiming(j.ID) || q.Trust(j, "") == jobs.Probing {
+	for _, job := range q.order(account) {
+		spec := &job.Record.Spec
+		if known[job] || q.examined[job] || !q.MayBegin(spec) || q.Claiming(job.ID) || q.Trust(job, "") == jobs.Probing {
 			continue
 		}
-		all := slices.DeleteFunc(q.pending(j, q.unstarted(j)), q.making)
+		tasks := slices.DeleteFunc(q.pendingTasks(job, q.startableCount(job)), q.capacityPending)
 		leaf := q.QuotaLeaf(spec)
-		count := account.More(leaf, spec.Amount(), len(all))
-		if spec.IsGang() && (len(all) < spec.TaskCount || count < len(all)) || count == 0 {
+		count := account.More(leaf, spec.Amount(), len(tasks))
+		if spec.IsGang() && (len(tasks) < spec.TaskCount || count < len(tasks)) || count == 0 {
 			continue
 		}
-		w := &Waiting{
-			Task:        all[0],
+		waiting := &Waiting{
+			Task:        tasks[0],
 			Count:       count,
 			Priority:    spec.PriorityOrder(),
 			Entitled:    account.Entitled(leaf, spec.Amount(), 1),
 			NotExamined: true,
 		}
 		account.Charge(spec.QuotaKey(), spec.Amount(), count)
-		out = append(out, w)
+		out = append(out, waiting)
 	}
 	return out
 }
 
 // making tells whether room is made for a task, by stops or by a loan.
-func (q *Queue) making(t *clusterstate.Task) bool {
+func (q *Queue) capacityPending(task *clusterstate.Task) bool {
 	if q.loans != nil {
-		if _, lent := q.loans.For(t.Job.ID, t.Index); lent {
+		if _, lent := q.loans.For(task.Job.ID, task.Index); lent {
 			return true
 		}
 	}
-	return q.Now.Before(q.preempted[t.ID].until)
+	return q.Now.Before(q.preemptions[task.ID].until)
 }
--- a/internal/queue/order.go
+++ b/internal/queue/order.go
@@ -27,27 +27,27 @@
 	late := func(r *jobs.Record, start int64) bool {
 		return start >= r.AcceptedMs+tuning.QueueHorizon.Milliseconds()
 	}
-	ways := map[int][]float64{}
+	fairSharePaths := map[int][]float64{}
 	entries := make([]entry, 0, len(q.Queued))
-	for _, j := range q.Queued {
-		spec := &j.Record.Spec
+	for _, job := range q.Queued {
+		spec := &job.Record.Spec
 		leaf := q.QuotaLeaf(spec)
 		entitled := account.Entitled(leaf, spec.Amount(), 1)
 		turn := account.Tree().FairShareOrder(entitled, leaf)
-		start := q.StartBy(j.Record, turn == 0)
-		if _, known := ways[leaf]; turn > 0 && !known {
-			ways[leaf] = account.Way(leaf)
+		start := q.StartBy(job.Record, turn == 0)
+		if _, known := fairSharePaths[leaf]; turn > 0 && !known {
+			fairSharePaths[leaf] = account.Way(leaf)
 		}
 		entries = append(
 			entries,
 			entry{
-				j,
+				job,
 				spec.PriorityOrder(),
 				turn,
-				ways[leaf],
-				q.Overdue(j),
-				late(j.Record, start),
-				spec.Accelerators * float64(spec.TaskCount-j.DoneCount),
+				fairSharePaths[leaf],
+				q.Overdue(job),
+				late(job.Record, start),
+				spec.Accelerators * float64(spec.TaskCount-job.DoneCount),
 				start,
 			},
 		)
@@ -87,45 +87,45 @@
 // (docs/incidents/largest-last.md). It hangs on the accepted time alone, so no restart makes
 // anyone wait again. Of gangs only large ones are; they begin whole. Any other job begins
 // with its first task, and what is left of it then waits in its ordinary turn.
-func (q *Queue) Overdue(j *clusterstate.Job) bool {
-	waited := time.Duration(q.NowMs()-j.Record.AcceptedMs) * time.Millisecond
-	if j.Record.Spec.IsGang() {
-		return large(&j.Record.Spec) && waited >= q.gangOverdueAfter(j.Record.Spec.Class)
+func (q *Queue) Overdue(job *clusterstate.Job) bool {
+	waited := time.Duration(q.NowMs()-job.Record.AcceptedMs) * time.Millisecond
+	if job.Record.Spec.IsGang() {
+		return isLargeGang(&job.Record.Spec) && waited >= q.gangOverdueAfter(job.Record.Spec.Class)
 	}
-	return waited >= q.overdueAfter(j.Record.Spec.Class) && len(j.Active)+len(j.Retrying)+j.DoneCount == 0
+	return waited >= q.overdueAfter(job.Record.Spec.Class) && len(job.Active)+len(job.Retrying)+job.DoneCount == 0
 }
 
 // overdueAfter is the wait after which a class's arrays and services are overdue: while the
 // last of its aims for starting can still be met, or where all of those are shorter than
 // making room takes, in time for the users' bound.
 func (q *Queue) overdueAfter(class string) time.Duration {
-	last := q.lastAim(class)
-	if last < tuning.OverdueAim {
+	lastObjective := q.lastStartObjective(class)
+	if lastObjective < tuning.OverdueAim {
 		return tuning.Overdue
 	}
-	return min(tuning.Overdue, last-tuning.OverdueMargin)
+	return min(tuning.Overdue, lastObjective-tuning.OverdueMargin)
 }
 
 // gangOverdueAfter is the wait after which a class's large gangs are overdue: once the last
 // of its aims for starting has been missed, so that they take no room from what can still
 // meet one, and in any case in time for the users' bound.
 func (q *Queue) gangOverdueAfter(class string) time.Duration {
-	last := q.lastAim(class)
-	if last < tuning.OverdueAim {
+	lastObjective := q.lastStartObjective(class)
+	if lastObjective < tuning.OverdueAim {
 		return tuning.GangOverdue
 	}
-	return min(tuning.GangOverdue, last+tuning.GangAimPast)
+	return min(tuning.GangOverdue, lastObjective+tuning.GangAimPast)
 }
 
 // lastAim is the last of a class's aims for starting, 0 if it has none.
-func (q *Queue) lastAim(class string) time.Duration {
-	last := time.Duration(0)
+func (q *Queue) lastStartObjective(class string) time.Duration {
+	lastObjective := time.Duration(0)
 	for _, o := range q.Objectives {
 		if o.Kind == "wait" && o.Class == class {
-			last = max(last, jobs.Seconds(o.WithinS))
+			lastObjective = max(lastObjective, jobs.Seconds(o.WithinS))
 		}
 	}
-	return last
+	return lastObjective
 }
 
 // StartBy is the time by which a job must start to meet the next of its
@@ -155,7 +155,7 @@
 
 // startAim is the next time by which a class's tasks should have started, 0
 // when there is none.
-func (q *Queue) startAim(r *jobs.Record, within bool) int64 {
+func (q *Queue) nextStartObjective(r *jobs.Record, within bool) int64 {
 	var best int64
 	for _, o := range q.Objectives {
 		if (o.Kind == "guarantee" && within) || (o.Kind == "wait" && o.Class == r.Spec.Class) {
@@ -169,60 +169,60 @@
 
 // pending lists up to most tasks of a job that wait, those that have tried
 // before first.
-func (q *Queue) pending(j *clusterstate.Job, most int) []*clusterstate.Task {
+func (q *Queue) pendingTasks(job *clusterstate.Job, limit int) []*clusterstate.Task {
 	var out []*clusterstate.Task
-	for _, t := range j.Retrying {
-		if t.NotBeforeMs <= q.NowMs() && !q.Busy(t.Stored.Key) {
-			out = append(out, t)
+	for _, task := range job.Retrying {
+		if task.NotBeforeMs <= q.NowMs() && !q.Busy(task.Stored.Key) {
+			out = append(out, task)
 		}
 	}
 	sort.Slice(out, func(a, b int) bool { return out[a].Index < out[b].Index })
-	for j.FirstUnrecorded < j.Record.Spec.TaskCount && j.Tasks[j.FirstUnrecorded] != nil {
-		j.FirstUnrecorded++
+	for job.FirstUnrecorded < job.Record.Spec.TaskCount && job.Tasks[job.FirstUnrecorded] != nil {
+		job.FirstUnrecorded++
 	}
 	// Where a slice cannot be read, nobody knows which tasks it holds.
-	if j.TasksUnreadable || q.MayBeQuarantined(j.ID) {
-		return out[:min(len(out), most)]
+	if job.TasksUnreadable || q.MayBeQuarantined(job.ID) {
+		return out[:min(len(out), limit)]
 	}
-	for i := j.FirstUnrecorded; i < j.Record.Spec.TaskCount && len(out) < most; i++ {
-		if j.Tasks[i] != nil {
+	for i := job.FirstUnrecorded; i < job.Record.Spec.TaskCount && len(out) < limit; i++ {
+		if job.Tasks[i] != nil {
 			continue
 		}
-		taskID := jobs.TaskID(j.ID, i)
+		taskID := jobs.TaskID(job.ID, i)
 		if _, booked := q.Reservations[taskID]; !booked {
-			out = append(out, &clusterstate.Task{Task: jobs.Task{State: jobs.Pending}, ID: taskID, Index: i, Job: j})
+			out = append(out, &clusterstate.Task{Task: jobs.Task{State: jobs.Pending}, ID: taskID, Index: i, Job: job})
 		}
 	}
-	if len(out) > most {
-		out = out[:most]
+	if len(out) > limit {
+		out = out[:limit]
 	}
 	return out
 }
 
 // probe is the one task that a job in doubt may try next, if any: the one that
 // has failed most, whose pause is the longest.
-func (q *Queue) probe(j *clusterstate.Job) []*clusterstate.Task {
-	if len(j.Active) > 0 {
+func (q *Queue) probeTask(job *clusterstate.Job) []*clusterstate.Task {
+	if len(job.Active) > 0 {
 		return nil
 	}
-	var most *clusterstate.Task
-	for _, t := range j.Retrying {
-		if q.Busy(t.Stored.Key) {
+	var mostFailed *clusterstate.Task
+	for _, task := range job.Retrying {
+		if q.Busy(task.Stored.Key) {
 			return nil
 		}
-		if most == nil || t.Failures > most.Failures || t.Failures == most.Failures && t.Index < most.Index {
-			most = t
+		if mostFailed == nil || task.Failures > mostFailed.Failures || task.Failures == mostFailed.Failures && task.Index < mostFailed.Index {
+			mostFailed = task
 		}
 	}
-	if most == nil || most.NotBeforeMs > q.NowMs() {
+	if mostFailed == nil || mostFailed.NotBeforeMs > q.NowMs() {
 		return nil
 	}
-	return []*clusterstate.Task{most}
+	return []*clusterstate.Task{mostFailed}
 }
 
 // unstarted is how many more tasks of a job may start by now. Of a very large one
 // only so many are under way at once: with all of 100,000 tasks of some seconds on
 // machines, their reports took all of the controllers' processor time.
-func (q *Queue) unstarted(j *clusterstate.Job) int {
-	return max(0, min(j.Record.Spec.TaskCount-j.DoneCount, tuning.MaxActive)-len(j.Active))
+func (q *Queue) startableCount(job *clusterstate.Job) int {
+	return max(0, min(job.Record.Spec.TaskCount-job.DoneCount, tuning.MaxActive)-len(job.Active))
 }
--- a/internal/queue/place.go
+++ b/internal/queue/place.go
@@ -14,10 +14,10 @@
 // Place puts released tasks of this part on machines.
 func (q *Queue) Place() []decide.Decision {
 	var mine []*clusterstate.Task
-	for _, t := range q.Released {
-		if t.Controller == q.Name && t.Job.Record != nil && t.Job.Record.State == jobs.Live && !q.Busy(t.Stored.Key) &&
-			q.Now.Sub(t.PlacementTriedAt) >= tuning.PlaceAgain {
-			mine = append(mine, t)
+	for _, task := range q.Released {
+		if task.Controller == q.Name && task.Job.Record != nil && task.Job.Record.State == jobs.Live && !q.Busy(task.Stored.Key) &&
+			q.Now.Sub(task.PlacementTriedAt) >= tuning.PlaceAgain {
+			mine = append(mine, task)
 		}
 	}
 	sort.Slice(mine, func(a, b int) bool {
@@ -28,85 +28,85 @@
 	})
 	var out []decide.Decision
 	for len(mine) > 0 {
-		j := mine[0].Job
-		k := 1
-		for k < len(mine) && mine[k].Job == j {
-			k++
+		job := mine[0].Job
+		chosen := 1
+		for chosen < len(mine) && mine[chosen].Job == job {
+			chosen++
 		}
-		if j.Record.Spec.IsGang() {
-			out = append(out, q.placeGang(j, mine[:k])...)
+		if job.Record.Spec.IsGang() {
+			out = append(out, q.placeReleasedGang(job, mine[:chosen])...)
 		} else {
-			for _, t := range mine[:k] {
-				if d, ok := q.placeOne(t, t.Attempt+1); ok {
-					out = append(out, d)
+			for _, task := range mine[:chosen] {
+				if decision, ok := q.placeOne(task, task.Attempt+1); ok {
+					out = append(out, decision)
 				} else {
-					t.PlacementTriedAt = q.Now
+					task.PlacementTriedAt = q.Now
 				}
 			}
 		}
-		mine = mine[k:]
+		mine = mine[chosen:]
 	}
 	return out
 }
 
 // placeOne picks a machine of this part and makes the decision.
-func (q *Queue) placeOne(t *clusterstate.Task, attempt uint64) (decide.Decision, bool) {
-	spec := &t.Job.Record.Spec
-	machine := ""
-	if m := q.Machines[t.PreferredMachine]; m != nil && q.CanPlace(t, m) {
-		free := q.MachineTypes[m.MachineType].Capacity().Sub(q.UsedResources(t.PreferredMachine))
-		if !t.PreferenceReleased {
-			free = free.Add(t.Resources) // its own booking is there for it
+func (q *Queue) placeOne(task *clusterstate.Task, attempt uint64) (decide.Decision, bool) {
+	spec := &task.Job.Record.Spec
+	machineName := ""
+	if m := q.Machines[task.PreferredMachine]; m != nil && q.CanPlace(task, m) {
+		free := q.MachineTypes[m.MachineType].Capacity().Sub(q.UsedResources(task.PreferredMachine))
+		if !task.PreferenceReleased {
+			free = free.Add(task.Resources) // its own booking is there for it
 		}
 		if free.Fits(spec.Resources()) {
-			machine = t.PreferredMachine
+			machineName = task.PreferredMachine
 		}
 	}
-	if machine == "" {
-		b := q.appendCandidates(
+	if machineName == "" {
+		candidates := q.appendCandidates(
 			nil,
 			q.MachinesByName(),
-			func(m *clusterstate.Machine) bool { return m.Owner == q.Name && q.CanPlace(t, m) },
+			func(m *clusterstate.Machine) bool { return m.Owner == q.Name && q.CanPlace(task, m) },
 			spec,
 		)
-		if i := sharding.Pick(spec.Resources(), spec.Spot, b); i >= 0 {
-			machine = b[i].Machine
+		if i := sharding.Pick(spec.Resources(), spec.Spot, candidates); i >= 0 {
+			machineName = candidates[i].Machine
 		}
 	}
-	if machine == "" {
+	if machineName == "" {
 		return decide.Decision{}, false
 	}
-	d, ok := q.placing(t, machine, t.Zone, attempt)
-	d.ReadSet = append(d.ReadSet, fleet.ClaimsKey) // not on what was claimed meanwhile
-	return d, ok
+	decision, ok := q.placeDecision(task, machineName, task.Zone, attempt)
+	decision.ReadSet = append(decision.ReadSet, fleet.ClaimsKey) // not on what was claimed meanwhile
+	return decision, ok
 }
 
 // placing is the decision that puts a task on a machine. The machine's record
 // is among its conditions: a machine condemned meanwhile takes no task.
-func (q *Queue) placing(t *clusterstate.Task, machine, zone string, attempt uint64) (decide.Decision, bool) {
-	next, ok := q.placed(t, machine, zone, attempt)
+func (q *Queue) placeDecision(task *clusterstate.Task, machineName, zone string, attempt uint64) (decide.Decision, bool) {
+	next, ok := q.placedTask(task, machineName, zone, attempt)
 	if !ok {
 		return decide.Decision{}, false
 	}
-	taskID := t.ID
+	taskID := task.ID
 	return decide.Decision{
-		Changes:   decide.TransitionTask(t, next),
-		ReadSet:   []string{jobs.JobPrefix + t.Job.ID, fleet.MachinePrefix + machine},
+		Changes:   decide.TransitionTask(task, next),
+		ReadSet:   []string{jobs.JobPrefix + task.Job.ID, fleet.MachinePrefix + machineName},
 		OnSettled: func(bool) { q.Unreserve(taskID) },
 	}, true
 }
 
 // placed is a task's record on a machine; it books the place.
-func (q *Queue) placed(t *clusterstate.Task, machine, zone string, attempt uint64) (jobs.Task, bool) {
-	next, ok := jobs.NextTask(t.Task, jobs.TaskEvent{Kind: jobs.Place, Machine: machine, Zone: zone, Attempt: attempt})
+func (q *Queue) placedTask(task *clusterstate.Task, machineName, zone string, attempt uint64) (jobs.Task, bool) {
+	next, ok := jobs.NextTask(task.Task, jobs.TaskEvent{Kind: jobs.Place, Machine: machineName, Zone: zone, Attempt: attempt})
 	if !ok {
 		return next, false
 	}
 	q.Log.Debug("places",
-		"task", t.ID, "class", t.Job.Record.Spec.Class, "machine", machine, "kind", q.Machines[machine].MachineType,
-		"cheap", q.Machines[machine].Spot, "try", attempt, "cached", q.HasImage(machine, t.Job.Record.Spec.Image),
-		"since_accepted_ms", q.NowMs()-t.Job.Record.AcceptedMs)
-	q.Reserve(t, machine, q.Machines[machine].Zone)
+		"task", task.ID, "class", task.Job.Record.Spec.Class, "machine", machineName, "kind", q.Machines[machineName].MachineType,
+		"cheap", q.Machines[machineName].Spot, "try", attempt, "cached", q.HasImage(machineName, task.Job.Record.Spec.Image),
+		"since_accepted_ms", q.NowMs()-task.Job.Record.AcceptedMs)
+	q.Reserve(task, machineName, q.Machines[machineName].Zone)
 	return next, true
 }
 
@@ -119,29 +119,29 @@
 	spec *jobs.Spec,
 ) []sharding.Candidate {
 	out = out[:0]
-	var b *jobs.MachineType
-	var whole sharding.Resources
+	var machineType *jobs.MachineType
+	var capacity sharding.Resources
 	need := spec.Resources()
 	for _, m := range among {
 		if m.State != fleet.Up {
 			continue
 		}
-		if b == nil || b.Name != m.MachineType { // machines of a type mostly follow one another
-			if b = q.MachineTypes[m.MachineType]; b == nil {
+		if machineType == nil || machineType.Name != m.MachineType { // machines of a type mostly follow one another
+			if machineType = q.MachineTypes[m.MachineType]; machineType == nil {
 				continue
 			}
-			whole = b.Capacity()
+			capacity = machineType.Capacity()
 		}
 		used := m.Usage.Resources
-		if !whole.Sub(used).Fits(need) || !takes(m) {
+		if !capacity.Sub(used).Fits(need) || !takes(m) {
 			continue
 		}
 		c := sharding.Candidate{
-			Machine: m.Name, Capacity: whole, Free: whole.Sub(used), Spot: m.Spot, Zone: m.Zone, Controller: m.Owner,
-			Load: used.ShareOf(whole), HasImage: q.HasImage(m.Name, spec.Image),
+			Machine: m.Name, Capacity: capacity, Free: capacity.Sub(used), Spot: m.Spot, Zone: m.Zone, Controller: m.Owner,
+			Load: used.ShareOf(capacity), HasImage: q.HasImage(m.Name, spec.Image),
 		}
-		if !c.HasImage && b.ImageGBPerS > 0 {
-			c.ImagePullS = q.pullS(m, b, spec)
+		if !c.HasImage && machineType.ImageGBPerS > 0 {
+			c.ImagePullS = q.imagePullSeconds(m, machineType, spec)
 		}
 		out = append(out, c)
 	}
@@ -150,20 +150,20 @@
 
 // TakeBack withdraws tasks that their part did not place.
 func (q *Queue) TakeBack() {
-	var ds []decide.Decision
+	var decisions []decide.Decision
 	for _, taskID := range clusterstate.SortedKeys(q.Released) {
-		t := q.Released[taskID]
-		gone := q.HasLeftView(t.Controller)
-		if !gone && q.Now.Sub(t.Since) < tuning.ReleaseStale {
+		task := q.Released[taskID]
+		gone := q.HasLeftView(task.Controller)
+		if !gone && q.Now.Sub(task.Since) < tuning.ReleaseStale {
 			continue
 		}
-		if !gone && t.PreferredMachine != "" {
-			q.Avoid(t.PreferredMachine, q.Now.Add(tuning.AvoidAfter))
+		if !gone && task.PreferredMachine != "" {
+			q.Avoid(task.PreferredMachine, q.Now.Add(tuning.AvoidAfter))
 		}
-		next, ok := jobs.NextTask(t.Task, jobs.TaskEvent{Kind: jobs.TakeBack})
-		if ok && !q.Busy(t.Stored.Key) {
-			ds = append(ds, decide.Decision{Changes: decide.TransitionTask(t, next)})
+		next, ok := jobs.NextTask(task.Task, jobs.TaskEvent{Kind: jobs.TakeBack})
+		if ok && !q.Busy(task.Stored.Key) {
+			decisions = append(decisions, decide.Decision{Changes: decide.TransitionTask(task, next)})
 		}
 	}
-	q.Commit(ds)
+	q.Commit(decisions)
 }
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -59,18 +59,18 @@
 	// Waiting is what found no room in the last look.
 	Waiting []*Waiting
 
-	examined            map[*clusterstate.Job]bool // that the last look with changes to spend came to
-	avoid               map[string]time.Time       // machines not offered for a while
-	noRoom              map[string]time.Time       // jobs, since when they have found no room
-	preempted           map[string]making          // tasks that room is made for
-	holds               map[string]heldCapacity    // machines kept, by job
-	claimValues         map[int]fleet.Claims       // what the state service holds, by number
-	claims              map[string]*claim          // of gangs that are being placed
-	gatherings          map[string]*gathering
+	examined            map[*clusterstate.Job]bool   // that the last look with changes to spend came to
+	avoidUntil          map[string]time.Time         // machines not offered for a while
+	noCapacitySince     map[string]time.Time         // jobs, since when they have found no room
+	preemptions         map[string]pendingPreemption // tasks that room is made for
+	holds               map[string]heldCapacity      // machines kept, by job
+	claimValues         map[int]fleet.Claims         // what the state service holds, by number
+	claims              map[string]*claim            // of gangs that are being placed
+	accumulations       map[string]*capacityAccumulation
 	starving            map[string]starvation // jobs that others are served before, though there is room
 	starvationCheckedAt time.Time             // those passed over for a shorter time begin with one that was for long
 	loans               *lending.Ledger       // nil if nothing is lent
-	kept                []string              // bookings for windows that are about to open
+	windowReservations  []string              // bookings for windows that are about to open
 }
 
 // New makes an empty queue over a book.
@@ -83,10 +83,10 @@
 
 // Reset forgets what only a leader keeps: a new one starts from the records.
 func (q *Queue) Reset() {
-	q.letGo()
+	q.releaseWindowReservations()
 	q.Waiting, q.examined = nil, nil
-	q.avoid, q.noRoom, q.preempted, q.holds, q.claims = map[string]time.Time{}, map[string]time.Time{}, map[string]making{}, map[string]heldCapacity{}, map[string]*claim{}
-	q.gatherings = map[string]*gathering{}
+	q.avoidUntil, q.noCapacitySince, q.preemptions, q.holds, q.claims = map[string]time.Time{}, map[string]time.Time{}, map[string]pendingPreemption{}, map[string]heldCapacity{}, map[string]*claim{}
+	q.accumulations = map[string]*capacityAccumulation{}
 	q.starving = map[string]starvation{}
 }
 
@@ -112,7 +112,7 @@
 	WindowOpensSoon bool           // its window is yet to open
 }
 
-func (w *Waiting) within() bool { return w.Entitled >= 0 }
+func (waiting *Waiting) isEntitled() bool { return waiting.Entitled >= 0 }
 
 // Avoid keeps tasks off a machine until then.
-func (q *Queue) Avoid(machine string, until time.Time) { q.avoid[machine] = until }
+func (q *Queue) Avoid(machineName string, until time.Time) { q.avoidUntil[machineName] = until }
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -54,15 +54,15 @@
 		Allows:         func(spent, writes int) bool { return spent+writes <= d.budget },
 		HasSpareWrites: func() bool { return true },
 		Ready:          func(m *clusterstate.Machine) bool { return m.State == fleet.Up },
-		CanPlace:       func(t *clusterstate.Task, m *clusterstate.Machine) bool { return clusterstate.FitsTask(t, m) },
+		CanPlace:       func(task *clusterstate.Task, m *clusterstate.Machine) bool { return clusterstate.FitsTask(task, m) },
 		Commit:         d.commit,
 	})
 	return d
 }
 
-func (d *desk) commit(ds []decide.Decision) {
-	d.taken = append(d.taken, ds...)
-	mine := func(machine string) bool { return d.Machines[machine].Owner == "n0" }
+func (d *desk) commit(decisions []decide.Decision) {
+	d.taken = append(d.taken, decisions...)
+	mine := func(machineName string) bool { return d.Machines[machineName].Owner == "n0" }
 	form := decide.TxnContext{
 		Limits: store.Limits{
 			Ops:           16,
@@ -81,7 +81,7 @@
 		RecordBytes: func(string) int { return 0 },
 		Quarantine:  func(x *decide.Decision, why string) { d.t.Error(x, why) },
 	}
-	for _, b := range p.Build(ds) {
+	for _, b := range p.Build(decisions) {
 		for _, w := range b.Txn.Writes {
 			if strings.HasPrefix(decide.WriteKey(w), taskbatch.KeyPrefix) {
 				if _, err := d.ApplyBatch(decide.WriteKey(w), w.Value, uint64(d.keys)); err != nil {
@@ -120,14 +120,14 @@
 	}
 }
 
-func (d *desk) job(jobID, owner, priority string, pieces int, change func(*jobs.Spec)) {
+func (d *desk) job(jobID, owner, priority string, taskCount int, change func(*jobs.Spec)) {
 	spec := jobs.Spec{
 		ID:           jobID,
 		Class:        "c",
 		Team:         owner,
 		Kind:         jobs.JobArray,
 		Priority:     priority,
-		TaskCount:    pieces,
+		TaskCount:    taskCount,
 		Cores:        2,
 		Accelerators: 1,
 		MemoryGB:     8,
@@ -147,8 +147,8 @@
 // where lists on which machines a job's tasks are, or are to be.
 func (d *desk) where(jobID string) string {
 	var out []string
-	for _, t := range d.Jobs[jobID].Tasks {
-		out = append(out, t.Machine+t.PreferredMachine)
+	for _, task := range d.Jobs[jobID].Tasks {
+		out = append(out, task.Machine+task.PreferredMachine)
 	}
 	slices.Sort(out)
 	return strings.Join(out, " ")
@@ -276,8 +276,8 @@
 	d.job("wk-3", "b", "urgent", 1, nil)
 	d.Release()
 	stopping := func() (out []string) {
-		for jobID, j := range d.Jobs {
-			for _, x := range j.Tasks {
+		for jobID, job := range d.Jobs {
+			for _, x := range job.Tasks {
 				if x.State == jobs.Stopping {
 					out = append(out, jobID)
 				}
@@ -313,8 +313,8 @@
 // after GangOverdue in any case; smaller ones never are.
 func TestGangsOverdueByTheirAims(t *testing.T) {
 	d := newDesk(t, map[string]quota.Team{"b": {Name: "b"}})
-	gang := func(class string, pieces int) func(*jobs.Spec) {
-		return func(s *jobs.Spec) { s.Kind, s.Class, s.TaskCount = jobs.Gang, class, pieces }
+	gang := func(class string, taskCount int) func(*jobs.Spec) {
+		return func(s *jobs.Spec) { s.Kind, s.Class, s.TaskCount = jobs.Gang, class, taskCount }
 	}
 	for _, o := range []settings.Objective{{Kind: "wait", Class: "soon", WithinS: 90}, {Kind: "wait", Class: "soon", WithinS: 50}, {Kind: "wait", Class: "late", WithinS: 150}, {Kind: "wait", Class: "at-once", WithinS: 10}} {
 		d.Objectives = append(d.Objectives, o)
@@ -368,7 +368,7 @@
 			held := 0
 			for i, gang := range c.gangs {
 				jobID := fmt.Sprintf("wk-%06d", i)
-				d.claim(jobID, gang, func(ok bool) {
+				d.claimMachines(jobID, gang, func(ok bool) {
 					if !ok {
 						return
 					}
@@ -409,7 +409,7 @@
 	for i := range 2000 {
 		gang = append(gang, fmt.Sprintf("i-%06d", i))
 	}
-	d.claim("wk-000001", gang, func(bool) {})
+	d.claimMachines("wk-000001", gang, func(bool) {})
 	former, err := fleet.DecodeClaims(d.taken[0].Writes[0].Value)
 	if err != nil || len(former) != 2 || len(former["wk-000001"]) < 500 ||
 		!slices.Equal(former["more"], []string{"2", "3"}) {
--- a/internal/queue/rounds.go
+++ b/internal/queue/rounds.go
@@ -13,48 +13,48 @@
 // for what comes free of it.
 
 // rounds are the turns kept in one pass.
-type rounds struct {
-	long     []round             // kept for longer than TurnFor
-	starving []*clusterstate.Job // did not fit their team's limit
-	second   bool                // the passed ones are looked at once more
+type schedulingRounds struct {
+	expired   []round             // kept for longer than TurnFor
+	overLimit []*clusterstate.Job // did not fit their team's limit
+	second    bool                // the passed ones are looked at once more
 }
 
 // round is a job's, of so many tasks.
 type round struct {
-	job   *clusterstate.Job
-	tasks int
+	job       *clusterstate.Job
+	taskCount int
 }
 
 // lacksRoom notes that a job finds no room, and tells whether it has found none for long.
-func (q *Queue) lacksRoom(j *clusterstate.Job) bool {
-	since, known := q.noRoom[j.ID]
+func (q *Queue) lacksCapacity(job *clusterstate.Job) bool {
+	since, known := q.noCapacitySince[job.ID]
 	if !known {
 		since = q.Now
-		q.noRoom[j.ID] = since
+		q.noCapacitySince[job.ID] = since
 	}
 	return q.Now.Sub(since) > tuning.RoundFor
 }
 
 // runRounds looks once more at what did not fit its team's limit beside the turns that
 // were kept for long. What finds no room now either keeps nothing and asks for no machine.
-func (q *Queue) runRounds(p *cycle, most int) {
-	t := &p.rounds
-	if len(t.long) == 0 || len(t.starving) == 0 {
+func (q *Queue) runRounds(cycle *schedulingCycle, limit int) {
+	t := &cycle.rounds
+	if len(t.expired) == 0 || len(t.overLimit) == 0 {
 		return
 	}
 	charge := func(sign int) {
-		for _, l := range t.long {
-			p.account.Charge(l.job.Record.Spec.QuotaKey(), l.job.Record.Spec.Amount(), sign*l.tasks)
+		for _, l := range t.expired {
+			cycle.account.Charge(l.job.Record.Spec.QuotaKey(), l.job.Record.Spec.Amount(), sign*l.taskCount)
 		}
 	}
 	charge(-1)
-	clear(p.full)
+	clear(cycle.leavesAtLimit)
 	t.second = true
-	for _, j := range t.starving {
-		if most <= 0 || !q.Allows(p.writes(), 1) {
+	for _, job := range t.overLimit {
+		if limit <= 0 || !q.Allows(cycle.writeCount(), 1) {
 			break
 		}
-		most -= q.examine(j, p, most)
+		limit -= q.examine(job, cycle, limit)
 	}
 	charge(1)
 }
