--- a/internal/queue/accumulation.go
+++ b/internal/queue/accumulation.go
@@ -34,13 +34,13 @@
 	spec := &task.Job.Record.Spec
 	accumulation := q.accumulations[task.Job.ID]
 	candidates := cycle.candidates(q, task.WithoutPreference())
-	zones := q.TasksByZone(task.Job)
-	if accumulation == nil || q.Now.Sub(accumulation.progressAt) > tuning.GatherElsewhere {
-		last := ""
+	zones := q.state.TasksByZone(task.Job)
+	if accumulation == nil || q.state.Now.Sub(accumulation.progressAt) > tuning.GatherElsewhere {
+		previousZone := ""
 		if accumulation != nil {
-			last = accumulation.zone
+			previousZone = accumulation.zone
 		}
-		accumulation = &capacityAccumulation{zone: q.accumulationZone(spec, candidates, zones, last), progressAt: q.Now}
+		accumulation = &capacityAccumulation{zone: q.accumulationZone(spec, candidates, zones, previousZone), progressAt: q.state.Now}
 		q.accumulations[task.Job.ID] = accumulation
 	}
 	inZone := func(zone string) bool {
@@ -55,19 +55,19 @@
 	})
 	for i := range candidates {
 		candidate := &candidates[i]
-		chosen := min(left, candidate.Free.HowMany(spec.Resources()))
-		if chosen <= 0 || !inZone(candidate.Zone) || !cycle.allowAccumulation(q, candidate.Capacity, spec.Resources(), chosen) {
+		places := min(left, candidate.Free.HowMany(spec.Resources()))
+		if places <= 0 || !inZone(candidate.Zone) || !cycle.allowAccumulation(q, candidate.Capacity, spec.Resources(), places) {
 			continue
 		}
-		for range chosen {
+		for range places {
 			cycle.hold(q, candidate.Machine, spec.Resources())
 		}
-		accumulation.freePlaces[candidate.Machine] = chosen
-		left -= chosen
+		accumulation.freePlaces[candidate.Machine] = places
+		left -= places
 	}
 	kept := spec.TaskCount - left
 	if kept > accumulation.maxKept {
-		accumulation.maxKept, accumulation.progressAt = kept, q.Now
+		accumulation.maxKept, accumulation.progressAt = kept, q.state.Now
 	}
 	if left > 0 && q.Overdue(task.Job) {
 		q.accumulateBusy(accumulation, task, left, inZone, cycle)
@@ -76,9 +76,9 @@
 }
 
 // reserve counts room kept for large gangs; false if it is too much.
-func (c *schedulingCycle) allowAccumulation(q *Queue, capacity, need sharding.Resources, chosen int) bool {
-	share := need.ShareOf(capacity) * float64(chosen)
-	if c.accumulatedShare+share > tuning.HoldShare*float64(len(q.Machines)) {
+func (c *schedulingCycle) allowAccumulation(q *Queue, capacity, need sharding.Resources, places int) bool {
+	share := need.ShareOf(capacity) * float64(places)
+	if c.accumulatedShare+share > tuning.HoldShare*float64(len(q.state.Machines)) {
 		return false
 	}
 	c.accumulatedShare += share
@@ -87,34 +87,34 @@
 
 // gatherZone is the zone where a gang gathers: the one that has most room for it now,
 // of the others if it did not come together in the last one. "" if it may spread.
-func (q *Queue) accumulationZone(spec *jobs.Spec, candidates []sharding.Candidate, zones map[string]int, last string) string {
+func (q *Queue) accumulationZone(spec *jobs.Spec, candidates []sharding.Candidate, zones map[string]int, previousZone string) string {
 	if !spec.SameZone {
 		return ""
 	}
 	if spec.Zone != "" {
 		return spec.Zone
 	}
-	free := map[string]int{}
-	for _, machineType := range q.MachineTypes {
+	freeByZone := map[string]int{}
+	for _, machineType := range q.state.MachineTypes {
 		for _, zone := range machineType.Zones {
 			if clusterstate.ZoneAllowed(spec, zones, zone) && spec.AllowsMachineType(machineType.Name) {
-				free[zone] = 0
+				freeByZone[zone] = 0
 			}
 		}
 	}
 	for i := range candidates {
 		if clusterstate.ZoneAllowed(spec, zones, candidates[i].Zone) {
-			free[candidates[i].Zone] += candidates[i].Free.HowMany(spec.Resources())
+			freeByZone[candidates[i].Zone] += candidates[i].Free.HowMany(spec.Resources())
 		}
 	}
 	best := ""
-	for _, zone := range clusterstate.SortedKeys(free) {
-		if zone != last && (best == "" || free[zone] > free[best]) {
+	for _, zone := range clusterstate.SortedKeys(freeByZone) {
+		if zone != previousZone && (best == "" || freeByZone[zone] > freeByZone[best]) {
 			best = zone
 		}
 	}
 	if best == "" {
-		return last
+		return previousZone
 	}
 	return best
 }
@@ -124,8 +124,8 @@
 // each place as it comes free, for as long as there is any.
 func (q *Queue) accumulateBusy(accumulation *capacityAccumulation, task *clusterstate.Task, left int, inZone func(string) bool, cycle *schedulingCycle) {
 	spec := &task.Job.Record.Spec
-	if q.Now.Sub(accumulation.busyChosenAt) > tuning.GatherAgain {
-		accumulation.busyChosenAt, accumulation.busyMachines = q.Now, nil
+	if q.state.Now.Sub(accumulation.busyChosenAt) > tuning.GatherAgain {
+		accumulation.busyChosenAt, accumulation.busyMachines = q.state.Now, nil
 		type soon struct {
 			host   string
 			at     int64
@@ -133,7 +133,7 @@
 		}
 		var found []soon
 		for _, m := range cycle.openMachines(q) {
-			capacity := q.MachineTypes[m.MachineType].Capacity()
+			capacity := q.state.MachineTypes[m.MachineType].Capacity()
 			if cycle.heldMachines[m.Name] || accumulation.freePlaces[m.Name] > 0 || !inZone(m.Zone) || !clusterstate.FitsTask(task.WithoutPreference(), m) ||
 				!capacity.Fits(spec.Resources()) {
 				continue
@@ -152,17 +152,17 @@
 		}
 	}
 	for _, machineName := range accumulation.busyMachines {
-		m := q.Machines[machineName]
-		if m == nil || q.MachineTypes[m.MachineType] == nil || cycle.heldMachines[machineName] {
+		m := q.state.Machines[machineName]
+		if m == nil || q.state.MachineTypes[m.MachineType] == nil || cycle.heldMachines[machineName] {
 			continue
 		}
-		capacity := q.MachineTypes[m.MachineType].Capacity()
-		chosen := capacity.HowMany(spec.Resources())
-		if chosen == 0 || !cycle.allowAccumulation(q, capacity, spec.Resources(), chosen) {
+		capacity := q.state.MachineTypes[m.MachineType].Capacity()
+		places := capacity.HowMany(spec.Resources())
+		if places == 0 || !cycle.allowAccumulation(q, capacity, spec.Resources(), places) {
 			continue
 		}
 		cycle.heldMachines[machineName] = true
-		for range chosen {
+		for range places {
 			cycle.hold(q, machineName, spec.Resources())
 		}
 	}
@@ -171,20 +171,20 @@
 // freeAt is when a machine is expected to have room for need, by its tasks' own
 // estimates; false if only replicas, which never end, stand in the way.
 func (q *Queue) expectedFreeMs(m *clusterstate.Machine, need sharding.Resources) (int64, bool) {
-	free := q.MachineTypes[m.MachineType].Capacity().Sub(m.Usage.Resources)
+	free := q.state.MachineTypes[m.MachineType].Capacity().Sub(m.Usage.Resources)
 	type end struct {
 		at   int64
 		need sharding.Resources
 	}
 	var ends []end
-	for _, task := range q.TasksOnMachine[m.Name] {
+	for _, task := range q.state.TasksOnMachine[m.Name] {
 		if task.Job.Record == nil || task.Job.Record.Spec.Kind == jobs.Service {
 			continue
 		}
 		ends = append(ends, end{task.Since.UnixMilli() + int64(task.Job.Record.Spec.ExpectedDurationS*1000), task.Resources})
 	}
 	slices.SortFunc(ends, func(a, b end) int { return int(min(max(a.at-b.at, -1), 1)) })
-	at := q.NowMs()
+	at := q.state.NowMs()
 	for _, e := range ends {
 		if free.Fits(need) {
 			break
@@ -199,12 +199,12 @@
 func (q *Queue) Gathered() map[string]sharding.Resources {
 	out := map[string]sharding.Resources{}
 	for jobID, accumulation := range q.accumulations {
-		job := q.Queued[jobID]
+		job := q.state.Queued[jobID]
 		if job == nil {
 			continue
 		}
-		for machineName, chosen := range accumulation.freePlaces {
-			for range chosen {
+		for machineName, places := range accumulation.freePlaces {
+			for range places {
 				out[machineName] = out[machineName].Add(job.Record.Spec.Resources())
 			}
 		}
@@ -215,7 +215,7 @@
 // dropGathered forgets what was gathered for gangs that wait no more.
 func (q *Queue) dropAccumulations() {
 	for jobID := range q.accumulations {
-		if q.Queued[jobID] == nil {
+		if q.state.Queued[jobID] == nil {
 			delete(q.accumulations, jobID)
 		}
 	}
--- a/internal/queue/calendar.go
+++ b/internal/queue/calendar.go
@@ -8,10 +8,10 @@
 
 // gate tells whether a job's work may begin by the calendar.
 func (q *Queue) gate(spec *jobs.Spec) calendar.Verdict {
-	if q.Gate == nil {
+	if q.env.Gate == nil {
 		return calendar.Free
 	}
-	return q.Gate(spec)
+	return q.env.Gate(spec)
 }
 
 // MayBegin tells whether a job's work may begin now by the calendar.
@@ -24,7 +24,7 @@
 // queue keeps it anew.
 func (q *Queue) releaseWindowReservations() {
 	for _, taskID := range q.windowReservations {
-		q.Unreserve(taskID)
+		q.state.Unreserve(taskID)
 	}
 	q.windowReservations = nil
 }
@@ -34,7 +34,7 @@
 // It returns how many tasks it looked at.
 func (q *Queue) reserveForWindow(job *clusterstate.Job, cycle *schedulingCycle, limit int) int {
 	spec := &job.Record.Spec
-	leaf := q.QuotaLeaf(spec)
+	leaf := q.state.QuotaLeaf(spec)
 	waits := func(task *clusterstate.Task, entitled, count int) {
 		if count > 0 {
 			cycle.account.Charge(spec.QuotaKey(), spec.Amount(), count)
@@ -65,7 +65,7 @@
 	if len(tasks) == 0 {
 		return 1
 	}
-	zones := q.TasksByZone(job)
+	zones := q.state.TasksByZone(job)
 	candidates := cycle.candidates(q, &clusterstate.Task{Job: job})
 	for i, task := range tasks {
 		if !cycle.account.Allows(leaf, spec.Amount(), 1) {
@@ -89,6 +89,6 @@
 // is under no transaction.
 func (q *Queue) reserveUntilNextCycle(task *clusterstate.Task, machineName string) {
 	reservation := &clusterstate.Task{Task: task.Task, ID: calendar.Kept + task.ID, Index: task.Index, Job: task.Job}
-	q.Reserve(reservation, machineName, q.Machines[machineName].Zone)
+	q.state.Reserve(reservation, machineName, q.state.Machines[machineName].Zone)
 	q.windowReservations = append(q.windowReservations, reservation.ID)
 }
--- a/internal/queue/candidates.go
+++ b/internal/queue/candidates.go
@@ -23,7 +23,7 @@
 // leader names their machines in the change that releases them: every slice and
 // every step of it by itself is a change.
 func (q *Queue) Scarce() bool {
-	return float64(len(q.Machines)) > q.WriteRPS
+	return float64(len(q.state.Machines)) > q.env.WriteRPS
 }
 
 // gatherParts keeps, while changes are scarce, the candidates of as few parts
@@ -89,7 +89,7 @@
 
 // openFor tells whether the leader may have room on a machine in mind at all.
 func (q *Queue) mayPropose(m *clusterstate.Machine) bool {
-	return q.ClaimedFor(m) == "" && !q.claimPending(m.Name) && !q.Now.Before(q.avoidUntil[m.Name]) && q.Ready(m)
+	return q.ClaimedFor(m) == "" && !q.claimPending(m.Name) && !q.state.Now.Before(q.avoidUntil[m.Name]) && q.env.Ready(m)
 }
 
 // offers tells whether the leader may have room on a machine in mind.
@@ -101,7 +101,7 @@
 func (q *Queue) FindMachine(task *clusterstate.Task, zones map[string]int) string {
 	candidates := q.appendCandidates(
 		nil,
-		q.MachinesByName(),
+		q.state.MachinesByName(),
 		func(m *clusterstate.Machine) bool { return q.canPropose(task, m) },
 		&task.Job.Record.Spec,
 	)
@@ -122,10 +122,10 @@
 	spec := &task.Job.Record.Spec
 	held := q.holds[task.Job.ID]
 	zones = maps.Clone(zones)
-	if q.Now.Sub(held.chosenAt) > tuning.HoldAgain {
-		held = heldCapacity{chosenAt: q.Now}
+	if q.state.Now.Sub(held.chosenAt) > tuning.HoldAgain {
+		held = heldCapacity{chosenAt: q.state.Now}
 		for range count {
-			if float64(len(cycle.heldMachines)+1) > tuning.HoldShare*float64(len(q.Machines)) || cycle.newlyHeldCount >= tuning.MaxHeldMachines {
+			if float64(len(cycle.heldMachines)+1) > tuning.HoldShare*float64(len(q.state.Machines)) || cycle.newlyHeldCount >= tuning.MaxHeldMachines {
 				break
 			}
 			cycle.newlyHeldCount++
@@ -140,7 +140,7 @@
 		q.holds[task.Job.ID] = held
 	}
 	for _, machineName := range held.machines {
-		if q.Machines[machineName] != nil {
+		if q.state.Machines[machineName] != nil {
 			cycle.heldMachines[machineName] = true
 			cycle.hold(q, machineName, spec.Resources())
 		}
@@ -156,7 +156,7 @@
 		if cycle.heldMachines[m.Name] || !clusterstate.FitsTask(task, m) || !clusterstate.ZoneAllowed(spec, zones, m.Zone) {
 			continue
 		}
-		capacity := q.MachineTypes[m.MachineType].Capacity()
+		capacity := q.state.MachineTypes[m.MachineType].Capacity()
 		if !capacity.Fits(spec.Resources()) {
 			continue
 		}
--- a/internal/queue/claims.go
+++ b/internal/queue/claims.go
@@ -47,10 +47,10 @@
 	for jobID, c := range q.claims {
 		want[jobID] = c.machines
 	}
-	if q.Busy(fleet.ClaimsKey) {
+	if q.env.Busy(fleet.ClaimsKey) {
 		return
 	}
-	if maps.EqualFunc(want, q.MachineClaims, slices.Equal[[]string]) {
+	if maps.EqualFunc(want, q.state.MachineClaims, slices.Equal[[]string]) {
 		q.settleClaims(true, func(c *claim) bool { return !c.held }) // an earlier leader's stand
 		return
 	}
@@ -63,7 +63,7 @@
 	for _, c := range q.claims {
 		c.writePending = true
 	}
-	q.Commit([]decide.Decision{{Writes: writes, Urgent: true, OnSettled: func(ok bool) {
+	q.env.Commit([]decide.Decision{{Writes: writes, Urgent: true, OnSettled: func(ok bool) {
 		q.settleClaims(ok, func(c *claim) bool { return !c.held && c.writePending })
 	}}})
 }
@@ -72,25 +72,25 @@
 // transaction cannot make them.
 func (q *Queue) claimWrites(want fleet.Claims) []store.Write {
 	var writes []store.Write
-	values := want.Divide(q.ValueBytes)
+	values := want.Divide(q.env.ValueBytes)
 	bytes := 0
 	for i, value := range values {
 		w := decide.Put(fleet.ClaimsKeyOf(i+1), value)
 		if len(want) == 0 {
 			w = decide.Remove(fleet.ClaimsKey)
 		}
-		if bytes += len(w.Value); len(w.Value) > q.ValueBytes {
+		if bytes += len(w.Value); len(w.Value) > q.env.ValueBytes {
 			return nil
 		}
 		writes = append(writes, w)
 	}
-	if len(writes) > q.TxnOps || len(writes) > 1 && bytes > tuning.MaxClaimBytes {
+	if len(writes) > q.env.TxnOps || len(writes) > 1 && bytes > tuning.MaxClaimBytes {
 		return nil
 	}
 	// What is needed no more goes with it, as far as there is room: by itself it counts for
 	// nothing.
 	for _, number := range slices.Sorted(maps.Keys(q.claimValues)) {
-		if number > len(values) && len(writes) < q.TxnOps {
+		if number > len(values) && len(writes) < q.env.TxnOps {
 			writes = append(writes, decide.Remove(fleet.ClaimsKeyOf(number)))
 		}
 	}
@@ -106,8 +106,8 @@
 	} else {
 		q.claimValues[fleet.ClaimsNumber(key)] = claims
 	}
-	q.MachineClaims = fleet.JoinClaims(q.claimValues)
-	q.ClaimedBy = q.MachineClaims.ByMachine()
+	q.state.MachineClaims = fleet.JoinClaims(q.claimValues)
+	q.state.ClaimedBy = q.state.MachineClaims.ByMachine()
 	return err
 }
 
@@ -133,18 +133,18 @@
 	if m.Claim != "" {
 		return m.Claim
 	}
-	return q.ClaimedBy[m.Name]
+	return q.state.ClaimedBy[m.Name]
 }
 
 // DropClaims clears claims that a leader of an earlier version left in machines' records.
 func (q *Queue) DropClaims() {
 	var decisions []decide.Decision
-	for _, m := range q.MachinesByName() {
+	for _, m := range q.state.MachinesByName() {
 		if m.Claim != "" {
 			record := m.MachineRecord
 			record.Claim = ""
 			decisions = append(decisions, decide.Decision{Writes: []store.Write{decide.Put(fleet.MachinePrefix+m.Name, record)}})
 		}
 	}
-	q.Commit(decisions)
+	q.env.Commit(decisions)
 }
--- a/internal/queue/cycle.go
+++ b/internal/queue/cycle.go
@@ -66,7 +66,7 @@
 // than one at its room.
 func (c *schedulingCycle) openMachines(q *Queue) []*clusterstate.Machine {
 	if c.openMachineCache == nil {
-		for _, m := range q.MachinesByName() {
+		for _, m := range q.state.MachinesByName() {
 			if m.State == fleet.Up && q.mayPropose(m) {
 				c.openMachineCache = append(c.openMachineCache, m)
 			}
@@ -87,7 +87,7 @@
 
 func (q *Queue) newCycle() *schedulingCycle {
 	cycle := &schedulingCycle{
-		account:       q.Account.Clone(),
+		account:       q.state.Account.Clone(),
 		heldMachines:  map[string]bool{},
 		leavesAtLimit: map[int]bool{},
 		unplaceable:   map[string][]unplaceableNeed{},
@@ -96,7 +96,7 @@
 	// A gang whose machines are being claimed has its share already: given away once more,
 	// it is either lacking for the gang or beyond its team's limit.
 	for jobID := range q.claims {
-		if job := q.Jobs[jobID]; job != nil && job.Record != nil {
+		if job := q.state.Jobs[jobID]; job != nil && job.Record != nil {
 			cycle.account.Charge(job.Record.Spec.QuotaKey(), job.Record.Spec.Amount(), q.unchargedTasks(job))
 		}
 	}
@@ -106,7 +106,7 @@
 // uncharged is how many tasks of a job are neither released nor being so.
 func (q *Queue) unchargedTasks(job *clusterstate.Job) int {
 	n := job.Record.Spec.TaskCount - len(job.Active)
-	for _, r := range q.Reservations {
+	for _, r := range q.state.Reservations {
 		if r.Task.Job == job && r.QuotaKey.Team != "" && job.Active[r.Task.Index] == nil {
 			n--
 		}
@@ -116,14 +116,14 @@
 
 // keep takes room on a machine until the pass ends.
 func (c *schedulingCycle) hold(q *Queue, machineName string, need sharding.Resources) {
-	q.AllocateResources(machineName, need)
+	q.state.AllocateResources(machineName, need)
 	c.heldOn, c.heldResources = append(c.heldOn, machineName), append(c.heldResources, need)
 }
 
 // lift gives back what the pass has kept so far, and forgets what found no room beside it.
 func (c *schedulingCycle) releaseHolds(q *Queue) {
 	for i, machineName := range c.heldOn {
-		q.FreeResources(machineName, c.heldResources[i])
+		q.state.FreeResources(machineName, c.heldResources[i])
 	}
 	c.heldOn, c.heldResources, c.openMachineCache = nil, nil, nil
 	clear(c.unplaceable)
@@ -179,17 +179,17 @@
 	cycle := q.newCycle()
 	q.reconcileLoans(cycle)
 	stillWaiting := q.StillWaiting()
-	maps.DeleteFunc(q.noCapacitySince, func(jobID string, _ time.Time) bool { return q.Queued[jobID] == nil })
+	maps.DeleteFunc(q.noCapacitySince, func(jobID string, _ time.Time) bool { return q.state.Queued[jobID] == nil })
 	q.Waiting = nil
 	q.dropAccumulations()
-	budget, limit := q.Allows(0, 1), tuning.MaxReleases
+	budget, limit := q.env.Allows(0, 1), tuning.MaxReleases
 	if !budget {
 		limit = tuning.MaxExaminedJobs
 	}
 	examined := map[*clusterstate.Job]bool{}
 	examinedCount := 0
 	for _, job := range q.order(cycle.account) {
-		if examinedCount >= limit || budget && !q.Allows(cycle.writeCount(), 1) {
+		if examinedCount >= limit || budget && !q.env.Allows(cycle.writeCount(), 1) {
 			break
 		}
 		examined[job] = true
@@ -211,13 +211,13 @@
 	}
 	q.serveStarving(cycle, examined)
 	cycle.end(q)
-	q.Commit(cycle.decisions)
+	q.env.Commit(cycle.decisions)
 }
 
 // examine looks for room for a job, and returns how many tasks it looked at.
 func (q *Queue) examine(job *clusterstate.Job, cycle *schedulingCycle, limit int) int {
 	spec := &job.Record.Spec
-	if cycle.leavesAtLimit[q.QuotaLeaf(spec)] {
+	if cycle.leavesAtLimit[q.state.QuotaLeaf(spec)] {
 		cycle.rounds.overLimit = append(cycle.rounds.overLimit, job)
 		return 0
 	}
@@ -245,7 +245,7 @@
 func (q *Queue) StillWaiting() []*Waiting {
 	return slices.DeleteFunc(
 		slices.Clone(q.Waiting),
-		func(waiting *Waiting) bool { return q.Queued[waiting.Task.Job.ID] != waiting.Task.Job },
+		func(waiting *Waiting) bool { return q.state.Queued[waiting.Task.Job.ID] != waiting.Task.Job },
 	)
 }
 
@@ -253,7 +253,7 @@
 // and returns how many tasks it looked at.
 func (q *Queue) releaseTasks(job *clusterstate.Job, cycle *schedulingCycle, limit int) int {
 	spec := &job.Record.Spec
-	leaf := q.QuotaLeaf(spec)
+	leaf := q.state.QuotaLeaf(spec)
 	var candidates []sharding.Candidate
 	freePlaces := 0
 	if !cycle.knownUnplaceable(spec, 1) {
@@ -262,12 +262,12 @@
 		if len(candidates) == 0 {
 			cycle.noteUnplaceable(spec, 1)
 		}
-		enough := spec.TaskCount - job.DoneCount - len(job.Active)
-		for i := 0; i < len(candidates) && freePlaces <= enough; i++ {
+		wanted := spec.TaskCount - job.DoneCount - len(job.Active)
+		for i := 0; i < len(candidates) && freePlaces <= wanted; i++ {
 			freePlaces += candidates[i].Free.HowMany(spec.Resources())
 		}
 	}
-	probing := q.Trust(job, "") == jobs.Probing
+	probing := q.state.Trust(job, "") == jobs.Probing
 	if q.Overdue(job) {
 		limit = min(limit, 1+spec.TaskCount/tuning.BeginShare) // others behind it are overdue, too
 	}
@@ -344,7 +344,7 @@
 		return
 	}
 	expired := q.lacksCapacity(job)
-	count := cycle.account.More(q.QuotaLeaf(spec), spec.Amount(), q.startableCount(job))
+	count := cycle.account.More(q.state.QuotaLeaf(spec), spec.Amount(), q.startableCount(job))
 	if count == 0 {
 		return
 	}
@@ -367,16 +367,16 @@
 
 // gathers tells whether the few tasks of a sweep that there is room for should
 // wait a moment for more of them, to share a slice. Their room is kept.
-func (q *Queue) awaitsMoreCapacity(job *clusterstate.Job, placementCount, room int) bool {
-	if !q.Scarce() || q.HasSpareWrites() || q.UsesBatches() || job.Record.Spec.Kind != jobs.JobArray || placementCount == 0 ||
-		placementCount >= min(tuning.GatherTasks, job.Record.Spec.TaskCount-job.DoneCount-len(job.Active)) || placementCount < room {
+func (q *Queue) awaitsMoreCapacity(job *clusterstate.Job, placementCount, freePlaces int) bool {
+	if !q.Scarce() || q.env.HasSpareWrites() || q.env.UsesBatches() || job.Record.Spec.Kind != jobs.JobArray || placementCount == 0 ||
+		placementCount >= min(tuning.GatherTasks, job.Record.Spec.TaskCount-job.DoneCount-len(job.Active)) || placementCount < freePlaces {
 		job.GatheringSince = time.Time{}
 		return false
 	}
 	if job.GatheringSince.IsZero() {
-		job.GatheringSince = q.Now
+		job.GatheringSince = q.state.Now
 	}
-	if q.Now.Sub(job.GatheringSince) < tuning.GatherFor {
+	if q.state.Now.Sub(job.GatheringSince) < tuning.GatherFor {
 		return true
 	}
 	job.GatheringSince = time.Time{}
@@ -389,9 +389,9 @@
 // part gets consecutive ones.
 func (q *Queue) releaseDecisions(job *clusterstate.Job, placements []placement) []decide.Decision {
 	var decisions []decide.Decision
-	byPart := map[string][]string{}
+	machinesByController := map[string][]string{}
 	var newTasks []*clusterstate.Task
-	usesBatches := q.UsesBatches()
+	usesBatches := q.env.UsesBatches()
 	for _, o := range placements {
 		if spec := &job.Record.Spec; usesBatches && spec.Kind == jobs.JobArray && (o.task.Stored == nil || o.task.Stored.IsBatch()) {
 			if decision, ok := q.batchDecision(o); ok {
@@ -406,16 +406,16 @@
 			continue
 		}
 		newTasks = append(newTasks, o.task)
-		controller := q.Machines[o.machine].Owner
-		byPart[controller] = append(byPart[controller], o.machine)
+		controller := q.state.Machines[o.machine].Owner
+		machinesByController[controller] = append(machinesByController[controller], o.machine)
 	}
 	slices.SortFunc(newTasks, func(a, b *clusterstate.Task) int { return a.Index - b.Index })
-	for _, controller := range clusterstate.SortedKeys(byPart) {
-		machines := byPart[controller]
+	for _, controller := range clusterstate.SortedKeys(machinesByController) {
+		machines := machinesByController[controller]
 		for len(machines) > 0 {
-			chosen := q.consecutiveCount(newTasks, len(machines))
-			decisions = append(decisions, q.beginTaskRange(job, newTasks[:chosen], machines[:chosen], q.placesDirectly, 1))
-			newTasks, machines = newTasks[chosen:], machines[chosen:]
+			count := q.consecutiveCount(newTasks, len(machines))
+			decisions = append(decisions, q.beginTaskRange(job, newTasks[:count], machines[:count], q.placesDirectly, 1))
+			newTasks, machines = newTasks[count:], machines[count:]
 		}
 	}
 	return decisions
@@ -425,7 +425,7 @@
 // that goes to that part in the same transaction. One that has been tried before
 // leaves its pack for that: the owner of the machine that it goes to writes it next.
 func (q *Queue) batchDecision(o placement) (decide.Decision, bool) {
-	m := q.Machines[o.machine]
+	m := q.state.Machines[o.machine]
 	decision := decide.Decision{ReadSet: []string{jobs.JobPrefix + o.task.Job.ID}}
 	var next jobs.Task
 	var ok bool
@@ -445,7 +445,7 @@
 		{Controller: m.Owner, Entry: taskbatch.Entry{JobID: o.task.Job.ID, Index: o.task.Index, Task: next}},
 	}
 	taskID := o.task.ID
-	decision.OnSettled = func(bool) { q.Unreserve(taskID) }
+	decision.OnSettled = func(bool) { q.state.Unreserve(taskID) }
 	return decision, true
 }
 
@@ -457,14 +457,14 @@
 		jobs.TaskEvent{Kind: jobs.Release, Controller: m.Owner, Zone: m.Zone, PreferredMachine: m.Name},
 	)
 	if ok {
-		q.Reserve(task, m.Name, m.Zone)
+		q.state.Reserve(task, m.Name, m.Zone)
 	}
 	return next, ok
 }
 
 // releaseOld gives a task to a part once more.
 func (q *Queue) releaseRecorded(o placement) (decide.Decision, bool) {
-	m := q.Machines[o.machine]
+	m := q.state.Machines[o.machine]
 	if q.placesDirectly(o.task, m) {
 		return q.placeDecision(o.task, o.machine, m.Zone, o.task.Attempt+1)
 	}
@@ -476,7 +476,7 @@
 	return decide.Decision{
 		Changes:   decide.TransitionTask(o.task, next),
 		ReadSet:   []string{jobs.JobPrefix + o.task.Job.ID},
-		OnSettled: func(bool) { q.Unreserve(taskID) },
+		OnSettled: func(bool) { q.state.Unreserve(taskID) },
 	}, true
 }
 
@@ -493,7 +493,7 @@
 	decision := decide.Decision{ReadSet: []string{jobs.JobPrefix + job.ID}}
 	records := make([]jobs.Task, len(tasks))
 	for i, task := range tasks {
-		m := q.Machines[machines[i]]
+		m := q.state.Machines[machines[i]]
 		if placesDirectly(task, m) {
 			records[i], _ = q.placedTask(task, machines[i], m.Zone, attempt)
 			if key := fleet.MachinePrefix + machines[i]; !slices.Contains(decision.ReadSet, key) {
@@ -504,11 +504,11 @@
 		records[i], _ = q.releasedTask(task, m)
 	}
 	decision.Writes = []store.Write{
-		{Put: jobs.TaskRangeKey(job.ID, tasks[0].Index), Value: jobs.EncodeTaskRange(records, q.ValueBytes)},
+		{Put: jobs.TaskRangeKey(job.ID, tasks[0].Index), Value: jobs.EncodeTaskRange(records, q.env.ValueBytes)},
 	}
 	decision.OnSettled = func(bool) {
 		for _, task := range tasks {
-			q.Unreserve(task.ID)
+			q.state.Unreserve(task.ID)
 		}
 	}
 	return decision
@@ -517,10 +517,10 @@
 // ours tells whether the leader may place a task itself: in its own part, and
 // where changes are scarce in every part, by the machine's record.
 func (q *Queue) placesDirectly(task *clusterstate.Task, m *clusterstate.Machine) bool {
-	if m.Owner != q.Name {
+	if m.Owner != q.env.Name {
 		return q.Scarce() && q.canPropose(task, m)
 	}
-	return q.CanPlace(task, m)
+	return q.env.CanPlace(task, m)
 }
 
 func always(*clusterstate.Task, *clusterstate.Machine) bool { return true }
@@ -529,9 +529,9 @@
 
 // run is how many of the first of fresh tasks, up to most, are consecutive.
 func (q *Queue) consecutiveCount(newTasks []*clusterstate.Task, limit int) int {
-	chosen := 1
-	for chosen < limit && chosen < len(newTasks) && chosen < q.MaxRangeTasks && newTasks[chosen].Index == newTasks[0].Index+chosen {
-		chosen++
+	count := 1
+	for count < limit && count < len(newTasks) && count < q.env.MaxRangeTasks && newTasks[count].Index == newTasks[0].Index+count {
+		count++
 	}
-	return chosen
+	return count
 }
--- a/internal/queue/gangs.go
+++ b/internal/queue/gangs.go
@@ -20,8 +20,8 @@
 		return
 	}
 	if gangs.PhaseOf(spec.TaskCount, taskRecords(job)) == gangs.Broken {
-		for _, num := range slices.Sorted(maps.Keys(job.Tasks)) {
-			task := job.Tasks[num]
+		for _, index := range slices.Sorted(maps.Keys(job.Tasks)) {
+			task := job.Tasks[index]
 			if next, ok := jobs.Withdraw(task.Task, "gang is not whole"); ok {
 				cycle.decisions = append(cycle.decisions, decide.Decision{Changes: decide.TransitionTask(task, next)})
 			}
@@ -32,15 +32,15 @@
 	if tasks == nil {
 		return
 	}
-	probing := q.Trust(job, "") == jobs.Probing
+	probing := q.state.Trust(job, "") == jobs.Probing
 	if probing {
 		for _, task := range tasks {
-			if q.Now.Sub(task.Since) < jobs.Backoff(int(min(attempt, 10))) {
+			if q.state.Now.Sub(task.Since) < jobs.Backoff(int(min(attempt, 10))) {
 				return
 			}
 		}
 	}
-	leaf := q.QuotaLeaf(spec)
+	leaf := q.state.QuotaLeaf(spec)
 	if !cycle.account.Allows(leaf, spec.Amount(), spec.TaskCount) {
 		if q.Overdue(job) && cycle.account.Tree().Ever(leaf, spec.Amount(), spec.TaskCount) {
 			// As with single tasks: what its team has left waits for it.
@@ -85,7 +85,7 @@
 			q.Waiting,
 			&Waiting{Task: tasks[0], Count: spec.TaskCount, Priority: spec.PriorityOrder(), Entitled: entitled},
 		)
-		q.holdMachines(tasks[0].WithoutPreference(), min(spec.TaskCount, tuning.HoldEach), q.TasksByZone(job), cycle)
+		q.holdMachines(tasks[0].WithoutPreference(), min(spec.TaskCount, tuning.HoldEach), q.state.TasksByZone(job), cycle)
 		return
 	}
 	q.beginGang(job, tasks, placements, sameController, attempt, cycle)
@@ -151,15 +151,15 @@
 		machines[o.machine] = true
 	}
 	// View, fence, quotas and claims, the job, and a slice that the first task does not begin.
-	others := 6 + q.ExtraPreconditions
-	slices := spec.TaskCount/q.MaxRangeTasks + 1
-	return len(machines)+slices+others <= q.TxnOps*tuning.PreconditionsPerOp &&
+	others := 6 + q.env.ExtraPreconditions
+	slices := spec.TaskCount/q.env.MaxRangeTasks + 1
+	return len(machines)+slices+others <= q.env.TxnOps*tuning.PreconditionsPerOp &&
 		spec.TaskCount*tuning.RangeTaskBytes <= tuning.TxnBytes
 }
 
 // oursAll tells whether the leader may place all of a gang itself.
 func (q *Queue) placesAllDirectly(placements []placement) bool {
-	return !slices.ContainsFunc(placements, func(o placement) bool { return !q.placesDirectly(o.task, q.Machines[o.machine]) })
+	return !slices.ContainsFunc(placements, func(o placement) bool { return !q.placesDirectly(o.task, q.state.Machines[o.machine]) })
 }
 
 // placeGangOffers is the one decision that gives a whole gang to the part that all
@@ -185,7 +185,7 @@
 	placesDirectly := always
 	var lastAttempt uint64
 	for _, o := range placements {
-		if !q.placesDirectly(o.task, q.Machines[o.machine]) {
+		if !q.placesDirectly(o.task, q.state.Machines[o.machine]) {
 			placesDirectly = never
 		}
 		lastAttempt = max(lastAttempt, o.task.Attempt)
@@ -193,7 +193,7 @@
 	var newTasks []*clusterstate.Task
 	var machines []string
 	for _, o := range placements {
-		m := q.Machines[o.machine]
+		m := q.state.Machines[o.machine]
 		switch {
 		case o.task.Stored == nil:
 			newTasks, machines = append(newTasks, o.task), append(machines, o.machine)
@@ -212,15 +212,15 @@
 				return gangDecision, false
 			}
 			taskID := o.task.ID
-			add(decide.Decision{Changes: decide.TransitionTask(o.task, next), OnSettled: func(bool) { q.Unreserve(taskID) }})
+			add(decide.Decision{Changes: decide.TransitionTask(o.task, next), OnSettled: func(bool) { q.state.Unreserve(taskID) }})
 		}
 	}
 	for len(newTasks) > 0 {
-		chosen := q.consecutiveCount(newTasks, len(newTasks))
-		add(q.beginTaskRange(job, newTasks[:chosen], machines[:chosen], placesDirectly, lastAttempt+1))
-		newTasks, machines = newTasks[chosen:], machines[chosen:]
+		count := q.consecutiveCount(newTasks, len(newTasks))
+		add(q.beginTaskRange(job, newTasks[:count], machines[:count], placesDirectly, lastAttempt+1))
+		newTasks, machines = newTasks[count:], machines[count:]
 	}
-	if len(gangDecision.Keys()) > q.TxnOps {
+	if len(gangDecision.Keys()) > q.env.TxnOps {
 		gangDecision.OnSettled(false)
 		return gangDecision, false
 	}
@@ -241,8 +241,8 @@
 		cycle.noteUnplaceable(spec, spec.TaskCount)
 		return nil, false
 	}
-	zones := q.TasksByZone(task.Job)
-	machines, sameController, room := gangs.Fit(
+	zones := q.state.TasksByZone(task.Job)
+	machines, sameController, fits := gangs.Fit(
 		spec,
 		candidates,
 		zones,
@@ -250,7 +250,7 @@
 			return q.pickCandidate(tasks[i], candidates, zones)
 		},
 	)
-	if !room && len(zones) == 0 {
+	if !fits && len(zones) == 0 {
 		cycle.noteUnplaceable(spec, spec.TaskCount)
 	}
 	for i, machineName := range machines {
@@ -266,8 +266,8 @@
 	unique := slices.Clone(machines)
 	slices.Sort(unique)
 	q.claimMachines(job.ID, slices.Compact(unique), func(ok bool) {
-		decisions, good := q.placeClaimed(job, tasks, machines, attempt, ok)
-		if !good {
+		decisions, placed := q.placeClaimed(job, tasks, machines, attempt, ok)
+		if !placed {
 			for _, decision := range decisions {
 				decision.OnSettled(false)
 			}
@@ -287,7 +287,7 @@
 			// broken one, to be stopped.
 			decisions[i].Urgent = true
 		}
-		q.Commit(decisions)
+		q.env.Commit(decisions)
 	})
 }
 
@@ -305,42 +305,42 @@
 	}
 	// The claim may have waited for a while, and others were charged meanwhile
 	// (docs/incidents/claimed-gangs.md).
-	if spec := &job.Record.Spec; !q.Account.Allows(q.QuotaLeaf(spec), spec.Amount(), spec.TaskCount) {
+	if spec := &job.Record.Spec; !q.state.Account.Allows(q.state.QuotaLeaf(spec), spec.Amount(), spec.TaskCount) {
 		return nil, false
 	}
 	need := job.Record.Spec.Resources()
-	extra := map[string]sharding.Resources{}
+	claimedResources := map[string]sharding.Resources{}
 	for _, machineName := range machines {
-		m := q.Machines[machineName]
-		if m == nil || q.ClaimedFor(m) != job.ID || q.MachineTypes[m.MachineType] == nil {
+		m := q.state.Machines[machineName]
+		if m == nil || q.ClaimedFor(m) != job.ID || q.state.MachineTypes[m.MachineType] == nil {
 			return nil, false
 		}
-		extra[machineName] = extra[machineName].Add(need)
-		if !q.MachineTypes[m.MachineType].Capacity().Sub(q.UsedResources(machineName)).Fits(extra[machineName]) {
+		claimedResources[machineName] = claimedResources[machineName].Add(need)
+		if !q.state.MachineTypes[m.MachineType].Capacity().Sub(q.state.UsedResources(machineName)).Fits(claimedResources[machineName]) {
 			return nil, false
 		}
 	}
 	var decisions []decide.Decision
 	var newTasks []*clusterstate.Task
-	var where []string
+	var newTaskMachines []string
 	for i, task := range tasks {
-		if now := job.Tasks[task.Index]; now != nil {
-			task = now
+		if recorded := job.Tasks[task.Index]; recorded != nil {
+			task = recorded
 		}
 		if task.Stored == nil {
-			newTasks, where = append(newTasks, task), append(where, machines[i])
+			newTasks, newTaskMachines = append(newTasks, task), append(newTaskMachines, machines[i])
 			continue
 		}
-		decision, ok := q.placeDecision(task, machines[i], q.Machines[machines[i]].Zone, attempt)
+		decision, ok := q.placeDecision(task, machines[i], q.state.Machines[machines[i]].Zone, attempt)
 		if !ok {
 			return decisions, false
 		}
 		decisions = append(decisions, decision)
 	}
 	for len(newTasks) > 0 {
-		chosen := q.consecutiveCount(newTasks, len(newTasks))
-		decisions = append(decisions, q.beginTaskRange(job, newTasks[:chosen], where[:chosen], always, attempt))
-		newTasks, where = newTasks[chosen:], where[chosen:]
+		count := q.consecutiveCount(newTasks, len(newTasks))
+		decisions = append(decisions, q.beginTaskRange(job, newTasks[:count], newTaskMachines[:count], always, attempt))
+		newTasks, newTaskMachines = newTasks[count:], newTaskMachines[count:]
 	}
 	return decisions, true
 }
@@ -359,7 +359,7 @@
 	var taskIDs []string
 	gangDecision.OnSettled = func(bool) {
 		for _, id := range taskIDs {
-			q.Unreserve(id)
+			q.state.Unreserve(id)
 		}
 	}
 	for _, task := range tasks {
@@ -367,7 +367,7 @@
 		if !ok {
 			gangDecision.OnSettled(false)
 			for _, task := range tasks {
-				task.PlacementTriedAt = q.Now
+				task.PlacementTriedAt = q.state.Now
 			}
 			return nil // the leader takes it back
 		}
--- a/internal/queue/lending.go
+++ b/internal/queue/lending.go
@@ -12,23 +12,23 @@
 )
 
 // newLending is the keeping of loans, nil where the operators have not turned it on.
-func (q *Queue) newLending(set *settings.Lending) *lending.Ledger {
-	if set == nil {
+func (q *Queue) newLedger(config *settings.Lending) *lending.Ledger {
+	if config == nil {
 		return nil
 	}
-	return lending.NewLedger(q.State, lending.Env{
-		Limit:      q.ValueBytes,
-		Again:      jobs.Seconds(set.AgainS),
-		ByPriority: set.ByPriority,
-		Log:        q.Log,
-		Busy:       q.Busy,
-		Ready:      q.Ready,
+	return lending.NewLedger(q.state, lending.Env{
+		Limit:      q.env.ValueBytes,
+		Again:      jobs.Seconds(config.AgainS),
+		ByPriority: config.ByPriority,
+		Log:        q.env.Log,
+		Busy:       q.env.Busy,
+		Ready:      q.env.Ready,
 		Begins:     q.MayBegin,
 		Elsewhere: func(task *clusterstate.Task) bool {
-			zones := q.TasksByZone(task.Job)
+			zones := q.state.TasksByZone(task.Job)
 			zones[task.Zone]--
 			to := q.FindMachine(task.WithoutPreference(), zones)
-			return to != "" && to != task.Machine && q.HasImage(to, task.Job.Record.Spec.Image)
+			return to != "" && to != task.Machine && q.state.HasImage(to, task.Job.Record.Spec.Image)
 		},
 	})
 }
@@ -53,7 +53,7 @@
 type cycleLoans struct {
 	reservations map[string][]*loanReservation // by job
 	byTask       map[string]lending.Loan
-	searches     int // looks for somebody who lends
+	requestCount int // looks for somebody who lends
 }
 
 // room is a kept one; shut while the pass takes it for used.
@@ -88,7 +88,7 @@
 	// Before anything else is looked at: what is kept for others by this pass would
 	// stand in the way on a machine that was made room on for this.
 	for _, jobID := range clusterstate.SortedKeys(cycle.loans.reservations) {
-		if job := q.Queued[jobID]; job != nil && q.Allows(cycle.writeCount(), 1) {
+		if job := q.state.Queued[jobID]; job != nil && q.env.Allows(cycle.writeCount(), 1) {
 			q.placeBorrowers(job, cycle)
 		}
 	}
@@ -98,15 +98,15 @@
 // where there is room.
 func (q *Queue) block(r *loanReservation) {
 	if r.TaskID != "" {
-		_, booked := q.Reservations[r.TaskID]
+		_, booked := q.state.Reservations[r.TaskID]
 		r.blocked = !booked
 	} else {
-		m := q.Machines[r.Machine]
-		r.blocked = m != nil && q.MachineTypes[m.MachineType] != nil &&
-			q.MachineTypes[m.MachineType].Capacity().Sub(q.UsedResources(r.Machine)).Fits(r.Resources)
+		m := q.state.Machines[r.Machine]
+		r.blocked = m != nil && q.state.MachineTypes[m.MachineType] != nil &&
+			q.state.MachineTypes[m.MachineType].Capacity().Sub(q.state.UsedResources(r.Machine)).Fits(r.Resources)
 	}
 	if r.blocked {
-		q.AllocateResources(r.Machine, r.Resources)
+		q.state.AllocateResources(r.Machine, r.Resources)
 	}
 }
 
@@ -114,7 +114,7 @@
 func (q *Queue) unblock(r *loanReservation) {
 	if r.blocked {
 		r.blocked = false
-		q.FreeResources(r.Machine, r.Resources)
+		q.state.FreeResources(r.Machine, r.Resources)
 	}
 }
 
@@ -141,16 +141,16 @@
 func (q *Queue) placeBorrowers(job *clusterstate.Job, cycle *schedulingCycle) {
 	spec := &job.Record.Spec
 	for _, r := range cycle.loans.reservations[job.ID] {
-		m := q.Machines[r.Machine]
-		if r.TaskID == "" || !r.blocked || m == nil || q.MachineTypes[m.MachineType] == nil {
+		m := q.state.Machines[r.Machine]
+		if r.TaskID == "" || !r.blocked || m == nil || q.state.MachineTypes[m.MachineType] == nil {
 			continue
 		}
 		task := q.waitingTask(job, r.TaskID)
-		if task == nil || !q.canPropose(task, m) || !clusterstate.ZoneAllowed(spec, q.TasksByZone(job), m.Zone) ||
-			!cycle.account.Allows(q.QuotaLeaf(spec), spec.Amount(), 1) {
+		if task == nil || !q.canPropose(task, m) || !clusterstate.ZoneAllowed(spec, q.state.TasksByZone(job), m.Zone) ||
+			!cycle.account.Allows(q.state.QuotaLeaf(spec), spec.Amount(), 1) {
 			continue
 		}
-		if q.unblock(r); q.MachineTypes[m.MachineType].Capacity().Sub(q.UsedResources(r.Machine)).Fits(spec.Resources()) {
+		if q.unblock(r); q.state.MachineTypes[m.MachineType].Capacity().Sub(q.state.UsedResources(r.Machine)).Fits(spec.Resources()) {
 			cycle.account.Charge(spec.QuotaKey(), spec.Amount(), 1)
 			cycle.decisions = append(cycle.decisions, q.releaseDecisions(job, []placement{{task, r.Machine}})...)
 		}
@@ -174,17 +174,17 @@
 func (q *Queue) withoutBorrowers(tasks []*clusterstate.Task, cycle *schedulingCycle) []*clusterstate.Task {
 	return slices.DeleteFunc(tasks, func(task *clusterstate.Task) bool {
 		loan, requested := cycle.loans.byTask[task.ID]
-		return requested && q.NowMs()-loan.BeganMs < tuning.LoanSooner.Milliseconds()
+		return requested && q.state.NowMs()-loan.BeganMs < tuning.LoanSooner.Milliseconds()
 	})
 }
 
 // lend has others lend room to a replica, on a machine with its image if onlyCached,
 // within so many seconds if that is not 0. It tells whether one does.
-func (q *Queue) requestLoan(waiting *Waiting, onlyCached bool, inS float64, cycle *schedulingCycle) bool {
-	if _, requested := cycle.loans.byTask[waiting.Task.ID]; requested || cycle.loans.searches >= tuning.MaxLendingSearches {
+func (q *Queue) requestLoan(waiting *Waiting, onlyCached bool, withinS float64, cycle *schedulingCycle) bool {
+	if _, requested := cycle.loans.byTask[waiting.Task.ID]; requested || cycle.loans.requestCount >= tuning.MaxLendingSearches {
 		return requested
 	}
-	cycle.loans.searches++
+	cycle.loans.requestCount++
 	zones := waiting.zones
 	if zones == nil {
 		zones = q.zonesWithLoans(waiting.Task.Job, cycle)
@@ -195,10 +195,10 @@
 		Task:          waiting.Task,
 		Priority:      waiting.Priority,
 		Entitled:      waiting.Entitled,
-		Account:       lending.Leaving(q.State, q.Account, cycle.stopping),
+		Account:       lending.Leaving(q.state, q.state.Account, cycle.stopping),
 		Zones:         zones,
 		OnlyWithImage: onlyCached,
-		InS:           inS,
+		InS:           withinS,
 		Open:          func(m *clusterstate.Machine) bool { return q.canPropose(waiting.Task, m) },
 		Stopping:      cycle.stopping,
 	})
@@ -212,10 +212,10 @@
 		Job:       waiting.Task.Job.ID,
 		TaskIndex: waiting.Task.Index,
 		Machine:   plan.Machine,
-		BeganMs:   q.NowMs(),
+		BeganMs:   q.state.NowMs(),
 	}
-	q.preemptions[waiting.Task.ID] = pendingPreemption{q.Now.Add(tuning.PreemptAgain), onlyCached}
-	zones[q.Machines[plan.Machine].Zone]++                                // those that the look places next count it
+	q.preemptions[waiting.Task.ID] = pendingPreemption{q.state.Now.Add(tuning.PreemptAgain), onlyCached}
+	zones[q.state.Machines[plan.Machine].Zone]++                          // those that the look places next count it
 	cycle.hold(q, plan.Machine, waiting.Task.Job.Record.Spec.Resources()) // this room is no other's
 	cycle.decisions = append(cycle.decisions, decision)
 	return true
@@ -224,9 +224,9 @@
 // zonesLent counts a job's tasks by zone, with those that room is being made for and
 // that look nowhere else: another that took their zone meanwhile would leave them none.
 func (q *Queue) zonesWithLoans(job *clusterstate.Job, cycle *schedulingCycle) map[string]int {
-	zones := q.TasksByZone(job)
+	zones := q.state.TasksByZone(job)
 	for _, loan := range cycle.loans.byTask {
-		if m := q.Machines[loan.Machine]; loan.Job == job.ID && m != nil && q.NowMs()-loan.BeganMs < tuning.LoanSooner.Milliseconds() {
+		if m := q.state.Machines[loan.Machine]; loan.Job == job.ID && m != nil && q.state.NowMs()-loan.BeganMs < tuning.LoanSooner.Milliseconds() {
 			zones[m.Zone]++
 		}
 	}
@@ -237,7 +237,7 @@
 // counts, a replica's on a machine that fetches others takes longer.
 func (q *Queue) imagePullSeconds(m *clusterstate.Machine, machineType *jobs.MachineType, spec *jobs.Spec) float64 {
 	if q.loans != nil && spec.Kind == jobs.Service {
-		return lending.ImagePullS(q.State, q.Now, m, machineType, spec)
+		return lending.ImagePullS(q.state, q.state.Now, m, machineType, spec)
 	}
 	return spec.ImageGB / machineType.ImageGBPerS
 }
@@ -247,20 +247,20 @@
 // by more than a little.
 func (q *Queue) awaitCachedLoan(waiting *Waiting, machineName string, cycle *schedulingCycle) bool {
 	spec := &waiting.Task.Job.Record.Spec
-	imageGBPerS := q.MachineTypes[q.Machines[machineName].MachineType].ImageGBPerS
-	if q.HasImage(machineName, spec.Image) || imageGBPerS <= 0 {
+	imageGBPerS := q.state.MachineTypes[q.state.Machines[machineName].MachineType].ImageGBPerS
+	if q.state.HasImage(machineName, spec.Image) || imageGBPerS <= 0 {
 		return false
 	}
-	within := q.imagePullSeconds(
-		q.Machines[machineName],
-		q.MachineTypes[q.Machines[machineName].MachineType],
+	soonerThanS := q.imagePullSeconds(
+		q.state.Machines[machineName],
+		q.state.MachineTypes[q.state.Machines[machineName].MachineType],
 		spec,
 	) - tuning.LoanSooner.Seconds()
 	if loan, requested := cycle.loans.byTask[waiting.Task.ID]; requested {
-		return q.HasImage(loan.Machine, spec.Image) && float64(q.NowMs()-loan.BeganMs) < within*1000
+		return q.state.HasImage(loan.Machine, spec.Image) && float64(q.state.NowMs()-loan.BeganMs) < soonerThanS*1000
 	}
-	if within <= 0 || q.Now.Before(q.preemptions[waiting.Task.ID].until) {
+	if soonerThanS <= 0 || q.state.Now.Before(q.preemptions[waiting.Task.ID].until) {
 		return false
 	}
-	return q.requestLoan(waiting, true, within, cycle)
+	return q.requestLoan(waiting, true, soonerThanS, cycle)
 }
--- a/internal/queue/not_examined.go
+++ b/internal/queue/not_examined.go
@@ -14,7 +14,7 @@
 // its team's limit together with all that found no room. What is in doubt, rests, or may
 // not begin yet is left out, as it is in a look, and what room is made or lent for.
 func (q *Queue) NotExamined() []*Waiting {
-	account := q.Account.Clone()
+	account := q.state.Account.Clone()
 	known := map[*clusterstate.Job]bool{}
 	for _, waiting := range q.StillWaiting() {
 		known[waiting.Task.Job] = true
@@ -23,11 +23,11 @@
 	var out []*Waiting
 	for _, job := range q.order(account) {
 		spec := &job.Record.Spec
-		if known[job] || q.examined[job] || !q.MayBegin(spec) || q.Claiming(job.ID) || q.Trust(job, "") == jobs.Probing {
+		if known[job] || q.examined[job] || !q.MayBegin(spec) || q.Claiming(job.ID) || q.state.Trust(job, "") == jobs.Probing {
 			continue
 		}
 		tasks := slices.DeleteFunc(q.pendingTasks(job, q.startableCount(job)), q.capacityPending)
-		leaf := q.QuotaLeaf(spec)
+		leaf := q.state.QuotaLeaf(spec)
 		count := account.More(leaf, spec.Amount(), len(tasks))
 		if spec.IsGang() && (len(tasks) < spec.TaskCount || count < len(tasks)) || count == 0 {
 			continue
@@ -52,5 +52,5 @@
 			return true
 		}
 	}
-	return q.Now.Before(q.preemptions[task.ID].until)
+	return q.state.Now.Before(q.preemptions[task.ID].until)
 }
--- a/internal/queue/order.go
+++ b/internal/queue/order.go
@@ -28,10 +28,10 @@
 		return start >= r.AcceptedMs+tuning.QueueHorizon.Milliseconds()
 	}
 	fairSharePaths := map[int][]float64{}
-	entries := make([]entry, 0, len(q.Queued))
-	for _, job := range q.Queued {
+	entries := make([]entry, 0, len(q.state.Queued))
+	for _, job := range q.state.Queued {
 		spec := &job.Record.Spec
-		leaf := q.QuotaLeaf(spec)
+		leaf := q.state.QuotaLeaf(spec)
 		entitled := account.Entitled(leaf, spec.Amount(), 1)
 		turn := account.Tree().FairShareOrder(entitled, leaf)
 		start := q.StartBy(job.Record, turn == 0)
@@ -88,7 +88,7 @@
 // anyone wait again. Of gangs only large ones are; they begin whole. Any other job begins
 // with its first task, and what is left of it then waits in its ordinary turn.
 func (q *Queue) Overdue(job *clusterstate.Job) bool {
-	waited := time.Duration(q.NowMs()-job.Record.AcceptedMs) * time.Millisecond
+	waited := time.Duration(q.state.NowMs()-job.Record.AcceptedMs) * time.Millisecond
 	if job.Record.Spec.IsGang() {
 		return isLargeGang(&job.Record.Spec) && waited >= q.gangOverdueAfter(job.Record.Spec.Class)
 	}
@@ -120,9 +120,9 @@
 // lastAim is the last of a class's aims for starting, 0 if it has none.
 func (q *Queue) lastStartObjective(class string) time.Duration {
 	lastObjective := time.Duration(0)
-	for _, o := range q.Objectives {
-		if o.Kind == "wait" && o.Class == class {
-			lastObjective = max(lastObjective, jobs.Seconds(o.WithinS))
+	for _, objective := range q.env.Objectives {
+		if objective.Kind == "wait" && objective.Class == class {
+			lastObjective = max(lastObjective, jobs.Seconds(objective.WithinS))
 		}
 	}
 	return lastObjective
@@ -131,20 +131,20 @@
 // StartBy is the time by which a job must start to meet the next of its
 // class's aims that it still can; a job that has missed them all comes after
 // those that have not, until it has waited very long.
-func (q *Queue) StartBy(r *jobs.Record, within bool) int64 {
+func (q *Queue) StartBy(r *jobs.Record, entitled bool) int64 {
 	late := r.AcceptedMs + tuning.QueueHorizon.Milliseconds()
 	best := late
 	consider := func(seconds float64) {
-		if t := r.AcceptedMs + int64(seconds*1000); t > q.NowMs() && t < best {
+		if t := r.AcceptedMs + int64(seconds*1000); t > q.state.NowMs() && t < best {
 			best = t
 		}
 	}
-	for _, o := range q.Objectives {
+	for _, objective := range q.env.Objectives {
 		switch {
-		case o.Kind == "guarantee" && within, o.Kind == "wait" && o.Class == r.Spec.Class:
-			consider(o.WithinS)
-		case o.Kind == "finished" && o.Class == r.Spec.Class:
-			consider(o.WithinS - r.Spec.ExpectedDurationS)
+		case objective.Kind == "guarantee" && entitled, objective.Kind == "wait" && objective.Class == r.Spec.Class:
+			consider(objective.WithinS)
+		case objective.Kind == "finished" && objective.Class == r.Spec.Class:
+			consider(objective.WithinS - r.Spec.ExpectedDurationS)
 		}
 	}
 	if r.Spec.DeadlineS != nil {
@@ -155,11 +155,11 @@
 
 // startAim is the next time by which a class's tasks should have started, 0
 // when there is none.
-func (q *Queue) nextStartObjective(r *jobs.Record, within bool) int64 {
+func (q *Queue) nextStartObjective(r *jobs.Record, entitled bool) int64 {
 	var best int64
-	for _, o := range q.Objectives {
-		if (o.Kind == "guarantee" && within) || (o.Kind == "wait" && o.Class == r.Spec.Class) {
-			if t := r.AcceptedMs + int64(o.WithinS*1000); t > q.NowMs() && (best == 0 || t < best) {
+	for _, objective := range q.env.Objectives {
+		if (objective.Kind == "guarantee" && entitled) || (objective.Kind == "wait" && objective.Class == r.Spec.Class) {
+			if t := r.AcceptedMs + int64(objective.WithinS*1000); t > q.state.NowMs() && (best == 0 || t < best) {
 				best = t
 			}
 		}
@@ -172,7 +172,7 @@
 func (q *Queue) pendingTasks(job *clusterstate.Job, limit int) []*clusterstate.Task {
 	var out []*clusterstate.Task
 	for _, task := range job.Retrying {
-		if task.NotBeforeMs <= q.NowMs() && !q.Busy(task.Stored.Key) {
+		if task.NotBeforeMs <= q.state.NowMs() && !q.env.Busy(task.Stored.Key) {
 			out = append(out, task)
 		}
 	}
@@ -181,7 +181,7 @@
 		job.FirstUnrecorded++
 	}
 	// Where a slice cannot be read, nobody knows which tasks it holds.
-	if job.TasksUnreadable || q.MayBeQuarantined(job.ID) {
+	if job.TasksUnreadable || q.state.MayBeQuarantined(job.ID) {
 		return out[:min(len(out), limit)]
 	}
 	for i := job.FirstUnrecorded; i < job.Record.Spec.TaskCount && len(out) < limit; i++ {
@@ -189,7 +189,7 @@
 			continue
 		}
 		taskID := jobs.TaskID(job.ID, i)
-		if _, booked := q.Reservations[taskID]; !booked {
+		if _, booked := q.state.Reservations[taskID]; !booked {
 			out = append(out, &clusterstate.Task{Task: jobs.Task{State: jobs.Pending}, ID: taskID, Index: i, Job: job})
 		}
 	}
@@ -207,14 +207,14 @@
 	}
 	var mostFailed *clusterstate.Task
 	for _, task := range job.Retrying {
-		if q.Busy(task.Stored.Key) {
+		if q.env.Busy(task.Stored.Key) {
 			return nil
 		}
 		if mostFailed == nil || task.Failures > mostFailed.Failures || task.Failures == mostFailed.Failures && task.Index < mostFailed.Index {
 			mostFailed = task
 		}
 	}
-	if mostFailed == nil || mostFailed.NotBeforeMs > q.NowMs() {
+	if mostFailed == nil || mostFailed.NotBeforeMs > q.state.NowMs() {
 		return nil
 	}
 	return []*clusterstate.Task{mostFailed}
--- a/internal/queue/place.go
+++ b/internal/queue/place.go
@@ -13,38 +13,38 @@
 
 // Place puts released tasks of this part on machines.
 func (q *Queue) Place() []decide.Decision {
-	var mine []*clusterstate.Task
-	for _, task := range q.Released {
-		if task.Controller == q.Name && task.Job.Record != nil && task.Job.Record.State == jobs.Live && !q.Busy(task.Stored.Key) &&
-			q.Now.Sub(task.PlacementTriedAt) >= tuning.PlaceAgain {
-			mine = append(mine, task)
+	var released []*clusterstate.Task
+	for _, task := range q.state.Released {
+		if task.Controller == q.env.Name && task.Job.Record != nil && task.Job.Record.State == jobs.Live && !q.env.Busy(task.Stored.Key) &&
+			q.state.Now.Sub(task.PlacementTriedAt) >= tuning.PlaceAgain {
+			released = append(released, task)
 		}
 	}
-	sort.Slice(mine, func(a, b int) bool {
-		if mine[a].Job != mine[b].Job {
-			return mine[a].Job.ID < mine[b].Job.ID
+	sort.Slice(released, func(a, b int) bool {
+		if released[a].Job != released[b].Job {
+			return released[a].Job.ID < released[b].Job.ID
 		}
-		return mine[a].Index < mine[b].Index
+		return released[a].Index < released[b].Index
 	})
 	var out []decide.Decision
-	for len(mine) > 0 {
-		job := mine[0].Job
-		chosen := 1
-		for chosen < len(mine) && mine[chosen].Job == job {
-			chosen++
+	for len(released) > 0 {
+		job := released[0].Job
+		count := 1
+		for count < len(released) && released[count].Job == job {
+			count++
 		}
 		if job.Record.Spec.IsGang() {
-			out = append(out, q.placeReleasedGang(job, mine[:chosen])...)
+			out = append(out, q.placeReleasedGang(job, released[:count])...)
 		} else {
-			for _, task := range mine[:chosen] {
+			for _, task := range released[:count] {
 				if decision, ok := q.placeOne(task, task.Attempt+1); ok {
 					out = append(out, decision)
 				} else {
-					task.PlacementTriedAt = q.Now
+					task.PlacementTriedAt = q.state.Now
 				}
 			}
 		}
-		mine = mine[chosen:]
+		released = released[count:]
 	}
 	return out
 }
@@ -53,8 +53,8 @@
 func (q *Queue) placeOne(task *clusterstate.Task, attempt uint64) (decide.Decision, bool) {
 	spec := &task.Job.Record.Spec
 	machineName := ""
-	if m := q.Machines[task.PreferredMachine]; m != nil && q.CanPlace(task, m) {
-		free := q.MachineTypes[m.MachineType].Capacity().Sub(q.UsedResources(task.PreferredMachine))
+	if m := q.state.Machines[task.PreferredMachine]; m != nil && q.env.CanPlace(task, m) {
+		free := q.state.MachineTypes[m.MachineType].Capacity().Sub(q.state.UsedResources(task.PreferredMachine))
 		if !task.PreferenceReleased {
 			free = free.Add(task.Resources) // its own booking is there for it
 		}
@@ -65,8 +65,8 @@
 	if machineName == "" {
 		candidates := q.appendCandidates(
 			nil,
-			q.MachinesByName(),
-			func(m *clusterstate.Machine) bool { return m.Owner == q.Name && q.CanPlace(task, m) },
+			q.state.MachinesByName(),
+			func(m *clusterstate.Machine) bool { return m.Owner == q.env.Name && q.env.CanPlace(task, m) },
 			spec,
 		)
 		if i := sharding.Pick(spec.Resources(), spec.Spot, candidates); i >= 0 {
@@ -92,7 +92,7 @@
 	return decide.Decision{
 		Changes:   decide.TransitionTask(task, next),
 		ReadSet:   []string{jobs.JobPrefix + task.Job.ID, fleet.MachinePrefix + machineName},
-		OnSettled: func(bool) { q.Unreserve(taskID) },
+		OnSettled: func(bool) { q.state.Unreserve(taskID) },
 	}, true
 }
 
@@ -102,11 +102,11 @@
 	if !ok {
 		return next, false
 	}
-	q.Log.Debug("places",
-		"task", task.ID, "class", task.Job.Record.Spec.Class, "machine", machineName, "kind", q.Machines[machineName].MachineType,
-		"cheap", q.Machines[machineName].Spot, "try", attempt, "cached", q.HasImage(machineName, task.Job.Record.Spec.Image),
-		"since_accepted_ms", q.NowMs()-task.Job.Record.AcceptedMs)
-	q.Reserve(task, machineName, q.Machines[machineName].Zone)
+	q.env.Log.Debug("places",
+		"task", task.ID, "class", task.Job.Record.Spec.Class, "machine", machineName, "kind", q.state.Machines[machineName].MachineType,
+		"cheap", q.state.Machines[machineName].Spot, "try", attempt, "cached", q.state.HasImage(machineName, task.Job.Record.Spec.Image),
+		"since_accepted_ms", q.state.NowMs()-task.Job.Record.AcceptedMs)
+	q.state.Reserve(task, machineName, q.state.Machines[machineName].Zone)
 	return next, true
 }
 
@@ -114,31 +114,31 @@
 // that takes allows, in the room of out.
 func (q *Queue) appendCandidates(
 	out []sharding.Candidate,
-	among []*clusterstate.Machine,
-	takes func(*clusterstate.Machine) bool,
+	machines []*clusterstate.Machine,
+	accepts func(*clusterstate.Machine) bool,
 	spec *jobs.Spec,
 ) []sharding.Candidate {
 	out = out[:0]
 	var machineType *jobs.MachineType
 	var capacity sharding.Resources
 	need := spec.Resources()
-	for _, m := range among {
+	for _, m := range machines {
 		if m.State != fleet.Up {
 			continue
 		}
 		if machineType == nil || machineType.Name != m.MachineType { // machines of a type mostly follow one another
-			if machineType = q.MachineTypes[m.MachineType]; machineType == nil {
+			if machineType = q.state.MachineTypes[m.MachineType]; machineType == nil {
 				continue
 			}
 			capacity = machineType.Capacity()
 		}
 		used := m.Usage.Resources
-		if !capacity.Sub(used).Fits(need) || !takes(m) {
+		if !capacity.Sub(used).Fits(need) || !accepts(m) {
 			continue
 		}
 		c := sharding.Candidate{
 			Machine: m.Name, Capacity: capacity, Free: capacity.Sub(used), Spot: m.Spot, Zone: m.Zone, Controller: m.Owner,
-			Load: used.ShareOf(capacity), HasImage: q.HasImage(m.Name, spec.Image),
+			Load: used.ShareOf(capacity), HasImage: q.state.HasImage(m.Name, spec.Image),
 		}
 		if !c.HasImage && machineType.ImageGBPerS > 0 {
 			c.ImagePullS = q.imagePullSeconds(m, machineType, spec)
@@ -151,19 +151,19 @@
 // TakeBack withdraws tasks that their part did not place.
 func (q *Queue) TakeBack() {
 	var decisions []decide.Decision
-	for _, taskID := range clusterstate.SortedKeys(q.Released) {
-		task := q.Released[taskID]
-		gone := q.HasLeftView(task.Controller)
-		if !gone && q.Now.Sub(task.Since) < tuning.ReleaseStale {
+	for _, taskID := range clusterstate.SortedKeys(q.state.Released) {
+		task := q.state.Released[taskID]
+		gone := q.env.HasLeftView(task.Controller)
+		if !gone && q.state.Now.Sub(task.Since) < tuning.ReleaseStale {
 			continue
 		}
 		if !gone && task.PreferredMachine != "" {
-			q.Avoid(task.PreferredMachine, q.Now.Add(tuning.AvoidAfter))
+			q.Avoid(task.PreferredMachine, q.state.Now.Add(tuning.AvoidAfter))
 		}
 		next, ok := jobs.NextTask(task.Task, jobs.TaskEvent{Kind: jobs.TakeBack})
-		if ok && !q.Busy(task.Stored.Key) {
+		if ok && !q.env.Busy(task.Stored.Key) {
 			decisions = append(decisions, decide.Decision{Changes: decide.TransitionTask(task, next)})
 		}
 	}
-	q.Commit(decisions)
+	q.env.Commit(decisions)
 }
--- a/internal/queue/preempt.go
+++ b/internal/queue/preempt.go
@@ -19,7 +19,7 @@
 
 // lowerRuns tells whether any task of a lower rank is on a machine.
 func (q *Queue) hasPlacedBelow(priority int) bool {
-	for _, count := range q.PlacedByPriority[priority+1:] {
+	for _, count := range q.state.PlacedByPriority[priority+1:] {
 		if count > 0 {
 			return true
 		}
@@ -38,18 +38,18 @@
 			continue
 		}
 		for _, task := range waiting.Tasks {
-			if _, requested := cycle.loans.byTask[task.ID]; !requested && !q.Now.Before(q.preemptions[task.ID].until) {
+			if _, requested := cycle.loans.byTask[task.ID]; !requested && !q.state.Now.Before(q.preemptions[task.ID].until) {
 				q.preemptFor(&Waiting{Task: task, Priority: waiting.Priority, Entitled: waiting.Entitled}, false, cycle)
 			}
 		}
 	}
 	for taskID, m := range q.preemptions {
-		if q.Now.After(m.until) {
+		if q.state.Now.After(m.until) {
 			delete(q.preemptions, taskID)
 		}
 	}
 	for jobID, h := range q.holds {
-		if q.Now.Sub(h.chosenAt) > tuning.HoldAgain {
+		if q.state.Now.Sub(h.chosenAt) > tuning.HoldAgain {
 			delete(q.holds, jobID)
 		}
 	}
@@ -70,15 +70,15 @@
 	}
 	cycle.victimSearches++
 	var decisions []decide.Decision
-	victims := preempt.Victims(q.State, preempt.Search{
+	victims := preempt.Victims(q.state, preempt.Search{
 		Task:          waiting.Task,
 		Priority:      waiting.Priority,
 		Entitled:      waiting.Entitled,
 		Account:       cycle.account,
-		Zones:         q.TasksByZone(waiting.Task.Job),
+		Zones:         q.state.TasksByZone(waiting.Task.Job),
 		OnlyWithImage: onlyCached,
 		Open:          func(m *clusterstate.Machine) bool { return q.canPropose(waiting.Task, m) },
-		Busy:          q.Busy,
+		Busy:          q.env.Busy,
 		Stopping:      cycle.stopping,
 	})
 	for _, victim := range victims {
@@ -88,7 +88,7 @@
 		}
 	}
 	if len(decisions) > 0 {
-		q.preemptions[waiting.Task.ID] = pendingPreemption{q.Now.Add(tuning.PreemptAgain), onlyCached}
+		q.preemptions[waiting.Task.ID] = pendingPreemption{q.state.Now.Add(tuning.PreemptAgain), onlyCached}
 	}
 	cycle.decisions = append(cycle.decisions, decisions...)
 	return len(decisions) > 0
@@ -103,18 +103,18 @@
 		cycle.hold(q, machineName, record.Spec.Resources())
 		return true
 	}
-	if (waiting.Priority > 1 && !waiting.isEntitled()) || q.HasImage(machineName, record.Spec.Image) {
+	if (waiting.Priority > 1 && !waiting.isEntitled()) || q.state.HasImage(machineName, record.Spec.Image) {
 		return false
 	}
-	imageGBPerS := q.MachineTypes[q.Machines[machineName].MachineType].ImageGBPerS
+	imageGBPerS := q.state.MachineTypes[q.state.Machines[machineName].MachineType].ImageGBPerS
 	startBy := q.nextStartObjective(record, waiting.isEntitled())
-	if imageGBPerS <= 0 || startBy < q.NowMs() || q.NowMs()+int64(record.Spec.ImageGB/imageGBPerS*1000) <= startBy {
+	if imageGBPerS <= 0 || startBy < q.state.NowMs() || q.state.NowMs()+int64(record.Spec.ImageGB/imageGBPerS*1000) <= startBy {
 		return false
 	}
-	if m := q.preemptions[waiting.Task.ID]; q.Now.Before(m.until) {
+	if m := q.preemptions[waiting.Task.ID]; q.state.Now.Before(m.until) {
 		// Room is being made; if it does not come at once, go elsewhere. What
 		// has been found already is kept meanwhile: others would take it.
-		if !m.onCachedImage || m.until.Sub(q.Now) < tuning.PreemptAgain-tuning.ClearWait {
+		if !m.onCachedImage || m.until.Sub(q.state.Now) < tuning.PreemptAgain-tuning.ClearWait {
 			return false
 		}
 		cycle.hold(q, machineName, record.Spec.Resources())
@@ -131,23 +131,23 @@
 // guaranteed: in a tree the limit that it meets may be one that it shares.
 func (q *Queue) reclaimQuota(job *clusterstate.Job, cycle *schedulingCycle) {
 	spec := &job.Record.Spec
-	entitled := cycle.account.Entitled(q.QuotaLeaf(spec), spec.Amount(), 1)
-	if entitled < 0 || !cycle.account.Tree().Shaped() || q.Now.Before(q.preemptions[job.ID].until) {
+	entitled := cycle.account.Entitled(q.state.QuotaLeaf(spec), spec.Amount(), 1)
+	if entitled < 0 || !cycle.account.Tree().Shaped() || q.state.Now.Before(q.preemptions[job.ID].until) {
 		return
 	}
 	count := 0
-	for attempt := cycle.account.Clone(); count < min(q.startableCount(job), tuning.GiveBackEach) && attempt.Entitled(q.QuotaLeaf(spec), spec.Amount(), 1) >= 0; count++ {
+	for attempt := cycle.account.Clone(); count < min(q.startableCount(job), tuning.GiveBackEach) && attempt.Entitled(q.state.QuotaLeaf(spec), spec.Amount(), 1) >= 0; count++ {
 		attempt.Charge(spec.QuotaKey(), spec.Amount(), 1)
 	}
-	for _, s := range quotareclaim.For(q.State, cycle.account, entitled, spec, count) {
+	for _, s := range quotareclaim.For(q.state, cycle.account, entitled, spec, count) {
 		if next, ok := jobs.Withdraw(
 			s.Task.Task,
 			"gives back of "+s.Path+" what "+job.ID+" is guaranteed",
 		); ok && !cycle.stopping[s.Task] &&
-			!q.Busy(s.Task.Stored.Key) {
+			!q.env.Busy(s.Task.Stored.Key) {
 			cycle.decisions = append(cycle.decisions, decide.Decision{Changes: decide.TransitionTask(s.Task, next)})
 			cycle.stopping[s.Task] = true
-			q.preemptions[job.ID] = pendingPreemption{until: q.Now.Add(tuning.ReclaimEvery)}
+			q.preemptions[job.ID] = pendingPreemption{until: q.state.Now.Add(tuning.ReclaimEvery)}
 		}
 	}
 }
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -53,8 +53,8 @@
 
 // Queue is what waits, and what is done about it.
 type Queue struct {
-	*clusterstate.State
-	Env
+	state *clusterstate.State
+	env Env
 
 	// Waiting is what found no room in the last look.
 	Waiting []*Waiting
@@ -74,9 +74,9 @@
 }
 
 // New makes an empty queue over a book.
-func New(b *clusterstate.State, env Env) *Queue {
-	q := &Queue{State: b, Env: env, claimValues: map[int]fleet.Claims{}}
-	q.loans = q.newLending(env.Lending)
+func New(state *clusterstate.State, env Env) *Queue {
+	q := &Queue{state: state, env: env, claimValues: map[int]fleet.Claims{}}
+	q.loans = q.newLedger(env.Lending)
 	q.Reset()
 	return q
 }
@@ -112,7 +112,10 @@
 	WindowOpensSoon bool           // its window is yet to open
 }
 
-func (waiting *Waiting) isEntitled() bool { return waiting.Entitled >= 0 }
+func (w *Waiting) isEntitled() bool { return w.Entitled >= 0 }
 
 // Avoid keeps tasks off a machine until then.
 func (q *Queue) Avoid(machineName string, until time.Time) { q.avoidUntil[machineName] = until }
+
+// UsesBatches tells whether tasks are given away in batches of many jobs.
+func (q *Queue) UsesBatches() bool { return q.env.UsesBatches() }
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -20,20 +20,20 @@
 )
 
 // desk is a queue over a book, which commits what it decides at once.
-type desk struct {
+type testQueue struct {
 	*Queue
-	t      *testing.T
-	budget int
-	packs  bool
-	keys   int
-	taken  []decide.Decision
+	t             *testing.T
+	writeBudget   int
+	usesBatches   bool
+	batchKeyCount int
+	committed     []decide.Decision
 }
 
-func newDesk(t *testing.T, teams map[string]quota.Team) *desk {
-	d := &desk{t: t, budget: 1000}
-	b := clusterstate.New(quota.Flat(teams), func(string) {})
-	b.Now = time.UnixMilli(1e12)
-	b.MachineTypes["g4"] = &jobs.MachineType{
+func newTestQueue(t *testing.T, teams map[string]quota.Team) *testQueue {
+	d := &testQueue{t: t, writeBudget: 1000}
+	state := clusterstate.New(quota.Flat(teams), func(string) {})
+	state.Now = time.UnixMilli(1e12)
+	state.MachineTypes["g4"] = &jobs.MachineType{
 		Name:         "g4",
 		Cores:        32,
 		Accelerators: 4,
@@ -42,16 +42,16 @@
 		ImageGBPerS:  1,
 		Zones:        []string{"a", "b"},
 	}
-	d.Queue = New(b, Env{
+	d.Queue = New(state, Env{
 		Name:           "n0",
 		TxnOps:         16,
 		ValueBytes:     8192,
 		MaxRangeTasks:  30,
-		UsesBatches:    func() bool { return d.packs },
+		UsesBatches:    func() bool { return d.usesBatches },
 		WriteRPS:       1000,
 		Log:            slog.New(slog.DiscardHandler),
 		Busy:           func(string) bool { return false },
-		Allows:         func(spent, writes int) bool { return spent+writes <= d.budget },
+		Allows:         func(spent, writes int) bool { return spent+writes <= d.writeBudget },
 		HasSpareWrites: func() bool { return true },
 		Ready:          func(m *clusterstate.Machine) bool { return m.State == fleet.Up },
 		CanPlace:       func(task *clusterstate.Task, m *clusterstate.Machine) bool { return clusterstate.FitsTask(task, m) },
@@ -60,10 +60,10 @@
 	return d
 }
 
-func (d *desk) commit(decisions []decide.Decision) {
-	d.taken = append(d.taken, decisions...)
-	mine := func(machineName string) bool { return d.Machines[machineName].Owner == "n0" }
-	form := decide.TxnContext{
+func (d *testQueue) commit(decisions []decide.Decision) {
+	d.committed = append(d.committed, decisions...)
+	ownsMachine := func(machineName string) bool { return d.state.Machines[machineName].Owner == "n0" }
+	txnContext := decide.TxnContext{
 		Limits: store.Limits{
 			Ops:           16,
 			Preconditions: 64,
@@ -71,20 +71,20 @@
 			ValueBytes:    8192,
 		},
 		Revision:    func(string) uint64 { return 1 },
-		OwnsMachine: mine,
-		NewBatchKey: func() string { d.keys++; return fmt.Sprint(taskbatch.KeyPrefix, d.keys) },
+		OwnsMachine: ownsMachine,
+		NewBatchKey: func() string { d.batchKeyCount++; return fmt.Sprint(taskbatch.KeyPrefix, d.batchKeyCount) },
 	}
-	p := decide.Batcher{
-		TxnContext:  form,
-		Busy:        d.Busy,
+	batcher := decide.Batcher{
+		TxnContext:  txnContext,
+		Busy:        d.env.Busy,
 		Allows:      func(int, int) bool { return true },
 		RecordBytes: func(string) int { return 0 },
-		Quarantine:  func(x *decide.Decision, why string) { d.t.Error(x, why) },
+		Quarantine:  func(pending *decide.Decision, why string) { d.t.Error(pending, why) },
 	}
-	for _, b := range p.Build(decisions) {
+	for _, b := range batcher.Build(decisions) {
 		for _, w := range b.Txn.Writes {
 			if strings.HasPrefix(decide.WriteKey(w), taskbatch.KeyPrefix) {
-				if _, err := d.ApplyBatch(decide.WriteKey(w), w.Value, uint64(d.keys)); err != nil {
+				if _, err := d.state.ApplyBatch(decide.WriteKey(w), w.Value, uint64(d.batchKeyCount)); err != nil {
 					d.t.Error(err)
 				}
 			}
@@ -94,7 +94,7 @@
 				}
 			}
 			if strings.HasPrefix(decide.WriteKey(w), jobs.TaskPrefix) {
-				if _, err := d.ApplyTaskRange(decide.WriteKey(w), w.Value); err != nil {
+				if _, err := d.state.ApplyTaskRange(decide.WriteKey(w), w.Value); err != nil {
 					d.t.Error(err)
 				}
 			}
@@ -105,13 +105,13 @@
 			}
 		}
 	}
-	for _, bad := range d.Audit() {
+	for _, bad := range d.state.Audit() {
 		d.t.Error(bad)
 	}
 }
 
-func (d *desk) machine(name, owner, zone string) {
-	if err := d.ApplyMachine(
+func (d *testQueue) machine(name, owner, zone string) {
+	if err := d.state.ApplyMachine(
 		name,
 		owner,
 		jobs.Encode(fleet.MachineRecord{State: fleet.Up, MachineType: "g4", Zone: zone}),
@@ -120,11 +120,11 @@
 	}
 }
 
-func (d *desk) job(jobID, owner, priority string, taskCount int, change func(*jobs.Spec)) {
+func (d *testQueue) job(jobID, team, priority string, taskCount int, change func(*jobs.Spec)) {
 	spec := jobs.Spec{
 		ID:           jobID,
 		Class:        "c",
-		Team:         owner,
+		Team:         team,
 		Kind:         jobs.JobArray,
 		Priority:     priority,
 		TaskCount:    taskCount,
@@ -136,18 +136,18 @@
 	if change != nil {
 		change(&spec)
 	}
-	if err := d.ApplyJob(
+	if err := d.state.ApplyJob(
 		jobID,
-		jobs.Encode(jobs.Record{State: jobs.Live, AcceptedMs: d.NowMs(), Spec: spec}),
+		jobs.Encode(jobs.Record{State: jobs.Live, AcceptedMs: d.state.NowMs(), Spec: spec}),
 	); err != nil {
 		d.t.Fatal(err)
 	}
 }
 
 // where lists on which machines a job's tasks are, or are to be.
-func (d *desk) where(jobID string) string {
+func (d *testQueue) where(jobID string) string {
 	var out []string
-	for _, task := range d.Jobs[jobID].Tasks {
+	for _, task := range d.state.Jobs[jobID].Tasks {
 		out = append(out, task.Machine+task.PreferredMachine)
 	}
 	slices.Sort(out)
@@ -163,8 +163,8 @@
 // services keep slices of their own, and a task that failed leaves its pack for one of
 // the part that it goes to.
 func TestPacked(t *testing.T) {
-	d := newDesk(t, map[string]quota.Team{"b": {Name: "b"}})
-	d.packs = true
+	d := newTestQueue(t, map[string]quota.Team{"b": {Name: "b"}})
+	d.usesBatches = true
 	d.machine("i-1", "n0", "a")
 	d.machine("i-2", "n1", "a")
 	for i := range 4 {
@@ -172,46 +172,46 @@
 	}
 	d.job("wk-9", "b", "urgent", 2, func(s *jobs.Spec) { s.Kind = jobs.Service })
 	d.Release()
-	if len(d.Batches) != 2 || len(d.Jobs["wk-9"].Ranges) == 0 {
-		t.Fatalf("%d packs, %d slices of a service", len(d.Batches), len(d.Jobs["wk-9"].Ranges))
-	}
-	var on *clusterstate.Task
-	for _, sl := range d.Batches {
-		for _, x := range sl.Tasks {
-			if m := d.Machines[x.Machine+x.PreferredMachine]; x.Job.ID == "wk-9" ||
-				m.Owner != d.Machines[sl.Tasks[0].Machine+sl.Tasks[0].PreferredMachine].Owner {
-				t.Errorf("%s in a pack with %s", x.ID, sl.Tasks[0].ID)
+	if len(d.state.Batches) != 2 || len(d.state.Jobs["wk-9"].Ranges) == 0 {
+		t.Fatalf("%d packs, %d slices of a service", len(d.state.Batches), len(d.state.Jobs["wk-9"].Ranges))
+	}
+	var placedTask *clusterstate.Task
+	for _, record := range d.state.Batches {
+		for _, x := range record.Tasks {
+			if m := d.state.Machines[x.Machine+x.PreferredMachine]; x.Job.ID == "wk-9" ||
+				m.Owner != d.state.Machines[record.Tasks[0].Machine+record.Tasks[0].PreferredMachine].Owner {
+				t.Errorf("%s in a pack with %s", x.ID, record.Tasks[0].ID)
 			}
 			if x.OnMachine() && x.Machine == "i-1" {
-				on = x
+				placedTask = x
 			}
 		}
 	}
-	if on == nil {
+	if placedTask == nil {
 		t.Fatal("none placed by the leader in its own part")
 	}
-	jobID, n, from := on.Job.ID, on.Index, on.Stored.Key
-	failed, _ := jobs.NextTask(on.Task, jobs.TaskEvent{Kind: jobs.Fail})
-	d.commit([]decide.Decision{{Changes: decide.TransitionTask(on, failed)}})
-	d.Now = d.Now.Add(time.Hour)
+	jobID, n, from := placedTask.Job.ID, placedTask.Index, placedTask.Stored.Key
+	failed, _ := jobs.NextTask(placedTask.Task, jobs.TaskEvent{Kind: jobs.Fail})
+	d.commit([]decide.Decision{{Changes: decide.TransitionTask(placedTask, failed)}})
+	d.state.Now = d.state.Now.Add(time.Hour)
 	d.Release()
-	again := d.Jobs[jobID].Tasks[n]
+	again := d.state.Jobs[jobID].Tasks[n]
 	if again.Stored.Key == from || again.Machine+again.PreferredMachine != "i-2" ||
 		again.State == jobs.Placed && again.Attempt != 2 {
 		t.Errorf("%+v in %s", again.Task, again.Stored.Key)
 	}
 	// A pack that can't be read may hold any task of its jobs.
 	d.job("wk-8", "b", "prod", 1, nil)
-	_, _ = d.ApplyBatch("pack/odd", []byte(`{"v":9,"jobs":"wk-8"}`), 99)
+	_, _ = d.state.ApplyBatch("pack/odd", []byte(`{"v":9,"jobs":"wk-8"}`), 99)
 	d.machine("i-3", "n0", "a")
 	d.Release()
-	if got := len(d.Jobs["wk-8"].Tasks); got != 0 {
+	if got := len(d.state.Jobs["wk-8"].Tasks); got != 0 {
 		t.Errorf("%d tasks begun that an unreadable pack may hold", got)
 	}
 }
 
 func TestRelease(t *testing.T) {
-	d := newDesk(t, teams)
+	d := newTestQueue(t, teams)
 	d.machine("i-1", "n0", "a")
 	d.machine("i-2", "n1", "b")
 	d.job("wk-1", "b", "standard", 2, nil)
@@ -223,19 +223,19 @@
 	if got := d.where("wk-3"); got != "i-2" {
 		t.Errorf("urgent: %s", got)
 	}
-	if got := len(d.Jobs["wk-2"].Tasks); got != 6 {
+	if got := len(d.state.Jobs["wk-2"].Tasks); got != 6 {
 		t.Errorf("a has %d of its 6", got)
 	}
-	if got := len(d.Jobs["wk-4"].Tasks); got != 0 {
+	if got := len(d.state.Jobs["wk-4"].Tasks); got != 0 {
 		t.Errorf("idle work took %d places before others", got)
 	}
-	if placed := d.Jobs["wk-2"].PlacedCount; placed == 0 || placed == 6 {
+	if placed := d.state.Jobs["wk-2"].PlacedCount; placed == 0 || placed == 6 {
 		t.Errorf("%d placed at once; those of the other part are only released", placed)
 	}
 	// What the owner of the other part does with what it was given.
-	d.Name = "n1"
+	d.env.Name = "n1"
 	d.commit(d.Place())
-	if got := d.Jobs["wk-2"].PlacedCount; got != 6 {
+	if got := d.state.Jobs["wk-2"].PlacedCount; got != 6 {
 		t.Errorf("%d on machines", got)
 	}
 	if len(d.Waiting) == 0 || d.Waiting[0].Task.Job.ID == "wk-2" {
@@ -244,14 +244,14 @@
 }
 
 func TestZonesAndGangs(t *testing.T) {
-	d := newDesk(t, teams)
+	d := newTestQueue(t, teams)
 	d.machine("i-1", "n0", "a")
 	d.machine("i-2", "n0", "b")
 	d.job("wk-1", "b", "standard", 3, func(s *jobs.Spec) { s.SpreadZones = true })
 	d.job("wk-2", "b", "standard", 2, func(s *jobs.Spec) { s.Kind, s.SameZone = jobs.Gang, true })
 	d.job("wk-3", "b", "standard", 4, func(s *jobs.Spec) { s.Kind = jobs.Gang })
 	d.Release()
-	zones := d.TasksByZone(d.Jobs["wk-1"])
+	zones := d.state.TasksByZone(d.state.Jobs["wk-1"])
 	if zones["a"] > 2 || zones["b"] > 2 || zones["a"]+zones["b"] != 3 {
 		t.Errorf("scattered over %v", zones)
 	}
@@ -265,18 +265,18 @@
 
 // Urgent work stops what is idle, the youngest first, and no more than it needs.
 func TestPreempt(t *testing.T) {
-	d := newDesk(t, teams)
+	d := newTestQueue(t, teams)
 	d.machine("i-1", "n0", "a")
 	d.job("wk-1", "b", "idle", 2, nil)
 	d.Release()
-	d.Now = d.Now.Add(time.Minute)
+	d.state.Now = d.state.Now.Add(time.Minute)
 	d.job("wk-2", "b", "idle", 2, nil)
 	d.Release()
-	d.Now = d.Now.Add(time.Minute)
+	d.state.Now = d.state.Now.Add(time.Minute)
 	d.job("wk-3", "b", "urgent", 1, nil)
 	d.Release()
 	stopping := func() (out []string) {
-		for jobID, job := range d.Jobs {
+		for jobID, job := range d.state.Jobs {
 			for _, x := range job.Tasks {
 				if x.State == jobs.Stopping {
 					out = append(out, jobID)
@@ -297,41 +297,41 @@
 // Without a budget only the first few are looked at: what would be decided could not
 // be committed.
 func TestNoBudgetNoLook(t *testing.T) {
-	d := newDesk(t, teams)
+	d := newTestQueue(t, teams)
 	d.machine("i-1", "n0", "a")
-	d.budget = 0
+	d.writeBudget = 0
 	for i := range 2 * tuning.MaxExaminedJobs {
 		d.job(fmt.Sprintf("wk-%d", i), "b", "standard", 1, nil)
 	}
 	d.Release()
-	if len(d.taken) == 0 || len(d.taken)+len(d.Waiting) > tuning.MaxExaminedJobs {
-		t.Errorf("%d decisions, %d that wait, of %d looks", len(d.taken), len(d.Waiting), tuning.MaxExaminedJobs)
+	if len(d.committed) == 0 || len(d.committed)+len(d.Waiting) > tuning.MaxExaminedJobs {
+		t.Errorf("%d decisions, %d that wait, of %d looks", len(d.committed), len(d.Waiting), tuning.MaxExaminedJobs)
 	}
 }
 
 // A large gang is overdue once the last of its class's aims for starting has passed, and
 // after GangOverdue in any case; smaller ones never are.
 func TestGangsOverdueByTheirAims(t *testing.T) {
-	d := newDesk(t, map[string]quota.Team{"b": {Name: "b"}})
+	d := newTestQueue(t, map[string]quota.Team{"b": {Name: "b"}})
 	gang := func(class string, taskCount int) func(*jobs.Spec) {
 		return func(s *jobs.Spec) { s.Kind, s.Class, s.TaskCount = jobs.Gang, class, taskCount }
 	}
-	for _, o := range []settings.Objective{{Kind: "wait", Class: "soon", WithinS: 90}, {Kind: "wait", Class: "soon", WithinS: 50}, {Kind: "wait", Class: "late", WithinS: 150}, {Kind: "wait", Class: "at-once", WithinS: 10}} {
-		d.Objectives = append(d.Objectives, o)
+	for _, objective := range []settings.Objective{{Kind: "wait", Class: "soon", WithinS: 90}, {Kind: "wait", Class: "soon", WithinS: 50}, {Kind: "wait", Class: "late", WithinS: 150}, {Kind: "wait", Class: "at-once", WithinS: 10}} {
+		d.env.Objectives = append(d.env.Objectives, objective)
 	}
 	after := map[string]int{"soon": 100, "late": 160, "at-once": 160, "none": 160}
 	for class := range after {
 		d.job("wk-"+class, "b", "standard", 16, gang(class, 16))
 		d.job("wk-small-"+class, "b", "standard", 4, gang(class, 4))
 	}
-	begin := d.Now
+	begin := d.state.Now
 	for _, s := range []int{0, 99, 101, 159, 161, 500} {
-		d.Now = begin.Add(time.Duration(s) * time.Second)
+		d.state.Now = begin.Add(time.Duration(s) * time.Second)
 		for class, from := range after {
-			if got := d.Overdue(d.Jobs["wk-"+class]); got != (s >= from) {
+			if got := d.Overdue(d.state.Jobs["wk-"+class]); got != (s >= from) {
 				t.Errorf("%s after %d s: overdue %v", class, s, got)
 			}
-			if d.Overdue(d.Jobs["wk-small-"+class]) {
+			if d.Overdue(d.state.Jobs["wk-small-"+class]) {
 				t.Errorf("a gang of four is overdue after %d s", s)
 			}
 		}
@@ -364,7 +364,7 @@
 		{"long names", [][]string{machines(0, 200, 6), machines(200, 4000, 140)}, 1, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			d := newDesk(t, map[string]quota.Team{"t": {Name: "t"}})
+			d := newTestQueue(t, map[string]quota.Team{"t": {Name: "t"}})
 			held := 0
 			for i, gang := range c.gangs {
 				jobID := fmt.Sprintf("wk-%06d", i)
@@ -373,8 +373,8 @@
 						return
 					}
 					held++
-					if !slices.Equal(d.MachineClaims[jobID], gang) {
-						t.Errorf("%d machines are claimed", len(d.MachineClaims[jobID]))
+					if !slices.Equal(d.state.MachineClaims[jobID], gang) {
+						t.Errorf("%d machines are claimed", len(d.state.MachineClaims[jobID]))
 					}
 				})
 			}
@@ -385,17 +385,17 @@
 			for _, gang := range c.gangs[:c.held] {
 				machines += len(gang)
 			}
-			if len(d.ClaimedBy) != machines {
-				t.Errorf("%d machines are claimed, not %d", len(d.ClaimedBy), machines)
+			if len(d.state.ClaimedBy) != machines {
+				t.Errorf("%d machines are claimed, not %d", len(d.state.ClaimedBy), machines)
 			}
-			for _, x := range d.taken {
+			for _, x := range d.committed {
 				if len(x.Writes) == 0 || x.Writes[0].Put != "claims" {
 					t.Errorf("a claim without the first value, whose stamp speaks for it: %v", x.Writes)
 				}
 			}
 			clear(d.claims)
-			if d.ReconcileClaims(); len(d.claimValues) != 0 || len(d.ClaimedBy) != 0 {
-				t.Errorf("%d values and %d machines are left", len(d.claimValues), len(d.ClaimedBy))
+			if d.ReconcileClaims(); len(d.claimValues) != 0 || len(d.state.ClaimedBy) != 0 {
+				t.Errorf("%d values and %d machines are left", len(d.claimValues), len(d.state.ClaimedBy))
 			}
 		})
 	}
@@ -404,13 +404,13 @@
 // A leader of the former version writes the first value alone: the others count for nothing,
 // and go with the next write. Its reading of the first is that of a shorter claim.
 func TestClaimsOfFormerVersion(t *testing.T) {
-	d := newDesk(t, map[string]quota.Team{"t": {Name: "t"}})
+	d := newTestQueue(t, map[string]quota.Team{"t": {Name: "t"}})
 	var gang []string
 	for i := range 2000 {
 		gang = append(gang, fmt.Sprintf("i-%06d", i))
 	}
 	d.claimMachines("wk-000001", gang, func(bool) {})
-	former, err := fleet.DecodeClaims(d.taken[0].Writes[0].Value)
+	former, err := fleet.DecodeClaims(d.committed[0].Writes[0].Value)
 	if err != nil || len(former) != 2 || len(former["wk-000001"]) < 500 ||
 		!slices.Equal(former["more"], []string{"2", "3"}) {
 		t.Errorf("%d machines, more %v, %v", len(former["wk-000001"]), former["more"], err)
@@ -419,14 +419,14 @@
 	if err := d.ApplyClaims(
 		"claims",
 		[]byte(`{"wk-000002":["i-1"]}`),
-	); err != nil || len(d.ClaimedBy) != 1 ||
+	); err != nil || len(d.state.ClaimedBy) != 1 ||
 		len(d.claimValues) != 3 {
-		t.Errorf("%d machines claimed, %d values, %v", len(d.ClaimedBy), len(d.claimValues), err)
+		t.Errorf("%d machines claimed, %d values, %v", len(d.state.ClaimedBy), len(d.claimValues), err)
 	}
 	if d.ReconcileClaims(); len(d.claimValues) != 0 {
 		t.Errorf("%d values are left", len(d.claimValues))
 	}
-	if d.ApplyClaims("claims", []byte("7")) == nil || len(d.ClaimedBy) != 0 {
+	if d.ApplyClaims("claims", []byte("7")) == nil || len(d.state.ClaimedBy) != 0 {
 		t.Error("nonsense was read")
 	}
 }
--- a/internal/queue/rounds.go
+++ b/internal/queue/rounds.go
@@ -29,10 +29,10 @@
 func (q *Queue) lacksCapacity(job *clusterstate.Job) bool {
 	since, known := q.noCapacitySince[job.ID]
 	if !known {
-		since = q.Now
+		since = q.state.Now
 		q.noCapacitySince[job.ID] = since
 	}
-	return q.Now.Sub(since) > tuning.RoundFor
+	return q.state.Now.Sub(since) > tuning.RoundFor
 }
 
 // runRounds looks once more at what did not fit its team's limit beside the turns that
@@ -51,7 +51,7 @@
 	clear(cycle.leavesAtLimit)
 	t.second = true
 	for _, job := range t.overLimit {
-		if limit <= 0 || !q.Allows(cycle.writeCount(), 1) {
+		if limit <= 0 || !q.env.Allows(cycle.writeCount(), 1) {
 			break
 		}
 		limit -= q.examine(job, cycle, limit)
--- a/internal/queue/starvation.go
+++ b/internal/queue/starvation.go
@@ -29,7 +29,7 @@
 // what is still there is kept. Jobs that the look did not come to still have their turn.
 func (q *Queue) serveStarving(cycle *schedulingCycle, examined map[*clusterstate.Job]bool) {
 	for jobID := range q.starving {
-		if job := q.Queued[jobID]; job == nil || len(job.Active) > 0 {
+		if job := q.state.Queued[jobID]; job == nil || len(job.Active) > 0 {
 			delete(q.starving, jobID)
 		}
 	}
@@ -37,22 +37,22 @@
 	due := q.starvationCandidates(examined)
 	for _, job := range due[:min(len(due), tuning.MaxStarvingExamined)] {
 		starving := q.starving[job.ID]
-		starving.examinedAt = q.Now
+		starving.examinedAt = q.state.Now
 		begin := q.startOf(job, cycle)
 		if begin != nil {
-			starving.hadCapacitySince = q.Now
+			starving.hadCapacitySince = q.state.Now
 		}
-		waits := q.Now.Sub(starving.starvingSince)
+		waits := q.state.Now.Sub(starving.starvingSince)
 		switch {
-		case q.Now.Sub(starving.hadCapacitySince) > tuning.StarvingGap:
+		case q.state.Now.Sub(starving.hadCapacitySince) > tuning.StarvingGap:
 			starving.starvingSince = time.Time{}
 		case starving.starvingSince.IsZero():
-			starving.starvingSince = q.Now
-		case begin != nil && (waits >= tuning.StarvingAfter || waits >= tuning.StarvingCapacityFor && q.Now.Before(q.starvationCheckedAt)) && q.Allows(cycle.writeCount(), 1):
+			starving.starvingSince = q.state.Now
+		case begin != nil && (waits >= tuning.StarvingAfter || waits >= tuning.StarvingCapacityFor && q.state.Now.Before(q.starvationCheckedAt)) && q.env.Allows(cycle.writeCount(), 1):
 			if waits >= tuning.StarvingAfter {
-				q.starvationCheckedAt = q.Now.Add(tuning.StarvingEvery)
+				q.starvationCheckedAt = q.state.Now.Add(tuning.StarvingEvery)
 			}
-			q.Log.Debug("was passed over", "job", job.ID, "class", job.Record.Spec.Class, "for_s", q.Now.Sub(starving.starvingSince).Seconds())
+			q.env.Log.Debug("was passed over", "job", job.ID, "class", job.Record.Spec.Class, "for_s", q.state.Now.Sub(starving.starvingSince).Seconds())
 			begin()
 		}
 		q.starving[job.ID] = starving
@@ -63,17 +63,17 @@
 // those that were passed over first before others.
 func (q *Queue) starvationCandidates(examined map[*clusterstate.Job]bool) []*clusterstate.Job {
 	booked := map[*clusterstate.Job]bool{}
-	for _, r := range q.Reservations {
+	for _, r := range q.state.Reservations {
 		booked[r.Task.Job] = true
 	}
 	var out []*clusterstate.Job
 	for job := range examined {
 		jobID := job.ID
 		spec := &job.Record.Spec
-		waited := time.Duration(q.NowMs()-job.Record.AcceptedMs) * time.Millisecond
-		if q.Queued[jobID] != job || waited < tuning.StarvingMinAge || len(job.Active) > 0 || booked[job] || q.Now.Sub(q.starving[jobID].examinedAt) < tuning.StarvingEvery ||
+		waited := time.Duration(q.state.NowMs()-job.Record.AcceptedMs) * time.Millisecond
+		if q.state.Queued[jobID] != job || waited < tuning.StarvingMinAge || len(job.Active) > 0 || booked[job] || q.state.Now.Sub(q.starving[jobID].examinedAt) < tuning.StarvingEvery ||
 			!q.MayBegin(spec) || q.Claiming(jobID) ||
-			q.Trust(job, "") == jobs.Probing {
+			q.state.Trust(job, "") == jobs.Probing {
 			continue
 		}
 		out = append(out, job)
@@ -100,10 +100,10 @@
 // there is no room for that, or its limits do not allow it.
 func (q *Queue) startOf(job *clusterstate.Job, cycle *schedulingCycle) func() {
 	spec := &job.Record.Spec
-	leaf := q.QuotaLeaf(spec)
+	leaf := q.state.QuotaLeaf(spec)
 	if spec.IsGang() {
 		gang, attempt := q.restingTasks(job)
-		if gang == nil || !q.Account.Allows(leaf, spec.Amount(), spec.TaskCount) {
+		if gang == nil || !q.state.Account.Allows(leaf, spec.Amount(), spec.TaskCount) {
 			return nil
 		}
 		placements, sameController := q.fitGang(gang, cycle)
@@ -113,14 +113,14 @@
 		return func() { q.beginGang(job, gang, placements, sameController, attempt, cycle) }
 	}
 	tasks := q.pendingTasks(job, 1)
-	if len(tasks) == 0 || !q.Account.Allows(leaf, spec.Amount(), 1) || cycle.knownUnplaceable(spec, 1) {
+	if len(tasks) == 0 || !q.state.Account.Allows(leaf, spec.Amount(), 1) || cycle.knownUnplaceable(spec, 1) {
 		return nil
 	}
 	candidates := cycle.candidates(q, tasks[0])
 	if len(candidates) == 0 {
 		cycle.noteUnplaceable(spec, 1)
 	}
-	chosen := q.pickCandidate(tasks[0], candidates, q.TasksByZone(job))
+	chosen := q.pickCandidate(tasks[0], candidates, q.state.TasksByZone(job))
 	if chosen < 0 {
 		return nil
 	}
