--- a/internal/queue/accumulation.go
+++ b/internal/queue/accumulation.go
@@ -1,6 +1,7 @@
 package queue
 
 import (
+	"cmp"
 	"slices"
 	"sort"
 	"time"
@@ -32,21 +33,59 @@
 // below a share of the machines: they stand idle meanwhile.
 func (q *Queue) accumulate(task *clusterstate.Task, cycle *schedulingCycle) (int, string) {
 	spec := &task.Job.Record.Spec
-	accumulation := q.accumulations[task.Job.ID]
 	candidates := cycle.candidates(q, task.WithoutPreference())
 	zones := q.state.TasksByZone(task.Job)
-	if accumulation == nil || q.state.Now.Sub(accumulation.progressAt) > tuning.GatherElsewhere {
-		previousZone := ""
-		if accumulation != nil {
-			previousZone = accumulation.zone
-		}
-		accumulation = &capacityAccumulation{zone: q.accumulationZone(spec, candidates, zones, previousZone), progressAt: q.state.Now}
-		q.accumulations[task.Job.ID] = accumulation
-	}
+	accumulation := q.accumulationFor(task.Job, candidates, zones)
 	inZone := func(zone string) bool {
 		return (accumulation.zone == "" || zone == accumulation.zone) && clusterstate.ZoneAllowed(spec, zones, zone)
 	}
-	accumulation.freePlaces = map[string]int{}
+	left := accumulation.takeFree(q, cycle, spec, candidates, inZone)
+	kept := spec.TaskCount - left
+	if kept > accumulation.maxKept {
+		accumulation.maxKept, accumulation.progressAt = kept, q.state.Now
+	}
+	if left > 0 && q.Overdue(task.Job) {
+		if q.state.Now.Sub(accumulation.busyChosenAt) > tuning.GatherAgain {
+			accumulation.busyChosenAt = q.state.Now
+			accumulation.busyMachines = q.soonestFree(accumulation, task, left, inZone, cycle)
+		}
+		accumulation.takeBusy(q, cycle, spec)
+	}
+	return kept, accumulation.zone
+}
+
+// accumulationFor is a gang's accumulation; one that made no progress for long begins anew in
+// another zone.
+func (q *Queue) accumulationFor(
+	job *clusterstate.Job,
+	candidates []sharding.Candidate,
+	zones map[string]int,
+) *capacityAccumulation {
+	accumulation := q.accumulations[job.ID]
+	if accumulation != nil && q.state.Now.Sub(accumulation.progressAt) <= tuning.GatherElsewhere {
+		return accumulation
+	}
+	previousZone := ""
+	if accumulation != nil {
+		previousZone = accumulation.zone
+	}
+	accumulation = &capacityAccumulation{
+		zone:       q.accumulationZone(&job.Record.Spec, candidates, zones, previousZone),
+		progressAt: q.state.Now,
+	}
+	q.accumulations[job.ID] = accumulation
+	return accumulation
+}
+
+// takeFree keeps the free places of the zone for a gang, and returns how many of its tasks lack one.
+func (a *capacityAccumulation) takeFree(
+	q *Queue,
+	cycle *schedulingCycle,
+	spec *jobs.Spec,
+	candidates []sharding.Candidate,
+	inZone func(string) bool,
+) int {
+	a.freePlaces = map[string]int{}
 	left := spec.TaskCount
 	// The machines with the most places first: the gang starts on as few as hold it.
 	sort.SliceStable(candidates, func(a, b int) bool {
@@ -56,23 +95,17 @@
 	for i := range candidates {
 		candidate := &candidates[i]
 		places := min(left, candidate.Free.HowMany(spec.Resources()))
-		if places <= 0 || !inZone(candidate.Zone) || !cycle.allowAccumulation(q, candidate.Capacity, spec.Resources(), places) {
+		if places <= 0 || !inZone(candidate.Zone) ||
+			!cycle.allowAccumulation(q, candidate.Capacity, spec.Resources(), places) {
 			continue
 		}
 		for range places {
 			cycle.hold(q, candidate.Machine, spec.Resources())
 		}
-		accumulation.freePlaces[candidate.Machine] = places
+		a.freePlaces[candidate.Machine] = places
 		left -= places
 	}
-	kept := spec.TaskCount - left
-	if kept > accumulation.maxKept {
-		accumulation.maxKept, accumulation.progressAt = kept, q.state.Now
-	}
-	if left > 0 && q.Overdue(task.Job) {
-		q.accumulateBusy(accumulation, task, left, inZone, cycle)
-	}
-	return kept, accumulation.zone
+	return left
 }
 
 // reserve counts room kept for large gangs; false if it is too much.
@@ -119,39 +152,10 @@
 	return best
 }
 
-// gatherBusy keeps machines for what comes free on them, those first where the next
-// of the gang's tasks is expected to find room soonest. Without it smaller work takes
-// each place as it comes free, for as long as there is any.
-func (q *Queue) accumulateBusy(accumulation *capacityAccumulation, task *clusterstate.Task, left int, inZone func(string) bool, cycle *schedulingCycle) {
-	spec := &task.Job.Record.Spec
-	if q.state.Now.Sub(accumulation.busyChosenAt) > tuning.GatherAgain {
-		accumulation.busyChosenAt, accumulation.busyMachines = q.state.Now, nil
-		type soon struct {
-			host   string
-			at     int64
-			places int
-		}
-		var found []soon
-		for _, m := range cycle.openMachines(q) {
-			capacity := q.state.MachineTypes[m.MachineType].Capacity()
-			if cycle.heldMachines[m.Name] || accumulation.freePlaces[m.Name] > 0 || !inZone(m.Zone) || !clusterstate.FitsTask(task.WithoutPreference(), m) ||
-				!capacity.Fits(spec.Resources()) {
-				continue
-			}
-			if at, ok := q.expectedFreeMs(m, spec.Resources()); ok {
-				found = append(found, soon{m.Name, at, capacity.HowMany(spec.Resources())})
-			}
-		}
-		slices.SortStableFunc(found, func(a, b soon) int { return int(min(max(a.at-b.at, -1), 1)) })
-		for _, f := range found {
-			if left <= 0 {
-				break
-			}
-			accumulation.busyMachines = append(accumulation.busyMachines, f.host)
-			left -= f.places
-		}
-	}
-	for _, machineName := range accumulation.busyMachines {
+// takeBusy keeps the busy machines that were chosen, whole: smaller work takes each place as it
+// comes free otherwise, for as long as there is any.
+func (a *capacityAccumulation) takeBusy(q *Queue, cycle *schedulingCycle, spec *jobs.Spec) {
+	for _, machineName := range a.busyMachines {
 		m := q.state.Machines[machineName]
 		if m == nil || q.state.MachineTypes[m.MachineType] == nil || cycle.heldMachines[machineName] {
 			continue
@@ -168,30 +172,71 @@
 	}
 }
 
+// soonestFree chooses the busy machines to keep for a gang that lacks places: those first where the
+// next of its tasks is expected to find room soonest.
+func (q *Queue) soonestFree(
+	accumulation *capacityAccumulation,
+	task *clusterstate.Task,
+	left int,
+	inZone func(string) bool,
+	cycle *schedulingCycle,
+) []string {
+	type expectedFree struct {
+		machine string
+		atMs    int64
+		places  int
+	}
+	resources := task.Job.Record.Spec.Resources()
+	var found []expectedFree
+	for _, m := range cycle.openMachines(q) {
+		capacity := q.state.MachineTypes[m.MachineType].Capacity()
+		if cycle.heldMachines[m.Name] || accumulation.freePlaces[m.Name] > 0 || !inZone(m.Zone) ||
+			!clusterstate.FitsTask(task.WithoutPreference(), m) || !capacity.Fits(resources) {
+			continue
+		}
+		if atMs, ok := q.expectedFreeMs(m, resources); ok {
+			found = append(found, expectedFree{m.Name, atMs, capacity.HowMany(resources)})
+		}
+	}
+	slices.SortStableFunc(found, func(a, b expectedFree) int { return cmp.Compare(a.atMs, b.atMs) })
+	var machines []string
+	for _, f := range found {
+		if left <= 0 {
+			break
+		}
+		machines = append(machines, f.machine)
+		left -= f.places
+	}
+	return machines
+}
+
 // freeAt is when a machine is expected to have room for need, by its tasks' own
 // estimates; false if only replicas, which never end, stand in the way.
 func (q *Queue) expectedFreeMs(m *clusterstate.Machine, need sharding.Resources) (int64, bool) {
-	free := q.state.MachineTypes[m.MachineType].Capacity().Sub(m.Usage.Resources)
-	type end struct {
-		at   int64
-		need sharding.Resources
+	type taskEnd struct {
+		atMs      int64
+		resources sharding.Resources
 	}
-	var ends []end
+	var ends []taskEnd
 	for _, task := range q.state.TasksOnMachine[m.Name] {
 		if task.Job.Record == nil || task.Job.Record.Spec.Kind == jobs.Service {
 			continue
 		}
-		ends = append(ends, end{task.Since.UnixMilli() + int64(task.Job.Record.Spec.ExpectedDurationS*1000), task.Resources})
+		ends = append(ends, taskEnd{
+			atMs:      task.Since.UnixMilli() + int64(task.Job.Record.Spec.ExpectedDurationS*1000),
+			resources: task.Resources,
+		})
 	}
-	slices.SortFunc(ends, func(a, b end) int { return int(min(max(a.at-b.at, -1), 1)) })
-	at := q.state.NowMs()
-	for _, e := range ends {
+	slices.SortFunc(ends, func(a, b taskEnd) int { return cmp.Compare(a.atMs, b.atMs) })
+	free := q.state.MachineTypes[m.MachineType].Capacity().Sub(m.Usage.Resources)
+	atMs := q.state.NowMs()
+	for _, end := range ends {
 		if free.Fits(need) {
 			break
 		}
-		free, at = free.Add(e.need), max(at, e.at)
+		free, atMs = free.Add(end.resources), max(atMs, end.atMs)
 	}
-	return at, free.Fits(need)
+	return atMs, free.Fits(need)
 }
 
 // Gathered is the room that stands free for large gangs, by machine: it is in demand
--- a/internal/queue/cycle.go
+++ b/internal/queue/cycle.go
@@ -253,76 +253,26 @@
 // and returns how many tasks it looked at.
 func (q *Queue) releaseTasks(job *clusterstate.Job, cycle *schedulingCycle, limit int) int {
 	spec := &job.Record.Spec
-	leaf := q.state.QuotaLeaf(spec)
-	var candidates []sharding.Candidate
-	freePlaces := 0
-	if !cycle.knownUnplaceable(spec, 1) {
-		probe := &clusterstate.Task{Job: job}
-		candidates = cycle.candidates(q, probe)
-		if len(candidates) == 0 {
-			cycle.noteUnplaceable(spec, 1)
-		}
-		wanted := spec.TaskCount - job.DoneCount - len(job.Active)
-		for i := 0; i < len(candidates) && freePlaces <= wanted; i++ {
-			freePlaces += candidates[i].Free.HowMany(spec.Resources())
-		}
-	}
+	candidates, freePlaces := q.taskCandidates(job, cycle)
 	probing := q.state.Trust(job, "") == jobs.Probing
-	if q.Overdue(job) {
-		limit = min(limit, 1+spec.TaskCount/tuning.BeginShare) // others behind it are overdue, too
-	}
-	tasks := q.withoutBorrowers(q.pendingTasks(job, min(limit, freePlaces+tuning.WaitingEach, q.startableCount(job))), cycle)
+	tasks := q.tasksToExamine(job, cycle, limit, freePlaces)
 	if probing {
 		tasks = q.probeTask(job)
 	}
 	if len(tasks) == 0 {
 		return 1
 	}
-	zones := q.zonesWithLoans(job, cycle)
-	candidates = q.concentrate(spec, candidates, len(tasks))
-	var placements []placement
-	examinedCount := 0
-	for i, task := range tasks {
-		examinedCount++
-		if !cycle.account.Allows(leaf, spec.Amount(), 1) {
-			// What the team has left waits for this task to fit; smaller ones
-			// behind it would take it away for ever.
-			cycle.leavesAtLimit[leaf] = true
-			cycle.rounds.overLimit = append(cycle.rounds.overLimit, job)
-			q.reclaimQuota(job, cycle)
-			break
-		}
-		entitled := cycle.account.Entitled(leaf, spec.Amount(), 1)
-		chosen := q.pickCandidate(task, candidates, zones)
-		if chosen < 0 {
-			if !spec.SameZone && !spec.SpreadZones && task.Zone == "" && len(task.FailedOn) == 0 {
-				cycle.noteUnplaceable(spec, 1)
-			}
-			if probing {
-				break // no machine is rented, kept or cleared for it
-			}
-			if i > 0 {
-				delete(q.noCapacitySince, job.ID) // some of it found room
-			}
-			q.addWaiting(job, tasks[i:], entitled, zones, cycle)
-			break
-		}
-		candidate := &candidates[chosen]
-		if !probing &&
-			q.awaitCachedMachine(&Waiting{Task: task, Priority: spec.PriorityOrder(), Entitled: entitled, zones: zones}, candidate.Machine, cycle) {
-			candidate.Free = candidate.Free.Sub(spec.Resources())
-			cycle.account.Charge(spec.QuotaKey(), spec.Amount(), 1)
-			continue
-		}
-		placements = append(placements, placement{task, candidate.Machine})
-		cycle.account.Charge(spec.QuotaKey(), spec.Amount(), 1)
-		candidate.Free = candidate.Free.Sub(spec.Resources())
-		candidate.Load = candidate.Capacity.Sub(candidate.Free).ShareOf(candidate.Capacity)
-		zones[candidate.Zone]++
-		if !candidate.HasImage && spec.ImageGB > 0 {
-			candidate.HasImage = true // for the next of them
-		}
-	}
+	placer := taskPlacer{
+		queue:      q,
+		cycle:      cycle,
+		job:        job,
+		tasks:      tasks,
+		probing:    probing,
+		zones:      q.zonesWithLoans(job, cycle),
+		candidates: q.concentrate(spec, candidates, len(tasks)),
+	}
+	examinedCount := placer.placeAll()
+	placements := placer.placements
 	if len(placements) == len(tasks) {
 		delete(q.noCapacitySince, job.ID)
 	}
@@ -336,6 +286,38 @@
 	return examinedCount
 }
 
+// taskCandidates lists the machines with room for a task of a job, and counts the tasks that they
+// have room for, up to somewhat more than the job has left.
+func (q *Queue) taskCandidates(job *clusterstate.Job, cycle *schedulingCycle) ([]sharding.Candidate, int) {
+	spec := &job.Record.Spec
+	if cycle.knownUnplaceable(spec, 1) {
+		return nil, 0
+	}
+	candidates := cycle.candidates(q, &clusterstate.Task{Job: job})
+	if len(candidates) == 0 {
+		cycle.noteUnplaceable(spec, 1)
+	}
+	freePlaces := 0
+	wanted := spec.TaskCount - job.DoneCount - len(job.Active)
+	for i := 0; i < len(candidates) && freePlaces <= wanted; i++ {
+		freePlaces += candidates[i].Free.HowMany(spec.Resources())
+	}
+	return candidates, freePlaces
+}
+
+// tasksToExamine lists the tasks of a job that a cycle looks for room for.
+func (q *Queue) tasksToExamine(
+	job *clusterstate.Job,
+	cycle *schedulingCycle,
+	limit, freePlaces int,
+) []*clusterstate.Task {
+	if q.Overdue(job) {
+		limit = min(limit, 1+job.Record.Spec.TaskCount/tuning.BeginShare) // others behind it are overdue, too
+	}
+	limit = min(limit, freePlaces+tuning.WaitingEach, q.startableCount(job))
+	return q.withoutBorrowers(q.pendingTasks(job, limit), cycle)
+}
+
 // wait notes tasks that found no room: they keep their turn, and a machine is
 // kept for the first of them.
 func (q *Queue) addWaiting(job *clusterstate.Job, tasks []*clusterstate.Task, entitled int, zones map[string]int, cycle *schedulingCycle) {
@@ -368,8 +350,10 @@
 // gathers tells whether the few tasks of a sweep that there is room for should
 // wait a moment for more of them, to share a slice. Their room is kept.
 func (q *Queue) awaitsMoreCapacity(job *clusterstate.Job, placementCount, freePlaces int) bool {
-	if !q.Scarce() || q.env.HasSpareWrites() || q.env.UsesBatches() || job.Record.Spec.Kind != jobs.JobArray || placementCount == 0 ||
-		placementCount >= min(tuning.GatherTasks, job.Record.Spec.TaskCount-job.DoneCount-len(job.Active)) || placementCount < freePlaces {
+	wanted := min(tuning.GatherTasks, job.Record.Spec.TaskCount-job.DoneCount-len(job.Active))
+	savesWrites := q.Scarce() && !q.env.HasSpareWrites() && !q.env.UsesBatches() &&
+		job.Record.Spec.Kind == jobs.JobArray
+	if !savesWrites || placementCount == 0 || placementCount >= wanted || placementCount < freePlaces {
 		job.GatheringSince = time.Time{}
 		return false
 	}
@@ -523,6 +507,8 @@
 	return q.env.CanPlace(task, m)
 }
 
+type placeRule func(*clusterstate.Task, *clusterstate.Machine) bool
+
 func always(*clusterstate.Task, *clusterstate.Machine) bool { return true }
 
 func never(*clusterstate.Task, *clusterstate.Machine) bool { return false }
--- a/internal/queue/gangs.go
+++ b/internal/queue/gangs.go
@@ -9,6 +9,7 @@
 	"github.com/harrierreel/harrierreel/internal/gangs"
 	"github.com/harrierreel/harrierreel/internal/jobs"
 	"github.com/harrierreel/harrierreel/internal/sharding"
+	"github.com/harrierreel/harrierreel/internal/store"
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
@@ -20,12 +21,7 @@
 		return
 	}
 	if gangs.PhaseOf(spec.TaskCount, taskRecords(job)) == gangs.Broken {
-		for _, index := range slices.Sorted(maps.Keys(job.Tasks)) {
-			task := job.Tasks[index]
-			if next, ok := jobs.Withdraw(task.Task, "gang is not whole"); ok {
-				cycle.decisions = append(cycle.decisions, decide.Decision{Changes: decide.TransitionTask(task, next)})
-			}
-		}
+		withdrawGang(job, cycle)
 		return
 	}
 	tasks, attempt := q.restingTasks(job)
@@ -33,12 +29,8 @@
 		return
 	}
 	probing := q.state.Trust(job, "") == jobs.Probing
-	if probing {
-		for _, task := range tasks {
-			if q.state.Now.Sub(task.Since) < jobs.Backoff(int(min(attempt, 10))) {
-				return
-			}
-		}
+	if probing && q.backsOff(tasks, attempt) {
+		return
 	}
 	leaf := q.state.QuotaLeaf(spec)
 	if !cycle.account.Allows(leaf, spec.Amount(), spec.TaskCount) {
@@ -52,43 +44,59 @@
 	entitled := cycle.account.Entitled(leaf, spec.Amount(), spec.TaskCount)
 	cycle.account.Charge(spec.QuotaKey(), spec.Amount(), spec.TaskCount)
 	placements, sameController := q.fitGang(tasks, cycle)
-	if placements == nil && cycle.rounds.second {
-		cycle.account.Charge(spec.QuotaKey(), spec.Amount(), -spec.TaskCount)
-		return
-	}
-	if placements == nil && probing {
-		return
-	}
 	switch {
 	case placements != nil:
 		delete(q.noCapacitySince, job.ID)
-	case q.lacksCapacity(job):
-		cycle.rounds.expired = append(cycle.rounds.expired, round{job, spec.TaskCount})
+		q.beginGang(job, tasks, placements, sameController, attempt, cycle)
+	case cycle.rounds.second:
+		cycle.account.Charge(spec.QuotaKey(), spec.Amount(), -spec.TaskCount)
+	case !probing:
+		q.addWaitingGang(job, tasks[0], entitled, cycle)
 	}
-	if placements == nil && isLargeGang(spec) {
-		kept, zone := q.accumulate(tasks[0], cycle)
-		q.Waiting = append(
-			q.Waiting,
-			&Waiting{
-				Task:     tasks[0],
-				Count:    spec.TaskCount - kept,
-				Priority: spec.PriorityOrder(),
-				Entitled: entitled,
-				Zone:     zone,
-				Gathers:  true,
-			},
-		)
-		return
+}
+
+// withdrawGang stops a gang of which only some tasks run: they are of no use alone.
+func withdrawGang(job *clusterstate.Job, cycle *schedulingCycle) {
+	for _, index := range slices.Sorted(maps.Keys(job.Tasks)) {
+		task := job.Tasks[index]
+		if next, ok := jobs.Withdraw(task.Task, "gang is not whole"); ok {
+			cycle.decisions = append(cycle.decisions, decide.Decision{Changes: decide.TransitionTask(task, next)})
+		}
 	}
-	if placements == nil {
-		q.Waiting = append(
-			q.Waiting,
-			&Waiting{Task: tasks[0], Count: spec.TaskCount, Priority: spec.PriorityOrder(), Entitled: entitled},
-		)
-		q.holdMachines(tasks[0].WithoutPreference(), min(spec.TaskCount, tuning.HoldEach), q.state.TasksByZone(job), cycle)
+}
+
+// backsOff tells whether a gang in doubt still pauses before its next attempt.
+func (q *Queue) backsOff(tasks []*clusterstate.Task, attempt uint64) bool {
+	pause := jobs.Backoff(int(min(attempt, 10)))
+	return slices.ContainsFunc(tasks, func(task *clusterstate.Task) bool {
+		return q.state.Now.Sub(task.Since) < pause
+	})
+}
+
+// addWaitingGang notes a gang that found no room: it keeps its turn, and room is kept for it, for a
+// large one as it comes free.
+func (q *Queue) addWaitingGang(job *clusterstate.Job, first *clusterstate.Task, entitled int, cycle *schedulingCycle) {
+	spec := &job.Record.Spec
+	if q.lacksCapacity(job) {
+		cycle.rounds.expired = append(cycle.rounds.expired, round{job, spec.TaskCount})
+	}
+	waiting := &Waiting{
+		Task:     first,
+		Count:    spec.TaskCount,
+		Priority: spec.PriorityOrder(),
+		Entitled: entitled,
+	}
+	if isLargeGang(spec) {
+		kept, zone := q.accumulate(first, cycle)
+		waiting.Count -= kept
+		waiting.Zone = zone
+		waiting.Gathers = true
+		q.Waiting = append(q.Waiting, waiting)
 		return
 	}
-	q.beginGang(job, tasks, placements, sameController, attempt, cycle)
+	q.Waiting = append(q.Waiting, waiting)
+	held := min(spec.TaskCount, tuning.HoldEach)
+	q.holdMachines(first.WithoutPreference(), held, q.state.TasksByZone(job), cycle)
 }
 
 // taskRecords lists what the records say of a job's tasks.
@@ -159,72 +167,98 @@
 
 // oursAll tells whether the leader may place all of a gang itself.
 func (q *Queue) placesAllDirectly(placements []placement) bool {
-	return !slices.ContainsFunc(placements, func(o placement) bool { return !q.placesDirectly(o.task, q.state.Machines[o.machine]) })
+	return !slices.ContainsFunc(placements, func(o placement) bool {
+		return !q.placesDirectly(o.task, q.state.Machines[o.machine])
+	})
 }
 
 // placeGangOffers is the one decision that gives a whole gang to the part that all
 // its machines belong to; the leader's own part places it at once.
 func (q *Queue) releaseGangWhole(job *clusterstate.Job, placements []placement) (decide.Decision, bool) {
-	gangDecision := decide.Decision{ReadSet: []string{jobs.JobPrefix + job.ID}}
-	var settled []func(bool)
-	add := func(part decide.Decision) {
-		gangDecision.Changes = append(gangDecision.Changes, part.Changes...)
-		gangDecision.Writes = append(gangDecision.Writes, part.Writes...)
-		for _, k := range part.ReadSet {
-			if !slices.Contains(gangDecision.ReadSet, k) {
-				gangDecision.ReadSet = append(gangDecision.ReadSet, k)
-			}
-		}
-		settled = append(settled, part.OnSettled)
+	joined := joinedDecision{readSet: []string{jobs.JobPrefix + job.ID}}
+	placesDirectly := placeRule(always)
+	if !q.placesAllDirectly(placements) {
+		placesDirectly = never
 	}
-	gangDecision.OnSettled = func(ok bool) {
-		for _, f := range settled {
-			f(ok)
-		}
-	}
-	placesDirectly := always
 	var lastAttempt uint64
 	for _, o := range placements {
-		if !q.placesDirectly(o.task, q.state.Machines[o.machine]) {
-			placesDirectly = never
-		}
 		lastAttempt = max(lastAttempt, o.task.Attempt)
 	}
 	var newTasks []*clusterstate.Task
 	var machines []string
 	for _, o := range placements {
-		m := q.state.Machines[o.machine]
-		switch {
-		case o.task.Stored == nil:
+		if o.task.Stored == nil {
 			newTasks, machines = append(newTasks, o.task), append(machines, o.machine)
 			continue
-		case placesDirectly(o.task, m):
-			part, ok := q.placeDecision(o.task, o.machine, m.Zone, lastAttempt+1)
-			if !ok {
-				gangDecision.OnSettled(false)
-				return gangDecision, false
-			}
-			add(part)
-		default:
-			next, ok := q.releasedTask(o.task, m)
-			if !ok {
-				gangDecision.OnSettled(false)
-				return gangDecision, false
-			}
-			taskID := o.task.ID
-			add(decide.Decision{Changes: decide.TransitionTask(o.task, next), OnSettled: func(bool) { q.state.Unreserve(taskID) }})
 		}
+		part, ok := q.gangTaskDecision(o, placesDirectly, lastAttempt+1)
+		if !ok {
+			joined.settle(false)
+			return joined.decision(), false
+		}
+		joined.add(part)
 	}
 	for len(newTasks) > 0 {
 		count := q.consecutiveCount(newTasks, len(newTasks))
-		add(q.beginTaskRange(job, newTasks[:count], machines[:count], placesDirectly, lastAttempt+1))
+		joined.add(q.beginTaskRange(job, newTasks[:count], machines[:count], placesDirectly, lastAttempt+1))
 		newTasks, machines = newTasks[count:], machines[count:]
 	}
-	if len(gangDecision.Keys()) > q.env.TxnOps {
-		gangDecision.OnSettled(false)
-		return gangDecision, false
+	decision := joined.decision()
+	if len(decision.Keys()) > q.env.TxnOps {
+		joined.settle(false)
+		return decision, false
+	}
+	return decision, true
+}
+
+// gangTaskDecision is the decision for a gang's task that has a record: it is placed at once, or
+// released to the machine's controller.
+func (q *Queue) gangTaskDecision(o placement, placesDirectly placeRule, attempt uint64) (decide.Decision, bool) {
+	m := q.state.Machines[o.machine]
+	if placesDirectly(o.task, m) {
+		return q.placeDecision(o.task, o.machine, m.Zone, attempt)
+	}
+	next, ok := q.releasedTask(o.task, m)
+	if !ok {
+		return decide.Decision{}, false
+	}
+	taskID := o.task.ID
+	return decide.Decision{
+		Changes:   decide.TransitionTask(o.task, next),
+		OnSettled: func(bool) { q.state.Unreserve(taskID) },
+	}, true
+}
+
+// joinedDecision makes one decision of several, so that one transaction holds all or none.
+type joinedDecision struct {
+	changes []decide.Change
+	writes  []store.Write
+	readSet []string
+	settled []func(bool)
+}
+
+// add takes one more decision in; a key stands in the read set once.
+func (d *joinedDecision) add(part decide.Decision) {
+	d.changes = append(d.changes, part.Changes...)
+	d.writes = append(d.writes, part.Writes...)
+	for _, key := range part.ReadSet {
+		if !slices.Contains(d.readSet, key) {
+			d.readSet = append(d.readSet, key)
+		}
+	}
+	d.settled = append(d.settled, part.OnSettled)
+}
+
+// settle tells all of them whether they were committed.
+func (d *joinedDecision) settle(ok bool) {
+	for _, settled := range d.settled {
+		settled(ok)
 	}
-	return gangDecision, true
+}
+
+// decision is all of them in one.
+func (d *joinedDecision) decision() decide.Decision {
+	return decide.Decision{Changes: d.changes, Writes: d.writes, ReadSet: d.readSet, OnSettled: d.settle}
 }
 
 // fitGang finds a machine for every task of a gang, nil when it does not fit. whole
@@ -305,20 +339,12 @@
 	}
 	// The claim may have waited for a while, and others were charged meanwhile
 	// (docs/incidents/claimed-gangs.md).
-	if spec := &job.Record.Spec; !q.state.Account.Allows(q.state.QuotaLeaf(spec), spec.Amount(), spec.TaskCount) {
+	spec := &job.Record.Spec
+	if !q.state.Account.Allows(q.state.QuotaLeaf(spec), spec.Amount(), spec.TaskCount) {
 		return nil, false
 	}
-	need := job.Record.Spec.Resources()
-	claimedResources := map[string]sharding.Resources{}
-	for _, machineName := range machines {
-		m := q.state.Machines[machineName]
-		if m == nil || q.ClaimedFor(m) != job.ID || q.state.MachineTypes[m.MachineType] == nil {
-			return nil, false
-		}
-		claimedResources[machineName] = claimedResources[machineName].Add(need)
-		if !q.state.MachineTypes[m.MachineType].Capacity().Sub(q.state.UsedResources(machineName)).Fits(claimedResources[machineName]) {
-			return nil, false
-		}
+	if !q.claimHasCapacity(job, machines) {
+		return nil, false
 	}
 	var decisions []decide.Decision
 	var newTasks []*clusterstate.Task
@@ -345,6 +371,25 @@
 	return decisions, true
 }
 
+// claimHasCapacity tells whether the machines are claimed for a gang and have room for its tasks, of
+// which machines names each one's.
+func (q *Queue) claimHasCapacity(job *clusterstate.Job, machines []string) bool {
+	resources := job.Record.Spec.Resources()
+	claimed := map[string]sharding.Resources{}
+	for _, machineName := range machines {
+		m := q.state.Machines[machineName]
+		if m == nil || q.ClaimedFor(m) != job.ID || q.state.MachineTypes[m.MachineType] == nil {
+			return false
+		}
+		claimed[machineName] = claimed[machineName].Add(resources)
+		capacity := q.state.MachineTypes[m.MachineType].Capacity()
+		if !capacity.Sub(q.state.UsedResources(machineName)).Fits(claimed[machineName]) {
+			return false
+		}
+	}
+	return true
+}
+
 // placeGang places a gang that was offered to this part, whole or not at all.
 func (q *Queue) placeReleasedGang(job *clusterstate.Job, tasks []*clusterstate.Task) []decide.Decision {
 	if len(tasks) != job.Record.Spec.TaskCount {
--- a/internal/queue/order.go
+++ b/internal/queue/order.go
@@ -14,73 +14,71 @@
 // guarantee, then by the share of its team beyond that, then what has waited too long
 // to begin, the oldest first, then by the time by which they must start to meet their aim.
 func (q *Queue) order(account *quota.Account) []*clusterstate.Job {
-	type entry struct {
-		j     *clusterstate.Job
-		rank  int
-		turn  int       // 0: within its team's guarantee
-		way   []float64 // of its leaf, for what lies beyond that
-		due   bool      // overdue to begin
-		late  bool
-		room  float64
-		start int64
-	}
-	late := func(r *jobs.Record, start int64) bool {
-		return start >= r.AcceptedMs+tuning.QueueHorizon.Milliseconds()
-	}
 	fairSharePaths := map[int][]float64{}
-	entries := make([]entry, 0, len(q.state.Queued))
+	entries := make([]queueEntry, 0, len(q.state.Queued))
 	for _, job := range q.state.Queued {
 		spec := &job.Record.Spec
 		leaf := q.state.QuotaLeaf(spec)
 		entitled := account.Entitled(leaf, spec.Amount(), 1)
-		turn := account.Tree().FairShareOrder(entitled, leaf)
-		start := q.StartBy(job.Record, turn == 0)
-		if _, known := fairSharePaths[leaf]; turn > 0 && !known {
+		fairShareOrder := account.Tree().FairShareOrder(entitled, leaf)
+		startByMs := q.StartBy(job.Record, fairShareOrder == 0)
+		if _, known := fairSharePaths[leaf]; fairShareOrder > 0 && !known {
 			fairSharePaths[leaf] = account.Way(leaf)
 		}
-		entries = append(
-			entries,
-			entry{
-				job,
-				spec.PriorityOrder(),
-				turn,
-				fairSharePaths[leaf],
-				q.Overdue(job),
-				late(job.Record, start),
-				spec.Accelerators * float64(spec.TaskCount-job.DoneCount),
-				start,
-			},
-		)
-	}
-	sort.Slice(entries, func(x, y int) bool {
-		a, b := &entries[x], &entries[y]
-		switch {
-		case a.rank != b.rank:
-			return a.rank < b.rank
-		case a.turn != b.turn:
-			return a.turn < b.turn
-		case a.turn > 0 && quota.CompareWays(a.way, b.way) != 0:
-			return quota.CompareWays(a.way, b.way) < 0
-		case a.due != b.due:
-			return a.due
-		case a.due && a.j.Record.AcceptedMs != b.j.Record.AcceptedMs:
-			return a.j.Record.AcceptedMs < b.j.Record.AcceptedMs
-		case a.late != b.late:
-			return !a.late
-		case !a.late && a.room != b.room:
-			return a.room < b.room
-		case a.start != b.start:
-			return a.start < b.start
-		}
-		return a.j.ID < b.j.ID
-	})
+		entries = append(entries, queueEntry{
+			job:            job,
+			priority:       spec.PriorityOrder(),
+			fairShareOrder: fairShareOrder,
+			fairSharePath:  fairSharePaths[leaf],
+			overdue:        q.Overdue(job),
+			late:           startByMs >= job.Record.AcceptedMs+tuning.QueueHorizon.Milliseconds(),
+			accelerators:   spec.Accelerators * float64(spec.TaskCount-job.DoneCount),
+			startByMs:      startByMs,
+		})
+	}
+	sort.Slice(entries, func(a, b int) bool { return entries[a].before(&entries[b]) })
 	out := make([]*clusterstate.Job, len(entries))
 	for i := range entries {
-		out[i] = entries[i].j
+		out[i] = entries[i].job
 	}
 	return out
 }
 
+// queueEntry is a job that waits, with what its place in the queue depends on.
+type queueEntry struct {
+	job            *clusterstate.Job
+	priority       int
+	fairShareOrder int       // 0: within its team's guarantee
+	fairSharePath  []float64 // of its quota leaf, for what lies beyond the guarantee
+	overdue        bool      // to begin
+	late           bool      // no objective for its start can be met any more
+	accelerators   float64   // of all its tasks that are not done
+	startByMs      int64
+}
+
+// before tells whether e goes before other.
+func (e *queueEntry) before(other *queueEntry) bool {
+	switch {
+	case e.priority != other.priority:
+		return e.priority < other.priority
+	case e.fairShareOrder != other.fairShareOrder:
+		return e.fairShareOrder < other.fairShareOrder
+	case e.fairShareOrder > 0 && quota.CompareWays(e.fairSharePath, other.fairSharePath) != 0:
+		return quota.CompareWays(e.fairSharePath, other.fairSharePath) < 0
+	case e.overdue != other.overdue:
+		return e.overdue
+	case e.overdue && e.job.Record.AcceptedMs != other.job.Record.AcceptedMs:
+		return e.job.Record.AcceptedMs < other.job.Record.AcceptedMs
+	case e.late != other.late:
+		return !e.late
+	case !e.late && e.accelerators != other.accelerators:
+		return e.accelerators < other.accelerators
+	case e.startByMs != other.startByMs:
+		return e.startByMs < other.startByMs
+	}
+	return e.job.ID < other.job.ID
+}
+
 // Overdue tells whether a job has waited so long to begin that it goes before all others
 // of its rank, turn and team's share. Within a class the smaller go first, so without it the
 // largest begin last, and while smaller ones keep coming never
@@ -210,7 +208,8 @@
 		if q.env.Busy(task.Stored.Key) {
 			return nil
 		}
-		if mostFailed == nil || task.Failures > mostFailed.Failures || task.Failures == mostFailed.Failures && task.Index < mostFailed.Index {
+		if mostFailed == nil || task.Failures > mostFailed.Failures ||
+			task.Failures == mostFailed.Failures && task.Index < mostFailed.Index {
 			mostFailed = task
 		}
 	}
--- a/internal/queue/preempt.go
+++ b/internal/queue/preempt.go
@@ -131,23 +131,25 @@
 // guaranteed: in a tree the limit that it meets may be one that it shares.
 func (q *Queue) reclaimQuota(job *clusterstate.Job, cycle *schedulingCycle) {
 	spec := &job.Record.Spec
-	entitled := cycle.account.Entitled(q.state.QuotaLeaf(spec), spec.Amount(), 1)
+	leaf := q.state.QuotaLeaf(spec)
+	entitled := cycle.account.Entitled(leaf, spec.Amount(), 1)
 	if entitled < 0 || !cycle.account.Tree().Shaped() || q.state.Now.Before(q.preemptions[job.ID].until) {
 		return
 	}
 	count := 0
-	for attempt := cycle.account.Clone(); count < min(q.startableCount(job), tuning.GiveBackEach) && attempt.Entitled(q.state.QuotaLeaf(spec), spec.Amount(), 1) >= 0; count++ {
-		attempt.Charge(spec.QuotaKey(), spec.Amount(), 1)
+	wanted := min(q.startableCount(job), tuning.GiveBackEach)
+	trial := cycle.account.Clone()
+	for count < wanted && trial.Entitled(leaf, spec.Amount(), 1) >= 0 {
+		trial.Charge(spec.QuotaKey(), spec.Amount(), 1)
+		count++
 	}
 	for _, s := range quotareclaim.For(q.state, cycle.account, entitled, spec, count) {
-		if next, ok := jobs.Withdraw(
-			s.Task.Task,
-			"gives back of "+s.Path+" what "+job.ID+" is guaranteed",
-		); ok && !cycle.stopping[s.Task] &&
-			!q.env.Busy(s.Task.Stored.Key) {
-			cycle.decisions = append(cycle.decisions, decide.Decision{Changes: decide.TransitionTask(s.Task, next)})
-			cycle.stopping[s.Task] = true
-			q.preemptions[job.ID] = pendingPreemption{until: q.state.Now.Add(tuning.ReclaimEvery)}
+		next, ok := jobs.Withdraw(s.Task.Task, "gives back of "+s.Path+" what "+job.ID+" is guaranteed")
+		if !ok || cycle.stopping[s.Task] || q.env.Busy(s.Task.Stored.Key) {
+			continue
 		}
+		cycle.decisions = append(cycle.decisions, decide.Decision{Changes: decide.TransitionTask(s.Task, next)})
+		cycle.stopping[s.Task] = true
+		q.preemptions[job.ID] = pendingPreemption{until: q.state.Now.Add(tuning.ReclaimEvery)}
 	}
 }
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -84,8 +84,13 @@
 // Reset forgets what only a leader keeps: a new one starts from the records.
 func (q *Queue) Reset() {
 	q.releaseWindowReservations()
-	q.Waiting, q.examined = nil, nil
-	q.avoidUntil, q.noCapacitySince, q.preemptions, q.holds, q.claims = map[string]time.Time{}, map[string]time.Time{}, map[string]pendingPreemption{}, map[string]heldCapacity{}, map[string]*claim{}
+	q.Waiting = nil
+	q.examined = nil
+	q.avoidUntil = map[string]time.Time{}
+	q.noCapacitySince = map[string]time.Time{}
+	q.preemptions = map[string]pendingPreemption{}
+	q.holds = map[string]heldCapacity{}
+	q.claims = map[string]*claim{}
 	q.accumulations = map[string]*capacityAccumulation{}
 	q.starving = map[string]starvation{}
 }
--- a/internal/queue/starvation.go
+++ b/internal/queue/starvation.go
@@ -36,59 +36,54 @@
 	cycle.releaseHolds(q)
 	due := q.starvationCandidates(examined)
 	for _, job := range due[:min(len(due), tuning.MaxStarvingExamined)] {
-		starving := q.starving[job.ID]
-		starving.examinedAt = q.state.Now
-		begin := q.startOf(job, cycle)
-		if begin != nil {
-			starving.hadCapacitySince = q.state.Now
-		}
-		waits := q.state.Now.Sub(starving.starvingSince)
-		switch {
-		case q.state.Now.Sub(starving.hadCapacitySince) > tuning.StarvingGap:
-			starving.starvingSince = time.Time{}
-		case starving.starvingSince.IsZero():
-			starving.starvingSince = q.state.Now
-		case begin != nil && (waits >= tuning.StarvingAfter || waits >= tuning.StarvingCapacityFor && q.state.Now.Before(q.starvationCheckedAt)) && q.env.Allows(cycle.writeCount(), 1):
-			if waits >= tuning.StarvingAfter {
-				q.starvationCheckedAt = q.state.Now.Add(tuning.StarvingEvery)
-			}
-			q.env.Log.Debug("was passed over", "job", job.ID, "class", job.Record.Spec.Class, "for_s", q.state.Now.Sub(starving.starvingSince).Seconds())
-			begin()
+		q.serveIfStarving(job, cycle)
+	}
+}
+
+// serveIfStarving looks whether there is room for a job, notes since when, and begins it if there
+// has been for too long.
+func (q *Queue) serveIfStarving(job *clusterstate.Job, cycle *schedulingCycle) {
+	now := q.state.Now
+	starving := q.starving[job.ID]
+	starving.examinedAt = now
+	begin := q.startOf(job, cycle)
+	if begin != nil {
+		starving.hadCapacitySince = now
+	}
+	waits := now.Sub(starving.starvingSince)
+	long := waits >= tuning.StarvingAfter
+	due := long || waits >= tuning.StarvingCapacityFor && now.Before(q.starvationCheckedAt)
+	switch {
+	case now.Sub(starving.hadCapacitySince) > tuning.StarvingGap:
+		starving.starvingSince = time.Time{}
+	case starving.starvingSince.IsZero():
+		starving.starvingSince = now
+	case begin != nil && due && q.env.Allows(cycle.writeCount(), 1):
+		if long {
+			q.starvationCheckedAt = now.Add(tuning.StarvingEvery)
 		}
-		q.starving[job.ID] = starving
+		q.env.Log.Debug("was passed over", "job", job.ID, "class", job.Record.Spec.Class, "for_s", waits.Seconds())
+		begin()
 	}
+	q.starving[job.ID] = starving
 }
 
 // passable lists the jobs that wait, have nothing under way and were not looked at lately,
 // those that were passed over first before others.
 func (q *Queue) starvationCandidates(examined map[*clusterstate.Job]bool) []*clusterstate.Job {
-	booked := map[*clusterstate.Job]bool{}
+	reserved := map[*clusterstate.Job]bool{}
 	for _, r := range q.state.Reservations {
-		booked[r.Task.Job] = true
+		reserved[r.Task.Job] = true
 	}
 	var out []*clusterstate.Job
 	for job := range examined {
-		jobID := job.ID
-		spec := &job.Record.Spec
-		waited := time.Duration(q.state.NowMs()-job.Record.AcceptedMs) * time.Millisecond
-		if q.state.Queued[jobID] != job || waited < tuning.StarvingMinAge || len(job.Active) > 0 || booked[job] || q.state.Now.Sub(q.starving[jobID].examinedAt) < tuning.StarvingEvery ||
-			!q.MayBegin(spec) || q.Claiming(jobID) ||
-			q.state.Trust(job, "") == jobs.Probing {
-			continue
+		if q.state.Queued[job.ID] == job && len(job.Active) == 0 && !reserved[job] && q.starvationCheckDue(job) {
+			out = append(out, job)
 		}
-		out = append(out, job)
 	}
 	slices.SortFunc(out, func(a, b *clusterstate.Job) int {
-		x, y := q.starving[a.ID], q.starving[b.ID]
-		if x.starvingSince.IsZero() != y.starvingSince.IsZero() {
-			if x.starvingSince.IsZero() {
-				return 1
-			}
-			return -1
-		}
 		return cmp.Or(
-			x.starvingSince.Compare(y.starvingSince),
-			x.examinedAt.Compare(y.examinedAt),
+			q.starving[a.ID].compare(q.starving[b.ID]),
 			cmp.Compare(a.Record.AcceptedMs, b.Record.AcceptedMs),
 			cmp.Compare(a.ID, b.ID),
 		)
@@ -96,6 +91,31 @@
 	return out
 }
 
+// starvationCheckDue tells whether a job has waited long enough to be looked at, was not looked at
+// lately, and may begin.
+func (q *Queue) starvationCheckDue(job *clusterstate.Job) bool {
+	waited := time.Duration(q.state.NowMs()-job.Record.AcceptedMs) * time.Millisecond
+	return waited >= tuning.StarvingMinAge &&
+		q.state.Now.Sub(q.starving[job.ID].examinedAt) >= tuning.StarvingEvery &&
+		q.MayBegin(&job.Record.Spec) &&
+		!q.Claiming(job.ID) &&
+		q.state.Trust(job, "") != jobs.Probing
+}
+
+// compare orders by since when there was room, none last, and then by the last look.
+func (s starvation) compare(other starvation) int {
+	if s.starvingSince.IsZero() != other.starvingSince.IsZero() {
+		if s.starvingSince.IsZero() {
+			return 1
+		}
+		return -1
+	}
+	return cmp.Or(
+		s.starvingSince.Compare(other.starvingSince),
+		s.examinedAt.Compare(other.examinedAt),
+	)
+}
+
 // beginning is what begins a job now: a gang whole, anything else with one task. nil if
 // there is no room for that, or its limits do not allow it.
 func (q *Queue) startOf(job *clusterstate.Job, cycle *schedulingCycle) func() {
