--- a/internal/queue/accumulation.go
+++ b/internal/queue/accumulation.go
@@ -120,7 +120,12 @@
 
 // gatherZone is the zone where a gang gathers: the one that has most room for it now,
 // of the others if it did not come together in the last one. "" if it may spread.
-func (q *Queue) accumulationZone(spec *jobs.Spec, candidates []sharding.Candidate, zones map[string]int, previousZone string) string {
+func (q *Queue) accumulationZone(
+	spec *jobs.Spec,
+	candidates []sharding.Candidate,
+	zones map[string]int,
+	previousZone string,
+) string {
 	if !spec.SameZone {
 		return ""
 	}
--- a/internal/queue/calendar.go
+++ b/internal/queue/calendar.go
@@ -33,38 +33,46 @@
 // none as waiting, so that machines are rented for it. Nothing is stopped for it yet.
 // It returns how many tasks it looked at.
 func (q *Queue) reserveForWindow(job *clusterstate.Job, cycle *schedulingCycle, limit int) int {
-	spec := &job.Record.Spec
-	leaf := q.state.QuotaLeaf(spec)
-	waits := func(task *clusterstate.Task, entitled, count int) {
-		if count > 0 {
-			cycle.account.Charge(spec.QuotaKey(), spec.Amount(), count)
-			q.Waiting = append(
-				q.Waiting,
-				&Waiting{Task: task, Count: count, Priority: spec.PriorityOrder(), Entitled: entitled, WindowOpensSoon: true},
-			)
-		}
-	}
-	if spec.IsGang() {
-		gang := q.pendingTasks(job, spec.TaskCount)
-		if len(gang) < spec.TaskCount || !cycle.account.Allows(leaf, spec.Amount(), spec.TaskCount) {
-			return 1
-		}
-		entitled := cycle.account.Entitled(leaf, spec.Amount(), spec.TaskCount)
-		placements, _ := q.fitGang(gang, cycle)
-		if placements == nil {
-			waits(gang[0], entitled, spec.TaskCount)
-			return 1
-		}
-		cycle.account.Charge(spec.QuotaKey(), spec.Amount(), spec.TaskCount)
-		for _, o := range placements {
-			q.reserveUntilNextCycle(o.task, o.machine)
-		}
+	if job.Record.Spec.IsGang() {
+		q.reserveGangForWindow(job, cycle)
 		return 1
 	}
 	tasks := q.pendingTasks(job, min(limit, q.startableCount(job)))
 	if len(tasks) == 0 {
 		return 1
 	}
+	return q.reserveTasksForWindow(job, tasks, cycle)
+}
+
+// reserveGangForWindow reserves room for a whole gang.
+func (q *Queue) reserveGangForWindow(job *clusterstate.Job, cycle *schedulingCycle) {
+	spec := &job.Record.Spec
+	leaf := q.state.QuotaLeaf(spec)
+	tasks := q.pendingTasks(job, spec.TaskCount)
+	if len(tasks) < spec.TaskCount || !cycle.account.Allows(leaf, spec.Amount(), spec.TaskCount) {
+		return
+	}
+	entitled := cycle.account.Entitled(leaf, spec.Amount(), spec.TaskCount)
+	placements, _ := q.fitGang(tasks, cycle)
+	if placements == nil {
+		q.addWaitingForWindow(tasks[0], entitled, spec.TaskCount, cycle)
+		return
+	}
+	cycle.account.Charge(spec.QuotaKey(), spec.Amount(), spec.TaskCount)
+	for _, o := range placements {
+		q.reserveUntilNextCycle(o.task, o.machine)
+	}
+}
+
+// reserveTasksForWindow reserves room for tasks one by one until one is beyond the team's limit or
+// finds none, and returns how many it looked at.
+func (q *Queue) reserveTasksForWindow(
+	job *clusterstate.Job,
+	tasks []*clusterstate.Task,
+	cycle *schedulingCycle,
+) int {
+	spec := &job.Record.Spec
+	leaf := q.state.QuotaLeaf(spec)
 	zones := q.state.TasksByZone(job)
 	candidates := cycle.candidates(q, &clusterstate.Task{Job: job})
 	for i, task := range tasks {
@@ -73,7 +81,9 @@
 		}
 		chosen := q.pickCandidate(task, candidates, zones)
 		if chosen < 0 {
-			waits(task, cycle.account.Entitled(leaf, spec.Amount(), 1), cycle.account.More(leaf, spec.Amount(), q.startableCount(job)-i))
+			entitled := cycle.account.Entitled(leaf, spec.Amount(), 1)
+			count := cycle.account.More(leaf, spec.Amount(), q.startableCount(job)-i)
+			q.addWaitingForWindow(task, entitled, count, cycle)
 			return i + 1
 		}
 		candidate := &candidates[chosen]
@@ -85,6 +95,22 @@
 	return len(tasks)
 }
 
+// addWaitingForWindow notes tasks that found no room ahead of their window.
+func (q *Queue) addWaitingForWindow(first *clusterstate.Task, entitled, count int, cycle *schedulingCycle) {
+	if count <= 0 {
+		return
+	}
+	spec := &first.Job.Record.Spec
+	cycle.account.Charge(spec.QuotaKey(), spec.Amount(), count)
+	q.Waiting = append(q.Waiting, &Waiting{
+		Task:            first,
+		Count:           count,
+		Priority:        spec.PriorityOrder(),
+		Entitled:        entitled,
+		WindowOpensSoon: true,
+	})
+}
+
 // reserveFor books room for a task until the next look, under a name of its own: the task
 // is under no transaction.
 func (q *Queue) reserveUntilNextCycle(task *clusterstate.Task, machineName string) {
--- a/internal/queue/candidates.go
+++ b/internal/queue/candidates.go
@@ -119,36 +119,51 @@
 // What is kept for a job is chosen anew from time to time only: choosing means
 // a look at every machine for each.
 func (q *Queue) holdMachines(task *clusterstate.Task, count int, zones map[string]int, cycle *schedulingCycle) {
-	spec := &task.Job.Record.Spec
 	held := q.holds[task.Job.ID]
-	zones = maps.Clone(zones)
 	if q.state.Now.Sub(held.chosenAt) > tuning.HoldAgain {
-		held = heldCapacity{chosenAt: q.state.Now}
-		for range count {
-			if float64(len(cycle.heldMachines)+1) > tuning.HoldShare*float64(len(q.state.Machines)) || cycle.newlyHeldCount >= tuning.MaxHeldMachines {
-				break
-			}
-			cycle.newlyHeldCount++
-			m := q.nearestFit(task, zones, cycle)
-			if m == nil {
-				break
-			}
-			held.machines = append(held.machines, m.Name)
-			cycle.heldMachines[m.Name] = true
-			zones[m.Zone]++
-		}
+		held = heldCapacity{machines: q.chooseHolds(task, count, maps.Clone(zones), cycle), chosenAt: q.state.Now}
 		q.holds[task.Job.ID] = held
 	}
 	for _, machineName := range held.machines {
 		if q.state.Machines[machineName] != nil {
 			cycle.heldMachines[machineName] = true
-			cycle.hold(q, machineName, spec.Resources())
+			cycle.hold(q, machineName, task.Job.Record.Spec.Resources())
 		}
 	}
 }
 
+// chooseHolds chooses up to count machines to keep, within the share of all that may be kept and the
+// number that a cycle may choose. It counts them in zones.
+func (q *Queue) chooseHolds(
+	task *clusterstate.Task,
+	count int,
+	zones map[string]int,
+	cycle *schedulingCycle,
+) []string {
+	var machines []string
+	maxHeld := tuning.HoldShare * float64(len(q.state.Machines))
+	for range count {
+		if float64(len(cycle.heldMachines)+1) > maxHeld || cycle.newlyHeldCount >= tuning.MaxHeldMachines {
+			break
+		}
+		cycle.newlyHeldCount++
+		m := q.nearestFit(task, zones, cycle)
+		if m == nil {
+			break
+		}
+		machines = append(machines, m.Name)
+		cycle.heldMachines[m.Name] = true
+		zones[m.Zone]++
+	}
+	return machines
+}
+
 // fullest is the machine that lacks least for a task.
-func (q *Queue) nearestFit(task *clusterstate.Task, zones map[string]int, cycle *schedulingCycle) *clusterstate.Machine {
+func (q *Queue) nearestFit(
+	task *clusterstate.Task,
+	zones map[string]int,
+	cycle *schedulingCycle,
+) *clusterstate.Machine {
 	spec := &task.Job.Record.Spec
 	var best *clusterstate.Machine
 	bestShare := -1.0
@@ -167,3 +182,8 @@
 	}
 	return best
 }
+
+// freeCapacity is what a machine of a known type has left, with what is reserved counted as used.
+func (q *Queue) freeCapacity(m *clusterstate.Machine) sharding.Resources {
+	return q.state.MachineTypes[m.MachineType].Capacity().Sub(q.state.UsedResources(m.Name))
+}
--- a/internal/queue/decisions.go
+++ b/internal/queue/decisions.go
@@ -19,30 +19,32 @@
 	var decisions []decide.Decision
 	machinesByController := map[string][]string{}
 	var newTasks []*clusterstate.Task
-	usesBatches := q.env.UsesBatches()
+	batched := q.env.UsesBatches() && job.Record.Spec.Kind == jobs.JobArray
 	for _, o := range placements {
-		if spec := &job.Record.Spec; usesBatches && spec.Kind == jobs.JobArray && (o.task.Stored == nil || o.task.Stored.IsBatch()) {
+		switch {
+		case batched && (o.task.Stored == nil || o.task.Stored.IsBatch()):
 			if decision, ok := q.batchDecision(o); ok {
 				decisions = append(decisions, decision)
 			}
-			continue
-		}
-		if o.task.Stored != nil {
+		case o.task.Stored != nil:
 			if decision, ok := q.releaseRecorded(o); ok {
 				decisions = append(decisions, decision)
 			}
-			continue
+		default:
+			newTasks = append(newTasks, o.task)
+			controller := q.state.Machines[o.machine].Owner
+			machinesByController[controller] = append(machinesByController[controller], o.machine)
 		}
-		newTasks = append(newTasks, o.task)
-		controller := q.state.Machines[o.machine].Owner
-		machinesByController[controller] = append(machinesByController[controller], o.machine)
 	}
 	slices.SortFunc(newTasks, func(a, b *clusterstate.Task) int { return a.Index - b.Index })
 	for _, controller := range clusterstate.SortedKeys(machinesByController) {
 		machines := machinesByController[controller]
 		for len(machines) > 0 {
 			count := q.consecutiveCount(newTasks, len(machines))
-			decisions = append(decisions, q.beginTaskRange(job, newTasks[:count], machines[:count], q.placesDirectly, 1))
+			decisions = append(
+				decisions,
+				q.beginTaskRange(job, newTasks[:count], machines[:count], q.placesDirectly, 1),
+			)
 			newTasks, machines = newTasks[count:], machines[count:]
 		}
 	}
@@ -159,8 +161,9 @@
 
 // run is how many of the first of fresh tasks, up to most, are consecutive.
 func (q *Queue) consecutiveCount(newTasks []*clusterstate.Task, limit int) int {
+	limit = min(limit, len(newTasks), q.env.MaxRangeTasks)
 	count := 1
-	for count < limit && count < len(newTasks) && count < q.env.MaxRangeTasks && newTasks[count].Index == newTasks[0].Index+count {
+	for count < limit && newTasks[count].Index == newTasks[0].Index+count {
 		count++
 	}
 	return count
--- a/internal/queue/gangs.go
+++ b/internal/queue/gangs.go
@@ -239,13 +239,22 @@
 
 // add takes one more decision in; a key stands in the read set once.
 func (d *joinedDecision) add(part decide.Decision) {
-	d.changes = append(d.changes, part.Changes...)
-	d.writes = append(d.writes, part.Writes...)
+	var unread []string
 	for _, key := range part.ReadSet {
-		if !slices.Contains(d.readSet, key) {
-			d.readSet = append(d.readSet, key)
+		if !slices.Contains(d.readSet, key) && !slices.Contains(unread, key) {
+			unread = append(unread, key)
 		}
 	}
+	part.ReadSet = unread
+	d.addWithReads(part)
+}
+
+// addWithReads is add with all of the decision's read set, also keys that stand there already: each
+// counts among a transaction's estimated preconditions.
+func (d *joinedDecision) addWithReads(part decide.Decision) {
+	d.changes = append(d.changes, part.Changes...)
+	d.writes = append(d.writes, part.Writes...)
+	d.readSet = append(d.readSet, part.ReadSet...)
 	d.settled = append(d.settled, part.OnSettled)
 }
 
@@ -263,7 +272,10 @@
 
 // fitGang finds a machine for every task of a gang, nil when it does not fit. whole
 // tells that all the machines are of one part.
-func (q *Queue) fitGang(tasks []*clusterstate.Task, cycle *schedulingCycle) (placements []placement, sameController bool) {
+func (q *Queue) fitGang(
+	tasks []*clusterstate.Task,
+	cycle *schedulingCycle,
+) (placements []placement, sameController bool) {
 	task := tasks[0]
 	spec := &task.Job.Record.Spec
 	if cycle.knownUnplaceable(spec, spec.TaskCount) {
@@ -382,8 +394,7 @@
 			return false
 		}
 		claimed[machineName] = claimed[machineName].Add(resources)
-		capacity := q.state.MachineTypes[m.MachineType].Capacity()
-		if !capacity.Sub(q.state.UsedResources(machineName)).Fits(claimed[machineName]) {
+		if !q.freeCapacity(m).Fits(claimed[machineName]) {
 			return false
 		}
 	}
@@ -395,30 +406,18 @@
 	if len(tasks) != job.Record.Spec.TaskCount {
 		return nil
 	}
-	var records []*jobs.Task
-	for _, task := range job.Tasks {
-		records = append(records, &task.Task)
-	}
-	attempt := gangs.NextAttempt(records)
-	gangDecision := decide.Decision{}
-	var taskIDs []string
-	gangDecision.OnSettled = func(bool) {
-		for _, id := range taskIDs {
-			q.state.Unreserve(id)
-		}
-	}
+	attempt := gangs.NextAttempt(taskRecords(job))
+	joined := joinedDecision{}
 	for _, task := range tasks {
 		part, ok := q.placeOne(task, attempt)
 		if !ok {
-			gangDecision.OnSettled(false)
+			joined.settle(false)
 			for _, task := range tasks {
 				task.PlacementTriedAt = q.state.Now
 			}
 			return nil // the leader takes it back
 		}
-		taskIDs = append(taskIDs, task.ID)
-		gangDecision.Changes = append(gangDecision.Changes, part.Changes...)
-		gangDecision.ReadSet = append(gangDecision.ReadSet, part.ReadSet...)
+		joined.addWithReads(part)
 	}
-	return []decide.Decision{gangDecision}
+	return []decide.Decision{joined.decision()}
 }
--- a/internal/queue/lending.go
+++ b/internal/queue/lending.go
@@ -72,17 +72,21 @@
 	for _, waiting := range q.Waiting {
 		waits[waiting.Task.Job.ID] = true
 	}
-	cycle.decisions = append(cycle.decisions, q.loans.Reconcile(cycle.account, func(jobID string) bool { return waits[jobID] })...)
-	cycle.loans = cycleLoans{reservations: map[string][]*loanReservation{}, byTask: map[string]lending.Loan{}}
+	settled := q.loans.Reconcile(cycle.account, func(jobID string) bool { return waits[jobID] })
+	cycle.decisions = append(cycle.decisions, settled...)
+	cycle.loans = cycleLoans{
+		reservations: map[string][]*loanReservation{},
+		byTask:       map[string]lending.Loan{},
+	}
 	for _, loan := range q.loans.Loans() {
 		if loan.ForBorrower() {
 			cycle.loans.byTask[jobs.TaskID(loan.Job, loan.TaskIndex)] = loan
 		}
 	}
-	for _, k := range q.loans.Rooms() {
-		r := &loanReservation{KeptRoom: k}
-		cycle.loans.reservations[k.Job] = append(cycle.loans.reservations[k.Job], r)
-		cycle.heldMachines[k.Machine] = true // nor kept for another besides
+	for _, room := range q.loans.Rooms() {
+		r := &loanReservation{KeptRoom: room}
+		cycle.loans.reservations[room.Job] = append(cycle.loans.reservations[room.Job], r)
+		cycle.heldMachines[room.Machine] = true // nor kept for another besides
 		q.block(r)
 	}
 	// Before anything else is looked at: what is kept for others by this pass would
@@ -102,8 +106,7 @@
 		r.blocked = !booked
 	} else {
 		m := q.state.Machines[r.Machine]
-		r.blocked = m != nil && q.state.MachineTypes[m.MachineType] != nil &&
-			q.state.MachineTypes[m.MachineType].Capacity().Sub(q.state.UsedResources(r.Machine)).Fits(r.Resources)
+		r.blocked = m != nil && q.state.MachineTypes[m.MachineType] != nil && q.freeCapacity(m).Fits(r.Resources)
 	}
 	if r.blocked {
 		q.state.AllocateResources(r.Machine, r.Resources)
@@ -146,11 +149,13 @@
 			continue
 		}
 		task := q.waitingTask(job, r.TaskID)
-		if task == nil || !q.canPropose(task, m) || !clusterstate.ZoneAllowed(spec, q.state.TasksByZone(job), m.Zone) ||
+		if task == nil || !q.canPropose(task, m) ||
+			!clusterstate.ZoneAllowed(spec, q.state.TasksByZone(job), m.Zone) ||
 			!cycle.account.Allows(q.state.QuotaLeaf(spec), spec.Amount(), 1) {
 			continue
 		}
-		if q.unblock(r); q.state.MachineTypes[m.MachineType].Capacity().Sub(q.state.UsedResources(r.Machine)).Fits(spec.Resources()) {
+		q.unblock(r)
+		if q.freeCapacity(m).Fits(spec.Resources()) {
 			cycle.account.Charge(spec.QuotaKey(), spec.Amount(), 1)
 			cycle.decisions = append(cycle.decisions, q.releaseDecisions(job, []placement{{task, r.Machine}})...)
 		}
@@ -174,49 +179,51 @@
 func (q *Queue) withoutBorrowers(tasks []*clusterstate.Task, cycle *schedulingCycle) []*clusterstate.Task {
 	return slices.DeleteFunc(tasks, func(task *clusterstate.Task) bool {
 		loan, requested := cycle.loans.byTask[task.ID]
-		return requested && q.state.NowMs()-loan.BeganMs < tuning.LoanSooner.Milliseconds()
+		return requested && q.waitsForLoan(loan)
 	})
 }
 
 // lend has others lend room to a replica, on a machine with its image if onlyCached,
 // within so many seconds if that is not 0. It tells whether one does.
 func (q *Queue) requestLoan(waiting *Waiting, onlyCached bool, withinS float64, cycle *schedulingCycle) bool {
-	if _, requested := cycle.loans.byTask[waiting.Task.ID]; requested || cycle.loans.requestCount >= tuning.MaxLendingSearches {
+	task := waiting.Task
+	_, requested := cycle.loans.byTask[task.ID]
+	if requested || cycle.loans.requestCount >= tuning.MaxLendingSearches {
 		return requested
 	}
 	cycle.loans.requestCount++
 	zones := waiting.zones
 	if zones == nil {
-		zones = q.zonesWithLoans(waiting.Task.Job, cycle)
+		zones = q.zonesWithLoans(task.Job, cycle)
 	}
 	// What the pass has charged is only considered: who is beyond a guarantee is
 	// counted from what truly runs.
 	decision, plan, ok := q.loans.Ask(&lending.Search{
-		Task:          waiting.Task,
+		Task:          task,
 		Priority:      waiting.Priority,
 		Entitled:      waiting.Entitled,
 		Account:       lending.Leaving(q.state, q.state.Account, cycle.stopping),
 		Zones:         zones,
 		OnlyWithImage: onlyCached,
 		InS:           withinS,
-		Open:          func(m *clusterstate.Machine) bool { return q.canPropose(waiting.Task, m) },
+		Open:          func(m *clusterstate.Machine) bool { return q.canPropose(task, m) },
 		Stopping:      cycle.stopping,
 	})
 	if !ok {
 		return false
 	}
-	for _, task := range plan.Tasks {
-		cycle.stopping[task] = true
+	for _, lender := range plan.Tasks {
+		cycle.stopping[lender] = true
 	}
-	cycle.loans.byTask[waiting.Task.ID] = lending.Loan{
-		Job:       waiting.Task.Job.ID,
-		TaskIndex: waiting.Task.Index,
+	cycle.loans.byTask[task.ID] = lending.Loan{
+		Job:       task.Job.ID,
+		TaskIndex: task.Index,
 		Machine:   plan.Machine,
 		BeganMs:   q.state.NowMs(),
 	}
-	q.preemptions[waiting.Task.ID] = pendingPreemption{q.state.Now.Add(tuning.PreemptAgain), onlyCached}
-	zones[q.state.Machines[plan.Machine].Zone]++                          // those that the look places next count it
-	cycle.hold(q, plan.Machine, waiting.Task.Job.Record.Spec.Resources()) // this room is no other's
+	q.preemptions[task.ID] = pendingPreemption{q.state.Now.Add(tuning.PreemptAgain), onlyCached}
+	zones[q.state.Machines[plan.Machine].Zone]++                  // those that the look places next count it
+	cycle.hold(q, plan.Machine, task.Job.Record.Spec.Resources()) // this room is no other's
 	cycle.decisions = append(cycle.decisions, decision)
 	return true
 }
@@ -226,13 +233,19 @@
 func (q *Queue) zonesWithLoans(job *clusterstate.Job, cycle *schedulingCycle) map[string]int {
 	zones := q.state.TasksByZone(job)
 	for _, loan := range cycle.loans.byTask {
-		if m := q.state.Machines[loan.Machine]; loan.Job == job.ID && m != nil && q.state.NowMs()-loan.BeganMs < tuning.LoanSooner.Milliseconds() {
+		m := q.state.Machines[loan.Machine]
+		if loan.Job == job.ID && m != nil && q.waitsForLoan(loan) {
 			zones[m.Zone]++
 		}
 	}
 	return zones
 }
 
+// waitsForLoan tells whether a loan is so recent that its borrower looks for no other place.
+func (q *Queue) waitsForLoan(loan lending.Loan) bool {
+	return q.state.NowMs()-loan.BeganMs < tuning.LoanSooner.Milliseconds()
+}
+
 // pullS is how long a machine would fetch a job's image, in seconds. Where serving
 // counts, a replica's on a machine that fetches others takes longer.
 func (q *Queue) imagePullSeconds(m *clusterstate.Machine, machineType *jobs.MachineType, spec *jobs.Spec) float64 {
@@ -246,20 +259,19 @@
 // and has one vacated, rather than fetch them on one that is free: when that is sooner
 // by more than a little.
 func (q *Queue) awaitCachedLoan(waiting *Waiting, machineName string, cycle *schedulingCycle) bool {
-	spec := &waiting.Task.Job.Record.Spec
-	imageGBPerS := q.state.MachineTypes[q.state.Machines[machineName].MachineType].ImageGBPerS
-	if q.state.HasImage(machineName, spec.Image) || imageGBPerS <= 0 {
+	task := waiting.Task
+	spec := &task.Job.Record.Spec
+	m := q.state.Machines[machineName]
+	machineType := q.state.MachineTypes[m.MachineType]
+	if q.state.HasImage(machineName, spec.Image) || machineType.ImageGBPerS <= 0 {
 		return false
 	}
-	soonerThanS := q.imagePullSeconds(
-		q.state.Machines[machineName],
-		q.state.MachineTypes[q.state.Machines[machineName].MachineType],
-		spec,
-	) - tuning.LoanSooner.Seconds()
-	if loan, requested := cycle.loans.byTask[waiting.Task.ID]; requested {
-		return q.state.HasImage(loan.Machine, spec.Image) && float64(q.state.NowMs()-loan.BeganMs) < soonerThanS*1000
+	soonerThanS := q.imagePullSeconds(m, machineType, spec) - tuning.LoanSooner.Seconds()
+	if loan, requested := cycle.loans.byTask[task.ID]; requested {
+		waitedMs := float64(q.state.NowMs() - loan.BeganMs)
+		return q.state.HasImage(loan.Machine, spec.Image) && waitedMs < soonerThanS*1000
 	}
-	if soonerThanS <= 0 || q.state.Now.Before(q.preemptions[waiting.Task.ID].until) {
+	if soonerThanS <= 0 || q.state.Now.Before(q.preemptions[task.ID].until) {
 		return false
 	}
 	return q.requestLoan(waiting, true, soonerThanS, cycle)
--- a/internal/queue/not_examined.go
+++ b/internal/queue/not_examined.go
@@ -23,7 +23,8 @@
 	var out []*Waiting
 	for _, job := range q.order(account) {
 		spec := &job.Record.Spec
-		if known[job] || q.examined[job] || !q.MayBegin(spec) || q.Claiming(job.ID) || q.state.Trust(job, "") == jobs.Probing {
+		if known[job] || q.examined[job] || !q.MayBegin(spec) || q.Claiming(job.ID) ||
+			q.state.Trust(job, "") == jobs.Probing {
 			continue
 		}
 		tasks := slices.DeleteFunc(q.pendingTasks(job, q.startableCount(job)), q.capacityPending)
--- a/internal/queue/place.go
+++ b/internal/queue/place.go
@@ -13,9 +13,26 @@
 
 // Place puts released tasks of this part on machines.
 func (q *Queue) Place() []decide.Decision {
+	released := q.releasedHere()
+	var out []decide.Decision
+	for len(released) > 0 {
+		job := released[0].Job
+		count := 1
+		for count < len(released) && released[count].Job == job {
+			count++
+		}
+		out = append(out, q.placeReleased(job, released[:count])...)
+		released = released[count:]
+	}
+	return out
+}
+
+// releasedHere lists the tasks that are released to this part and may be placed now, by job.
+func (q *Queue) releasedHere() []*clusterstate.Task {
 	var released []*clusterstate.Task
 	for _, task := range q.state.Released {
-		if task.Controller == q.env.Name && task.Job.Record != nil && task.Job.Record.State == jobs.Live && !q.env.Busy(task.Stored.Key) &&
+		if task.Controller == q.env.Name && task.Job.Record != nil && task.Job.Record.State == jobs.Live &&
+			!q.env.Busy(task.Stored.Key) &&
 			q.state.Now.Sub(task.PlacementTriedAt) >= tuning.PlaceAgain {
 			released = append(released, task)
 		}
@@ -26,64 +43,68 @@
 		}
 		return released[a].Index < released[b].Index
 	})
+	return released
+}
+
+// placeReleased places released tasks of one job: a gang whole, others each by itself.
+func (q *Queue) placeReleased(job *clusterstate.Job, tasks []*clusterstate.Task) []decide.Decision {
+	if job.Record.Spec.IsGang() {
+		return q.placeReleasedGang(job, tasks)
+	}
 	var out []decide.Decision
-	for len(released) > 0 {
-		job := released[0].Job
-		count := 1
-		for count < len(released) && released[count].Job == job {
-			count++
-		}
-		if job.Record.Spec.IsGang() {
-			out = append(out, q.placeReleasedGang(job, released[:count])...)
+	for _, task := range tasks {
+		if decision, ok := q.placeOne(task, task.Attempt+1); ok {
+			out = append(out, decision)
 		} else {
-			for _, task := range released[:count] {
-				if decision, ok := q.placeOne(task, task.Attempt+1); ok {
-					out = append(out, decision)
-				} else {
-					task.PlacementTriedAt = q.state.Now
-				}
-			}
+			task.PlacementTriedAt = q.state.Now
 		}
-		released = released[count:]
 	}
 	return out
 }
 
 // placeOne picks a machine of this part and makes the decision.
 func (q *Queue) placeOne(task *clusterstate.Task, attempt uint64) (decide.Decision, bool) {
+	machineName := q.pickOwnMachine(task)
+	if machineName == "" {
+		return decide.Decision{}, false
+	}
+	decision, ok := q.placeDecision(task, machineName, task.Zone, attempt)
+	decision.ReadSet = append(decision.ReadSet, fleet.ClaimsKey) // not on what was claimed meanwhile
+	return decision, ok
+}
+
+// pickOwnMachine picks a machine of this part for a task: the preferred one if it still has room,
+// and "" if there is none.
+func (q *Queue) pickOwnMachine(task *clusterstate.Task) string {
 	spec := &task.Job.Record.Spec
-	machineName := ""
 	if m := q.state.Machines[task.PreferredMachine]; m != nil && q.env.CanPlace(task, m) {
-		free := q.state.MachineTypes[m.MachineType].Capacity().Sub(q.state.UsedResources(task.PreferredMachine))
+		free := q.freeCapacity(m)
 		if !task.PreferenceReleased {
 			free = free.Add(task.Resources) // its own booking is there for it
 		}
 		if free.Fits(spec.Resources()) {
-			machineName = task.PreferredMachine
+			return task.PreferredMachine
 		}
 	}
-	if machineName == "" {
-		candidates := q.appendCandidates(
-			nil,
-			q.state.MachinesByName(),
-			func(m *clusterstate.Machine) bool { return m.Owner == q.env.Name && q.env.CanPlace(task, m) },
-			spec,
-		)
-		if i := sharding.Pick(spec.Resources(), spec.Spot, candidates); i >= 0 {
-			machineName = candidates[i].Machine
-		}
-	}
-	if machineName == "" {
-		return decide.Decision{}, false
+	candidates := q.appendCandidates(
+		nil,
+		q.state.MachinesByName(),
+		func(m *clusterstate.Machine) bool { return m.Owner == q.env.Name && q.env.CanPlace(task, m) },
+		spec,
+	)
+	if i := sharding.Pick(spec.Resources(), spec.Spot, candidates); i >= 0 {
+		return candidates[i].Machine
 	}
-	decision, ok := q.placeDecision(task, machineName, task.Zone, attempt)
-	decision.ReadSet = append(decision.ReadSet, fleet.ClaimsKey) // not on what was claimed meanwhile
-	return decision, ok
+	return ""
 }
 
 // placing is the decision that puts a task on a machine. The machine's record
 // is among its conditions: a machine condemned meanwhile takes no task.
-func (q *Queue) placeDecision(task *clusterstate.Task, machineName, zone string, attempt uint64) (decide.Decision, bool) {
+func (q *Queue) placeDecision(
+	task *clusterstate.Task,
+	machineName, zone string,
+	attempt uint64,
+) (decide.Decision, bool) {
 	next, ok := q.placedTask(task, machineName, zone, attempt)
 	if !ok {
 		return decide.Decision{}, false
@@ -98,15 +119,28 @@
 
 // placed is a task's record on a machine; it books the place.
 func (q *Queue) placedTask(task *clusterstate.Task, machineName, zone string, attempt uint64) (jobs.Task, bool) {
-	next, ok := jobs.NextTask(task.Task, jobs.TaskEvent{Kind: jobs.Place, Machine: machineName, Zone: zone, Attempt: attempt})
+	next, ok := jobs.NextTask(task.Task, jobs.TaskEvent{
+		Kind:    jobs.Place,
+		Machine: machineName,
+		Zone:    zone,
+		Attempt: attempt,
+	})
 	if !ok {
 		return next, false
 	}
+	m := q.state.Machines[machineName]
+	record := task.Job.Record
 	q.env.Log.Debug("places",
-		"task", task.ID, "class", task.Job.Record.Spec.Class, "machine", machineName, "kind", q.state.Machines[machineName].MachineType,
-		"cheap", q.state.Machines[machineName].Spot, "try", attempt, "cached", q.state.HasImage(machineName, task.Job.Record.Spec.Image),
-		"since_accepted_ms", q.state.NowMs()-task.Job.Record.AcceptedMs)
-	q.state.Reserve(task, machineName, q.state.Machines[machineName].Zone)
+		"task", task.ID,
+		"class", record.Spec.Class,
+		"machine", machineName,
+		"kind", m.MachineType,
+		"cheap", m.Spot,
+		"try", attempt,
+		"cached", q.state.HasImage(machineName, record.Spec.Image),
+		"since_accepted_ms", q.state.NowMs()-record.AcceptedMs,
+	)
+	q.state.Reserve(task, machineName, m.Zone)
 	return next, true
 }
 
@@ -136,14 +170,20 @@
 		if !capacity.Sub(used).Fits(need) || !accepts(m) {
 			continue
 		}
-		c := sharding.Candidate{
-			Machine: m.Name, Capacity: capacity, Free: capacity.Sub(used), Spot: m.Spot, Zone: m.Zone, Controller: m.Owner,
-			Load: used.ShareOf(capacity), HasImage: q.state.HasImage(m.Name, spec.Image),
+		candidate := sharding.Candidate{
+			Machine:    m.Name,
+			Capacity:   capacity,
+			Free:       capacity.Sub(used),
+			Spot:       m.Spot,
+			Zone:       m.Zone,
+			Controller: m.Owner,
+			Load:       used.ShareOf(capacity),
+			HasImage:   q.state.HasImage(m.Name, spec.Image),
 		}
-		if !c.HasImage && machineType.ImageGBPerS > 0 {
-			c.ImagePullS = q.imagePullSeconds(m, machineType, spec)
+		if !candidate.HasImage && machineType.ImageGBPerS > 0 {
+			candidate.ImagePullS = q.imagePullSeconds(m, machineType, spec)
 		}
-		out = append(out, c)
+		out = append(out, candidate)
 	}
 	return out
 }
--- a/internal/queue/preempt.go
+++ b/internal/queue/preempt.go
@@ -1,6 +1,7 @@
 package queue
 
 import (
+	"maps"
 	"time"
 
 	"github.com/harrierreel/harrierreel/internal/clusterstate"
@@ -33,31 +34,28 @@
 // a while.
 func (q *Queue) preempt(cycle *schedulingCycle) {
 	for _, waiting := range q.Waiting {
-		spec := &waiting.Task.Job.Record.Spec
-		if !waiting.isEntitled() && !q.hasPlacedBelow(waiting.Priority) || spec.IsGang() || waiting.WindowOpensSoon {
+		mayPreempt := waiting.isEntitled() || q.hasPlacedBelow(waiting.Priority)
+		if !mayPreempt || waiting.Task.Job.Record.Spec.IsGang() || waiting.WindowOpensSoon {
 			continue
 		}
 		for _, task := range waiting.Tasks {
-			if _, requested := cycle.loans.byTask[task.ID]; !requested && !q.state.Now.Before(q.preemptions[task.ID].until) {
-				q.preemptFor(&Waiting{Task: task, Priority: waiting.Priority, Entitled: waiting.Entitled}, false, cycle)
+			_, requested := cycle.loans.byTask[task.ID]
+			if requested || q.state.Now.Before(q.preemptions[task.ID].until) {
+				continue
 			}
+			q.preemptFor(&Waiting{Task: task, Priority: waiting.Priority, Entitled: waiting.Entitled}, false, cycle)
 		}
 	}
-	for taskID, m := range q.preemptions {
-		if q.state.Now.After(m.until) {
-			delete(q.preemptions, taskID)
-		}
-	}
-	for jobID, h := range q.holds {
-		if q.state.Now.Sub(h.chosenAt) > tuning.HoldAgain {
-			delete(q.holds, jobID)
-		}
-	}
+	maps.DeleteFunc(q.preemptions, func(_ string, p pendingPreemption) bool { return q.state.Now.After(p.until) })
+	maps.DeleteFunc(q.holds, func(_ string, held heldCapacity) bool {
+		return q.state.Now.Sub(held.chosenAt) > tuning.HoldAgain
+	})
 }
 
 // stopFor stops tasks to make room for a waiting one. It tells whether it did.
 func (q *Queue) preemptFor(waiting *Waiting, onlyCached bool, cycle *schedulingCycle) bool {
-	if q.loans != nil && waiting.Task.Job.Record.Spec.Kind == jobs.Service {
+	task := waiting.Task
+	if q.loans != nil && task.Job.Record.Spec.Kind == jobs.Service {
 		if !onlyCached && q.requestLoan(waiting, false, 0, cycle) {
 			return true
 		}
@@ -69,62 +67,63 @@
 		return false
 	}
 	cycle.victimSearches++
-	var decisions []decide.Decision
 	victims := preempt.Victims(q.state, preempt.Search{
-		Task:          waiting.Task,
+		Task:          task,
 		Priority:      waiting.Priority,
 		Entitled:      waiting.Entitled,
 		Account:       cycle.account,
-		Zones:         q.state.TasksByZone(waiting.Task.Job),
+		Zones:         q.state.TasksByZone(task.Job),
 		OnlyWithImage: onlyCached,
-		Open:          func(m *clusterstate.Machine) bool { return q.canPropose(waiting.Task, m) },
+		Open:          func(m *clusterstate.Machine) bool { return q.canPropose(task, m) },
 		Busy:          q.env.Busy,
 		Stopping:      cycle.stopping,
 	})
+	stop := jobs.TaskEvent{Kind: jobs.Stop, Reason: "makes room for " + task.ID}
+	stopped := false
 	for _, victim := range victims {
-		if next, ok := jobs.NextTask(victim.Task, jobs.TaskEvent{Kind: jobs.Stop, Reason: "makes room for " + waiting.Task.ID}); ok {
-			decisions = append(decisions, decide.Decision{Changes: decide.TransitionTask(victim, next)})
+		if next, ok := jobs.NextTask(victim.Task, stop); ok {
+			cycle.decisions = append(cycle.decisions, decide.Decision{Changes: decide.TransitionTask(victim, next)})
 			cycle.stopping[victim] = true
+			stopped = true
 		}
 	}
-	if len(decisions) > 0 {
-		q.preemptions[waiting.Task.ID] = pendingPreemption{q.state.Now.Add(tuning.PreemptAgain), onlyCached}
+	if stopped {
+		q.preemptions[task.ID] = pendingPreemption{q.state.Now.Add(tuning.PreemptAgain), onlyCached}
 	}
-	cycle.decisions = append(cycle.decisions, decisions...)
-	return len(decisions) > 0
+	return stopped
 }
 
 // clearCached tells whether a task should wait a moment for room on a machine
 // that holds its image rather than go to one that would have to fetch it: when
 // the fetch would take it past its aim, and it may stop others there.
 func (q *Queue) awaitCachedMachine(waiting *Waiting, machineName string, cycle *schedulingCycle) bool {
-	record := waiting.Task.Job.Record
-	if q.loans != nil && record.Spec.Kind == jobs.Service && q.awaitCachedLoan(waiting, machineName, cycle) {
-		cycle.hold(q, machineName, record.Spec.Resources())
-		return true
+	spec := &waiting.Task.Job.Record.Spec
+	awaits := q.loans != nil && spec.Kind == jobs.Service && q.awaitCachedLoan(waiting, machineName, cycle) ||
+		q.awaitCachedByPreemption(waiting, machineName, cycle)
+	if awaits {
+		cycle.hold(q, machineName, spec.Resources())
 	}
+	return awaits
+}
+
+// awaitCachedByPreemption is awaitCachedMachine without loans.
+func (q *Queue) awaitCachedByPreemption(waiting *Waiting, machineName string, cycle *schedulingCycle) bool {
+	record := waiting.Task.Job.Record
 	if (waiting.Priority > 1 && !waiting.isEntitled()) || q.state.HasImage(machineName, record.Spec.Image) {
 		return false
 	}
 	imageGBPerS := q.state.MachineTypes[q.state.Machines[machineName].MachineType].ImageGBPerS
-	startBy := q.nextStartObjective(record, waiting.isEntitled())
-	if imageGBPerS <= 0 || startBy < q.state.NowMs() || q.state.NowMs()+int64(record.Spec.ImageGB/imageGBPerS*1000) <= startBy {
+	startByMs := q.nextStartObjective(record, waiting.isEntitled())
+	if imageGBPerS <= 0 || startByMs < q.state.NowMs() ||
+		q.state.NowMs()+int64(record.Spec.ImageGB/imageGBPerS*1000) <= startByMs {
 		return false
 	}
-	if m := q.preemptions[waiting.Task.ID]; q.state.Now.Before(m.until) {
+	if pending := q.preemptions[waiting.Task.ID]; q.state.Now.Before(pending.until) {
 		// Room is being made; if it does not come at once, go elsewhere. What
 		// has been found already is kept meanwhile: others would take it.
-		if !m.onCachedImage || m.until.Sub(q.state.Now) < tuning.PreemptAgain-tuning.ClearWait {
-			return false
-		}
-		cycle.hold(q, machineName, record.Spec.Resources())
-		return true
-	}
-	if !q.preemptFor(waiting, true, cycle) {
-		return false
+		return pending.onCachedImage && pending.until.Sub(q.state.Now) >= tuning.PreemptAgain-tuning.ClearWait
 	}
-	cycle.hold(q, machineName, record.Spec.Resources())
-	return true
+	return q.preemptFor(waiting, true, cycle)
 }
 
 // giveBack stops what others borrowed, where that alone keeps a job out of what it is
--- a/internal/queue/release.go
+++ b/internal/queue/release.go
@@ -163,7 +163,13 @@
 
 // wait notes tasks that found no room: they keep their turn, and a machine is
 // kept for the first of them.
-func (q *Queue) addWaiting(job *clusterstate.Job, tasks []*clusterstate.Task, entitled int, zones map[string]int, cycle *schedulingCycle) {
+func (q *Queue) addWaiting(
+	job *clusterstate.Job,
+	tasks []*clusterstate.Task,
+	entitled int,
+	zones map[string]int,
+	cycle *schedulingCycle,
+) {
 	spec := &job.Record.Spec
 	if cycle.rounds.second {
 		return
--- a/internal/queue/starvation.go
+++ b/internal/queue/starvation.go
@@ -119,21 +119,13 @@
 // beginning is what begins a job now: a gang whole, anything else with one task. nil if
 // there is no room for that, or its limits do not allow it.
 func (q *Queue) startOf(job *clusterstate.Job, cycle *schedulingCycle) func() {
-	spec := &job.Record.Spec
-	leaf := q.state.QuotaLeaf(spec)
-	if spec.IsGang() {
-		gang, attempt := q.restingTasks(job)
-		if gang == nil || !q.state.Account.Allows(leaf, spec.Amount(), spec.TaskCount) {
-			return nil
-		}
-		placements, sameController := q.fitGang(gang, cycle)
-		if placements == nil {
-			return nil
-		}
-		return func() { q.beginGang(job, gang, placements, sameController, attempt, cycle) }
+	if job.Record.Spec.IsGang() {
+		return q.startOfGang(job, cycle)
 	}
+	spec := &job.Record.Spec
 	tasks := q.pendingTasks(job, 1)
-	if len(tasks) == 0 || !q.state.Account.Allows(leaf, spec.Amount(), 1) || cycle.knownUnplaceable(spec, 1) {
+	if len(tasks) == 0 || !q.state.Account.Allows(q.state.QuotaLeaf(spec), spec.Amount(), 1) ||
+		cycle.knownUnplaceable(spec, 1) {
 		return nil
 	}
 	candidates := cycle.candidates(q, tasks[0])
@@ -149,3 +141,17 @@
 		cycle.decisions = append(cycle.decisions, q.releaseDecisions(job, []placement{{tasks[0], machineName}})...)
 	}
 }
+
+// startOfGang is startOf for a gang.
+func (q *Queue) startOfGang(job *clusterstate.Job, cycle *schedulingCycle) func() {
+	spec := &job.Record.Spec
+	tasks, attempt := q.restingTasks(job)
+	if tasks == nil || !q.state.Account.Allows(q.state.QuotaLeaf(spec), spec.Amount(), spec.TaskCount) {
+		return nil
+	}
+	placements, sameController := q.fitGang(tasks, cycle)
+	if placements == nil {
+		return nil
+	}
+	return func() { q.beginGang(job, tasks, placements, sameController, attempt, cycle) }
+}
