--- a/internal/controller/wiring_queue.go
+++ b/internal/controller/wiring_queue.go
@@ -7,26 +7,50 @@
 	"github.com/harrierreel/harrierreel/internal/queue"
 )
 
-// newQueue makes the queue, which places what waits.
+// newQueue makes the queue, which schedules the tasks that wait.
 func (n *Controller) newQueue() *queue.Queue {
-	return queue.New(n.State, queue.Env{
-		Name:               n.settings.NodeName,
-		Objectives:         n.settings.Cluster.Objectives,
-		TxnOps:             n.settings.Cluster.State.TxnOps,
-		ValueBytes:         n.valueBytes(),
-		MaxRangeTasks:      n.maxRangeTasks(),
-		WriteRPS:           n.settings.Cluster.State.WriteRPS,
-		Log:                n.log,
-		Busy:               n.committer.Busy,
-		Allows:             n.client.Allows,
-		HasSpareWrites:     n.client.HasSpareWrites,
-		Commit:             n.committer.Commit,
-		UsesBatches:        n.usesBatches,
-		Lending:            n.settings.Operator.Lending,
-		HasLeftView:        func(name string) bool { return n.view.Incarnation(name) == 0 },
-		Ready:              func(m *clusterstate.Machine) bool { return n.shard.Ready(m) },
-		CanPlace:           func(t *clusterstate.Task, m *clusterstate.Machine) bool { return n.shard.CanPlace(t, m) },
-		Gate:               func(s *jobs.Spec) calendar.Verdict { return n.calendar.Gate(s) },
-		ExtraPreconditions: n.calendar.PreconditionCount(),
-	})
+	adapter := queueAdapter{controller: n}
+	return queue.NewQueue(n.State,
+		queue.Config{
+			Name:               n.settings.NodeName,
+			Objectives:         n.settings.Cluster.Objectives,
+			MaxTxnWrites:       n.settings.Cluster.State.TxnOps,
+			MaxValueBytes:      n.valueBytes(),
+			MaxRangeTasks:      n.maxRangeTasks(),
+			MaxWritesPerS:      n.settings.Cluster.State.WriteRPS,
+			ExtraPreconditions: n.calendar.PreconditionCount(),
+			Lending:            n.settings.Operator.Lending,
+			Log:                n.log,
+		},
+		queue.Collaborators{
+			Budget:   n.client,
+			Commits:  n.committer,
+			Machines: adapter,
+			Cluster:  adapter,
+			Calendar: adapter,
+		},
+	)
 }
+
+// queueAdapter is the controller as its queue sees it. What the controller is made of is looked up at
+// each call, since some of it is made after the queue.
+type queueAdapter struct{ controller *Controller }
+
+// Ready reports whether a machine takes new tasks at all, by its record.
+func (a queueAdapter) Ready(m *clusterstate.Machine) bool { return a.controller.shard.Ready(m) }
+
+// CanPlace reports whether a task may go on a machine of this controller's shard now.
+func (a queueAdapter) CanPlace(task *clusterstate.Task, m *clusterstate.Machine) bool {
+	return a.controller.shard.CanPlace(task, m)
+}
+
+// HasLeftView reports whether a controller is not in the view.
+func (a queueAdapter) HasLeftView(controller string) bool {
+	return a.controller.view.Incarnation(controller) == 0
+}
+
+// UsesBatches reports whether tasks may be released in batch records.
+func (a queueAdapter) UsesBatches() bool { return a.controller.usesBatches() }
+
+// Gate returns whether a job's work may begin by the calendar.
+func (a queueAdapter) Gate(spec *jobs.Spec) calendar.Verdict { return a.controller.calendar.Gate(spec) }
--- a/internal/queue/calendar.go
+++ b/internal/queue/calendar.go
@@ -8,10 +8,10 @@
 
 // gate tells whether a job's work may begin by the calendar.
 func (q *Queue) gate(spec *jobs.Spec) calendar.Verdict {
-	if q.env.Gate == nil {
+	if q.calendar == nil {
 		return calendar.Free
 	}
-	return q.env.Gate(spec)
+	return q.calendar.Gate(spec)
 }
 
 // MayBegin tells whether a job's work may begin now by the calendar.
--- a/internal/queue/candidates.go
+++ b/internal/queue/candidates.go
@@ -23,7 +23,7 @@
 // leader names their machines in the change that releases them: every slice and
 // every step of it by itself is a change.
 func (q *Queue) Scarce() bool {
-	return float64(len(q.state.Machines)) > q.env.WriteRPS
+	return float64(len(q.state.Machines)) > q.config.MaxWritesPerS
 }
 
 // gatherParts keeps, while changes are scarce, the candidates of as few parts
@@ -89,7 +89,7 @@
 
 // openFor tells whether the leader may have room on a machine in mind at all.
 func (q *Queue) mayPropose(m *clusterstate.Machine) bool {
-	return q.ClaimedFor(m) == "" && !q.claimPending(m.Name) && !q.state.Now.Before(q.avoidUntil[m.Name]) && q.env.Ready(m)
+	return q.ClaimedFor(m) == "" && !q.claimPending(m.Name) && !q.state.Now.Before(q.avoidUntil[m.Name]) && q.machines.Ready(m)
 }
 
 // offers tells whether the leader may have room on a machine in mind.
--- a/internal/queue/claims.go
+++ b/internal/queue/claims.go
@@ -47,7 +47,7 @@
 	for jobID, c := range q.claims {
 		want[jobID] = c.machines
 	}
-	if q.env.Busy(fleet.ClaimsKey) {
+	if q.commits.Busy(fleet.ClaimsKey) {
 		return
 	}
 	if maps.EqualFunc(want, q.state.MachineClaims, slices.Equal[[]string]) {
@@ -63,7 +63,7 @@
 	for _, c := range q.claims {
 		c.writePending = true
 	}
-	q.env.Commit([]decide.Decision{{Writes: writes, Urgent: true, OnSettled: func(ok bool) {
+	q.commits.Commit([]decide.Decision{{Writes: writes, Urgent: true, OnSettled: func(ok bool) {
 		q.settleClaims(ok, func(c *claim) bool { return !c.held && c.writePending })
 	}}})
 }
@@ -72,25 +72,25 @@
 // transaction cannot make them.
 func (q *Queue) claimWrites(want fleet.Claims) []store.Write {
 	var writes []store.Write
-	values := want.Divide(q.env.ValueBytes)
+	values := want.Divide(q.config.MaxValueBytes)
 	bytes := 0
 	for i, value := range values {
 		w := decide.Put(fleet.ClaimsKeyOf(i+1), value)
 		if len(want) == 0 {
 			w = decide.Remove(fleet.ClaimsKey)
 		}
-		if bytes += len(w.Value); len(w.Value) > q.env.ValueBytes {
+		if bytes += len(w.Value); len(w.Value) > q.config.MaxValueBytes {
 			return nil
 		}
 		writes = append(writes, w)
 	}
-	if len(writes) > q.env.TxnOps || len(writes) > 1 && bytes > tuning.MaxClaimBytes {
+	if len(writes) > q.config.MaxTxnWrites || len(writes) > 1 && bytes > tuning.MaxClaimBytes {
 		return nil
 	}
 	// What is needed no more goes with it, as far as there is room: by itself it counts for
 	// nothing.
 	for _, number := range slices.Sorted(maps.Keys(q.claimValues)) {
-		if number > len(values) && len(writes) < q.env.TxnOps {
+		if number > len(values) && len(writes) < q.config.MaxTxnWrites {
 			writes = append(writes, decide.Remove(fleet.ClaimsKeyOf(number)))
 		}
 	}
@@ -146,5 +146,5 @@
 			decisions = append(decisions, decide.Decision{Writes: []store.Write{decide.Put(fleet.MachinePrefix+m.Name, record)}})
 		}
 	}
-	q.env.Commit(decisions)
+	q.commits.Commit(decisions)
 }
--- a/internal/queue/decisions.go
+++ b/internal/queue/decisions.go
@@ -19,7 +19,7 @@
 	var decisions []decide.Decision
 	machinesByController := map[string][]string{}
 	var newTasks []*clusterstate.Task
-	batched := q.env.UsesBatches() && job.Record.Spec.Kind == jobs.JobArray
+	batched := q.cluster.UsesBatches() && job.Record.Spec.Kind == jobs.JobArray
 	for _, o := range placements {
 		switch {
 		case batched && (o.task.Stored == nil || o.task.Stored.IsBatch()):
@@ -134,7 +134,7 @@
 		records[i], _ = q.releasedTask(task, m)
 	}
 	decision.Writes = []store.Write{
-		{Put: jobs.TaskRangeKey(job.ID, tasks[0].Index), Value: jobs.EncodeTaskRange(records, q.env.ValueBytes)},
+		{Put: jobs.TaskRangeKey(job.ID, tasks[0].Index), Value: jobs.EncodeTaskRange(records, q.config.MaxValueBytes)},
 	}
 	decision.OnSettled = func(bool) {
 		for _, task := range tasks {
@@ -147,10 +147,10 @@
 // ours tells whether the leader may place a task itself: in its own part, and
 // where changes are scarce in every part, by the machine's record.
 func (q *Queue) placesDirectly(task *clusterstate.Task, m *clusterstate.Machine) bool {
-	if m.Owner != q.env.Name {
+	if m.Owner != q.config.Name {
 		return q.Scarce() && q.canPropose(task, m)
 	}
-	return q.env.CanPlace(task, m)
+	return q.machines.CanPlace(task, m)
 }
 
 type placeRule func(*clusterstate.Task, *clusterstate.Machine) bool
@@ -161,7 +161,7 @@
 
 // run is how many of the first of fresh tasks, up to most, are consecutive.
 func (q *Queue) consecutiveCount(newTasks []*clusterstate.Task, limit int) int {
-	limit = min(limit, len(newTasks), q.env.MaxRangeTasks)
+	limit = min(limit, len(newTasks), q.config.MaxRangeTasks)
 	count := 1
 	for count < limit && newTasks[count].Index == newTasks[0].Index+count {
 		count++
--- a/internal/queue/gangs.go
+++ b/internal/queue/gangs.go
@@ -159,9 +159,9 @@
 		machines[o.machine] = true
 	}
 	// View, fence, quotas and claims, the job, and a slice that the first task does not begin.
-	others := 6 + q.env.ExtraPreconditions
-	slices := spec.TaskCount/q.env.MaxRangeTasks + 1
-	return len(machines)+slices+others <= q.env.TxnOps*tuning.PreconditionsPerOp &&
+	others := 6 + q.config.ExtraPreconditions
+	slices := spec.TaskCount/q.config.MaxRangeTasks + 1
+	return len(machines)+slices+others <= q.config.MaxTxnWrites*tuning.PreconditionsPerOp &&
 		spec.TaskCount*tuning.RangeTaskBytes <= tuning.TxnBytes
 }
 
@@ -204,7 +204,7 @@
 		newTasks, machines = newTasks[count:], machines[count:]
 	}
 	decision := joined.decision()
-	if len(decision.Keys()) > q.env.TxnOps {
+	if len(decision.Keys()) > q.config.MaxTxnWrites {
 		joined.settle(false)
 		return decision, false
 	}
@@ -333,7 +333,7 @@
 			// broken one, to be stopped.
 			decisions[i].Urgent = true
 		}
-		q.env.Commit(decisions)
+		q.commits.Commit(decisions)
 	})
 }
 
--- a/internal/queue/lending.go
+++ b/internal/queue/lending.go
@@ -17,12 +17,12 @@
 		return nil
 	}
 	return lending.NewLedger(q.state, lending.Env{
-		Limit:      q.env.ValueBytes,
+		Limit:      q.config.MaxValueBytes,
 		Again:      jobs.Seconds(config.AgainS),
 		ByPriority: config.ByPriority,
-		Log:        q.env.Log,
-		Busy:       q.env.Busy,
-		Ready:      q.env.Ready,
+		Log:        q.config.Log,
+		Busy:       q.commits.Busy,
+		Ready:      q.machines.Ready,
 		Begins:     q.MayBegin,
 		Elsewhere: func(task *clusterstate.Task) bool {
 			zones := q.state.TasksByZone(task.Job)
@@ -92,7 +92,7 @@
 	// Before anything else is looked at: what is kept for others by this pass would
 	// stand in the way on a machine that was made room on for this.
 	for _, jobID := range clusterstate.SortedKeys(cycle.loans.reservations) {
-		if job := q.state.Queued[jobID]; job != nil && q.env.Allows(cycle.writeCount(), 1) {
+		if job := q.state.Queued[jobID]; job != nil && q.budget.Allows(cycle.writeCount(), 1) {
 			q.placeBorrowers(job, cycle)
 		}
 	}
--- a/internal/queue/order.go
+++ b/internal/queue/order.go
@@ -118,7 +118,7 @@
 // lastAim is the last of a class's aims for starting, 0 if it has none.
 func (q *Queue) lastStartObjective(class string) time.Duration {
 	lastObjective := time.Duration(0)
-	for _, objective := range q.env.Objectives {
+	for _, objective := range q.config.Objectives {
 		if objective.Kind == "wait" && objective.Class == class {
 			lastObjective = max(lastObjective, jobs.Seconds(objective.WithinS))
 		}
@@ -137,7 +137,7 @@
 			best = t
 		}
 	}
-	for _, objective := range q.env.Objectives {
+	for _, objective := range q.config.Objectives {
 		switch {
 		case objective.Kind == "guarantee" && entitled, objective.Kind == "wait" && objective.Class == r.Spec.Class:
 			consider(objective.WithinS)
@@ -155,7 +155,7 @@
 // when there is none.
 func (q *Queue) nextStartObjective(r *jobs.Record, entitled bool) int64 {
 	var best int64
-	for _, objective := range q.env.Objectives {
+	for _, objective := range q.config.Objectives {
 		if (objective.Kind == "guarantee" && entitled) || (objective.Kind == "wait" && objective.Class == r.Spec.Class) {
 			if t := r.AcceptedMs + int64(objective.WithinS*1000); t > q.state.NowMs() && (best == 0 || t < best) {
 				best = t
@@ -170,7 +170,7 @@
 func (q *Queue) pendingTasks(job *clusterstate.Job, limit int) []*clusterstate.Task {
 	var out []*clusterstate.Task
 	for _, task := range job.Retrying {
-		if task.NotBeforeMs <= q.state.NowMs() && !q.env.Busy(task.Stored.Key) {
+		if task.NotBeforeMs <= q.state.NowMs() && !q.commits.Busy(task.Stored.Key) {
 			out = append(out, task)
 		}
 	}
@@ -205,7 +205,7 @@
 	}
 	var mostFailed *clusterstate.Task
 	for _, task := range job.Retrying {
-		if q.env.Busy(task.Stored.Key) {
+		if q.commits.Busy(task.Stored.Key) {
 			return nil
 		}
 		if mostFailed == nil || task.Failures > mostFailed.Failures ||
--- a/internal/queue/place.go
+++ b/internal/queue/place.go
@@ -31,8 +31,8 @@
 func (q *Queue) releasedHere() []*clusterstate.Task {
 	var released []*clusterstate.Task
 	for _, task := range q.state.Released {
-		if task.Controller == q.env.Name && task.Job.Record != nil && task.Job.Record.State == jobs.Live &&
-			!q.env.Busy(task.Stored.Key) &&
+		if task.Controller == q.config.Name && task.Job.Record != nil && task.Job.Record.State == jobs.Live &&
+			!q.commits.Busy(task.Stored.Key) &&
 			q.state.Now.Sub(task.PlacementTriedAt) >= tuning.PlaceAgain {
 			released = append(released, task)
 		}
@@ -77,7 +77,7 @@
 // and "" if there is none.
 func (q *Queue) pickOwnMachine(task *clusterstate.Task) string {
 	spec := &task.Job.Record.Spec
-	if m := q.state.Machines[task.PreferredMachine]; m != nil && q.env.CanPlace(task, m) {
+	if m := q.state.Machines[task.PreferredMachine]; m != nil && q.machines.CanPlace(task, m) {
 		free := q.freeCapacity(m)
 		if !task.PreferenceReleased {
 			free = free.Add(task.Resources) // its own booking is there for it
@@ -89,7 +89,7 @@
 	candidates := q.appendCandidates(
 		nil,
 		q.state.MachinesByName(),
-		func(m *clusterstate.Machine) bool { return m.Owner == q.env.Name && q.env.CanPlace(task, m) },
+		func(m *clusterstate.Machine) bool { return m.Owner == q.config.Name && q.machines.CanPlace(task, m) },
 		spec,
 	)
 	if i := sharding.Pick(spec.Resources(), spec.Spot, candidates); i >= 0 {
@@ -130,7 +130,7 @@
 	}
 	m := q.state.Machines[machineName]
 	record := task.Job.Record
-	q.env.Log.Debug("places",
+	q.config.Log.Debug("places",
 		"task", task.ID,
 		"class", record.Spec.Class,
 		"machine", machineName,
@@ -193,7 +193,7 @@
 	var decisions []decide.Decision
 	for _, taskID := range clusterstate.SortedKeys(q.state.Released) {
 		task := q.state.Released[taskID]
-		gone := q.env.HasLeftView(task.Controller)
+		gone := q.cluster.HasLeftView(task.Controller)
 		if !gone && q.state.Now.Sub(task.Since) < tuning.ReleaseStale {
 			continue
 		}
@@ -201,9 +201,9 @@
 			q.Avoid(task.PreferredMachine, q.state.Now.Add(tuning.AvoidAfter))
 		}
 		next, ok := jobs.NextTask(task.Task, jobs.TaskEvent{Kind: jobs.TakeBack})
-		if ok && !q.env.Busy(task.Stored.Key) {
+		if ok && !q.commits.Busy(task.Stored.Key) {
 			decisions = append(decisions, decide.Decision{Changes: decide.TransitionTask(task, next)})
 		}
 	}
-	q.env.Commit(decisions)
+	q.commits.Commit(decisions)
 }
--- a/internal/queue/preempt.go
+++ b/internal/queue/preempt.go
@@ -75,7 +75,7 @@
 		Zones:         q.state.TasksByZone(task.Job),
 		OnlyWithImage: onlyCached,
 		Open:          func(m *clusterstate.Machine) bool { return q.canPropose(task, m) },
-		Busy:          q.env.Busy,
+		Busy:          q.commits.Busy,
 		Stopping:      cycle.stopping,
 	})
 	stop := jobs.TaskEvent{Kind: jobs.Stop, Reason: "makes room for " + task.ID}
@@ -144,7 +144,7 @@
 	}
 	for _, s := range quotareclaim.For(q.state, cycle.account, entitled, spec, count) {
 		next, ok := jobs.Withdraw(s.Task.Task, "gives back of "+s.Path+" what "+job.ID+" is guaranteed")
-		if !ok || cycle.stopping[s.Task] || q.env.Busy(s.Task.Stored.Key) {
+		if !ok || cycle.stopping[s.Task] || q.commits.Busy(s.Task.Stored.Key) {
 			continue
 		}
 		cycle.decisions = append(cycle.decisions, decide.Decision{Changes: decide.TransitionTask(s.Task, next)})
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -17,44 +17,84 @@
 	"github.com/harrierreel/harrierreel/internal/settings"
 )
 
-// Env is what the queue is told from outside: settings, and what others know.
-type Env struct {
-	Name          string // this controller
-	Objectives    []settings.Objective
-	TxnOps        int     // puts and deletes of a transaction
-	ValueBytes    int     // bytes of a slice's record
-	MaxRangeTasks int     // tasks of a slice
-	WriteRPS      float64 // changes a second of all controllers
-	Log           *slog.Logger
-
-	// Busy tells whether a record is under a transaction.
-	Busy func(key string) bool
-	// Allows tells whether the budget allows so many changes now, after those spent.
-	Allows func(spent, writes int) bool
-	// HasSpareWrites tells whether there is budget to spare.
-	HasSpareWrites func() bool
-	// Ready tells whether a machine takes new tasks at all, by its record.
-	Ready func(m *clusterstate.Machine) bool
-	// CanPlace tells whether a task may go on a machine of this part now.
-	CanPlace func(t *clusterstate.Task, m *clusterstate.Machine) bool
-	// UsesBatches tells whether tasks are given away in packs of many jobs.
-	UsesBatches func() bool
-	// HasLeftView tells whether a controller is not in the view.
-	HasLeftView func(part string) bool
-	// Commit takes decisions.
-	Commit func([]decide.Decision)
-	// Lending is how GPUs are lent to serving, nil for not at all.
-	Lending *settings.Lending
-	// Gate tells whether work may begin by the calendar, nil if there is none; MoreConds
-	// is how many conditions more a decision may have because of it.
-	Gate               func(*jobs.Spec) calendar.Verdict
+// Config is what the queue is told once: names, limits and the operators' settings.
+type Config struct {
+	// Name is this controller's.
+	Name string
+	// Objectives are the service-level objectives of the cluster.
+	Objectives []settings.Objective
+	// MaxTxnWrites is how many puts and deletes a transaction may have.
+	MaxTxnWrites int
+	// MaxValueBytes is the length that no value in the store may exceed.
+	MaxValueBytes int
+	// MaxRangeTasks is how many tasks a task range may hold.
+	MaxRangeTasks int
+	// MaxWritesPerS is how many writes the store takes a second, of all controllers together.
+	MaxWritesPerS float64
+	// ExtraPreconditions is how many preconditions more a decision may have because of the calendar.
 	ExtraPreconditions int
+	// Lending says how GPUs are lent to services, nil for not at all.
+	Lending *settings.Lending
+	Log     *slog.Logger
+}
+
+// WriteBudget is the share of the store's writes that this controller may use.
+type WriteBudget interface {
+	// Allows reports whether so many writes may be made now, after those spent.
+	Allows(spent, writes int) bool
+	// HasSpareWrites reports whether there is more than what decisions wait for.
+	HasSpareWrites() bool
+}
+
+// CommitQueue takes decisions and writes them in transactions.
+type CommitQueue interface {
+	// Busy reports whether a transaction that writes the record is under way.
+	Busy(key string) bool
+	// Commit takes decisions; each is told by its OnSettled whether it was committed.
+	Commit(decisions []decide.Decision)
+}
+
+// MachineAdmission says where tasks may go by what is known of the machines themselves.
+type MachineAdmission interface {
+	// Ready reports whether a machine takes new tasks at all, by its record.
+	Ready(m *clusterstate.Machine) bool
+	// CanPlace reports whether a task may go on a machine of this controller's shard now.
+	CanPlace(task *clusterstate.Task, m *clusterstate.Machine) bool
+}
+
+// ClusterView is what the controllers agree on.
+type ClusterView interface {
+	// HasLeftView reports whether a controller is not in the view.
+	HasLeftView(controller string) bool
+	// UsesBatches reports whether every controller reads batch records, so that tasks may be released
+	// in them.
+	UsesBatches() bool
+}
+
+// Calendar says when work may begin.
+type Calendar interface {
+	// Gate returns whether a job's work may begin now, soon or not yet.
+	Gate(spec *jobs.Spec) calendar.Verdict
+}
+
+// Collaborators are what the queue calls.
+type Collaborators struct {
+	Budget   WriteBudget
+	Commits  CommitQueue
+	Machines MachineAdmission
+	Cluster  ClusterView
+	Calendar Calendar // nil if there is none: all work may begin at any time
 }
 
 // Queue is what waits, and what is done about it.
 type Queue struct {
-	state *clusterstate.State
-	env   Env
+	state    *clusterstate.State
+	config   Config
+	budget   WriteBudget
+	commits  CommitQueue
+	machines MachineAdmission
+	cluster  ClusterView
+	calendar Calendar
 
 	// Waiting is what found no room in the last look.
 	Waiting []*Waiting
@@ -73,10 +113,19 @@
 	windowReservations  []string              // bookings for windows that are about to open
 }
 
-// New makes an empty queue over a book.
-func New(state *clusterstate.State, env Env) *Queue {
-	q := &Queue{state: state, env: env, claimValues: map[int]fleet.Claims{}}
-	q.loans = q.newLedger(env.Lending)
+// NewQueue makes an empty queue over the cluster's state.
+func NewQueue(state *clusterstate.State, config Config, collaborators Collaborators) *Queue {
+	q := &Queue{
+		state:       state,
+		config:      config,
+		budget:      collaborators.Budget,
+		commits:     collaborators.Commits,
+		machines:    collaborators.Machines,
+		cluster:     collaborators.Cluster,
+		calendar:    collaborators.Calendar,
+		claimValues: map[int]fleet.Claims{},
+	}
+	q.loans = q.newLedger(config.Lending)
 	q.Reset()
 	return q
 }
@@ -123,4 +172,4 @@
 func (q *Queue) Avoid(machineName string, until time.Time) { q.avoidUntil[machineName] = until }
 
 // UsesBatches tells whether tasks are given away in batches of many jobs.
-func (q *Queue) UsesBatches() bool { return q.env.UsesBatches() }
+func (q *Queue) UsesBatches() bool { return q.cluster.UsesBatches() }
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -76,7 +76,7 @@
 	}
 	batcher := decide.Batcher{
 		TxnContext:  txnContext,
-		Busy:        d.env.Busy,
+		Busy:        d.commits.Busy,
 		Allows:      func(int, int) bool { return true },
 		RecordBytes: func(string) int { return 0 },
 		Quarantine:  func(pending *decide.Decision, why string) { d.t.Error(pending, why) },
@@ -233,7 +233,7 @@
 		t.Errorf("%d placed at once; those of the other part are only released", placed)
 	}
 	// What the owner of the other part does with what it was given.
-	d.env.Name = "n1"
+	d.config.Name = "n1"
 	d.commit(d.Place())
 	if got := d.state.Jobs["wk-2"].PlacedCount; got != 6 {
 		t.Errorf("%d on machines", got)
@@ -317,7 +317,7 @@
 		return func(s *jobs.Spec) { s.Kind, s.Class, s.TaskCount = jobs.Gang, class, taskCount }
 	}
 	for _, objective := range []settings.Objective{{Kind: "wait", Class: "soon", WithinS: 90}, {Kind: "wait", Class: "soon", WithinS: 50}, {Kind: "wait", Class: "late", WithinS: 150}, {Kind: "wait", Class: "at-once", WithinS: 10}} {
-		d.env.Objectives = append(d.env.Objectives, objective)
+		d.config.Objectives = append(d.config.Objectives, objective)
 	}
 	after := map[string]int{"soon": 100, "late": 160, "at-once": 160, "none": 160}
 	for class := range after {
--- a/internal/queue/release.go
+++ b/internal/queue/release.go
@@ -25,14 +25,14 @@
 	maps.DeleteFunc(q.noCapacitySince, func(jobID string, _ time.Time) bool { return q.state.Queued[jobID] == nil })
 	q.Waiting = nil
 	q.dropAccumulations()
-	budget, limit := q.env.Allows(0, 1), tuning.MaxReleases
+	budget, limit := q.budget.Allows(0, 1), tuning.MaxReleases
 	if !budget {
 		limit = tuning.MaxExaminedJobs
 	}
 	examined := map[*clusterstate.Job]bool{}
 	examinedCount := 0
 	for _, job := range q.order(cycle.account) {
-		if examinedCount >= limit || budget && !q.env.Allows(cycle.writeCount(), 1) {
+		if examinedCount >= limit || budget && !q.budget.Allows(cycle.writeCount(), 1) {
 			break
 		}
 		examined[job] = true
@@ -54,7 +54,7 @@
 	}
 	q.serveStarving(cycle, examined)
 	cycle.end(q)
-	q.env.Commit(cycle.decisions)
+	q.commits.Commit(cycle.decisions)
 }
 
 // examine looks for room for a job, and returns how many tasks it looked at.
@@ -200,7 +200,7 @@
 // wait a moment for more of them, to share a slice. Their room is kept.
 func (q *Queue) awaitsMoreCapacity(job *clusterstate.Job, placementCount, freePlaces int) bool {
 	wanted := min(tuning.GatherTasks, job.Record.Spec.TaskCount-job.DoneCount-len(job.Active))
-	savesWrites := q.Scarce() && !q.env.HasSpareWrites() && !q.env.UsesBatches() &&
+	savesWrites := q.Scarce() && !q.budget.HasSpareWrites() && !q.cluster.UsesBatches() &&
 		job.Record.Spec.Kind == jobs.JobArray
 	if !savesWrites || placementCount == 0 || placementCount >= wanted || placementCount < freePlaces {
 		job.GatheringSince = time.Time{}
--- a/internal/queue/rounds.go
+++ b/internal/queue/rounds.go
@@ -51,7 +51,7 @@
 	clear(cycle.leavesAtLimit)
 	t.second = true
 	for _, job := range t.overLimit {
-		if limit <= 0 || !q.env.Allows(cycle.writeCount(), 1) {
+		if limit <= 0 || !q.budget.Allows(cycle.writeCount(), 1) {
 			break
 		}
 		limit -= q.examine(job, cycle, limit)
--- a/internal/queue/starvation.go
+++ b/internal/queue/starvation.go
@@ -58,11 +58,11 @@
 		starving.starvingSince = time.Time{}
 	case starving.starvingSince.IsZero():
 		starving.starvingSince = now
-	case begin != nil && due && q.env.Allows(cycle.writeCount(), 1):
+	case begin != nil && due && q.budget.Allows(cycle.writeCount(), 1):
 		if long {
 			q.starvationCheckedAt = now.Add(tuning.StarvingEvery)
 		}
-		q.env.Log.Debug("was passed over", "job", job.ID, "class", job.Record.Spec.Class, "for_s", waits.Seconds())
+		q.config.Log.Debug("was passed over", "job", job.ID, "class", job.Record.Spec.Class, "for_s", waits.Seconds())
 		begin()
 	}
 	q.starving[job.ID] = starving
