--- a/internal/queue/accumulation.go
+++ b/internal/queue/accumulation.go
@@ -12,25 +12,25 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// gathering is the room that a large gang gathers until all of its tasks find some:
-// in one zone if it must be in one, place by place as machines boot and others end.
-// It is kept from pass to pass by the leader alone; another leader gathers anew from
-// the accepted times, in the same order.
+// capacityAccumulation is the capacity kept for a large gang until all of its tasks fit: in one
+// zone if the gang must be in one, place by place as machines boot and other tasks end. Only the
+// leader knows it, from cycle to cycle; another leader begins anew in the order of the accepted
+// times, which is the same.
 type capacityAccumulation struct {
 	zone         string
-	progressAt   time.Time      // last more than ever before was kept, or began here
-	maxKept      int            // places kept at once, so far
+	progressAt   time.Time      // when more than ever before was kept, or the accumulation began
+	maxKept      int            // most places kept at once, so far
 	freePlaces   map[string]int // free places kept, by machine
 	busyMachines []string       // machines kept for what comes free on them
-	busyChosenAt time.Time      // when those were chosen
+	busyChosenAt time.Time      // when busyMachines were chosen
 }
 
-// large tells whether a gang needs more machines than are kept for a small job.
+// isLargeGang reports whether a gang needs more machines than are held for a small job.
 func isLargeGang(spec *jobs.Spec) bool { return spec.IsGang() && spec.TaskCount > tuning.HoldEach }
 
-// gather keeps room for a large gang that does not fit now, and returns how many of
-// its tasks it is kept for, and the zone. What is kept for all of them together stays
-// below a share of the machines: they stand idle meanwhile.
+// accumulate keeps capacity for a large gang that does not fit now, and returns for how many of its
+// tasks, and the zone. What is kept for all large gangs together stays below a share of the
+// machines, since those stand idle meanwhile.
 func (q *Queue) accumulate(task *clusterstate.Task, cycle *schedulingCycle) (int, string) {
 	spec := &task.Job.Record.Spec
 	candidates := cycle.candidates(q, task.WithoutPreference())
@@ -54,7 +54,7 @@
 	return kept, accumulation.zone
 }
 
-// accumulationFor is a gang's accumulation; one that made no progress for long begins anew in
+// accumulationFor returns a gang's accumulation. One that made no progress for long begins anew in
 // another zone.
 func (q *Queue) accumulationFor(
 	job *clusterstate.Job,
@@ -77,7 +77,8 @@
 	return accumulation
 }
 
-// takeFree keeps the free places of the zone for a gang, and returns how many of its tasks lack one.
+// takeFree keeps the free places of the zone for a gang, and returns how many of its tasks lack
+// one.
 func (a *capacityAccumulation) takeFree(
 	q *Queue,
 	cycle *schedulingCycle,
@@ -108,7 +109,8 @@
 	return left
 }
 
-// reserve counts room kept for large gangs; false if it is too much.
+// allowAccumulation counts capacity kept for large gangs, as a share of a machine. It returns
+// false, and counts nothing, if that would be more than tuning.HoldShare of all machines.
 func (c *schedulingCycle) allowAccumulation(q *Queue, capacity, need sharding.Resources, places int) bool {
 	share := need.ShareOf(capacity) * float64(places)
 	if c.accumulatedShare+share > tuning.HoldShare*float64(len(q.state.Machines)) {
@@ -118,8 +120,9 @@
 	return true
 }
 
-// gatherZone is the zone where a gang gathers: the one that has most room for it now,
-// of the others if it did not come together in the last one. "" if it may spread.
+// accumulationZone returns the zone where a gang accumulates capacity: the one with most of it free
+// now, another than the previous one if the gang did not come together there. It is "" if the gang
+// may spread over zones.
 func (q *Queue) accumulationZone(
 	spec *jobs.Spec,
 	candidates []sharding.Candidate,
@@ -157,8 +160,8 @@
 	return best
 }
 
-// takeBusy keeps the busy machines that were chosen, whole: smaller work takes each place as it
-// comes free otherwise, for as long as there is any.
+// takeBusy keeps the chosen busy machines, whole: smaller work takes each place as it comes free
+// otherwise, for as long as there is any.
 func (a *capacityAccumulation) takeBusy(q *Queue, cycle *schedulingCycle, spec *jobs.Spec) {
 	for _, machineName := range a.busyMachines {
 		m := q.state.Machines[machineName]
@@ -177,7 +180,7 @@
 	}
 }
 
-// soonestFree chooses the busy machines to keep for a gang that lacks places: those first where the
+// soonestFree chooses the busy machines to keep for a gang that lacks places: first those where the
 // next of its tasks is expected to find room soonest.
 func (q *Queue) soonestFree(
 	accumulation *capacityAccumulation,
@@ -215,8 +218,9 @@
 	return machines
 }
 
-// freeAt is when a machine is expected to have room for need, by its tasks' own
-// estimates; false if only replicas, which never end, stand in the way.
+// expectedFreeMs returns when, in Unix milliseconds, a machine is expected to have room for need,
+// by the expected durations of its tasks. It is false if only replicas, which never end, are in the
+// way.
 func (q *Queue) expectedFreeMs(m *clusterstate.Machine, need sharding.Resources) (int64, bool) {
 	type taskEnd struct {
 		atMs      int64
@@ -244,8 +248,8 @@
 	return atMs, free.Fits(need)
 }
 
-// Gathered is the room that stands free for large gangs, by machine: it is in demand
-// although nothing is booked there.
+// Gathered returns the free capacity that is kept for large gangs, by machine. Such a machine is in
+// demand although nothing is reserved on it, so it must not be given back to the cloud.
 func (q *Queue) Gathered() map[string]sharding.Resources {
 	out := map[string]sharding.Resources{}
 	for jobID, accumulation := range q.accumulations {
@@ -262,7 +266,7 @@
 	return out
 }
 
-// dropGathered forgets what was gathered for gangs that wait no more.
+// dropAccumulations forgets what was accumulated for gangs that no longer wait.
 func (q *Queue) dropAccumulations() {
 	for jobID := range q.accumulations {
 		if q.state.Queued[jobID] == nil {
--- a/internal/queue/candidates.go
+++ b/internal/queue/candidates.go
@@ -12,24 +12,22 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// heldCapacity is the machines kept for a job.
+// heldCapacity is the machines held for a job.
 type heldCapacity struct {
 	machines []string
 	chosenAt time.Time
 }
 
-// Scarce tells whether changes of the state service are few for the number of
-// machines. Tasks of a job then go to few parts, several at a time, and the
-// leader names their machines in the change that releases them: every slice and
-// every step of it by itself is a change.
+// Scarce reports whether the store takes few writes for the number of machines. Tasks of a job then
+// go to few shards, several at a time, and the leader names their machines in the write that
+// releases them: each task range and each transition of it costs a write of its own otherwise.
 func (q *Queue) Scarce() bool {
 	return float64(len(q.state.Machines)) > q.config.MaxWritesPerS
 }
 
-// gatherParts keeps, while changes are scarce, the candidates of as few parts
-// as hold the tasks: those with the most room, images counted double. Cheap
-// machines come first: ordinary ones of one part must not be taken while cheap
-// ones of another have room.
+// concentrate keeps, while writes are scarce, the candidates of as few shards as hold the tasks:
+// those with the most capacity, machines with the image counted double. Spot instances come first:
+// on-demand ones of one shard must not be taken while spot instances of another have room.
 func (q *Queue) concentrate(spec *jobs.Spec, candidates []sharding.Candidate, tasks int) []sharding.Candidate {
 	if !q.Scarce() || spec.Kind != jobs.JobArray || tasks == 1 {
 		return candidates
@@ -50,8 +48,8 @@
 	return out
 }
 
-// fewestParts keeps the candidates of as few parts as hold the tasks, and
-// returns how many tasks are left over.
+// fewestControllers keeps the candidates of as few shards as hold the tasks, and returns how many
+// tasks are left over.
 func fewestControllers(spec *jobs.Spec, candidates []sharding.Candidate, tasks int) ([]sharding.Candidate, int) {
 	places, cachedPlaces := map[string]int{}, map[string]int{}
 	for i := range candidates {
@@ -78,7 +76,7 @@
 	return slices.DeleteFunc(candidates, func(c sharding.Candidate) bool { return !used[c.Controller] }), left
 }
 
-// pickFor is the best candidate for one of a job's tasks, or -1.
+// pickCandidate returns the index of the best candidate for one of a job's tasks, or -1.
 func (q *Queue) pickCandidate(task *clusterstate.Task, candidates []sharding.Candidate, zones map[string]int) int {
 	spec := &task.Job.Record.Spec
 	return sharding.PickIf(spec.Resources(), spec.Spot, candidates, func(candidate *sharding.Candidate) bool {
@@ -87,17 +85,20 @@
 	})
 }
 
-// openFor tells whether the leader may have room on a machine in mind at all.
+// mayPropose reports whether the leader may propose a machine for any task at all.
 func (q *Queue) mayPropose(m *clusterstate.Machine) bool {
-	return q.ClaimedFor(m) == "" && !q.claimPending(m.Name) && !q.state.Now.Before(q.avoidUntil[m.Name]) && q.machines.Ready(m)
+	return q.ClaimedFor(m) == "" &&
+		!q.claimPending(m.Name) &&
+		!q.state.Now.Before(q.avoidUntil[m.Name]) &&
+		q.machines.Ready(m)
 }
 
-// offers tells whether the leader may have room on a machine in mind.
+// canPropose reports whether the leader may propose a machine for a task.
 func (q *Queue) canPropose(task *clusterstate.Task, m *clusterstate.Machine) bool {
 	return q.mayPropose(m) && clusterstate.FitsTask(task, m)
 }
 
-// FindMachine picks the machine to have in mind for a task.
+// FindMachine picks the machine to propose for a task, "" if none has room.
 func (q *Queue) FindMachine(task *clusterstate.Task, zones map[string]int) string {
 	candidates := q.appendCandidates(
 		nil,
@@ -111,13 +112,12 @@
 	return ""
 }
 
-// holdFor keeps a machine for a task that needs more room than is free
-// anywhere: the one with the most free. Without it, smaller tasks further back
-// in the queue would take every place that comes free, one by one, for as long
-// as there are any.
+// holdMachines holds machines for a task that needs more room than is free anywhere: those that
+// lack least. Without it, smaller tasks further back in the queue would take every place that comes
+// free, one by one, for as long as there are any.
 //
-// What is kept for a job is chosen anew from time to time only: choosing means
-// a look at every machine for each.
+// The machines held for a job are chosen anew only from time to time: choosing one means examining
+// every machine.
 func (q *Queue) holdMachines(task *clusterstate.Task, count int, zones map[string]int, cycle *schedulingCycle) {
 	held := q.holds[task.Job.ID]
 	if q.state.Now.Sub(held.chosenAt) > tuning.HoldAgain {
@@ -132,8 +132,8 @@
 	}
 }
 
-// chooseHolds chooses up to count machines to keep, within the share of all that may be kept and the
-// number that a cycle may choose. It counts them in zones.
+// chooseHolds chooses up to count machines to hold, within the share of all that may be held and
+// the number that one cycle may choose. It counts them in zones.
 func (q *Queue) chooseHolds(
 	task *clusterstate.Task,
 	count int,
@@ -158,7 +158,7 @@
 	return machines
 }
 
-// fullest is the machine that lacks least for a task.
+// nearestFit returns the machine that lacks least for a task, nil if none could hold it.
 func (q *Queue) nearestFit(
 	task *clusterstate.Task,
 	zones map[string]int,
@@ -175,15 +175,16 @@
 		if !capacity.Fits(spec.Resources()) {
 			continue
 		}
-		// By how much of the task would fit.
-		if part := 1 / max(spec.Resources().ShareOf(capacity.Sub(m.Usage.Resources)), 1e-9); part > bestShare {
-			best, bestShare = m, part
+		// By the share of the task that would fit.
+		free := capacity.Sub(m.Usage.Resources)
+		if share := 1 / max(spec.Resources().ShareOf(free), 1e-9); share > bestShare {
+			best, bestShare = m, share
 		}
 	}
 	return best
 }
 
-// freeCapacity is what a machine of a known type has left, with what is reserved counted as used.
+// freeCapacity returns what a machine of a known type has left; what is reserved counts as used.
 func (q *Queue) freeCapacity(m *clusterstate.Machine) sharding.Resources {
 	return q.state.MachineTypes[m.MachineType].Capacity().Sub(q.state.UsedResources(m.Name))
 }
--- a/internal/queue/claims.go
+++ b/internal/queue/claims.go
@@ -12,25 +12,27 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// claim is the machines of one gang while the leader places it: wanted until the state
-// service holds it, then held until its tasks' records are settled.
+// claim is the machines of one gang while the leader places it: pending until the store holds the
+// claim, then held until the records of the gang's tasks are settled.
 type claim struct {
 	machines     []string
-	onSettled    func(ok bool) // once it is known whether it is held
-	writePending bool          // a write with it is under way
+	onSettled    func(ok bool) // called once it is known whether the store holds the claim
+	writePending bool          // a write of the claim is under way
 	held         bool
 }
 
-// Claiming tells whether a gang's machines are being claimed by this leader.
+// Claiming reports whether this leader is claiming machines for a gang.
 func (q *Queue) Claiming(jobID string) bool { return q.claims[jobID] != nil }
 
-// claim wants machines for a gang. Nothing else is released to them from now on.
-func (q *Queue) claimMachines(jobID string, machines []string, then func(ok bool)) {
-	q.claims[jobID] = &claim{machines: machines, onSettled: then}
+// claimMachines claims machines for a gang. Nothing else is released to them from now on. onSettled
+// is called at most once, possibly before claimMachines returns.
+func (q *Queue) claimMachines(jobID string, machines []string, onSettled func(ok bool)) {
+	q.claims[jobID] = &claim{machines: machines, onSettled: onSettled}
 	q.ReconcileClaims()
 }
 
-// wanted tells whether a machine is wanted for a gang whose claim is not held yet.
+// claimPending reports whether a machine belongs to a gang that this leader claims machines for; the
+// store may not hold the claim yet.
 func (q *Queue) claimPending(machineName string) bool {
 	for _, c := range q.claims {
 		if slices.Contains(c.machines, machineName) {
@@ -40,8 +42,8 @@
 	return false
 }
 
-// ReconcileClaims has the state service hold what this leader claims and nothing else: what
-// an earlier leader left goes with the first write. There is one write at a time.
+// ReconcileClaims makes the store hold what this leader claims and nothing else: what an earlier
+// leader left goes with the first write. There is one write at a time.
 func (q *Queue) ReconcileClaims() {
 	want := fleet.Claims{}
 	for jobID, c := range q.claims {
@@ -51,12 +53,12 @@
 		return
 	}
 	if maps.EqualFunc(want, q.state.MachineClaims, slices.Equal[[]string]) {
-		q.settleClaims(true, func(c *claim) bool { return !c.held }) // an earlier leader's stand
+		q.settleClaims(true, func(c *claim) bool { return !c.held }) // as an earlier leader left it
 		return
 	}
 	writes := q.claimWrites(want)
 	if writes == nil {
-		// No more at once: what is not held yet is looked at anew.
+		// Too much for one transaction: the gangs whose claims are not held yet are examined anew.
 		q.settleClaims(false, func(c *claim) bool { return !c.held && !c.writePending })
 		return
 	}
@@ -68,8 +70,8 @@
 	}}})
 }
 
-// claimWrites are the changes that have the state service hold these claims, nil if one
-// transaction cannot make them.
+// claimWrites returns the writes that make the store hold these claims, nil if one transaction
+// cannot hold them.
 func (q *Queue) claimWrites(want fleet.Claims) []store.Write {
 	var writes []store.Write
 	values := want.Divide(q.config.MaxValueBytes)
@@ -87,8 +89,8 @@
 	if len(writes) > q.config.MaxTxnWrites || len(writes) > 1 && bytes > tuning.MaxClaimBytes {
 		return nil
 	}
-	// What is needed no more goes with it, as far as there is room: by itself it counts for
-	// nothing.
+	// Values that are not needed any more are removed with it, as far as the transaction has room:
+	// without the first value they count for nothing.
 	for _, number := range slices.Sorted(maps.Keys(q.claimValues)) {
 		if number > len(values) && len(writes) < q.config.MaxTxnWrites {
 			writes = append(writes, decide.Remove(fleet.ClaimsKeyOf(number)))
@@ -97,8 +99,8 @@
 	return writes
 }
 
-// ApplyClaims takes in one of the values that hold the claims. Of one that cannot be
-// read nothing counts: the leader writes it anew.
+// ApplyClaims takes in one of the values that hold the claims; nil removes it. It returns an error
+// for a value that cannot be read, of which nothing counts: the leader writes it anew.
 func (q *Queue) ApplyClaims(key string, value json.RawMessage) error {
 	claims, err := fleet.DecodeClaims(value)
 	if value == nil {
@@ -127,8 +129,8 @@
 	}
 }
 
-// ClaimedFor is the job that a machine is claimed for, "" for none. Earlier versions
-// kept it in the machine's own record.
+// ClaimedFor returns the job that a machine is claimed for, "" for none. Earlier versions kept it
+// in the machine's own record.
 func (q *Queue) ClaimedFor(m *clusterstate.Machine) string {
 	if m.Claim != "" {
 		return m.Claim
@@ -136,7 +138,7 @@
 	return q.state.ClaimedBy[m.Name]
 }
 
-// DropClaims clears claims that a leader of an earlier version left in machines' records.
+// DropClaims clears claims that a leader of an earlier version left in machine records.
 func (q *Queue) DropClaims() {
 	var decisions []decide.Decision
 	for _, m := range q.state.MachinesByName() {
--- a/internal/queue/cycle.go
+++ b/internal/queue/cycle.go
@@ -12,39 +12,41 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// cycle is what one look at the queue keeps: what is being considered is
-// charged, and room is kept for tasks that wait.
+// schedulingCycle is the state of one scheduling cycle of the leader: what it considers is charged
+// to its own copy of the quota account, and capacity is held for tasks that wait. Everything that
+// it holds is given back when it ends.
 type schedulingCycle struct {
 	account          *quota.Account
-	heldMachines     map[string]bool              // machines kept for tasks that fit nowhere
-	heldResources    []sharding.Resources         // room kept, to be given back when the pass ends
-	heldOn           []string                     // where
-	leavesAtLimit    map[int]bool                 // leaves whose next task does not fit their limits
-	unplaceable      map[string][]unplaceableNeed // what found no room, by where it may go
-	victimSearches   int                          // looks for tasks to stop
-	stopping         map[*clusterstate.Task]bool  // to be stopped by this pass
-	newlyHeldCount   int                          // machines newly chosen to be kept
-	accumulatedShare float64                      // machines' room kept for large gangs
-	loans            cycleLoans                   // rooms kept for loans
+	heldMachines     map[string]bool              // machines held for tasks that fit nowhere
+	heldResources    []sharding.Resources         // capacity held, given back when the cycle ends
+	heldOn           []string                     // the machine of each of heldResources
+	leavesAtLimit    map[int]bool                 // quota leaves whose next task does not fit their limits
+	unplaceable      map[string][]unplaceableNeed // what found no room, by placementScope
+	victimSearches   int                          // searches for tasks to preempt
+	stopping         map[*clusterstate.Task]bool  // tasks that this cycle stops
+	newlyHeldCount   int                          // machines newly chosen to be held
+	accumulatedShare float64                      // capacity kept for large gangs, in machines
+	loans            cycleLoans                   // capacity kept for loans
 	decisions        []decide.Decision
 	rounds           schedulingRounds
-	openMachineCache []*clusterstate.Machine // those that the leader may have room on in mind
-	candidateBuffer  []sharding.Candidate    // room for the board of one job after another
+	openMachineCache []*clusterstate.Machine // machines that the leader may propose, nil if not listed yet
+	candidateBuffer  []sharding.Candidate    // memory for the candidates of one job after another
 }
 
-// refusal is a need that found no room in this pass, for so many tasks at once.
+// unplaceableNeed is what found no room in this cycle: the resources of a task, for so many tasks
+// at once.
 type unplaceableNeed struct {
 	resources sharding.Resources
 	taskCount int
 }
 
-// placement is a task with the machine that the leader has room in mind on.
+// placement is a task with the machine that the leader proposes for it.
 type placement struct {
 	task    *clusterstate.Task
 	machine string
 }
 
-// candidates lists the machines with room for a task; it holds until the next.
+// candidates lists the machines with room for a task. The list is valid until the next call.
 func (c *schedulingCycle) candidates(q *Queue, task *clusterstate.Task) []sharding.Candidate {
 	c.candidateBuffer = q.appendCandidates(
 		c.candidateBuffer,
@@ -55,9 +57,8 @@
 	return c.candidateBuffer
 }
 
-// open lists the machines that the leader may have room on in mind. It is the
-// same for every job of a pass, and a look at a machine's standing costs more
-// than one at its room.
+// openMachines lists the machines that the leader may propose. The list is the same for every job
+// of a cycle, and checking a machine's standing costs more than checking its capacity.
 func (c *schedulingCycle) openMachines(q *Queue) []*clusterstate.Machine {
 	if c.openMachineCache == nil {
 		for _, m := range q.state.MachinesByName() {
@@ -69,7 +70,7 @@
 	return c.openMachineCache
 }
 
-// writes is how many records the pass's decisions write, at most.
+// writeCount returns how many records the cycle's decisions write, at most.
 func (c *schedulingCycle) writeCount() int {
 	sum, batchEntries := 0, 0
 	for i := range c.decisions {
@@ -79,6 +80,7 @@
 	return sum + batchEntries/tuning.MaxSharedBatches
 }
 
+// newCycle begins a scheduling cycle.
 func (q *Queue) newCycle() *schedulingCycle {
 	cycle := &schedulingCycle{
 		account:       q.state.Account.Clone(),
@@ -88,7 +90,7 @@
 		stopping:      map[*clusterstate.Task]bool{},
 	}
 	// A gang whose machines are being claimed has its share already: given away once more,
-	// it is either lacking for the gang or beyond its team's limit.
+	// it would be lacking for the gang or beyond its team's limit.
 	for jobID := range q.claims {
 		if job := q.state.Jobs[jobID]; job != nil && job.Record != nil {
 			cycle.account.Charge(job.Record.Spec.QuotaKey(), job.Record.Spec.Amount(), q.unchargedTasks(job))
@@ -97,7 +99,8 @@
 	return cycle
 }
 
-// uncharged is how many tasks of a job are neither released nor being so.
+// unchargedTasks returns how many tasks of a job are neither released nor reserved, so that the
+// quota account does not count them yet.
 func (q *Queue) unchargedTasks(job *clusterstate.Job) int {
 	n := job.Record.Spec.TaskCount - len(job.Active)
 	for _, r := range q.state.Reservations {
@@ -108,13 +111,13 @@
 	return n
 }
 
-// keep takes room on a machine until the pass ends.
+// hold takes capacity on a machine until the cycle ends.
 func (c *schedulingCycle) hold(q *Queue, machineName string, need sharding.Resources) {
 	q.state.AllocateResources(machineName, need)
 	c.heldOn, c.heldResources = append(c.heldOn, machineName), append(c.heldResources, need)
 }
 
-// lift gives back what the pass has kept so far, and forgets what found no room beside it.
+// releaseHolds gives back what the cycle has held so far, and forgets what found no room beside it.
 func (c *schedulingCycle) releaseHolds(q *Queue) {
 	for i, machineName := range c.heldOn {
 		q.state.FreeResources(machineName, c.heldResources[i])
@@ -123,6 +126,7 @@
 	clear(c.unplaceable)
 }
 
+// end gives back all that the cycle holds.
 func (c *schedulingCycle) end(q *Queue) {
 	for _, rooms := range c.loans.reservations {
 		for _, r := range rooms {
@@ -132,7 +136,8 @@
 	c.releaseHolds(q)
 }
 
-// places names where a job may go at all.
+// placementScope returns a key for where a job may go at all: a need that found no room tells
+// something only of needs with the same key.
 func placementScope(s *jobs.Spec, taskCount int) string {
 	key := s.Zone + "/" + strings.Join(s.MachineTypes, ",")
 	if s.Spot {
@@ -144,10 +149,10 @@
 	return key
 }
 
-// hopeless tells whether the same or less found no room in this pass already.
+// knownUnplaceable reports whether the same or less found no room in this cycle already.
 func (c *schedulingCycle) knownUnplaceable(s *jobs.Spec, taskCount int) bool {
 	if c.loans.reservations[s.ID] != nil {
-		return false // room is kept for it
+		return false // capacity is kept for it
 	}
 	for _, r := range c.unplaceable[placementScope(s, taskCount)] {
 		if r.taskCount <= taskCount && s.Resources().Fits(r.resources) {
@@ -157,7 +162,7 @@
 	return false
 }
 
-// refuse notes that so many tasks of a job find no room in this pass.
+// noteUnplaceable notes that so many tasks of a job find no room in this cycle.
 func (c *schedulingCycle) noteUnplaceable(s *jobs.Spec, taskCount int) {
 	key := placementScope(s, taskCount)
 	c.unplaceable[key] = append(c.unplaceable[key], unplaceableNeed{s.Resources(), taskCount})
--- a/internal/queue/decisions.go
+++ b/internal/queue/decisions.go
@@ -11,10 +11,9 @@
 	"github.com/harrierreel/harrierreel/internal/taskbatch"
 )
 
-// releasing is the decisions that give tasks to the parts of the machines in
-// mind; those of the leader's own part are placed at once. New tasks of a part
-// make a slice: it does not matter which of a job's tasks goes where, so each
-// part gets consecutive ones.
+// releaseDecisions returns the decisions that release tasks to the shards of the proposed machines;
+// those of the leader's own shard are placed at once. New tasks of a shard make a task range: it
+// does not matter which of a job's tasks goes where, so each shard gets consecutive ones.
 func (q *Queue) releaseDecisions(job *clusterstate.Job, placements []placement) []decide.Decision {
 	var decisions []decide.Decision
 	machinesByController := map[string][]string{}
@@ -51,9 +50,9 @@
 	return decisions
 }
 
-// packing is the decision that gives a task to a part in a new pack, with all else
-// that goes to that part in the same transaction. One that has been tried before
-// leaves its pack for that: the owner of the machine that it goes to writes it next.
+// batchDecision returns the decision that releases a task to a shard in a new batch record, with
+// all else that goes to that shard in the same transaction. A task that was attempted before leaves
+// its batch for that: the owner of its new machine writes it next.
 func (q *Queue) batchDecision(o placement) (decide.Decision, bool) {
 	m := q.state.Machines[o.machine]
 	decision := decide.Decision{ReadSet: []string{jobs.JobPrefix + o.task.Job.ID}}
@@ -79,8 +78,8 @@
 	return decision, true
 }
 
-// released is a task's record given to the part of a machine that the leader has room
-// in mind on; it books the place.
+// releasedTask returns a task's record released to the shard of the proposed machine, and reserves
+// the place. It is false if the task may not be released.
 func (q *Queue) releasedTask(task *clusterstate.Task, m *clusterstate.Machine) (jobs.Task, bool) {
 	next, ok := jobs.NextTask(
 		task.Task,
@@ -92,7 +91,7 @@
 	return next, ok
 }
 
-// releaseOld gives a task to a part once more.
+// releaseRecorded releases or places a task that has a record already.
 func (q *Queue) releaseRecorded(o placement) (decide.Decision, bool) {
 	m := q.state.Machines[o.machine]
 	if q.placesDirectly(o.task, m) {
@@ -110,9 +109,9 @@
 	}, true
 }
 
-// beginTaskRange is the decision that begins a slice of consecutive tasks that
-// have never been released. The key must not exist yet. Tasks that place allows
-// are placed at once, the others are released to the machine's part.
+// beginTaskRange returns the decision that writes a new range of consecutive tasks that were never
+// released. Its key must not exist yet. Tasks that placesDirectly allows are placed at once, the
+// others are released to the machine's shard.
 func (q *Queue) beginTaskRange(
 	job *clusterstate.Job,
 	tasks []*clusterstate.Task,
@@ -144,8 +143,8 @@
 	return decision
 }
 
-// ours tells whether the leader may place a task itself: in its own part, and
-// where changes are scarce in every part, by the machine's record.
+// placesDirectly reports whether the leader may place a task itself: in its own shard, and while
+// writes are scarce in every shard, by the machine's record.
 func (q *Queue) placesDirectly(task *clusterstate.Task, m *clusterstate.Machine) bool {
 	if m.Owner != q.config.Name {
 		return q.Scarce() && q.canPropose(task, m)
@@ -153,13 +152,16 @@
 	return q.machines.CanPlace(task, m)
 }
 
+// placeRule reports whether the leader places a task on a machine itself rather than release it to
+// the machine's shard.
 type placeRule func(*clusterstate.Task, *clusterstate.Machine) bool
 
 func always(*clusterstate.Task, *clusterstate.Machine) bool { return true }
 
 func never(*clusterstate.Task, *clusterstate.Machine) bool { return false }
 
-// run is how many of the first of fresh tasks, up to most, are consecutive.
+// consecutiveCount returns how many of the first new tasks, up to limit, are consecutive and fit
+// one task range.
 func (q *Queue) consecutiveCount(newTasks []*clusterstate.Task, limit int) int {
 	limit = min(limit, len(newTasks), q.config.MaxRangeTasks)
 	count := 1
--- a/internal/queue/gangs.go
+++ b/internal/queue/gangs.go
@@ -13,8 +13,8 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// releaseGang offers a resting gang to a part that can hold it whole, or lets
-// the leader place it across parts; a broken one is stopped.
+// releaseGang releases a gang of which nothing runs: to a shard that can hold it whole, or across
+// shards. A broken one is withdrawn.
 func (q *Queue) releaseGang(job *clusterstate.Job, cycle *schedulingCycle) {
 	spec := &job.Record.Spec
 	if q.Claiming(job.ID) {
@@ -35,7 +35,7 @@
 	leaf := q.state.QuotaLeaf(spec)
 	if !cycle.account.Allows(leaf, spec.Amount(), spec.TaskCount) {
 		if q.Overdue(job) && cycle.account.Tree().Ever(leaf, spec.Amount(), spec.TaskCount) {
-			// As with single tasks: what its team has left waits for it.
+			// As with single tasks: what its team has left is kept for it.
 			cycle.leavesAtLimit[leaf] = true
 		}
 		cycle.rounds.overLimit = append(cycle.rounds.overLimit, job)
@@ -55,7 +55,7 @@
 	}
 }
 
-// withdrawGang stops a gang of which only some tasks run: they are of no use alone.
+// withdrawGang withdraws a gang of which only some tasks run: they are of no use alone.
 func withdrawGang(job *clusterstate.Job, cycle *schedulingCycle) {
 	for _, index := range slices.Sorted(maps.Keys(job.Tasks)) {
 		task := job.Tasks[index]
@@ -65,7 +65,7 @@
 	}
 }
 
-// backsOff tells whether a gang in doubt still pauses before its next attempt.
+// backsOff reports whether a gang in doubt still waits before its next attempt.
 func (q *Queue) backsOff(tasks []*clusterstate.Task, attempt uint64) bool {
 	pause := jobs.Backoff(int(min(attempt, 10)))
 	return slices.ContainsFunc(tasks, func(task *clusterstate.Task) bool {
@@ -73,8 +73,8 @@
 	})
 }
 
-// addWaitingGang notes a gang that found no room: it keeps its turn, and room is kept for it, for a
-// large one as it comes free.
+// addWaitingGang notes a gang that found no room: it keeps its place in the queue, and capacity is
+// held for it, for a large gang as it comes free.
 func (q *Queue) addWaitingGang(job *clusterstate.Job, first *clusterstate.Task, entitled int, cycle *schedulingCycle) {
 	spec := &job.Record.Spec
 	if q.lacksCapacity(job) {
@@ -99,7 +99,7 @@
 	q.holdMachines(first.WithoutPreference(), held, q.state.TasksByZone(job), cycle)
 }
 
-// taskRecords lists what the records say of a job's tasks.
+// taskRecords lists the records of a job's tasks.
 func taskRecords(job *clusterstate.Job) []*jobs.Task {
 	out := make([]*jobs.Task, 0, len(job.Tasks))
 	for _, task := range job.Tasks {
@@ -108,8 +108,8 @@
 	return out
 }
 
-// resting is all tasks of a gang that rests, and its next try; nil if it does not rest,
-// or some of its tasks may not be tried yet or are under a transaction.
+// restingTasks returns all tasks of a gang of which nothing runs, and its next attempt; nil if
+// something runs, or some of its tasks back off or are under a transaction.
 func (q *Queue) restingTasks(job *clusterstate.Job) ([]*clusterstate.Task, uint64) {
 	spec := &job.Record.Spec
 	records := taskRecords(job)
@@ -123,8 +123,8 @@
 	return tasks, gangs.NextAttempt(records)
 }
 
-// beginGang gives a gang the machines that hold it: in one change if that is possible,
-// and otherwise they are claimed first.
+// beginGang gives a gang the machines that hold it: in one transaction if that is possible, and
+// otherwise they are claimed first.
 func (q *Queue) beginGang(
 	job *clusterstate.Job,
 	tasks []*clusterstate.Task,
@@ -134,8 +134,8 @@
 	cycle *schedulingCycle,
 ) {
 	spec := &job.Record.Spec
-	// Where the leader names the machines itself, those of several parts are taken in
-	// one change as well.
+	// Where the leader places the tasks itself, machines of several shards are taken in one
+	// transaction as well.
 	if (sameController || q.placesAllDirectly(placements)) && q.fitsOneTxn(spec, placements) {
 		if decision, ok := q.releaseGangWhole(job, placements); ok {
 			cycle.decisions = append(cycle.decisions, decision)
@@ -150,30 +150,32 @@
 	q.claimGang(job, tasks, machines, attempt)
 }
 
-// inOne tells whether one transaction can place a gang, with a condition for each
-// machine and the records of all its tasks. The part that it is offered to places it
-// in one decision; a larger gang is placed on claimed machines, in several.
+// fitsOneTxn reports whether one transaction can place a gang, with a precondition for each machine
+// and the records of all its tasks. The shard that the gang is released to places it in one
+// decision; a larger gang is placed on claimed machines, in several.
 func (q *Queue) fitsOneTxn(spec *jobs.Spec, placements []placement) bool {
 	machines := map[string]bool{}
 	for _, o := range placements {
 		machines[o.machine] = true
 	}
-	// View, fence, quotas and claims, the job, and a slice that the first task does not begin.
+	// View, fencing token, quotas and claims, the job, and a task range that the first task does not
+	// begin.
 	others := 6 + q.config.ExtraPreconditions
-	slices := spec.TaskCount/q.config.MaxRangeTasks + 1
-	return len(machines)+slices+others <= q.config.MaxTxnWrites*tuning.PreconditionsPerOp &&
+	taskRanges := spec.TaskCount/q.config.MaxRangeTasks + 1
+	return len(machines)+taskRanges+others <= q.config.MaxTxnWrites*tuning.PreconditionsPerOp &&
 		spec.TaskCount*tuning.RangeTaskBytes <= tuning.TxnBytes
 }
 
-// oursAll tells whether the leader may place all of a gang itself.
+// placesAllDirectly reports whether the leader may place all of a gang itself.
 func (q *Queue) placesAllDirectly(placements []placement) bool {
 	return !slices.ContainsFunc(placements, func(o placement) bool {
 		return !q.placesDirectly(o.task, q.state.Machines[o.machine])
 	})
 }
 
-// placeGangOffers is the one decision that gives a whole gang to the part that all
-// its machines belong to; the leader's own part places it at once.
+// releaseGangWhole returns the one decision that releases a whole gang to the shard of all its
+// machines; where the leader may place all of it, it is placed at once. It is false, and nothing is
+// reserved, if one transaction cannot hold it.
 func (q *Queue) releaseGangWhole(job *clusterstate.Job, placements []placement) (decide.Decision, bool) {
 	joined := joinedDecision{readSet: []string{jobs.JobPrefix + job.ID}}
 	placesDirectly := placeRule(always)
@@ -211,8 +213,8 @@
 	return decision, true
 }
 
-// gangTaskDecision is the decision for a gang's task that has a record: it is placed at once, or
-// released to the machine's controller.
+// gangTaskDecision returns the decision for a gang's task that has a record already: it is placed
+// at once, or released to the machine's shard.
 func (q *Queue) gangTaskDecision(o placement, placesDirectly placeRule, attempt uint64) (decide.Decision, bool) {
 	m := q.state.Machines[o.machine]
 	if placesDirectly(o.task, m) {
@@ -229,7 +231,8 @@
 	}, true
 }
 
-// joinedDecision makes one decision of several, so that one transaction holds all or none.
+// joinedDecision makes one decision of several, so that one transaction commits all of them or
+// none.
 type joinedDecision struct {
 	changes []decide.Change
 	writes  []store.Write
@@ -265,13 +268,13 @@
 	}
 }
 
-// decision is all of them in one.
+// decision returns all of them as one.
 func (d *joinedDecision) decision() decide.Decision {
 	return decide.Decision{Changes: d.changes, Writes: d.writes, ReadSet: d.readSet, OnSettled: d.settle}
 }
 
-// fitGang finds a machine for every task of a gang, nil when it does not fit. whole
-// tells that all the machines are of one part.
+// fitGang finds a machine for every task of a gang; placements is nil if it does not fit.
+// sameController reports whether all the machines belong to one shard.
 func (q *Queue) fitGang(
 	tasks []*clusterstate.Task,
 	cycle *schedulingCycle,
@@ -305,9 +308,9 @@
 	return placements, sameController
 }
 
-// claimGang places a gang larger than a part: its machines are claimed in the
-// state service first, so that no part places anything else on them, then the
-// tasks are placed, then the claims are dropped.
+// claimGang places a gang that one transaction cannot hold: its machines are claimed in the store
+// first, so that no shard places anything else on them, then the tasks are placed, then the claims
+// are dropped.
 func (q *Queue) claimGang(job *clusterstate.Job, tasks []*clusterstate.Task, machines []string, attempt uint64) {
 	unique := slices.Clone(machines)
 	slices.Sort(unique)
@@ -329,16 +332,16 @@
 					delete(q.claims, job.ID)
 				}
 			}
-			// Part of a gang placed and part put off for want of changes would be a
-			// broken one, to be stopped.
+			// A gang of which part is placed and part is put off for want of writes would be broken,
+			// and withdrawn.
 			decisions[i].Urgent = true
 		}
 		q.commits.Commit(decisions)
 	})
 }
 
-// placeClaimed is the decisions that place a gang on the machines claimed for
-// it; false if the claims or the room are not there.
+// placeClaimed returns the decisions that place a gang on the machines claimed for it; false if the
+// claims or the capacity are not there. The caller then settles the decisions returned.
 func (q *Queue) placeClaimed(
 	job *clusterstate.Job,
 	tasks []*clusterstate.Task,
@@ -383,8 +386,8 @@
 	return decisions, true
 }
 
-// claimHasCapacity tells whether the machines are claimed for a gang and have room for its tasks, of
-// which machines names each one's.
+// claimHasCapacity reports whether the machines are claimed for a gang and have room for its tasks.
+// machines has one entry for each task.
 func (q *Queue) claimHasCapacity(job *clusterstate.Job, machines []string) bool {
 	resources := job.Record.Spec.Resources()
 	claimed := map[string]sharding.Resources{}
@@ -401,7 +404,7 @@
 	return true
 }
 
-// placeGang places a gang that was offered to this part, whole or not at all.
+// placeReleasedGang places a gang that was released to this shard, whole or not at all.
 func (q *Queue) placeReleasedGang(job *clusterstate.Job, tasks []*clusterstate.Task) []decide.Decision {
 	if len(tasks) != job.Record.Spec.TaskCount {
 		return nil
--- a/internal/queue/lending.go
+++ b/internal/queue/lending.go
@@ -11,7 +11,7 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// newLending is the keeping of loans, nil where the operators have not turned it on.
+// newLedger returns the ledger of loans, nil where the operators have not turned lending on.
 func (q *Queue) newLedger(config *settings.Lending) *lending.Ledger {
 	if config == nil {
 		return nil
@@ -33,7 +33,7 @@
 	})
 }
 
-// Prefixes are the keys that loans stand under, where there are any to read.
+// Prefixes returns the store prefixes of loan records, nil if nothing is lent.
 func (q *Queue) Prefixes() []string {
 	if q.loans == nil {
 		return nil
@@ -41,29 +41,29 @@
 	return []string{lending.Prefix}
 }
 
-// ApplyLoans takes a record of loans in.
+// ApplyLoans takes in a record of loans; nil removes it.
 func (q *Queue) ApplyLoans(key string, value json.RawMessage) {
 	if q.loans != nil {
 		q.loans.ApplyRecord(key, value)
 	}
 }
 
-// lent is what a pass keeps of loans: rooms that are for one job only, and the machine
-// on which room is made for a replica.
+// cycleLoans is what a scheduling cycle keeps of loans: capacity reserved for one job only, and the
+// machine on which room is made for a replica.
 type cycleLoans struct {
 	reservations map[string][]*loanReservation // by job
 	byTask       map[string]lending.Loan
-	requestCount int // looks for somebody who lends
+	requestCount int // searches for a lender
 }
 
-// room is a kept one; shut while the pass takes it for used.
+// loanReservation is capacity kept for a loan. It is blocked while the cycle counts it as used.
 type loanReservation struct {
 	lending.KeptRoom
 	blocked bool
 }
 
-// reconcileLoans has the loans looked at, and keeps their rooms from all but the jobs that
-// they are for.
+// reconcileLoans reconciles the loans with what runs, and blocks their reservations for all but the
+// jobs that they are for.
 func (q *Queue) reconcileLoans(cycle *schedulingCycle) {
 	if q.loans == nil {
 		return
@@ -86,11 +86,11 @@
 	for _, room := range q.loans.Rooms() {
 		r := &loanReservation{KeptRoom: room}
 		cycle.loans.reservations[room.Job] = append(cycle.loans.reservations[room.Job], r)
-		cycle.heldMachines[room.Machine] = true // nor kept for another besides
+		cycle.heldMachines[room.Machine] = true // and not held for another job
 		q.block(r)
 	}
-	// Before anything else is looked at: what is kept for others by this pass would
-	// stand in the way on a machine that was made room on for this.
+	// Before anything else is examined: what this cycle holds for others would be in the way on a
+	// machine where room was made for a borrower.
 	for _, jobID := range clusterstate.SortedKeys(cycle.loans.reservations) {
 		if job := q.state.Queued[jobID]; job != nil && q.budget.Allows(cycle.writeCount(), 1) {
 			q.placeBorrowers(job, cycle)
@@ -98,7 +98,7 @@
 	}
 }
 
-// shut keeps a room from others: for a replica as long as it has no place, for a lender
+// block keeps reserved capacity from others: for a replica as long as it has no place, for a lender
 // where there is room.
 func (q *Queue) block(r *loanReservation) {
 	if r.TaskID != "" {
@@ -113,7 +113,7 @@
 	}
 }
 
-// open ends that for a moment.
+// unblock ends block for a moment.
 func (q *Queue) unblock(r *loanReservation) {
 	if r.blocked {
 		r.blocked = false
@@ -121,8 +121,7 @@
 	}
 }
 
-// openRooms lets a job have the rooms that it lent and that are its own again; shutRooms
-// keeps what is left of them.
+// unblockLent lets a job use the capacity that it lent and that is its own again.
 func (q *Queue) unblockLent(jobID string, cycle *schedulingCycle) {
 	for _, r := range cycle.loans.reservations[jobID] {
 		if r.TaskID == "" {
@@ -131,6 +130,7 @@
 	}
 }
 
+// blockLent keeps what is left of it after the job was examined.
 func (q *Queue) blockLent(jobID string, cycle *schedulingCycle) {
 	for _, r := range cycle.loans.reservations[jobID] {
 		if !r.blocked {
@@ -139,8 +139,8 @@
 	}
 }
 
-// placeLent gives replicas the rooms that were made for them, each by itself: which of
-// a job's tasks goes where matters here.
+// placeBorrowers places replicas where room was made for them, each by itself: it matters here
+// which of a job's tasks goes where.
 func (q *Queue) placeBorrowers(job *clusterstate.Job, cycle *schedulingCycle) {
 	spec := &job.Record.Spec
 	for _, r := range cycle.loans.reservations[job.ID] {
@@ -163,7 +163,7 @@
 	}
 }
 
-// waitingTask is a task of a job by its name, if it waits and may be released now.
+// waitingTask returns a task of a job by its ID, nil unless it waits and may be released now.
 func (q *Queue) waitingTask(job *clusterstate.Job, taskID string) *clusterstate.Task {
 	for _, task := range q.pendingTasks(job, job.Record.Spec.TaskCount) {
 		if task.ID == taskID {
@@ -173,9 +173,9 @@
 	return nil
 }
 
-// unlent leaves out the tasks that room is being made for: those that would take what
-// is free elsewhere would have had others stopped in vain. Not for long: a lender may
-// hang.
+// withoutBorrowers leaves out the tasks that room is being made for: if they took what is free
+// elsewhere, others would have been preempted in vain. This ends after tuning.LoanSooner, since a
+// lender may hang.
 func (q *Queue) withoutBorrowers(tasks []*clusterstate.Task, cycle *schedulingCycle) []*clusterstate.Task {
 	return slices.DeleteFunc(tasks, func(task *clusterstate.Task) bool {
 		loan, requested := cycle.loans.byTask[task.ID]
@@ -183,8 +183,8 @@
 	})
 }
 
-// lend has others lend room to a replica, on a machine with its image if onlyCached,
-// within so many seconds if that is not 0. It tells whether one does.
+// requestLoan makes others lend capacity to a replica, on a machine with its image if onlyCached,
+// within withinS seconds if that is not 0. It reports whether one does.
 func (q *Queue) requestLoan(waiting *Waiting, onlyCached bool, withinS float64, cycle *schedulingCycle) bool {
 	task := waiting.Task
 	_, requested := cycle.loans.byTask[task.ID]
@@ -196,8 +196,8 @@
 	if zones == nil {
 		zones = q.zonesWithLoans(task.Job, cycle)
 	}
-	// What the pass has charged is only considered: who is beyond a guarantee is
-	// counted from what truly runs.
+	// What the cycle has charged is only considered: who is beyond a guarantee is counted from what
+	// really runs.
 	decision, plan, ok := q.loans.Ask(&lending.Search{
 		Task:          task,
 		Priority:      waiting.Priority,
@@ -222,14 +222,14 @@
 		BeganMs:   q.state.NowMs(),
 	}
 	q.preemptions[task.ID] = pendingPreemption{q.state.Now.Add(tuning.PreemptAgain), onlyCached}
-	zones[q.state.Machines[plan.Machine].Zone]++                  // those that the look places next count it
-	cycle.hold(q, plan.Machine, task.Job.Record.Spec.Resources()) // this room is no other's
+	zones[q.state.Machines[plan.Machine].Zone]++                  // for the tasks that the cycle places next
+	cycle.hold(q, plan.Machine, task.Job.Record.Spec.Resources()) // no other task gets this capacity
 	cycle.decisions = append(cycle.decisions, decision)
 	return true
 }
 
-// zonesLent counts a job's tasks by zone, with those that room is being made for and
-// that look nowhere else: another that took their zone meanwhile would leave them none.
+// zonesWithLoans counts a job's tasks by zone, with those that room is being made for and that look
+// nowhere else: another task that took their zone meanwhile would leave them none.
 func (q *Queue) zonesWithLoans(job *clusterstate.Job, cycle *schedulingCycle) map[string]int {
 	zones := q.state.TasksByZone(job)
 	for _, loan := range cycle.loans.byTask {
@@ -241,13 +241,13 @@
 	return zones
 }
 
-// waitsForLoan tells whether a loan is so recent that its borrower looks for no other place.
+// waitsForLoan reports whether a loan is so recent that its borrower looks for no other place.
 func (q *Queue) waitsForLoan(loan lending.Loan) bool {
 	return q.state.NowMs()-loan.BeganMs < tuning.LoanSooner.Milliseconds()
 }
 
-// pullS is how long a machine would fetch a job's image, in seconds. Where serving
-// counts, a replica's on a machine that fetches others takes longer.
+// imagePullSeconds returns how long a machine would pull a job's image. Where loans are used, a
+// replica's pull takes longer on a machine that pulls other images.
 func (q *Queue) imagePullSeconds(m *clusterstate.Machine, machineType *jobs.MachineType, spec *jobs.Spec) float64 {
 	if q.loans != nil && spec.Kind == jobs.Service {
 		return lending.ImagePullS(q.state, q.state.Now, m, machineType, spec)
@@ -255,9 +255,9 @@
 	return spec.ImageGB / machineType.ImageGBPerS
 }
 
-// lendCached tells whether a replica should wait for a machine that holds its weights,
-// and has one vacated, rather than fetch them on one that is free: when that is sooner
-// by more than a little.
+// awaitCachedLoan reports whether a replica should wait until a machine that holds its image is
+// vacated, rather than pull the image on one that is free: when that is sooner by more than
+// tuning.LoanSooner. It requests the loan.
 func (q *Queue) awaitCachedLoan(waiting *Waiting, machineName string, cycle *schedulingCycle) bool {
 	task := waiting.Task
 	spec := &task.Job.Record.Spec
--- a/internal/queue/not_examined.go
+++ b/internal/queue/not_examined.go
@@ -7,12 +7,13 @@
 	"github.com/harrierreel/harrierreel/internal/jobs"
 )
 
-// NotExamined lists what waits without that a look at the queue has told whether there is
-// room for it: a look ends with the changes that it may make. Where those are few and
-// hundreds of jobs come at once that takes half a minute, in which the queue looks empty,
-// machines are given back and none is rented (docs/incidents/kikoi-f98c.md). It is within
-// its team's limit together with all that found no room. What is in doubt, rests, or may
-// not begin yet is left out, as it is in a look, and what room is made or lent for.
+// NotExamined lists the jobs that wait and that the last cycle did not examine, so that it is
+// unknown whether there is room for them: a cycle ends with the writes that it may make. Where
+// those are few and hundreds of jobs come at once, that takes half a minute in which the queue
+// looks empty, machines are given back and none is provisioned (docs/incidents/kikoi-f98c.md). What
+// it lists is within the limit of its team, together with all that found no room. As in a cycle,
+// jobs that are in doubt, back off or may not begin yet are left out, and so are tasks that room is
+// made or lent for.
 func (q *Queue) NotExamined() []*Waiting {
 	account := q.state.Account.Clone()
 	known := map[*clusterstate.Job]bool{}
@@ -46,7 +47,7 @@
 	return out
 }
 
-// making tells whether room is made for a task, by stops or by a loan.
+// capacityPending reports whether room is being made for a task, by preemption or by a loan.
 func (q *Queue) capacityPending(task *clusterstate.Task) bool {
 	if q.loans != nil {
 		if _, lent := q.loans.For(task.Job.ID, task.Index); lent {
--- a/internal/queue/order.go
+++ b/internal/queue/order.go
@@ -10,9 +10,9 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// order lists the live jobs that wait: by rank, then what lies within a
-// guarantee, then by the share of its team beyond that, then what has waited too long
-// to begin, the oldest first, then by the time by which they must start to meet their aim.
+// order lists the live jobs that wait: by priority, then what lies within a guarantee, then by its
+// team's share beyond that, then what is overdue to begin, the oldest first, then by the time by
+// which it must start to meet its service-level objective.
 func (q *Queue) order(account *quota.Account) []*clusterstate.Job {
 	fairSharePaths := map[int][]float64{}
 	entries := make([]queueEntry, 0, len(q.state.Queued))
@@ -44,19 +44,19 @@
 	return out
 }
 
-// queueEntry is a job that waits, with what its place in the queue depends on.
+// queueEntry is a waiting job with what its place in the queue depends on.
 type queueEntry struct {
 	job            *clusterstate.Job
 	priority       int
 	fairShareOrder int       // 0: within its team's guarantee
-	fairSharePath  []float64 // of its quota leaf, for what lies beyond the guarantee
-	overdue        bool      // to begin
+	fairSharePath  []float64 // shares along its quota leaf's path, for what lies beyond the guarantee
+	overdue        bool      // it has waited too long to begin
 	late           bool      // no objective for its start can be met any more
 	accelerators   float64   // of all its tasks that are not done
 	startByMs      int64
 }
 
-// before tells whether e goes before other.
+// before reports whether e goes before other.
 func (e *queueEntry) before(other *queueEntry) bool {
 	switch {
 	case e.priority != other.priority:
@@ -79,12 +79,12 @@
 	return e.job.ID < other.job.ID
 }
 
-// Overdue tells whether a job has waited so long to begin that it goes before all others
-// of its rank, turn and team's share. Within a class the smaller go first, so without it the
-// largest begin last, and while smaller ones keep coming never
-// (docs/incidents/largest-last.md). It hangs on the accepted time alone, so no restart makes
-// anyone wait again. Of gangs only large ones are; they begin whole. Any other job begins
-// with its first task, and what is left of it then waits in its ordinary turn.
+// Overdue reports whether a job has waited so long to begin that it goes before all others of its
+// priority and its team's share. Within a class smaller jobs go first, so without it the largest
+// begin last, and never while smaller ones keep coming (docs/incidents/largest-last.md). It depends
+// on the accepted time alone, so no restart makes anyone wait again. Of gangs only large ones can
+// be overdue; they begin whole. Any other job begins with its first task, and what is left of it
+// then waits in its ordinary place.
 func (q *Queue) Overdue(job *clusterstate.Job) bool {
 	waited := time.Duration(q.state.NowMs()-job.Record.AcceptedMs) * time.Millisecond
 	if job.Record.Spec.IsGang() {
@@ -93,9 +93,9 @@
 	return waited >= q.overdueAfter(job.Record.Spec.Class) && len(job.Active)+len(job.Retrying)+job.DoneCount == 0
 }
 
-// overdueAfter is the wait after which a class's arrays and services are overdue: while the
-// last of its aims for starting can still be met, or where all of those are shorter than
-// making room takes, in time for the users' bound.
+// overdueAfter returns the wait after which job arrays and services of a class are overdue: while
+// the last of the class's objectives for starting can still be met, or, where all of those are
+// shorter than making room takes, in time for the bound that users were promised.
 func (q *Queue) overdueAfter(class string) time.Duration {
 	lastObjective := q.lastStartObjective(class)
 	if lastObjective < tuning.OverdueAim {
@@ -104,9 +104,9 @@
 	return min(tuning.Overdue, lastObjective-tuning.OverdueMargin)
 }
 
-// gangOverdueAfter is the wait after which a class's large gangs are overdue: once the last
-// of its aims for starting has been missed, so that they take no room from what can still
-// meet one, and in any case in time for the users' bound.
+// gangOverdueAfter returns the wait after which a class's large gangs are overdue: once the last of
+// the class's objectives for starting has been missed, so that they take no capacity from jobs that
+// can still meet one, and in any case in time for the bound that users were promised.
 func (q *Queue) gangOverdueAfter(class string) time.Duration {
 	lastObjective := q.lastStartObjective(class)
 	if lastObjective < tuning.OverdueAim {
@@ -115,7 +115,7 @@
 	return min(tuning.GangOverdue, lastObjective+tuning.GangAimPast)
 }
 
-// lastAim is the last of a class's aims for starting, 0 if it has none.
+// lastStartObjective returns the last of a class's objectives for starting, 0 if it has none.
 func (q *Queue) lastStartObjective(class string) time.Duration {
 	lastObjective := time.Duration(0)
 	for _, objective := range q.config.Objectives {
@@ -126,9 +126,9 @@
 	return lastObjective
 }
 
-// StartBy is the time by which a job must start to meet the next of its
-// class's aims that it still can; a job that has missed them all comes after
-// those that have not, until it has waited very long.
+// StartBy returns the time, in Unix milliseconds, by which a job must start to meet the next of its
+// class's objectives that it still can. A job that has missed them all comes after those that have
+// not, until it has waited for tuning.QueueHorizon.
 func (q *Queue) StartBy(r *jobs.Record, entitled bool) int64 {
 	late := r.AcceptedMs + tuning.QueueHorizon.Milliseconds()
 	best := late
@@ -151,8 +151,8 @@
 	return best
 }
 
-// startAim is the next time by which a class's tasks should have started, 0
-// when there is none.
+// nextStartObjective returns the next time, in Unix milliseconds, by which a class's tasks should
+// have started, 0 if there is none.
 func (q *Queue) nextStartObjective(r *jobs.Record, entitled bool) int64 {
 	var best int64
 	for _, objective := range q.config.Objectives {
@@ -165,8 +165,7 @@
 	return best
 }
 
-// pending lists up to most tasks of a job that wait, those that have tried
-// before first.
+// pendingTasks lists up to limit tasks of a job that wait, those that were attempted before first.
 func (q *Queue) pendingTasks(job *clusterstate.Job, limit int) []*clusterstate.Task {
 	var out []*clusterstate.Task
 	for _, task := range job.Retrying {
@@ -178,7 +177,7 @@
 	for job.FirstUnrecorded < job.Record.Spec.TaskCount && job.Tasks[job.FirstUnrecorded] != nil {
 		job.FirstUnrecorded++
 	}
-	// Where a slice cannot be read, nobody knows which tasks it holds.
+	// Where a task range cannot be read, nobody knows which tasks it holds.
 	if job.TasksUnreadable || q.state.MayBeQuarantined(job.ID) {
 		return out[:min(len(out), limit)]
 	}
@@ -197,8 +196,8 @@
 	return out
 }
 
-// probe is the one task that a job in doubt may try next, if any: the one that
-// has failed most, whose pause is the longest.
+// probeTask returns the one task that a job in doubt may try next, if any: the one that failed most
+// often, which backs off longest.
 func (q *Queue) probeTask(job *clusterstate.Job) []*clusterstate.Task {
 	if len(job.Active) > 0 {
 		return nil
@@ -219,9 +218,9 @@
 	return []*clusterstate.Task{mostFailed}
 }
 
-// unstarted is how many more tasks of a job may start by now. Of a very large one
-// only so many are under way at once: with all of 100,000 tasks of some seconds on
-// machines, their reports took all of the controllers' processor time.
+// startableCount returns how many more tasks of a job may start by now. Only tuning.MaxActive of a
+// very large job are under way at once: with all of 100,000 tasks of some seconds on machines,
+// their heartbeats took all of the controllers' processor time.
 func (q *Queue) startableCount(job *clusterstate.Job) int {
 	return max(0, min(job.Record.Spec.TaskCount-job.DoneCount, tuning.MaxActive)-len(job.Active))
 }
--- a/internal/queue/place.go
+++ b/internal/queue/place.go
@@ -11,7 +11,7 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Place puts released tasks of this part on machines.
+// Place places the tasks that were released to this controller's shard.
 func (q *Queue) Place() []decide.Decision {
 	released := q.releasedHere()
 	var out []decide.Decision
@@ -27,7 +27,7 @@
 	return out
 }
 
-// releasedHere lists the tasks that are released to this part and may be placed now, by job.
+// releasedHere lists the tasks that are released to this shard and may be placed now, by job.
 func (q *Queue) releasedHere() []*clusterstate.Task {
 	var released []*clusterstate.Task
 	for _, task := range q.state.Released {
@@ -62,25 +62,25 @@
 	return out
 }
 
-// placeOne picks a machine of this part and makes the decision.
+// placeOne picks a machine of this shard for a task and returns the decision that places it.
 func (q *Queue) placeOne(task *clusterstate.Task, attempt uint64) (decide.Decision, bool) {
 	machineName := q.pickOwnMachine(task)
 	if machineName == "" {
 		return decide.Decision{}, false
 	}
 	decision, ok := q.placeDecision(task, machineName, task.Zone, attempt)
-	decision.ReadSet = append(decision.ReadSet, fleet.ClaimsKey) // not on what was claimed meanwhile
+	decision.ReadSet = append(decision.ReadSet, fleet.ClaimsKey) // not on a machine that was claimed meanwhile
 	return decision, ok
 }
 
-// pickOwnMachine picks a machine of this part for a task: the preferred one if it still has room,
-// and "" if there is none.
+// pickOwnMachine picks a machine of this shard for a task, the proposed one if it still has room;
+// "" if there is none.
 func (q *Queue) pickOwnMachine(task *clusterstate.Task) string {
 	spec := &task.Job.Record.Spec
 	if m := q.state.Machines[task.PreferredMachine]; m != nil && q.machines.CanPlace(task, m) {
 		free := q.freeCapacity(m)
 		if !task.PreferenceReleased {
-			free = free.Add(task.Resources) // its own booking is there for it
+			free = free.Add(task.Resources) // its own reservation is for it
 		}
 		if free.Fits(spec.Resources()) {
 			return task.PreferredMachine
@@ -98,8 +98,8 @@
 	return ""
 }
 
-// placing is the decision that puts a task on a machine. The machine's record
-// is among its conditions: a machine condemned meanwhile takes no task.
+// placeDecision returns the decision that places a task on a machine. The machine's record is among
+// its preconditions: a machine that is decommissioned meanwhile takes no task.
 func (q *Queue) placeDecision(
 	task *clusterstate.Task,
 	machineName, zone string,
@@ -117,7 +117,8 @@
 	}, true
 }
 
-// placed is a task's record on a machine; it books the place.
+// placedTask returns a task's record placed on a machine, and reserves the place. It is false if
+// the task may not be placed.
 func (q *Queue) placedTask(task *clusterstate.Task, machineName, zone string, attempt uint64) (jobs.Task, bool) {
 	next, ok := jobs.NextTask(task.Task, jobs.TaskEvent{
 		Kind:    jobs.Place,
@@ -130,22 +131,22 @@
 	}
 	m := q.state.Machines[machineName]
 	record := task.Job.Record
-	q.config.Log.Debug("places",
-		"task", task.ID,
+	q.config.Log.Debug("task placed",
+		"task_id", task.ID,
 		"class", record.Spec.Class,
 		"machine", machineName,
-		"kind", m.MachineType,
-		"cheap", m.Spot,
-		"try", attempt,
-		"cached", q.state.HasImage(machineName, record.Spec.Image),
+		"machine_type", m.MachineType,
+		"spot", m.Spot,
+		"attempt", attempt,
+		"image_cached", q.state.HasImage(machineName, record.Spec.Image),
 		"since_accepted_ms", q.state.NowMs()-record.AcceptedMs,
 	)
 	q.state.Reserve(task, machineName, m.Zone)
 	return next, true
 }
 
-// appendCandidates lists those of some machines that have room for a task of a job and
-// that takes allows, in the room of out.
+// appendCandidates lists those of the machines that have room for a task of a job and that accepts
+// allows. It reuses the memory of out.
 func (q *Queue) appendCandidates(
 	out []sharding.Candidate,
 	machines []*clusterstate.Machine,
@@ -160,7 +161,7 @@
 		if m.State != fleet.Up {
 			continue
 		}
-		if machineType == nil || machineType.Name != m.MachineType { // machines of a type mostly follow one another
+		if machineType == nil || machineType.Name != m.MachineType { // neighbours mostly share a type
 			if machineType = q.state.MachineTypes[m.MachineType]; machineType == nil {
 				continue
 			}
@@ -188,7 +189,8 @@
 	return out
 }
 
-// TakeBack withdraws tasks that their part did not place.
+// TakeBack withdraws released tasks that their shard did not place, at once if its controller has
+// left the view. The leader calls it.
 func (q *Queue) TakeBack() {
 	var decisions []decide.Decision
 	for _, taskID := range clusterstate.SortedKeys(q.state.Released) {
--- a/internal/queue/preempt.go
+++ b/internal/queue/preempt.go
@@ -12,13 +12,13 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// making is room being made for a task by stopping others.
+// pendingPreemption is room being made for a task by preempting others.
 type pendingPreemption struct {
-	until         time.Time // not again before
+	until         time.Time // no other preemption for the task before
 	onCachedImage bool      // on a machine that holds its image
 }
 
-// lowerRuns tells whether any task of a lower rank is on a machine.
+// hasPlacedBelow reports whether any task of a lower priority is on a machine.
 func (q *Queue) hasPlacedBelow(priority int) bool {
 	for _, count := range q.state.PlacedByPriority[priority+1:] {
 		if count > 0 {
@@ -28,10 +28,9 @@
 	return false
 }
 
-// preempt makes room for waiting tasks by stopping tasks of lower rank, and for
-// those inside their team's guarantee also by stopping what other teams run
-// beyond theirs. One machine at a time is cleared for a task, and not again for
-// a while.
+// preempt makes room for waiting tasks by preempting tasks of lower priority, and for those within
+// their team's guarantee also what other teams run beyond theirs. One machine at a time is cleared
+// for a task, and not again for a while.
 func (q *Queue) preempt(cycle *schedulingCycle) {
 	for _, waiting := range q.Waiting {
 		mayPreempt := waiting.isEntitled() || q.hasPlacedBelow(waiting.Priority)
@@ -52,7 +51,8 @@
 	})
 }
 
-// stopFor stops tasks to make room for a waiting one. It tells whether it did.
+// preemptFor preempts tasks, or requests a loan, to make room for a waiting one. It reports whether
+// it did.
 func (q *Queue) preemptFor(waiting *Waiting, onlyCached bool, cycle *schedulingCycle) bool {
 	task := waiting.Task
 	if q.loans != nil && task.Job.Record.Spec.Kind == jobs.Service {
@@ -93,9 +93,10 @@
 	return stopped
 }
 
-// clearCached tells whether a task should wait a moment for room on a machine
-// that holds its image rather than go to one that would have to fetch it: when
-// the fetch would take it past its aim, and it may stop others there.
+// awaitCachedMachine reports whether a task should wait a moment for room on a machine that holds
+// its image rather than go to one that would have to pull it: when the pull would take it past its
+// objective, and it may preempt others there. The machine that would have to pull is held
+// meanwhile.
 func (q *Queue) awaitCachedMachine(waiting *Waiting, machineName string, cycle *schedulingCycle) bool {
 	spec := &waiting.Task.Job.Record.Spec
 	awaits := q.loans != nil && spec.Kind == jobs.Service && q.awaitCachedLoan(waiting, machineName, cycle) ||
@@ -119,15 +120,15 @@
 		return false
 	}
 	if pending := q.preemptions[waiting.Task.ID]; q.state.Now.Before(pending.until) {
-		// Room is being made; if it does not come at once, go elsewhere. What
-		// has been found already is kept meanwhile: others would take it.
+		// Room is being made; if it does not come at once, go elsewhere. The machine that was found
+		// already is held meanwhile: others would take it.
 		return pending.onCachedImage && pending.until.Sub(q.state.Now) >= tuning.PreemptAgain-tuning.ClearWait
 	}
 	return q.preemptFor(waiting, true, cycle)
 }
 
-// giveBack stops what others borrowed, where that alone keeps a job out of what it is
-// guaranteed: in a tree the limit that it meets may be one that it shares.
+// reclaimQuota preempts what others borrowed, where that alone keeps a job from what it is
+// guaranteed: in a tree of quotas the limit that it meets may be one that it shares.
 func (q *Queue) reclaimQuota(job *clusterstate.Job, cycle *schedulingCycle) {
 	spec := &job.Record.Spec
 	leaf := q.state.QuotaLeaf(spec)
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -1,7 +1,8 @@
-// Package queue is the slice that gives room to what waits: the order of the queue,
-// the leader's look at it (cycle.go), room kept and chosen (candidates.go), who makes way
-// for whom (preempt.go), gangs (gangs.go), and what an owner places in its part
-// (place.go). Decisions come out; it has no IO and no clock.
+// Package queue schedules the tasks that wait: the order of the queue (order.go), the leader's
+// scheduling cycle (release.go, cycle.go, rounds.go), the choice of machines (candidates.go), gangs
+// (gangs.go, claims.go, accumulation.go), preemption (preempt.go), loans (lending.go), the starvation
+// guard (starvation.go), and what the owner of a shard places in it (place.go). It returns and commits
+// decisions; it has no IO and no clock.
 package queue
 
 import (
@@ -42,7 +43,7 @@
 type WriteBudget interface {
 	// Allows reports whether so many writes may be made now, after those spent.
 	Allows(spent, writes int) bool
-	// HasSpareWrites reports whether there is more than what decisions wait for.
+	// HasSpareWrites reports whether there is budget left for writes that are not urgent.
 	HasSpareWrites() bool
 }
 
@@ -86,7 +87,8 @@
 	Calendar Calendar // nil if there is none: all work may begin at any time
 }
 
-// Queue is what waits, and what is done about it.
+// Queue is the jobs that wait, and what the leader and the owner of a shard do about them. It is
+// used by the controller's loop alone.
 type Queue struct {
 	state    *clusterstate.State
 	config   Config
@@ -96,21 +98,21 @@
 	cluster  ClusterView
 	calendar Calendar
 
-	// Waiting is what found no room in the last look.
+	// Waiting is what found no room in the last scheduling cycle.
 	Waiting []*Waiting
 
-	examined            map[*clusterstate.Job]bool   // that the last look with changes to spend came to
-	avoidUntil          map[string]time.Time         // machines not offered for a while
-	noCapacitySince     map[string]time.Time         // jobs, since when they have found no room
-	preemptions         map[string]pendingPreemption // tasks that room is made for
-	holds               map[string]heldCapacity      // machines kept, by job
-	claimValues         map[int]fleet.Claims         // what the state service holds, by number
-	claims              map[string]*claim            // of gangs that are being placed
-	accumulations       map[string]*capacityAccumulation
-	starving            map[string]starvation // jobs that others are served before, though there is room
-	starvationCheckedAt time.Time             // those passed over for a shorter time begin with one that was for long
-	loans               *lending.Ledger       // nil if nothing is lent
-	windowReservations  []string              // bookings for windows that are about to open
+	examined           map[*clusterstate.Job]bool       // by the last cycle with writes to spend
+	avoidUntil         map[string]time.Time             // machines that are not proposed before
+	noCapacitySince    map[string]time.Time             // by job
+	preemptions        map[string]pendingPreemption     // by task, and by job where quota is reclaimed
+	holds              map[string]heldCapacity          // by job
+	claimValues        map[int]fleet.Claims             // what the store holds, by number of the value
+	claims             map[string]*claim                // of gangs that are being placed, by job
+	accumulations      map[string]*capacityAccumulation // by job
+	starving           map[string]starvation            // by job
+	startStarvingUntil time.Time                        // until then jobs that starve for a shorter time start along
+	loans              *lending.Ledger                  // nil if nothing is lent
+	windowReservations []string                         // task IDs, of windows that are about to open
 }
 
 // NewQueue makes an empty queue over the cluster's state.
@@ -130,7 +132,7 @@
 	return q
 }
 
-// Reset forgets what only a leader keeps: a new one starts from the records.
+// Reset forgets what only a leader keeps: a new leader starts from the records.
 func (q *Queue) Reset() {
 	q.releaseWindowReservations()
 	q.Waiting = nil
@@ -144,32 +146,36 @@
 	q.starving = map[string]starvation{}
 }
 
-// Waiting is queued tasks of one job that may run by their limits but have found
-// no room.
+// Waiting is queued tasks of one job that may run by their limits but have found no room.
 type Waiting struct {
-	Task     *clusterstate.Task   // the first of them
-	Tasks    []*clusterstate.Task // the first few
-	Count    int
+	// Task is the first of the tasks.
+	Task *clusterstate.Task
+	// Tasks are the first few, for which others may be preempted.
+	Tasks []*clusterstate.Task
+	// Count is how many tasks lack room; of a large gang, for how many no capacity is kept
+	// yet.
+	Count int
+	// Priority is the job's, 0 for the highest.
 	Priority int
-	// Entitled is the node of the quotas' tree within whose guarantee it lies,
-	// below 0 for none.
+	// Entitled is the node of the quota tree within whose guarantee it lies, below 0 for none.
 	Entitled int
-	// Zone is the zone in which a large gang gathers room, if it must be in one. Count
-	// is then what it still lacks.
+	// Zone is the zone in which a large gang accumulates capacity, if it must be in one.
 	Zone string
-	// Gathers: it is a large gang, for which room is kept as it comes.
+	// Gathers is set for a large gang, for which capacity is kept as it comes free.
 	Gathers bool
-	// NotExamined: the last look did not come to it, so that there may be room for it.
+	// NotExamined is set if the last cycle did not examine it, so that there may be room for it.
 	NotExamined bool
+	// WindowOpensSoon is set if the job may not begin before a window of the calendar opens.
+	WindowOpensSoon bool
 
-	zones           map[string]int // of its job's tasks in the look under way, nil if they are to be counted
-	WindowOpensSoon bool           // its window is yet to open
+	zones map[string]int // its job's tasks by zone in the cycle under way, nil if they are to be counted
 }
 
+// isEntitled reports whether it lies within a guarantee.
 func (w *Waiting) isEntitled() bool { return w.Entitled >= 0 }
 
-// Avoid keeps tasks off a machine until then.
+// Avoid proposes a machine for no task until then.
 func (q *Queue) Avoid(machineName string, until time.Time) { q.avoidUntil[machineName] = until }
 
-// UsesBatches tells whether tasks are given away in batches of many jobs.
+// UsesBatches reports whether tasks are released in batch records of many jobs.
 func (q *Queue) UsesBatches() bool { return q.cluster.UsesBatches() }
--- a/internal/queue/release.go
+++ b/internal/queue/release.go
@@ -12,11 +12,11 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Release gives tasks to parts, within each team's limit. Once its decisions
-// have used up the budget it looks no further: what it would decide could not be
-// committed, and with a thousand jobs of one task waiting for changes, looking
-// for a place for each of them on every pass took all of a controller's
-// processor time (docs/incidents/ops-swarm.md).
+// Release is the leader's scheduling cycle: it releases tasks to shards, within each team's limit.
+// Once its decisions have used up the write budget it examines no further jobs: what it would
+// decide could not be committed, and with a thousand jobs of one task waiting for writes, looking
+// for a place for each of them in every cycle took all of a controller's processor time
+// (docs/incidents/ops-swarm.md).
 func (q *Queue) Release() {
 	q.releaseWindowReservations()
 	cycle := q.newCycle()
@@ -42,7 +42,7 @@
 		q.runRounds(cycle, limit-examinedCount)
 	}
 	q.preempt(cycle)
-	// What was not looked at waits as it did; there may be room for it by now.
+	// What was not examined waits as it did; there may be room for it by now.
 	for _, waiting := range stillWaiting {
 		if !examined[waiting.Task.Job] {
 			waiting.NotExamined = true
@@ -50,14 +50,14 @@
 		}
 	}
 	if budget {
-		q.examined = examined // without, what fits somewhere could not be given its place
+		q.examined = examined // without budget, a job that fits could not be released
 	}
 	q.serveStarving(cycle, examined)
 	cycle.end(q)
 	q.commits.Commit(cycle.decisions)
 }
 
-// examine looks for room for a job, and returns how many tasks it looked at.
+// examine looks for room for a job, and returns how many tasks it examined.
 func (q *Queue) examine(job *clusterstate.Job, cycle *schedulingCycle, limit int) int {
 	spec := &job.Record.Spec
 	if cycle.leavesAtLimit[q.state.QuotaLeaf(spec)] {
@@ -83,8 +83,7 @@
 	return q.releaseTasks(job, cycle, limit)
 }
 
-// StillWaiting lists what found no room when it was last looked at and whose
-// job still waits.
+// StillWaiting lists what found no room when it was last examined and whose job still waits.
 func (q *Queue) StillWaiting() []*Waiting {
 	return slices.DeleteFunc(
 		slices.Clone(q.Waiting),
@@ -92,8 +91,8 @@
 	)
 }
 
-// releaseTasks releases what waits of a job of independent tasks or replicas,
-// and returns how many tasks it looked at.
+// releaseTasks releases what waits of a job of independent tasks or replicas, and returns how many
+// tasks it examined.
 func (q *Queue) releaseTasks(job *clusterstate.Job, cycle *schedulingCycle, limit int) int {
 	spec := &job.Record.Spec
 	candidates, freePlaces := q.taskCandidates(job, cycle)
@@ -155,14 +154,14 @@
 	limit, freePlaces int,
 ) []*clusterstate.Task {
 	if q.Overdue(job) {
-		limit = min(limit, 1+job.Record.Spec.TaskCount/tuning.BeginShare) // others behind it are overdue, too
+		limit = min(limit, 1+job.Record.Spec.TaskCount/tuning.BeginShare) // jobs behind it are overdue, too
 	}
 	limit = min(limit, freePlaces+tuning.WaitingEach, q.startableCount(job))
 	return q.withoutBorrowers(q.pendingTasks(job, limit), cycle)
 }
 
-// wait notes tasks that found no room: they keep their turn, and a machine is
-// kept for the first of them.
+// addWaiting notes tasks that found no room: they keep their place in the queue, and machines are
+// held for the first of them.
 func (q *Queue) addWaiting(
 	job *clusterstate.Job,
 	tasks []*clusterstate.Task,
@@ -196,8 +195,8 @@
 	q.holdMachines(tasks[0], min(count, tuning.HoldEach), zones, cycle)
 }
 
-// gathers tells whether the few tasks of a sweep that there is room for should
-// wait a moment for more of them, to share a slice. Their room is kept.
+// awaitsMoreCapacity reports whether the few tasks of a job array that there is room for should
+// wait a moment for more of them, to share a task range. Their places are held.
 func (q *Queue) awaitsMoreCapacity(job *clusterstate.Job, placementCount, freePlaces int) bool {
 	wanted := min(tuning.GatherTasks, job.Record.Spec.TaskCount-job.DoneCount-len(job.Active))
 	savesWrites := q.Scarce() && !q.budget.HasSpareWrites() && !q.cluster.UsesBatches() &&
--- a/internal/queue/rounds.go
+++ b/internal/queue/rounds.go
@@ -5,27 +5,27 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// What finds no room keeps its turn: its team's limit is charged for it, so that later work
-// does not take what it is about to use. Where its zone has no room for long, that left the
-// team's other jobs waiting beside free machines (meet-place-turn,
-// docs/incidents/turn-kept.md): once a job has found no room for tuning.RoundFor, what has
-// room now goes first. It loses nothing by that but the limit, and is first in the queue
-// for what comes free of it.
-
-// rounds are the turns kept in one pass.
+// schedulingRounds is what the second round of a cycle needs to know of the first.
+//
+// A job that finds no room is charged to its team's limit all the same, so that later work does not
+// take what it is about to use. Where its zone has no room for long, that left the team's other
+// jobs waiting beside free machines (scenario meet-place-turn, docs/incidents/turn-kept.md): once a
+// job has found no room for tuning.RoundFor, what has room now goes first. The job loses nothing by
+// that but the limit, and is first in the queue for the capacity that comes free.
 type schedulingRounds struct {
-	expired   []round             // kept for longer than TurnFor
-	overLimit []*clusterstate.Job // did not fit their team's limit
-	second    bool                // the passed ones are looked at once more
+	expired   []round             // charges that stood for longer than tuning.RoundFor
+	overLimit []*clusterstate.Job // jobs that did not fit their team's limit
+	second    bool                // the second round is under way: overLimit is examined once more
 }
 
-// round is a job's, of so many tasks.
+// round is the charge of a job that found no room, for so many tasks.
 type round struct {
 	job       *clusterstate.Job
 	taskCount int
 }
 
-// lacksRoom notes that a job finds no room, and tells whether it has found none for long.
+// lacksCapacity notes that a job finds no room, and reports whether it has found none for longer
+// than tuning.RoundFor.
 func (q *Queue) lacksCapacity(job *clusterstate.Job) bool {
 	since, known := q.noCapacitySince[job.ID]
 	if !known {
@@ -35,8 +35,9 @@
 	return q.state.Now.Sub(since) > tuning.RoundFor
 }
 
-// runRounds looks once more at what did not fit its team's limit beside the turns that
-// were kept for long. What finds no room now either keeps nothing and asks for no machine.
+// runRounds examines once more the jobs that did not fit their team's limit beside charges that
+// have stood for too long. What finds no room in this second round charges nothing and asks for no
+// machine.
 func (q *Queue) runRounds(cycle *schedulingCycle, limit int) {
 	t := &cycle.rounds
 	if len(t.expired) == 0 || len(t.overLimit) == 0 {
--- a/internal/queue/starvation.go
+++ b/internal/queue/starvation.go
@@ -10,23 +10,24 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// starvation is a job none of whose tasks is under way: after each look for so long there was
-// room left for it, and its team was under its limit with it, but both were kept for others.
+// starvation is what the starvation guard knows of a job none of whose tasks is under way: since
+// when each check found room for it, with its team under its limit, while both were kept for
+// others.
 type starvation struct {
-	starvingSince    time.Time // zero if none has been left lately
-	hadCapacitySince time.Time // when some was left last
+	starvingSince    time.Time // zero if there was no free capacity for it lately
+	hadCapacitySince time.Time // when there last was free capacity for it
 	examinedAt       time.Time
 }
 
-// serveStarving gives room to jobs that have been passed over for too long. What a look keeps,
-// it keeps for as long as those wait that it is kept for: a machine for a task that fits
-// nowhere, room for a large gang, what a team has left for a job that needs more, and the
-// turn of tasks that have no room themselves. Some of those never come, as only replicas
-// stand in their way. So whatever it is kept for, nobody waits for longer than PassedAfter
-// for room that stands empty (docs/incidents/passed-over.md).
+// serveStarving is the starvation guard: it gives room to jobs that have waited for too long
+// although capacity is free. What a cycle holds, it holds for as long as those wait that it is held
+// for: a machine for a task that fits nowhere, capacity for a large gang, what a team has left for
+// a job that needs more, and the charge of tasks that have no room themselves. Some of those never
+// come, as only replicas are in their way. So whatever capacity is held for, no job waits for
+// longer than tuning.StarvingAfter for capacity that stands free (docs/incidents/passed-over.md).
 //
-// It comes last in a look: what has just come free has gone to those whose turn it is, and
-// what is still there is kept. Jobs that the look did not come to still have their turn.
+// It comes last in a cycle: what has just come free has gone to those whose turn it is, and what is
+// still free is held. Jobs that the cycle did not examine still have their turn.
 func (q *Queue) serveStarving(cycle *schedulingCycle, examined map[*clusterstate.Job]bool) {
 	for jobID := range q.starving {
 		if job := q.state.Queued[jobID]; job == nil || len(job.Active) > 0 {
@@ -40,7 +41,7 @@
 	}
 }
 
-// serveIfStarving looks whether there is room for a job, notes since when, and begins it if there
+// serveIfStarving checks whether there is room for a job, notes since when, and starts it if there
 // has been for too long.
 func (q *Queue) serveIfStarving(job *clusterstate.Job, cycle *schedulingCycle) {
 	now := q.state.Now
@@ -52,7 +53,7 @@
 	}
 	waits := now.Sub(starving.starvingSince)
 	long := waits >= tuning.StarvingAfter
-	due := long || waits >= tuning.StarvingCapacityFor && now.Before(q.starvationCheckedAt)
+	due := long || waits >= tuning.StarvingCapacityFor && now.Before(q.startStarvingUntil)
 	switch {
 	case now.Sub(starving.hadCapacitySince) > tuning.StarvingGap:
 		starving.starvingSince = time.Time{}
@@ -60,16 +61,20 @@
 		starving.starvingSince = now
 	case begin != nil && due && q.budget.Allows(cycle.writeCount(), 1):
 		if long {
-			q.starvationCheckedAt = now.Add(tuning.StarvingEvery)
+			q.startStarvingUntil = now.Add(tuning.StarvingEvery)
 		}
-		q.config.Log.Debug("was passed over", "job", job.ID, "class", job.Record.Spec.Class, "for_s", waits.Seconds())
+		q.config.Log.Debug("starving job started",
+			"job_id", job.ID,
+			"class", job.Record.Spec.Class,
+			"duration_ms", waits.Milliseconds(),
+		)
 		begin()
 	}
 	q.starving[job.ID] = starving
 }
 
-// passable lists the jobs that wait, have nothing under way and were not looked at lately,
-// those that were passed over first before others.
+// starvationCandidates lists the jobs that wait, have nothing under way and were not checked
+// lately, those that starve longest first.
 func (q *Queue) starvationCandidates(examined map[*clusterstate.Job]bool) []*clusterstate.Job {
 	reserved := map[*clusterstate.Job]bool{}
 	for _, r := range q.state.Reservations {
@@ -91,7 +96,7 @@
 	return out
 }
 
-// starvationCheckDue tells whether a job has waited long enough to be looked at, was not looked at
+// starvationCheckDue reports whether a job has waited long enough to be checked, was not checked
 // lately, and may begin.
 func (q *Queue) starvationCheckDue(job *clusterstate.Job) bool {
 	waited := time.Duration(q.state.NowMs()-job.Record.AcceptedMs) * time.Millisecond
@@ -102,7 +107,7 @@
 		q.state.Trust(job, "") != jobs.Probing
 }
 
-// compare orders by since when there was room, none last, and then by the last look.
+// compare orders by since when a job starves, those that do not last, and then by the last check.
 func (s starvation) compare(other starvation) int {
 	if s.starvingSince.IsZero() != other.starvingSince.IsZero() {
 		if s.starvingSince.IsZero() {
@@ -116,7 +121,7 @@
 	)
 }
 
-// beginning is what begins a job now: a gang whole, anything else with one task. nil if
+// startOf returns what starts a job now: a gang whole, anything else with one task. It is nil if
 // there is no room for that, or its limits do not allow it.
 func (q *Queue) startOf(job *clusterstate.Job, cycle *schedulingCycle) func() {
 	if job.Record.Spec.IsGang() {
--- a/internal/queue/task_placer.go
+++ b/internal/queue/task_placer.go
@@ -11,7 +11,7 @@
 	cycle      *schedulingCycle
 	job        *clusterstate.Job
 	tasks      []*clusterstate.Task
-	probing    bool // the job is in doubt: one task is tried, and nothing is rented, kept or preempted for it
+	probing    bool // the job is in doubt: no machine is provisioned, held or cleared for it
 	zones      map[string]int
 	candidates []sharding.Candidate
 	placements []placement
@@ -34,8 +34,8 @@
 	spec := &p.job.Record.Spec
 	leaf := q.state.QuotaLeaf(spec)
 	if !cycle.account.Allows(leaf, spec.Amount(), 1) {
-		// What the team has left waits for this task to fit; smaller ones
-		// behind it would take it away for ever.
+		// What the team has left is kept until this task fits; smaller ones behind it would take it
+		// away for ever.
 		cycle.leavesAtLimit[leaf] = true
 		cycle.rounds.overLimit = append(cycle.rounds.overLimit, p.job)
 		q.reclaimQuota(p.job, cycle)
@@ -60,7 +60,7 @@
 	candidate.Load = candidate.Capacity.Sub(candidate.Free).ShareOf(candidate.Capacity)
 	p.zones[candidate.Zone]++
 	if !candidate.HasImage && spec.ImageGB > 0 {
-		candidate.HasImage = true // for the next of them
+		candidate.HasImage = true // for the next of the tasks
 	}
 	return true
 }
@@ -76,7 +76,7 @@
 		return
 	}
 	if i > 0 {
-		delete(q.noCapacitySince, p.job.ID) // some of it found room
+		delete(q.noCapacitySince, p.job.ID) // some of its tasks found room
 	}
 	q.addWaiting(p.job, p.tasks[i:], entitled, p.zones, cycle)
 }
