--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -19,7 +19,7 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// desk is a queue over a book, which commits what it decides at once.
+// testQueue is a queue over a cluster state, which commits what it decides at once.
 type testQueue struct {
 	*Queue
 	t             *testing.T
@@ -30,6 +30,7 @@
 }
 
 func newTestQueue(t *testing.T, teams map[string]quota.Team) *testQueue {
+	t.Helper()
 	d := &testQueue{t: t, writeBudget: 1000}
 	state := clusterstate.New(quota.Flat(teams), func(string) {})
 	state.Now = time.UnixMilli(1e12)
@@ -42,25 +43,33 @@
 		ImageGBPerS:  1,
 		Zones:        []string{"a", "b"},
 	}
-	d.Queue = New(state, Env{
-		Name:           "n0",
-		TxnOps:         16,
-		ValueBytes:     8192,
-		MaxRangeTasks:  30,
-		UsesBatches:    func() bool { return d.usesBatches },
-		WriteRPS:       1000,
-		Log:            slog.New(slog.DiscardHandler),
-		Busy:           func(string) bool { return false },
-		Allows:         func(spent, writes int) bool { return spent+writes <= d.writeBudget },
-		HasSpareWrites: func() bool { return true },
-		Ready:          func(m *clusterstate.Machine) bool { return m.State == fleet.Up },
-		CanPlace:       func(task *clusterstate.Task, m *clusterstate.Machine) bool { return clusterstate.FitsTask(task, m) },
-		Commit:         d.commit,
-	})
+	d.Queue = NewQueue(state,
+		Config{
+			Name:          "n0",
+			MaxTxnWrites:  16,
+			MaxValueBytes: 8192,
+			MaxRangeTasks: 30,
+			MaxWritesPerS: 1000,
+			Log:           slog.New(slog.DiscardHandler),
+		},
+		Collaborators{Budget: d, Commits: d, Machines: d, Cluster: d},
+	)
 	return d
 }
 
-func (d *testQueue) commit(decisions []decide.Decision) {
+func (d *testQueue) Busy(string) bool                   { return false }
+func (d *testQueue) Allows(spent, writes int) bool      { return spent+writes <= d.writeBudget }
+func (d *testQueue) HasSpareWrites() bool               { return true }
+func (d *testQueue) Ready(m *clusterstate.Machine) bool { return m.State == fleet.Up }
+func (d *testQueue) UsesBatches() bool                  { return d.usesBatches }
+func (d *testQueue) HasLeftView(string) bool            { return false }
+
+func (d *testQueue) CanPlace(task *clusterstate.Task, m *clusterstate.Machine) bool {
+	return clusterstate.FitsTask(task, m)
+}
+
+// Commit builds transactions of the decisions, applies what they write, and settles them.
+func (d *testQueue) Commit(decisions []decide.Decision) {
 	d.committed = append(d.committed, decisions...)
 	ownsMachine := func(machineName string) bool { return d.state.Machines[machineName].Owner == "n0" }
 	txnContext := decide.TxnContext{
@@ -159,10 +168,10 @@
 	"b": {Name: "b"},
 }
 
-// What one look gives to one part is one pack, whatever jobs it is of; gangs and
-// services keep slices of their own, and a task that failed leaves its pack for one of
-// the part that it goes to.
-func TestPacked(t *testing.T) {
+// What one cycle releases to one shard is one batch record, whatever jobs it is of; gangs and
+// services keep task ranges of their own, and a task that failed leaves its batch for one of the shard
+// that it goes to.
+func TestReleaseWritesOneBatchPerShard(t *testing.T) {
 	d := newTestQueue(t, map[string]quota.Team{"b": {Name: "b"}})
 	d.usesBatches = true
 	d.machine("i-1", "n0", "a")
@@ -173,44 +182,57 @@
 	d.job("wk-9", "b", "urgent", 2, func(s *jobs.Spec) { s.Kind = jobs.Service })
 	d.Release()
 	if len(d.state.Batches) != 2 || len(d.state.Jobs["wk-9"].Ranges) == 0 {
-		t.Fatalf("%d packs, %d slices of a service", len(d.state.Batches), len(d.state.Jobs["wk-9"].Ranges))
-	}
-	var placedTask *clusterstate.Task
-	for _, record := range d.state.Batches {
-		for _, x := range record.Tasks {
-			if m := d.state.Machines[x.Machine+x.PreferredMachine]; x.Job.ID == "wk-9" ||
-				m.Owner != d.state.Machines[record.Tasks[0].Machine+record.Tasks[0].PreferredMachine].Owner {
-				t.Errorf("%s in a pack with %s", x.ID, record.Tasks[0].ID)
-			}
-			if x.OnMachine() && x.Machine == "i-1" {
-				placedTask = x
-			}
-		}
+		t.Fatalf("%d batches, %d task ranges of a service", len(d.state.Batches), len(d.state.Jobs["wk-9"].Ranges))
 	}
-	if placedTask == nil {
-		t.Fatal("none placed by the leader in its own part")
+	placed := d.batchedTaskOn("i-1", "wk-9")
+	if placed == nil {
+		t.Fatal("none placed by the leader in its own shard")
 	}
-	jobID, n, from := placedTask.Job.ID, placedTask.Index, placedTask.Stored.Key
-	failed, _ := jobs.NextTask(placedTask.Task, jobs.TaskEvent{Kind: jobs.Fail})
-	d.commit([]decide.Decision{{Changes: decide.TransitionTask(placedTask, failed)}})
+	jobID, index, key := placed.Job.ID, placed.Index, placed.Stored.Key
+	failed, _ := jobs.NextTask(placed.Task, jobs.TaskEvent{Kind: jobs.Fail})
+	d.Commit([]decide.Decision{{Changes: decide.TransitionTask(placed, failed)}})
 	d.state.Now = d.state.Now.Add(time.Hour)
 	d.Release()
-	again := d.state.Jobs[jobID].Tasks[n]
-	if again.Stored.Key == from || again.Machine+again.PreferredMachine != "i-2" ||
+	again := d.state.Jobs[jobID].Tasks[index]
+	if again.Stored.Key == key || again.Machine+again.PreferredMachine != "i-2" ||
 		again.State == jobs.Placed && again.Attempt != 2 {
 		t.Errorf("%+v in %s", again.Task, again.Stored.Key)
 	}
-	// A pack that can't be read may hold any task of its jobs.
+	// A batch that can't be read may hold any task of its jobs.
 	d.job("wk-8", "b", "prod", 1, nil)
 	_, _ = d.state.ApplyBatch("pack/odd", []byte(`{"v":9,"jobs":"wk-8"}`), 99)
 	d.machine("i-3", "n0", "a")
 	d.Release()
 	if got := len(d.state.Jobs["wk-8"].Tasks); got != 0 {
-		t.Errorf("%d tasks begun that an unreadable pack may hold", got)
+		t.Errorf("%d tasks begun that an unreadable batch may hold", got)
 	}
 }
 
-func TestRelease(t *testing.T) {
+// batchedTaskOn returns a task that a batch record has on a machine. It fails the test if a batch
+// holds tasks of two shards, or any of unbatchedJob.
+func (d *testQueue) batchedTaskOn(machineName, unbatchedJob string) *clusterstate.Task {
+	d.t.Helper()
+	controller := func(task *clusterstate.Task) string {
+		return d.state.Machines[task.Machine+task.PreferredMachine].Owner
+	}
+	var found *clusterstate.Task
+	for _, batch := range d.state.Batches {
+		first := batch.Tasks[0]
+		for _, task := range batch.Tasks {
+			if task.Job.ID == unbatchedJob || controller(task) != controller(first) {
+				d.t.Errorf("%s in a batch with %s", task.ID, first.ID)
+			}
+			if task.OnMachine() && task.Machine == machineName {
+				found = task
+			}
+		}
+	}
+	return found
+}
+
+// Urgent work goes first, then what is within a guarantee, then others up to their limits; what
+// finds no room waits.
+func TestReleaseByPriorityGuaranteeAndLimit(t *testing.T) {
 	d := newTestQueue(t, teams)
 	d.machine("i-1", "n0", "a")
 	d.machine("i-2", "n1", "b")
@@ -230,11 +252,11 @@
 		t.Errorf("idle work took %d places before others", got)
 	}
 	if placed := d.state.Jobs["wk-2"].PlacedCount; placed == 0 || placed == 6 {
-		t.Errorf("%d placed at once; those of the other part are only released", placed)
+		t.Errorf("%d placed at once; those of the other shard are only released", placed)
 	}
-	// What the owner of the other part does with what it was given.
+	// What the owner of the other shard does with what was released to it.
 	d.config.Name = "n1"
-	d.commit(d.Place())
+	d.Commit(d.Place())
 	if got := d.state.Jobs["wk-2"].PlacedCount; got != 6 {
 		t.Errorf("%d on machines", got)
 	}
@@ -243,7 +265,7 @@
 	}
 }
 
-func TestZonesAndGangs(t *testing.T) {
+func TestReleaseKeepsZoneRulesAndGangsWhole(t *testing.T) {
 	d := newTestQueue(t, teams)
 	d.machine("i-1", "n0", "a")
 	d.machine("i-2", "n0", "b")
@@ -263,8 +285,8 @@
 	}
 }
 
-// Urgent work stops what is idle, the youngest first, and no more than it needs.
-func TestPreempt(t *testing.T) {
+// An urgent task preempts idle work, the youngest first, and no more than it needs.
+func TestUrgentTaskPreemptsYoungestIdleTaskOnce(t *testing.T) {
 	d := newTestQueue(t, teams)
 	d.machine("i-1", "n0", "a")
 	d.job("wk-1", "b", "idle", 2, nil)
@@ -277,8 +299,8 @@
 	d.Release()
 	stopping := func() (out []string) {
 		for jobID, job := range d.state.Jobs {
-			for _, x := range job.Tasks {
-				if x.State == jobs.Stopping {
+			for _, task := range job.Tasks {
+				if task.State == jobs.Stopping {
 					out = append(out, jobID)
 				}
 			}
@@ -294,9 +316,9 @@
 	}
 }
 
-// Without a budget only the first few are looked at: what would be decided could not
-// be committed.
-func TestNoBudgetNoLook(t *testing.T) {
+// Without a write budget only the first few jobs are examined: what would be decided could not be
+// committed.
+func TestWithoutWriteBudgetFewJobsAreExamined(t *testing.T) {
 	d := newTestQueue(t, teams)
 	d.machine("i-1", "n0", "a")
 	d.writeBudget = 0
@@ -305,20 +327,24 @@
 	}
 	d.Release()
 	if len(d.committed) == 0 || len(d.committed)+len(d.Waiting) > tuning.MaxExaminedJobs {
-		t.Errorf("%d decisions, %d that wait, of %d looks", len(d.committed), len(d.Waiting), tuning.MaxExaminedJobs)
+		t.Errorf("%d decisions, %d jobs that wait, of %d examined", len(d.committed), len(d.Waiting), tuning.MaxExaminedJobs)
 	}
 }
 
-// A large gang is overdue once the last of its class's aims for starting has passed, and
-// after GangOverdue in any case; smaller ones never are.
-func TestGangsOverdueByTheirAims(t *testing.T) {
+// A large gang is overdue once the last of its class's objectives for starting has passed, and after
+// tuning.GangOverdue in any case; smaller ones never are.
+func TestLargeGangIsOverdueAfterItsLastObjective(t *testing.T) {
 	d := newTestQueue(t, map[string]quota.Team{"b": {Name: "b"}})
 	gang := func(class string, taskCount int) func(*jobs.Spec) {
 		return func(s *jobs.Spec) { s.Kind, s.Class, s.TaskCount = jobs.Gang, class, taskCount }
 	}
-	for _, objective := range []settings.Objective{{Kind: "wait", Class: "soon", WithinS: 90}, {Kind: "wait", Class: "soon", WithinS: 50}, {Kind: "wait", Class: "late", WithinS: 150}, {Kind: "wait", Class: "at-once", WithinS: 10}} {
-		d.config.Objectives = append(d.config.Objectives, objective)
-	}
+	d.config.Objectives = append(
+		d.config.Objectives,
+		settings.Objective{Kind: "wait", Class: "soon", WithinS: 90},
+		settings.Objective{Kind: "wait", Class: "soon", WithinS: 50},
+		settings.Objective{Kind: "wait", Class: "late", WithinS: 150},
+		settings.Objective{Kind: "wait", Class: "at-once", WithinS: 10},
+	)
 	after := map[string]int{"soon": 100, "late": 160, "at-once": 160, "none": 160}
 	for class := range after {
 		d.job("wk-"+class, "b", "standard", 16, gang(class, 16))
@@ -341,7 +367,7 @@
 // Gangs may claim 4,000 machines, one all of them or several their shares; each claim is
 // one transaction, holds as it was asked for, and goes whole. What no transaction holds is
 // refused, and nothing is claimed by halves.
-func TestClaims4000Machines(t *testing.T) {
+func TestClaimsOf4000MachinesAreHeldWhole(t *testing.T) {
 	machines := func(from, to, width int) []string {
 		var out []string
 		for i := from; i < to; i++ {
@@ -355,55 +381,95 @@
 		held   int // gangs
 		values int
 	}{
-		{"one small", [][]string{machines(0, 100, 6)}, 1, 1},
-		{"all that a value holds", [][]string{machines(0, 742, 6)}, 1, 1},
-		{"one more", [][]string{machines(0, 744, 6)}, 1, 2},
-		{"one of 4000", [][]string{machines(0, 4000, 6)}, 1, 6},
-		{"three of a third", [][]string{machines(0, 1333, 6), machines(1333, 2666, 6), machines(2666, 4000, 6)}, 3, 6},
-		{"one of 4000, names of 12 bytes", [][]string{machines(0, 4000, 10)}, 1, 8},
-		{"long names", [][]string{machines(0, 200, 6), machines(200, 4000, 140)}, 1, 1},
+		{
+			name:   "one small gang",
+			gangs:  [][]string{machines(0, 100, 6)},
+			held:   1,
+			values: 1,
+		},
+		{
+			name:   "as many as one value holds",
+			gangs:  [][]string{machines(0, 742, 6)},
+			held:   1,
+			values: 1,
+		},
+		{
+			name:   "more than one value holds",
+			gangs:  [][]string{machines(0, 744, 6)},
+			held:   1,
+			values: 2,
+		},
+		{
+			name:   "one gang of 4000",
+			gangs:  [][]string{machines(0, 4000, 6)},
+			held:   1,
+			values: 6,
+		},
+		{
+			name:   "three gangs of a third",
+			gangs:  [][]string{machines(0, 1333, 6), machines(1333, 2666, 6), machines(2666, 4000, 6)},
+			held:   3,
+			values: 6,
+		},
+		{
+			name:   "one gang of 4000, names of 12 bytes",
+			gangs:  [][]string{machines(0, 4000, 10)},
+			held:   1,
+			values: 8,
+		},
+		{
+			name:   "long names that no transaction holds are refused",
+			gangs:  [][]string{machines(0, 200, 6), machines(200, 4000, 140)},
+			held:   1,
+			values: 1,
+		},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			d := newTestQueue(t, map[string]quota.Team{"t": {Name: "t"}})
-			held := 0
-			for i, gang := range c.gangs {
-				jobID := fmt.Sprintf("wk-%06d", i)
-				d.claimMachines(jobID, gang, func(ok bool) {
-					if !ok {
-						return
-					}
-					held++
-					if !slices.Equal(d.state.MachineClaims[jobID], gang) {
-						t.Errorf("%d machines are claimed", len(d.state.MachineClaims[jobID]))
-					}
-				})
-			}
-			if held != c.held || len(d.claimValues) != c.values {
-				t.Errorf("%d gangs hold their machines, in %d values", held, len(d.claimValues))
-			}
-			machines := 0
-			for _, gang := range c.gangs[:c.held] {
-				machines += len(gang)
-			}
-			if len(d.state.ClaimedBy) != machines {
-				t.Errorf("%d machines are claimed, not %d", len(d.state.ClaimedBy), machines)
-			}
-			for _, x := range d.committed {
-				if len(x.Writes) == 0 || x.Writes[0].Put != "claims" {
-					t.Errorf("a claim without the first value, whose stamp speaks for it: %v", x.Writes)
-				}
+		t.Run(c.name, func(t *testing.T) { checkClaims(t, c.gangs, c.held, c.values) })
+	}
+}
+
+// checkClaims claims machines for gangs, of which the first wantHeld must get theirs, in wantValues
+// values, and then lets go of them.
+func checkClaims(t *testing.T, gangs [][]string, wantHeld, wantValues int) {
+	t.Helper()
+	d := newTestQueue(t, map[string]quota.Team{"t": {Name: "t"}})
+	held := 0
+	for i, gang := range gangs {
+		jobID := fmt.Sprintf("wk-%06d", i)
+		d.claimMachines(jobID, gang, func(ok bool) {
+			if !ok {
+				return
 			}
-			clear(d.claims)
-			if d.ReconcileClaims(); len(d.claimValues) != 0 || len(d.state.ClaimedBy) != 0 {
-				t.Errorf("%d values and %d machines are left", len(d.claimValues), len(d.state.ClaimedBy))
+			held++
+			if !slices.Equal(d.state.MachineClaims[jobID], gang) {
+				t.Errorf("%d machines are claimed", len(d.state.MachineClaims[jobID]))
 			}
 		})
 	}
+	if held != wantHeld || len(d.claimValues) != wantValues {
+		t.Errorf("%d gangs hold their machines, in %d values", held, len(d.claimValues))
+	}
+	machines := 0
+	for _, gang := range gangs[:wantHeld] {
+		machines += len(gang)
+	}
+	if len(d.state.ClaimedBy) != machines {
+		t.Errorf("%d machines are claimed, not %d", len(d.state.ClaimedBy), machines)
+	}
+	for _, decision := range d.committed {
+		if len(decision.Writes) == 0 || decision.Writes[0].Put != "claims" {
+			t.Errorf("a claim without the first value, whose revision is the precondition: %v", decision.Writes)
+		}
+	}
+	clear(d.claims)
+	if d.ReconcileClaims(); len(d.claimValues) != 0 || len(d.state.ClaimedBy) != 0 {
+		t.Errorf("%d values and %d machines are left", len(d.claimValues), len(d.state.ClaimedBy))
+	}
 }
 
 // A leader of the former version writes the first value alone: the others count for nothing,
 // and go with the next write. Its reading of the first is that of a shorter claim.
-func TestClaimsOfFormerVersion(t *testing.T) {
+func TestClaimsWithLeaderOfFormerVersion(t *testing.T) {
 	d := newTestQueue(t, map[string]quota.Team{"t": {Name: "t"}})
 	var gang []string
 	for i := range 2000 {
@@ -416,17 +482,14 @@
 		t.Errorf("%d machines, more %v, %v", len(former["wk-000001"]), former["more"], err)
 	}
 	clear(d.claims)
-	if err := d.ApplyClaims(
-		"claims",
-		[]byte(`{"wk-000002":["i-1"]}`),
-	); err != nil || len(d.state.ClaimedBy) != 1 ||
-		len(d.claimValues) != 3 {
+	err = d.ApplyClaims("claims", []byte(`{"wk-000002":["i-1"]}`))
+	if err != nil || len(d.state.ClaimedBy) != 1 || len(d.claimValues) != 3 {
 		t.Errorf("%d machines claimed, %d values, %v", len(d.state.ClaimedBy), len(d.claimValues), err)
 	}
 	if d.ReconcileClaims(); len(d.claimValues) != 0 {
 		t.Errorf("%d values are left", len(d.claimValues))
 	}
 	if d.ApplyClaims("claims", []byte("7")) == nil || len(d.state.ClaimedBy) != 0 {
-		t.Error("nonsense was read")
+		t.Error("a value that is no claims was read")
 	}
 }
