--- a/internal/queue/candidates.go
+++ b/internal/queue/candidates.go
@@ -1,23 +1,14 @@
 package queue
 
 import (
-	"maps"
 	"slices"
 	"sort"
-	"time"
 
 	"github.com/harrierreel/harrierreel/internal/clusterstate"
 	"github.com/harrierreel/harrierreel/internal/jobs"
 	"github.com/harrierreel/harrierreel/internal/sharding"
-	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// heldCapacity is the machines held for a job.
-type heldCapacity struct {
-	machines []string
-	chosenAt time.Time
-}
-
 // Scarce reports whether the store takes few writes for the number of machines. Tasks of a job then
 // go to few shards, several at a time, and the leader names their machines in the write that
 // releases them: each task range and each transition of it costs a write of its own otherwise.
@@ -112,78 +103,6 @@
 	return ""
 }
 
-// holdMachines holds machines for a task that needs more room than is free anywhere: those that
-// lack least. Without it, smaller tasks further back in the queue would take every place that comes
-// free, one by one, for as long as there are any.
-//
-// The machines held for a job are chosen anew only from time to time: choosing one means examining
-// every machine.
-func (q *Queue) holdMachines(task *clusterstate.Task, count int, zones map[string]int, cycle *schedulingCycle) {
-	held := q.holds[task.Job.ID]
-	if q.state.Now.Sub(held.chosenAt) > tuning.HoldAgain {
-		held = heldCapacity{machines: q.chooseHolds(task, count, maps.Clone(zones), cycle), chosenAt: q.state.Now}
-		q.holds[task.Job.ID] = held
-	}
-	for _, machineName := range held.machines {
-		if q.state.Machines[machineName] != nil {
-			cycle.heldMachines[machineName] = true
-			cycle.hold(q, machineName, task.Job.Record.Spec.Resources())
-		}
-	}
-}
-
-// chooseHolds chooses up to count machines to hold, within the share of all that may be held and
-// the number that one cycle may choose. It counts them in zones.
-func (q *Queue) chooseHolds(
-	task *clusterstate.Task,
-	count int,
-	zones map[string]int,
-	cycle *schedulingCycle,
-) []string {
-	var machines []string
-	maxHeld := tuning.HoldShare * float64(len(q.state.Machines))
-	for range count {
-		if float64(len(cycle.heldMachines)+1) > maxHeld || cycle.newlyHeldCount >= tuning.MaxHeldMachines {
-			break
-		}
-		cycle.newlyHeldCount++
-		m := q.nearestFit(task, zones, cycle)
-		if m == nil {
-			break
-		}
-		machines = append(machines, m.Name)
-		cycle.heldMachines[m.Name] = true
-		zones[m.Zone]++
-	}
-	return machines
-}
-
-// nearestFit returns the machine that lacks least for a task, nil if none could hold it.
-func (q *Queue) nearestFit(
-	task *clusterstate.Task,
-	zones map[string]int,
-	cycle *schedulingCycle,
-) *clusterstate.Machine {
-	spec := &task.Job.Record.Spec
-	var best *clusterstate.Machine
-	bestShare := -1.0
-	for _, m := range cycle.openMachines(q) {
-		if cycle.heldMachines[m.Name] || !clusterstate.FitsTask(task, m) || !clusterstate.ZoneAllowed(spec, zones, m.Zone) {
-			continue
-		}
-		capacity := q.state.MachineTypes[m.MachineType].Capacity()
-		if !capacity.Fits(spec.Resources()) {
-			continue
-		}
-		// By the share of the task that would fit.
-		free := capacity.Sub(m.Usage.Resources)
-		if share := 1 / max(spec.Resources().ShareOf(free), 1e-9); share > bestShare {
-			best, bestShare = m, share
-		}
-	}
-	return best
-}
-
 // freeCapacity returns what a machine of a known type has left; what is reserved counts as used.
 func (q *Queue) freeCapacity(m *clusterstate.Machine) sharding.Resources {
 	return q.state.MachineTypes[m.MachineType].Capacity().Sub(q.state.UsedResources(m.Name))
