--- a/internal/api/answers.go
+++ b/internal/api/answers.go
@@ -1,12 +1,10 @@
 package api
 
 import (
-	"errors"
 	"time"
 
 	"github.com/harrierreel/harrierreel/internal/http1"
 	"github.com/harrierreel/harrierreel/internal/jobs"
-	"github.com/harrierreel/harrierreel/internal/store"
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
@@ -111,34 +109,3 @@
 	}
 	return s.acknowledge(jobID, jobs.Final{State: jobs.Live})
 }
-
-// current reads a job's state for an answer that leaves at once. That a job is live or
-// unknown is only told if the answer came at once: what came late is from before, and
-// another controller may have told the user something newer since. It is read once more,
-// if there is time.
-func (s *Server) readCurrent(jobID string, done func(jobs.Final, error)) {
-	began := s.state.Now
-	var read func()
-	read = func() {
-		sentAt := s.state.Now
-		s.readJob(jobID, func(final jobs.Final, err error) {
-			unknown := errors.Is(err, errNoJob)
-			if err == nil && final.State != jobs.Live || err != nil && !unknown {
-				done(final, err)
-				return
-			}
-			acknowledged, found := s.acks.Latest(jobID)
-			switch {
-			case found && acknowledged.State != jobs.Live:
-				done(acknowledged, nil)
-			case s.state.Now.Sub(sentAt) <= tuning.ReadFresh && !(unknown && found):
-				done(final, err)
-			case s.state.Now.Sub(began) <= tuning.ReadDeadline && s.client.AllowsRead(tuning.ReadsKept):
-				read()
-			default:
-				done(jobs.Final{}, store.ErrNoAnswer)
-			}
-		})
-	}
-	read()
-}
--- a/internal/api/asks.go
+++ b/internal/api/read_batcher.go
@@ -60,33 +60,6 @@
 	return q
 }
 
-// loadShedding tells how many times in a row users were sent away who asked about a job, for
-// the jobs of whom that was last done.
-type loadShedding struct {
-	count map[string]int
-	order []string // as first sent away; holds jobs that were answered since
-}
-
-func (l *loadShedding) timesShed(jobID string) int { return l.count[jobID] }
-
-func (l *loadShedding) shed(jobID string) {
-	if jobID == "" {
-		return // not about a job
-	}
-	if l.count == nil {
-		l.count = map[string]int{}
-	}
-	if l.count[jobID]++; l.count[jobID] > 1 {
-		return
-	}
-	if l.order = append(l.order, jobID); len(l.order) > tuning.MaxShedEntries {
-		delete(l.count, l.order[0])
-		l.order = l.order[1:]
-	}
-}
-
-func (l *loadShedding) reset(jobID string) { delete(l.count, jobID) }
-
 // requestRead has a job's state read for a user.
 func (s *Server) requestRead(q pendingRead) {
 	if shed, full := s.reads.add(q); full {
@@ -95,12 +68,6 @@
 	s.reconcileReads()
 }
 
-// shedLoad sends a user away for want of room; the next time the job goes before others.
-func (s *Server) shedLoad(jobID string, respond func(http1.Reply)) {
-	s.reads.shedding.shed(jobID)
-	respond(http1.Refuse("too many questions"))
-}
-
 // reconcileReads reads what there is room for. A question whose user has gone is not read: a
 // queue of those would have every answer come too late.
 func (s *Server) reconcileReads() {
