--- a/internal/api/cancellations.go
+++ b/internal/api/cancellations.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"net/http"
 
 	"github.com/harrierreel/harrierreel/internal/clusterstate"
 	"github.com/harrierreel/harrierreel/internal/completion"
@@ -11,9 +12,10 @@
 	"github.com/harrierreel/harrierreel/internal/store"
 )
 
+// cancel handles a user's cancellation of a job.
 func (s *Server) cancel(jobID string, respond func(http1.Reply)) {
 	if final, ok := s.finals.Get(jobID); ok {
-		s.answer(jobID, 200, final, false, respond)
+		s.answer(jobID, http.StatusOK, final, false, respond)
 		return
 	}
 	if !s.view.MayDecide() {
@@ -23,34 +25,38 @@
 	s.findJob(jobID, func(final jobs.Final, err error) {
 		switch {
 		case errors.Is(err, errNoJob):
-			respond(http1.Reply{Status: 404, Body: http1.ErrorBody("no such job")})
-			return
+			respond(errorReply(http.StatusNotFound, "no such job"))
 		case err != nil:
-			respond(http1.Refuse("state unavailable"))
-			return
-		}
-		job := s.state.Jobs[jobID]
-		next, ok := jobs.NextJob(final.State, jobs.UserCancels)
-		if !ok {
-			s.answer(jobID, 200, final, false, respond)
-			return
+			respond(unavailable())
+		default:
+			s.cancelFound(jobID, final, respond)
 		}
-		if job == nil || job.Record == nil {
+	})
+}
+
+// cancelFound cancels a job that was found in a state, if that can still be cancelled.
+func (s *Server) cancelFound(jobID string, final jobs.Final, respond func(http1.Reply)) {
+	next, ok := jobs.NextJob(final.State, jobs.UserCancels)
+	if !ok {
+		s.answer(jobID, http.StatusOK, final, false, respond)
+		return
+	}
+	job := s.state.Jobs[jobID]
+	if job == nil || job.Record == nil {
+		respond(http1.Refuse("try again"))
+		return
+	}
+	s.Close(job, next, store.PriorityUser, func(committed bool) {
+		if !committed {
 			respond(http1.Refuse("try again"))
 			return
 		}
-		s.Close(job, next, store.PriorityUser, func(ok bool) {
-			if !ok {
-				respond(http1.Refuse("try again"))
-				return
-			}
-			s.answer(jobID, 200, jobs.Final{State: next}, false, respond)
-		})
+		s.answer(jobID, http.StatusOK, jobs.Final{State: next}, false, respond)
 	})
 }
 
-// Close commits a job's final state, for its tasks to act on and for users to
-// read for ever.
+// Close commits a job's final state, for its tasks to act on and for users to read for ever.
+// done is called once, with whether the transaction is known to be committed.
 func (s *Server) Close(job *clusterstate.Job, state jobs.JobState, priority store.Priority, done func(bool)) {
 	key, finalKey := jobs.JobPrefix+job.ID, jobs.FinalPrefix+job.ID
 	txn := store.Txn{
--- a/internal/api/epoch_reads.go
+++ b/internal/api/epoch_reads.go
@@ -4,153 +4,185 @@
 	"slices"
 	"time"
 
-	"github.com/harrierreel/harrierreel/internal/http1"
 	"github.com/harrierreel/harrierreel/internal/store"
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// ReconcileQueries reads the epoch for the polls that wait, and deals with those that
-// have waited for too long.
+// ReconcileQueries reads the epoch for the queries that wait, and deals with those that have
+// waited for too long. It is called every tuning.Tick and with each new query.
 func (s *Server) ReconcileQueries() {
+	s.expireQueries()
+	s.AnswerQueries(time.Time{})
+	s.reconcileReads()
+	s.agedEpoch.advance(s.mirror.Epoch, s.state.Now)
+	if priority, due := s.epochReadDue(); due {
+		s.readEpoch(priority)
+	}
+}
+
+// expireQueries deals with the queries that have waited for too long, in whatever stage.
+func (s *Server) expireQueries() {
 	p := &s.queries
 	rounds := p.rounds[:0]
-	for _, r := range p.rounds {
-		if r.queries = s.handleOverdue(r.queries); len(r.queries) > 0 {
-			rounds = append(rounds, r)
+	for _, round := range p.rounds {
+		if round.queries = s.handleOverdue(round.queries); len(round.queries) > 0 {
+			rounds = append(rounds, round)
 		}
 	}
 	p.rounds = rounds
 	p.waiting, p.reading = s.handleOverdue(p.waiting), s.handleOverdue(p.reading)
-	s.AnswerQueries(time.Time{})
-	s.reconcileReads()
-	s.agedEpoch.advance(s.mirror.Epoch, s.state.Now)
-	// One reading serves all who wait, so it must not stand behind calls that serve one
-	// user each: while the budget holds those back it is made less often, before them.
-	gap, level := tuning.QueryGap, store.PriorityPoll
+}
+
+// handleOverdue has the jobs read separately for which the mirror is late, refuses the queries
+// that have waited for too long, and returns the others. queries is in order of arrival.
+func (s *Server) handleOverdue(queries []pendingQuery) []pendingQuery {
+	if len(queries) == 0 || s.state.Now.Sub(queries[0].arrivedAt) <= tuning.QueryReadAfter {
+		return queries
+	}
+	var rest []pendingQuery
+	for _, query := range queries {
+		waited := s.state.Now.Sub(query.arrivedAt)
+		if waited > tuning.QueryTimeout {
+			query.respond(unavailable())
+			continue
+		}
+		if query.jobID != "" && !query.separate && waited > tuning.QueryReadAfter {
+			s.queries.lagging = true
+			s.readSeparately(&query)
+		}
+		rest = append(rest, query)
+	}
+	return rest
+}
+
+// epochReadDue reports whether the epoch is to be read now, and by which priority. One reading
+// serves all queries that wait, so it must not queue behind calls that serve one user each:
+// while the budget holds those back it is made less often, but before them.
+func (s *Server) epochReadDue() (store.Priority, bool) {
+	p := &s.queries
+	gap, priority := tuning.QueryGap, store.PriorityPoll
 	if s.client.Waiting() > 0 {
-		gap, level = tuning.QueryRetry, store.PriorityUrgent
+		gap, priority = tuning.QueryRetry, store.PriorityUrgent
 	}
-	since := s.state.Now.Sub(p.readAt)
-	if len(p.waiting)+len(p.reading) == 0 && !p.awaitsProof() || since < gap || p.inFlight && since < tuning.QueryRetry {
-		return
+	if len(p.waiting)+len(p.reading) == 0 && !p.awaitsProof() {
+		return priority, false
 	}
+	since := s.state.Now.Sub(p.readAt)
+	return priority, since >= gap && (!p.inFlight || since >= tuning.QueryRetry)
+}
+
+// readEpoch reads the epoch for all queries that wait or whose reading has not been answered.
+func (s *Server) readEpoch(priority store.Priority) {
+	p := &s.queries
 	p.lastReading++
 	p.inFlight, p.readAt = true, s.state.Now
 	for i := range p.waiting {
 		p.waiting[i].reading = p.lastReading
 	}
 	p.reading, p.waiting = append(p.reading, p.waiting...), nil
-	reading, left := p.lastReading, s.state.Now
-	s.client.ReadEpoch(level, func(epoch uint64, err error) {
-		last := reading == p.lastReading
-		if last {
-			p.inFlight = false
-		}
-		if err != nil && !last {
-			return // a later reading is under way
-		}
-		// A reading serves all that came before it, also where a later one was begun
-		// because it took long: else none would ever serve while all take long.
-		n := 0
-		for n < len(p.reading) && p.reading[n].reading <= reading {
-			n++
-		}
-		served := p.reading[:n:n]
-		p.reading = p.reading[n:]
-		if err != nil {
-			s.refuseQueries(served)
-			return
-		}
-		if len(served) > 0 {
-			p.rounds = append(p.rounds, epochRound{queries: served, epoch: epoch})
-		}
-		if epoch > s.mirror.Epoch {
-			left = time.Time{} // it proves nothing of the mirror
-		}
-		s.AnswerQueries(left)
-		if len(p.rounds) > 0 {
-			s.watch.WatchNow()
-		}
-	})
+	number, sentAt := p.lastReading, s.state.Now
+	s.client.ReadEpoch(priority, func(epoch uint64, err error) { s.epochRead(number, sentAt, epoch, err) })
 }
 
-// overdue has the jobs read by themselves for whom the mirror is late, refuses what has
-// waited for too long, and gives back the rest.
-func (s *Server) handleOverdue(queries []pendingQuery) []pendingQuery {
-	if len(queries) == 0 || s.state.Now.Sub(queries[0].at) <= tuning.QueryReadAfter {
-		return queries
+// epochRead handles the answer to the reading of that number.
+func (s *Server) epochRead(number int, sentAt time.Time, epoch uint64, err error) {
+	p := &s.queries
+	last := number == p.lastReading
+	if last {
+		p.inFlight = false
 	}
-	var left []pendingQuery
-	for _, q := range queries {
-		waited := s.state.Now.Sub(q.at)
-		if waited > tuning.QueryTimeout {
-			q.respond(http1.Refuse("state unavailable"))
-			continue
-		}
-		if q.jobID != "" && !q.read && waited > tuning.QueryReadAfter {
-			s.queries.lagging = true
-			s.readSeparately(&q)
+	if err != nil && !last {
+		return // a later reading is under way
+	}
+	served := p.takeServed(number)
+	if err != nil {
+		for _, query := range served {
+			query.respond(unavailable())
 		}
-		left = append(left, q)
+		return
+	}
+	if len(served) > 0 {
+		p.rounds = append(p.rounds, queryRound{queries: served, epoch: epoch})
+	}
+	shownAt := sentAt
+	if epoch > s.mirror.Epoch {
+		shownAt = time.Time{} // the reading proves nothing of the mirror
+	}
+	s.AnswerQueries(shownAt)
+	if len(p.rounds) > 0 {
+		s.watch.WatchNow()
 	}
-	return left
 }
 
-func (s *Server) refuseQueries(queries []pendingQuery) {
-	for _, query := range queries {
-		query.respond(http1.Refuse("state unavailable"))
+// takeServed takes out the queries that a reading serves: all that came before it, also where
+// a later reading was begun because it took long. Otherwise none would ever serve while all
+// take long.
+func (p *pendingQueries) takeServed(number int) []pendingQuery {
+	n := 0
+	for n < len(p.reading) && p.reading[n].reading <= number {
+		n++
 	}
+	served := p.reading[:n:n]
+	p.reading = p.reading[n:]
+	return served
 }
 
-// unproven tells whether polls wait only for proof that the mirror is new.
+// awaitsProof reports whether queries wait only for proof that the mirror is new enough.
 func (p *pendingQueries) awaitsProof() bool {
-	return len(p.rounds) > 0 && slices.ContainsFunc(p.rounds, func(r epochRound) bool { return r.reached })
+	return slices.ContainsFunc(p.rounds, func(round queryRound) bool { return round.reached })
 }
 
-// AnswerQueries answers the polls whose epoch the mirror has reached. It showed all changes
-// up to a moment after shown, zero if that is not known: a job that is live then may have
-// ended since, and the user been told by another controller, so an answer about one job
-// waits until the mirror is known to be no older than ReadFresh. Where that takes long,
-// what the other controllers pass on has to do.
-func (s *Server) AnswerQueries(shown time.Time) {
+// AnswerQueries answers the queries whose epoch the mirror has reached. The mirror showed all
+// changes up to a moment after shownAt, zero if that is not known. A job that is live in it
+// may have ended since, and the user been told by another controller, so an answer about one
+// job waits until the mirror is known to be no older than tuning.ReadFresh. Where that takes
+// long, the acknowledgements that the other controllers pass on have to do.
+func (s *Server) AnswerQueries(shownAt time.Time) {
 	p := &s.queries
-	fresh := !shown.IsZero() && s.state.Now.Sub(shown) <= tuning.ReadFresh
+	fresh := !shownAt.IsZero() && s.state.Now.Sub(shownAt) <= tuning.ReadFresh
 	rounds := p.rounds
-	p.rounds = nil
-	var rest []epochRound
-	for _, r := range rounds {
-		if r.epoch > s.mirror.Epoch {
-			rest = append(rest, r)
+	p.rounds = nil // answers may add queries
+	var rest []queryRound
+	for _, round := range rounds {
+		if round.epoch > s.mirror.Epoch {
+			rest = append(rest, round)
 			continue
 		}
-		r.reached, p.lagging = true, false
-		var unproven []pendingQuery
-		for _, q := range r.queries {
-			if q.jobID == "" || fresh || s.acceptsUnproven(&q) {
-				q.answer()
-			} else {
-				unproven = append(unproven, q)
-			}
-		}
-		if r.queries = unproven; len(unproven) > 0 {
-			rest = append(rest, r)
+		round.reached, p.lagging = true, false
+		if round.queries = s.answerReached(round.queries, fresh); len(round.queries) > 0 {
+			rest = append(rest, round)
 		}
 	}
 	p.rounds = append(rest, p.rounds...)
 }
 
-// acceptsUnproven tells whether a poll has waited so long that a mirror which is not known to be
-// new enough has to do. It never does while a member is not heard: what that one tells may be
-// lost on its way. Then the job is read by itself, or the user sent away.
-func (s *Server) acceptsUnproven(q *pendingQuery) bool {
-	if s.state.Now.Sub(q.at) < tuning.QueryUnprovenAfter {
+// answerReached answers queries whose epoch the mirror has reached, and returns those that
+// wait for proof that it is new enough. fresh: there is proof.
+func (s *Server) answerReached(queries []pendingQuery, fresh bool) []pendingQuery {
+	var unproven []pendingQuery
+	for _, query := range queries {
+		if query.jobID == "" || fresh || s.acceptsUnproven(&query) {
+			query.answer()
+		} else {
+			unproven = append(unproven, query)
+		}
+	}
+	return unproven
+}
+
+// acceptsUnproven reports whether a query has waited so long that it is answered from a mirror
+// that is not known to be new enough. It never is while the gossip of a member does not
+// arrive: what that member has told users may be lost on its way. Then the job is read
+// separately, or the user refused.
+func (s *Server) acceptsUnproven(query *pendingQuery) bool {
+	if s.state.Now.Sub(query.arrivedAt) < tuning.QueryUnprovenAfter {
 		return false
 	}
 	if s.view.HearsAllMembers() {
 		return true
 	}
-	if !q.read {
-		s.readSeparately(q)
+	if !query.separate {
+		s.readSeparately(query)
 	}
 	return false
 }
--- a/internal/api/load_shedding.go
+++ b/internal/api/load_shedding.go
@@ -5,11 +5,11 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// loadShedding tells how many times in a row users were sent away who asked about a job, for
-// the jobs of whom that was last done.
+// loadShedding counts how many times in a row the requests about a job were refused for want
+// of room, for the last tuning.MaxShedEntries jobs of which one was.
 type loadShedding struct {
-	count map[string]int
-	order []string // as first sent away; holds jobs that were answered since
+	count map[string]int // by job
+	order []string       // jobs as first refused; also holds jobs that were answered since
 }
 
 func (l *loadShedding) timesShed(jobID string) int { return l.count[jobID] }
@@ -30,9 +30,10 @@
 	}
 }
 
+// reset notes that a request about a job was answered.
 func (l *loadShedding) reset(jobID string) { delete(l.count, jobID) }
 
-// shedLoad sends a user away for want of room; the next time the job goes before others.
+// shedLoad refuses a request for want of room; the next one about its job goes before others.
 func (s *Server) shedLoad(jobID string, respond func(http1.Reply)) {
 	s.reads.shedding.shed(jobID)
 	respond(http1.Refuse("too many questions"))
--- a/internal/api/queries.go
+++ b/internal/api/queries.go
@@ -1,6 +1,7 @@
 package api
 
 import (
+	"net/http"
 	"time"
 
 	"github.com/harrierreel/harrierreel/internal/http1"
@@ -8,110 +9,116 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// pendingQueries are users' questions about jobs. Reading each job from the state
-// service would take most of its requests; instead all questions that came
-// before a moment are answered from the mirror, once it has followed the watch
-// to an epoch read after that moment. A mirror that does not get there in time, since
-// its watch or the service is slow, must not have every user of this node sent away for
-// as long as that lasts: what is known of one job is then read by itself (asks).
+// pendingQueries is users' queries about jobs. Reading each job from the state service would
+// take most of its requests; instead all queries that came before a moment are answered from
+// the mirror, once it has followed the watch to an epoch read after that moment. A mirror
+// that does not get there in time, since its watch or the service is slow, must not have
+// every user of this controller refused for as long as that lasts: the state of one job is
+// then read separately (readBatcher).
 type pendingQueries struct {
-	waiting     []pendingQuery // no epoch was asked for since they came
-	reading     []pendingQuery // an epoch is being read
-	rounds      []epochRound   // the mirror is to get to an epoch
-	lastReading int            // the last reading of the epoch
-	inFlight    bool           // it is under way
-	readAt      time.Time
-	lagging     bool // the last round was not reached in time
+	waiting []pendingQuery // no epoch was read since they came
+	reading []pendingQuery // an epoch is being read for them
+	rounds  []queryRound   // the mirror is to reach their epochs
+
+	lastReading int       // number of the last reading of the epoch
+	inFlight    bool      // the last reading is under way
+	readAt      time.Time // the last reading was sent
+
+	lagging bool // the mirror was late for a query and has reached no round's epoch since
 }
 
+// pendingQuery is a query that waits for the mirror.
 type pendingQuery struct {
-	answer  func()
-	respond func(http1.Reply) // refuses it instead
-	at      time.Time
-	jobID   string // of the job that it is about, none if it is about anything else
-	read    bool   // that job is read by itself as well
-	reading int    // the first reading of the epoch that serves it
+	answer    func()            // from the mirror
+	respond   func(http1.Reply) // refuses it instead
+	arrivedAt time.Time
+	jobID     string // that it is about, empty if it is about anything else
+	separate  bool   // its job is read separately as well
+	reading   int    // the first reading of the epoch that serves it
 }
 
-// epochRound is the polls that one reading of the epoch serves.
-type epochRound struct {
+// queryRound is the queries that one reading of the epoch serves.
+type queryRound struct {
 	queries []pendingQuery
 	epoch   uint64
 	reached bool // by the mirror
 }
 
+// query answers a user who asks for a job's state.
 func (s *Server) query(jobID string, respond func(http1.Reply)) {
 	if final, ok := s.finals.Get(jobID); ok {
-		s.answer(jobID, 200, final, true, respond)
+		s.answer(jobID, http.StatusOK, final, true, respond)
 		return
 	}
-	q := pendingQuery{respond: respond, at: s.state.Now, jobID: jobID}
-	q.answer = func() { s.answerQuery(q) }
+	query := pendingQuery{respond: respond, arrivedAt: s.state.Now, jobID: jobID}
+	query.answer = func() { s.answerQuery(query) }
 	if s.queries.lagging {
-		s.readSeparately(&q)
+		s.readSeparately(&query)
 	}
-	s.addQuery(q)
+	s.addQuery(query)
 }
 
-// readSeparately has the job of a poll read by itself as well: whichever comes first is the
-// answer.
-func (s *Server) readSeparately(q *pendingQuery) {
-	over, respond := false, q.respond
-	once := func(r http1.Reply) {
-		if !over {
-			over = true
-			respond(r)
+// readSeparately has the job of a query read by itself as well: whichever comes first, the
+// read or the mirror, gives the answer.
+func (s *Server) readSeparately(query *pendingQuery) {
+	answered, respond := false, query.respond
+	respondOnce := func(reply http1.Reply) {
+		if !answered {
+			answered = true
+			respond(reply)
 		}
 	}
-	q.read, q.respond = true, once
-	late := *q
-	q.answer = func() { s.answerQuery(late) }
-	s.requestRead(pendingRead{q.jobID, func(r http1.Reply) {
-		if r.Status != 503 { // then the poll still waits for the mirror
-			once(r)
-		}
-	}, q.at})
+	query.separate, query.respond = true, respondOnce
+	separate := *query
+	query.answer = func() { s.answerQuery(separate) }
+	s.requestRead(pendingRead{
+		jobID: query.jobID,
+		respond: func(reply http1.Reply) {
+			if reply.Status != http.StatusServiceUnavailable { // then the query still waits for the mirror
+				respondOnce(reply)
+			}
+		},
+		arrivedAt: query.arrivedAt,
+	})
 }
 
-// afterEpoch has a question answered once the mirror has got to an epoch that
-// was read after it came; otherwise it is refused.
+// afterEpoch calls answer once the mirror has reached an epoch that was read after this call;
+// otherwise the request is refused.
 func (s *Server) afterEpoch(respond func(http1.Reply), answer func()) {
-	s.addQuery(pendingQuery{answer: answer, respond: respond, at: s.state.Now})
+	s.addQuery(pendingQuery{answer: answer, respond: respond, arrivedAt: s.state.Now})
 }
 
-func (s *Server) addQuery(q pendingQuery) {
-	p := &s.queries
+func (s *Server) addQuery(query pendingQuery) {
 	if s.client.Unavailable() || !s.watch.MirrorLive() {
-		q.respond(http1.Refuse("state unavailable"))
+		query.respond(unavailable())
 		return
 	}
-	// Whoever was sent away the last time finds room that others do not.
-	if limit := tuning.MaxPendingQueries + min(
-		s.reads.shedding.timesShed(q.jobID),
-		1,
-	)*tuning.MaxShedEntries; len(
-		p.waiting,
-	) >= limit {
-		s.shedLoad(q.jobID, q.respond)
+	limit := tuning.MaxPendingQueries
+	if s.reads.shedding.timesShed(query.jobID) > 0 {
+		limit += tuning.MaxShedEntries // whoever was refused the last time finds room that others do not
+	}
+	if len(s.queries.waiting) >= limit {
+		s.shedLoad(query.jobID, query.respond)
 		return
 	}
-	p.waiting = append(p.waiting, q)
+	s.queries.waiting = append(s.queries.waiting, query)
 	s.ReconcileQueries()
 }
 
-func (s *Server) answerQuery(q pendingQuery) {
-	job := s.state.Jobs[q.jobID]
+// answerQuery answers a query from the mirror, which has reached the query's epoch.
+func (s *Server) answerQuery(query pendingQuery) {
+	job := s.state.Jobs[query.jobID]
 	if job == nil || job.Record == nil {
-		// Unknown here, so it has ended or was never accepted.
-		s.requestRead(pendingRead{q.jobID, q.respond, s.state.Now})
+		// Unknown to the mirror, so it has ended or was never accepted.
+		s.requestRead(pendingRead{jobID: query.jobID, respond: query.respond, arrivedAt: s.state.Now})
 		return
 	}
 	final := jobs.Final{State: job.Record.State, DoneCount: job.Record.DoneCount}
-	if final.State == jobs.Live && s.acknowledgeAccepted(q.jobID) > 0 {
-		q.answer = func() { s.answerQuery(q) }
-		s.addQuery(q) // it waits for the next reading of the epoch
+	if final.State == jobs.Live && s.acknowledgeAccepted(query.jobID) > 0 {
+		query.answer = func() { s.answerQuery(query) }
+		s.addQuery(query) // it waits for the next reading of the epoch
 		return
 	}
-	s.reads.shedding.reset(q.jobID)
-	s.answer(q.jobID, 200, final, true, q.respond)
+	s.reads.shedding.reset(query.jobID)
+	s.answer(query.jobID, http.StatusOK, final, true, query.respond)
 }
--- a/internal/api/queries_test.go
+++ b/internal/api/queries_test.go
@@ -13,7 +13,11 @@
 	server.exhaustBudget() // the reading has not come
 	refused, answered := 0, 0
 	for range 4000 {
-		server.addQuery(pendingQuery{respond: func(http1.Reply) { refused++ }, answer: func() { answered++ }, at: server.state.Now})
+		server.addQuery(pendingQuery{
+			respond:   func(http1.Reply) { refused++ },
+			answer:    func() { answered++ },
+			arrivedAt: server.state.Now,
+		})
 	}
 	if refused > 0 || answered > 0 {
 		t.Errorf("%d refused, %d answered with nothing read", refused, answered)
--- a/internal/api/quota_requests.go
+++ b/internal/api/quota_requests.go
@@ -13,8 +13,6 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-const quotaPath = "/quota"
-
 // quotaRequest shows the tree or takes another one.
 func (s *Server) quotaRequest(m *http1.Message, respond func(http1.Reply)) {
 	switch {
--- a/internal/api/run_requests.go
+++ b/internal/api/run_requests.go
@@ -14,13 +14,6 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// pipelinesPath is where users' requests about runs go.
-const pipelinesPath = "/pipelines"
-
-func isPipelines(path string) bool {
-	return path == pipelinesPath || strings.HasPrefix(path, pipelinesPath+"/")
-}
-
 // pipelineRequest takes a user's request about runs.
 func (s *Server) pipelineRequest(m *http1.Message, path string, respond func(http1.Reply)) {
 	if s.runs == nil {
--- a/internal/api/status.go
+++ b/internal/api/status.go
@@ -5,6 +5,7 @@
 	"github.com/harrierreel/harrierreel/internal/jobs"
 )
 
+// status is the body of an answer about a job.
 type status struct {
 	JobID   string `json:"uid"`
 	Status  string `json:"status"`
@@ -13,37 +14,38 @@
 	Late    string `json:"late,omitempty"` // why its deadline cannot be met
 }
 
-// statusOf is the answer about a job. The counts are for display; those of a
-// live job come from memory.
+// statusOf is the body of the answer about a job. Counts of tasks are for display: those of a
+// live job come from memory and may be behind.
 func (s *Server) statusOf(jobID string, final jobs.Final, counts bool) []byte {
-	out := status{JobID: jobID, Status: string(final.State)}
-	done, on := final.DoneCount, 0
+	answer := status{JobID: jobID, Status: string(final.State)}
+	done, running := final.DoneCount, 0
 	if final.State == jobs.Live {
 		if job := s.state.Jobs[jobID]; job != nil {
-			done, on = job.DoneCount, job.PlacedCount
+			done, running = job.DoneCount, job.PlacedCount
 			if counts {
-				out.Late = s.missedDeadline(job)
+				answer.Late = s.missedDeadline(job)
 			}
 		}
-		out.Status = "pending"
-		if on > 0 {
-			out.Status = "running"
+		answer.Status = "pending"
+		if running > 0 {
+			answer.Status = "running"
 		}
 	}
 	if counts {
-		out.Done, out.Running = &done, &on
+		answer.Done, answer.Running = &done, &running
 	}
-	return jobs.Encode(out)
+	return jobs.Encode(answer)
 }
 
-// unmet says why a job's deadline cannot be met any more, if it can't.
+// missedDeadline says why a job's deadline cannot be met any more; empty if it can, or if the
+// job has none.
 func (s *Server) missedDeadline(job *clusterstate.Job) string {
 	if job.Record == nil || job.Record.Spec.DeadlineS == nil {
 		return ""
 	}
-	p := jobs.Progress{Retrying: len(job.Retrying), Done: job.DoneCount}
-	if !job.TasksUnreadable { // else tasks without a record that is known may have begun
-		p.NeverRun = job.Record.Spec.TaskCount - len(job.Tasks)
+	progress := jobs.Progress{Retrying: len(job.Retrying), Done: job.DoneCount}
+	if !job.TasksUnreadable { // otherwise tasks that no known record names may have begun
+		progress.NeverRun = job.Record.Spec.TaskCount - len(job.Tasks)
 	}
-	return job.Record.DeadlineMissed(p, s.state.Now)
+	return job.Record.DeadlineMissed(progress, s.state.Now)
 }
--- a/internal/api/submissions.go
+++ b/internal/api/submissions.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"net/http"
 	"time"
 
 	"github.com/harrierreel/harrierreel/internal/decide"
@@ -12,27 +13,32 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
+// submission is a job that a user hands in. It is an idempotent request: the same job handed
+// in again is answered with its state.
+type submission struct {
+	spec    *jobs.Spec
+	respond func(http1.Reply)
+}
+
+// submit handles a user's submission.
 func (s *Server) submit(body []byte, respond func(http1.Reply)) {
 	spec, err := jobs.ParseSpec(body)
 	if err != nil {
-		respond(http1.Reply{Status: 400, Body: http1.ErrorBody(err.Error())})
+		respond(errorReply(http.StatusBadRequest, err.Error()))
 		return
 	}
-	known := func(final jobs.Final) {
-		s.answer(spec.ID, 200, final, false, respond)
-	}
 	if final, ok := s.finals.Get(spec.ID); ok {
-		known(final)
+		s.answer(spec.ID, http.StatusOK, final, false, respond)
 		return
 	}
 	if !s.view.MayDecide() {
 		respond(http1.Refuse("not able to accept"))
 		return
 	}
-	// A job that is known already is answered by a read, as a question about it is; only
-	// an unknown one is judged, since what made it acceptable may have changed since.
+	// A job that is known already is answered by a read, as a query about it is; only an
+	// unknown one is judged, since what made it acceptable may have changed since.
 	if s.state.Jobs[spec.ID] != nil {
-		s.requestRead(pendingRead{spec.ID, respond, s.state.Now})
+		s.requestRead(pendingRead{jobID: spec.ID, respond: respond, arrivedAt: s.state.Now})
 		return
 	}
 	if len(s.state.MachineTypes) == 0 {
@@ -40,98 +46,106 @@
 		return
 	}
 	if reason := jobs.CanEverRun(spec, s.state.Account.Tree(), s.state.MachineTypes); reason != "" {
-		s.readCurrent(spec.ID, func(final jobs.Final, err error) {
-			switch {
-			case err == nil:
-				known(final)
-			case errors.Is(err, errNoJob):
-				respond(http1.Reply{Status: 422, Body: http1.ErrorBody(reason)})
-			default:
-				respond(http1.Refuse("state unavailable"))
-			}
-		})
+		s.refuseUnlessKnown(submission{spec, respond}, reason)
 		return
 	}
-	s.accept(spec, tuning.AcceptAttempts, known, respond)
+	s.accept(submission{spec, respond}, tuning.AcceptAttempts)
+}
+
+// refuseUnlessKnown refuses a job that can never run, unless it was accepted while it could.
+func (s *Server) refuseUnlessKnown(sub submission, reason string) {
+	s.readCurrent(sub.spec.ID, func(final jobs.Final, err error) {
+		switch {
+		case err == nil:
+			s.answer(sub.spec.ID, http.StatusOK, final, false, sub.respond)
+		case errors.Is(err, errNoJob):
+			sub.respond(errorReply(http.StatusUnprocessableEntity, reason))
+		default:
+			sub.respond(unavailable())
+		}
+	})
 }
 
-// accept commits a job's record. Where only the view had changed meanwhile, it is tried
-// again once the mirror shows the new one: a controller that comes or goes is no reason
-// to send users away.
-func (s *Server) accept(spec *jobs.Spec, attempts int, known func(jobs.Final), respond func(http1.Reply)) {
-	write, finalKey := s.acceptanceWrite(spec)
+// accept commits a job's record, in at most that many attempts.
+func (s *Server) accept(sub submission, attempts int) {
+	write, finalKey := s.acceptanceWrite(sub.spec)
 	if s.exceedsValueLimit(write) {
-		respond(http1.Reply{Status: 400, Body: http1.ErrorBody("description too long")})
+		sub.respond(errorReply(http.StatusBadRequest, "description too long"))
 		return
 	}
 	txn := store.Txn{
 		Preconditions: []store.Precondition{
 			{Key: members.ViewKey, Revision: s.mirror.Revision(members.ViewKey)},
-			{Key: jobs.JobPrefix + spec.ID, Revision: 0},
+			{Key: jobs.JobPrefix + sub.spec.ID, Revision: 0},
 			{Key: finalKey, Revision: 0},
 		},
 		Writes: []store.Write{write},
 	}
-	left := s.state.Now
-	s.client.Commit(store.PriorityUser, txn, func(epoch uint64, failed []string, err error) {
+	sentAt := s.state.Now
+	s.client.Commit(store.PriorityUser, txn, func(epoch uint64, _ []string, err error) {
 		switch {
 		case err == nil:
 			s.mirror.ApplyCommit(txn.Writes, epoch)
-			s.accepted(spec.ID, left, respond)
+			s.answerAccepted(sub, sentAt)
 		case errors.Is(err, store.ErrConflict):
-			s.readJob(spec.ID, func(final jobs.Final, err error) {
-				switch {
-				case err == nil && final.State == jobs.Live: // by a read that may have been slow
-					s.requestRead(pendingRead{spec.ID, respond, s.state.Now})
-				case err == nil:
-					known(final)
-				case !errors.Is(err, errNoJob) || attempts <= 1:
-					respond(http1.Refuse("try again"))
-				default:
-					s.afterEpoch(respond, func() {
-						if !s.view.MayDecide() {
-							respond(http1.Refuse("not able to accept"))
-							return
-						}
-						s.accept(spec, attempts-1, known, respond)
-					})
+			s.resolveConflict(sub, attempts)
+		default:
+			// Unknown counts as not accepted; a repeated submission finds out.
+			sub.respond(unavailable())
+		}
+	})
+}
+
+// resolveConflict handles a submission whose transaction failed on a precondition: the job is
+// known, or the view has changed. In the latter case it is tried again once the mirror shows
+// the new view: a controller that comes or goes is no reason to refuse users.
+func (s *Server) resolveConflict(sub submission, attempts int) {
+	s.readJob(sub.spec.ID, func(final jobs.Final, err error) {
+		switch {
+		case err == nil && final.State == jobs.Live: // by a read that may have been slow
+			s.requestRead(pendingRead{jobID: sub.spec.ID, respond: sub.respond, arrivedAt: s.state.Now})
+		case err == nil:
+			s.answer(sub.spec.ID, http.StatusOK, final, false, sub.respond)
+		case !errors.Is(err, errNoJob) || attempts <= 1:
+			sub.respond(http1.Refuse("try again"))
+		default:
+			s.afterEpoch(sub.respond, func() {
+				if !s.view.MayDecide() {
+					sub.respond(http1.Refuse("not able to accept"))
+					return
 				}
+				s.accept(sub, attempts-1)
 			})
-		default:
-			// Unknown counts as not accepted; a repeat finds out.
-			respond(http1.Refuse("state unavailable"))
 		}
 	})
 }
 
-// accepted answers a submission whose job was accepted by a transaction that left then.
-// Where its answer came late, and what the others have told since may have been lost on its
-// way, the job may be over: that is looked up, if it can be.
-func (s *Server) accepted(jobID string, left time.Time, respond func(http1.Reply)) {
+// answerAccepted answers a submission whose job was accepted by a transaction sent at sentAt.
+// Where the transaction's answer came late, and acknowledgements of the other controllers may
+// have been lost on their way, the job may be over: that is read, if it can be.
+func (s *Server) answerAccepted(sub submission, sentAt time.Time) {
 	live := jobs.Final{State: jobs.Live}
-	if s.state.Now.Sub(left) <= tuning.ReadFresh || s.view.HearsAllMembers() {
-		s.answer(jobID, 201, live, false, respond)
+	if s.state.Now.Sub(sentAt) <= tuning.ReadFresh || s.view.HearsAllMembers() {
+		s.answer(sub.spec.ID, http.StatusCreated, live, false, sub.respond)
 		return
 	}
-	s.readCurrent(jobID, func(final jobs.Final, err error) {
+	s.readCurrent(sub.spec.ID, func(final jobs.Final, err error) {
 		if err != nil {
 			final = live
 		}
-		s.answer(jobID, 201, final, false, respond)
+		s.answer(sub.spec.ID, http.StatusCreated, final, false, sub.respond)
 	})
 }
 
-// acceptance is the record of a job as accepted, a user's or a step's of a run.
-// It is conditional on its own key and on the one that it returns being absent.
+// acceptanceWrite is the record of a job as accepted, a user's or one of a step of a run. It is
+// conditional on the record's own key being absent, and on the key that it returns.
 func (s *Server) acceptanceWrite(spec *jobs.Spec) (write store.Write, absent string) {
-	return decide.Put(
-		jobs.JobPrefix+spec.ID,
-		jobs.Record{State: jobs.Live, AcceptedMs: s.state.NowMs(), Spec: *spec},
-	), jobs.FinalPrefix + spec.ID
+	record := jobs.Record{State: jobs.Live, AcceptedMs: s.state.NowMs(), Spec: *spec}
+	return decide.Put(jobs.JobPrefix+spec.ID, record), jobs.FinalPrefix + spec.ID
 }
 
-// tooLong tells whether a job's record does not fit into a value with what its end adds
-// to it: it could never end.
+// exceedsValueLimit reports whether a job's record does not fit into a value with what its end
+// adds to it: it could never end.
 func (s *Server) exceedsValueLimit(write store.Write) bool {
 	return len(write.Value)+jobs.CompletionBytes > s.valueBytes()
 }
