--- a/internal/api/run_resources.go
+++ b/internal/api/run_resources.go
@@ -8,12 +8,13 @@
 	"github.com/harrierreel/harrierreel/internal/pipelines"
 )
 
-// runResources is what the runs' keeper may ask.
+// runResources is the cluster as the keeper of runs sees it.
 type runResources struct{ server *Server }
 
+// Job is what is known of a live job.
 func (r runResources) Job(jobID string) (pipelines.JobView, bool) {
-	s := r.server
-	job := s.state.Jobs[jobID]
+	state := r.server.state
+	job := state.Jobs[jobID]
 	if job == nil || job.Record == nil {
 		return pipelines.JobView{}, false
 	}
@@ -21,10 +22,11 @@
 		State:   job.Record.State,
 		Running: job.PlacedCount,
 		Done:    job.DoneCount,
-		Probing: s.state.Trust(job, "") == jobs.Probing,
+		Probing: state.Trust(job, "") == jobs.Probing,
 	}, true
 }
 
+// Why says what a live job waits for, and why its deadline cannot be met.
 func (r runResources) Why(jobID string) string {
 	job := r.server.state.Jobs[jobID]
 	if job == nil || job.Record == nil {
@@ -37,33 +39,36 @@
 	return reason + late
 }
 
-// waits says what a live job's tasks wait for, if they do.
-func (s *Server) waitReason(job *clusterstate.Job) string {
-	spec := &job.Record.Spec
-	waiting := spec.TaskCount - job.PlacedCount - job.DoneCount
-	if s.state.Trust(job, "") == jobs.Probing {
-		return "its tasks failed on several machines; one is tried at a time"
-	}
-	if waiting <= 0 {
-		return ""
-	}
-	if full := s.state.Account.Full(s.state.QuotaLeaf(spec), spec.Amount()); full != "" {
-		return fmt.Sprintf("%d tasks wait: %s", waiting, full)
-	}
-	return fmt.Sprintf("%d tasks wait for room on a machine", waiting)
-}
-
+// Final is a job's final state, if it is in memory.
 func (r runResources) Final(jobID string) (jobs.JobState, bool) {
 	final, ok := r.server.finals.Get(jobID)
 	return final.State, ok
 }
 
+// Judge says why a job can never run; empty if it can.
 func (r runResources) Judge(spec *jobs.Spec) string {
-	if reason := jobs.CanEverRun(spec, r.server.state.Account.Tree(), r.server.state.MachineTypes); reason != "" {
+	state := r.server.state
+	if reason := jobs.CanEverRun(spec, state.Account.Tree(), state.MachineTypes); reason != "" {
 		return reason
 	}
-	if record, _ := r.server.acceptanceWrite(spec); r.server.exceedsValueLimit(record) {
+	if write, _ := r.server.acceptanceWrite(spec); r.server.exceedsValueLimit(write) {
 		return "its description is too long"
 	}
 	return ""
 }
+
+// waitReason says what a live job's tasks wait for; empty if none waits.
+func (s *Server) waitReason(job *clusterstate.Job) string {
+	if s.state.Trust(job, "") == jobs.Probing {
+		return "its tasks failed on several machines; one is tried at a time"
+	}
+	spec := &job.Record.Spec
+	waiting := spec.TaskCount - job.PlacedCount - job.DoneCount
+	if waiting <= 0 {
+		return ""
+	}
+	if full := s.state.Account.Full(s.state.QuotaLeaf(spec), spec.Amount()); full != "" {
+		return fmt.Sprintf("%d tasks wait: %s", waiting, full)
+	}
+	return fmt.Sprintf("%d tasks wait for room on a machine", waiting)
+}
--- a/internal/api/runs.go
+++ b/internal/api/runs.go
@@ -11,16 +11,22 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// newRuns makes the keeper of runs, nil unless the operators turned them on.
+// newRuns makes the keeper of pipeline runs, nil unless the operators turned pipelines on.
 func (s *Server) newRuns() {
-	if p := s.settings.Operator.Pipelines; p != nil {
-		s.runs = pipelines.NewKeeper(pipelines.Limits{
-			Runs: p.MaxRuns, Steps: p.MaxSteps, ValueBytes: s.valueBytes(), TxnOps: s.settings.Cluster.State.TxnOps,
-		})
+	options := s.settings.Operator.Pipelines
+	if options == nil {
+		return
 	}
+	s.runs = pipelines.NewKeeper(pipelines.Limits{
+		Runs:       options.MaxRuns,
+		Steps:      options.MaxSteps,
+		ValueBytes: s.valueBytes(),
+		TxnOps:     s.settings.Cluster.State.TxnOps,
+	})
 }
 
-// RunBudget gives the runs their share of this node's changes.
+// RunBudget gives the runs their share of this controller's changes. It is called with each
+// new view.
 func (s *Server) RunBudget() {
 	if s.runs == nil {
 		return
@@ -30,12 +36,9 @@
 	if !s.view.OutsideView() {
 		size = len(s.view.Members())
 	}
-	s.runs.SetRate(
-		s.state.Now,
-		s.settings.Cluster.State.WriteRPS*tuning.StateBudget*s.settings.Operator.Pipelines.ChangesShare/float64(
-			max(size, 1),
-		),
-	)
+	share := s.settings.Operator.Pipelines.ChangesShare
+	changes := s.settings.Cluster.State.WriteRPS * tuning.StateBudget * share // a second, of the whole cluster
+	s.runs.SetRate(s.state.Now, changes/float64(max(size, 1)))
 }
 
 // RunJobChanged tells the runs that something became known of a job.
@@ -45,8 +48,8 @@
 	}
 }
 
-// ReconcileRuns moves the runs that this node owns. It comes last: what rules hang on
-// has had its share of the changes.
+// ReconcileRuns advances the runs that this controller owns. The loop calls it last: decisions
+// that a rule of the protocol depends on have had their share of the changes by then.
 func (s *Server) ReconcileRuns() {
 	if s.runs == nil || s.view.OutsideView() || s.client.Unavailable() || s.commits.Fencing() {
 		return
@@ -55,16 +58,9 @@
 	owned := func(id string) bool { return sharding.Owner(id, names) == s.settings.NodeName }
 	busy := func(id string) bool { return s.commits.Busy(pipelines.RunPrefix + id) }
 	room := func(ops int) bool { return s.client.Allows(0, ops) }
-	changes, missing := s.runs.Pass(s.state.Now, s.state.NowMs(), owned, busy, room, runResources{s})
-	for _, jobID := range missing {
-		s.readJob(jobID, func(_ jobs.Final, err error) {
-			if errors.Is(err, errNoJob) {
-				s.runs.JobMissing(jobID)
-			} else {
-				s.runs.JobChanged(jobID)
-			}
-			s.loop.Wake()
-		})
+	changes, unknown := s.runs.Pass(s.state.Now, s.state.NowMs(), owned, busy, room, runResources{s})
+	for _, jobID := range unknown {
+		s.findRunJob(jobID)
 	}
 	var decisions []decide.Decision
 	for i := range changes {
@@ -73,23 +69,37 @@
 	s.commits.Commit(decisions)
 }
 
-// runDecision is a run's change as a decision: the run's record, its jobs'
-// acceptances and their ends are one transaction.
-func (s *Server) runDecision(change *pipelines.Change, done func(bool)) decide.Decision {
-	decision := decide.Decision{Urgent: change.Urgent, OnSettled: func(ok bool) {
+// findRunJob reads a run's job of which this controller knows nothing.
+func (s *Server) findRunJob(jobID string) {
+	s.readJob(jobID, func(_ jobs.Final, err error) {
+		if errors.Is(err, errNoJob) {
+			s.runs.JobMissing(jobID)
+		} else {
+			s.runs.JobChanged(jobID)
+		}
+		s.loop.Wake()
+	})
+}
+
+// runDecision is a run's change as a decision: the run's record, the acceptances of its jobs
+// and their ends are one transaction. done, if set, is called as the decision's OnSettled.
+func (s *Server) runDecision(change *pipelines.Change, done func(committed bool)) decide.Decision {
+	decision := decide.Decision{Urgent: change.Urgent, OnSettled: func(committed bool) {
 		s.runs.Touch(change.ID)
 		if done != nil {
-			done(ok)
+			done(committed)
 		}
 	}}
+	runKey, endedKey := pipelines.RunPrefix+change.ID, pipelines.RanPrefix+change.ID
 	if change.Over {
-		decision.Writes = append(decision.Writes, decide.Put(pipelines.RanPrefix+change.ID, change.Record), decide.Remove(pipelines.RunPrefix+change.ID))
+		decision.Writes = append(decision.Writes, decide.Put(endedKey, change.Record), decide.Remove(runKey))
 	} else {
-		decision.Writes = append(decision.Writes, decide.Put(pipelines.RunPrefix+change.ID, change.Record))
+		decision.Writes = append(decision.Writes, decide.Put(runKey, change.Record))
 	}
 	for i := range change.Submit {
 		write, absent := s.acceptanceWrite(&change.Submit[i])
-		decision.Writes, decision.ReadSet = append(decision.Writes, write), append(decision.ReadSet, absent)
+		decision.Writes = append(decision.Writes, write)
+		decision.ReadSet = append(decision.ReadSet, absent)
 	}
 	for _, jobID := range change.Cancel {
 		if job := s.state.Jobs[jobID]; job != nil && job.Record != nil {
