--- /dev/null
+++ b/internal/api/cancellations.go
@@ -0,0 +1,77 @@
+package api
+
+import (
+	"errors"
+	"net/http"
+
+	"github.com/harrierreel/harrierreel/internal/clusterstate"
+	"github.com/harrierreel/harrierreel/internal/completion"
+	"github.com/harrierreel/harrierreel/internal/http1"
+	"github.com/harrierreel/harrierreel/internal/jobs"
+	"github.com/harrierreel/harrierreel/internal/members"
+	"github.com/harrierreel/harrierreel/internal/store"
+)
+
+// cancel handles a user's cancellation of a job.
+func (s *Server) cancel(jobID string, respond func(http1.Reply)) {
+	if final, ok := s.finals.Get(jobID); ok {
+		s.answer(jobID, http.StatusOK, final, false, respond)
+		return
+	}
+	if !s.view.MayDecide() {
+		respond(http1.Refuse("not able to cancel"))
+		return
+	}
+	s.findJob(jobID, func(final jobs.Final, err error) {
+		switch {
+		case errors.Is(err, errNoJob):
+			respond(errorReply(http.StatusNotFound, "no such job"))
+		case err != nil:
+			respond(unavailable())
+		default:
+			s.cancelFound(jobID, final, respond)
+		}
+	})
+}
+
+// cancelFound cancels a job that was found in a state, if that can still be cancelled.
+func (s *Server) cancelFound(jobID string, final jobs.Final, respond func(http1.Reply)) {
+	next, ok := jobs.NextJob(final.State, jobs.UserCancels)
+	if !ok {
+		s.answer(jobID, http.StatusOK, final, false, respond)
+		return
+	}
+	job := s.state.Jobs[jobID]
+	if job == nil || job.Record == nil {
+		respond(http1.Refuse("try again"))
+		return
+	}
+	s.Close(job, next, store.PriorityUser, func(committed bool) {
+		if !committed {
+			respond(http1.Refuse("try again"))
+			return
+		}
+		s.answer(jobID, http.StatusOK, jobs.Final{State: next}, false, respond)
+	})
+}
+
+// Close commits a job's final state, for its tasks to act on and for users to read for ever.
+// done is called once, with whether the transaction is known to be committed.
+func (s *Server) Close(job *clusterstate.Job, state jobs.JobState, priority store.Priority, done func(bool)) {
+	key, finalKey := jobs.JobPrefix+job.ID, jobs.FinalPrefix+job.ID
+	txn := store.Txn{
+		Preconditions: []store.Precondition{
+			{Key: members.ViewKey, Revision: s.mirror.Revision(members.ViewKey)},
+			{Key: key, Revision: s.mirror.Revision(key)},
+			{Key: finalKey, Revision: 0},
+		},
+		Writes: completion.FinalWrites(job, state, s.state.NowMs()),
+	}
+	s.client.Commit(priority, txn, func(epoch uint64, _ []string, err error) {
+		if err == nil {
+			s.mirror.ApplyCommit(txn.Writes, epoch)
+		}
+		s.loop.Wake()
+		done(err == nil)
+	})
+}
--- /dev/null
+++ b/internal/api/load_shedding_test.go
@@ -0,0 +1,69 @@
+package api
+
+import (
+	"math/rand/v2"
+	"slices"
+	"strconv"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"github.com/harrierreel/harrierreel/internal/http1"
+	"github.com/harrierreel/harrierreel/internal/tuning"
+)
+
+// While half of the requests can be answered no job's user is refused twice in a row, in
+// whatever order they come; while a third can, not three times.
+func TestLoadSheddingIsFair(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		n := rapid.IntRange(1, 3*tuning.MaxPendingReads).Draw(t, "users")
+		limit := (n - 1) / tuning.MaxPendingReads
+		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "order"), 1))
+		batcher := readBatcher{}
+		for round := range 6 {
+			for _, i := range random.Perm(n) {
+				if shed, full := batcher.add(pendingRead{jobID: strconv.Itoa(i)}); full {
+					batcher.shedding.shed(shed.jobID)
+					if got := batcher.shedding.timesShed(shed.jobID); got > limit {
+						t.Fatalf("round %d: %s is refused %d times in a row, of %d users", round, shed.jobID, got, n)
+					}
+				}
+			}
+			for len(batcher.waiting) > 0 {
+				batcher.shedding.reset(batcher.take(batcher.first()).jobID)
+			}
+		}
+	})
+}
+
+// Without room for reads nobody is kept waiting for longer than users wait, and whoever was
+// refused goes first once there is room.
+func TestShedReadsGoFirstOnceThereIsRoom(t *testing.T) {
+	server := newTestServer(t, false)
+	server.exhaustBudget()
+	var refused, answered []string
+	request := func(jobID string) {
+		respond := func(reply http1.Reply) {
+			if reply.Status == 503 {
+				refused = append(refused, jobID)
+			} else {
+				answered = append(answered, jobID)
+			}
+		}
+		server.requestRead(pendingRead{jobID: jobID, respond: respond, arrivedAt: server.state.Now})
+	}
+	request("wk-000001")
+	server.state.Now = server.state.Now.Add(tuning.QueryTimeout + time.Millisecond)
+	request("wk-000002")
+	request("wk-000001")
+	if !slices.Equal(refused, []string{"wk-000001"}) || len(answered) > 0 {
+		t.Errorf("refused %v, answered %v", refused, answered)
+	}
+	server.client.SetBudget(10, 10, 10)
+	server.advance(time.Second)
+	server.reconcileReads()
+	if !slices.Equal(answered, []string{"wk-000001", "wk-000002"}) {
+		t.Errorf("answered %v", answered)
+	}
+}
--- /dev/null
+++ b/internal/api/submissions.go
@@ -0,0 +1,151 @@
+package api
+
+import (
+	"errors"
+	"net/http"
+	"time"
+
+	"github.com/harrierreel/harrierreel/internal/decide"
+	"github.com/harrierreel/harrierreel/internal/http1"
+	"github.com/harrierreel/harrierreel/internal/jobs"
+	"github.com/harrierreel/harrierreel/internal/members"
+	"github.com/harrierreel/harrierreel/internal/store"
+	"github.com/harrierreel/harrierreel/internal/tuning"
+)
+
+// submission is a job that a user hands in. It is an idempotent request: the same job handed
+// in again is answered with its state.
+type submission struct {
+	spec    *jobs.Spec
+	respond func(http1.Reply)
+}
+
+// submit handles a user's submission.
+func (s *Server) submit(body []byte, respond func(http1.Reply)) {
+	spec, err := jobs.ParseSpec(body)
+	if err != nil {
+		respond(errorReply(http.StatusBadRequest, err.Error()))
+		return
+	}
+	if final, ok := s.finals.Get(spec.ID); ok {
+		s.answer(spec.ID, http.StatusOK, final, false, respond)
+		return
+	}
+	if !s.view.MayDecide() {
+		respond(http1.Refuse("not able to accept"))
+		return
+	}
+	// A job that is known already is answered by a read, as a query about it is; only an
+	// unknown one is judged, since what made it acceptable may have changed since.
+	if s.state.Jobs[spec.ID] != nil {
+		s.requestRead(pendingRead{jobID: spec.ID, respond: respond, arrivedAt: s.state.Now})
+		return
+	}
+	if len(s.state.MachineTypes) == 0 {
+		respond(http1.Refuse("machine types not known yet"))
+		return
+	}
+	if reason := jobs.CanEverRun(spec, s.state.Account.Tree(), s.state.MachineTypes); reason != "" {
+		s.refuseUnlessKnown(submission{spec, respond}, reason)
+		return
+	}
+	s.accept(submission{spec, respond}, tuning.AcceptAttempts)
+}
+
+// refuseUnlessKnown refuses a job that can never run, unless it was accepted while it could.
+func (s *Server) refuseUnlessKnown(sub submission, reason string) {
+	s.readCurrent(sub.spec.ID, func(final jobs.Final, err error) {
+		switch {
+		case err == nil:
+			s.answer(sub.spec.ID, http.StatusOK, final, false, sub.respond)
+		case errors.Is(err, errNoJob):
+			sub.respond(errorReply(http.StatusUnprocessableEntity, reason))
+		default:
+			sub.respond(unavailable())
+		}
+	})
+}
+
+// accept commits a job's record, in at most that many attempts.
+func (s *Server) accept(sub submission, attempts int) {
+	write, finalKey := s.acceptanceWrite(sub.spec)
+	if s.exceedsValueLimit(write) {
+		sub.respond(errorReply(http.StatusBadRequest, "description too long"))
+		return
+	}
+	txn := store.Txn{
+		Preconditions: []store.Precondition{
+			{Key: members.ViewKey, Revision: s.mirror.Revision(members.ViewKey)},
+			{Key: jobs.JobPrefix + sub.spec.ID, Revision: 0},
+			{Key: finalKey, Revision: 0},
+		},
+		Writes: []store.Write{write},
+	}
+	sentAt := s.state.Now
+	s.client.Commit(store.PriorityUser, txn, func(epoch uint64, _ []string, err error) {
+		switch {
+		case err == nil:
+			s.mirror.ApplyCommit(txn.Writes, epoch)
+			s.answerAccepted(sub, sentAt)
+		case errors.Is(err, store.ErrConflict):
+			s.resolveConflict(sub, attempts)
+		default:
+			// Unknown counts as not accepted; a repeated submission finds out.
+			sub.respond(unavailable())
+		}
+	})
+}
+
+// resolveConflict handles a submission whose transaction failed on a precondition: the job is
+// known, or the view has changed. In the latter case it is tried again once the mirror shows
+// the new view: a controller that comes or goes is no reason to refuse users.
+func (s *Server) resolveConflict(sub submission, attempts int) {
+	s.readJob(sub.spec.ID, func(final jobs.Final, err error) {
+		switch {
+		case err == nil && final.State == jobs.Live: // by a read that may have been slow
+			s.requestRead(pendingRead{jobID: sub.spec.ID, respond: sub.respond, arrivedAt: s.state.Now})
+		case err == nil:
+			s.answer(sub.spec.ID, http.StatusOK, final, false, sub.respond)
+		case !errors.Is(err, errNoJob) || attempts <= 1:
+			sub.respond(http1.Refuse("try again"))
+		default:
+			s.afterEpoch(sub.respond, func() {
+				if !s.view.MayDecide() {
+					sub.respond(http1.Refuse("not able to accept"))
+					return
+				}
+				s.accept(sub, attempts-1)
+			})
+		}
+	})
+}
+
+// answerAccepted answers a submission whose job was accepted by a transaction sent at sentAt.
+// Where the transaction's answer came late, and acknowledgements of the other controllers may
+// have been lost on their way, the job may be over: that is read, if it can be.
+func (s *Server) answerAccepted(sub submission, sentAt time.Time) {
+	live := jobs.Final{State: jobs.Live}
+	if s.state.Now.Sub(sentAt) <= tuning.ReadFresh || s.view.HearsAllMembers() {
+		s.answer(sub.spec.ID, http.StatusCreated, live, false, sub.respond)
+		return
+	}
+	s.readCurrent(sub.spec.ID, func(final jobs.Final, err error) {
+		if err != nil {
+			final = live
+		}
+		s.answer(sub.spec.ID, http.StatusCreated, final, false, sub.respond)
+	})
+}
+
+// acceptanceWrite is the record of a job as accepted, a user's or one of a step of a run. It is
+// conditional on the record's own key being absent, and on the key that it returns.
+func (s *Server) acceptanceWrite(spec *jobs.Spec) (write store.Write, absent string) {
+	record := jobs.Record{State: jobs.Live, AcceptedMs: s.state.NowMs(), Spec: *spec}
+	return decide.Put(jobs.JobPrefix+spec.ID, record), jobs.FinalPrefix + spec.ID
+}
+
+// exceedsValueLimit reports whether a job's record does not fit into a value with what its end
+// adds to it: it could never end.
+func (s *Server) exceedsValueLimit(write store.Write) bool {
+	return len(write.Value)+jobs.CompletionBytes > s.valueBytes()
+}
--- /dev/null
+++ b/internal/api/submissions_test.go
@@ -0,0 +1,96 @@
+package api
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/harrierreel/harrierreel/internal/completion"
+	"github.com/harrierreel/harrierreel/internal/jobs"
+	"github.com/harrierreel/harrierreel/internal/tuning"
+)
+
+// A repeated submission is answered that its job is live only by a read that was answered at
+// once, as a query is: another controller may have told a user of its end meanwhile.
+func TestRepeatedSubmissionIsNoOlder(t *testing.T) {
+	body := validJob(func(m map[string]any) { m["uid"] = "wk-000001" })
+	for _, c := range []struct {
+		name  string
+		known bool // to the mirror
+		took  time.Duration
+		want  int
+	}{
+		{"in the mirror, read at once", true, 0, 200},
+		{"in the mirror, read late", true, 2 * tuning.ReadFresh, 503},
+		{"not in the mirror, read at once", false, 0, 200},
+		{"not in the mirror, read late", false, 2 * tuning.ReadFresh, 503},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			server := newTestServer(t, false)
+			record := ""
+			server.store = func(method, target, sent string) (int, string) {
+				switch {
+				case method == "POST" && record == "":
+					_, record, _ = strings.Cut(sent, `"v":`)
+					record, _, _ = strings.Cut(record, `}]}`)
+					return 200, `{"epoch":8}`
+				case method == "POST":
+					return 409, `{"failed":["job/wk-000001"],"epoch":8}`
+				case target == "/store/job/wk-000001":
+					server.state.Now = server.state.Now.Add(c.took)
+					return 200, `{"key":"job/wk-000001","v":` + record + `,"stamp":8}`
+				}
+				return 404, `{"epoch":8}`
+			}
+			if reply := server.request("POST", "/work", body); reply.Status != 201 {
+				t.Fatalf("%d %s", reply.Status, reply.Body)
+			}
+			if !c.known {
+				delete(server.state.Jobs, "wk-000001")
+			}
+			if reply := server.request("POST", "/work", body); reply.Status != c.want {
+				t.Errorf("%d %s, not %d", reply.Status, reply.Body, c.want)
+			}
+		})
+	}
+}
+
+// A job whose record would pass a value's limit once its end is added could never end:
+// it is refused as it comes, the largest that can end is not.
+func TestAcceptedRecordFitsWithItsEnd(t *testing.T) {
+	body := func(image int) string {
+		return validJob(func(m map[string]any) { m["pieces"], m["bundle"] = 100000, strings.Repeat("b", image) })
+	}
+	accepted := 0
+	for image := 8192; image > 0; image-- {
+		server := newTestServer(t, false)
+		record := ""
+		server.store = func(method, _, sent string) (int, string) {
+			if method == "POST" {
+				record = sent
+				return 200, `{"epoch":8}`
+			}
+			return 404, `{"epoch":7}`
+		}
+		reply := server.request("POST", "/work", body(image))
+		if reply.Status == 400 && record == "" {
+			continue
+		}
+		if accepted++; reply.Status != 201 {
+			t.Fatal(reply.Status, string(reply.Body))
+		}
+		job := server.state.Jobs["wk-1"]
+		job.DoneCount = job.Record.Spec.TaskCount - 1
+		for _, state := range []jobs.JobState{jobs.Done, jobs.Cancelled} {
+			for _, write := range completion.FinalWrites(job, state, 1<<62) {
+				if len(write.Value) > 8192 {
+					t.Fatalf("%d bytes in %s as %s", len(write.Value), write.Put, state)
+				}
+			}
+		}
+		break
+	}
+	if accepted != 1 {
+		t.Error("no job was accepted")
+	}
+}
--- /dev/null
+++ b/internal/controller/closing.go
@@ -0,0 +1,49 @@
+package controller
+
+import (
+	"github.com/harrierreel/harrierreel/internal/clusterstate"
+	"github.com/harrierreel/harrierreel/internal/completion"
+	"github.com/harrierreel/harrierreel/internal/decide"
+	"github.com/harrierreel/harrierreel/internal/jobs"
+	"github.com/harrierreel/harrierreel/internal/store"
+)
+
+// closeJobs closes jobs whose tasks are done and removes the records of closed jobs.
+func (c *Controller) closeJobs() {
+	for _, jobID := range clusterstate.SortedKeys(c.Complete) {
+		c.closeJob(c.Complete[jobID])
+	}
+	c.clearClosedJobs()
+}
+
+// closeJob writes the final state of a job whose tasks are done, unless that is under way.
+func (c *Controller) closeJob(job *clusterstate.Job) {
+	if c.leaderState.closing[job.ID] || c.committer.Busy(jobs.JobPrefix+job.ID) {
+		return
+	}
+	state, ok := jobs.NextJob(job.Record.State, jobs.TasksAllDone)
+	if !ok {
+		return
+	}
+	txnOps := c.settings.Cluster.State.TxnOps
+	if decision, ok := completion.InOneTransaction(job, state, txnOps, c.committer.Busy); ok {
+		c.committer.Commit([]decide.Decision{decision})
+		return
+	}
+	c.leaderState.closing[job.ID] = true
+	c.api.Close(job, state, store.PriorityDecision, func(bool) { delete(c.leaderState.closing, job.ID) })
+}
+
+// clearClosedJobs removes the records of closed jobs. It is not urgent, so it uses spare writes
+// only: decisions that are urgent must not wait for it.
+func (c *Controller) clearClosedJobs() {
+	txnOps := c.settings.Cluster.State.TxnOps
+	var decisions []decide.Decision
+	for _, jobID := range clusterstate.SortedKeys(c.Closed) {
+		if len(decisions) >= txnOps || !c.client.HasSpareWrites() {
+			break
+		}
+		decisions = append(decisions, completion.ClearRecords(c.Closed[jobID], txnOps, c.committer.Busy)...)
+	}
+	c.committer.Commit(decisions)
+}
--- /dev/null
+++ b/internal/controller/leader_checks.go
@@ -0,0 +1,53 @@
+package controller
+
+import (
+	"github.com/harrierreel/harrierreel/internal/members"
+	"github.com/harrierreel/harrierreel/internal/standby"
+)
+
+// updateChecks notes what this controller has checked as a leader. The store is asked for
+// nothing: each check is of what the controller knows or waits for anyway.
+func (c *Controller) updateChecks() {
+	if c.role != members.Leader {
+		return
+	}
+	c.checks.Begin(c.roleEpoch, c.Now)
+	if c.checks.Done() {
+		return
+	}
+	for _, item := range []struct {
+		check standby.Check
+		holds bool
+	}{
+		{standby.InViewCertain, c.membership.Certain()},
+		{standby.WatchReachedView, c.mirror.Epoch >= c.mirror.Revision(members.ViewKey)},
+		{standby.TransactionsFenced, !c.committer.Fencing()},
+		{standby.QuotasSettled, c.api.QuotaSettled()},
+		{standby.MachineTypesKnown, c.provisioner.Priced()},
+		{standby.CloudListed, c.provisioner.Listed()},
+		{standby.FormerRents, c.provisioner.Counted()},
+	} {
+		c.recordCheck(item.check, item.holds)
+	}
+}
+
+// recordCheck notes whether a check holds, and logs it the first time that it does.
+func (c *Controller) recordCheck(check standby.Check, holds bool) {
+	first, after := c.checks.Record(check, holds, c.Now)
+	if !first {
+		return
+	}
+	durationMs := after.Milliseconds()
+	c.log.Debug("leader check completed", "check", string(check), "duration_ms", durationMs, "epoch", c.roleEpoch)
+	if c.checks.Done() {
+		c.log.Info("leader checks completed", "epoch", c.roleEpoch, "duration_ms", durationMs)
+	}
+}
+
+// pendingChecks is what a leader has still to check.
+func (c *Controller) pendingChecks() []standby.Check {
+	if c.role != members.Leader {
+		return nil
+	}
+	return c.checks.Pending()
+}
--- a/internal/controller/wiring_api.go
+++ b/internal/controller/wiring_api.go
@@ -5,27 +5,45 @@
 )
 
 // newAPI makes the server of users', operators' and agents' requests.
-func (n *Controller) newAPI() *api.Server {
-	return api.New(n.State, api.Env{
-		Settings:                n.settings,
-		Client:                  n.client,
-		Mirror:                  n.mirror,
-		Log:                     n.log,
-		Rand:                    n.rand,
-		MayDecide:               n.mayDecide,
-		Healthy:                 n.healthy,
-		MirrorLive:              n.mirrorLive,
-		OutsideView:             n.outsideView,
-		Fencing:                 n.committer.Fencing,
-		Members:                 n.memberNames,
-		Busy:                    n.committer.Busy,
-		Commit:                  n.committer.Commit,
-		Wake:                    n.wake,
-		WatchNow:                n.watchNow,
-		Heartbeat:               n.shard.Heartbeat,
-		Acks:                    n.acks,
-		HearsAllMembers:         n.hearsAllMembers,
-		AcknowledgeCancellation: n.cancellations.Acknowledge,
-		Cancelled:               n.cancellations.Cancelled,
+func (c *Controller) newAPI() *api.Server {
+	config := api.Config{
+		Settings: c.settings,
+		Client:   c.client,
+		Mirror:   c.mirror,
+		Acks:     c.acks,
+		Log:      c.log,
+		Random:   c.rand,
+	}
+	collaborators := apiCollaborators{controller: c}
+	return api.New(c.State, config, api.Collaborators{
+		View:          collaborators,
+		Health:        collaborators,
+		Watch:         collaborators,
+		Commits:       c.committer,
+		Loop:          collaborators,
+		Agents:        c.shard,
+		Cancellations: c.cancellations,
 	})
 }
+
+// apiCollaborators is the controller as the API server sees it: its View, Health, Watch and
+// LoopWaker.
+type apiCollaborators struct {
+	controller *Controller
+}
+
+func (a apiCollaborators) MayDecide() bool { return a.controller.mayDecide() }
+
+func (a apiCollaborators) OutsideView() bool { return a.controller.outsideView() }
+
+func (a apiCollaborators) Members() []string { return a.controller.memberNames() }
+
+func (a apiCollaborators) HearsAllMembers() bool { return a.controller.hearsAllMembers() }
+
+func (a apiCollaborators) Healthy() bool { return a.controller.healthy() }
+
+func (a apiCollaborators) MirrorLive() bool { return a.controller.mirrorLive() }
+
+func (a apiCollaborators) WatchNow() { a.controller.watchNow() }
+
+func (a apiCollaborators) Wake() { a.controller.wake() }
--- a/internal/controller/wiring_queue.go
+++ b/internal/controller/wiring_queue.go
@@ -8,23 +8,23 @@
 )
 
 // newQueue makes the queue, which schedules the tasks that wait.
-func (n *Controller) newQueue() *queue.Queue {
-	adapter := queueAdapter{controller: n}
-	return queue.NewQueue(n.State,
+func (c *Controller) newQueue() *queue.Queue {
+	adapter := queueAdapter{controller: c}
+	return queue.NewQueue(c.State,
 		queue.Config{
-			Name:               n.settings.NodeName,
-			Objectives:         n.settings.Cluster.Objectives,
-			MaxTxnWrites:       n.settings.Cluster.State.TxnOps,
-			MaxValueBytes:      n.valueBytes(),
-			MaxRangeTasks:      n.maxRangeTasks(),
-			MaxWritesPerS:      n.settings.Cluster.State.WriteRPS,
-			ExtraPreconditions: n.calendar.PreconditionCount(),
-			Lending:            n.settings.Operator.Lending,
-			Log:                n.log,
+			Name:               c.settings.NodeName,
+			Objectives:         c.settings.Cluster.Objectives,
+			MaxTxnWrites:       c.settings.Cluster.State.TxnOps,
+			MaxValueBytes:      c.valueBytes(),
+			MaxRangeTasks:      c.maxRangeTasks(),
+			MaxWritesPerS:      c.settings.Cluster.State.WriteRPS,
+			ExtraPreconditions: c.calendar.PreconditionCount(),
+			Lending:            c.settings.Operator.Lending,
+			Log:                c.log,
 		},
 		queue.Collaborators{
-			Budget:   n.client,
-			Commits:  n.committer,
+			Budget:   c.client,
+			Commits:  c.committer,
 			Machines: adapter,
 			Cluster:  adapter,
 			Calendar: adapter,
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -1,6 +1,7 @@
 package queue
 
 import (
+	"encoding/json"
 	"fmt"
 	"log/slog"
 	"slices"
@@ -67,27 +68,44 @@
 	return clusterstate.FitsTask(task, m)
 }
 
+// batcherSide is what a batcher asks of the queue under test: every record is known at revision 1, and
+// the budget allows all.
+type batcherSide struct{ queue *testQueue }
+
+func (batcherSide) Revision(string) uint64         { return 1 }
+func (batcherSide) Get(string) json.RawMessage     { return nil }
+func (batcherSide) Allows(_, _ int) bool           { return true }
+func (b batcherSide) Busy(key string) bool         { return b.queue.Busy(key) }
+func (b batcherSide) OwnsMachine(name string) bool { return b.queue.state.Machines[name].Owner == "n0" }
+
+func (b batcherSide) NewBatchKey() string {
+	b.queue.batchKeyCount++
+	return fmt.Sprint(taskbatch.KeyPrefix, b.queue.batchKeyCount)
+}
+
+func (b batcherSide) QuarantineDecision(decision *decide.Decision, reason error) {
+	b.queue.t.Error(decision, reason)
+}
+
 // Commit builds transactions of the decisions, applies what they write, and settles them.
 func (d *testQueue) Commit(decisions []decide.Decision) {
 	d.committed = append(d.committed, decisions...)
-	ownsMachine := func(machineName string) bool { return d.state.Machines[machineName].Owner == "n0" }
-	txnContext := decide.TxnContext{
-		Limits: store.Limits{
-			Ops:           16,
-			Preconditions: 64,
-			BodyBytes:     64 << 10,
-			ValueBytes:    8192,
-		},
-		Revision:    func(string) uint64 { return 1 },
-		OwnsMachine: ownsMachine,
-		NewBatchKey: func() string { d.batchKeyCount++; return fmt.Sprint(taskbatch.KeyPrefix, d.batchKeyCount) },
-	}
+	side := batcherSide{d}
 	batcher := decide.Batcher{
-		TxnContext:  txnContext,
-		Busy:        d.commits.Busy,
-		Allows:      func(int, int) bool { return true },
-		RecordBytes: func(string) int { return 0 },
-		Quarantine:  func(pending *decide.Decision, why string) { d.t.Error(pending, why) },
+		Context: decide.TxnContext{
+			Limits: store.Limits{
+				Ops:           16,
+				Preconditions: 64,
+				BodyBytes:     64 << 10,
+				ValueBytes:    8192,
+			},
+			Records:   side,
+			Machines:  side,
+			BatchKeys: side,
+		},
+		InFlight:   side,
+		Budget:     side,
+		Quarantine: side,
 	}
 	for _, b := range batcher.Build(decisions) {
 		for _, w := range b.Txn.Writes {
