--- /dev/null
+++ b/internal/api/run_requests_test.go
@@ -0,0 +1,40 @@
+package api
+
+import (
+	"strings"
+	"testing"
+)
+
+// pipeline is a submission of a run of one step.
+const pipeline = `{"id":"run-1","pipeline":{"name":"p","owner":"team","steps":[` +
+	`{"name":"a","cores":1,"memory_gb":1,"bundle":"b"}]}}`
+
+// A run is accepted with the jobs of its first steps in one transaction; the same
+// again is 200, another under its id 409.
+func TestRunIsAcceptedOnce(t *testing.T) {
+	server := newTestServer(t, true)
+	body := ""
+	server.store = func(method, _, sent string) (int, string) {
+		if method == "POST" {
+			body = sent
+			return 200, `{"epoch":8}`
+		}
+		return 404, `{"epoch":7}`
+	}
+	reply := server.request("POST", "/pipelines", pipeline)
+	if reply.Status != 201 || !strings.Contains(string(reply.Body), `"status":"submitted"`) {
+		t.Fatalf("%d %s", reply.Status, reply.Body)
+	}
+	if strings.Count(body, `"write":`) != 2 || !strings.Contains(body, `"key":"ran/run-1"`) ||
+		!strings.Contains(body, `"key":"view"`) {
+		t.Error(body)
+	}
+	server.mirror.Epoch = 8
+	if reply := server.request("POST", "/pipelines", pipeline); reply.Status != 200 {
+		t.Errorf("again: %d %s", reply.Status, reply.Body)
+	}
+	other := strings.Replace(pipeline, `"cores":1`, `"cores":2`, 1)
+	if reply := server.request("POST", "/pipelines", other); reply.Status != 409 {
+		t.Errorf("another: %d %s", reply.Status, reply.Body)
+	}
+}
--- a/internal/controller/wiring_queue.go
+++ b/internal/controller/wiring_queue.go
@@ -7,26 +7,50 @@
 	"github.com/harrierreel/harrierreel/internal/queue"
 )
 
-// newQueue makes the queue, which places what waits.
+// newQueue makes the queue, which schedules the tasks that wait.
 func (c *Controller) newQueue() *queue.Queue {
-	return queue.New(c.State, queue.Env{
-		Name:               c.settings.NodeName,
-		Objectives:         c.settings.Cluster.Objectives,
-		TxnOps:             c.settings.Cluster.State.TxnOps,
-		ValueBytes:         c.valueBytes(),
-		MaxRangeTasks:      c.maxRangeTasks(),
-		WriteRPS:           c.settings.Cluster.State.WriteRPS,
-		Log:                c.log,
-		Busy:               c.committer.Busy,
-		Allows:             c.client.Allows,
-		HasSpareWrites:     c.client.HasSpareWrites,
-		Commit:             c.committer.Commit,
-		UsesBatches:        c.usesBatches,
-		Lending:            c.settings.Operator.Lending,
-		HasLeftView:        func(name string) bool { return c.view.Incarnation(name) == 0 },
-		Ready:              func(m *clusterstate.Machine) bool { return c.shard.Ready(m) },
-		CanPlace:           func(t *clusterstate.Task, m *clusterstate.Machine) bool { return c.shard.CanPlace(t, m) },
-		Gate:               func(s *jobs.Spec) calendar.Verdict { return c.calendar.Gate(s) },
-		ExtraPreconditions: c.calendar.PreconditionCount(),
-	})
+	adapter := queueAdapter{controller: c}
+	return queue.NewQueue(c.State,
+		queue.Config{
+			Name:               c.settings.NodeName,
+			Objectives:         c.settings.Cluster.Objectives,
+			MaxTxnWrites:       c.settings.Cluster.State.TxnOps,
+			MaxValueBytes:      c.valueBytes(),
+			MaxRangeTasks:      c.maxRangeTasks(),
+			MaxWritesPerS:      c.settings.Cluster.State.WriteRPS,
+			ExtraPreconditions: c.calendar.PreconditionCount(),
+			Lending:            c.settings.Operator.Lending,
+			Log:                c.log,
+		},
+		queue.Collaborators{
+			Budget:   c.client,
+			Commits:  c.committer,
+			Machines: adapter,
+			Cluster:  adapter,
+			Calendar: adapter,
+		},
+	)
 }
+
+// queueAdapter is the controller as its queue sees it. What the controller is made of is looked up at
+// each call, since some of it is made after the queue.
+type queueAdapter struct{ controller *Controller }
+
+// Ready reports whether a machine takes new tasks at all, by its record.
+func (a queueAdapter) Ready(m *clusterstate.Machine) bool { return a.controller.shard.Ready(m) }
+
+// CanPlace reports whether a task may go on a machine of this controller's shard now.
+func (a queueAdapter) CanPlace(task *clusterstate.Task, m *clusterstate.Machine) bool {
+	return a.controller.shard.CanPlace(task, m)
+}
+
+// HasLeftView reports whether a controller is not in the view.
+func (a queueAdapter) HasLeftView(controller string) bool {
+	return a.controller.view.Incarnation(controller) == 0
+}
+
+// UsesBatches reports whether tasks may be released in batch records.
+func (a queueAdapter) UsesBatches() bool { return a.controller.usesBatches() }
+
+// Gate returns whether a job's work may begin by the calendar.
+func (a queueAdapter) Gate(spec *jobs.Spec) calendar.Verdict { return a.controller.calendar.Gate(spec) }
--- a/internal/queue/calendar.go
+++ b/internal/queue/calendar.go
@@ -6,89 +6,115 @@
 	"github.com/harrierreel/harrierreel/internal/jobs"
 )
 
-// gate tells whether a job's work may begin by the calendar.
+// gate returns whether a job's work may begin by the calendar.
 func (q *Queue) gate(spec *jobs.Spec) calendar.Verdict {
-	if q.Gate == nil {
+	if q.calendar == nil {
 		return calendar.Free
 	}
-	return q.Gate(spec)
+	return q.calendar.Gate(spec)
 }
 
-// MayBegin tells whether a job's work may begin now by the calendar.
+// MayBegin reports whether a job's work may begin now by the calendar.
 func (q *Queue) MayBegin(spec *jobs.Spec) bool {
 	v := q.gate(spec)
 	return v == calendar.Free || v == calendar.Allowed
 }
 
-// letGo gives back the room kept for windows that are about to open: each look at the
-// queue keeps it anew.
-func (q *Queue) letGo() {
-	for _, taskID := range q.kept {
-		q.Unreserve(taskID)
+// releaseWindowReservations gives back the capacity reserved for windows that are about to open:
+// each cycle reserves it anew.
+func (q *Queue) releaseWindowReservations() {
+	for _, taskID := range q.windowReservations {
+		q.state.Unreserve(taskID)
 	}
-	q.kept = nil
+	q.windowReservations = nil
 }
 
-// prepare keeps room for a job whose window is about to open, and counts what finds
-// none as waiting, so that machines are rented for it. Nothing is stopped for it yet.
-// It returns how many tasks it looked at.
-func (q *Queue) prepare(j *clusterstate.Job, p *cycle, most int) int {
-	spec := &j.Record.Spec
-	leaf := q.QuotaLeaf(spec)
-	waits := func(t *clusterstate.Task, entitled, count int) {
-		if count > 0 {
-			p.account.Charge(spec.QuotaKey(), spec.Amount(), count)
-			q.Waiting = append(
-				q.Waiting,
-				&Waiting{Task: t, Count: count, Priority: spec.PriorityOrder(), Entitled: entitled, WindowOpensSoon: true},
-			)
-		}
-	}
-	if spec.IsGang() {
-		all := q.pending(j, spec.TaskCount)
-		if len(all) < spec.TaskCount || !p.account.Allows(leaf, spec.Amount(), spec.TaskCount) {
-			return 1
-		}
-		entitled := p.account.Entitled(leaf, spec.Amount(), spec.TaskCount)
-		offers, _ := q.fitGang(all, p)
-		if offers == nil {
-			waits(all[0], entitled, spec.TaskCount)
-			return 1
-		}
-		p.account.Charge(spec.QuotaKey(), spec.Amount(), spec.TaskCount)
-		for _, o := range offers {
-			q.reserveFor(o.t, o.machine)
-		}
+// reserveForWindow reserves capacity for a job whose window is about to open, and counts what finds
+// none as waiting, so that machines are provisioned for it. Nothing is preempted for it yet. It
+// returns how many tasks it examined.
+func (q *Queue) reserveForWindow(job *clusterstate.Job, cycle *schedulingCycle, limit int) int {
+	if job.Record.Spec.IsGang() {
+		q.reserveGangForWindow(job, cycle)
 		return 1
 	}
-	tasks := q.pending(j, min(most, q.unstarted(j)))
+	tasks := q.pendingTasks(job, min(limit, q.startableCount(job)))
 	if len(tasks) == 0 {
 		return 1
 	}
-	zones := q.TasksByZone(j)
-	cands := p.candidates(q, &clusterstate.Task{Job: j})
-	for i, t := range tasks {
-		if !p.account.Allows(leaf, spec.Amount(), 1) {
+	return q.reserveTasksForWindow(job, tasks, cycle)
+}
+
+// reserveGangForWindow reserves capacity for a whole gang.
+func (q *Queue) reserveGangForWindow(job *clusterstate.Job, cycle *schedulingCycle) {
+	spec := &job.Record.Spec
+	leaf := q.state.QuotaLeaf(spec)
+	tasks := q.pendingTasks(job, spec.TaskCount)
+	if len(tasks) < spec.TaskCount || !cycle.account.Allows(leaf, spec.Amount(), spec.TaskCount) {
+		return
+	}
+	entitled := cycle.account.Entitled(leaf, spec.Amount(), spec.TaskCount)
+	placements, _ := q.fitGang(tasks, cycle)
+	if placements == nil {
+		q.addWaitingForWindow(tasks[0], entitled, spec.TaskCount, cycle)
+		return
+	}
+	cycle.account.Charge(spec.QuotaKey(), spec.Amount(), spec.TaskCount)
+	for _, o := range placements {
+		q.reserveUntilNextCycle(o.task, o.machine)
+	}
+}
+
+// reserveTasksForWindow reserves capacity for tasks one by one until one is beyond the team's limit
+// or finds none, and returns how many it examined.
+func (q *Queue) reserveTasksForWindow(
+	job *clusterstate.Job,
+	tasks []*clusterstate.Task,
+	cycle *schedulingCycle,
+) int {
+	spec := &job.Record.Spec
+	leaf := q.state.QuotaLeaf(spec)
+	zones := q.state.TasksByZone(job)
+	candidates := cycle.candidates(q, &clusterstate.Task{Job: job})
+	for i, task := range tasks {
+		if !cycle.account.Allows(leaf, spec.Amount(), 1) {
 			return i + 1
 		}
-		k := q.pickFor(t, cands, zones)
-		if k < 0 {
-			waits(t, p.account.Entitled(leaf, spec.Amount(), 1), p.account.More(leaf, spec.Amount(), q.unstarted(j)-i))
+		chosen := q.pickCandidate(task, candidates, zones)
+		if chosen < 0 {
+			entitled := cycle.account.Entitled(leaf, spec.Amount(), 1)
+			count := cycle.account.More(leaf, spec.Amount(), q.startableCount(job)-i)
+			q.addWaitingForWindow(task, entitled, count, cycle)
 			return i + 1
 		}
-		c := &cands[k]
-		q.reserveFor(t, c.Machine)
-		p.account.Charge(spec.QuotaKey(), spec.Amount(), 1)
-		c.Free = c.Free.Sub(spec.Resources())
-		zones[c.Zone]++
+		candidate := &candidates[chosen]
+		q.reserveUntilNextCycle(task, candidate.Machine)
+		cycle.account.Charge(spec.QuotaKey(), spec.Amount(), 1)
+		candidate.Free = candidate.Free.Sub(spec.Resources())
+		zones[candidate.Zone]++
 	}
 	return len(tasks)
 }
 
-// reserveFor books room for a task until the next look, under a name of its own: the task
-// is under no transaction.
-func (q *Queue) reserveFor(t *clusterstate.Task, machine string) {
-	kept := &clusterstate.Task{Task: t.Task, ID: calendar.Kept + t.ID, Index: t.Index, Job: t.Job}
-	q.Reserve(kept, machine, q.Machines[machine].Zone)
-	q.kept = append(q.kept, kept.ID)
+// addWaitingForWindow notes tasks that found no capacity ahead of their window.
+func (q *Queue) addWaitingForWindow(first *clusterstate.Task, entitled, count int, cycle *schedulingCycle) {
+	if count <= 0 {
+		return
+	}
+	spec := &first.Job.Record.Spec
+	cycle.account.Charge(spec.QuotaKey(), spec.Amount(), count)
+	q.Waiting = append(q.Waiting, &Waiting{
+		Task:            first,
+		Count:           count,
+		Priority:        spec.PriorityOrder(),
+		Entitled:        entitled,
+		WindowOpensSoon: true,
+	})
+}
+
+// reserveUntilNextCycle reserves capacity for a task until the next cycle, under an ID of its own,
+// since the task itself is under no transaction.
+func (q *Queue) reserveUntilNextCycle(task *clusterstate.Task, machineName string) {
+	reservation := &clusterstate.Task{Task: task.Task, ID: calendar.Kept + task.ID, Index: task.Index, Job: task.Job}
+	q.state.Reserve(reservation, machineName, q.state.Machines[machineName].Zone)
+	q.windowReservations = append(q.windowReservations, reservation.ID)
 }
--- /dev/null
+++ b/internal/queue/candidates.go
@@ -0,0 +1,109 @@
+package queue
+
+import (
+	"slices"
+	"sort"
+
+	"github.com/harrierreel/harrierreel/internal/clusterstate"
+	"github.com/harrierreel/harrierreel/internal/jobs"
+	"github.com/harrierreel/harrierreel/internal/sharding"
+)
+
+// Scarce reports whether the store takes few writes for the number of machines. Tasks of a job then
+// go to few shards, several at a time, and the leader names their machines in the write that
+// releases them: each task range and each transition of it costs a write of its own otherwise.
+func (q *Queue) Scarce() bool {
+	return float64(len(q.state.Machines)) > q.config.MaxWritesPerS
+}
+
+// concentrate keeps, while writes are scarce, the candidates of as few shards as hold the tasks:
+// those with the most capacity, machines with the image counted double. Spot instances come first:
+// on-demand ones of one shard must not be taken while spot instances of another have room.
+func (q *Queue) concentrate(spec *jobs.Spec, candidates []sharding.Candidate, tasks int) []sharding.Candidate {
+	if !q.Scarce() || spec.Kind != jobs.JobArray || tasks == 1 {
+		return candidates
+	}
+	var out []sharding.Candidate
+	for _, spot := range []bool{true, false} {
+		var ofKind []sharding.Candidate
+		for _, c := range candidates {
+			if c.Spot == spot {
+				ofKind = append(ofKind, c)
+			}
+		}
+		if tasks > 0 {
+			ofKind, tasks = fewestControllers(spec, ofKind, tasks)
+			out = append(out, ofKind...)
+		}
+	}
+	return out
+}
+
+// fewestControllers keeps the candidates of as few shards as hold the tasks, and returns how many
+// tasks are left over.
+func fewestControllers(spec *jobs.Spec, candidates []sharding.Candidate, tasks int) ([]sharding.Candidate, int) {
+	places, cachedPlaces := map[string]int{}, map[string]int{}
+	for i := range candidates {
+		chosen := candidates[i].Free.HowMany(spec.Resources())
+		places[candidates[i].Controller] += chosen
+		if candidates[i].HasImage {
+			cachedPlaces[candidates[i].Controller] += chosen
+		}
+	}
+	order := clusterstate.SortedKeys(places)
+	score := func(controller string) int {
+		return min(places[controller], tasks) + min(cachedPlaces[controller], tasks)
+	}
+	sort.SliceStable(order, func(a, b int) bool { return score(order[a]) > score(order[b]) })
+	used := map[string]bool{}
+	left := tasks
+	for _, controller := range order {
+		if left <= 0 {
+			break
+		}
+		used[controller] = true
+		left -= places[controller]
+	}
+	return slices.DeleteFunc(candidates, func(c sharding.Candidate) bool { return !used[c.Controller] }), left
+}
+
+// pickCandidate returns the index of the best candidate for one of a job's tasks, or -1.
+func (q *Queue) pickCandidate(task *clusterstate.Task, candidates []sharding.Candidate, zones map[string]int) int {
+	spec := &task.Job.Record.Spec
+	return sharding.PickIf(spec.Resources(), spec.Spot, candidates, func(candidate *sharding.Candidate) bool {
+		return clusterstate.ZoneAllowed(spec, zones, candidate.Zone) && (task.Zone == "" || task.Zone == candidate.Zone) &&
+			!slices.Contains(task.FailedOn, candidate.Machine)
+	})
+}
+
+// mayPropose reports whether the leader may propose a machine for any task at all.
+func (q *Queue) mayPropose(m *clusterstate.Machine) bool {
+	return q.ClaimedFor(m) == "" &&
+		!q.claimPending(m.Name) &&
+		!q.state.Now.Before(q.avoidUntil[m.Name]) &&
+		q.machines.Ready(m)
+}
+
+// canPropose reports whether the leader may propose a machine for a task.
+func (q *Queue) canPropose(task *clusterstate.Task, m *clusterstate.Machine) bool {
+	return q.mayPropose(m) && clusterstate.FitsTask(task, m)
+}
+
+// FindMachine picks the machine to propose for a task, "" if none has room.
+func (q *Queue) FindMachine(task *clusterstate.Task, zones map[string]int) string {
+	candidates := q.appendCandidates(
+		nil,
+		q.state.MachinesByName(),
+		func(m *clusterstate.Machine) bool { return q.canPropose(task, m) },
+		&task.Job.Record.Spec,
+	)
+	if i := q.pickCandidate(task, candidates, zones); i >= 0 {
+		return candidates[i].Machine
+	}
+	return ""
+}
+
+// freeCapacity returns what a machine of a known type has left; what is reserved counts as used.
+func (q *Queue) freeCapacity(m *clusterstate.Machine) sharding.Resources {
+	return q.state.MachineTypes[m.MachineType].Capacity().Sub(q.state.UsedResources(m.Name))
+}
--- a/internal/queue/claims.go
+++ b/internal/queue/claims.go
@@ -12,93 +12,95 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// claim is the machines of one gang while the leader places it: wanted until the state
-// service holds it, then held until its tasks' records are settled.
+// claim is the machines of one gang while the leader places it: pending until the store holds the
+// claim, then held until the records of the gang's tasks are settled.
 type claim struct {
-	hosts []string
-	then  func(ok bool) // once it is known whether it is held
-	asked bool          // a write with it is under way
-	held  bool
+	machines     []string
+	onSettled    func(ok bool) // called once it is known whether the store holds the claim
+	writePending bool          // a write of the claim is under way
+	held         bool
 }
 
-// Claiming tells whether a gang's machines are being claimed by this leader.
+// Claiming reports whether this leader is claiming machines for a gang.
 func (q *Queue) Claiming(jobID string) bool { return q.claims[jobID] != nil }
 
-// claim wants machines for a gang. Nothing else is released to them from now on.
-func (q *Queue) claim(jobID string, machines []string, then func(ok bool)) {
-	q.claims[jobID] = &claim{hosts: machines, then: then}
+// claimMachines claims machines for a gang. Nothing else is released to them from now on. onSettled
+// is called at most once, possibly before claimMachines returns.
+func (q *Queue) claimMachines(jobID string, machines []string, onSettled func(ok bool)) {
+	q.claims[jobID] = &claim{machines: machines, onSettled: onSettled}
 	q.ReconcileClaims()
 }
 
-// wanted tells whether a machine is wanted for a gang whose claim is not held yet.
-func (q *Queue) wanted(machine string) bool {
+// claimPending reports whether a machine belongs to a gang that this leader claims machines for; the
+// store may not hold the claim yet.
+func (q *Queue) claimPending(machineName string) bool {
 	for _, c := range q.claims {
-		if slices.Contains(c.hosts, machine) {
+		if slices.Contains(c.machines, machineName) {
 			return true
 		}
 	}
 	return false
 }
 
-// ReconcileClaims has the state service hold what this leader claims and nothing else: what
-// an earlier leader left goes with the first write. There is one write at a time.
+// ReconcileClaims makes the store hold what this leader claims and nothing else: what an earlier
+// leader left goes with the first write. There is one write at a time.
 func (q *Queue) ReconcileClaims() {
 	want := fleet.Claims{}
 	for jobID, c := range q.claims {
-		want[jobID] = c.hosts
+		want[jobID] = c.machines
 	}
-	if q.Busy(fleet.ClaimsKey) {
+	if q.commits.Busy(fleet.ClaimsKey) {
 		return
 	}
-	if maps.EqualFunc(want, q.MachineClaims, slices.Equal[[]string]) {
-		q.settleClaims(true, func(c *claim) bool { return !c.held }) // an earlier leader's stand
+	if maps.EqualFunc(want, q.state.MachineClaims, slices.Equal[[]string]) {
+		q.settleClaims(true, func(c *claim) bool { return !c.held }) // as an earlier leader left it
 		return
 	}
 	writes := q.claimWrites(want)
 	if writes == nil {
-		// No more at once: what is not held yet is looked at anew.
-		q.settleClaims(false, func(c *claim) bool { return !c.held && !c.asked })
+		// Too much for one transaction: the gangs whose claims are not held yet are examined anew.
+		q.settleClaims(false, func(c *claim) bool { return !c.held && !c.writePending })
 		return
 	}
 	for _, c := range q.claims {
-		c.asked = true
+		c.writePending = true
 	}
-	q.Commit([]decide.Decision{{Writes: writes, Urgent: true, OnSettled: func(ok bool) {
-		q.settleClaims(ok, func(c *claim) bool { return !c.held && c.asked })
+	q.commits.Commit([]decide.Decision{{Writes: writes, Urgent: true, OnSettled: func(ok bool) {
+		q.settleClaims(ok, func(c *claim) bool { return !c.held && c.writePending })
 	}}})
 }
 
-// claimWrites are the changes that have the state service hold these claims, nil if one
-// transaction cannot make them.
+// claimWrites returns the writes that make the store hold these claims, nil if one transaction
+// cannot hold them.
 func (q *Queue) claimWrites(want fleet.Claims) []store.Write {
 	var writes []store.Write
-	values := want.Divide(q.ValueBytes)
+	values := want.Divide(q.config.MaxValueBytes)
 	bytes := 0
 	for i, value := range values {
 		w := decide.Put(fleet.ClaimsKeyOf(i+1), value)
 		if len(want) == 0 {
 			w = decide.Remove(fleet.ClaimsKey)
 		}
-		if bytes += len(w.Value); len(w.Value) > q.ValueBytes {
+		if bytes += len(w.Value); len(w.Value) > q.config.MaxValueBytes {
 			return nil
 		}
 		writes = append(writes, w)
 	}
-	if len(writes) > q.TxnOps || len(writes) > 1 && bytes > tuning.MaxClaimBytes {
+	if len(writes) > q.config.MaxTxnWrites || len(writes) > 1 && bytes > tuning.MaxClaimBytes {
 		return nil
 	}
-	// What is needed no more goes with it, as far as there is room: by itself it counts for
-	// nothing.
+	// Values that are not needed any more are removed with it, as far as the transaction has room:
+	// without the first value they count for nothing.
 	for _, number := range slices.Sorted(maps.Keys(q.claimValues)) {
-		if number > len(values) && len(writes) < q.TxnOps {
+		if number > len(values) && len(writes) < q.config.MaxTxnWrites {
 			writes = append(writes, decide.Remove(fleet.ClaimsKeyOf(number)))
 		}
 	}
 	return writes
 }
 
-// ApplyClaims takes in one of the values that hold the claims. Of one that cannot be
-// read nothing counts: the leader writes it anew.
+// ApplyClaims takes in one of the values that hold the claims; nil removes it. It returns an error
+// for a value that cannot be read, of which nothing counts: the leader writes it anew.
 func (q *Queue) ApplyClaims(key string, value json.RawMessage) error {
 	claims, err := fleet.DecodeClaims(value)
 	if value == nil {
@@ -106,8 +108,8 @@
 	} else {
 		q.claimValues[fleet.ClaimsNumber(key)] = claims
 	}
-	q.MachineClaims = fleet.JoinClaims(q.claimValues)
-	q.ClaimedBy = q.MachineClaims.ByMachine()
+	q.state.MachineClaims = fleet.JoinClaims(q.claimValues)
+	q.state.ClaimedBy = q.state.MachineClaims.ByMachine()
 	return err
 }
 
@@ -118,33 +120,33 @@
 		if c == nil || !which(c) {
 			continue
 		}
-		if c.asked = false; ok {
+		if c.writePending = false; ok {
 			c.held = true
 		} else {
 			delete(q.claims, jobID)
 		}
-		c.then(ok)
+		c.onSettled(ok)
 	}
 }
 
-// ClaimedFor is the job that a machine is claimed for, "" for none. Earlier versions
-// kept it in the machine's own record.
+// ClaimedFor returns the job that a machine is claimed for, "" for none. Earlier versions kept it
+// in the machine's own record.
 func (q *Queue) ClaimedFor(m *clusterstate.Machine) string {
 	if m.Claim != "" {
 		return m.Claim
 	}
-	return q.ClaimedBy[m.Name]
+	return q.state.ClaimedBy[m.Name]
 }
 
-// DropClaims clears claims that a leader of an earlier version left in machines' records.
+// DropClaims clears claims that a leader of an earlier version left in machine records.
 func (q *Queue) DropClaims() {
-	var ds []decide.Decision
-	for _, m := range q.MachinesByName() {
+	var decisions []decide.Decision
+	for _, m := range q.state.MachinesByName() {
 		if m.Claim != "" {
-			rec := m.MachineRecord
-			rec.Claim = ""
-			ds = append(ds, decide.Decision{Writes: []store.Write{decide.Put(fleet.MachinePrefix+m.Name, rec)}})
+			record := m.MachineRecord
+			record.Claim = ""
+			decisions = append(decisions, decide.Decision{Writes: []store.Write{decide.Put(fleet.MachinePrefix+m.Name, record)}})
 		}
 	}
-	q.Commit(ds)
+	q.commits.Commit(decisions)
 }
--- /dev/null
+++ b/internal/queue/decisions.go
@@ -0,0 +1,172 @@
+package queue
+
+import (
+	"slices"
+
+	"github.com/harrierreel/harrierreel/internal/clusterstate"
+	"github.com/harrierreel/harrierreel/internal/decide"
+	"github.com/harrierreel/harrierreel/internal/fleet"
+	"github.com/harrierreel/harrierreel/internal/jobs"
+	"github.com/harrierreel/harrierreel/internal/store"
+	"github.com/harrierreel/harrierreel/internal/taskbatch"
+)
+
+// releaseDecisions returns the decisions that release tasks to the shards of the proposed machines;
+// those of the leader's own shard are placed at once. New tasks of a shard make a task range: it
+// does not matter which of a job's tasks goes where, so each shard gets consecutive ones.
+func (q *Queue) releaseDecisions(job *clusterstate.Job, placements []placement) []decide.Decision {
+	var decisions []decide.Decision
+	machinesByController := map[string][]string{}
+	var newTasks []*clusterstate.Task
+	batched := q.cluster.UsesBatches() && job.Record.Spec.Kind == jobs.JobArray
+	for _, o := range placements {
+		switch {
+		case batched && (o.task.Stored == nil || o.task.Stored.IsBatch()):
+			if decision, ok := q.batchDecision(o); ok {
+				decisions = append(decisions, decision)
+			}
+		case o.task.Stored != nil:
+			if decision, ok := q.releaseRecorded(o); ok {
+				decisions = append(decisions, decision)
+			}
+		default:
+			newTasks = append(newTasks, o.task)
+			controller := q.state.Machines[o.machine].Owner
+			machinesByController[controller] = append(machinesByController[controller], o.machine)
+		}
+	}
+	slices.SortFunc(newTasks, func(a, b *clusterstate.Task) int { return a.Index - b.Index })
+	for _, controller := range clusterstate.SortedKeys(machinesByController) {
+		machines := machinesByController[controller]
+		for len(machines) > 0 {
+			count := q.consecutiveCount(newTasks, len(machines))
+			decisions = append(
+				decisions,
+				q.beginTaskRange(job, newTasks[:count], machines[:count], q.placesDirectly, 1),
+			)
+			newTasks, machines = newTasks[count:], machines[count:]
+		}
+	}
+	return decisions
+}
+
+// batchDecision returns the decision that releases a task to a shard in a new batch record, with
+// all else that goes to that shard in the same transaction. A task that was attempted before leaves
+// its batch for that: the owner of its new machine writes it next.
+func (q *Queue) batchDecision(o placement) (decide.Decision, bool) {
+	m := q.state.Machines[o.machine]
+	decision := decide.Decision{ReadSet: []string{jobs.JobPrefix + o.task.Job.ID}}
+	var next jobs.Task
+	var ok bool
+	if q.placesDirectly(o.task, m) {
+		decision.ReadSet = append(decision.ReadSet, fleet.MachinePrefix+o.machine)
+		next, ok = q.placedTask(o.task, o.machine, m.Zone, o.task.Attempt+1)
+	} else {
+		next, ok = q.releasedTask(o.task, m)
+	}
+	if !ok {
+		return decision, false
+	}
+	if o.task.Stored != nil {
+		decision.Changes = []decide.Change{{Task: o.task, Next: next, LeavesBatch: true}}
+	}
+	decision.BatchEntries = []decide.BatchEntry{
+		{Controller: m.Owner, Entry: taskbatch.Entry{JobID: o.task.Job.ID, Index: o.task.Index, Task: next}},
+	}
+	taskID := o.task.ID
+	decision.OnSettled = func(bool) { q.state.Unreserve(taskID) }
+	return decision, true
+}
+
+// releasedTask returns a task's record released to the shard of the proposed machine, and reserves
+// the place. It is false if the task may not be released.
+func (q *Queue) releasedTask(task *clusterstate.Task, m *clusterstate.Machine) (jobs.Task, bool) {
+	next, ok := jobs.NextTask(
+		task.Task,
+		jobs.TaskEvent{Kind: jobs.Release, Controller: m.Owner, Zone: m.Zone, PreferredMachine: m.Name},
+	)
+	if ok {
+		q.state.Reserve(task, m.Name, m.Zone)
+	}
+	return next, ok
+}
+
+// releaseRecorded releases or places a task that has a record already.
+func (q *Queue) releaseRecorded(o placement) (decide.Decision, bool) {
+	m := q.state.Machines[o.machine]
+	if q.placesDirectly(o.task, m) {
+		return q.placeDecision(o.task, o.machine, m.Zone, o.task.Attempt+1)
+	}
+	next, ok := q.releasedTask(o.task, m)
+	if !ok {
+		return decide.Decision{}, false
+	}
+	taskID := o.task.ID
+	return decide.Decision{
+		Changes:   decide.TransitionTask(o.task, next),
+		ReadSet:   []string{jobs.JobPrefix + o.task.Job.ID},
+		OnSettled: func(bool) { q.state.Unreserve(taskID) },
+	}, true
+}
+
+// beginTaskRange returns the decision that writes a new range of consecutive tasks that were never
+// released. Its key must not exist yet. Tasks that placesDirectly allows are placed at once, the
+// others are released to the machine's shard.
+func (q *Queue) beginTaskRange(
+	job *clusterstate.Job,
+	tasks []*clusterstate.Task,
+	machines []string,
+	placesDirectly func(*clusterstate.Task, *clusterstate.Machine) bool,
+	attempt uint64,
+) decide.Decision {
+	decision := decide.Decision{ReadSet: []string{jobs.JobPrefix + job.ID}}
+	records := make([]jobs.Task, len(tasks))
+	for i, task := range tasks {
+		m := q.state.Machines[machines[i]]
+		if placesDirectly(task, m) {
+			records[i], _ = q.placedTask(task, machines[i], m.Zone, attempt)
+			if key := fleet.MachinePrefix + machines[i]; !slices.Contains(decision.ReadSet, key) {
+				decision.ReadSet = append(decision.ReadSet, key)
+			}
+			continue
+		}
+		records[i], _ = q.releasedTask(task, m)
+	}
+	decision.Writes = []store.Write{
+		{Put: jobs.TaskRangeKey(job.ID, tasks[0].Index), Value: jobs.EncodeTaskRange(records, q.config.MaxValueBytes)},
+	}
+	decision.OnSettled = func(bool) {
+		for _, task := range tasks {
+			q.state.Unreserve(task.ID)
+		}
+	}
+	return decision
+}
+
+// placesDirectly reports whether the leader may place a task itself: in its own shard, and while
+// writes are scarce in every shard, by the machine's record.
+func (q *Queue) placesDirectly(task *clusterstate.Task, m *clusterstate.Machine) bool {
+	if m.Owner != q.config.Name {
+		return q.Scarce() && q.canPropose(task, m)
+	}
+	return q.machines.CanPlace(task, m)
+}
+
+// placeRule reports whether the leader places a task on a machine itself rather than release it to
+// the machine's shard.
+type placeRule func(*clusterstate.Task, *clusterstate.Machine) bool
+
+func always(*clusterstate.Task, *clusterstate.Machine) bool { return true }
+
+func never(*clusterstate.Task, *clusterstate.Machine) bool { return false }
+
+// consecutiveCount returns how many of the first new tasks, up to limit, are consecutive and fit
+// one task range.
+func (q *Queue) consecutiveCount(newTasks []*clusterstate.Task, limit int) int {
+	limit = min(limit, len(newTasks), q.config.MaxRangeTasks)
+	count := 1
+	for count < limit && newTasks[count].Index == newTasks[0].Index+count {
+		count++
+	}
+	return count
+}
--- a/internal/queue/gangs.go
+++ b/internal/queue/gangs.go
@@ -9,371 +9,418 @@
 	"github.com/harrierreel/harrierreel/internal/gangs"
 	"github.com/harrierreel/harrierreel/internal/jobs"
 	"github.com/harrierreel/harrierreel/internal/sharding"
+	"github.com/harrierreel/harrierreel/internal/store"
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// releaseGang offers a resting gang to a part that can hold it whole, or lets
-// the leader place it across parts; a broken one is stopped.
-func (q *Queue) releaseGang(j *clusterstate.Job, p *cycle) {
-	spec := &j.Record.Spec
-	if q.Claiming(j.ID) {
+// releaseGang releases a gang of which nothing runs: to a shard that can hold it whole, or across
+// shards. A broken one is withdrawn.
+func (q *Queue) releaseGang(job *clusterstate.Job, cycle *schedulingCycle) {
+	spec := &job.Record.Spec
+	if q.Claiming(job.ID) {
 		return
 	}
-	if gangs.PhaseOf(spec.TaskCount, taskRecords(j)) == gangs.Broken {
-		for _, num := range slices.Sorted(maps.Keys(j.Tasks)) {
-			t := j.Tasks[num]
-			if next, ok := jobs.Withdraw(t.Task, "gang is not whole"); ok {
-				p.ds = append(p.ds, decide.Decision{Changes: decide.TransitionTask(t, next)})
-			}
-		}
-		return
-	}
-	all, attempt := q.resting(j)
-	if all == nil {
+	if gangs.PhaseOf(spec.TaskCount, taskRecords(job)) == gangs.Broken {
+		withdrawGang(job, cycle)
 		return
 	}
-	probing := q.Trust(j, "") == jobs.Probing
-	if probing {
-		for _, t := range all {
-			if q.Now.Sub(t.Since) < jobs.Backoff(int(min(attempt, 10))) {
-				return
-			}
-		}
-	}
-	leaf := q.QuotaLeaf(spec)
-	if !p.account.Allows(leaf, spec.Amount(), spec.TaskCount) {
-		if q.Overdue(j) && p.account.Tree().Ever(leaf, spec.Amount(), spec.TaskCount) {
-			// As with single tasks: what its team has left waits for it.
-			p.full[leaf] = true
-		}
-		p.rounds.starving = append(p.rounds.starving, j)
+	tasks, attempt := q.restingTasks(job)
+	if tasks == nil {
 		return
 	}
-	entitled := p.account.Entitled(leaf, spec.Amount(), spec.TaskCount)
-	p.account.Charge(spec.QuotaKey(), spec.Amount(), spec.TaskCount)
-	offers, whole := q.fitGang(all, p)
-	if offers == nil && p.rounds.second {
-		p.account.Charge(spec.QuotaKey(), spec.Amount(), -spec.TaskCount)
+	probing := q.state.Trust(job, "") == jobs.Probing
+	if probing && q.backsOff(tasks, attempt) {
 		return
 	}
-	if offers == nil && probing {
+	leaf := q.state.QuotaLeaf(spec)
+	if !cycle.account.Allows(leaf, spec.Amount(), spec.TaskCount) {
+		if q.Overdue(job) && cycle.account.Tree().Ever(leaf, spec.Amount(), spec.TaskCount) {
+			// As with single tasks: what its team has left is kept for it.
+			cycle.leavesAtLimit[leaf] = true
+		}
+		cycle.rounds.overLimit = append(cycle.rounds.overLimit, job)
 		return
 	}
+	entitled := cycle.account.Entitled(leaf, spec.Amount(), spec.TaskCount)
+	cycle.account.Charge(spec.QuotaKey(), spec.Amount(), spec.TaskCount)
+	placements, sameController := q.fitGang(tasks, cycle)
 	switch {
-	case offers != nil:
-		delete(q.noRoom, j.ID)
-	case q.lacksRoom(j):
-		p.rounds.long = append(p.rounds.long, round{j, spec.TaskCount})
-	}
-	if offers == nil && large(spec) {
-		kept, zone := q.gather(all[0], p)
-		q.Waiting = append(
-			q.Waiting,
-			&Waiting{
-				Task:     all[0],
-				Count:    spec.TaskCount - kept,
-				Priority: spec.PriorityOrder(),
-				Entitled: entitled,
-				Zone:     zone,
-				Gathers:  true,
-			},
-		)
-		return
+	case placements != nil:
+		delete(q.noCapacitySince, job.ID)
+		q.beginGang(job, tasks, placements, sameController, attempt, cycle)
+	case cycle.rounds.second:
+		cycle.account.Charge(spec.QuotaKey(), spec.Amount(), -spec.TaskCount)
+	case !probing:
+		q.addWaitingGang(job, tasks[0], entitled, cycle)
+	}
+}
+
+// withdrawGang withdraws a gang of which only some tasks run: they are of no use alone.
+func withdrawGang(job *clusterstate.Job, cycle *schedulingCycle) {
+	for _, index := range slices.Sorted(maps.Keys(job.Tasks)) {
+		task := job.Tasks[index]
+		if next, ok := jobs.Withdraw(task.Task, "gang is not whole"); ok {
+			cycle.decisions = append(cycle.decisions, decide.Decision{Changes: decide.TransitionTask(task, next)})
+		}
 	}
-	if offers == nil {
-		q.Waiting = append(
-			q.Waiting,
-			&Waiting{Task: all[0], Count: spec.TaskCount, Priority: spec.PriorityOrder(), Entitled: entitled},
-		)
-		q.holdFor(all[0].WithoutPreference(), min(spec.TaskCount, tuning.HoldEach), q.TasksByZone(j), p)
+}
+
+// backsOff reports whether a gang in doubt still waits before its next attempt.
+func (q *Queue) backsOff(tasks []*clusterstate.Task, attempt uint64) bool {
+	pause := jobs.Backoff(int(min(attempt, 10)))
+	return slices.ContainsFunc(tasks, func(task *clusterstate.Task) bool {
+		return q.state.Now.Sub(task.Since) < pause
+	})
+}
+
+// addWaitingGang notes a gang that found no room: it keeps its place in the queue, and capacity is
+// held for it, for a large gang as it comes free.
+func (q *Queue) addWaitingGang(job *clusterstate.Job, first *clusterstate.Task, entitled int, cycle *schedulingCycle) {
+	spec := &job.Record.Spec
+	if q.lacksCapacity(job) {
+		cycle.rounds.expired = append(cycle.rounds.expired, round{job, spec.TaskCount})
+	}
+	waiting := &Waiting{
+		Task:     first,
+		Count:    spec.TaskCount,
+		Priority: spec.PriorityOrder(),
+		Entitled: entitled,
+	}
+	if isLargeGang(spec) {
+		kept, zone := q.accumulate(first, cycle)
+		waiting.Count -= kept
+		waiting.Zone = zone
+		waiting.Gathers = true
+		q.Waiting = append(q.Waiting, waiting)
 		return
 	}
-	q.beginGang(j, all, offers, whole, attempt, p)
+	q.Waiting = append(q.Waiting, waiting)
+	held := min(spec.TaskCount, tuning.HoldEach)
+	q.holdMachines(first.WithoutPreference(), held, q.state.TasksByZone(job), cycle)
 }
 
-// taskRecords lists what the records say of a job's tasks.
-func taskRecords(j *clusterstate.Job) []*jobs.Task {
-	out := make([]*jobs.Task, 0, len(j.Tasks))
-	for _, t := range j.Tasks {
-		out = append(out, &t.Task)
+// taskRecords lists the records of a job's tasks.
+func taskRecords(job *clusterstate.Job) []*jobs.Task {
+	out := make([]*jobs.Task, 0, len(job.Tasks))
+	for _, task := range job.Tasks {
+		out = append(out, &task.Task)
 	}
 	return out
 }
 
-// resting is all tasks of a gang that rests, and its next try; nil if it does not rest,
-// or some of its tasks may not be tried yet or are under a transaction.
-func (q *Queue) resting(j *clusterstate.Job) ([]*clusterstate.Task, uint64) {
-	spec := &j.Record.Spec
-	records := taskRecords(j)
+// restingTasks returns all tasks of a gang of which nothing runs, and its next attempt; nil if
+// something runs, or some of its tasks back off or are under a transaction.
+func (q *Queue) restingTasks(job *clusterstate.Job) ([]*clusterstate.Task, uint64) {
+	spec := &job.Record.Spec
+	records := taskRecords(job)
 	if gangs.PhaseOf(spec.TaskCount, records) != gangs.Resting {
 		return nil, 0
 	}
-	all := q.pending(j, spec.TaskCount)
-	if len(all) < spec.TaskCount {
+	tasks := q.pendingTasks(job, spec.TaskCount)
+	if len(tasks) < spec.TaskCount {
 		return nil, 0
 	}
-	return all, gangs.NextAttempt(records)
+	return tasks, gangs.NextAttempt(records)
 }
 
-// beginGang gives a gang the machines that hold it: in one change if that is possible,
-// and otherwise they are claimed first.
+// beginGang gives a gang the machines that hold it: in one transaction if that is possible, and
+// otherwise they are claimed first.
 func (q *Queue) beginGang(
-	j *clusterstate.Job,
-	all []*clusterstate.Task,
-	offers []placement,
-	whole bool,
+	job *clusterstate.Job,
+	tasks []*clusterstate.Task,
+	placements []placement,
+	sameController bool,
 	attempt uint64,
-	p *cycle,
+	cycle *schedulingCycle,
 ) {
-	spec := &j.Record.Spec
-	// Where the leader names the machines itself, those of several parts are taken in
-	// one change as well.
-	if (whole || q.oursAll(offers)) && q.inOne(spec, offers) {
-		if d, ok := q.placeGangOffers(j, offers); ok {
-			p.ds = append(p.ds, d)
+	spec := &job.Record.Spec
+	// Where the leader places the tasks itself, machines of several shards are taken in one
+	// transaction as well.
+	if (sameController || q.placesAllDirectly(placements)) && q.fitsOneTxn(spec, placements) {
+		if decision, ok := q.releaseGangWhole(job, placements); ok {
+			cycle.decisions = append(cycle.decisions, decision)
 			return
 		}
 	}
-	machines := make([]string, len(offers))
-	for i, o := range offers {
+	machines := make([]string, len(placements))
+	for i, o := range placements {
 		machines[i] = o.machine
-		p.keep(q, o.machine, spec.Resources())
+		cycle.hold(q, o.machine, spec.Resources())
 	}
-	q.claimGang(j, all, machines, attempt)
+	q.claimGang(job, tasks, machines, attempt)
 }
 
-// inOne tells whether one transaction can place a gang, with a condition for each
-// machine and the records of all its tasks. The part that it is offered to places it
-// in one decision; a larger gang is placed on claimed machines, in several.
-func (q *Queue) inOne(spec *jobs.Spec, offers []placement) bool {
+// fitsOneTxn reports whether one transaction can place a gang, with a precondition for each machine
+// and the records of all its tasks. The shard that the gang is released to places it in one
+// decision; a larger gang is placed on claimed machines, in several.
+func (q *Queue) fitsOneTxn(spec *jobs.Spec, placements []placement) bool {
 	machines := map[string]bool{}
-	for _, o := range offers {
+	for _, o := range placements {
 		machines[o.machine] = true
 	}
-	// View, fence, quotas and claims, the job, and a slice that the first task does not begin.
-	others := 6 + q.ExtraPreconditions
-	slices := spec.TaskCount/q.MaxRangeTasks + 1
-	return len(machines)+slices+others <= q.TxnOps*tuning.PreconditionsPerOp &&
+	// View, fencing token, quotas and claims, the job, and a task range that the first task does not
+	// begin.
+	others := 6 + q.config.ExtraPreconditions
+	taskRanges := spec.TaskCount/q.config.MaxRangeTasks + 1
+	return len(machines)+taskRanges+others <= q.config.MaxTxnWrites*tuning.PreconditionsPerOp &&
 		spec.TaskCount*tuning.RangeTaskBytes <= tuning.TxnBytes
 }
 
-// oursAll tells whether the leader may place all of a gang itself.
-func (q *Queue) oursAll(offers []placement) bool {
-	return !slices.ContainsFunc(offers, func(o placement) bool { return !q.ours(o.t, q.Machines[o.machine]) })
+// placesAllDirectly reports whether the leader may place all of a gang itself.
+func (q *Queue) placesAllDirectly(placements []placement) bool {
+	return !slices.ContainsFunc(placements, func(o placement) bool {
+		return !q.placesDirectly(o.task, q.state.Machines[o.machine])
+	})
 }
 
-// placeGangOffers is the one decision that gives a whole gang to the part that all
-// its machines belong to; the leader's own part places it at once.
-func (q *Queue) placeGangOffers(j *clusterstate.Job, offers []placement) (decide.Decision, bool) {
-	one := decide.Decision{ReadSet: []string{jobs.JobPrefix + j.ID}}
-	var dones []func(bool)
-	add := func(d decide.Decision) {
-		one.Changes = append(one.Changes, d.Changes...)
-		one.Writes = append(one.Writes, d.Writes...)
-		for _, k := range d.ReadSet {
-			if !slices.Contains(one.ReadSet, k) {
-				one.ReadSet = append(one.ReadSet, k)
-			}
+// releaseGangWhole returns the one decision that releases a whole gang to the shard of all its
+// machines; where the leader may place all of it, it is placed at once. It is false, and nothing is
+// reserved, if one transaction cannot hold it.
+func (q *Queue) releaseGangWhole(job *clusterstate.Job, placements []placement) (decide.Decision, bool) {
+	joined := joinedDecision{readSet: []string{jobs.JobPrefix + job.ID}}
+	placesDirectly := placeRule(always)
+	if !q.placesAllDirectly(placements) {
+		placesDirectly = never
+	}
+	var lastAttempt uint64
+	for _, o := range placements {
+		lastAttempt = max(lastAttempt, o.task.Attempt)
+	}
+	var newTasks []*clusterstate.Task
+	var machines []string
+	for _, o := range placements {
+		if o.task.Stored == nil {
+			newTasks, machines = append(newTasks, o.task), append(machines, o.machine)
+			continue
 		}
-		dones = append(dones, d.OnSettled)
-	}
-	one.OnSettled = func(ok bool) {
-		for _, f := range dones {
-			f(ok)
+		part, ok := q.gangTaskDecision(o, placesDirectly, lastAttempt+1)
+		if !ok {
+			joined.settle(false)
+			return joined.decision(), false
 		}
+		joined.add(part)
 	}
-	place := always
-	var top uint64
-	for _, o := range offers {
-		if !q.ours(o.t, q.Machines[o.machine]) {
-			place = never
-		}
-		top = max(top, o.t.Attempt)
+	for len(newTasks) > 0 {
+		count := q.consecutiveCount(newTasks, len(newTasks))
+		joined.add(q.beginTaskRange(job, newTasks[:count], machines[:count], placesDirectly, lastAttempt+1))
+		newTasks, machines = newTasks[count:], machines[count:]
 	}
-	var fresh []*clusterstate.Task
-	var machines []string
-	for _, o := range offers {
-		m := q.Machines[o.machine]
-		switch {
-		case o.t.Stored == nil:
-			fresh, machines = append(fresh, o.t), append(machines, o.machine)
-			continue
-		case place(o.t, m):
-			d, ok := q.placing(o.t, o.machine, m.Zone, top+1)
-			if !ok {
-				one.OnSettled(false)
-				return one, false
-			}
-			add(d)
-		default:
-			next, ok := q.released(o.t, m)
-			if !ok {
-				one.OnSettled(false)
-				return one, false
-			}
-			taskID := o.t.ID
-			add(decide.Decision{Changes: decide.TransitionTask(o.t, next), OnSettled: func(bool) { q.Unreserve(taskID) }})
-		}
+	decision := joined.decision()
+	if len(decision.Keys()) > q.config.MaxTxnWrites {
+		joined.settle(false)
+		return decision, false
 	}
-	for len(fresh) > 0 {
-		k := q.run(fresh, len(fresh))
-		add(q.beginTaskRange(j, fresh[:k], machines[:k], place, top+1))
-		fresh, machines = fresh[k:], machines[k:]
+	return decision, true
+}
+
+// gangTaskDecision returns the decision for a gang's task that has a record already: it is placed
+// at once, or released to the machine's shard.
+func (q *Queue) gangTaskDecision(o placement, placesDirectly placeRule, attempt uint64) (decide.Decision, bool) {
+	m := q.state.Machines[o.machine]
+	if placesDirectly(o.task, m) {
+		return q.placeDecision(o.task, o.machine, m.Zone, attempt)
+	}
+	next, ok := q.releasedTask(o.task, m)
+	if !ok {
+		return decide.Decision{}, false
+	}
+	taskID := o.task.ID
+	return decide.Decision{
+		Changes:   decide.TransitionTask(o.task, next),
+		OnSettled: func(bool) { q.state.Unreserve(taskID) },
+	}, true
+}
+
+// joinedDecision makes one decision of several, so that one transaction commits all of them or
+// none.
+type joinedDecision struct {
+	changes []decide.Change
+	writes  []store.Write
+	readSet []string
+	settled []func(bool)
+}
+
+// add takes one more decision in; a key stands in the read set once.
+func (d *joinedDecision) add(part decide.Decision) {
+	var unread []string
+	for _, key := range part.ReadSet {
+		if !slices.Contains(d.readSet, key) && !slices.Contains(unread, key) {
+			unread = append(unread, key)
+		}
 	}
-	if len(one.Keys()) > q.TxnOps {
-		one.OnSettled(false)
-		return one, false
+	part.ReadSet = unread
+	d.addWithReads(part)
+}
+
+// addWithReads is add with all of the decision's read set, also keys that stand there already: each
+// counts among a transaction's estimated preconditions.
+func (d *joinedDecision) addWithReads(part decide.Decision) {
+	d.changes = append(d.changes, part.Changes...)
+	d.writes = append(d.writes, part.Writes...)
+	d.readSet = append(d.readSet, part.ReadSet...)
+	d.settled = append(d.settled, part.OnSettled)
+}
+
+// settle tells all of them whether they were committed.
+func (d *joinedDecision) settle(ok bool) {
+	for _, settled := range d.settled {
+		settled(ok)
 	}
-	return one, true
 }
 
-// fitGang finds a machine for every task of a gang, nil when it does not fit. whole
-// tells that all the machines are of one part.
-func (q *Queue) fitGang(all []*clusterstate.Task, p *cycle) (offers []placement, whole bool) {
-	t := all[0]
-	spec := &t.Job.Record.Spec
-	if p.hopeless(spec, spec.TaskCount) {
+// decision returns all of them as one.
+func (d *joinedDecision) decision() decide.Decision {
+	return decide.Decision{Changes: d.changes, Writes: d.writes, ReadSet: d.readSet, OnSettled: d.settle}
+}
+
+// fitGang finds a machine for every task of a gang; placements is nil if it does not fit.
+// sameController reports whether all the machines belong to one shard.
+func (q *Queue) fitGang(
+	tasks []*clusterstate.Task,
+	cycle *schedulingCycle,
+) (placements []placement, sameController bool) {
+	task := tasks[0]
+	spec := &task.Job.Record.Spec
+	if cycle.knownUnplaceable(spec, spec.TaskCount) {
 		return nil, false
 	}
-	cands := p.candidates(q, t.WithoutPreference())
-	if len(cands) == 0 {
-		p.refuse(spec, 1)
-		p.refuse(spec, spec.TaskCount)
+	candidates := cycle.candidates(q, task.WithoutPreference())
+	if len(candidates) == 0 {
+		cycle.noteUnplaceable(spec, 1)
+		cycle.noteUnplaceable(spec, spec.TaskCount)
 		return nil, false
 	}
-	zones := q.TasksByZone(t.Job)
-	machines, whole, room := gangs.Fit(
+	zones := q.state.TasksByZone(task.Job)
+	machines, sameController, fits := gangs.Fit(
 		spec,
-		cands,
+		candidates,
 		zones,
-		func(i int, cands []sharding.Candidate, zones map[string]int) int {
-			return q.pickFor(all[i], cands, zones)
+		func(i int, candidates []sharding.Candidate, zones map[string]int) int {
+			return q.pickCandidate(tasks[i], candidates, zones)
 		},
 	)
-	if !room && len(zones) == 0 {
-		p.refuse(spec, spec.TaskCount)
+	if !fits && len(zones) == 0 {
+		cycle.noteUnplaceable(spec, spec.TaskCount)
 	}
-	for i, h := range machines {
-		offers = append(offers, placement{all[i], h})
+	for i, machineName := range machines {
+		placements = append(placements, placement{tasks[i], machineName})
 	}
-	return offers, whole
+	return placements, sameController
 }
 
-// claimGang places a gang larger than a part: its machines are claimed in the
-// state service first, so that no part places anything else on them, then the
-// tasks are placed, then the claims are dropped.
-func (q *Queue) claimGang(j *clusterstate.Job, all []*clusterstate.Task, machines []string, attempt uint64) {
+// claimGang places a gang that one transaction cannot hold: its machines are claimed in the store
+// first, so that no shard places anything else on them, then the tasks are placed, then the claims
+// are dropped.
+func (q *Queue) claimGang(job *clusterstate.Job, tasks []*clusterstate.Task, machines []string, attempt uint64) {
 	unique := slices.Clone(machines)
 	slices.Sort(unique)
-	q.claim(j.ID, slices.Compact(unique), func(ok bool) {
-		ds, good := q.placeClaimed(j, all, machines, attempt, ok)
-		if !good {
-			for _, d := range ds {
-				d.OnSettled(false)
+	q.claimMachines(job.ID, slices.Compact(unique), func(ok bool) {
+		decisions, placed := q.placeClaimed(job, tasks, machines, attempt, ok)
+		if !placed {
+			for _, decision := range decisions {
+				decision.OnSettled(false)
 			}
-			delete(q.claims, j.ID)
+			delete(q.claims, job.ID)
 			return
 		}
-		left := len(ds)
-		for i := range ds {
-			inner := ds[i].OnSettled
-			ds[i].OnSettled = func(ok bool) {
+		left := len(decisions)
+		for i := range decisions {
+			inner := decisions[i].OnSettled
+			decisions[i].OnSettled = func(ok bool) {
 				inner(ok)
 				if left--; left == 0 {
-					delete(q.claims, j.ID)
+					delete(q.claims, job.ID)
 				}
 			}
-			// Part of a gang placed and part put off for want of changes would be a
-			// broken one, to be stopped.
-			ds[i].Urgent = true
+			// A gang of which part is placed and part is put off for want of writes would be broken,
+			// and withdrawn.
+			decisions[i].Urgent = true
 		}
-		q.Commit(ds)
+		q.commits.Commit(decisions)
 	})
 }
 
-// placeClaimed is the decisions that place a gang on the machines claimed for
-// it; false if the claims or the room are not there.
+// placeClaimed returns the decisions that place a gang on the machines claimed for it; false if the
+// claims or the capacity are not there. The caller then settles the decisions returned.
 func (q *Queue) placeClaimed(
-	j *clusterstate.Job,
-	all []*clusterstate.Task,
+	job *clusterstate.Job,
+	tasks []*clusterstate.Task,
 	machines []string,
 	attempt uint64,
 	claimed bool,
 ) ([]decide.Decision, bool) {
-	if !claimed || j.Record == nil {
+	if !claimed || job.Record == nil {
 		return nil, false
 	}
 	// The claim may have waited for a while, and others were charged meanwhile
 	// (docs/incidents/claimed-gangs.md).
-	if spec := &j.Record.Spec; !q.Account.Allows(q.QuotaLeaf(spec), spec.Amount(), spec.TaskCount) {
+	spec := &job.Record.Spec
+	if !q.state.Account.Allows(q.state.QuotaLeaf(spec), spec.Amount(), spec.TaskCount) {
 		return nil, false
 	}
-	need := j.Record.Spec.Resources()
-	extra := map[string]sharding.Resources{}
-	for _, h := range machines {
-		m := q.Machines[h]
-		if m == nil || q.ClaimedFor(m) != j.ID || q.MachineTypes[m.MachineType] == nil {
-			return nil, false
-		}
-		extra[h] = extra[h].Add(need)
-		if !q.MachineTypes[m.MachineType].Capacity().Sub(q.UsedResources(h)).Fits(extra[h]) {
-			return nil, false
-		}
+	if !q.claimHasCapacity(job, machines) {
+		return nil, false
 	}
-	var ds []decide.Decision
-	var fresh []*clusterstate.Task
-	var where []string
-	for i, t := range all {
-		if now := j.Tasks[t.Index]; now != nil {
-			t = now
+	var decisions []decide.Decision
+	var newTasks []*clusterstate.Task
+	var newTaskMachines []string
+	for i, task := range tasks {
+		if recorded := job.Tasks[task.Index]; recorded != nil {
+			task = recorded
 		}
-		if t.Stored == nil {
-			fresh, where = append(fresh, t), append(where, machines[i])
+		if task.Stored == nil {
+			newTasks, newTaskMachines = append(newTasks, task), append(newTaskMachines, machines[i])
 			continue
 		}
-		d, ok := q.placing(t, machines[i], q.Machines[machines[i]].Zone, attempt)
+		decision, ok := q.placeDecision(task, machines[i], q.state.Machines[machines[i]].Zone, attempt)
 		if !ok {
-			return ds, false
+			return decisions, false
 		}
-		ds = append(ds, d)
+		decisions = append(decisions, decision)
 	}
-	for len(fresh) > 0 {
-		k := q.run(fresh, len(fresh))
-		ds = append(ds, q.beginTaskRange(j, fresh[:k], where[:k], always, attempt))
-		fresh, where = fresh[k:], where[k:]
+	for len(newTasks) > 0 {
+		count := q.consecutiveCount(newTasks, len(newTasks))
+		decisions = append(decisions, q.beginTaskRange(job, newTasks[:count], newTaskMachines[:count], always, attempt))
+		newTasks, newTaskMachines = newTasks[count:], newTaskMachines[count:]
 	}
-	return ds, true
+	return decisions, true
 }
 
-// placeGang places a gang that was offered to this part, whole or not at all.
-func (q *Queue) placeGang(j *clusterstate.Job, all []*clusterstate.Task) []decide.Decision {
-	if len(all) != j.Record.Spec.TaskCount {
-		return nil
-	}
-	var records []*jobs.Task
-	for _, t := range j.Tasks {
-		records = append(records, &t.Task)
-	}
-	attempt := gangs.NextAttempt(records)
-	one := decide.Decision{}
-	var pieces []string
-	one.OnSettled = func(bool) {
-		for _, p := range pieces {
-			q.Unreserve(p)
+// claimHasCapacity reports whether the machines are claimed for a gang and have room for its tasks.
+// machines has one entry for each task.
+func (q *Queue) claimHasCapacity(job *clusterstate.Job, machines []string) bool {
+	resources := job.Record.Spec.Resources()
+	claimed := map[string]sharding.Resources{}
+	for _, machineName := range machines {
+		m := q.state.Machines[machineName]
+		if m == nil || q.ClaimedFor(m) != job.ID || q.state.MachineTypes[m.MachineType] == nil {
+			return false
+		}
+		claimed[machineName] = claimed[machineName].Add(resources)
+		if !q.freeCapacity(m).Fits(claimed[machineName]) {
+			return false
 		}
 	}
-	for _, t := range all {
-		d, ok := q.placeOne(t, attempt)
+	return true
+}
+
+// placeReleasedGang places a gang that was released to this shard, whole or not at all.
+func (q *Queue) placeReleasedGang(job *clusterstate.Job, tasks []*clusterstate.Task) []decide.Decision {
+	if len(tasks) != job.Record.Spec.TaskCount {
+		return nil
+	}
+	attempt := gangs.NextAttempt(taskRecords(job))
+	joined := joinedDecision{}
+	for _, task := range tasks {
+		part, ok := q.placeOne(task, attempt)
 		if !ok {
-			one.OnSettled(false)
-			for _, t := range all {
-				t.PlacementTriedAt = q.Now
+			joined.settle(false)
+			for _, task := range tasks {
+				task.PlacementTriedAt = q.state.Now
 			}
 			return nil // the leader takes it back
 		}
-		pieces = append(pieces, t.ID)
-		one.Changes = append(one.Changes, d.Changes...)
-		one.ReadSet = append(one.ReadSet, d.ReadSet...)
+		joined.addWithReads(part)
 	}
-	return []decide.Decision{one}
+	return []decide.Decision{joined.decision()}
 }
--- a/internal/queue/order.go
+++ b/internal/queue/order.go
@@ -10,141 +10,139 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// order lists the live jobs that wait: by rank, then what lies within a
-// guarantee, then by the share of its team beyond that, then what has waited too long
-// to begin, the oldest first, then by the time by which they must start to meet their aim.
+// order lists the live jobs that wait: by priority, then what lies within a guarantee, then by its
+// team's share beyond that, then what is overdue to begin, the oldest first, then by the time by
+// which it must start to meet its service-level objective.
 func (q *Queue) order(account *quota.Account) []*clusterstate.Job {
-	type entry struct {
-		j     *clusterstate.Job
-		rank  int
-		turn  int       // 0: within its team's guarantee
-		way   []float64 // of its leaf, for what lies beyond that
-		due   bool      // overdue to begin
-		late  bool
-		room  float64
-		start int64
-	}
-	late := func(r *jobs.Record, start int64) bool {
-		return start >= r.AcceptedMs+tuning.QueueHorizon.Milliseconds()
-	}
-	ways := map[int][]float64{}
-	entries := make([]entry, 0, len(q.Queued))
-	for _, j := range q.Queued {
-		spec := &j.Record.Spec
-		leaf := q.QuotaLeaf(spec)
+	fairSharePaths := map[int][]float64{}
+	entries := make([]queueEntry, 0, len(q.state.Queued))
+	for _, job := range q.state.Queued {
+		spec := &job.Record.Spec
+		leaf := q.state.QuotaLeaf(spec)
 		entitled := account.Entitled(leaf, spec.Amount(), 1)
-		turn := account.Tree().FairShareOrder(entitled, leaf)
-		start := q.StartBy(j.Record, turn == 0)
-		if _, known := ways[leaf]; turn > 0 && !known {
-			ways[leaf] = account.Way(leaf)
+		fairShareOrder := account.Tree().FairShareOrder(entitled, leaf)
+		startByMs := q.StartBy(job.Record, fairShareOrder == 0)
+		if _, known := fairSharePaths[leaf]; fairShareOrder > 0 && !known {
+			fairSharePaths[leaf] = account.Way(leaf)
 		}
-		entries = append(
-			entries,
-			entry{
-				j,
-				spec.PriorityOrder(),
-				turn,
-				ways[leaf],
-				q.Overdue(j),
-				late(j.Record, start),
-				spec.Accelerators * float64(spec.TaskCount-j.DoneCount),
-				start,
-			},
-		)
-	}
-	sort.Slice(entries, func(x, y int) bool {
-		a, b := &entries[x], &entries[y]
-		switch {
-		case a.rank != b.rank:
-			return a.rank < b.rank
-		case a.turn != b.turn:
-			return a.turn < b.turn
-		case a.turn > 0 && quota.CompareWays(a.way, b.way) != 0:
-			return quota.CompareWays(a.way, b.way) < 0
-		case a.due != b.due:
-			return a.due
-		case a.due && a.j.Record.AcceptedMs != b.j.Record.AcceptedMs:
-			return a.j.Record.AcceptedMs < b.j.Record.AcceptedMs
-		case a.late != b.late:
-			return !a.late
-		case !a.late && a.room != b.room:
-			return a.room < b.room
-		case a.start != b.start:
-			return a.start < b.start
-		}
-		return a.j.ID < b.j.ID
-	})
+		entries = append(entries, queueEntry{
+			job:            job,
+			priority:       spec.PriorityOrder(),
+			fairShareOrder: fairShareOrder,
+			fairSharePath:  fairSharePaths[leaf],
+			overdue:        q.Overdue(job),
+			late:           startByMs >= job.Record.AcceptedMs+tuning.QueueHorizon.Milliseconds(),
+			accelerators:   spec.Accelerators * float64(spec.TaskCount-job.DoneCount),
+			startByMs:      startByMs,
+		})
+	}
+	sort.Slice(entries, func(a, b int) bool { return entries[a].before(&entries[b]) })
 	out := make([]*clusterstate.Job, len(entries))
 	for i := range entries {
-		out[i] = entries[i].j
+		out[i] = entries[i].job
 	}
 	return out
 }
 
-// Overdue tells whether a job has waited so long to begin that it goes before all others
-// of its rank, turn and team's share. Within a class the smaller go first, so without it the
-// largest begin last, and while smaller ones keep coming never
-// (docs/incidents/largest-last.md). It hangs on the accepted time alone, so no restart makes
-// anyone wait again. Of gangs only large ones are; they begin whole. Any other job begins
-// with its first task, and what is left of it then waits in its ordinary turn.
-func (q *Queue) Overdue(j *clusterstate.Job) bool {
-	waited := time.Duration(q.NowMs()-j.Record.AcceptedMs) * time.Millisecond
-	if j.Record.Spec.IsGang() {
-		return large(&j.Record.Spec) && waited >= q.gangOverdueAfter(j.Record.Spec.Class)
-	}
-	return waited >= q.overdueAfter(j.Record.Spec.Class) && len(j.Active)+len(j.Retrying)+j.DoneCount == 0
+// queueEntry is a waiting job with what its place in the queue depends on.
+type queueEntry struct {
+	job            *clusterstate.Job
+	priority       int
+	fairShareOrder int       // 0: within its team's guarantee
+	fairSharePath  []float64 // shares along its quota leaf's path, for what lies beyond the guarantee
+	overdue        bool      // it has waited too long to begin
+	late           bool      // no objective for its start can be met any more
+	accelerators   float64   // of all its tasks that are not done
+	startByMs      int64
+}
+
+// before reports whether e goes before other.
+func (e *queueEntry) before(other *queueEntry) bool {
+	switch {
+	case e.priority != other.priority:
+		return e.priority < other.priority
+	case e.fairShareOrder != other.fairShareOrder:
+		return e.fairShareOrder < other.fairShareOrder
+	case e.fairShareOrder > 0 && quota.CompareWays(e.fairSharePath, other.fairSharePath) != 0:
+		return quota.CompareWays(e.fairSharePath, other.fairSharePath) < 0
+	case e.overdue != other.overdue:
+		return e.overdue
+	case e.overdue && e.job.Record.AcceptedMs != other.job.Record.AcceptedMs:
+		return e.job.Record.AcceptedMs < other.job.Record.AcceptedMs
+	case e.late != other.late:
+		return !e.late
+	case !e.late && e.accelerators != other.accelerators:
+		return e.accelerators < other.accelerators
+	case e.startByMs != other.startByMs:
+		return e.startByMs < other.startByMs
+	}
+	return e.job.ID < other.job.ID
+}
+
+// Overdue reports whether a job has waited so long to begin that it goes before all others of its
+// priority and its team's share. Within a class smaller jobs go first, so without it the largest
+// begin last, and never while smaller ones keep coming (docs/incidents/largest-last.md). It depends
+// on the accepted time alone, so no restart makes anyone wait again. Of gangs only large ones can
+// be overdue; they begin whole. Any other job begins with its first task, and what is left of it
+// then waits in its ordinary place.
+func (q *Queue) Overdue(job *clusterstate.Job) bool {
+	waited := time.Duration(q.state.NowMs()-job.Record.AcceptedMs) * time.Millisecond
+	if job.Record.Spec.IsGang() {
+		return isLargeGang(&job.Record.Spec) && waited >= q.gangOverdueAfter(job.Record.Spec.Class)
+	}
+	return waited >= q.overdueAfter(job.Record.Spec.Class) && len(job.Active)+len(job.Retrying)+job.DoneCount == 0
 }
 
-// overdueAfter is the wait after which a class's arrays and services are overdue: while the
-// last of its aims for starting can still be met, or where all of those are shorter than
-// making room takes, in time for the users' bound.
+// overdueAfter returns the wait after which job arrays and services of a class are overdue: while
+// the last of the class's objectives for starting can still be met, or, where all of those are
+// shorter than making room takes, in time for the bound that users were promised.
 func (q *Queue) overdueAfter(class string) time.Duration {
-	last := q.lastAim(class)
-	if last < tuning.OverdueAim {
+	lastObjective := q.lastStartObjective(class)
+	if lastObjective < tuning.OverdueAim {
 		return tuning.Overdue
 	}
-	return min(tuning.Overdue, last-tuning.OverdueMargin)
+	return min(tuning.Overdue, lastObjective-tuning.OverdueMargin)
 }
 
-// gangOverdueAfter is the wait after which a class's large gangs are overdue: once the last
-// of its aims for starting has been missed, so that they take no room from what can still
-// meet one, and in any case in time for the users' bound.
+// gangOverdueAfter returns the wait after which a class's large gangs are overdue: once the last of
+// the class's objectives for starting has been missed, so that they take no capacity from jobs that
+// can still meet one, and in any case in time for the bound that users were promised.
 func (q *Queue) gangOverdueAfter(class string) time.Duration {
-	last := q.lastAim(class)
-	if last < tuning.OverdueAim {
+	lastObjective := q.lastStartObjective(class)
+	if lastObjective < tuning.OverdueAim {
 		return tuning.GangOverdue
 	}
-	return min(tuning.GangOverdue, last+tuning.GangAimPast)
+	return min(tuning.GangOverdue, lastObjective+tuning.GangAimPast)
 }
 
-// lastAim is the last of a class's aims for starting, 0 if it has none.
-func (q *Queue) lastAim(class string) time.Duration {
-	last := time.Duration(0)
-	for _, o := range q.Objectives {
-		if o.Kind == "wait" && o.Class == class {
-			last = max(last, jobs.Seconds(o.WithinS))
+// lastStartObjective returns the last of a class's objectives for starting, 0 if it has none.
+func (q *Queue) lastStartObjective(class string) time.Duration {
+	lastObjective := time.Duration(0)
+	for _, objective := range q.config.Objectives {
+		if objective.Kind == "wait" && objective.Class == class {
+			lastObjective = max(lastObjective, jobs.Seconds(objective.WithinS))
 		}
 	}
-	return last
+	return lastObjective
 }
 
-// StartBy is the time by which a job must start to meet the next of its
-// class's aims that it still can; a job that has missed them all comes after
-// those that have not, until it has waited very long.
-func (q *Queue) StartBy(r *jobs.Record, within bool) int64 {
+// StartBy returns the time, in Unix milliseconds, by which a job must start to meet the next of its
+// class's objectives that it still can. A job that has missed them all comes after those that have
+// not, until it has waited for tuning.QueueHorizon.
+func (q *Queue) StartBy(r *jobs.Record, entitled bool) int64 {
 	late := r.AcceptedMs + tuning.QueueHorizon.Milliseconds()
 	best := late
 	consider := func(seconds float64) {
-		if t := r.AcceptedMs + int64(seconds*1000); t > q.NowMs() && t < best {
+		if t := r.AcceptedMs + int64(seconds*1000); t > q.state.NowMs() && t < best {
 			best = t
 		}
 	}
-	for _, o := range q.Objectives {
+	for _, objective := range q.config.Objectives {
 		switch {
-		case o.Kind == "guarantee" && within, o.Kind == "wait" && o.Class == r.Spec.Class:
-			consider(o.WithinS)
-		case o.Kind == "finished" && o.Class == r.Spec.Class:
-			consider(o.WithinS - r.Spec.ExpectedDurationS)
+		case objective.Kind == "guarantee" && entitled, objective.Kind == "wait" && objective.Class == r.Spec.Class:
+			consider(objective.WithinS)
+		case objective.Kind == "finished" && objective.Class == r.Spec.Class:
+			consider(objective.WithinS - r.Spec.ExpectedDurationS)
 		}
 	}
 	if r.Spec.DeadlineS != nil {
@@ -153,13 +151,13 @@
 	return best
 }
 
-// startAim is the next time by which a class's tasks should have started, 0
-// when there is none.
-func (q *Queue) startAim(r *jobs.Record, within bool) int64 {
+// nextStartObjective returns the next time, in Unix milliseconds, by which a class's tasks should
+// have started, 0 if there is none.
+func (q *Queue) nextStartObjective(r *jobs.Record, entitled bool) int64 {
 	var best int64
-	for _, o := range q.Objectives {
-		if (o.Kind == "guarantee" && within) || (o.Kind == "wait" && o.Class == r.Spec.Class) {
-			if t := r.AcceptedMs + int64(o.WithinS*1000); t > q.NowMs() && (best == 0 || t < best) {
+	for _, objective := range q.config.Objectives {
+		if (objective.Kind == "guarantee" && entitled) || (objective.Kind == "wait" && objective.Class == r.Spec.Class) {
+			if t := r.AcceptedMs + int64(objective.WithinS*1000); t > q.state.NowMs() && (best == 0 || t < best) {
 				best = t
 			}
 		}
@@ -167,62 +165,62 @@
 	return best
 }
 
-// pending lists up to most tasks of a job that wait, those that have tried
-// before first.
-func (q *Queue) pending(j *clusterstate.Job, most int) []*clusterstate.Task {
+// pendingTasks lists up to limit tasks of a job that wait, those that were attempted before first.
+func (q *Queue) pendingTasks(job *clusterstate.Job, limit int) []*clusterstate.Task {
 	var out []*clusterstate.Task
-	for _, t := range j.Retrying {
-		if t.NotBeforeMs <= q.NowMs() && !q.Busy(t.Stored.Key) {
-			out = append(out, t)
+	for _, task := range job.Retrying {
+		if task.NotBeforeMs <= q.state.NowMs() && !q.commits.Busy(task.Stored.Key) {
+			out = append(out, task)
 		}
 	}
 	sort.Slice(out, func(a, b int) bool { return out[a].Index < out[b].Index })
-	for j.FirstUnrecorded < j.Record.Spec.TaskCount && j.Tasks[j.FirstUnrecorded] != nil {
-		j.FirstUnrecorded++
+	for job.FirstUnrecorded < job.Record.Spec.TaskCount && job.Tasks[job.FirstUnrecorded] != nil {
+		job.FirstUnrecorded++
 	}
-	// Where a slice cannot be read, nobody knows which tasks it holds.
-	if j.TasksUnreadable || q.MayBeQuarantined(j.ID) {
-		return out[:min(len(out), most)]
+	// Where a task range cannot be read, nobody knows which tasks it holds.
+	if job.TasksUnreadable || q.state.MayBeQuarantined(job.ID) {
+		return out[:min(len(out), limit)]
 	}
-	for i := j.FirstUnrecorded; i < j.Record.Spec.TaskCount && len(out) < most; i++ {
-		if j.Tasks[i] != nil {
+	for i := job.FirstUnrecorded; i < job.Record.Spec.TaskCount && len(out) < limit; i++ {
+		if job.Tasks[i] != nil {
 			continue
 		}
-		taskID := jobs.TaskID(j.ID, i)
-		if _, booked := q.Reservations[taskID]; !booked {
-			out = append(out, &clusterstate.Task{Task: jobs.Task{State: jobs.Pending}, ID: taskID, Index: i, Job: j})
+		taskID := jobs.TaskID(job.ID, i)
+		if _, booked := q.state.Reservations[taskID]; !booked {
+			out = append(out, &clusterstate.Task{Task: jobs.Task{State: jobs.Pending}, ID: taskID, Index: i, Job: job})
 		}
 	}
-	if len(out) > most {
-		out = out[:most]
+	if len(out) > limit {
+		out = out[:limit]
 	}
 	return out
 }
 
-// probe is the one task that a job in doubt may try next, if any: the one that
-// has failed most, whose pause is the longest.
-func (q *Queue) probe(j *clusterstate.Job) []*clusterstate.Task {
-	if len(j.Active) > 0 {
+// probeTask returns the one task that a job in doubt may try next, if any: the one that failed most
+// often, which backs off longest.
+func (q *Queue) probeTask(job *clusterstate.Job) []*clusterstate.Task {
+	if len(job.Active) > 0 {
 		return nil
 	}
-	var most *clusterstate.Task
-	for _, t := range j.Retrying {
-		if q.Busy(t.Stored.Key) {
+	var mostFailed *clusterstate.Task
+	for _, task := range job.Retrying {
+		if q.commits.Busy(task.Stored.Key) {
 			return nil
 		}
-		if most == nil || t.Failures > most.Failures || t.Failures == most.Failures && t.Index < most.Index {
-			most = t
+		if mostFailed == nil || task.Failures > mostFailed.Failures ||
+			task.Failures == mostFailed.Failures && task.Index < mostFailed.Index {
+			mostFailed = task
 		}
 	}
-	if most == nil || most.NotBeforeMs > q.NowMs() {
+	if mostFailed == nil || mostFailed.NotBeforeMs > q.state.NowMs() {
 		return nil
 	}
-	return []*clusterstate.Task{most}
+	return []*clusterstate.Task{mostFailed}
 }
 
-// unstarted is how many more tasks of a job may start by now. Of a very large one
-// only so many are under way at once: with all of 100,000 tasks of some seconds on
-// machines, their reports took all of the controllers' processor time.
-func (q *Queue) unstarted(j *clusterstate.Job) int {
-	return max(0, min(j.Record.Spec.TaskCount-j.DoneCount, tuning.MaxActive)-len(j.Active))
+// startableCount returns how many more tasks of a job may start by now. Only tuning.MaxActive of a
+// very large job are under way at once: with all of 100,000 tasks of some seconds on machines,
+// their heartbeats took all of the controllers' processor time.
+func (q *Queue) startableCount(job *clusterstate.Job) int {
+	return max(0, min(job.Record.Spec.TaskCount-job.DoneCount, tuning.MaxActive)-len(job.Active))
 }
--- a/internal/queue/place.go
+++ b/internal/queue/place.go
@@ -11,159 +11,201 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Place puts released tasks of this part on machines.
+// Place places the tasks that were released to this controller's shard.
 func (q *Queue) Place() []decide.Decision {
-	var mine []*clusterstate.Task
-	for _, t := range q.Released {
-		if t.Controller == q.Name && t.Job.Record != nil && t.Job.Record.State == jobs.Live && !q.Busy(t.Stored.Key) &&
-			q.Now.Sub(t.PlacementTriedAt) >= tuning.PlaceAgain {
-			mine = append(mine, t)
+	released := q.releasedHere()
+	var out []decide.Decision
+	for len(released) > 0 {
+		job := released[0].Job
+		count := 1
+		for count < len(released) && released[count].Job == job {
+			count++
+		}
+		out = append(out, q.placeReleased(job, released[:count])...)
+		released = released[count:]
+	}
+	return out
+}
+
+// releasedHere lists the tasks that are released to this shard and may be placed now, by job.
+func (q *Queue) releasedHere() []*clusterstate.Task {
+	var released []*clusterstate.Task
+	for _, task := range q.state.Released {
+		if task.Controller == q.config.Name && task.Job.Record != nil && task.Job.Record.State == jobs.Live &&
+			!q.commits.Busy(task.Stored.Key) &&
+			q.state.Now.Sub(task.PlacementTriedAt) >= tuning.PlaceAgain {
+			released = append(released, task)
 		}
 	}
-	sort.Slice(mine, func(a, b int) bool {
-		if mine[a].Job != mine[b].Job {
-			return mine[a].Job.ID < mine[b].Job.ID
+	sort.Slice(released, func(a, b int) bool {
+		if released[a].Job != released[b].Job {
+			return released[a].Job.ID < released[b].Job.ID
 		}
-		return mine[a].Index < mine[b].Index
+		return released[a].Index < released[b].Index
 	})
+	return released
+}
+
+// placeReleased places released tasks of one job: a gang whole, others each by itself.
+func (q *Queue) placeReleased(job *clusterstate.Job, tasks []*clusterstate.Task) []decide.Decision {
+	if job.Record.Spec.IsGang() {
+		return q.placeReleasedGang(job, tasks)
+	}
 	var out []decide.Decision
-	for len(mine) > 0 {
-		j := mine[0].Job
-		k := 1
-		for k < len(mine) && mine[k].Job == j {
-			k++
-		}
-		if j.Record.Spec.IsGang() {
-			out = append(out, q.placeGang(j, mine[:k])...)
+	for _, task := range tasks {
+		if decision, ok := q.placeOne(task, task.Attempt+1); ok {
+			out = append(out, decision)
 		} else {
-			for _, t := range mine[:k] {
-				if d, ok := q.placeOne(t, t.Attempt+1); ok {
-					out = append(out, d)
-				} else {
-					t.PlacementTriedAt = q.Now
-				}
-			}
+			task.PlacementTriedAt = q.state.Now
 		}
-		mine = mine[k:]
 	}
 	return out
 }
 
-// placeOne picks a machine of this part and makes the decision.
-func (q *Queue) placeOne(t *clusterstate.Task, attempt uint64) (decide.Decision, bool) {
-	spec := &t.Job.Record.Spec
-	machine := ""
-	if m := q.Machines[t.PreferredMachine]; m != nil && q.CanPlace(t, m) {
-		free := q.MachineTypes[m.MachineType].Capacity().Sub(q.UsedResources(t.PreferredMachine))
-		if !t.PreferenceReleased {
-			free = free.Add(t.Resources) // its own booking is there for it
+// placeOne picks a machine of this shard for a task and returns the decision that places it.
+func (q *Queue) placeOne(task *clusterstate.Task, attempt uint64) (decide.Decision, bool) {
+	machineName := q.pickOwnMachine(task)
+	if machineName == "" {
+		return decide.Decision{}, false
+	}
+	decision, ok := q.placeDecision(task, machineName, task.Zone, attempt)
+	decision.ReadSet = append(decision.ReadSet, fleet.ClaimsKey) // not on a machine that was claimed meanwhile
+	return decision, ok
+}
+
+// pickOwnMachine picks a machine of this shard for a task, the proposed one if it still has room;
+// "" if there is none.
+func (q *Queue) pickOwnMachine(task *clusterstate.Task) string {
+	spec := &task.Job.Record.Spec
+	if m := q.state.Machines[task.PreferredMachine]; m != nil && q.machines.CanPlace(task, m) {
+		free := q.freeCapacity(m)
+		if !task.PreferenceReleased {
+			free = free.Add(task.Resources) // its own reservation is for it
 		}
 		if free.Fits(spec.Resources()) {
-			machine = t.PreferredMachine
+			return task.PreferredMachine
 		}
 	}
-	if machine == "" {
-		b := q.appendCandidates(
-			nil,
-			q.MachinesByName(),
-			func(m *clusterstate.Machine) bool { return m.Owner == q.Name && q.CanPlace(t, m) },
-			spec,
-		)
-		if i := sharding.Pick(spec.Resources(), spec.Spot, b); i >= 0 {
-			machine = b[i].Machine
-		}
-	}
-	if machine == "" {
-		return decide.Decision{}, false
+	candidates := q.appendCandidates(
+		nil,
+		q.state.MachinesByName(),
+		func(m *clusterstate.Machine) bool { return m.Owner == q.config.Name && q.machines.CanPlace(task, m) },
+		spec,
+	)
+	if i := sharding.Pick(spec.Resources(), spec.Spot, candidates); i >= 0 {
+		return candidates[i].Machine
 	}
-	d, ok := q.placing(t, machine, t.Zone, attempt)
-	d.ReadSet = append(d.ReadSet, fleet.ClaimsKey) // not on what was claimed meanwhile
-	return d, ok
+	return ""
 }
 
-// placing is the decision that puts a task on a machine. The machine's record
-// is among its conditions: a machine condemned meanwhile takes no task.
-func (q *Queue) placing(t *clusterstate.Task, machine, zone string, attempt uint64) (decide.Decision, bool) {
-	next, ok := q.placed(t, machine, zone, attempt)
+// placeDecision returns the decision that places a task on a machine. The machine's record is among
+// its preconditions: a machine that is decommissioned meanwhile takes no task.
+func (q *Queue) placeDecision(
+	task *clusterstate.Task,
+	machineName, zone string,
+	attempt uint64,
+) (decide.Decision, bool) {
+	next, ok := q.placedTask(task, machineName, zone, attempt)
 	if !ok {
 		return decide.Decision{}, false
 	}
-	taskID := t.ID
+	taskID := task.ID
 	return decide.Decision{
-		Changes:   decide.TransitionTask(t, next),
-		ReadSet:   []string{jobs.JobPrefix + t.Job.ID, fleet.MachinePrefix + machine},
-		OnSettled: func(bool) { q.Unreserve(taskID) },
+		Changes:   decide.TransitionTask(task, next),
+		ReadSet:   []string{jobs.JobPrefix + task.Job.ID, fleet.MachinePrefix + machineName},
+		OnSettled: func(bool) { q.state.Unreserve(taskID) },
 	}, true
 }
 
-// placed is a task's record on a machine; it books the place.
-func (q *Queue) placed(t *clusterstate.Task, machine, zone string, attempt uint64) (jobs.Task, bool) {
-	next, ok := jobs.NextTask(t.Task, jobs.TaskEvent{Kind: jobs.Place, Machine: machine, Zone: zone, Attempt: attempt})
+// placedTask returns a task's record placed on a machine, and reserves the place. It is false if
+// the task may not be placed.
+func (q *Queue) placedTask(task *clusterstate.Task, machineName, zone string, attempt uint64) (jobs.Task, bool) {
+	next, ok := jobs.NextTask(task.Task, jobs.TaskEvent{
+		Kind:    jobs.Place,
+		Machine: machineName,
+		Zone:    zone,
+		Attempt: attempt,
+	})
 	if !ok {
 		return next, false
 	}
-	q.Log.Debug("places",
-		"task", t.ID, "class", t.Job.Record.Spec.Class, "machine", machine, "kind", q.Machines[machine].MachineType,
-		"cheap", q.Machines[machine].Spot, "try", attempt, "cached", q.HasImage(machine, t.Job.Record.Spec.Image),
-		"since_accepted_ms", q.NowMs()-t.Job.Record.AcceptedMs)
-	q.Reserve(t, machine, q.Machines[machine].Zone)
+	m := q.state.Machines[machineName]
+	record := task.Job.Record
+	q.config.Log.Debug("task placed",
+		"task_id", task.ID,
+		"class", record.Spec.Class,
+		"machine", machineName,
+		"machine_type", m.MachineType,
+		"spot", m.Spot,
+		"attempt", attempt,
+		"image_cached", q.state.HasImage(machineName, record.Spec.Image),
+		"since_accepted_ms", q.state.NowMs()-record.AcceptedMs,
+	)
+	q.state.Reserve(task, machineName, m.Zone)
 	return next, true
 }
 
-// appendCandidates lists those of some machines that have room for a task of a job and
-// that takes allows, in the room of out.
+// appendCandidates lists those of the machines that have room for a task of a job and that accepts
+// allows. It reuses the memory of out.
 func (q *Queue) appendCandidates(
 	out []sharding.Candidate,
-	among []*clusterstate.Machine,
-	takes func(*clusterstate.Machine) bool,
+	machines []*clusterstate.Machine,
+	accepts func(*clusterstate.Machine) bool,
 	spec *jobs.Spec,
 ) []sharding.Candidate {
 	out = out[:0]
-	var b *jobs.MachineType
-	var whole sharding.Resources
+	var machineType *jobs.MachineType
+	var capacity sharding.Resources
 	need := spec.Resources()
-	for _, m := range among {
+	for _, m := range machines {
 		if m.State != fleet.Up {
 			continue
 		}
-		if b == nil || b.Name != m.MachineType { // machines of a type mostly follow one another
-			if b = q.MachineTypes[m.MachineType]; b == nil {
+		if machineType == nil || machineType.Name != m.MachineType { // neighbours mostly share a type
+			if machineType = q.state.MachineTypes[m.MachineType]; machineType == nil {
 				continue
 			}
-			whole = b.Capacity()
+			capacity = machineType.Capacity()
 		}
 		used := m.Usage.Resources
-		if !whole.Sub(used).Fits(need) || !takes(m) {
+		if !capacity.Sub(used).Fits(need) || !accepts(m) {
 			continue
 		}
-		c := sharding.Candidate{
-			Machine: m.Name, Capacity: whole, Free: whole.Sub(used), Spot: m.Spot, Zone: m.Zone, Controller: m.Owner,
-			Load: used.ShareOf(whole), HasImage: q.HasImage(m.Name, spec.Image),
+		candidate := sharding.Candidate{
+			Machine:    m.Name,
+			Capacity:   capacity,
+			Free:       capacity.Sub(used),
+			Spot:       m.Spot,
+			Zone:       m.Zone,
+			Controller: m.Owner,
+			Load:       used.ShareOf(capacity),
+			HasImage:   q.state.HasImage(m.Name, spec.Image),
 		}
-		if !c.HasImage && b.ImageGBPerS > 0 {
-			c.ImagePullS = q.pullS(m, b, spec)
+		if !candidate.HasImage && machineType.ImageGBPerS > 0 {
+			candidate.ImagePullS = q.imagePullSeconds(m, machineType, spec)
 		}
-		out = append(out, c)
+		out = append(out, candidate)
 	}
 	return out
 }
 
-// TakeBack withdraws tasks that their part did not place.
+// TakeBack withdraws released tasks that their shard did not place, at once if its controller has
+// left the view. The leader calls it.
 func (q *Queue) TakeBack() {
-	var ds []decide.Decision
-	for _, taskID := range clusterstate.SortedKeys(q.Released) {
-		t := q.Released[taskID]
-		gone := q.HasLeftView(t.Controller)
-		if !gone && q.Now.Sub(t.Since) < tuning.ReleaseStale {
+	var decisions []decide.Decision
+	for _, taskID := range clusterstate.SortedKeys(q.state.Released) {
+		task := q.state.Released[taskID]
+		gone := q.cluster.HasLeftView(task.Controller)
+		if !gone && q.state.Now.Sub(task.Since) < tuning.ReleaseStale {
 			continue
 		}
-		if !gone && t.PreferredMachine != "" {
-			q.Avoid(t.PreferredMachine, q.Now.Add(tuning.AvoidAfter))
+		if !gone && task.PreferredMachine != "" {
+			q.Avoid(task.PreferredMachine, q.state.Now.Add(tuning.AvoidAfter))
 		}
-		next, ok := jobs.NextTask(t.Task, jobs.TaskEvent{Kind: jobs.TakeBack})
-		if ok && !q.Busy(t.Stored.Key) {
-			ds = append(ds, decide.Decision{Changes: decide.TransitionTask(t, next)})
+		next, ok := jobs.NextTask(task.Task, jobs.TaskEvent{Kind: jobs.TakeBack})
+		if ok && !q.commits.Busy(task.Stored.Key) {
+			decisions = append(decisions, decide.Decision{Changes: decide.TransitionTask(task, next)})
 		}
 	}
-	q.Commit(ds)
+	q.commits.Commit(decisions)
 }
--- a/internal/queue/preempt.go
+++ b/internal/queue/preempt.go
@@ -1,6 +1,7 @@
 package queue
 
 import (
+	"maps"
 	"time"
 
 	"github.com/harrierreel/harrierreel/internal/clusterstate"
@@ -11,15 +12,15 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// making is room being made for a task by stopping others.
-type making struct {
-	until  time.Time // not again before
-	cached bool      // on a machine that holds its image
+// pendingPreemption is room being made for a task by preempting others.
+type pendingPreemption struct {
+	until         time.Time // no other preemption for the task before
+	onCachedImage bool      // on a machine that holds its image
 }
 
-// lowerRuns tells whether any task of a lower rank is on a machine.
-func (q *Queue) lowerRuns(priority int) bool {
-	for _, count := range q.PlacedByPriority[priority+1:] {
+// hasPlacedBelow reports whether any task of a lower priority is on a machine.
+func (q *Queue) hasPlacedBelow(priority int) bool {
+	for _, count := range q.state.PlacedByPriority[priority+1:] {
 		if count > 0 {
 			return true
 		}
@@ -27,127 +28,128 @@
 	return false
 }
 
-// preempt makes room for waiting tasks by stopping tasks of lower rank, and for
-// those inside their team's guarantee also by stopping what other teams run
-// beyond theirs. One machine at a time is cleared for a task, and not again for
-// a while.
-func (q *Queue) preempt(p *cycle) {
-	for _, w := range q.Waiting {
-		spec := &w.Task.Job.Record.Spec
-		if !w.within() && !q.lowerRuns(w.Priority) || spec.IsGang() || w.WindowOpensSoon {
+// preempt makes room for waiting tasks by preempting tasks of lower priority, and for those within
+// their team's guarantee also what other teams run beyond theirs. One machine at a time is cleared
+// for a task, and not again for a while.
+func (q *Queue) preempt(cycle *schedulingCycle) {
+	for _, waiting := range q.Waiting {
+		mayPreempt := waiting.isEntitled() || q.hasPlacedBelow(waiting.Priority)
+		if !mayPreempt || waiting.Task.Job.Record.Spec.IsGang() || waiting.WindowOpensSoon {
 			continue
 		}
-		for _, t := range w.Tasks {
-			if _, asked := p.lent.of[t.ID]; !asked && !q.Now.Before(q.preempted[t.ID].until) {
-				q.stopFor(&Waiting{Task: t, Priority: w.Priority, Entitled: w.Entitled}, false, p)
+		for _, task := range waiting.Tasks {
+			_, requested := cycle.loans.byTask[task.ID]
+			if requested || q.state.Now.Before(q.preemptions[task.ID].until) {
+				continue
 			}
+			q.preemptFor(&Waiting{Task: task, Priority: waiting.Priority, Entitled: waiting.Entitled}, false, cycle)
 		}
 	}
-	for taskID, m := range q.preempted {
-		if q.Now.After(m.until) {
-			delete(q.preempted, taskID)
-		}
-	}
-	for jobID, h := range q.holds {
-		if q.Now.Sub(h.at) > tuning.HoldAgain {
-			delete(q.holds, jobID)
-		}
-	}
+	maps.DeleteFunc(q.preemptions, func(_ string, p pendingPreemption) bool { return q.state.Now.After(p.until) })
+	maps.DeleteFunc(q.holds, func(_ string, held heldCapacity) bool {
+		return q.state.Now.Sub(held.chosenAt) > tuning.HoldAgain
+	})
 }
 
-// stopFor stops tasks to make room for a waiting one. It tells whether it did.
-func (q *Queue) stopFor(w *Waiting, onlyCached bool, p *cycle) bool {
-	if q.loans != nil && w.Task.Job.Record.Spec.Kind == jobs.Service {
-		if !onlyCached && q.lend(w, false, 0, p) {
+// preemptFor preempts tasks, or requests a loan, to make room for a waiting one. It reports whether
+// it did.
+func (q *Queue) preemptFor(waiting *Waiting, onlyCached bool, cycle *schedulingCycle) bool {
+	task := waiting.Task
+	if q.loans != nil && task.Job.Record.Spec.Kind == jobs.Service {
+		if !onlyCached && q.requestLoan(waiting, false, 0, cycle) {
 			return true
 		}
 		if !q.loans.ByPriority {
 			return false
 		}
 	}
-	if p.searches >= tuning.MaxSearches {
+	if cycle.victimSearches >= tuning.MaxSearches {
 		return false
 	}
-	p.searches++
-	var ds []decide.Decision
-	victims := preempt.Victims(q.State, preempt.Search{
-		Task:          w.Task,
-		Priority:      w.Priority,
-		Entitled:      w.Entitled,
-		Account:       p.account,
-		Zones:         q.TasksByZone(w.Task.Job),
+	cycle.victimSearches++
+	victims := preempt.Victims(q.state, preempt.Search{
+		Task:          task,
+		Priority:      waiting.Priority,
+		Entitled:      waiting.Entitled,
+		Account:       cycle.account,
+		Zones:         q.state.TasksByZone(task.Job),
 		OnlyWithImage: onlyCached,
-		Open:          func(m *clusterstate.Machine) bool { return q.offers(w.Task, m) },
-		Busy:          q.Busy,
-		Stopping:      p.stopping,
+		Open:          func(m *clusterstate.Machine) bool { return q.canPropose(task, m) },
+		Busy:          q.commits.Busy,
+		Stopping:      cycle.stopping,
 	})
-	for _, v := range victims {
-		if next, ok := jobs.NextTask(v.Task, jobs.TaskEvent{Kind: jobs.Stop, Reason: "makes room for " + w.Task.ID}); ok {
-			ds = append(ds, decide.Decision{Changes: decide.TransitionTask(v, next)})
-			p.stopping[v] = true
+	stop := jobs.TaskEvent{Kind: jobs.Stop, Reason: "makes room for " + task.ID}
+	stopped := false
+	for _, victim := range victims {
+		if next, ok := jobs.NextTask(victim.Task, stop); ok {
+			cycle.decisions = append(cycle.decisions, decide.Decision{Changes: decide.TransitionTask(victim, next)})
+			cycle.stopping[victim] = true
+			stopped = true
 		}
 	}
-	if len(ds) > 0 {
-		q.preempted[w.Task.ID] = making{q.Now.Add(tuning.PreemptAgain), onlyCached}
+	if stopped {
+		q.preemptions[task.ID] = pendingPreemption{q.state.Now.Add(tuning.PreemptAgain), onlyCached}
 	}
-	p.ds = append(p.ds, ds...)
-	return len(ds) > 0
+	return stopped
 }
 
-// clearCached tells whether a task should wait a moment for room on a machine
-// that holds its image rather than go to one that would have to fetch it: when
-// the fetch would take it past its aim, and it may stop others there.
-func (q *Queue) clearCached(w *Waiting, machine string, p *cycle) bool {
-	rec := w.Task.Job.Record
-	if q.loans != nil && rec.Spec.Kind == jobs.Service && q.lendCached(w, machine, p) {
-		p.keep(q, machine, rec.Spec.Resources())
-		return true
-	}
-	if (w.Priority > 1 && !w.within()) || q.HasImage(machine, rec.Spec.Image) {
+// awaitCachedMachine reports whether a task should wait a moment for room on a machine that holds
+// its image rather than go to one that would have to pull it: when the pull would take it past its
+// objective, and it may preempt others there. The machine that would have to pull is held
+// meanwhile.
+func (q *Queue) awaitCachedMachine(waiting *Waiting, machineName string, cycle *schedulingCycle) bool {
+	spec := &waiting.Task.Job.Record.Spec
+	awaits := q.loans != nil && spec.Kind == jobs.Service && q.awaitCachedLoan(waiting, machineName, cycle) ||
+		q.awaitCachedByPreemption(waiting, machineName, cycle)
+	if awaits {
+		cycle.hold(q, machineName, spec.Resources())
+	}
+	return awaits
+}
+
+// awaitCachedByPreemption is awaitCachedMachine without loans.
+func (q *Queue) awaitCachedByPreemption(waiting *Waiting, machineName string, cycle *schedulingCycle) bool {
+	record := waiting.Task.Job.Record
+	if (waiting.Priority > 1 && !waiting.isEntitled()) || q.state.HasImage(machineName, record.Spec.Image) {
 		return false
 	}
-	rate := q.MachineTypes[q.Machines[machine].MachineType].ImageGBPerS
-	aim := q.startAim(rec, w.within())
-	if rate <= 0 || aim < q.NowMs() || q.NowMs()+int64(rec.Spec.ImageGB/rate*1000) <= aim {
+	imageGBPerS := q.state.MachineTypes[q.state.Machines[machineName].MachineType].ImageGBPerS
+	startByMs := q.nextStartObjective(record, waiting.isEntitled())
+	if imageGBPerS <= 0 || startByMs < q.state.NowMs() ||
+		q.state.NowMs()+int64(record.Spec.ImageGB/imageGBPerS*1000) <= startByMs {
 		return false
 	}
-	if m := q.preempted[w.Task.ID]; q.Now.Before(m.until) {
-		// Room is being made; if it does not come at once, go elsewhere. What
-		// has been found already is kept meanwhile: others would take it.
-		if !m.cached || m.until.Sub(q.Now) < tuning.PreemptAgain-tuning.ClearWait {
-			return false
-		}
-		p.keep(q, machine, rec.Spec.Resources())
-		return true
+	if pending := q.preemptions[waiting.Task.ID]; q.state.Now.Before(pending.until) {
+		// Room is being made; if it does not come at once, go elsewhere. The machine that was found
+		// already is held meanwhile: others would take it.
+		return pending.onCachedImage && pending.until.Sub(q.state.Now) >= tuning.PreemptAgain-tuning.ClearWait
 	}
-	if !q.stopFor(w, true, p) {
-		return false
-	}
-	p.keep(q, machine, rec.Spec.Resources())
-	return true
+	return q.preemptFor(waiting, true, cycle)
 }
 
-// giveBack stops what others borrowed, where that alone keeps a job out of what it is
-// guaranteed: in a tree the limit that it meets may be one that it shares.
-func (q *Queue) giveBack(j *clusterstate.Job, p *cycle) {
-	spec := &j.Record.Spec
-	entitled := p.account.Entitled(q.QuotaLeaf(spec), spec.Amount(), 1)
-	if entitled < 0 || !p.account.Tree().Shaped() || q.Now.Before(q.preempted[j.ID].until) {
+// reclaimQuota preempts what others borrowed, where that alone keeps a job from what it is
+// guaranteed: in a tree of quotas the limit that it meets may be one that it shares.
+func (q *Queue) reclaimQuota(job *clusterstate.Job, cycle *schedulingCycle) {
+	spec := &job.Record.Spec
+	leaf := q.state.QuotaLeaf(spec)
+	entitled := cycle.account.Entitled(leaf, spec.Amount(), 1)
+	if entitled < 0 || !cycle.account.Tree().Shaped() || q.state.Now.Before(q.preemptions[job.ID].until) {
 		return
 	}
 	count := 0
-	for attempt := p.account.Clone(); count < min(q.unstarted(j), tuning.GiveBackEach) && attempt.Entitled(q.QuotaLeaf(spec), spec.Amount(), 1) >= 0; count++ {
-		attempt.Charge(spec.QuotaKey(), spec.Amount(), 1)
-	}
-	for _, s := range quotareclaim.For(q.State, p.account, entitled, spec, count) {
-		if next, ok := jobs.Withdraw(
-			s.Task.Task,
-			"gives back of "+s.Path+" what "+j.ID+" is guaranteed",
-		); ok && !p.stopping[s.Task] &&
-			!q.Busy(s.Task.Stored.Key) {
-			p.ds = append(p.ds, decide.Decision{Changes: decide.TransitionTask(s.Task, next)})
-			p.stopping[s.Task] = true
-			q.preempted[j.ID] = making{until: q.Now.Add(tuning.ReclaimEvery)}
+	wanted := min(q.startableCount(job), tuning.GiveBackEach)
+	trial := cycle.account.Clone()
+	for count < wanted && trial.Entitled(leaf, spec.Amount(), 1) >= 0 {
+		trial.Charge(spec.QuotaKey(), spec.Amount(), 1)
+		count++
+	}
+	for _, s := range quotareclaim.For(q.state, cycle.account, entitled, spec, count) {
+		next, ok := jobs.Withdraw(s.Task.Task, "gives back of "+s.Path+" what "+job.ID+" is guaranteed")
+		if !ok || cycle.stopping[s.Task] || q.commits.Busy(s.Task.Stored.Key) {
+			continue
 		}
+		cycle.decisions = append(cycle.decisions, decide.Decision{Changes: decide.TransitionTask(s.Task, next)})
+		cycle.stopping[s.Task] = true
+		q.preemptions[job.ID] = pendingPreemption{until: q.state.Now.Add(tuning.ReclaimEvery)}
 	}
 }
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -1,7 +1,8 @@
-// Package queue is the slice that gives room to what waits: the order of the queue,
-// the leader's look at it (pass.go), room kept and chosen (room.go), who makes way
-// for whom (preempt.go), gangs (gangs.go), and what an owner places in its part
-// (place.go). Decisions come out; it has no IO and no clock.
+// Package queue schedules the tasks that wait: the order of the queue (order.go), the leader's
+// scheduling cycle (release.go, cycle.go, rounds.go), the choice of machines (candidates.go), gangs
+// (gangs.go, claims.go, accumulation.go), preemption (preempt.go), loans (lending.go), the starvation
+// guard (starvation.go), and what the owner of a shard places in it (place.go). It returns and commits
+// decisions; it has no IO and no clock.
 package queue
 
 import (
@@ -17,102 +18,164 @@
 	"github.com/harrierreel/harrierreel/internal/settings"
 )
 
-// Env is what the queue is told from outside: settings, and what others know.
-type Env struct {
-	Name          string // this controller
-	Objectives    []settings.Objective
-	TxnOps        int     // puts and deletes of a transaction
-	ValueBytes    int     // bytes of a slice's record
-	MaxRangeTasks int     // tasks of a slice
-	WriteRPS      float64 // changes a second of all controllers
-	Log           *slog.Logger
-
-	// Busy tells whether a record is under a transaction.
-	Busy func(key string) bool
-	// Allows tells whether the budget allows so many changes now, after those spent.
-	Allows func(spent, writes int) bool
-	// HasSpareWrites tells whether there is budget to spare.
-	HasSpareWrites func() bool
-	// Ready tells whether a machine takes new tasks at all, by its record.
-	Ready func(m *clusterstate.Machine) bool
-	// CanPlace tells whether a task may go on a machine of this part now.
-	CanPlace func(t *clusterstate.Task, m *clusterstate.Machine) bool
-	// UsesBatches tells whether tasks are given away in packs of many jobs.
-	UsesBatches func() bool
-	// HasLeftView tells whether a controller is not in the view.
-	HasLeftView func(part string) bool
-	// Commit takes decisions.
-	Commit func([]decide.Decision)
-	// Lending is how GPUs are lent to serving, nil for not at all.
-	Lending *settings.Lending
-	// Gate tells whether work may begin by the calendar, nil if there is none; MoreConds
-	// is how many conditions more a decision may have because of it.
-	Gate               func(*jobs.Spec) calendar.Verdict
+// Config is what the queue is told once: names, limits and the operators' settings.
+type Config struct {
+	// Name is this controller's.
+	Name string
+	// Objectives are the service-level objectives of the cluster.
+	Objectives []settings.Objective
+	// MaxTxnWrites is how many puts and deletes a transaction may have.
+	MaxTxnWrites int
+	// MaxValueBytes is the length that no value in the store may exceed.
+	MaxValueBytes int
+	// MaxRangeTasks is how many tasks a task range may hold.
+	MaxRangeTasks int
+	// MaxWritesPerS is how many writes the store takes a second, of all controllers together.
+	MaxWritesPerS float64
+	// ExtraPreconditions is how many preconditions more a decision may have because of the calendar.
 	ExtraPreconditions int
+	// Lending says how GPUs are lent to services, nil for not at all.
+	Lending *settings.Lending
+	Log     *slog.Logger
+}
+
+// WriteBudget is the share of the store's writes that this controller may use.
+type WriteBudget interface {
+	// Allows reports whether so many writes may be made now, after those spent.
+	Allows(spent, writes int) bool
+	// HasSpareWrites reports whether there is budget left for writes that are not urgent.
+	HasSpareWrites() bool
+}
+
+// CommitQueue takes decisions and writes them in transactions.
+type CommitQueue interface {
+	// Busy reports whether a transaction that writes the record is under way.
+	Busy(key string) bool
+	// Commit takes decisions; each is told by its OnSettled whether it was committed.
+	Commit(decisions []decide.Decision)
+}
+
+// MachineAdmission says where tasks may go by what is known of the machines themselves.
+type MachineAdmission interface {
+	// Ready reports whether a machine takes new tasks at all, by its record.
+	Ready(m *clusterstate.Machine) bool
+	// CanPlace reports whether a task may go on a machine of this controller's shard now.
+	CanPlace(task *clusterstate.Task, m *clusterstate.Machine) bool
 }
 
-// Queue is what waits, and what is done about it.
+// ClusterView is what the controllers agree on.
+type ClusterView interface {
+	// HasLeftView reports whether a controller is not in the view.
+	HasLeftView(controller string) bool
+	// UsesBatches reports whether every controller reads batch records, so that tasks may be released
+	// in them.
+	UsesBatches() bool
+}
+
+// Calendar says when work may begin.
+type Calendar interface {
+	// Gate returns whether a job's work may begin now, soon or not yet.
+	Gate(spec *jobs.Spec) calendar.Verdict
+}
+
+// Collaborators are what the queue calls.
+type Collaborators struct {
+	Budget   WriteBudget
+	Commits  CommitQueue
+	Machines MachineAdmission
+	Cluster  ClusterView
+	Calendar Calendar // nil if there is none: all work may begin at any time
+}
+
+// Queue is the jobs that wait, and what the leader and the owner of a shard do about them. It is
+// used by the controller's loop alone.
 type Queue struct {
-	*clusterstate.State
-	Env
+	state    *clusterstate.State
+	config   Config
+	budget   WriteBudget
+	commits  CommitQueue
+	machines MachineAdmission
+	cluster  ClusterView
+	calendar Calendar
 
-	// Waiting is what found no room in the last look.
+	// Waiting is what found no room in the last scheduling cycle.
 	Waiting []*Waiting
 
-	examined            map[*clusterstate.Job]bool // that the last look with changes to spend came to
-	avoid               map[string]time.Time       // machines not offered for a while
-	noRoom              map[string]time.Time       // jobs, since when they have found no room
-	preempted           map[string]making          // tasks that room is made for
-	holds               map[string]heldCapacity    // machines kept, by job
-	claimValues         map[int]fleet.Claims       // what the state service holds, by number
-	claims              map[string]*claim          // of gangs that are being placed
-	gatherings          map[string]*gathering
-	starving            map[string]starvation // jobs that others are served before, though there is room
-	starvationCheckedAt time.Time             // those passed over for a shorter time begin with one that was for long
-	loans               *lending.Ledger       // nil if nothing is lent
-	kept                []string              // bookings for windows that are about to open
+	examined           map[*clusterstate.Job]bool       // by the last cycle with writes to spend
+	avoidUntil         map[string]time.Time             // machines that are not proposed before
+	noCapacitySince    map[string]time.Time             // by job
+	preemptions        map[string]pendingPreemption     // by task, and by job where quota is reclaimed
+	holds              map[string]heldCapacity          // by job
+	claimValues        map[int]fleet.Claims             // what the store holds, by number of the value
+	claims             map[string]*claim                // of gangs that are being placed, by job
+	accumulations      map[string]*capacityAccumulation // by job
+	starving           map[string]starvation            // by job
+	startStarvingUntil time.Time                        // until then jobs that starve for a shorter time start along
+	loans              *lending.Ledger                  // nil if nothing is lent
+	windowReservations []string                         // task IDs, of windows that are about to open
 }
 
-// New makes an empty queue over a book.
-func New(b *clusterstate.State, env Env) *Queue {
-	q := &Queue{State: b, Env: env, claimValues: map[int]fleet.Claims{}}
-	q.loans = q.newLending(env.Lending)
+// NewQueue makes an empty queue over the cluster's state.
+func NewQueue(state *clusterstate.State, config Config, collaborators Collaborators) *Queue {
+	q := &Queue{
+		state:       state,
+		config:      config,
+		budget:      collaborators.Budget,
+		commits:     collaborators.Commits,
+		machines:    collaborators.Machines,
+		cluster:     collaborators.Cluster,
+		calendar:    collaborators.Calendar,
+		claimValues: map[int]fleet.Claims{},
+	}
+	q.loans = q.newLedger(config.Lending)
 	q.Reset()
 	return q
 }
 
-// Reset forgets what only a leader keeps: a new one starts from the records.
+// Reset forgets what only a leader keeps: a new leader starts from the records.
 func (q *Queue) Reset() {
-	q.letGo()
-	q.Waiting, q.examined = nil, nil
-	q.avoid, q.noRoom, q.preempted, q.holds, q.claims = map[string]time.Time{}, map[string]time.Time{}, map[string]making{}, map[string]heldCapacity{}, map[string]*claim{}
-	q.gatherings = map[string]*gathering{}
+	q.releaseWindowReservations()
+	q.Waiting = nil
+	q.examined = nil
+	q.avoidUntil = map[string]time.Time{}
+	q.noCapacitySince = map[string]time.Time{}
+	q.preemptions = map[string]pendingPreemption{}
+	q.holds = map[string]heldCapacity{}
+	q.claims = map[string]*claim{}
+	q.accumulations = map[string]*capacityAccumulation{}
 	q.starving = map[string]starvation{}
 }
 
-// Waiting is queued tasks of one job that may run by their limits but have found
-// no room.
+// Waiting is queued tasks of one job that may run by their limits but have found no room.
 type Waiting struct {
-	Task     *clusterstate.Task   // the first of them
-	Tasks    []*clusterstate.Task // the first few
-	Count    int
+	// Task is the first of the tasks.
+	Task *clusterstate.Task
+	// Tasks are the first few, for which others may be preempted.
+	Tasks []*clusterstate.Task
+	// Count is how many tasks lack room; of a large gang, for how many no capacity is kept
+	// yet.
+	Count int
+	// Priority is the job's, 0 for the highest.
 	Priority int
-	// Entitled is the node of the quotas' tree within whose guarantee it lies,
-	// below 0 for none.
+	// Entitled is the node of the quota tree within whose guarantee it lies, below 0 for none.
 	Entitled int
-	// Zone is the zone in which a large gang gathers room, if it must be in one. Count
-	// is then what it still lacks.
+	// Zone is the zone in which a large gang accumulates capacity, if it must be in one.
 	Zone string
-	// Gathers: it is a large gang, for which room is kept as it comes.
+	// Gathers is set for a large gang, for which capacity is kept as it comes free.
 	Gathers bool
-	// NotExamined: the last look did not come to it, so that there may be room for it.
+	// NotExamined is set if the last cycle did not examine it, so that there may be room for it.
 	NotExamined bool
+	// WindowOpensSoon is set if the job may not begin before a window of the calendar opens.
+	WindowOpensSoon bool
 
-	zones           map[string]int // of its job's tasks in the look under way, nil if they are to be counted
-	WindowOpensSoon bool           // its window is yet to open
+	zones map[string]int // its job's tasks by zone in the cycle under way, nil if they are to be counted
 }
 
-func (w *Waiting) within() bool { return w.Entitled >= 0 }
+// isEntitled reports whether it lies within a guarantee.
+func (w *Waiting) isEntitled() bool { return w.Entitled >= 0 }
+
+// Avoid proposes a machine for no task until then.
+func (q *Queue) Avoid(machineName string, until time.Time) { q.avoidUntil[machineName] = until }
 
-// Avoid keeps tasks off a machine until then.
-func (q *Queue) Avoid(machine string, until time.Time) { q.avoid[machine] = until }
+// UsesBatches reports whether tasks are released in batch records of many jobs.
+func (q *Queue) UsesBatches() bool { return q.cluster.UsesBatches() }
--- /dev/null
+++ b/internal/queue/starvation.go
@@ -0,0 +1,162 @@
+package queue
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"github.com/harrierreel/harrierreel/internal/clusterstate"
+	"github.com/harrierreel/harrierreel/internal/jobs"
+	"github.com/harrierreel/harrierreel/internal/tuning"
+)
+
+// starvation is what the starvation guard knows of a job none of whose tasks is under way: since
+// when each check found room for it, with its team under its limit, while both were kept for
+// others.
+type starvation struct {
+	starvingSince    time.Time // zero if there was no free capacity for it lately
+	hadCapacitySince time.Time // when there last was free capacity for it
+	examinedAt       time.Time
+}
+
+// serveStarving is the starvation guard: it gives room to jobs that have waited for too long
+// although capacity is free. What a cycle holds, it holds for as long as those wait that it is held
+// for: a machine for a task that fits nowhere, capacity for a large gang, what a team has left for
+// a job that needs more, and the charge of tasks that have no room themselves. Some of those never
+// come, as only replicas are in their way. So whatever capacity is held for, no job waits for
+// longer than tuning.StarvingAfter for capacity that stands free (docs/incidents/passed-over.md).
+//
+// It comes last in a cycle: what has just come free has gone to those whose turn it is, and what is
+// still free is held. Jobs that the cycle did not examine still have their turn.
+func (q *Queue) serveStarving(cycle *schedulingCycle, examined map[*clusterstate.Job]bool) {
+	for jobID := range q.starving {
+		if job := q.state.Queued[jobID]; job == nil || len(job.Active) > 0 {
+			delete(q.starving, jobID)
+		}
+	}
+	cycle.releaseHolds(q)
+	due := q.starvationCandidates(examined)
+	for _, job := range due[:min(len(due), tuning.MaxStarvingExamined)] {
+		q.serveIfStarving(job, cycle)
+	}
+}
+
+// serveIfStarving checks whether there is room for a job, notes since when, and starts it if there
+// has been for too long.
+func (q *Queue) serveIfStarving(job *clusterstate.Job, cycle *schedulingCycle) {
+	now := q.state.Now
+	starving := q.starving[job.ID]
+	starving.examinedAt = now
+	begin := q.startOf(job, cycle)
+	if begin != nil {
+		starving.hadCapacitySince = now
+	}
+	waits := now.Sub(starving.starvingSince)
+	long := waits >= tuning.StarvingAfter
+	due := long || waits >= tuning.StarvingCapacityFor && now.Before(q.startStarvingUntil)
+	switch {
+	case now.Sub(starving.hadCapacitySince) > tuning.StarvingGap:
+		starving.starvingSince = time.Time{}
+	case starving.starvingSince.IsZero():
+		starving.starvingSince = now
+	case begin != nil && due && q.budget.Allows(cycle.writeCount(), 1):
+		if long {
+			q.startStarvingUntil = now.Add(tuning.StarvingEvery)
+		}
+		q.config.Log.Debug("starving job started",
+			"job_id", job.ID,
+			"class", job.Record.Spec.Class,
+			"duration_ms", waits.Milliseconds(),
+		)
+		begin()
+	}
+	q.starving[job.ID] = starving
+}
+
+// starvationCandidates lists the jobs that wait, have nothing under way and were not checked
+// lately, those that starve longest first.
+func (q *Queue) starvationCandidates(examined map[*clusterstate.Job]bool) []*clusterstate.Job {
+	reserved := map[*clusterstate.Job]bool{}
+	for _, r := range q.state.Reservations {
+		reserved[r.Task.Job] = true
+	}
+	var out []*clusterstate.Job
+	for job := range examined {
+		if q.state.Queued[job.ID] == job && len(job.Active) == 0 && !reserved[job] && q.starvationCheckDue(job) {
+			out = append(out, job)
+		}
+	}
+	slices.SortFunc(out, func(a, b *clusterstate.Job) int {
+		return cmp.Or(
+			q.starving[a.ID].compare(q.starving[b.ID]),
+			cmp.Compare(a.Record.AcceptedMs, b.Record.AcceptedMs),
+			cmp.Compare(a.ID, b.ID),
+		)
+	})
+	return out
+}
+
+// starvationCheckDue reports whether a job has waited long enough to be checked, was not checked
+// lately, and may begin.
+func (q *Queue) starvationCheckDue(job *clusterstate.Job) bool {
+	waited := time.Duration(q.state.NowMs()-job.Record.AcceptedMs) * time.Millisecond
+	return waited >= tuning.StarvingMinAge &&
+		q.state.Now.Sub(q.starving[job.ID].examinedAt) >= tuning.StarvingEvery &&
+		q.MayBegin(&job.Record.Spec) &&
+		!q.Claiming(job.ID) &&
+		q.state.Trust(job, "") != jobs.Probing
+}
+
+// compare orders by since when a job starves, those that do not last, and then by the last check.
+func (s starvation) compare(other starvation) int {
+	if s.starvingSince.IsZero() != other.starvingSince.IsZero() {
+		if s.starvingSince.IsZero() {
+			return 1
+		}
+		return -1
+	}
+	return cmp.Or(
+		s.starvingSince.Compare(other.starvingSince),
+		s.examinedAt.Compare(other.examinedAt),
+	)
+}
+
+// startOf returns what starts a job now: a gang whole, anything else with one task. It is nil if
+// there is no room for that, or its limits do not allow it.
+func (q *Queue) startOf(job *clusterstate.Job, cycle *schedulingCycle) func() {
+	if job.Record.Spec.IsGang() {
+		return q.startOfGang(job, cycle)
+	}
+	spec := &job.Record.Spec
+	tasks := q.pendingTasks(job, 1)
+	if len(tasks) == 0 || !q.state.Account.Allows(q.state.QuotaLeaf(spec), spec.Amount(), 1) ||
+		cycle.knownUnplaceable(spec, 1) {
+		return nil
+	}
+	candidates := cycle.candidates(q, tasks[0])
+	if len(candidates) == 0 {
+		cycle.noteUnplaceable(spec, 1)
+	}
+	chosen := q.pickCandidate(tasks[0], candidates, q.state.TasksByZone(job))
+	if chosen < 0 {
+		return nil
+	}
+	machineName := candidates[chosen].Machine
+	return func() {
+		cycle.decisions = append(cycle.decisions, q.releaseDecisions(job, []placement{{tasks[0], machineName}})...)
+	}
+}
+
+// startOfGang is startOf for a gang.
+func (q *Queue) startOfGang(job *clusterstate.Job, cycle *schedulingCycle) func() {
+	spec := &job.Record.Spec
+	tasks, attempt := q.restingTasks(job)
+	if tasks == nil || !q.state.Account.Allows(q.state.QuotaLeaf(spec), spec.Amount(), spec.TaskCount) {
+		return nil
+	}
+	placements, sameController := q.fitGang(tasks, cycle)
+	if placements == nil {
+		return nil
+	}
+	return func() { q.beginGang(job, tasks, placements, sameController, attempt, cycle) }
+}
