--- a/internal/fleet/claims.go
+++ b/internal/fleet/claims.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"fmt"
 	"maps"
 	"slices"
 	"strconv"
@@ -9,76 +10,82 @@
 )
 
 // ClaimsKey is the key of the machines claimed for gangs that are being placed. All of
-// them stand in one value: with a change for each machine, taking and giving back those
-// of a large gang took seconds of all changes that the leader has.
+// them stand in one value: with a write for each machine, claiming and releasing those of
+// a large gang took the leader's whole write rate for seconds.
 //
-// Only the leader writes it. An owner's placement is conditional on its stamp, so that
-// one decided before a claim is not committed after it.
+// Only the leader writes it. An owner's placement has its revision as a precondition, so
+// that a placement decided before a claim is not committed after it.
 const ClaimsKey = "claims"
 
-// Claims is the machines claimed, by job.
+// Claims is the claimed machines, by job.
 type Claims map[string][]string
 
-// DecodeClaims reads the value of ClaimsKey; nothing is claimed where there is none.
-func DecodeClaims(b []byte) (Claims, error) {
-	if b == nil {
+// DecodeClaims reads the value of ClaimsKey, or of one that continues it. Nothing is
+// claimed where there is no value.
+func DecodeClaims(value []byte) (Claims, error) {
+	if value == nil {
 		return nil, nil
 	}
-	var c Claims
-	err := json.Unmarshal(b, &c)
-	return c, err
+	var claims Claims
+	if err := json.Unmarshal(value, &claims); err != nil {
+		return claims, fmt.Errorf("decode machine claims: %w", err)
+	}
+	return claims, nil
 }
 
-// moreClaims stands in the first value for the numbers of those in which the claims go on.
-// All are written in one transaction, so that the stamp of the first speaks for them. A
-// controller of the former version takes it for a job of that name, which claims machines
-// that nobody has, and knows the claims of the first value alone: of those that go on it
-// may give a task to a machine, which then has no room for the gang's, as if the machine had
-// been claimed a moment later. One that leads writes the first value without it, and the
-// others count for nothing.
-const moreClaims = "more"
+// continuations stands in the first value, in place of a job, for the numbers of the values
+// that continue the claims. All are written in one transaction, so that the revision of the
+// first speaks for them.
+//
+// A controller of the former version takes it for a job of that name, which claims machines
+// that do not exist, and knows the claims of the first value alone. To a machine claimed in
+// a further value it may give a task, and the machine then lacks room for the gang's, as if
+// the task had been placed a moment before the claim. When such a controller leads, it
+// writes the first value without this entry, and the further values count for nothing.
+const continuations = "more"
 
-// ClaimsKeyOf is the key of one of the values.
+// ClaimsKeyOf is the key of the value with a number, from 1.
 func ClaimsKeyOf(number int) string {
 	if number == 1 {
 		return ClaimsKey
 	}
-	return ClaimsKey + "/" + moreClaims + ":" + strconv.Itoa(number)
+	return ClaimsKey + "/" + continuations + ":" + strconv.Itoa(number)
 }
 
-// ClaimsNumber is which of the values a key holds, 0 for none.
+// ClaimsNumber is the number of the value that a key holds, 0 if it holds none.
 func ClaimsNumber(key string) int {
 	if key == ClaimsKey {
 		return 1
 	}
-	text, is := strings.CutPrefix(key, ClaimsKey+"/"+moreClaims+":")
-	if n, err := strconv.Atoi(text); is && err == nil && n > 1 {
-		return n
+	digits, found := strings.CutPrefix(key, ClaimsKey+"/"+continuations+":")
+	if number, err := strconv.Atoi(digits); found && err == nil && number > 1 {
+		return number
 	}
 	return 0
 }
 
-// JoinClaims is what the values say together.
+// JoinClaims is what the values, by number, say together. Values that the first does not
+// name count for nothing.
 func JoinClaims(values map[int]Claims) Claims {
 	first := values[1]
-	if first[moreClaims] == nil {
+	if first[continuations] == nil {
 		return first
 	}
-	out := Claims{}
-	add := func(c Claims) {
-		for jobID, machines := range c {
-			if jobID != moreClaims {
-				out[jobID] = append(slices.Clone(out[jobID]), machines...)
+	joined := Claims{}
+	add := func(claims Claims) {
+		for jobID, machines := range claims {
+			if jobID != continuations {
+				joined[jobID] = append(slices.Clone(joined[jobID]), machines...)
 			}
 		}
 	}
 	add(first)
-	for _, text := range first[moreClaims] {
-		if number, err := strconv.Atoi(text); err == nil {
+	for _, digits := range first[continuations] {
+		if number, err := strconv.Atoi(digits); err == nil {
 			add(values[number])
 		}
 	}
-	return out
+	return joined
 }
 
 // Divide is the values that hold the claims, of up to limit bytes each. A job's machines
@@ -91,50 +98,50 @@
 	if size <= limit {
 		return []Claims{c}
 	}
-	// What the first says of the others.
-	numbers := claimBytes(moreClaims, slices.Repeat([]string{"100"}, size/max(limit/2, 1)+1))
+	// The first value also has to hold the numbers of the others.
+	numberBytes := claimBytes(continuations, slices.Repeat([]string{"100"}, size/max(limit/2, 1)+1))
 	values := []Claims{{}}
-	room := limit - len("{}") - numbers
+	free := limit - len("{}") - numberBytes
 	for _, jobID := range slices.Sorted(maps.Keys(c)) {
-		began := false
+		started := false
 		for _, machine := range c[jobID] {
-			bytes := entryBytes(machine)
-			if !began {
-				bytes += claimBytes(jobID, nil)
+			needed := entryBytes(machine)
+			if !started {
+				needed += claimBytes(jobID, nil)
 			}
-			if bytes > room {
+			if needed > free {
 				values = append(values, Claims{})
-				room = limit - len("{}")
-				bytes = entryBytes(machine) + claimBytes(jobID, nil)
+				free = limit - len("{}")
+				needed = entryBytes(machine) + claimBytes(jobID, nil)
 			}
-			room -= bytes
-			began = true
+			free -= needed
+			started = true
 			last := values[len(values)-1]
 			last[jobID] = append(last[jobID], machine)
 		}
 	}
 	for i := range values[1:] {
-		values[0][moreClaims] = append(values[0][moreClaims], strconv.Itoa(i+2))
+		values[0][continuations] = append(values[0][continuations], strconv.Itoa(i+2))
 	}
 	return values
 }
 
-// claimBytes is what a job's machines take of a value at most.
+// claimBytes is the number of bytes that a job's machines take in a value at most.
 func claimBytes(jobID string, machines []string) int {
-	bytes := entryBytes(jobID) + len(":[]")
+	total := entryBytes(jobID) + len(":[]")
 	for _, machine := range machines {
-		bytes += entryBytes(machine)
+		total += entryBytes(machine)
 	}
-	return bytes
+	return total
 }
 
 // ByMachine is the job that each claimed machine is claimed for.
 func (c Claims) ByMachine() map[string]string {
-	out := map[string]string{}
+	jobOf := map[string]string{}
 	for jobID, machines := range c {
-		for _, h := range machines {
-			out[h] = jobID
+		for _, machine := range machines {
+			jobOf[machine] = jobID
 		}
 	}
-	return out
+	return jobOf
 }
--- a/internal/fleet/draining.go
+++ b/internal/fleet/draining.go
@@ -2,93 +2,106 @@
 
 import "sort"
 
-// Group is what is sized separately: a machine type, ordinary or cheap. The
-// design sizes each type; cheap machines of a type take only tasks that allow
-// them, so that the two cannot stand in for one another.
-type Group struct {
-	MachineType string
-	Spot        bool
-}
+// Draining is the stage of each draining machine, by name, from 1. The autoscaler's
+// summary carries it, so that owners and a new leader know it.
+type Draining map[string]int
 
-func (g Group) String() string {
-	if g.Spot {
-		return g.MachineType + "+"
-	}
-	return g.MachineType
+// DrainCandidate is a machine in use, which may be drained.
+type DrainCandidate struct {
+	Machine     string
+	UsedShare   float64 // the share of it in use, 0 when it is empty
+	HourlyPrice float64
 }
 
-// Draining is the stage of each draining machine, by name; the scaler's
-// summary carries it, so that owners and a fresh leader know.
-type Draining map[string]int
-
-// Idle is a machine that may be drained, with the share of it in use.
-type Idle struct {
-	Machine string
-	Load    float64
-	Cost    float64 // per hour
+// DrainStep moves the draining of a group on by one step. surplus is how many machines of
+// the group are not needed over the whole plan, with draining ones not counted as supply;
+// it is negative when machines are short. A machine drains for at most stages steps, and
+// returns to use for want of machines only up to the stage lastRevivable. The results are
+// the next stages, the machines to return to the cloud now, and those that return to use.
+// The candidates are reordered.
+func DrainStep(
+	now Draining,
+	candidates []DrainCandidate,
+	surplus, stages, lastRevivable int,
+) (next Draining, emptied, revived []string) {
+	next, emptied, revived = continueDraining(now, candidates, max(-surplus, 0), stages, lastRevivable)
+	startDraining(next, now, candidates, surplus)
+	return next, emptied, revived
 }
 
-// DrainStep moves draining on by one step. surplus is how many machines of
-// the group are not needed over the whole plan, draining ones not counted as
-// supply; negative when machines are short. It returns the next stages and
-// the machines to return to the cloud now. steps and revive are the lengths
-// of draining and of its part with revival.
-func DrainStep(now Draining, idle []Idle, surplus, steps, revive int) (next Draining, give, revived []string) {
+// continueDraining moves the machines on that drain already. shortage is how many of them
+// are needed again.
+func continueDraining(
+	now Draining,
+	candidates []DrainCandidate,
+	shortage, stages, lastRevivable int,
+) (next Draining, emptied, revived []string) {
 	next = Draining{}
-	load := map[string]float64{}
-	for _, i := range idle {
-		load[i.Machine] = i.Load
-	}
-	var names []string
-	for h := range now {
-		names = append(names, h)
+	usedShare := map[string]float64{}
+	for _, candidate := range candidates {
+		usedShare[candidate.Machine] = candidate.UsedShare
 	}
-	// Revival takes the fullest first: they would be returned last.
-	sort.Slice(names, func(a, b int) bool {
-		if load[names[a]] != load[names[b]] {
-			return load[names[a]] > load[names[b]]
-		}
-		return names[a] < names[b]
-	})
-	short := -surplus
-	for _, h := range names {
-		l, known := load[h]
-		stage := now[h]
+	for _, machine := range fullestFirst(now, usedShare) {
+		used, known := usedShare[machine]
+		stage := now[machine]
 		switch {
 		case !known:
-			continue // no longer ours
-		case short > 0 && stage <= revive:
-			revived = append(revived, h)
-			short--
-		case l == 0:
-			give = append(give, h)
-		case stage >= steps:
-			revived = append(revived, h) // not empty by the end
+			continue // no longer in use
+		case shortage > 0 && stage <= lastRevivable:
+			revived = append(revived, machine)
+			shortage--
+		case used == 0:
+			emptied = append(emptied, machine)
+		case stage >= stages:
+			revived = append(revived, machine) // not empty by the last stage
 		default:
-			next[h] = stage + 1
+			next[machine] = stage + 1
 		}
 	}
+	return next, emptied, revived
+}
+
+// fullestFirst is the draining machines in the order in which they return to use: the
+// fullest would be the last to become empty.
+func fullestFirst(draining Draining, usedShare map[string]float64) []string {
+	var machines []string
+	for machine := range draining {
+		machines = append(machines, machine)
+	}
+	sort.Slice(machines, func(i, j int) bool {
+		a, b := machines[i], machines[j]
+		if usedShare[a] != usedShare[b] {
+			return usedShare[a] > usedShare[b]
+		}
+		return a < b
+	})
+	return machines
+}
+
+// startDraining begins to drain surplus machines that do not drain yet: the emptiest
+// first, and of those the most expensive.
+func startDraining(next, now Draining, candidates []DrainCandidate, surplus int) {
 	if surplus <= 0 {
-		return next, give, revived
+		return
 	}
-	sort.SliceStable(idle, func(a, b int) bool {
-		if idle[a].Load != idle[b].Load {
-			return idle[a].Load < idle[b].Load
+	sort.SliceStable(candidates, func(i, j int) bool {
+		a, b := candidates[i], candidates[j]
+		if a.UsedShare != b.UsedShare {
+			return a.UsedShare < b.UsedShare
 		}
-		if idle[a].Cost != idle[b].Cost {
-			return idle[a].Cost > idle[b].Cost
+		if a.HourlyPrice != b.HourlyPrice {
+			return a.HourlyPrice > b.HourlyPrice
 		}
-		return idle[a].Machine > idle[b].Machine
+		return a.Machine > b.Machine
 	})
-	for _, i := range idle {
+	for _, candidate := range candidates {
 		if surplus == 0 {
-			break
+			return
 		}
-		if _, was := now[i.Machine]; was {
+		if _, drains := now[candidate.Machine]; drains {
 			continue
 		}
-		next[i.Machine] = 1
+		next[candidate.Machine] = 1
 		surplus--
 	}
-	return next, give, revived
 }
--- a/internal/fleet/draining_test.go
+++ b/internal/fleet/draining_test.go
@@ -6,43 +6,44 @@
 )
 
 func TestDrainStartsWithTheEmptiest(t *testing.T) {
-	next, give, revived := DrainStep(Draining{}, []Idle{{"a", 0.5, 1}, {"b", 0.1, 1}, {"c", 0.9, 1}}, 2, 3, 2)
-	if !reflect.DeepEqual(next, Draining{"a": 1, "b": 1}) || give != nil || revived != nil {
-		t.Errorf("%v %v %v", next, give, revived)
+	candidates := []DrainCandidate{{"a", 0.5, 1}, {"b", 0.1, 1}, {"c", 0.9, 1}}
+	next, emptied, revived := DrainStep(Draining{}, candidates, 2, 3, 2)
+	if !reflect.DeepEqual(next, Draining{"a": 1, "b": 1}) || emptied != nil || revived != nil {
+		t.Errorf("next %v, emptied %v, revived %v", next, emptied, revived)
 	}
 }
 
-func TestDrainGivesTheEmptyAndRevivesTheRestAtTheEnd(t *testing.T) {
+func TestDrainReturnsEmptyMachinesAndRevivesTheRestAfterTheLastStage(t *testing.T) {
 	now := Draining{"a": 1, "b": 2, "c": 3, "d": 3}
-	idle := []Idle{{"a", 0, 1}, {"b", 0.2, 1}, {"c", 0.1, 1}, {"d", 0, 1}}
-	next, give, revived := DrainStep(now, idle, 0, 3, 2)
+	candidates := []DrainCandidate{{"a", 0, 1}, {"b", 0.2, 1}, {"c", 0.1, 1}, {"d", 0, 1}}
+	next, emptied, revived := DrainStep(now, candidates, 0, 3, 2)
 	if !reflect.DeepEqual(next, Draining{"b": 3}) {
-		t.Errorf("goes on: %v", next)
+		t.Errorf("machines that go on draining: %v", next)
 	}
-	if !reflect.DeepEqual(give, []string{"a", "d"}) || !reflect.DeepEqual(revived, []string{"c"}) {
-		t.Errorf("given %v, revived %v", give, revived)
+	if !reflect.DeepEqual(emptied, []string{"a", "d"}) || !reflect.DeepEqual(revived, []string{"c"}) {
+		t.Errorf("emptied %v, revived %v", emptied, revived)
 	}
 }
 
-func TestRevivalOnlyInTheFirstTwoSteps(t *testing.T) {
+func TestDrainRevivesForAShortageOnlyInTheFirstTwoStages(t *testing.T) {
 	now := Draining{"a": 1, "b": 2, "c": 3}
-	idle := []Idle{{"a", 0.1, 1}, {"b", 0.3, 1}, {"c", 0, 1}}
-	_, give, revived := DrainStep(now, idle, -1, 3, 2)
+	candidates := []DrainCandidate{{"a", 0.1, 1}, {"b", 0.3, 1}, {"c", 0, 1}}
+	_, emptied, revived := DrainStep(now, candidates, -1, 3, 2)
 	if !reflect.DeepEqual(revived, []string{"b"}) {
-		t.Errorf("one machine is short, the fullest is revived: %v", revived)
+		t.Errorf("one machine is short, so the fullest should be revived: %v", revived)
 	}
-	if !reflect.DeepEqual(give, []string{"c"}) {
-		t.Errorf("the third step knows no revival: %v", give)
+	if !reflect.DeepEqual(emptied, []string{"c"}) {
+		t.Errorf("no machine should be revived for a shortage in the third stage: %v", emptied)
 	}
-	next, _, revived := DrainStep(now, idle, -5, 3, 2)
+	next, _, revived := DrainStep(now, candidates, -5, 3, 2)
 	if len(revived) != 2 || len(next) != 0 {
 		t.Errorf("revived %v, next %v", revived, next)
 	}
 }
 
 func TestDrainForgetsUnknownMachines(t *testing.T) {
-	next, give, _ := DrainStep(Draining{"gone": 2}, nil, 0, 3, 2)
-	if len(next) != 0 || give != nil {
-		t.Errorf("%v %v", next, give)
+	next, emptied, _ := DrainStep(Draining{"gone": 2}, nil, 0, 3, 2)
+	if len(next) != 0 || emptied != nil {
+		t.Errorf("next %v, emptied %v", next, emptied)
 	}
 }
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -10,7 +10,7 @@
 	"github.com/harrierreel/harrierreel/internal/goldentest"
 )
 
-func TestGoldenHost(t *testing.T) {
+func TestGoldenMachineRecord(t *testing.T) {
 	full := MachineRecord{
 		State:       Deleting,
 		Endpoint:    "10.0.0.1:900",
@@ -22,9 +22,9 @@
 		SinceMs:     1700000000001,
 	}
 	goldentest.Filled(t, full)
-	for name, h := range map[string]MachineRecord{"host.json": full, "host-least.json": {State: Up}} {
-		goldentest.JSON(t, name, h)
-		if back, err := Decode(goldentest.Read(t, name)); err != nil || *back != h {
+	for name, record := range map[string]MachineRecord{"host.json": full, "host-least.json": {State: Up}} {
+		goldentest.JSON(t, name, record)
+		if back, err := Decode(goldentest.Read(t, name)); err != nil || *back != record {
 			t.Errorf("%s: read %+v, %v", name, back, err)
 		}
 	}
@@ -33,31 +33,25 @@
 func TestGoldenClaims(t *testing.T) {
 	full := Claims{"wk-1": {"m-1", "m-2"}, "wk-2": {"m-3"}}
 	goldentest.Filled(t, full)
-	for name, c := range map[string]Claims{"claims.json": full, "claims-least.json": {}} {
-		goldentest.JSON(t, name, c)
-		if back, err := DecodeClaims(goldentest.Read(t, name)); err != nil || !reflect.DeepEqual(back, c) {
+	for name, claims := range map[string]Claims{"claims.json": full, "claims-least.json": {}} {
+		goldentest.JSON(t, name, claims)
+		if back, err := DecodeClaims(goldentest.Read(t, name)); err != nil || !reflect.DeepEqual(back, claims) {
 			t.Errorf("%s: read %+v, %v", name, back, err)
 		}
 	}
 }
 
-// readQuiet reads an owner's only list.
-func readQuiet(value []byte, old UnresponsiveSet, now time.Time) (UnresponsiveSet, error) {
-	list, err := DecodeUnresponsiveList(value)
-	return UnresponsiveLists{1: list}.Join(old, now), err
-}
-
-// TestGoldenQuiet: the list is written as entries and read as a Quiet.
-func TestGoldenQuiet(t *testing.T) {
+// The list is written as entries and read as an UnresponsiveSet.
+func TestGoldenUnresponsiveList(t *testing.T) {
 	now := time.Unix(1700000000, 0)
 	entries := []string{UnresponsiveEntry("m-1", false), UnresponsiveEntry("m-2", true)}
 	want := UnresponsiveSet{"m-1": {Since: now}, "m-2": {Since: now, OutboundPartitioned: true}}
 	goldentest.JSON(t, "quiet.json", entries)
-	back, err := readQuiet(goldentest.Read(t, "quiet.json"), nil, now)
+	back, err := joinOnlyList(goldentest.Read(t, "quiet.json"), nil, now)
 	if err != nil || !reflect.DeepEqual(back, want) {
 		t.Errorf("read %+v, %v", back, err)
 	}
-	b, err := json.Marshal(
+	value, err := json.Marshal(
 		[]string{
 			UnresponsiveEntry("m-1", back["m-1"].OutboundPartitioned),
 			UnresponsiveEntry("m-2", back["m-2"].OutboundPartitioned),
@@ -66,15 +60,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	goldentest.Bytes(t, "quiet.json", b)
-	// With no machine to name, a list that was never made is written.
+	goldentest.Bytes(t, "quiet.json", value)
+	// With no machine to list, a nil list is written.
 	goldentest.JSON(t, "quiet-least.json", []string(nil))
-	if back, err := readQuiet(goldentest.Read(t, "quiet-least.json"), nil, now); err != nil || len(back) != 0 {
+	if back, err := joinOnlyList(goldentest.Read(t, "quiet-least.json"), nil, now); err != nil || len(back) != 0 {
 		t.Errorf("read %+v, %v", back, err)
 	}
 }
 
-func TestGoldenWords(t *testing.T) {
+func TestGoldenStoredNames(t *testing.T) {
 	words := []string{
 		MachinePrefix,
 		ClaimsKey,
@@ -87,6 +81,6 @@
 		string(Deleted),
 		Group{MachineType: "g2"}.String(),
 		Group{MachineType: "g2", Spot: true}.String(),
-	} // groups name histories in the scaler's summary
+	} // groups name histories in the autoscaler's summary
 	goldentest.Bytes(t, "words.txt", []byte(strings.Join(words, "\n")+"\n"))
 }
--- a/internal/fleet/health.go
+++ b/internal/fleet/health.go
@@ -6,39 +6,40 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Health is what an owner remembers of a machine's failures. It is lost with
-// the owner, which costs a few more failures and nothing else.
+// Health is what an owner remembers of a machine's failures. It is kept in memory only:
+// losing it with the owner costs a few more failures and nothing else.
 type Health struct {
-	restUntil time.Time
-	blamed    map[string]bool // jobs whose tasks failed here since the last success
-	failures  int
+	backoffUntil time.Time
+	failedJobs   map[string]bool // jobs whose tasks failed here since the last success
+	failures     int             // failed tasks since the last success
 }
 
 // Rest keeps new tasks from the machine until then.
-func (h *Health) Rest(until time.Time) { h.restUntil = until }
+func (h *Health) Rest(until time.Time) { h.backoffUntil = until }
 
-// Rests tells whether the machine takes no new task now.
-func (h *Health) Rests(now time.Time) bool { return h != nil && now.Before(h.restUntil) }
+// Rests tells whether the machine takes no new task now. It may be called on nil, which
+// is a machine without a failure.
+func (h *Health) Rests(now time.Time) bool { return h != nil && now.Before(h.backoffUntil) }
 
-// Succeeded notes that a task was done here.
-func (h *Health) Succeeded() { h.blamed, h.failures = nil, 0 }
+// Succeeded notes that a task succeeded here.
+func (h *Health) Succeeded() { h.failedJobs, h.failures = nil, 0 }
 
-// Failed notes a failed task of a job that is not in doubt, and tells whether the
-// machine is faulty: tasks of several jobs fail on it, or many of one job of which
-// others are done elsewhere. What blameless says to be in doubt by now, because
-// it fails everywhere, speaks against no machine.
-func (h *Health) Failed(job string, now time.Time, othersDone bool, blameless func(job string) bool) bool {
-	if h.blamed == nil {
-		h.blamed = map[string]bool{}
+// Failed notes a failed task of a job, and tells whether the machine is faulty: tasks of
+// several jobs fail on it, or many of one job of which others succeed elsewhere.
+// blameless tells whether a job is free of suspicion itself; one that fails everywhere
+// is not, and counts against no machine, also if it failed here before that was known.
+func (h *Health) Failed(jobID string, now time.Time, succeedsElsewhere bool, blameless func(jobID string) bool) bool {
+	if h.failedJobs == nil {
+		h.failedJobs = map[string]bool{}
 	}
-	h.blamed[job] = true
+	h.failedJobs[jobID] = true
 	h.failures++
 	h.Rest(now.Add(tuning.ErrorRest))
-	jobs := 0
-	for j := range h.blamed {
-		if blameless(j) {
-			jobs++
+	blamelessJobs := 0
+	for failed := range h.failedJobs {
+		if blameless(failed) {
+			blamelessJobs++
 		}
 	}
-	return jobs >= tuning.ErrorsFaulty || h.failures >= tuning.ErrorsBlame && othersDone
+	return blamelessJobs >= tuning.ErrorsFaulty || h.failures >= tuning.ErrorsBlame && succeedsElsewhere
 }
--- a/internal/fleet/health_test.go
+++ b/internal/fleet/health_test.go
@@ -5,26 +5,28 @@
 	"time"
 )
 
-func TestHealth(t *testing.T) {
+func TestHealthFaultyAfterFailuresOfSeveralJobs(t *testing.T) {
 	now := time.Unix(1000, 0)
-	doubtful := map[string]bool{}
-	blameless := func(job string) bool { return !doubtful[job] }
+	suspects := map[string]bool{}
+	blameless := func(jobID string) bool { return !suspects[jobID] }
 	h := &Health{}
 	if h.Failed("a", now, false, blameless) || !h.Rests(now) || h.Rests(now.Add(time.Minute)) {
-		t.Error("one failure makes a machine rest, no more")
+		t.Error("one failure should keep new tasks away for a while, no more")
 	}
-	doubtful["a"] = true // it has failed elsewhere too
+	suspects["a"] = true // it has failed elsewhere too
 	if h.Failed("b", now, false, blameless) {
-		t.Error("a job in doubt speaks against the machine")
+		t.Error("a job under suspicion counted against the machine")
 	}
 	if !h.Failed("c", now, false, blameless) {
-		t.Error("two blameless jobs do not")
+		t.Error("two blameless jobs failed and the machine is not faulty")
 	}
 	h.Succeeded()
-	if h.Failed("b", now, true, blameless) || h.Failed("b", now, true, blameless) || !h.Failed("b", now, true, blameless) {
-		t.Error("the third failure of a job that is done elsewhere tells")
+	for failure, faulty := range []bool{false, false, true} {
+		if got := h.Failed("b", now, true, blameless); got != faulty {
+			t.Errorf("failure %d of a job that succeeds elsewhere: faulty %v, want %v", failure+1, got, faulty)
+		}
 	}
 	if (*Health)(nil).Rests(now) {
-		t.Error("no machine rests without a failure")
+		t.Error("a machine without a failure takes no new task")
 	}
 }
--- a/internal/fleet/machine_test.go
+++ b/internal/fleet/machine_test.go
@@ -1,31 +1,51 @@
 package fleet
 
-import (
-	"testing"
-)
+import "testing"
 
-func TestNext(t *testing.T) {
+func TestNextMachineState(t *testing.T) {
 	for _, c := range []struct {
-		s    State
-		e    Event
-		want State
-		ok   bool
+		state   State
+		event   Event
+		want    State
+		changed bool
 	}{
-		{Up, Unregistered, Lost, true},
+		{Up, HeartbeatsMissed, Lost, true},
 		{Lost, Heard, Up, true},
 		{Deleting, Heard, Deleting, false},
 		{Deleted, Decommission, Deleted, false},
-		{Up, Removed, Up, false},
-		{Deleting, Removed, Deleted, true},
+		{Up, DeleteConfirmed, Up, false},
+		{Deleting, DeleteConfirmed, Deleted, true},
 		{Faulty, Heard, Faulty, false},
 		{Warned, Unhealthy, Faulty, true},
 		{Faulty, Decommission, Deleting, true},
 	} {
-		if got, ok := Next(c.s, c.e); got != c.want || ok != c.ok {
-			t.Errorf("%s on %s: %s %v", c.s, c.e, got, ok)
+		if got, changed := Next(c.state, c.event); got != c.want || changed != c.changed {
+			t.Errorf("%s on %s: %s, changed %v; want %s, %v", c.state, c.event, got, changed, c.want, c.changed)
 		}
 	}
 	if _, err := Decode([]byte(`{"s":"odd"}`)); err == nil {
-		t.Error("an odd state must be refused")
+		t.Error("a record with an unknown state was accepted")
+	}
+}
+
+// Every event in every state, with the states that each may lead to.
+func TestNextMachineStateExhaustively(t *testing.T) {
+	states := []State{"", Up, Lost, Warned, Faulty, Deleting, Deleted}
+	for event, targets := range map[Event][]State{
+		// In the order of states above.
+		Heard:            {Up, Up, Up, Warned, Faulty, Deleting, Deleted},
+		HeartbeatsMissed: {"", Lost, Lost, Lost, Faulty, Deleting, Deleted},
+		Notice:           {"", Warned, Warned, Warned, Faulty, Deleting, Deleted},
+		Unhealthy:        {"", Faulty, Faulty, Faulty, Faulty, Deleting, Deleted},
+		Decommission:     {Deleting, Deleting, Deleting, Deleting, Deleting, Deleting, Deleted},
+		DeleteConfirmed:  {"", Up, Lost, Warned, Faulty, Deleted, Deleted},
+		"unknown":        states,
+	} {
+		for i, state := range states {
+			got, changed := Next(state, event)
+			if got != targets[i] || changed != (state != targets[i]) {
+				t.Errorf("%q on %s: %q, changed %v; want %q", state, event, got, changed, targets[i])
+			}
+		}
 	}
 }
--- a/internal/fleet/unresponsive_test.go
+++ b/internal/fleet/unresponsive_test.go
@@ -11,49 +11,47 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-func TestQuiet(t *testing.T) {
-	t0 := time.Unix(0, 0)
-	read := func(value string, old UnresponsiveSet, now time.Time) (UnresponsiveSet, error) {
-		list, err := DecodeUnresponsiveList([]byte(value))
-		return UnresponsiveLists{1: list}.Join(old, now), err
-	}
-	q, err := read(`["i-1","i-2"]`, nil, t0)
-	if err != nil || len(q) != 2 {
-		t.Fatal(q, err)
+// joinOnlyList reads an owner's only list, following on what it said before.
+func joinOnlyList(value []byte, before UnresponsiveSet, now time.Time) (UnresponsiveSet, error) {
+	list, err := DecodeUnresponsiveList(value)
+	return UnresponsiveLists{1: list}.Join(before, now), err
+}
+
+func TestUnresponsiveSinceFirstListed(t *testing.T) {
+	start := time.Unix(0, 0)
+	later := start.Add(time.Second)
+	set, err := joinOnlyList([]byte(`["i-1","i-2"]`), nil, start)
+	if err != nil || len(set) != 2 {
+		t.Fatal(set, err)
 	}
-	q, err = read(`["i-2","i-3"]`, q, t0.Add(time.Second))
-	if err != nil || len(q) != 2 || !q["i-2"].Since.Equal(t0) || !q["i-3"].Since.Equal(t0.Add(time.Second)) {
-		t.Error(q, err)
+	set, err = joinOnlyList([]byte(`["i-2","i-3"]`), set, later)
+	if err != nil || len(set) != 2 || !set["i-2"].Since.Equal(start) || !set["i-3"].Since.Equal(later) {
+		t.Error(set, err)
 	}
 	if _, err := DecodeUnresponsiveList([]byte(`{}`)); err == nil {
-		t.Error("not a list")
-	}
-	for s, cut := range map[ZoneHealth]bool{{Unresponsive: 3, All: 3}: false, {Unresponsive: 5, All: 10}: false, {Unresponsive: 6, All: 10}: true} {
-		if s.Partitioned(4, 0.5) != cut {
-			t.Errorf("%+v", s)
-		}
+		t.Error("a value that is no list was accepted")
 	}
 }
 
-// quietStore keeps an owner's lists as the state service does, and reads them back.
-type quietStore struct {
+// listStore keeps an owner's lists as the state service does, and reads them back.
+type listStore struct {
 	t      *testing.T
 	values map[string][]byte
 }
 
-func (s *quietStore) write(lists UnresponsiveLists) {
+func (s *listStore) write(lists UnresponsiveLists) {
 	s.t.Helper()
 	s.values = map[string][]byte{}
 	for number, list := range lists {
-		b, err := json.Marshal(list.Entries())
+		value, err := json.Marshal(list.Entries())
 		if err != nil {
 			s.t.Fatal(err)
 		}
-		s.values[UnresponsiveKey("n1", number)] = b
+		s.values[UnresponsiveKey("n1", number)] = value
 	}
 }
 
-func (s *quietStore) read() UnresponsiveLists {
+func (s *listStore) read() UnresponsiveLists {
 	s.t.Helper()
 	lists := UnresponsiveLists{}
 	for key, value := range s.values {
@@ -67,10 +65,28 @@
 	return lists
 }
 
-// All unresponsive machines of an owner are told, whatever a value holds: in one list of the
-// former form as long as that holds them, and machines stay on their list when others come
-// and go.
-func TestQuietLists(t *testing.T) {
+// check checks that the stored lists name the machines they should, each in a value of up to
+// limit bytes.
+func (s *listStore) check(unresponsive map[string]bool, limit int) {
+	s.t.Helper()
+	for key, value := range s.values {
+		if len(value) > limit || len(key) > 200 || strings.Contains(key, " ") {
+			s.t.Errorf("%d bytes in %s", len(value), key)
+		}
+	}
+	listed := map[string]bool{}
+	for machine, state := range s.read().Join(nil, time.Unix(0, 0)) {
+		listed[machine] = state.OutboundPartitioned
+	}
+	if !maps.Equal(listed, unresponsive) {
+		s.t.Errorf("%d machines are listed, want %d", len(listed), len(unresponsive))
+	}
+}
+
+// All unresponsive machines of an owner are listed, whatever size a value may have: in one
+// list of the former form as long as that holds them. Machines stay on their list when others
+// come and go.
+func TestUnresponsiveListsHoldAllMachines(t *testing.T) {
 	names := map[string]func(i int) string{
 		"usual": func(i int) string { return fmt.Sprintf("i-%06d", i) },
 		"long":  func(i int) string { return fmt.Sprintf("%0*d", tuning.MaxMachineName, i) },
@@ -94,30 +110,30 @@
 		{"odd", 4000, 8 << 10, 26},
 	} {
 		t.Run(fmt.Sprintf("%s-%d-of-%d", c.names, c.machines, c.limit), func(t *testing.T) {
-			unheard := map[string]bool{}
+			unresponsive := map[string]bool{}
 			for i := range c.machines {
-				unheard[names[c.names](i)] = i%3 == 0 && c.machines > 1000
+				unresponsive[names[c.names](i)] = i%3 == 0 && c.machines > 1000
 			}
-			st := &quietStore{t: t}
-			st.write(UnresponsiveLists{}.Divide(unheard, 7, c.limit))
-			if len(st.values) != c.lists {
-				t.Errorf("%d lists, not %d", len(st.values), c.lists)
+			stored := &listStore{t: t}
+			stored.write(UnresponsiveLists{}.Divide(unresponsive, 7, c.limit))
+			if len(stored.values) != c.lists {
+				t.Errorf("%d lists, want %d", len(stored.values), c.lists)
 			}
-			st.holds(unheard, c.limit)
-			before := st.read()
-			if again := before.Divide(unheard, 9, c.limit); !maps.EqualFunc(again, before, UnresponsiveList.Same) {
-				t.Error("what is told already is told otherwise")
+			stored.check(unresponsive, c.limit)
+			before := stored.read()
+			if again := before.Divide(unresponsive, 9, c.limit); !maps.EqualFunc(again, before, UnresponsiveList.Same) {
+				t.Error("the same machines are divided otherwise")
 			}
-			// One is heard again, one that sorts before all is not: one list for each changes at most.
-			for machine := range unheard {
-				delete(unheard, machine)
+			// One responds again, one that sorts before all does not: at most one list changes for each.
+			for machine := range unresponsive {
+				delete(unresponsive, machine)
 				break
 			}
-			unheard["a"] = false
-			st.write(before.Divide(unheard, 9, c.limit))
-			st.holds(unheard, c.limit)
+			unresponsive["a"] = false
+			stored.write(before.Divide(unresponsive, 9, c.limit))
+			stored.check(unresponsive, c.limit)
 			changed := 0
-			for number, list := range st.read() {
+			for number, list := range stored.read() {
 				if !list.Same(before[number]) {
 					changed++
 				}
@@ -129,69 +145,74 @@
 	}
 }
 
-// holds checks that the stored lists say what they should, each in a value.
-func (s *quietStore) holds(unheard map[string]bool, limit int) {
-	s.t.Helper()
-	for key, value := range s.values {
-		if len(value) > limit || len(key) > 200 || strings.Contains(key, " ") {
-			s.t.Errorf("%d bytes in %s", len(value), key)
-		}
-	}
-	said := map[string]bool{}
-	for machine, silence := range s.read().Join(nil, time.Unix(0, 0)) {
-		said[machine] = silence.OutboundPartitioned
-	}
-	if !maps.Equal(said, unheard) {
-		s.t.Errorf("%d machines are told of %d", len(said), len(unheard))
-	}
-}
-
-// A controller of the former version reads the first list and knows nobody whom a further
-// one could be of; it takes the first away alone, and then the others count for nothing,
-// also when the owner is back.
-func TestQuietListsOfFormerVersion(t *testing.T) {
-	unheard := map[string]bool{}
-	for i := range 2000 {
-		unheard[fmt.Sprintf("i-%06d", i)] = i%2 == 0
-	}
-	st := &quietStore{t: t}
-	st.write(UnresponsiveLists{}.Divide(unheard, 7, 8<<10))
-	former := map[string]map[string]bool{}
-	for key, value := range st.values {
+// readAsFormerVersion reads all values as a controller of the former version does: each as
+// the list of one owner, by its name, of machines that answer commands or don't.
+func readAsFormerVersion(t *testing.T, values map[string][]byte) map[string]map[string]bool {
+	t.Helper()
+	owners := map[string]map[string]bool{}
+	for key, value := range values {
 		var entries []string
 		if err := json.Unmarshal(value, &entries); err != nil {
 			t.Fatal(err)
 		}
 		owner := strings.TrimPrefix(key, "quiet/")
-		former[owner] = map[string]bool{}
+		owners[owner] = map[string]bool{}
 		for _, entry := range entries {
-			machine, mute := strings.CutPrefix(entry, "mute:")
-			former[owner][machine] = mute
+			machine, outboundPartitioned := strings.CutPrefix(entry, "mute:")
+			owners[owner][machine] = outboundPartitioned
 		}
 	}
-	for machine, mute := range former["n1"] {
-		if told, is := unheard[machine]; machine != "more:7" && (!is || told != mute) {
-			t.Errorf("%s %v", machine, mute)
+	return owners
+}
+
+// twoThousandUnresponsive are more machines than one list of 8 KB holds.
+func twoThousandUnresponsive() map[string]bool {
+	unresponsive := map[string]bool{}
+	for i := range 2000 {
+		unresponsive[fmt.Sprintf("i-%06d", i)] = i%2 == 0
+	}
+	return unresponsive
+}
+
+// A controller of the former version reads the first list, and takes the further ones for
+// those of controllers that do not exist.
+func TestUnresponsiveListsReadByFormerVersion(t *testing.T) {
+	unresponsive := twoThousandUnresponsive()
+	stored := &listStore{t: t}
+	stored.write(UnresponsiveLists{}.Divide(unresponsive, 7, 8<<10))
+	owners := readAsFormerVersion(t, stored.values)
+	for machine, outboundPartitioned := range owners["n1"] {
+		want, known := unresponsive[machine]
+		if machine != "more:7" && (!known || want != outboundPartitioned) {
+			t.Errorf("%s is read as outbound-partitioned %v", machine, outboundPartitioned)
 		}
 	}
-	if len(former["n1"]) < 500 || len(former) != 4 {
-		t.Errorf("%d machines of n1 read, %d owners", len(former["n1"]), len(former))
+	if len(owners["n1"]) < 500 || len(owners) != 4 {
+		t.Errorf("%d machines of n1 read, %d owners", len(owners["n1"]), len(owners))
 	}
-	lists := st.read()
+}
+
+// A controller of the former version removes the first list alone, and then the others count
+// for nothing, also when the owner is back.
+func TestUnresponsiveListsWithoutTheirFirstCountForNothing(t *testing.T) {
+	unresponsive := twoThousandUnresponsive()
+	stored := &listStore{t: t}
+	stored.write(UnresponsiveLists{}.Divide(unresponsive, 7, 8<<10))
+	lists := stored.read()
+	now := time.Unix(0, 0)
 	delete(lists, 1)
-	if q := lists.Join(nil, time.Unix(0, 0)); len(q) != 0 {
-		t.Errorf("%d machines without a first list", len(q))
+	if set := lists.Join(nil, now); len(set) != 0 {
+		t.Errorf("%d machines without a first list", len(set))
 	}
-	if lists[1] = (UnresponsiveList{OutboundPartitioned: map[string]bool{"i-9": false}}); len(
-		lists.Join(nil, time.Unix(0, 0)),
-	) != 1 {
-		t.Error("what was told before the owner left counts")
+	lists[1] = UnresponsiveList{OutboundPartitioned: map[string]bool{"i-9": false}}
+	if len(lists.Join(nil, now)) != 1 {
+		t.Error("lists from before the owner left the view count")
 	}
-	if next := lists.Divide(unheard, 9, 8<<10); next[1].Since != 9 || len(next.Join(nil, time.Unix(0, 0))) != 2000 {
-		t.Errorf("since %d, %d machines", next[1].Since, len(next.Join(nil, time.Unix(0, 0))))
+	if next := lists.Divide(unresponsive, 9, 8<<10); next[1].Since != 9 || len(next.Join(nil, now)) != 2000 {
+		t.Errorf("since epoch %d, %d machines", next[1].Since, len(next.Join(nil, now)))
 	}
 	lists[1] = UnresponsiveList{OutboundPartitioned: map[string]bool{"i-9": false}, Since: 9}
-	if len(lists.Join(nil, time.Unix(0, 0))) != 1 {
-		t.Error("further lists of another time count")
+	if len(lists.Join(nil, now)) != 1 {
+		t.Error("further lists of another epoch count")
 	}
 }
--- a/internal/provisioning/plan.go
+++ b/internal/provisioning/plan.go
@@ -222,7 +222,7 @@
 
 	// Booked room by group, and what is on each machine.
 	demand := map[fleet.Group]float64{}
-	idle := map[fleet.Group][]fleet.Idle{}
+	idle := map[fleet.Group][]fleet.DrainCandidate{}
 	gathered := re.Queue.Gathered()
 	for _, h := range clusterstate.SortedKeys(re.Machines) {
 		m := re.Machines[h]
@@ -235,7 +235,7 @@
 		if _, draining := re.Summary.Drain[h]; !draining {
 			demand[g] += share
 		}
-		idle[g] = append(idle[g], fleet.Idle{Machine: h, Load: share, Cost: re.price(g)})
+		idle[g] = append(idle[g], fleet.DrainCandidate{Machine: h, UsedShare: share, HourlyPrice: re.price(g)})
 	}
 
 	// Queued room goes to the booting machines that will take it, then to the
