--- a/internal/provisioning/plan.go
+++ b/internal/provisioning/plan.go
@@ -277,12 +277,12 @@
 			0,
 			0,
 			autoscaler.Params{
-				Steps:     op.PlanSteps,
-				Samples:   op.Samples,
-				Tolerance: op.Tolerance,
-				Trend:     op.TrendSteps,
-				Damping:   tuning.TrendDamping,
-				Grain:     tuning.GrainShare * re.grain(g),
+				Steps:      op.PlanSteps,
+				Samples:    op.Samples,
+				Tolerance:  op.Tolerance,
+				TrendSteps: op.TrendSteps,
+				Damping:    tuning.TrendDamping,
+				Grain:      tuning.GrainShare * re.grain(g),
 			},
 			re.Rand,
 		)
@@ -307,7 +307,7 @@
 			sum.Drain[h] = st
 		}
 		give = append(give, gone...)
-		want := max(act.Rent, fit[g]) - len(revived)
+		want := max(act.ScaleOut, fit[g]) - len(revived)
 		if want > 0 {
 			rents = append(rents, re.rentsFor(g, want, counts)...)
 		}
