--- /dev/null
+++ b/internal/provisioning/decommission_test.go
@@ -0,0 +1,67 @@
+package provisioning
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/harrierreel/harrierreel/internal/fleet"
+	"github.com/harrierreel/harrierreel/internal/jobs"
+)
+
+// A machine that never comes up, one that stopped, one that is unresponsive for long and one
+// without a record that holds tasks are deleted; healthy ones are not.
+func TestDecommissionDeletesOnlyFailedMachines(t *testing.T) {
+	l := newLeader(t)
+	for _, name := range []string{"i-1", "i-2", "i-3", "i-4", "i-5", "i-6"} {
+		l.addRunning(name, "a")
+	}
+	l.listed[1].Status = "failed"
+	l.listed = append(l.listed, fleet.ListedMachine{
+		Name:        "i-7",
+		MachineType: "g4",
+		Zone:        "a",
+		Status:      "booting",
+		AgeS:        5000,
+	})
+	l.unresponsive["i-3"] = fleet.Unresponsiveness{Since: l.state.Now.Add(-time.Hour)}
+	l.applyJob(jobs.Record{State: jobs.Live, Spec: testSpec("wk-9", 1)})
+	l.place("wk-9", "i-99")
+	l.run(9)
+	for _, name := range []string{"i-2", "i-3", "i-7", "i-99"} {
+		if !slices.Contains(l.deleted, name) {
+			t.Errorf("%s was not deleted: %v", name, l.deleted)
+		}
+	}
+	for _, name := range []string{"i-1", "i-4", "i-5", "i-6"} {
+		if slices.Contains(l.deleted, name) {
+			t.Errorf("%s was deleted", name)
+		}
+	}
+	freed := false
+	for _, decision := range l.committed {
+		for _, change := range decision.Changes {
+			freed = freed || change.Task.ID == "wk-9/0"
+		}
+	}
+	if !freed {
+		t.Error("the task on a deleted machine was not freed")
+	}
+}
+
+// A controller that has lost contact with the agents must not have all its machines deleted.
+func TestManyUnresponsiveMachinesAreNotDeleted(t *testing.T) {
+	l := newLeader(t)
+	for i := range 20 {
+		name := fmt.Sprint("i-", i)
+		l.addRunning(name, []string{"a", "b"}[i%2])
+		if i < 18 {
+			l.unresponsive[name] = fleet.Unresponsiveness{Since: l.state.Now.Add(-20 * time.Second)}
+		}
+	}
+	l.run(9)
+	if len(l.deleted) > 0 {
+		t.Errorf("deleted %v", l.deleted)
+	}
+}
--- a/internal/provisioning/golden_edges_test.go
+++ b/internal/provisioning/golden_edges_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"encoding/json"
 	"fmt"
 	"maps"
 	"reflect"
@@ -17,8 +16,10 @@
 )
 
 const goldenCatalog = `{"builds":[` +
-	`{"name":"g4","cores":32,"accelerators":4,"memory_gb":256,"cache_gb":100,"pull_gb_per_s":1.5,"hourly":10,"low_price":3.25,"ready_s":20,"sites":["a","b"]},` +
-	`{"name":"c8","cores":8,"accelerators":0,"memory_gb":64,"cache_gb":50,"pull_gb_per_s":0.5,"hourly":2,"low_price":0,"ready_s":10,"sites":["a"]},` +
+	`{"name":"g4","cores":32,"accelerators":4,"memory_gb":256,"cache_gb":100,` +
+	`"pull_gb_per_s":1.5,"hourly":10,"low_price":3.25,"ready_s":20,"sites":["a","b"]},` +
+	`{"name":"c8","cores":8,"accelerators":0,"memory_gb":64,"cache_gb":50,` +
+	`"pull_gb_per_s":0.5,"hourly":2,"low_price":0,"ready_s":10,"sites":["a"]},` +
 	`{"name":"no name"},null]}`
 
 // The cloud's catalogue is read as ever.
@@ -37,7 +38,16 @@
 			BootS:        20,
 			Zones:        []string{"a", "b"},
 		},
-		"c8": {Name: "c8", Cores: 8, MemoryGB: 64, CacheGB: 50, ImageGBPerS: 0.5, Hourly: 2, BootS: 10, Zones: []string{"a"}},
+		"c8": {
+			Name:        "c8",
+			Cores:       8,
+			MemoryGB:    64,
+			CacheGB:     50,
+			ImageGBPerS: 0.5,
+			Hourly:      2,
+			BootS:       10,
+			Zones:       []string{"a"},
+		},
 	}
 	goldentest.Filled(t, want["g4"])
 	if got := decodeCatalog(200, goldentest.Read(t, "catalog.json"), nil); !reflect.DeepEqual(got, want) {
@@ -45,7 +55,7 @@
 	}
 }
 
-// The cloud's list is asked for and read, page by page, as ever.
+// The cloud's list is requested and read, page by page, as ever.
 func TestGoldenList(t *testing.T) {
 	full := fleet.ListedMachine{
 		Name:        "i-0001",
@@ -59,69 +69,82 @@
 	goldentest.Filled(t, full)
 	goldentest.JSON(t, "listed.json", full)
 	pages := []string{
-		`{"hosts":[` + string(
-			goldentest.Read(t, "listed.json"),
-		) + `,{"uid":"i 2"},{"uid":"i-0003","status":"booting"}],"has_next":true}`,
+		`{"hosts":[` + string(goldentest.Read(t, "listed.json")) +
+			`,{"uid":"i 2"},{"uid":"i-0003","status":"booting"}],"has_next":true}`,
 		`{"hosts":[{"uid":"i-0004","status":"gone","age_s":7}],"has_next":false}`,
 	}
 	var out bytes.Buffer
 	var got map[string]fleet.ListedMachine
 	read := false
-	readPages(func(target string, done func(int, []byte, error)) {
+	send := func(target string, done answerFunc) {
 		page := pages[0]
 		pages = pages[1:]
 		fmt.Fprintf(&out, "GET %s\n%s\n", target, page)
 		done(200, []byte(page), nil)
-	}, func(all map[string]fleet.ListedMachine, ok bool) { got, read = all, ok })
+	}
+	readPages(send, func(machines map[string]fleet.ListedMachine, complete bool) {
+		got, read = machines, complete
+	})
 	goldentest.Bytes(t, "list.txt", out.Bytes())
 	want := map[string]fleet.ListedMachine{
-		"i-0001": full, "i-0003": {Name: "i-0003", Status: "booting"}, "i-0004": {Name: "i-0004", Status: "gone", AgeS: 7},
+		"i-0001": full,
+		"i-0003": {Name: "i-0003", Status: "booting"},
+		"i-0004": {Name: "i-0004", Status: "gone", AgeS: 7},
 	}
 	if !read || !reflect.DeepEqual(got, want) {
 		t.Errorf("read as %s", jobs.Encode(got))
 	}
 }
 
-// Requests to the cloud keep their form, and what is made of its answers keeps.
+// Requests to the cloud keep their form, and its answers lead to the same state.
 func TestGoldenCloud(t *testing.T) {
-	for name, rent := range map[string]string{
-		"whole": `200 {"hosts":["i-1","i-2","i-3"]}`, "part": `200 {"hosts":["i-1"]}`, "no-capacity": `503 {"error":"no capacity"}`, "away": `503 {"error":"away"}`,
-		"malformed": `400 {"error":"no such build"}`, "too-many": `429 {}`, "broken": `500 {}`,
+	for name, launchAnswer := range map[string]string{
+		"whole":       `200 {"hosts":["i-1","i-2","i-3"]}`,
+		"part":        `200 {"hosts":["i-1"]}`,
+		"no-capacity": `503 {"error":"no capacity"}`,
+		"away":        `503 {"error":"away"}`,
+		"malformed":   `400 {"error":"no such build"}`,
+		"too-many":    `429 {}`,
+		"broken":      `500 {}`,
 	} {
 		t.Run(name, func(t *testing.T) {
 			var out bytes.Buffer
-			o := newOffice(t)
-			o.machine("i-8", fleet.MachineRecord{State: fleet.Deleting, MachineType: "g4", Zone: "a"})
-			o.machine("i-9", fleet.MachineRecord{State: fleet.Deleting, MachineType: "g4", Zone: "b"})
-			o.Send = func(method, target string, body []byte, timeout time.Duration, done func(int, []byte, error)) {
-				answer := `200 {"hosts":[{"uid":"i-8","build":"g4","site":"a","status":"running","age_s":500},{"uid":"i-9","build":"g4","site":"b","status":"running","age_s":500}]}`
-				switch {
-				case target == "/catalog":
-					answer = `200 ` + goldenCatalog
-				case target == "/hosts/delete":
-					answer = `200 {}`
-				case method == "POST":
-					answer = rent
-				}
+			l := newLeader(t)
+			l.applyMachine("i-8", fleet.MachineRecord{State: fleet.Deleting, MachineType: "g4", Zone: "a"})
+			l.applyMachine("i-9", fleet.MachineRecord{State: fleet.Deleting, MachineType: "g4", Zone: "b"})
+			l.send = func(method, target string, body []byte, timeout time.Duration, done answerFunc) {
+				answer := goldenAnswer(method, target, launchAnswer)
 				out.Write(http1.AppendRequest(nil, method, target, "cloud:1", body, false))
 				fmt.Fprintf(&out, "\nwithin %s -> %s\n\n", timeout, answer)
 				status := 0
-				var text json.RawMessage
 				_, _ = fmt.Sscan(answer, &status)
-				text = json.RawMessage(answer[4:])
-				done(status, text, nil)
+				done(status, []byte(answer[len("200 "):]), nil)
 			}
-			o.job("wk-000001", 12)
-			o.run(2)
-			refused := slices.Sorted(maps.Keys(o.Provisioner.cloud.refused))
+			l.submit("wk-000001", 12)
+			l.run(2)
 			fmt.Fprintf(
 				&out,
 				"asked for: %s\ntypes: %s\nnot asked for again: %q\n",
-				jobs.Encode(o.Provisioner.cloud.asked),
-				jobs.Encode(o.MachineTypes),
-				refused,
+				jobs.Encode(l.cloud.requests),
+				jobs.Encode(l.state.MachineTypes),
+				slices.Sorted(maps.Keys(l.cloud.refusedUntil)),
 			)
 			goldentest.Bytes(t, "cloud-"+name+".txt", out.Bytes())
 		})
 	}
 }
+
+// goldenAnswer is the cloud's answer to a request: its status and body.
+func goldenAnswer(method, target, launchAnswer string) string {
+	switch {
+	case target == "/catalog":
+		return `200 ` + goldenCatalog
+	case target == "/hosts/delete":
+		return `200 {}`
+	case method == "POST":
+		return launchAnswer
+	}
+	return `200 {"hosts":[` +
+		`{"uid":"i-8","build":"g4","site":"a","status":"running","age_s":500},` +
+		`{"uid":"i-9","build":"g4","site":"b","status":"running","age_s":500}]}`
+}
--- a/internal/provisioning/golden_test.go
+++ b/internal/provisioning/golden_test.go
@@ -12,15 +12,15 @@
 		Step:    4,
 		History: map[string][]float64{"g2": {1.5, 2}, "g2+": {3}},
 		Drain:   fleet.Draining{"m-1": 2, "m-2": 1},
-		Asked: []asked{
+		Requests: []launchRequest{
 			{
-				Hire:   "r-5-1",
-				Build:  "g2",
-				Site:   "z-b",
-				Loaner: true,
-				Count:  3,
-				AtMs:   1700000000001,
-				Hosts:  []string{"m-3", "m-4"},
+				LaunchRequestID: "r-5-1",
+				MachineType:     "g2",
+				Zone:            "z-b",
+				Spot:            true,
+				Count:           3,
+				AtMs:            1700000000001,
+				Machines:        []string{"m-3", "m-4"},
 			},
 			{},
 		},
--- /dev/null
+++ b/internal/provisioning/packing.go
@@ -0,0 +1,155 @@
+package provisioning
+
+import (
+	"maps"
+	"slices"
+
+	"github.com/harrierreel/harrierreel/internal/clusterstate"
+	"github.com/harrierreel/harrierreel/internal/fleet"
+	"github.com/harrierreel/harrierreel/internal/jobs"
+	"github.com/harrierreel/harrierreel/internal/queue"
+	"github.com/harrierreel/harrierreel/internal/sharding"
+)
+
+// bin is a machine on which waiting tasks are packed.
+type bin struct {
+	pool
+	free sharding.Resources
+	up   bool
+}
+
+// packing places the waiting tasks whole on machines that boot and on such as would have to
+// be requested: shares of a machine alone would not see that free capacity can be too
+// scattered for a task.
+type packing struct {
+	provisioner *Provisioner
+	bins        []bin
+	zonesOf     map[*clusterstate.Job]map[string]int // tasks by zone, those packed included
+	// demand, by group in machines, to which the packed tasks are added.
+	demand map[fleet.Group]float64
+	// machines is the supply with the machines to request, by pool, needed the latter alone.
+	machines map[pool]int
+	needed   map[fleet.Group]int
+	// onUpMachines is how many tasks of each entry go on machines that are up.
+	onUpMachines map[*queue.Waiting]int
+}
+
+// packQueue packs the waiting tasks and adds them to demand. They go on the machines that
+// boot, then on the cheapest that can be requested. Those that the last scheduling cycle did
+// not come to go on machines that are up first.
+func (p *Provisioner) packQueue(
+	machines supply,
+	demand map[fleet.Group]float64,
+	waiting []*queue.Waiting,
+) *packing {
+	k := &packing{
+		provisioner:  p,
+		zonesOf:      map[*clusterstate.Job]map[string]int{},
+		demand:       demand,
+		machines:     maps.Clone(machines.all),
+		needed:       map[fleet.Group]int{},
+		onUpMachines: map[*queue.Waiting]int{},
+	}
+	if slices.ContainsFunc(waiting, func(w *queue.Waiting) bool { return w.NotExamined }) {
+		k.addUpMachines()
+	}
+	k.addBootingMachines(machines.booting)
+	for _, entry := range waiting {
+		zones := k.zones(entry)
+		left := k.packOnBins(entry, zones)
+		k.packOnNewMachines(entry, zones, left)
+	}
+	p.cloud.plannedMachines = k.machines
+	return k
+}
+
+// addUpMachines adds the machines in use that do not drain, with their free capacity.
+func (k *packing) addUpMachines() {
+	p := k.provisioner
+	accumulated := p.collaborators.Queue.Gathered()
+	for _, machine := range p.state.MachinesByName() {
+		machineType := p.cloud.catalog[machine.MachineType]
+		_, draining := p.Summary.Drain[machine.Name]
+		if machineType == nil || draining || !p.collaborators.Machines.InUse(machine) {
+			continue
+		}
+		used := p.state.UsedResources(machine.Name)
+		k.bins = append(k.bins, bin{
+			pool: poolOf(machine),
+			free: machineType.Capacity().Sub(used).Sub(accumulated[machine.Name]),
+			up:   true,
+		})
+	}
+}
+
+func (k *packing) addBootingMachines(booting map[pool]int) {
+	for _, machines := range sortedPools(booting) {
+		if machineType := k.provisioner.cloud.catalog[machines.MachineType]; machineType != nil {
+			for range booting[machines] {
+				k.bins = append(k.bins, bin{pool: machines, free: machineType.Capacity()})
+			}
+		}
+	}
+}
+
+// zones is the tasks of an entry's job by zone, those packed included.
+func (k *packing) zones(entry *queue.Waiting) map[string]int {
+	job := entry.Task.Job
+	zones := k.zonesOf[job]
+	if zones == nil {
+		zones = k.provisioner.state.TasksByZone(job)
+		if entry.Zone != "" {
+			zones[entry.Zone]++ // where its capacity accumulates
+		}
+		k.zonesOf[job] = zones
+	}
+	return zones
+}
+
+// packOnBins packs the tasks of an entry on the bins, and returns how many are left.
+func (k *packing) packOnBins(entry *queue.Waiting, zones map[string]int) int {
+	spec := &entry.Task.Job.Record.Spec
+	left := entry.Count
+	for i := 0; i < len(k.bins) && left > 0; i++ {
+		b := &k.bins[i]
+		if b.up && !entry.NotExamined || !spec.Allows(b.MachineType, b.zone, b.Spot) ||
+			!b.free.Fits(spec.Resources()) {
+			continue
+		}
+		packed := k.fill(b, spec, zones, left)
+		left -= packed
+		if b.up && packed > 0 {
+			k.onUpMachines[entry] += packed
+		}
+	}
+	return left
+}
+
+// packOnNewMachines packs so many tasks of an entry on machines that are to be requested.
+func (k *packing) packOnNewMachines(entry *queue.Waiting, zones map[string]int, left int) {
+	record := entry.Task.Job.Record
+	for left > 0 {
+		cheapest, found := k.provisioner.cheapest(record, zones, k.machines)
+		if !found {
+			return
+		}
+		k.machines[cheapest]++
+		k.needed[cheapest.Group]++
+		b := bin{pool: cheapest, free: k.provisioner.cloud.catalog[cheapest.MachineType].Capacity()}
+		left -= k.fill(&b, &record.Spec, zones, left)
+		k.bins = append(k.bins, b)
+	}
+}
+
+// fill packs up to so many tasks on one bin, and returns how many.
+func (k *packing) fill(b *bin, spec *jobs.Spec, zones map[string]int, limit int) int {
+	share := spec.Resources().ShareOf(k.provisioner.cloud.catalog[b.MachineType].Capacity())
+	packed := 0
+	for packed < limit && b.free.Fits(spec.Resources()) && clusterstate.ZoneAllowed(spec, zones, b.zone) {
+		b.free = b.free.Sub(spec.Resources())
+		k.demand[b.Group] += share
+		zones[b.zone]++
+		packed++
+	}
+	return packed
+}
--- /dev/null
+++ b/internal/provisioning/plan_test.go
@@ -0,0 +1,33 @@
+package provisioning
+
+import (
+	"fmt"
+	"testing"
+
+	"github.com/harrierreel/harrierreel/internal/fleet"
+)
+
+// 4,000 machines that nobody needs drain together, and are then decommissioned.
+func TestDrain4000Machines(t *testing.T) {
+	l := newLeader(t)
+	for i := range 4000 {
+		l.addRunning(fmt.Sprintf("i-%06d", i), "a")
+	}
+	drainingAtOnce := 0
+	for range 40 {
+		l.run(1)
+		drainingAtOnce = max(drainingAtOnce, len(l.Summary.Drain))
+	}
+	if drainingAtOnce != 4000 {
+		t.Errorf("%d machines drain at once", drainingAtOnce)
+	}
+	deleting := 0
+	for _, machine := range l.state.Machines {
+		if machine.State == fleet.Deleting {
+			deleting++
+		}
+	}
+	if deleting != 4000 || len(l.Summary.Drain) != 0 {
+		t.Errorf("%d machines are being deleted, %d still drain", deleting, len(l.Summary.Drain))
+	}
+}
--- a/internal/provisioning/summary.go
+++ b/internal/provisioning/summary.go
@@ -15,21 +15,32 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// moreSummary is the prefix of the keys, with numbers from 2, in which the summary goes on
-// where one value does not hold all draining machines and rents. A controller of the former
-// version does not read them: it knows what it would know if the summary were cut off there,
-// as it was. What such a leader leaves of them behind counts for nothing after one step.
-const moreSummary = SummaryKey + "/more:"
+// Summary is what the autoscaler stores once a step: enough for owners to know what drains
+// and for a new leader to continue.
+type Summary struct {
+	Step    uint64               `json:"step"`
+	History map[string][]float64 `json:"history,omitempty"` // demand in machines, by group
+	Drain   fleet.Draining       `json:"drain,omitempty"`
+	// Requests is the launch requests whose machines may not be listed yet, the oldest first.
+	Requests []launchRequest `json:"asked,omitempty"`
+}
+
+// continuationPrefix is the prefix of the keys, with numbers from 2, in which the summary
+// continues where one value does not hold all draining machines and launch requests. A
+// controller of the former version does not read them: it knows what it would know if the
+// summary were cut off there, as it was in that version. What such a leader leaves of them
+// behind counts for nothing after one step.
+const continuationPrefix = SummaryKey + "/more:"
 
 // IsSummaryKey tells whether a key holds a part of the summary.
 func IsSummaryKey(key string) bool { return summaryNumber(key) > 0 }
 
-// summaryKey is the key of a part of the summary.
+// summaryKey is the key of a part of the summary, by its number from 1.
 func summaryKey(number int) string {
 	if number == 1 {
 		return SummaryKey
 	}
-	return moreSummary + strconv.Itoa(number)
+	return continuationPrefix + strconv.Itoa(number)
 }
 
 // summaryNumber is which part of the summary a key holds, 0 for none.
@@ -37,43 +48,43 @@
 	if key == SummaryKey {
 		return 1
 	}
-	text, is := strings.CutPrefix(key, moreSummary)
-	if n, err := strconv.Atoi(text); is && err == nil && n > 1 {
-		return n
+	digits, found := strings.CutPrefix(key, continuationPrefix)
+	if number, err := strconv.Atoi(digits); found && err == nil && number > 1 {
+		return number
 	}
 	return 0
 }
 
-// ApplySummary takes in a part of the summary. One that cannot be read changes nothing,
-// nor does it if the first is removed.
-func (re *Provisioner) ApplySummary(key string, value json.RawMessage) {
+// ApplySummary takes in a part of the summary, nil if it was removed. One that cannot be read
+// changes nothing, nor does it if the first is removed.
+func (p *Provisioner) ApplySummary(key string, value json.RawMessage) {
 	number := summaryNumber(key)
 	var part Summary
 	switch {
 	case value == nil && number > 1:
-		delete(re.summaryParts, number)
+		delete(p.summaryParts, number)
 	case value == nil || json.Unmarshal(value, &part) != nil:
 		return
 	default:
-		re.summaryParts[number] = part
+		p.summaryParts[number] = part
 	}
-	if first, is := re.summaryParts[1]; is {
-		re.Summary = first.with(re.summaryParts)
+	if first, found := p.summaryParts[1]; found {
+		p.Summary = first.joinedWith(p.summaryParts)
 	}
 }
 
-// with is the summary that begins with this part. The parts are written each by itself: one
-// that is a step older or newer counts until it follows, so that no machine is taken for
+// joinedWith is the summary that begins with this part. The parts are written each by itself:
+// one that is a step older or newer counts until it follows, so that no machine is taken for
 // one that drains no more in between; what is older was left by another leader.
-func (s Summary) with(parts map[int]Summary) Summary {
+func (s Summary) joinedWith(parts map[int]Summary) Summary {
 	if len(parts) == 1 {
 		return s
 	}
-	drain, known := fleet.Draining{}, map[string]bool{}
-	maps.Copy(drain, s.Drain)
-	s.Asked = slices.Clone(s.Asked)
-	for _, a := range s.Asked {
-		known[a.Hire] = true
+	draining, known := fleet.Draining{}, map[string]bool{}
+	maps.Copy(draining, s.Drain)
+	s.Requests = slices.Clone(s.Requests)
+	for _, request := range s.Requests {
+		known[request.LaunchRequestID] = true
 	}
 	for _, number := range slices.Sorted(maps.Keys(parts)) {
 		part := parts[number]
@@ -81,33 +92,33 @@
 			continue
 		}
 		for machine, stage := range part.Drain {
-			if _, is := drain[machine]; !is {
-				drain[machine] = stage
+			if _, found := draining[machine]; !found {
+				draining[machine] = stage
 			}
 		}
-		for _, a := range part.Asked {
-			if !known[a.Hire] {
-				known[a.Hire] = true
-				s.Asked = append(s.Asked, a)
+		for _, request := range part.Requests {
+			if !known[request.LaunchRequestID] {
+				known[request.LaunchRequestID] = true
+				s.Requests = append(s.Requests, request)
 			}
 		}
 	}
-	s.Drain = drain
-	slices.SortStableFunc(s.Asked, func(a, b asked) int { return cmp.Compare(a.AtMs, b.AtMs) })
+	s.Drain = draining
+	slices.SortStableFunc(s.Requests, func(a, b launchRequest) int { return cmp.Compare(a.AtMs, b.AtMs) })
 	return s
 }
 
-// summaryWrites are the changes that store the summary: one value where that holds it, else
-// the last part first, and what is needed no more last. What MaxSummaryParts cannot hold is
-// left out: the oldest rents, whose machines the cloud's list will have by now, and draining
-// that has just begun.
-func (re *Provisioner) summaryWrites(sum Summary) []store.Write {
-	parts := sum.divide(re.ValueBytes)
+// summaryWrites is the writes that store the summary: one value where that holds it, else the
+// last part first, and the removal of parts that are not needed any more last. What
+// tuning.MaxSummaryParts cannot hold is left out: the oldest launch requests, whose machines
+// the cloud's list will have by now, and draining that has just begun.
+func (p *Provisioner) summaryWrites(summary Summary) []store.Write {
+	parts := summary.divide(p.config.ValueBytes)
 	var writes []store.Write
 	for i, part := range slices.Backward(parts) {
 		writes = append(writes, decide.Put(summaryKey(i+1), part))
 	}
-	for _, number := range slices.Sorted(maps.Keys(re.summaryParts)) {
+	for _, number := range slices.Sorted(maps.Keys(p.summaryParts)) {
 		if number > len(parts) {
 			writes = append(writes, decide.Remove(summaryKey(number)))
 		}
@@ -117,43 +128,57 @@
 
 // divide divides a summary into parts of up to limit bytes. The first, which is all that a
 // controller of the former version reads, has the history, then the machines that have
-// drained for longest, then the newest rents.
+// drained for longest, then the newest launch requests.
 func (s Summary) divide(limit int) []Summary {
 	if len(jobs.Encode(s)) <= limit {
 		return []Summary{s}
 	}
-	parts := []Summary{{Step: s.Step, History: s.History, Drain: fleet.Draining{}}}
-	room := limit - len(jobs.Encode(parts[0])) - summaryFrame
-	// last has room for so many bytes more, in a further part if need be.
-	last := func(bytes int) *Summary {
-		if bytes > room && len(parts) < tuning.MaxSummaryParts {
-			parts = append(parts, Summary{Step: s.Step, Drain: fleet.Draining{}})
-			room = limit - len(jobs.Encode(parts[len(parts)-1])) - summaryFrame
-		}
-		if bytes > room {
-			return nil
-		}
-		room -= bytes
-		return &parts[len(parts)-1]
-	}
+	division := summaryDivision{limit: limit}
+	division.addPart(Summary{Step: s.Step, History: s.History, Drain: fleet.Draining{}})
 	machines := slices.SortedFunc(maps.Keys(s.Drain), func(a, b string) int {
 		return cmp.Or(cmp.Compare(s.Drain[b], s.Drain[a]), cmp.Compare(a, b))
 	})
 	for _, machine := range machines {
-		if part := last(len(jobs.Encode(machine)) + len(":,") + len(strconv.Itoa(s.Drain[machine]))); part != nil {
+		entryBytes := len(jobs.Encode(machine)) + len(":,") + len(strconv.Itoa(s.Drain[machine]))
+		if part := division.partWithRoom(entryBytes); part != nil {
 			part.Drain[machine] = s.Drain[machine]
 		}
 	}
-	for _, a := range slices.Backward(s.Asked) {
-		if part := last(len(jobs.Encode(a)) + len(",")); part != nil {
-			part.Asked = append(part.Asked, a)
+	for _, request := range slices.Backward(s.Requests) {
+		if part := division.partWithRoom(len(jobs.Encode(request)) + len(",")); part != nil {
+			part.Requests = append(part.Requests, request)
 		}
 	}
-	for i := range parts {
-		slices.Reverse(parts[i].Asked)
+	for i := range division.parts {
+		slices.Reverse(division.parts[i].Requests)
 	}
-	return parts
+	return division.parts
+}
+
+// summaryDivision is the parts of a summary that have been filled so far.
+type summaryDivision struct {
+	limit     int // bytes of a part
+	parts     []Summary
+	freeBytes int // of the last part
 }
 
-// summaryFrame, bytes: what the names of the lists in a part take.
-const summaryFrame = len(`"drain":{},"asked":[],`)
+// fieldNameBytes is the bytes that the names of the lists in a part take.
+const fieldNameBytes = len(`"drain":{},"asked":[],`)
+
+func (d *summaryDivision) addPart(part Summary) {
+	d.parts = append(d.parts, part)
+	d.freeBytes = d.limit - len(jobs.Encode(part)) - fieldNameBytes
+}
+
+// partWithRoom is the last part if it has room for so many bytes more, else a further one;
+// nil if there may be no more parts.
+func (d *summaryDivision) partWithRoom(bytes int) *Summary {
+	if bytes > d.freeBytes && len(d.parts) < tuning.MaxSummaryParts {
+		d.addPart(Summary{Step: d.parts[0].Step, Drain: fleet.Draining{}})
+	}
+	if bytes > d.freeBytes {
+		return nil
+	}
+	d.freeBytes -= bytes
+	return &d.parts[len(d.parts)-1]
+}
--- /dev/null
+++ b/internal/provisioning/summary_test.go
@@ -0,0 +1,143 @@
+package provisioning
+
+import (
+	"encoding/json"
+	"fmt"
+	"maps"
+	"reflect"
+	"slices"
+	"testing"
+
+	"github.com/harrierreel/harrierreel/internal/fleet"
+	"github.com/harrierreel/harrierreel/internal/jobs"
+	"github.com/harrierreel/harrierreel/internal/store"
+	"github.com/harrierreel/harrierreel/internal/tuning"
+)
+
+// testSummary has so many draining machines and launch requests, which name 4,000 machines
+// together.
+func testSummary(draining, requests int) Summary {
+	summary := Summary{Step: 5, History: map[string][]float64{"g4": {1, 2, 3}}, Drain: fleet.Draining{}}
+	for i := range draining {
+		summary.Drain[fmt.Sprintf("i-%06d", i)] = 1 + i%3
+	}
+	for i := range requests {
+		request := launchRequest{
+			LaunchRequestID: fmt.Sprint("r-", i),
+			MachineType:     "g4",
+			AtMs:            int64(i),
+		}
+		for k := range min(tuning.MaxRentMachines, 4000/requests) {
+			request.Machines = append(request.Machines, fmt.Sprintf("i-%06d", i*tuning.MaxRentMachines+k))
+		}
+		summary.Requests = append(summary.Requests, request)
+	}
+	return summary
+}
+
+// applyWrites applies the writes of a summary, checks that each fits into a value, and
+// returns the first part, which is all that a controller of the former version reads.
+func (l *leader) applyWrites(writes []store.Write) (first Summary) {
+	l.t.Helper()
+	for _, write := range writes {
+		if len(write.Value) > l.config.ValueBytes {
+			l.t.Errorf("%d bytes in %s", len(write.Value), write.Put)
+		}
+		l.ApplySummary(write.Put, write.Value)
+		if write.Put == "scaler" {
+			if err := json.Unmarshal(write.Value, &first); err != nil {
+				l.t.Error(err)
+			}
+		}
+	}
+	return first
+}
+
+// sameSummary tells whether two summaries have the same draining machines and requests.
+func sameSummary(a, b Summary) bool {
+	return maps.Equal(a.Drain, b.Drain) &&
+		slices.EqualFunc(a.Requests, b.Requests, func(a, b launchRequest) bool { return reflect.DeepEqual(a, b) })
+}
+
+// The summary fits into values whatever it holds, and nothing of it is lost: 4,000 machines
+// that drain at once and as many just requested.
+func TestSummaryIsStoredWholeInLimitedValues(t *testing.T) {
+	for _, c := range []struct {
+		name                       string
+		draining, requests, limit  int
+		parts                      int
+		firstDrains, firstRequests bool
+	}{
+		{"empty", 0, 0, 8 << 10, 1, false, false},
+		{"one value", 300, 5, 8 << 10, 1, true, true},
+		{"draining", 2000, 0, 8 << 10, 4, true, false},
+		{"requests", 0, 2000, 8 << 10, 23, false, true},
+		{"4000 machines", 4000, 80, 8 << 10, 13, true, false},
+		{"4000 machines in larger values", 4000, 80, 16 << 10, 7, true, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			l := newLeader(t)
+			l.config.ValueBytes = c.limit
+			summary := testSummary(c.draining, c.requests)
+			writes := l.summaryWrites(summary)
+			if len(writes) != c.parts || writes[len(writes)-1].Put != SummaryKey {
+				t.Errorf("%d values, the last is %s", len(writes), writes[len(writes)-1].Put)
+			}
+			first := l.applyWrites(writes)
+			if !sameSummary(l.Summary, summary) || l.Summary.Step != 5 || len(l.Summary.History) != 1 {
+				t.Errorf("%d machines drain, %d requests, step %d",
+					len(l.Summary.Drain), len(l.Summary.Requests), l.Summary.Step)
+			}
+			if first.Step != 5 || len(first.History) != 1 ||
+				(len(first.Drain) > 0) != c.firstDrains || (len(first.Requests) > 0) != c.firstRequests {
+				t.Errorf("the first value has step %d, %d machines that drain, %d requests",
+					first.Step, len(first.Drain), len(first.Requests))
+			}
+			// Of a smaller summary, the parts that it does not need go, and nothing of them
+			// counts meanwhile or later.
+			for i, write := range l.summaryWrites(Summary{Step: 6, Drain: fleet.Draining{"i-1": 2}}) {
+				if (i == 0) != (write.Put == SummaryKey) {
+					t.Errorf("write %d is of %s", i, write.Put+write.Remove)
+				}
+				l.ApplySummary(write.Put+write.Remove, write.Value)
+			}
+			if len(l.Summary.Drain) != 1 || len(l.Summary.Requests) != 0 {
+				t.Errorf("%d machines drain, %d requests are left", len(l.Summary.Drain), len(l.Summary.Requests))
+			}
+		})
+	}
+}
+
+// What a leader of the former version leaves of further parts counts for nothing: it writes
+// the first alone.
+func TestSummaryPartsLeftByFormerVersionCountForNothing(t *testing.T) {
+	l := newLeader(t)
+	summary := Summary{Step: 5, Drain: fleet.Draining{}}
+	for i := range 4000 {
+		summary.Drain[fmt.Sprintf("i-%06d", i)] = 1
+	}
+	l.applyWrites(l.summaryWrites(summary))
+	for step, drains := range map[uint64]bool{6: true, 7: false, 4: true, 3: false} {
+		l.ApplySummary("scaler", jobs.Encode(Summary{Step: step}))
+		if (len(l.Summary.Drain) > 0) != drains {
+			t.Errorf("at step %d %d machines drain", step, len(l.Summary.Drain))
+		}
+	}
+	l.ApplySummary("scaler", jobs.Encode(Summary{Step: 7, Drain: fleet.Draining{"i-1": 1}}))
+	writes := l.summaryWrites(Summary{Step: 8})
+	if len(writes) != 7 || writes[0].Put != "scaler" || writes[6].Remove != "scaler/more:7" {
+		t.Errorf("%d writes clear them", len(writes))
+	}
+	before := l.Summary.Step
+	l.ApplySummary("scaler", []byte("7"))
+	l.ApplySummary("scaler/more:2", []byte("7"))
+	l.ApplySummary("scaler", nil)
+	if l.Summary.Step != before {
+		t.Error("an unreadable part was applied")
+	}
+	for _, key := range []string{"scaler/more:1", "scaler/more:x", "scaler/2", "scalers", "scaler/more:"} {
+		if IsSummaryKey(key) {
+			t.Errorf("%s is no key of the summary", key)
+		}
+	}
+}
