--- /dev/null
+++ b/internal/fleet/machine_test.go
@@ -0,0 +1,51 @@
+package fleet
+
+import "testing"
+
+func TestNextMachineState(t *testing.T) {
+	for _, c := range []struct {
+		state   State
+		event   Event
+		want    State
+		changed bool
+	}{
+		{Up, HeartbeatsMissed, Lost, true},
+		{Lost, Heard, Up, true},
+		{Deleting, Heard, Deleting, false},
+		{Deleted, Decommission, Deleted, false},
+		{Up, DeleteConfirmed, Up, false},
+		{Deleting, DeleteConfirmed, Deleted, true},
+		{Faulty, Heard, Faulty, false},
+		{Warned, Unhealthy, Faulty, true},
+		{Faulty, Decommission, Deleting, true},
+	} {
+		if got, changed := Next(c.state, c.event); got != c.want || changed != c.changed {
+			t.Errorf("%s on %s: %s, changed %v; want %s, %v", c.state, c.event, got, changed, c.want, c.changed)
+		}
+	}
+	if _, err := Decode([]byte(`{"s":"odd"}`)); err == nil {
+		t.Error("a record with an unknown state was accepted")
+	}
+}
+
+// Every event in every state, with the states that each may lead to.
+func TestNextMachineStateExhaustively(t *testing.T) {
+	states := []State{"", Up, Lost, Warned, Faulty, Deleting, Deleted}
+	for event, targets := range map[Event][]State{
+		// In the order of states above.
+		Heard:            {Up, Up, Up, Warned, Faulty, Deleting, Deleted},
+		HeartbeatsMissed: {"", Lost, Lost, Lost, Faulty, Deleting, Deleted},
+		Notice:           {"", Warned, Warned, Warned, Faulty, Deleting, Deleted},
+		Unhealthy:        {"", Faulty, Faulty, Faulty, Faulty, Deleting, Deleted},
+		Decommission:     {Deleting, Deleting, Deleting, Deleting, Deleting, Deleting, Deleted},
+		DeleteConfirmed:  {"", Up, Lost, Warned, Faulty, Deleted, Deleted},
+		"unknown":        states,
+	} {
+		for i, state := range states {
+			got, changed := Next(state, event)
+			if got != targets[i] || changed != (state != targets[i]) {
+				t.Errorf("%q on %s: %q, changed %v; want %q", state, event, got, changed, targets[i])
+			}
+		}
+	}
+}
