--- /dev/null
+++ b/internal/rollout/plan.go
@@ -0,0 +1,77 @@
+package rollout
+
+import (
+	"fmt"
+	"slices"
+
+	"github.com/harrierreel/harrierreel/internal/members"
+	"github.com/harrierreel/harrierreel/internal/tuning"
+)
+
+// Controller is a controller that the settings name.
+type Controller struct{ Name, Zone string }
+
+// Plan is the order in which controllers are to be ended, and what stands against
+// ending the first of them now.
+type Plan struct {
+	Leader string   `json:"leader"`
+	Epoch  uint64   `json:"epoch"`             // of the view
+	Order  []string `json:"order"`             // controllers still to be replaced, the next one first
+	NotYet []string `json:"not_yet,omitempty"` // reasons against ending any controller now
+}
+
+// Make plans for the controllers that the settings name; done are those that were
+// replaced already, the latest last.
+func Make(all []Controller, done []string, s State) Plan {
+	if s.View == nil {
+		return Plan{NotYet: []string{"there is no view: nobody leads"}}
+	}
+	p := Plan{
+		Leader: s.View.Leader,
+		Epoch:  s.View.Epoch,
+		Order:  order(all, done, s.View.Leader),
+	}
+	for _, c := range all {
+		incarnation := s.View.Incarnation(c.Name)
+		switch {
+		case incarnation == 0:
+			p.NotYet = append(p.NotYet, c.Name+" is not in the view")
+		case s.Incarnations[c.Name] != incarnation:
+			p.NotYet = append(p.NotYet, c.Name+" has just ended or come back: the view names another incarnation of it")
+		}
+	}
+	for _, name := range s.Probed {
+		p.NotYet = append(p.NotYet, name+" is called and has not answered")
+	}
+	for _, member := range s.View.Members {
+		if reason := unresponsiveShare(member, s); reason != "" {
+			p.NotYet = append(p.NotYet, reason)
+		}
+	}
+	if len(s.View.Members) < 2 {
+		p.NotYet = append(p.NotYet, "nobody else is there to take over")
+	}
+	return p
+}
+
+// unresponsiveShare says that too large a share of a member's machines is
+// unresponsive, or returns "".
+func unresponsiveShare(member members.Member, s State) string {
+	unresponsive, machines := s.Unresponsive[member.Name], s.Machines[member.Name]
+	if float64(unresponsive) <= tuning.MaxRolloutUnresponsive*float64(machines) {
+		return ""
+	}
+	return fmt.Sprintf("%s does not hear %d of %d machines", member.Name, unresponsive, machines)
+}
+
+// May returns the reasons why a controller may not be ended now, none if it may.
+func (p *Plan) May(name string) []string {
+	reasons := slices.Clone(p.NotYet)
+	switch position := slices.Index(p.Order, name); {
+	case position < 0:
+		reasons = append(reasons, name+" is not among those still to be replaced")
+	case name == p.Leader && len(p.Order) > 1:
+		reasons = append(reasons, name+" leads, and goes last")
+	}
+	return reasons
+}
--- /dev/null
+++ b/internal/rollout/rollout_test.go
@@ -0,0 +1,181 @@
+package rollout
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"github.com/harrierreel/harrierreel/internal/fleet"
+	"github.com/harrierreel/harrierreel/internal/jobs"
+	"github.com/harrierreel/harrierreel/internal/members"
+	"github.com/harrierreel/harrierreel/internal/sharding"
+	"github.com/harrierreel/harrierreel/internal/standby"
+	"github.com/harrierreel/harrierreel/internal/store"
+)
+
+var fiveControllers = []Controller{
+	{"n0", "a"},
+	{"n1", "b"},
+	{"n2", "a"},
+	{"n3", "b"},
+	{"n4", "b"},
+}
+
+// healthyRows is the state of a service whose five controllers are all well, led by n2.
+func healthyRows() []store.Item {
+	view := members.View{Leader: "n2", Epoch: 9}
+	var out []store.Item
+	for i, c := range fiveControllers {
+		view.Members = append(view.Members, members.Member{Name: c.Name, Incarnation: uint64(10 + i)})
+		out = append(out, store.Item{Key: members.MemberPrefix + c.Name, Value: jobs.Encode(10 + i)})
+	}
+	for i := range 100 {
+		out = append(out, store.Item{
+			Key:   fleet.MachinePrefix + machineName(i),
+			Value: jobs.Encode(fleet.MachineRecord{State: fleet.Up}),
+		})
+	}
+	return append(
+		out,
+		store.Item{Key: members.ViewKey, Value: jobs.Encode(view)},
+		store.Item{Key: "host/odd", Value: []byte(`"odd"`)},
+	)
+}
+
+func machineName(i int) string { return fmt.Sprintf("i-%03d", i) }
+
+// ownedBy names the first machines of a controller, up to a limit.
+func ownedBy(owner string, limit int) []string {
+	var out []string
+	for i := range 100 {
+		machine := machineName(i)
+		if len(out) < limit && sharding.Owner(machine, []string{"n0", "n1", "n2", "n3", "n4"}) == owner {
+			out = append(out, machine)
+		}
+	}
+	return out
+}
+
+// unresponsiveRow is the record of an owner's unresponsive machines.
+func unresponsiveRow(owner string, limit int) store.Item {
+	return store.Item{Key: fleet.UnresponsivePrefix + owner, Value: jobs.Encode(ownedBy(owner, limit))}
+}
+
+// The leader goes last; zones take turns; one that follows the leader goes early, so that
+// the lead passes to one that was replaced.
+func TestOrderTakesZonesInTurnAndTheLeaderLast(t *testing.T) {
+	for _, c := range []struct {
+		name, done, want string
+	}{
+		{"none replaced", "", "[n3 n0 n4 n1 n2]"},
+		{"one replaced", "n3", "[n0 n4 n1 n2]"},
+		{"only the leader left", "n3,n0,n4,n1", "[n2]"},
+		{"leader replaced already", "n2,n3", "[n0 n4 n1]"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			p := Make(fiveControllers, strings.Split(c.done, ","), Read(healthyRows()))
+			if got := fmt.Sprint(p.Order); got != c.want || len(p.NotYet) > 0 || p.Leader != "n2" || p.Epoch != 9 {
+				t.Errorf("done %q: %s, %v", c.done, got, p.NotYet)
+			}
+		})
+	}
+}
+
+// planCases change the rows of a healthy service; reason is what the plan names then.
+var planCases = map[string]struct {
+	change func([]store.Item) []store.Item
+	reason string // "" for none
+}{
+	"all well": {
+		change: func(rows []store.Item) []store.Item { return rows },
+	},
+	"no view": {
+		change: func(rows []store.Item) []store.Item { return rows[:10] },
+		reason: "nobody leads",
+	},
+	"another incarnation came back": {
+		change: func(rows []store.Item) []store.Item {
+			rows[1].Value = []byte("77")
+			return rows
+		},
+		reason: "n1 has just ended or come back",
+	},
+	"member's key gone": {
+		change: func(rows []store.Item) []store.Item { return rows[1:] },
+		reason: "n0 has just ended",
+	},
+	"probe not answered": {
+		change: func(rows []store.Item) []store.Item {
+			return append(rows, store.Item{Key: standby.ProbePrefix + "n4"})
+		},
+		reason: "n4 is called",
+	},
+	"few machines unresponsive": {
+		change: func(rows []store.Item) []store.Item { return append(rows, unresponsiveRow("n3", 1)) },
+	},
+	"many machines unresponsive": {
+		change: func(rows []store.Item) []store.Item { return append(rows, unresponsiveRow("n3", 9)) },
+		reason: "n3 does not hear",
+	},
+	"many machines unresponsive, in further lists": {
+		change: func(rows []store.Item) []store.Item {
+			machines := ownedBy("n3", 9)
+			return append(
+				rows,
+				store.Item{
+					Key:   fleet.UnresponsiveKey("n3", 1),
+					Value: jobs.Encode([]string{machines[0], "more:3"}),
+				},
+				store.Item{
+					Key:   fleet.UnresponsiveKey("n3", 2),
+					Value: jobs.Encode(append(machines[1:], "more:3")),
+				},
+			)
+		},
+		reason: "n3 does not hear 9 of",
+	},
+	"unresponsive list can't be read": {
+		change: func(rows []store.Item) []store.Item {
+			return append(rows, store.Item{Key: "quiet/n1", Value: []byte("{")})
+		},
+	},
+	"controllers missing in the view": {
+		change: func(rows []store.Item) []store.Item {
+			rows[105].Value = jobs.Encode(members.View{
+				Leader:  "n0",
+				Epoch:   3,
+				Members: []members.Member{{Name: "n0", Incarnation: 10}},
+			})
+			return rows
+		},
+		reason: "n4 is not in the view",
+	},
+}
+
+// Whatever is not well stands against the next end, by name.
+func TestPlanNamesWhatStandsAgainstTheNextEnd(t *testing.T) {
+	for name, c := range planCases {
+		t.Run(name, func(t *testing.T) {
+			p := Make(fiveControllers, nil, Read(c.change(healthyRows())))
+			expectReason(t, p.NotYet, c.reason)
+		})
+	}
+	p := Make(fiveControllers, []string{"n3"}, Read(healthyRows()))
+	for name, reason := range map[string]string{
+		"n0": "",
+		"n1": "",
+		"n2": "leads",
+		"n3": "is not among",
+		"n9": "is not among",
+	} {
+		t.Run("may end "+name, func(t *testing.T) { expectReason(t, p.May(name), reason) })
+	}
+}
+
+// expectReason checks that the reasons hold a text, or that there are none.
+func expectReason(t *testing.T, reasons []string, want string) {
+	t.Helper()
+	if got := strings.Join(reasons, "; "); (got == "") != (want == "") || !strings.Contains(got, want) {
+		t.Errorf("%q, not %q", got, want)
+	}
+}
