--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,12 +1,13 @@
-// Package client is the users' side of front: requests to any of several
-// controllers, repeated until one answers. Every request it sends may be
-// repeated without harm: ids are chosen by the user.
+// Package client sends users' requests to any of several controllers and retries
+// until one gives a final answer. Every request it sends is idempotent, since users
+// choose the ids, and so may be retried without harm.
 package client
 
 import (
 	"errors"
 	"fmt"
 	"net"
+	"net/http"
 	"strings"
 	"time"
 
@@ -14,55 +15,70 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// ErrUnreachable: no controller answered within the client's patience.
+// ErrUnreachable is wrapped by the error of Call if no controller gave a final answer
+// within the client's patience.
 var ErrUnreachable = errors.New("no controller reachable")
 
-// Answer is a controller's final word on a request.
+// Answer is a controller's final answer to a request.
 type Answer struct {
-	Status int
+	Status int // of HTTP
 	Body   []byte
-	Server string // that gave it
+	Server string // address of the controller that gave it
 }
 
-// Client asks controllers in turn.
+// Client sends requests to controllers, one after the other. It is not safe for
+// concurrent use.
 type Client struct {
-	Servers  []string      // address:port
-	Patience time.Duration // how long a request is repeated
-	// Note, if set, is told why a request is repeated.
+	Servers  []string      // address:port of each controller, at least one
+	Patience time.Duration // how long a request is retried
+	// Note, if set, is told why a request is retried.
 	Note func(what string)
 
-	// Do, Now and Sleep are the outside; New sets them.
+	// Do, Now and Sleep reach the network and the clock; New sets them, and tests put
+	// their own in their place.
 	Do    func(server, method, target string, body []byte) (*http1.Message, error)
 	Now   func() time.Time
 	Sleep func(time.Duration)
 
-	at    int // server that answered last
-	conns map[string]*http1.Client
+	// next is the index, modulo their number, of the server that a request goes to
+	// first: the one that answered last.
+	next        int
+	connections map[string]*http1.Client // by server
 }
 
 // New makes a client on real sockets and the real clock.
 func New(servers []string, patience time.Duration) *Client {
-	c := &Client{Servers: servers, Patience: patience, Now: time.Now, Sleep: time.Sleep, conns: map[string]*http1.Client{}}
-	for _, s := range servers {
-		c.conns[s] = &http1.Client{Addr: s, MaxIdle: 1, MaxBody: tuning.MaxAnswerBody}
+	c := &Client{
+		Servers:     servers,
+		Patience:    patience,
+		Now:         time.Now,
+		Sleep:       time.Sleep,
+		connections: map[string]*http1.Client{},
+	}
+	for _, server := range servers {
+		c.connections[server] = &http1.Client{
+			Addr:    server,
+			MaxIdle: 1,
+			MaxBody: tuning.MaxAnswerBody,
+		}
 	}
 	c.Do = func(server, method, target string, body []byte) (*http1.Message, error) {
-		return c.conns[server].Do(method, target, body, tuning.ClientTimeout)
+		return c.connections[server].Do(method, target, body, tuning.ClientTimeout)
 	}
 	return c
 }
 
-// Addresses reads a list of addresses, as in a:1,b:2.
+// Addresses reads a list of addresses, as in a:1,b:2. An empty list is an error.
 func Addresses(text string) ([]string, error) {
 	var out []string
-	for _, s := range strings.Split(text, ",") {
-		if s = strings.TrimSpace(s); s == "" {
+	for _, address := range strings.Split(text, ",") {
+		if address = strings.TrimSpace(address); address == "" {
 			continue
 		}
-		if _, port, err := net.SplitHostPort(s); err != nil || port == "" {
-			return nil, fmt.Errorf("%q is not address:port", s)
+		if _, port, err := net.SplitHostPort(address); err != nil || port == "" {
+			return nil, fmt.Errorf("%q is not address:port", address)
 		}
-		out = append(out, s)
+		out = append(out, address)
 	}
 	if len(out) == 0 {
 		return nil, errors.New(
@@ -73,33 +89,33 @@
 }
 
 // Call sends a request until a controller gives a final answer: any but 429, 503
-// and 504. One that doesn't answer is followed by the next; after a round in
-// which none did, and after an answer that says to come back, it waits.
+// and 504. A controller that does not answer is followed by the next; after a round in
+// which none did, and after an answer that asks for a retry, Call waits.
 func (c *Client) Call(method, target string, body []byte) (*Answer, error) {
-	end := c.Now().Add(c.Patience)
-	last := map[string]string{}
-	for tried := 0; ; {
-		server := c.Servers[c.at%len(c.Servers)]
-		m, err := c.Do(server, method, target, body)
+	deadline := c.Now().Add(c.Patience)
+	reasons := map[string]string{} // by server, why it gave no final answer
+	for failures := 0; ; {
+		server := c.current()
+		message, err := c.Do(server, method, target, body)
 		wait := time.Duration(0)
 		switch {
 		case err != nil:
-			last[server] = err.Error()
-			if tried++; tried%len(c.Servers) == 0 {
+			reasons[server] = err.Error()
+			if failures++; failures%len(c.Servers) == 0 {
 				wait = tuning.ClientPause
 			}
-		case m.Status == 429 || m.Status == 503 || m.Status == 504:
-			last[server] = fmt.Sprintf("answered %d", m.Status)
-			wait = min(max(time.Duration(m.RetryAfter)*time.Second, tuning.ClientPause), tuning.MaxClientPause)
+		case asksForRetry(message.Status):
+			reasons[server] = fmt.Sprintf("answered %d", message.Status)
+			wait = retryPause(message)
 		default:
-			return &Answer{m.Status, m.Body, server}, nil
+			return &Answer{message.Status, message.Body, server}, nil
 		}
-		c.at++
-		if !c.Now().Add(wait).Before(end) {
-			return nil, c.unreachable(last)
+		c.next++
+		if !c.Now().Add(wait).Before(deadline) {
+			return nil, c.unreachable(reasons)
 		}
 		if c.Note != nil {
-			c.Note(fmt.Sprintf("%s: %s; trying %s", server, last[server], c.Servers[c.at%len(c.Servers)]))
+			c.Note(fmt.Sprintf("%s: %s; trying %s", server, reasons[server], c.current()))
 		}
 		if wait > 0 {
 			c.Sleep(wait)
@@ -107,11 +123,31 @@
 	}
 }
 
-func (c *Client) unreachable(last map[string]string) error {
+// current is the server that the next request goes to.
+func (c *Client) current() string { return c.Servers[c.next%len(c.Servers)] }
+
+// asksForRetry tells whether an answer is not final: the controller is overloaded, or
+// can't serve now.
+func asksForRetry(status int) bool {
+	switch status {
+	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
+		return true
+	}
+	return false
+}
+
+// retryPause is the pause that an answer asks for, within the client's bounds.
+func retryPause(message *http1.Message) time.Duration {
+	wanted := time.Duration(message.RetryAfter) * time.Second
+	return min(max(wanted, tuning.ClientPause), tuning.MaxClientPause)
+}
+
+// unreachable is the error that names why each server gave no final answer.
+func (c *Client) unreachable(reasons map[string]string) error {
 	var parts []string
-	for _, s := range c.Servers {
-		if why, ok := last[s]; ok {
-			parts = append(parts, s+": "+why)
+	for _, server := range c.Servers {
+		if reason, ok := reasons[server]; ok {
+			parts = append(parts, server+": "+reason)
 		}
 	}
 	return fmt.Errorf(
--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -10,11 +10,13 @@
 	"github.com/harrierreel/harrierreel/internal/http1"
 )
 
-// fake is a client with controllers that follow a script, on a clock of its own.
-func fake(script string) (*Client, *[]string) {
+// scriptedClient is a client of two controllers that answer as a script says, on a
+// clock of its own. The log holds each request's answer and each pause.
+func scriptedClient(t *testing.T, script string) (*Client, *[]string) {
+	t.Helper()
 	var log []string
 	now := time.Unix(0, 0)
-	left := strings.Fields(script)
+	answers := strings.Fields(script)
 	c := New([]string{"a:1", "b:1"}, time.Minute)
 	c.Now = func() time.Time { return now }
 	c.Sleep = func(d time.Duration) {
@@ -22,64 +24,80 @@
 		now = now.Add(d)
 	}
 	c.Do = func(server, method, target string, _ []byte) (*http1.Message, error) {
-		what := "refused"
-		if len(left) > 0 {
-			what, left = left[0], left[1:]
+		answer := "refused"
+		if len(answers) > 0 {
+			answer, answers = answers[0], answers[1:]
 		}
-		log = append(log, server[:1]+" "+what)
-		var status, after int
-		if n, _ := fmt.Sscanf(what, "%d/%d", &status, &after); n == 0 {
-			return nil, errors.New(what)
+		log = append(log, server[:1]+" "+answer)
+		var status, retryAfter int
+		if n, _ := fmt.Sscanf(answer, "%d/%d", &status, &retryAfter); n == 0 {
+			return nil, errors.New(answer)
 		}
-		return &http1.Message{Status: status, RetryAfter: after}, nil
+		return &http1.Message{Status: status, RetryAfter: retryAfter}, nil
 	}
 	return c, &log
 }
 
-func TestCall(t *testing.T) {
-	for script, want := range map[string]string{
-		"200":                        "a 200",
-		"refused 201":                "a refused, b 201",
-		"refused timeout 200":        "a refused, b timeout, sleep 1, a 200",
-		"503/7 200":                  "a 503/7, sleep 7, b 200",
-		"429/900 200":                "a 429/900, sleep 30, b 200",
-		"503 503 404":                "a 503, sleep 1, b 503, sleep 1, a 404",
-		"504/2 refused refused 409":  "a 504/2, sleep 2, b refused, a refused, sleep 1, b 409",
-		"503/30 503/30 503/30 503/1": "a 503/30, sleep 30, b 503/30",
+func TestCallRetriesUntilAFinalAnswer(t *testing.T) {
+	for _, test := range []struct {
+		name, script, want string
+	}{
+		{"first answer is final", "200", "a 200"},
+		{"one refused", "refused 201", "a refused, b 201"},
+		{"a round without an answer", "refused timeout 200", "a refused, b timeout, sleep 1, a 200"},
+		{"pause as asked", "503/7 200", "a 503/7, sleep 7, b 200"},
+		{"pause above the maximum", "429/900 200", "a 429/900, sleep 30, b 200"},
+		{"pause not named", "503 503 404", "a 503, sleep 1, b 503, sleep 1, a 404"},
+		{"both kinds", "504/2 refused refused 409", "a 504/2, sleep 2, b refused, a refused, sleep 1, b 409"},
+		{"patience ends", "503/30 503/30 503/30 503/1", "a 503/30, sleep 30, b 503/30"},
 	} {
-		c, log := fake(script)
-		ans, err := c.Call("GET", "/x", nil)
-		if got := strings.Join(*log, ", "); got != want {
-			t.Errorf("%s: %s, not %s", script, got, want)
+		t.Run(test.name, func(t *testing.T) {
+			c, log := scriptedClient(t, test.script)
+			answer, err := c.Call("GET", "/x", nil)
+			if got := strings.Join(*log, ", "); got != test.want {
+				t.Errorf("%s: %s, not %s", test.script, got, test.want)
+			}
+			if (err != nil) != (answer == nil) || err != nil && !errors.Is(err, ErrUnreachable) {
+				t.Errorf("%s: %v %v", test.script, answer, err)
+			}
+		})
+	}
+	t.Run("nobody ever answers", func(t *testing.T) {
+		c, log := scriptedClient(t, "")
+		_, err := c.Call("GET", "/x", nil)
+		if !errors.Is(err, ErrUnreachable) || len(*log) > 200 ||
+			!strings.Contains(err.Error(), "a:1: refused; b:1: refused") {
+			t.Errorf("%v after %d steps", err, len(*log))
 		}
-		if (err != nil) != (ans == nil) || err != nil && !errors.Is(err, ErrUnreachable) {
-			t.Errorf("%s: %v %v", script, ans, err)
+	})
+	t.Run("the one that answered last goes first", func(t *testing.T) {
+		c, log := scriptedClient(t, "refused 200 200")
+		for range 2 {
+			if _, err := c.Call("GET", "/x", nil); err != nil {
+				t.Error(err)
+			}
 		}
-	}
-	c, log := fake("")
-	_, err := c.Call("GET", "/x", nil)
-	if !errors.Is(err, ErrUnreachable) || len(*log) > 200 || !strings.Contains(err.Error(), "a:1: refused; b:1: refused") {
-		t.Errorf("%v after %d steps", err, len(*log))
-	}
-	// The one that answered last is asked first.
-	c, log = fake("refused 200 200")
-	for range 2 {
-		if _, err := c.Call("GET", "/x", nil); err != nil {
-			t.Error(err)
+		if got := strings.Join(*log, ", "); got != "a refused, b 200, b 200" {
+			t.Error(got)
 		}
-	}
-	if got := strings.Join(*log, ", "); got != "a refused, b 200, b 200" {
-		t.Error(got)
-	}
+	})
 }
 
-func TestAddresses(t *testing.T) {
-	if got, err := Addresses(" a:1, ops.example.org:80 ,"); err != nil || len(got) != 2 || got[1] != "ops.example.org:80" {
+func TestAddressesNeedPorts(t *testing.T) {
+	got, err := Addresses(" a:1, ops.example.org:80 ,")
+	if err != nil || len(got) != 2 || got[1] != "ops.example.org:80" {
 		t.Error(got, err)
 	}
-	for _, bad := range []string{"", ",", "a", "a:"} {
-		if _, err := Addresses(bad); err == nil {
-			t.Errorf("%q was taken", bad)
-		}
+	for name, bad := range map[string]string{
+		"empty":       "",
+		"comma alone": ",",
+		"no port":     "a",
+		"empty port":  "a:",
+	} {
+		t.Run(name, func(t *testing.T) {
+			if _, err := Addresses(bad); err == nil {
+				t.Errorf("%q was taken", bad)
+			}
+		})
 	}
 }
