--- a/internal/pipefile/golden_test.go
+++ b/internal/pipefile/golden_test.go
@@ -49,8 +49,8 @@
 
 // A job's file makes the same request as ever.
 func TestGoldenJob(t *testing.T) {
-	due := 900.25
-	want := &jobs.Spec{
+	deadline := 900.25
+	full := &jobs.Spec{
 		ID:                  "wk-000412",
 		Class:               "nightly-reco",
 		Team:                "storefront",
@@ -70,9 +70,9 @@
 		ExpectedDurationS:   120,
 		CheckpointIntervalS: 30,
 		CheckpointTimeS:     4,
-		DeadlineS:           &due,
+		DeadlineS:           &deadline,
 	}
-	goldentest.Filled(t, want)
+	goldentest.Filled(t, full)
 	lean := &jobs.Spec{
 		ID:        "wk-7",
 		Class:     "c",
@@ -84,7 +84,7 @@
 		MemoryGB:  1,
 		Image:     "b",
 	}
-	for name, want := range map[string]*jobs.Spec{"job": want, "job-lean": lean} {
+	for name, want := range map[string]*jobs.Spec{"job": full, "job-lean": lean} {
 		got, faults := LoadJob(goldenFiles+name+".yaml", func() string { return "wk-7" })
 		if len(faults) > 0 || !reflect.DeepEqual(got, want) {
 			t.Fatalf("%s: read as %+v: %v", name, got, faults)
@@ -93,7 +93,7 @@
 	}
 }
 
-// Faults are told in the same words and forms as ever.
+// Faults are reported in the same words and forms as ever.
 func TestGoldenFaults(t *testing.T) {
 	var out bytes.Buffer
 	note := func(file string, faults []Fault) {
--- a/internal/pipefile/pipefile_test.go
+++ b/internal/pipefile/pipefile_test.go
@@ -10,9 +10,9 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// TestEveryFault checks, for each file of testdata, that exactly the faults that
-// its last lines name are told, each at its line and column.
-func TestEveryFault(t *testing.T) {
+// TestEveryFaultIsReportedAtItsPosition checks, for each file of testdata, that exactly the faults that
+// its last lines name are reported, each at its line and column.
+func TestEveryFaultIsReportedAtItsPosition(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.yaml")
 	if err != nil || len(files) == 0 {
 		t.Fatal("no files", err)
@@ -37,12 +37,12 @@
 			delete(want, at)
 		}
 		for at := range want {
-			t.Errorf("%s: not told: %s", file, at)
+			t.Errorf("%s: not reported: %s", file, at)
 		}
 	}
 }
 
-func TestGoodFile(t *testing.T) {
+func TestGoodFileBecomesPlan(t *testing.T) {
 	f, faults := Parse("x", []byte(`
 name: good
 owner: team
@@ -66,53 +66,52 @@
 		t.Fatalf("%+v", p.Steps)
 	}
 	s := p.Steps[4]
-	if s.Name != "mid[gpus=2,zone=b]" || s.Spec.Accelerators != 2 || s.Spec.Zone != "b" || s.Spec.Image != "img-mid" ||
-		s.Spec.Class != "nightly" ||
-		s.Spec.Team != "team" {
+	if s.Name != "mid[gpus=2,zone=b]" || s.Spec.Accelerators != 2 || s.Spec.Zone != "b" ||
+		s.Spec.Image != "img-mid" || s.Spec.Class != "nightly" || s.Spec.Team != "team" {
 		t.Errorf("%+v", s)
 	}
 }
 
-// What is too large or too deep is refused before it takes memory.
-func TestBounds(t *testing.T) {
-	laughs := "a: &a [x,x,x,x,x,x,x,x,x,x]\n"
+// nestedAliases is a small file whose aliases expand to 10 to the power of 8 values.
+func nestedAliases() string {
+	var out strings.Builder
+	out.WriteString("a: &a [x,x,x,x,x,x,x,x,x,x]\n")
 	for i := range 7 {
-		laughs += fmt.Sprintf(
-			"%c: &%c [*%c,*%c,*%c,*%c,*%c,*%c,*%c,*%c,*%c,*%c]\n",
-			'b'+i,
-			'b'+i,
-			'a'+i,
-			'a'+i,
-			'a'+i,
-			'a'+i,
-			'a'+i,
-			'a'+i,
-			'a'+i,
-			'a'+i,
-			'a'+i,
-			'a'+i,
-		)
+		aliases := strings.Repeat(fmt.Sprintf(",*%c", 'a'+i), 10)[1:]
+		fmt.Fprintf(&out, "%c: &%c [%s]\n", 'b'+i, 'b'+i, aliases)
 	}
+	return out.String()
+}
+
+// What is too large or too deep is refused before it takes memory.
+func TestTooLargeOrNoPipelineIsRefused(t *testing.T) {
 	for name, text := range map[string]string{
-		"long": strings.Repeat("#", tuning.MaxPipelineBytes+1), "laughs": laughs, "empty": "", "two": "a: 1\n---\nb: 2\n", "list": "- a", "text": "hello",
-		"deep": strings.Repeat("[", 500) + strings.Repeat("]", 500),
+		"too long":       strings.Repeat("#", tuning.MaxPipelineBytes+1),
+		"nested aliases": nestedAliases(),
+		"empty":          "",
+		"two documents":  "a: 1\n---\nb: 2\n",
+		"list":           "- a",
+		"text":           "hello",
+		"too deep":       strings.Repeat("[", 500) + strings.Repeat("]", 500),
 	} {
-		if f, faults := Parse(name, []byte(text)); f != nil || len(faults) == 0 || len(faults) > tuning.MaxFaults {
-			t.Errorf("%s: %d faults", name, len(faults))
-		}
-	}
-	if _, faults := Load("testdata/none"); len(faults) != 1 {
-		t.Error(faults)
+		t.Run(name, func(t *testing.T) {
+			f, faults := Parse(name, []byte(text))
+			if f != nil || len(faults) == 0 || len(faults) > tuning.MaxFaults {
+				t.Errorf("%d faults", len(faults))
+			}
+		})
 	}
+	t.Run("no such file", func(t *testing.T) {
+		if _, faults := Load("testdata/none"); len(faults) != 1 {
+			t.Error(faults)
+		}
+	})
 }
 
 // FuzzParse: no file makes the program panic.
 func FuzzParse(f *testing.F) {
-	f.Add(
-		[]byte(
-			"name: a\nowner: b\nsteps:\n  - {name: a, cores: 1, memory_gb: 1, bundle: x, when: always(), matrix: {a: [1]}}\n",
-		),
-	)
+	f.Add([]byte("name: a\nowner: b\nsteps:\n" +
+		"  - {name: a, cores: 1, memory_gb: 1, bundle: x, when: always(), matrix: {a: [1]}}\n"))
 	f.Add([]byte("a: &a\n  <<: *a\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if file, faults := Parse("x", b); file == nil && len(faults) == 0 {
