--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -104,7 +104,7 @@
 			if failures++; failures%len(c.Servers) == 0 {
 				wait = tuning.ClientPause
 			}
-		case asksForRetry(message.Status):
+		case retryable(message.Status):
 			reasons[server] = fmt.Sprintf("answered %d", message.Status)
 			wait = retryPause(message)
 		default:
@@ -126,9 +126,9 @@
 // current is the server that the next request goes to.
 func (c *Client) current() string { return c.Servers[c.next%len(c.Servers)] }
 
-// asksForRetry tells whether an answer is not final: the controller is overloaded, or
+// retryable tells whether an answer is not final: the controller is overloaded, or
 // can't serve now.
-func asksForRetry(status int) bool {
+func retryable(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		return true
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -63,7 +63,7 @@
 
 // The leader goes last; zones take turns; one that follows the leader goes early, so that
 // the lead passes to one that was replaced.
-func TestOrderTakesZonesInTurnAndTheLeaderLast(t *testing.T) {
+func TestOrderAlternatesZonesAndEndsWithTheLeader(t *testing.T) {
 	for _, c := range []struct {
 		name, done, want string
 	}{
