--- /dev/null
+++ b/internal/pipelines/fault.go
@@ -0,0 +1,17 @@
+package pipelines
+
+// Fault is one thing that is wrong with a document. Path leads to it, as in
+// steps[2].needs[0]; Want says what was expected there.
+type Fault struct {
+	Path string `json:"path"`
+	Want string `json:"want"`
+	// AtName: the field's name is meant, not its value.
+	AtName bool `json:"at_name,omitempty"`
+}
+
+func (f Fault) Error() string {
+	if f.Path == "" {
+		return f.Want
+	}
+	return f.Path + ": " + f.Want
+}
--- /dev/null
+++ b/internal/pipelines/request.go
@@ -0,0 +1,75 @@
+package pipelines
+
+import (
+	"encoding/json"
+	"fmt"
+	"slices"
+
+	"github.com/harrierreel/harrierreel/internal/jobs"
+	"github.com/harrierreel/harrierreel/internal/tuning"
+)
+
+// Request is a submission of a run.
+type Request struct {
+	ID   string
+	Doc  []byte // the document's JSON, its fields in order
+	Plan *Plan
+}
+
+// Refusal is the body of an answer that refuses a submission.
+type Refusal struct {
+	Error  string  `json:"error"`
+	Faults []Fault `json:"faults,omitempty"`
+}
+
+// ParseRequest reads a submission's body. The refusal tells every fault.
+func ParseRequest(body []byte) (*Request, *Refusal) {
+	var r struct {
+		ID       string `json:"id"`
+		Pipeline any    `json:"pipeline"`
+	}
+	if err := json.Unmarshal(body, &r); err != nil {
+		return nil, &Refusal{Error: "body: " + err.Error()}
+	}
+	if !ValidID(r.ID) {
+		return nil, &Refusal{Error: "id: must be run- and 1 to 40 lower case letters, digits or dashes"}
+	}
+	p, faults := Compile(r.Pipeline)
+	if len(faults) > 0 {
+		return nil, &Refusal{Error: fmt.Sprintf("%d faults in the pipeline", len(faults)), Faults: faults}
+	}
+	return &Request{r.ID, jobs.Encode(r.Pipeline), p}, nil
+}
+
+// Judge names the steps that can never run, each by its place in the document.
+func (p *Plan) Judge(judge func(*jobs.Spec) string) []Fault {
+	var out []Fault
+	for i := range p.Steps {
+		s := &p.Steps[i]
+		if why := judge(&s.Spec); why != "" {
+			if f := (Fault{Path: s.path, Want: "can never run: " + why}); !slices.Contains(out, f) &&
+				len(out) < tuning.MaxFaults {
+				out = append(out, f)
+			}
+		}
+	}
+	return out
+}
+
+// Accept is the change that accepts a run; the jobs of its first steps go with
+// it, as many as one transaction holds. Too long a record is an error.
+func (k *Keeper) Accept(q *Request, salt string, nowMs int64, w Cluster) (*Change, error) {
+	rec := NewRecord(q.Plan, q.Doc, salt, nowMs)
+	if most := rec.MaxBytes(); most > k.limits.ValueBytes {
+		return nil, fmt.Errorf(
+			"the run would take up to %d bytes of the state service's %d: fewer steps or shorter fields are needed",
+			most,
+			k.limits.ValueBytes,
+		)
+	}
+	d := k.draft(&run{id: q.ID, rec: rec, plan: q.Plan}, nowMs)
+	d.moved = true
+	unfold(q.Plan, d.steps, nowMs)
+	k.submit(d, w)
+	return d.finish(), nil
+}
