--- a/internal/pipelines/fault.go
+++ b/internal/pipelines/fault.go
@@ -1,7 +1,8 @@
 package pipelines
 
 // Fault is one thing that is wrong with a document. Path leads to it, as in
-// steps[2].needs[0]; Want says what was expected there.
+// steps[2].needs[0]; Want says what was expected there. Users get both, so that
+// their texts only ever change together with the golden files.
 type Fault struct {
 	Path string `json:"path"`
 	Want string `json:"want"`
@@ -9,6 +10,7 @@
 	AtName bool `json:"at_name,omitempty"`
 }
 
+// Error is the fault's path, if it has one, and what was expected there.
 func (f Fault) Error() string {
 	if f.Path == "" {
 		return f.Want
--- a/internal/pipelines/fields.go
+++ b/internal/pipelines/fields.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// kind is what a field holds.
+// kind is what a field holds, in the words that users get.
 type kind string
 
 const (
@@ -23,100 +23,137 @@
 	list    kind = "a list"
 )
 
-// jobFields are handed to the job as they stand.
+// jobFields are handed to the job as they stand; their names are those of a
+// submission.
 var jobFields = map[string]kind{
-	"jobclass": text, "shape": text, "rank": text, "pieces": whole, "cores": number, "accelerators": number,
-	"memory_gb": number, "bundle": text, "pull_gb": number, "builds": texts, "site": text, "same_place": boolean,
-	"scatter": boolean, "loaner": boolean, "expect_s": number, "snapshot_s": number, "stash_s": number, "due_s": number,
+	"jobclass":     text,
+	"shape":        text,
+	"rank":         text,
+	"pieces":       whole,
+	"cores":        number,
+	"accelerators": number,
+	"memory_gb":    number,
+	"bundle":       text,
+	"pull_gb":      number,
+	"builds":       texts,
+	"site":         text,
+	"same_place":   boolean,
+	"scatter":      boolean,
+	"loaner":       boolean,
+	"expect_s":     number,
+	"snapshot_s":   number,
+	"stash_s":      number,
+	"due_s":        number,
 }
 
 var (
-	runFields  = map[string]kind{"allow_failure": boolean, "repeats": whole, "timeout_s": number, "doubt_s": number}
-	stepFields = join(jobFields, runFields, map[string]kind{"name": text, "needs": names, "when": text, "matrix": matrix})
-	topFields  = map[string]kind{"name": text, "owner": text, "defaults": table, "steps": list}
-	defFields  = join(jobFields, runFields)
+	runFields = map[string]kind{
+		"allow_failure": boolean,
+		"repeats":       whole,
+		"timeout_s":     number,
+		"doubt_s":       number,
+	}
+	// ownFields can't have defaults.
+	ownFields = map[string]kind{
+		"name":   text,
+		"needs":  names,
+		"when":   text,
+		"matrix": matrix,
+	}
+	topFields = map[string]kind{
+		"name":     text,
+		"owner":    text,
+		"defaults": table,
+		"steps":    list,
+	}
+	stepFields    = join(jobFields, runFields, ownFields)
+	defaultFields = join(jobFields, runFields)
 )
 
-func join(ms ...map[string]kind) map[string]kind {
+func join(tables ...map[string]kind) map[string]kind {
 	out := map[string]kind{}
-	for _, m := range ms {
-		maps.Copy(out, m)
+	for _, t := range tables {
+		maps.Copy(out, t)
 	}
 	return out
 }
 
 // fields checks that a table has only known fields, each of its kind. Texts
 // that hold ${{ }} may become anything and are checked once they are filled in.
-func (c *compiler) fields(path string, t map[string]any, known map[string]kind) {
-	for _, k := range slices.Sorted(maps.Keys(t)) {
-		at := under(path, k)
-		want, ok := known[k]
+func (c *compiler) fields(path string, fields map[string]any, known map[string]kind) {
+	for _, name := range slices.Sorted(maps.Keys(fields)) {
+		at := fieldPath(path, name)
+		want, ok := known[name]
 		if !ok {
-			c.tell(Fault{at, "is no field here; expected one of " + strings.Join(slices.Sorted(maps.Keys(known)), ", "), true})
+			expected := strings.Join(slices.Sorted(maps.Keys(known)), ", ")
+			c.add(Fault{Path: at, Want: "is no field here; expected one of " + expected, AtName: true})
 			continue
 		}
-		if s, isText := t[k].(string); isText && want != names && strings.Contains(s, "${{") {
+		if s, isText := fields[name].(string); isText && want != names && strings.Contains(s, "${{") {
 			continue
 		}
-		if !is(want, t[k]) {
-			c.fail(at, "expected %s, found %s", want, describe(t[k]))
+		if !isKind(want, fields[name]) {
+			c.fail(at, "expected %s, found %s", want, describe(fields[name]))
 		}
 	}
 }
 
-func under(path, field string) string {
+func fieldPath(path, field string) string {
 	if path == "" {
 		return field
 	}
 	return path + "." + field
 }
 
-func at(path string, i int) string { return fmt.Sprintf("%s[%d]", path, i) }
+func indexPath(path string, i int) string { return fmt.Sprintf("%s[%d]", path, i) }
 
-func (c *compiler) required(path string, v any) string {
-	s, _ := v.(string)
-	if v == nil || v == "" {
+func (c *compiler) required(path string, value any) string {
+	s, _ := value.(string)
+	if value == nil || value == "" {
 		c.fail(path, "is missing; expected a text")
 	}
 	return s
 }
 
-// is tells whether a value is of a kind. A null stands for an absent field.
-func is(want kind, v any) bool {
-	if v == nil {
+// isKind tells whether a value is of a kind. A null stands for an absent field.
+func isKind(want kind, value any) bool {
+	if value == nil {
 		return true
 	}
+	ok := false
 	switch want {
 	case text:
-		_, ok := v.(string)
-		return ok
-	case number, whole:
-		f, ok := amount(v)
-		return ok && f >= 0 && (want == number || f == math.Trunc(f))
+		ok = isText(value)
+	case number:
+		f, finite := toNumber(value)
+		ok = finite && f >= 0
+	case whole:
+		f, finite := toNumber(value)
+		ok = finite && f >= 0 && f == math.Trunc(f)
 	case boolean:
-		_, ok := v.(bool)
-		return ok
+		_, ok = value.(bool)
 	case names:
-		if _, ok := v.(string); ok {
-			return true
-		}
-		return is(texts, v)
+		ok = isText(value) || isKind(texts, value)
 	case texts:
-		l, ok := v.([]any)
-		return ok && !slices.ContainsFunc(l, func(e any) bool { _, isText := e.(string); return !isText })
+		values, isList := value.([]any)
+		ok = isList && !slices.ContainsFunc(values, func(v any) bool { return !isText(v) })
 	case matrix, table:
-		_, ok := v.(map[string]any)
-		return ok
+		_, ok = value.(map[string]any)
 	case list:
-		_, ok := v.([]any)
-		return ok
+		_, ok = value.([]any)
 	}
-	return false
+	return ok
+}
+
+func isText(value any) bool {
+	_, ok := value.(string)
+	return ok
 }
 
-// amount reads a number in any of the forms that the parsers give.
-func amount(v any) (float64, bool) {
-	switch n := v.(type) {
+// toNumber reads a number in any of the forms that the parsers give; false if it is
+// none, or not finite.
+func toNumber(value any) (float64, bool) {
+	switch n := value.(type) {
 	case float64:
 		return n, !math.IsNaN(n) && !math.IsInf(n, 0)
 	case int64:
@@ -129,11 +166,12 @@
 	return 0, false
 }
 
-func describe(v any) string {
-	switch v := v.(type) {
+// describe names a value in a fault.
+func describe(value any) string {
+	switch v := value.(type) {
 	case string:
-		if len(v) > 40 {
-			v = v[:40] + "..."
+		if len(v) > maxDescribed {
+			v = v[:maxDescribed] + "..."
 		}
 		return fmt.Sprintf("the text %q", v)
 	case map[string]any:
@@ -141,5 +179,19 @@
 	case []any:
 		return "a list"
 	}
-	return fmt.Sprint(v)
+	return fmt.Sprint(value)
 }
+
+// maxDescribed is how many bytes of a text a fault repeats: enough to find it.
+const maxDescribed = 40
+
+// someNames lists a few names: a fault is read by a person.
+func someNames(all []string) string {
+	if len(all) > maxListed {
+		return strings.Join(all[:maxListed], ", ") + ", ..."
+	}
+	return strings.Join(all, ", ")
+}
+
+// maxListed is how many names a fault lists.
+const maxListed = 10
--- a/internal/pipelines/matrix.go
+++ b/internal/pipelines/matrix.go
@@ -12,68 +12,63 @@
 
 // expand makes the steps of a group: one, or one for each combination of its
 // matrix.
-func (c *compiler) expand(p *Plan, group int, raw, defaults map[string]any) {
-	path := at("steps", group)
+func (c *compiler) expand(p *Plan, group int, written, defaults map[string]any) {
+	path := indexPath("steps", group)
 	merged := maps.Clone(defaults)
 	if merged == nil {
 		merged = map[string]any{}
 	}
-	maps.Copy(merged, raw)
-	for _, values := range c.combinations(under(path, "matrix"), raw["matrix"]) {
+	maps.Copy(merged, written)
+	for _, values := range c.combinations(fieldPath(path, "matrix"), written["matrix"]) {
 		if len(p.Steps) > tuning.MaxSteps {
 			return
 		}
 		filled, faulty := map[string]any{}, map[string]bool{}
-		for _, k := range slices.Sorted(maps.Keys(merged)) {
-			where := under(path, k)
-			if _, own := raw[k]; !own {
-				where = under("defaults", k)
-			}
-			if k == "name" || k == "needs" || k == "when" || k == "matrix" {
+		for _, name := range slices.Sorted(maps.Keys(merged)) {
+			if _, own := ownFields[name]; own {
 				continue
 			}
-			v := c.fill(where, merged[k], values, p.Name, p.Groups[group].Name)
-			if want, ok := defFields[k]; ok && !is(want, v) {
-				c.fail(where, "expected %s, found %s", want, describe(v))
-				faulty[k] = true
+			at := fieldPath(path, name)
+			if _, set := written[name]; !set {
+				at = fieldPath("defaults", name)
+			}
+			value := c.fill(at, merged[name], substitution{values, p.Name, p.Groups[group].Name})
+			if want, ok := defaultFields[name]; ok && !isKind(want, value) {
+				c.fail(at, "expected %s, found %s", want, describe(value))
+				faulty[name] = true
 				continue
 			}
-			if v != nil {
-				filled[k] = v
+			if value != nil {
+				filled[name] = value
 			}
 		}
-		c.step(p, group, path, filled, values, faulty)
+		c.step(p, group, rawStep{path: path, fields: filled, matrix: values, faulty: faulty})
 	}
 }
 
 // combinations lists a matrix' combinations, the last name turning fastest; one
 // empty combination without a matrix.
-func (c *compiler) combinations(path string, v any) []map[string]any {
-	m, _ := v.(map[string]any)
+func (c *compiler) combinations(path string, rawMatrix any) []map[string]any {
+	matrix, _ := rawMatrix.(map[string]any)
 	out := []map[string]any{nil}
-	for _, k := range slices.Sorted(maps.Keys(m)) {
-		if !nameForm.MatchString(k) {
-			c.fail(under(path, k), "expected letters, digits, - and _ in a name")
+	for _, name := range slices.Sorted(maps.Keys(matrix)) {
+		at := fieldPath(path, name)
+		if !namePattern.MatchString(name) {
+			c.fail(at, "expected letters, digits, - and _ in a name")
 		}
-		values, ok := m[k].([]any)
+		values, ok := matrix[name].([]any)
 		if !ok || len(values) == 0 {
-			c.fail(under(path, k), "expected a list of at least one value")
+			c.fail(at, "expected a list of at least one value")
 			continue
 		}
 		var next []map[string]any
-		for _, have := range out {
-			for i, val := range values {
-				switch val.(type) {
-				case map[string]any, []any, nil:
-					c.fail(at(under(path, k), i), "expected a text, a number, true or false")
+		for _, combination := range out {
+			for i, value := range values {
+				if !c.matrixValue(indexPath(at, i), value) {
 					continue
 				}
-				if len(fmt.Sprint(val)) > tuning.MaxMatrixText {
-					c.fail(at(under(path, k), i), "expected at most %d bytes", tuning.MaxMatrixText)
-					continue
-				}
-				row := map[string]any{k: val}
-				maps.Copy(row, have)
+				row := map[string]any{name: value}
+				maps.Copy(row, combination)
 				next = append(next, row)
 			}
 		}
@@ -86,41 +81,71 @@
 	return out
 }
 
-var hole = regexp.MustCompile(`\$\{\{\s*([^}]*?)\s*\}\}`)
+// matrixValue checks one value of a matrix.
+func (c *compiler) matrixValue(path string, value any) bool {
+	switch value.(type) {
+	case map[string]any, []any, nil:
+		c.fail(path, "expected a text, a number, true or false")
+		return false
+	}
+	if len(fmt.Sprint(value)) > tuning.MaxMatrixText {
+		c.fail(path, "expected at most %d bytes", tuning.MaxMatrixText)
+		return false
+	}
+	return true
+}
+
+var placeholder = regexp.MustCompile(`\$\{\{\s*([^}]*?)\s*\}\}`)
+
+// substitution is what placeholders of a step stand for.
+type substitution struct {
+	matrix         map[string]any
+	pipeline, step string
+}
+
+// value is what a placeholder's name stands for; false if it is unknown.
+func (s substitution) value(name string) (any, bool) {
+	switch key, isMatrix := strings.CutPrefix(name, "matrix."); {
+	case name == "pipeline.name":
+		return s.pipeline, true
+	case name == "step.name":
+		return s.step, true
+	case isMatrix && s.matrix[key] != nil:
+		return s.matrix[key], true
+	}
+	return "", false
+}
 
 // fill puts the matrix' values into ${{ matrix.NAME }}. A text that is nothing
-// but one hole takes the value's own kind, so that cores may come from a matrix.
-func (c *compiler) fill(path string, v any, values map[string]any, pipeline, step string) any {
-	switch v := v.(type) {
+// but one placeholder takes the value's own kind, so that cores may come from a
+// matrix.
+func (c *compiler) fill(path string, value any, s substitution) any {
+	switch v := value.(type) {
 	case []any:
 		out := make([]any, len(v))
 		for i := range v {
-			out[i] = c.fill(at(path, i), v[i], values, pipeline, step)
+			out[i] = c.fill(indexPath(path, i), v[i], s)
 		}
 		return out
 	case string:
-		value := func(name string) any {
-			switch key, isMatrix := strings.CutPrefix(name, "matrix."); {
-			case name == "pipeline.name":
-				return pipeline
-			case name == "step.name":
-				return step
-			case isMatrix && values[key] != nil:
-				return values[key]
-			}
-			c.fail(
-				path,
-				"${{ %s }} is unknown; expected pipeline.name, step.name or matrix. with a name of this step's matrix",
-				name,
-			)
-			return ""
+		if m := placeholder.FindStringSubmatch(v); m != nil && m[0] == v {
+			return c.substitute(path, m[1], s)
 		}
-		if m := hole.FindStringSubmatch(v); m != nil && m[0] == v {
-			return value(m[1])
-		}
-		return hole.ReplaceAllStringFunc(v, func(h string) string {
-			return fmt.Sprint(value(hole.FindStringSubmatch(h)[1]))
+		return placeholder.ReplaceAllStringFunc(v, func(match string) string {
+			return fmt.Sprint(c.substitute(path, placeholder.FindStringSubmatch(match)[1], s))
 		})
 	}
-	return v
+	return value
+}
+
+func (c *compiler) substitute(path, name string, s substitution) any {
+	value, ok := s.value(name)
+	if !ok {
+		c.fail(
+			path,
+			"${{ %s }} is unknown; expected pipeline.name, step.name or matrix. with a name of this step's matrix",
+			name,
+		)
+	}
+	return value
 }
--- a/internal/pipelines/needs.go
+++ b/internal/pipelines/needs.go
@@ -7,95 +7,105 @@
 )
 
 // needs resolves what each step needs, and finds circles.
-func (c *compiler) needs(p *Plan, raw []any) {
-	index := map[string]int{}
+func (c *compiler) needs(p *Plan, rawSteps []any) {
+	index := map[string]int{} // of a name's first group
 	for i := range p.Groups {
 		if _, twice := index[p.Groups[i].Name]; !twice && p.Groups[i].Name != "" {
 			index[p.Groups[i].Name] = i
 		}
 	}
 	for i := range p.Groups {
-		step, _ := raw[i].(map[string]any)
-		path := under(at("steps", i), "needs")
-		var wanted []any
-		switch v := step["needs"].(type) {
+		rawStep, _ := rawSteps[i].(map[string]any)
+		path := fieldPath(indexPath("steps", i), "needs")
+		switch needs := rawStep["needs"].(type) {
 		case string:
-			wanted = []any{v}
+			c.need(p, i, path, needs, index)
 		case []any:
-			wanted = v
-		}
-		for k, w := range wanted {
-			where := path
-			if _, isList := step["needs"].([]any); isList {
-				where = at(path, k)
-			}
-			name, _ := w.(string)
-			g, ok := index[name]
-			switch {
-			case !ok:
-				c.fail(where, "no step is called %q; expected one of %s", name, some(slices.Sorted(maps.Keys(index))))
-			case g == i:
-				c.fail(where, "a step can't need itself")
-			case !slices.Contains(p.Groups[i].Needs, g):
-				p.Groups[i].Needs = append(p.Groups[i].Needs, g)
+			for k, need := range needs {
+				name, _ := need.(string)
+				c.need(p, i, indexPath(path, k), name, index)
 			}
 		}
 	}
 	c.circles(p)
 }
 
-// some lists a few names.
-func some(all []string) string {
-	if len(all) > 10 {
-		return strings.Join(all[:10], ", ") + ", ..."
+// need adds to a group one that it needs, by name.
+func (c *compiler) need(p *Plan, group int, path, name string, index map[string]int) {
+	needed, ok := index[name]
+	switch {
+	case !ok:
+		known := someNames(slices.Sorted(maps.Keys(index)))
+		c.fail(path, "no step is called %q; expected one of %s", name, known)
+	case needed == group:
+		c.fail(path, "a step can't need itself")
+	case !slices.Contains(p.Groups[group].Needs, needed):
+		p.Groups[group].Needs = append(p.Groups[group].Needs, needed)
 	}
-	return strings.Join(all, ", ")
 }
 
-// circles tells each circle of needs once, and fills in the ancestors.
+// visitState is how far the search for circles has come with a group.
+type visitState uint8
+
+const (
+	unvisited visitState = iota
+	onTrail              // its needs are being visited
+	visited
+)
+
+// search is a depth-first search through the groups' needs.
+type search struct {
+	compiler *compiler
+	plan     *Plan
+	states   []visitState
+	trail    []int // groups from the first one to the present one
+}
+
+// circles reports each circle of needs once, and fills in the ancestors.
 func (c *compiler) circles(p *Plan) {
-	const (
-		fresh = iota
-		open
-		closed
-	)
-	state := make([]int, len(p.Groups))
-	var trail []int
-	var visit func(g int)
-	visit = func(g int) {
-		state[g] = open
-		trail = append(trail, g)
-		above := map[int]bool{}
-		for _, need := range p.Groups[g].Needs {
-			switch state[need] {
-			case open:
-				var way []string
-				for _, t := range trail[slices.Index(trail, need):] {
-					way = append(way, p.Groups[t].Name)
-				}
-				c.circular = true
-				c.fail(
-					under(at("steps", g), "needs"),
-					"steps need one another in a circle: %s -> %s",
-					strings.Join(way, " -> "),
-					p.Groups[need].Name,
-				)
-				continue
-			case fresh:
-				visit(need)
-			}
-			above[need] = true
-			for _, a := range p.Groups[need].Ancestors {
-				above[a] = true
-			}
+	s := search{compiler: c, plan: p, states: make([]visitState, len(p.Groups))}
+	for g := range p.Groups {
+		if s.states[g] == unvisited {
+			s.descend(g)
 		}
-		p.Groups[g].Ancestors = slices.Sorted(maps.Keys(above))
-		trail = trail[:len(trail)-1]
-		state[g] = closed
 	}
-	for g := range p.Groups {
-		if state[g] == fresh {
-			visit(g)
+}
+
+// descend visits a group and all that it needs.
+func (s *search) descend(g int) {
+	s.states[g] = onTrail
+	s.trail = append(s.trail, g)
+	ancestors := map[int]bool{}
+	for _, need := range s.plan.Groups[g].Needs {
+		switch s.states[need] {
+		case onTrail:
+			s.reportCircle(g, need)
+			continue
+		case unvisited:
+			s.descend(need)
+		case visited:
+		}
+		ancestors[need] = true
+		for _, a := range s.plan.Groups[need].Ancestors {
+			ancestors[a] = true
 		}
 	}
+	s.plan.Groups[g].Ancestors = slices.Sorted(maps.Keys(ancestors))
+	s.trail = s.trail[:len(s.trail)-1]
+	s.states[g] = visited
+}
+
+// reportCircle reports that a group needs one that the trail came through.
+func (s *search) reportCircle(group, need int) {
+	var names []string
+	for _, g := range s.trail[slices.Index(s.trail, need):] {
+		names = append(names, s.plan.Groups[g].Name)
+	}
+	s.compiler.circular = true
+	s.compiler.fail(
+		fieldPath(indexPath("steps", group), "needs"),
+		"steps need one another in a circle: %s -> %s",
+		strings.Join(names, " -> "),
+		s.plan.Groups[need].Name,
+	)
 }
--- a/internal/pipelines/step_spec.go
+++ b/internal/pipelines/step_spec.go
@@ -10,39 +10,78 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// step checks one step's job as a submission is checked.
-func (c *compiler) step(p *Plan, group int, path string, fields, values map[string]any, faulty map[string]bool) {
-	s := Step{Name: p.Groups[group].Name, Group: group, Matrix: values, DoubtS: tuning.StepDoubt.Seconds(), path: path}
-	if len(values) > 0 {
-		var parts []string
-		for _, k := range slices.Sorted(maps.Keys(values)) {
-			parts = append(parts, fmt.Sprintf("%s=%v", k, values[k]))
-		}
-		s.Name += "[" + strings.Join(parts, ",") + "]"
+// rawStep is one step as written, its placeholders filled in.
+type rawStep struct {
+	path   string
+	fields map[string]any
+	matrix map[string]any
+	faulty map[string]bool // fields whose kind was reported already
+}
+
+// step checks one step and adds it to the plan.
+func (c *compiler) step(p *Plan, group int, raw rawStep) {
+	s := Step{
+		Name:   p.Groups[group].Name + matrixSuffix(raw.matrix),
+		Group:  group,
+		Matrix: raw.matrix,
+		DoubtS: tuning.StepDoubt.Seconds(),
+		path:   raw.path,
 	}
-	// Names are what uids are derived from: values that read the same would make
-	// two steps with one job.
-	if c.names[s.Name] && len(values) > 0 {
-		c.fail(under(path, "matrix"), "expected values that read differently, %s comes twice", s.Name)
+	// Job IDs are derived from names: values that read the same would make two steps
+	// with one job.
+	if c.stepNames[s.Name] && len(raw.matrix) > 0 {
+		c.fail(
+			fieldPath(raw.path, "matrix"),
+			"expected values that read differently, %s comes twice",
+			s.Name,
+		)
 		return
 	}
-	c.names[s.Name] = true
-	s.AllowFailure, _ = fields["allow_failure"].(bool)
-	if v, ok := amount(fields["repeats"]); ok {
+	c.stepNames[s.Name] = true
+	s.AllowFailure, _ = raw.fields["allow_failure"].(bool)
+	if v, ok := toNumber(raw.fields["repeats"]); ok {
 		if s.Repeats = int(v); v > tuning.MaxRepeats {
-			c.fail(under(path, "repeats"), "expected at most %d", tuning.MaxRepeats)
+			c.fail(fieldPath(raw.path, "repeats"), "expected at most %d", tuning.MaxRepeats)
 		}
 	}
-	for _, f := range []struct {
-		name string
-		to   *float64
-	}{{"timeout_s", &s.TimeoutS}, {"doubt_s", &s.DoubtS}} {
-		if v, ok := amount(fields[f.name]); ok {
-			if *f.to = v; v < 1 {
-				c.fail(under(path, f.name), "expected at least 1 second")
-			}
-		}
+	c.seconds(raw, "timeout_s", &s.TimeoutS)
+	c.seconds(raw, "doubt_s", &s.DoubtS)
+	spec := c.jobSpec(p, raw)
+	if spec == nil {
+		return
+	}
+	s.Spec = *spec
+	p.Groups[group].Steps = append(p.Groups[group].Steps, len(p.Steps))
+	p.Steps = append(p.Steps, s)
+}
+
+// matrixSuffix tells the steps of a matrix apart, as in [x=1,y=2].
+func matrixSuffix(values map[string]any) string {
+	if len(values) == 0 {
+		return ""
+	}
+	var parts []string
+	for _, name := range slices.Sorted(maps.Keys(values)) {
+		parts = append(parts, fmt.Sprintf("%s=%v", name, values[name]))
 	}
+	return "[" + strings.Join(parts, ",") + "]"
+}
+
+// seconds reads a duration; without the field, its default stays.
+func (c *compiler) seconds(raw rawStep, name string, out *float64) {
+	v, ok := toNumber(raw.fields[name])
+	if !ok {
+		return
+	}
+	*out = v
+	if v < 1 {
+		c.fail(fieldPath(raw.path, name), "expected at least 1 second")
+	}
+}
+
+// jobSpec checks a step's job as a submission is checked; nil if it is faulty. Its
+// ID is left open.
+func (c *compiler) jobSpec(p *Plan, raw rawStep) *jobs.Spec {
 	job := map[string]any{
 		"uid":      "wk-0",
 		"jobclass": p.Name,
@@ -51,29 +90,29 @@
 		"rank":     "standard",
 		"pieces":   1,
 	}
-	for k := range jobFields {
-		if v, ok := fields[k]; ok {
-			job[k] = v
+	for name := range jobFields {
+		if v, ok := raw.fields[name]; ok {
+			job[name] = v
 		}
 	}
 	jobs.FillDefaults(job)
 	if job["shape"] == jobs.Service {
-		c.fail(under(path, "shape"), "expected sweep or ensemble: a standing job never ends, so no step after it could start")
-		return
+		c.fail(
+			fieldPath(raw.path, "shape"),
+			"expected sweep or ensemble: a standing job never ends, so no step after it could start",
+		)
+		return nil
 	}
 	spec, faults := jobs.CheckSpec(jobs.Encode(job))
 	for _, f := range faults {
 		// What is wrong with the pipeline's name or owner, or with the field's
-		// kind, was told already.
-		if job[f.Field] != "" && !faulty[f.Field] {
-			c.fail(under(path, f.Field), "%s", f.Reason)
+		// kind, was reported already.
+		if job[f.Field] != "" && !raw.faulty[f.Field] {
+			c.fail(fieldPath(raw.path, f.Field), "%s", f.Reason)
 		}
 	}
-	if spec == nil {
-		return
+	if spec != nil {
+		spec.ID = ""
 	}
-	spec.ID = ""
-	s.Spec = *spec
-	p.Groups[group].Steps = append(p.Groups[group].Steps, len(p.Steps))
-	p.Steps = append(p.Steps, s)
+	return spec
 }
--- a/internal/pipelines/when.go
+++ b/internal/pipelines/when.go
@@ -125,7 +125,7 @@
 			return nil, fmt.Sprintf(
 				"speaks of the step %q, which this step does not need, so that it may not have ended; expected one of: %s",
 				s,
-				some(ancestors),
+				someNames(ancestors),
 			)
 		}
 		sample.outcomes[s] = succeeded
@@ -158,11 +158,11 @@
 		if !ok || c.circular ||
 			slices.ContainsFunc(
 				c.faults,
-				func(f Fault) bool { return strings.HasPrefix(f.Path, under(at("steps", i), "needs")) },
+				func(f Fault) bool { return strings.HasPrefix(f.Path, fieldPath(indexPath("steps", i), "needs")) },
 			) {
 			continue
 		}
-		path := under(at("steps", i), "when")
+		path := fieldPath(indexPath("steps", i), "when")
 		above := c.above(p, i)
 		w, fault := compileWhen(text, above)
 		if fault != "" {
@@ -198,7 +198,7 @@
 	if len(names) == 0 {
 		return "no step (it needs none)"
 	}
-	return some(names)
+	return someNames(names)
 }
 
 // canHold tries a condition on every outcome of the steps above, as long as
