--- a/internal/pipelines/progress.go
+++ b/internal/pipelines/progress.go
@@ -2,9 +2,9 @@
 
 // groupOutcome sums up the steps of a group; false while one has not ended.
 // A failure that the file allows counts as success.
-func groupOutcome(p *Plan, g int, steps []StepRun) (outcome, bool) {
-	out, skips := succeeded, 0
-	for _, i := range p.Groups[g].Steps {
+func groupOutcome(p *Plan, group int, steps []StepRun) (outcome, bool) {
+	out, skippedSteps := succeeded, 0
+	for _, i := range p.Groups[group].Steps {
 		switch s := steps[i]; {
 		case !s.State.Over():
 			return "", false
@@ -13,46 +13,24 @@
 		case s.State == Cancelled && out != failed:
 			out = cancelled
 		case s.State == Skipped:
-			skips++
+			skippedSteps++
 		}
 	}
-	if out == succeeded && skips > 0 && skips == len(p.Groups[g].Steps) {
+	if out == succeeded && skippedSteps > 0 && skippedSteps == len(p.Groups[group].Steps) {
 		out = skipped
 	}
 	return out, true
 }
 
 // unfold moves the steps on as far as what has ended allows: those whose needs
-// have all ended become ready or are skipped. Groups stand in order, so that one
-// look settles whole chains of skipped steps.
+// have all ended become ready or are skipped. Groups stand in an order in which none
+// needs a later one, so that one pass settles whole chains of skipped steps.
 func unfold(p *Plan, steps []StepRun, nowMs int64) (changed bool) {
-	outcomes := make([]outcome, len(p.Groups))
+	outcomes := make([]outcome, len(p.Groups)) // "" for a group that has not ended
 	for g := range p.Groups {
-		f := facts{success: true, outcomes: map[string]outcome{}}
-		met := true
-		for _, need := range p.Groups[g].Needs {
-			met = met && outcomes[need] != ""
-			f.success = f.success && outcomes[need] == succeeded
-		}
-		if met {
-			for _, a := range p.Groups[g].Ancestors {
-				f.outcomes[p.Groups[a].Name] = outcomes[a]
-				f.failure = f.failure || outcomes[a] == failed
-			}
+		if f, met := factsOf(p, g, outcomes); met {
 			for _, i := range p.Groups[g].Steps {
-				if steps[i].State != Waiting {
-					continue
-				}
-				f.matrix = p.Steps[i].Matrix
-				e := StepEvent{Kind: NeedsUnmet, Why: WhenFalse, NowMs: nowMs}
-				if ok, err := p.Steps[i].When.holds(f); err != nil {
-					e.Why = WhenBroken
-				} else if ok {
-					e.Kind = NeedsMet
-				}
-				if next, ok := NextStep(steps[i], e); ok {
-					steps[i], changed = next, true
-				}
+				changed = settle(&p.Steps[i], &steps[i], f, nowMs) || changed
 			}
 		}
 		outcomes[g], _ = groupOutcome(p, g, steps)
@@ -60,17 +38,51 @@
 	return changed
 }
 
-// conclude is a run's state once its steps have ended.
+// factsOf is what the conditions of a group may depend on; false while a group that
+// it needs has not ended.
+func factsOf(p *Plan, group int, outcomes []outcome) (facts, bool) {
+	f := facts{success: true, outcomes: map[string]outcome{}}
+	for _, need := range p.Groups[group].Needs {
+		if outcomes[need] == "" {
+			return facts{}, false
+		}
+		f.success = f.success && outcomes[need] == succeeded
+	}
+	for _, ancestor := range p.Groups[group].Ancestors {
+		f.outcomes[p.Groups[ancestor].Name] = outcomes[ancestor]
+		f.failure = f.failure || outcomes[ancestor] == failed
+	}
+	return f, true
+}
+
+// settle makes a waiting step ready or skips it, as its condition says.
+func settle(step *Step, run *StepRun, f facts, nowMs int64) (changed bool) {
+	if run.State != Waiting {
+		return false
+	}
+	f.matrix = step.Matrix
+	e := StepEvent{Kind: NeedsUnmet, Why: WhenFalse, NowMs: nowMs}
+	if ok, err := step.When.holds(f); err != nil {
+		e.Why = WhenBroken
+	} else if ok {
+		e.Kind = NeedsMet
+	}
+	next, changed := NextStep(*run, e)
+	*run = next
+	return changed
+}
+
+// conclude is a run's state once its steps have ended; until then it stays.
 func conclude(p *Plan, state RunState, steps []StepRun) RunState {
-	e := AllEnded
+	event := AllEnded
 	for i, s := range steps {
 		if !s.State.Over() {
 			return state
 		}
 		if s.State == Cancelled || s.State == Failed && !p.Steps[i].AllowFailure {
-			e = AllEndedBad
+			event = AllEndedBad
 		}
 	}
-	next, _ := NextRun(state, e)
+	next, _ := NextRun(state, event)
 	return next
 }
--- a/internal/pipelines/step.go
+++ b/internal/pipelines/step.go
@@ -27,7 +27,7 @@
 // Why is the cause of a step's present state, or of its last repeat.
 type Why string
 
-// Causes.
+// Causes, in the words that users get; records hold their numbers.
 const (
 	NoCause      Why = ""
 	WhenFalse    Why = "its condition did not hold"
@@ -46,9 +46,10 @@
 	State  StepState
 	Repeat int // job under way, or the last one, counted from 0
 	Why    Why
-	// Times of day in ms, 0 for not yet: when its present job was accepted, when
-	// it ended, and since when its job fails everywhere.
-	AtMs, EndMs, DoubtMs int64
+	// Times of day in ms, 0 for not yet.
+	AtMs    int64 // when its present job was accepted
+	EndMs   int64 // when it ended
+	DoubtMs int64 // since when its job fails everywhere
 }
 
 // StepEvent is what can happen to a step.
@@ -56,7 +57,7 @@
 	Kind    StepEventKind
 	Why     Why
 	NowMs   int64
-	Repeats int // times that it may be tried anew
+	Repeats int // times that it may be retried
 }
 
 // StepEventKind names a step's event.
@@ -78,89 +79,120 @@
 	Closed     StepEventKind = "job cancelled for the run"
 )
 
-// NextStep is the one place where a step changes state. A step that ended
-// never changes again, and a job is submitted only from ready: so no step ever
-// has two live jobs.
+// NextStep is the one place where a step changes state; false if the event changes
+// nothing. A step that ended never changes again, and a job is submitted only from
+// Ready: so no step ever has two live jobs.
 func NextStep(s StepRun, e StepEvent) (StepRun, bool) {
-	live := s.State == Submitted || s.State == Running
-	end := func(state StepState, why Why) (StepRun, bool) {
-		s.State, s.Why, s.EndMs, s.DoubtMs = state, why, e.NowMs, 0
-		return s, true
-	}
 	switch e.Kind {
-	case NeedsMet:
-		if s.State != Waiting {
-			return s, false
-		}
-		s.State = Ready
-	case NeedsUnmet:
-		if s.State != Waiting {
-			return s, false
-		}
-		return end(Skipped, e.Why)
-	case Submit:
-		if s.State != Ready {
-			return s, false
-		}
-		s.State, s.AtMs, s.DoubtMs = Submitted, e.NowMs, 0
-	case Refuse:
-		if s.State != Ready {
-			return s, false
-		}
-		return end(Failed, e.Why)
-	case Start:
-		if s.State != Submitted {
-			return s, false
-		}
-		s.State = Running
-	case Doubt:
-		if !live || s.DoubtMs != 0 {
-			return s, false
-		}
-		s.DoubtMs = e.NowMs
-	case Trust:
-		if !live || s.DoubtMs == 0 {
-			return s, false
-		}
-		s.DoubtMs = 0
-	case JobDone:
-		if !s.State.HasJob() {
-			return s, false
-		}
-		return end(Succeeded, NoCause)
-	case JobEnded:
-		switch {
-		case live: // whoever cancelled it did not want it repeated
-			return end(Cancelled, JobAborted)
-		case s.State == Cancelling:
-			return end(Cancelled, RunAborted)
-		}
-		return s, false
+	case NeedsMet, NeedsUnmet:
+		return s.afterNeeds(e)
+	case Submit, Refuse:
+		return s.afterSubmission(e)
+	case Start, Doubt, Trust:
+		return s.afterObservation(e)
+	case JobDone, JobEnded, Closed:
+		return s.afterJobEnd(e)
 	case GiveUp:
-		if !live {
-			return s, false
-		}
-		if s.Repeat < e.Repeats {
-			s.State, s.Repeat, s.Why, s.DoubtMs, s.AtMs = Ready, s.Repeat+1, e.Why, 0, 0
-			return s, true
-		}
-		return end(Failed, e.Why)
+		return s.afterGivingUp(e)
 	case Abort:
-		switch {
-		case s.State == Waiting || s.State == Ready:
-			return end(Cancelled, RunAborted)
-		case live:
-			s.State, s.Why = Cancelling, RunAborted
-			return s, true
-		}
+		return s.afterAbort(e)
+	}
+	return s, false
+}
+
+// jobLive tells whether the step's job is under way and not being cancelled.
+func (s StepRun) jobLive() bool { return s.State == Submitted || s.State == Running }
+
+// ended is the step as it ends now.
+func (s StepRun) ended(state StepState, why Why, e StepEvent) (StepRun, bool) {
+	s.State = state
+	s.Why = why
+	s.EndMs = e.NowMs
+	s.DoubtMs = 0
+	return s, true
+}
+
+// afterNeeds is for a waiting step once all that it needs has ended.
+func (s StepRun) afterNeeds(e StepEvent) (StepRun, bool) {
+	if s.State != Waiting {
+		return s, false
+	}
+	if e.Kind == NeedsUnmet {
+		return s.ended(Skipped, e.Why, e)
+	}
+	s.State = Ready
+	return s, true
+}
+
+// afterSubmission is for a ready step whose job was accepted or can't be.
+func (s StepRun) afterSubmission(e StepEvent) (StepRun, bool) {
+	if s.State != Ready {
 		return s, false
-	case Closed:
-		if s.State != Cancelling {
-			return s, false
-		}
-		return end(Cancelled, RunAborted)
+	}
+	if e.Kind == Refuse {
+		return s.ended(Failed, e.Why, e)
+	}
+	s.State = Submitted
+	s.AtMs = e.NowMs
+	s.DoubtMs = 0
+	return s, true
+}
+
+// afterObservation notes what is seen of a live job.
+func (s StepRun) afterObservation(e StepEvent) (StepRun, bool) {
+	switch {
+	case e.Kind == Start && s.State == Submitted:
+		s.State = Running
+	case e.Kind == Doubt && s.jobLive() && s.DoubtMs == 0:
+		s.DoubtMs = e.NowMs
+	case e.Kind == Trust && s.jobLive() && s.DoubtMs != 0:
+		s.DoubtMs = 0
 	default:
 		return s, false
 	}
 	return s, true
 }
+
+// afterJobEnd is for a step whose job ended, by itself or since it was cancelled.
+func (s StepRun) afterJobEnd(e StepEvent) (StepRun, bool) {
+	switch {
+	case e.Kind == JobDone && s.State.HasJob():
+		return s.ended(Succeeded, NoCause, e)
+	case e.Kind == JobEnded && s.jobLive():
+		// Whoever cancelled it did not want it repeated.
+		return s.ended(Cancelled, JobAborted, e)
+	case e.Kind != JobDone && s.State == Cancelling:
+		return s.ended(Cancelled, RunAborted, e)
+	}
+	return s, false
+}
+
+// afterGivingUp is for a live job that failed or took too long: it is repeated as
+// often as the file allows.
+func (s StepRun) afterGivingUp(e StepEvent) (StepRun, bool) {
+	if !s.jobLive() {
+		return s, false
+	}
+	if s.Repeat >= e.Repeats {
+		return s.ended(Failed, e.Why, e)
+	}
+	s.State = Ready
+	s.Repeat++
+	s.Why = e.Why
+	s.AtMs = 0
+	s.DoubtMs = 0
+	return s, true
+}
+
+// afterAbort is for a step of a run that is cancelled.
+func (s StepRun) afterAbort(e StepEvent) (StepRun, bool) {
+	switch {
+	case s.State == Waiting || s.State == Ready:
+		return s.ended(Cancelled, RunAborted, e)
+	case s.jobLive():
+		s.State = Cancelling
+		s.Why = RunAborted
+		return s, true
+	}
+	return s, false
+}
