--- a/internal/pipelines/bench_test.go
+++ b/internal/pipelines/bench_test.go
@@ -63,12 +63,12 @@
 	room := func(int) bool { return true }
 	sweep := func() {
 		s.now = s.now.Add(10 * time.Millisecond)
-		k.swept = time.Time{}
+		k.lastSweep = time.Time{}
 		for first := true; first || len(k.dirty) > 0; first = false {
 			if c, _ := k.Pass(s.now, s.ms, yes, func(string) bool { return false }, room, s); len(c) > 0 {
 				b.Fatal("something changed")
 			}
-			k.swept = s.now
+			k.lastSweep = s.now
 		}
 	}
 	sweep()
--- a/internal/pipelines/change.go
+++ b/internal/pipelines/change.go
@@ -10,19 +10,20 @@
 
 // Change is a decision about a run, to be committed whole, conditional on the
 // run's record and on each job's. Every controller may decide about a run it
-// believes to own: the record's stamp lets one of them through.
+// believes to own: the record's revision lets one of them through.
 type Change struct {
-	ID     string
+	ID     string // of the run
 	Record json.RawMessage
 	Over   bool        // the record moves to where ended runs are kept
 	Submit []jobs.Spec // jobs to accept
-	Cancel []string    // jobs to cancel
-	Absent []string    // jobs in no record, which must still be so
+	Cancel []string    // IDs of jobs to cancel
+	Absent []string    // IDs of jobs in no record, which must still be so
 	Steps  int         // that ended with it, for the log
 	Urgent bool        // a user waits for it
 }
 
-// Ops is how many records a change writes.
+// Ops is how many records a change writes: the run's, its removal from among the live
+// ones, one for each job that it accepts and two for each that it cancels.
 func (c *Change) Ops() int {
 	n := 1 + len(c.Submit) + 2*len(c.Cancel)
 	if c.Over {
@@ -33,18 +34,30 @@
 
 // draft is a run's next record in the making.
 type draft struct {
-	*run
+	run    *run
 	state  RunState
 	steps  []StepRun
 	change Change
 	moved  bool // something that must be kept
 	nowMs  int64
-	bytes  int
+	bytes  int // that the change takes so far
 }
 
-// step applies an event to a step.
-func (d *draft) step(i int, e StepEvent) bool {
-	e.NowMs, e.Repeats = d.nowMs, d.plan.Steps[i].Repeats
+func newDraft(r *run, nowMs int64) *draft {
+	return &draft{
+		run:    r,
+		state:  r.record.State,
+		steps:  slices.Clone(r.record.Steps),
+		nowMs:  nowMs,
+		change: Change{ID: r.id},
+		bytes:  r.record.MaxBytes(),
+	}
+}
+
+// apply applies an event to a step; false if it changes nothing.
+func (d *draft) apply(i int, e StepEvent) bool {
+	e.NowMs = d.nowMs
+	e.Repeats = d.run.plan.Steps[i].Repeats
 	next, ok := NextStep(d.steps[i], e)
 	if ok {
 		d.steps[i] = next
@@ -52,38 +65,35 @@
 	return ok
 }
 
-// fits tells whether more records fit into the change's transaction.
-func (d *draft) fits(k *Keeper, ops, bytes int) bool {
-	return d.change.Ops()+1+ops <= k.limits.TxnOps && d.bytes+bytes <= tuning.TxnBytes
+// move applies an event to a step and has the run's record kept if it changes
+// anything.
+func (d *draft) move(i int, e StepEvent) {
+	d.moved = d.apply(i, e) || d.moved
 }
 
-func (k *Keeper) draft(r *run, nowMs int64) *draft {
-	return &draft{
-		run:    r,
-		state:  r.rec.State,
-		steps:  slices.Clone(r.rec.Steps),
-		nowMs:  nowMs,
-		change: Change{ID: r.id},
-		bytes:  r.rec.MaxBytes(),
-	}
+// fits tells whether more records fit into the change's transaction.
+func (d *draft) fits(limits Limits, ops, bytes int) bool {
+	return d.change.Ops()+1+ops <= limits.TxnOps && d.bytes+bytes <= tuning.TxnBytes
 }
 
 // finish turns a draft into its change, nil if there is nothing to keep.
 func (d *draft) finish() *Change {
-	state := conclude(d.plan, d.state, d.steps)
-	if !d.moved && state == d.rec.State {
+	former := d.run.record
+	state := conclude(d.run.plan, d.state, d.steps)
+	if !d.moved && state == former.State {
 		return nil
 	}
-	rec := *d.rec
-	rec.State, rec.Steps = state, d.steps
+	record := *former
+	record.State = state
+	record.Steps = d.steps
 	if d.change.Over = state.Over(); d.change.Over {
-		rec.EndMs = d.nowMs
+		record.EndMs = d.nowMs
 	}
 	for i := range d.steps {
-		if d.steps[i].State.Over() && !d.rec.Steps[i].State.Over() {
+		if d.steps[i].State.Over() && !former.Steps[i].State.Over() {
 			d.change.Steps++
 		}
 	}
-	d.change.Record = rec.Encode()
+	d.change.Record = record.Encode()
 	return &d.change
 }
--- a/internal/pipelines/encoding.go
+++ b/internal/pipelines/encoding.go
@@ -141,11 +141,11 @@
 
 // Encode writes a run's record.
 func (r *Record) Encode() json.RawMessage {
-	if r.docPack == nil {
-		r.docPack = pack(r.Doc)
+	if r.packedDoc == nil {
+		r.packedDoc = pack(r.Doc)
 	}
 	return jobs.Encode(
-		stored{recordVersion, r.State, r.AtMs, r.EndMs, r.Sum, r.Salt, r.docPack, packSteps(r.Steps, r.AtMs)},
+		stored{recordVersion, r.State, r.AtMs, r.EndMs, r.Sum, r.Salt, r.packedDoc, packSteps(r.Steps, r.AtMs)},
 	)
 }
 
@@ -164,7 +164,7 @@
 }
 
 // record checks a run as stored, whose document is unpacked already.
-func (s *stored) record(doc []byte, docPack json.RawMessage) (*Record, error) {
+func (s *stored) record(doc []byte, packedDoc json.RawMessage) (*Record, error) {
 	if s.Version != recordVersion {
 		return nil, fmt.Errorf("unknown version %d of a run", s.Version)
 	}
@@ -178,13 +178,13 @@
 		return nil, err
 	}
 	return &Record{
-		State:   s.State,
-		AtMs:    s.AtMs,
-		EndMs:   s.EndMs,
-		Sum:     s.Sum,
-		Salt:    s.Salt,
-		Doc:     doc,
-		Steps:   steps,
-		docPack: docPack,
+		State:     s.State,
+		AtMs:      s.AtMs,
+		EndMs:     s.EndMs,
+		Sum:       s.Sum,
+		Salt:      s.Salt,
+		Doc:       doc,
+		Steps:     steps,
+		packedDoc: packedDoc,
 	}, nil
 }
--- a/internal/pipelines/golden_test.go
+++ b/internal/pipelines/golden_test.go
@@ -36,7 +36,7 @@
 	long := `{"name":"p","owner":"vision","steps":[` + strings.Repeat(`{"name":"a","bundle":"b"},`, 40) + `{}]}`
 	full := goldenRecord(long)
 	least := Record{State: RunLive, Doc: []byte(`{}`)}
-	goldentest.Filled(t, full, "docPack") // docPack is made by Encode
+	goldentest.Filled(t, full, "packedDoc") // packedDoc is made by Encode
 	for name, r := range map[string]Record{"run.json": full, "run-plain.json": goldenRecord(short), "run-least.json": least} {
 		want := r
 		goldentest.Bytes(t, name, r.Encode())
@@ -48,7 +48,7 @@
 		}
 		again := *back
 		goldentest.Bytes(t, name, again.Encode())
-		back.docPack = nil // packed anew
+		back.packedDoc = nil // packed anew
 		if !reflect.DeepEqual(*back, want) {
 			t.Errorf("%s: read %+v, want %+v", name, *back, want)
 		}
--- a/internal/pipelines/keeper.go
+++ b/internal/pipelines/keeper.go
@@ -15,11 +15,11 @@
 // not been cleared yet.
 type JobView struct {
 	State         jobs.JobState
-	Running, Done int
+	Running, Done int  // tasks
 	Probing       bool // fails everywhere so far (jobs.TrustOf)
 }
 
-// Cluster is what the keeper may ask about jobs. Both may lag behind the state
+// Cluster is what the keeper may ask about jobs. Its answers may lag behind the state
 // service: what is decided from them is conditional on the records.
 type Cluster interface {
 	// Job is a job with a record in the mirror.
@@ -34,46 +34,55 @@
 
 // Limits bound what the controllers take on.
 type Limits struct {
-	Runs, Steps int // live runs, and their steps that have not ended
-	ValueBytes  int // of a record
-	TxnOps      int // puts and deletes of a transaction
+	Runs       int // live at once
+	Steps      int // of live runs, not ended
+	ValueBytes int // of a record
+	TxnOps     int // puts and deletes of a transaction
 }
 
 // run is a live run in memory.
 type run struct {
 	id     string
-	rec    *Record
+	record *Record
 	plan   *Plan    // while owned
-	jobIDs []string // of each step's present job, while owned
-	// What the steps' jobs have run for is measured by the steady clock from
-	// where this node took the run over, so that no jump of the time of day
-	// ends a step.
-	since, doubt map[int]time.Time
-	asked        map[int]time.Time
-	gone         map[int]bool // jobs that a read found in no record
-	fresh        bool         // not looked at as a whole since it was loaded
-	held         time.Time    // until then a user's cancellation goes first
-}
-
-// Keeper holds the live runs and moves those that its controller owns.
+	jobIDs []string // of each step's present job, while owned; "" without one
+	// How long the steps' jobs have run and have been failing everywhere is measured
+	// by the monotonic clock from where this controller took the run over, so that no
+	// jump of the time of day ends a step. By index of the step, like what follows.
+	jobClocks   map[int]time.Time
+	doubtClocks map[int]time.Time
+	readAt      map[int]time.Time // when a read of its job was last asked for
+	missing     map[int]bool      // jobs that a read found in no record
+	unexamined  bool              // not looked at as a whole since it was loaded
+	heldUntil   time.Time         // until then a user's cancellation goes first
+}
+
+// Keeper holds the live runs and moves those that its controller owns. It is not safe
+// for concurrent use.
 type Keeper struct {
-	limits Limits
-	runs   map[string]*run
-	aside  map[string]bool   // records that can't be read
-	jobs   map[string]string // uid of an owned run's job to the run
-	dirty  map[string]bool
-	swept  time.Time
-	budget *rate.Limiter
-	open   int              // steps that have not ended
-	plans  map[string]*Plan // of documents, for looks at runs of others
-	order  []string
-}
-
-// NewKeeper makes an empty keeper.
+	limits      Limits
+	runs        map[string]*run
+	quarantined map[string]bool   // runs whose records can't be read
+	runOfJob    map[string]string // ID of an owned run's job to that of the run
+	dirty       map[string]bool   // runs to be looked at
+	lastSweep   time.Time
+	budget      *rate.Limiter    // of changes
+	openSteps   int              // steps that have not ended
+	plans       map[string]*Plan // by checksum of the document, for status of others' runs
+	planOrder   []string         // keys of plans, the oldest first
+}
+
+// NewKeeper makes an empty keeper. Until SetRate is called it makes one change a
+// second.
 func NewKeeper(l Limits) *Keeper {
 	return &Keeper{
-		limits: l, runs: map[string]*run{}, aside: map[string]bool{}, jobs: map[string]string{}, dirty: map[string]bool{},
-		budget: rate.NewLimiter(rate.Limit(1), l.TxnOps+1), plans: map[string]*Plan{},
+		limits:      l,
+		runs:        map[string]*run{},
+		quarantined: map[string]bool{},
+		runOfJob:    map[string]string{},
+		dirty:       map[string]bool{},
+		budget:      rate.NewLimiter(rate.Limit(1), l.TxnOps+1),
+		plans:       map[string]*Plan{},
 	}
 }
 
@@ -83,60 +92,71 @@
 }
 
 // Changed takes a run's record in, nil for one that was removed. A record that
-// can't be read is an error: it is set aside, and others go on.
+// can't be read is an error: it is quarantined, and other runs go on.
 func (k *Keeper) Changed(id string, value json.RawMessage) error {
 	old := k.runs[id]
 	k.forgetJobs(old)
 	if old != nil {
-		k.open -= old.rec.open()
+		k.openSteps -= old.record.openSteps()
 	}
 	delete(k.runs, id)
-	delete(k.aside, id)
+	delete(k.quarantined, id)
 	delete(k.dirty, id)
 	if value == nil {
 		return nil
 	}
-	rec, err := decodeLike(value, old)
+	record, err := decodeReusing(value, old)
 	if err != nil {
-		k.aside[id] = true
+		k.quarantined[id] = true
 		return err
 	}
-	r := &run{
-		id:    id,
-		rec:   rec,
-		since: map[int]time.Time{},
-		doubt: map[int]time.Time{},
-		asked: map[int]time.Time{},
-		gone:  map[int]bool{},
-		fresh: true,
-	}
-	if old != nil && old.rec.Sum == rec.Sum {
-		r.plan, r.held = old.plan, old.held
-		for i := range rec.Steps {
-			// The clocks of a job that is still the same run on.
-			if i >= len(old.rec.Steps) || old.rec.Steps[i].Repeat != rec.Steps[i].Repeat || !rec.Steps[i].State.HasJob() {
-				continue
-			}
-			if t, ok := old.since[i]; ok {
-				r.since[i] = t
-			}
-			if t, ok := old.doubt[i]; ok && rec.Steps[i].DoubtMs != 0 {
-				r.doubt[i] = t
-			}
-		}
+	r := newRun(id, record)
+	if old != nil && old.record.Sum == record.Sum {
+		r.takeFrom(old)
 	}
 	k.runs[id] = r
-	k.open += rec.open()
+	k.openSteps += record.openSteps()
 	k.dirty[id] = true
 	return nil
 }
 
-// decodeLike is Decode, sparing to unpack a document that is there already.
-func decodeLike(value json.RawMessage, old *run) (*Record, error) {
+func newRun(id string, record *Record) *run {
+	return &run{
+		id:          id,
+		record:      record,
+		jobClocks:   map[int]time.Time{},
+		doubtClocks: map[int]time.Time{},
+		readAt:      map[int]time.Time{},
+		missing:     map[int]bool{},
+		unexamined:  true,
+	}
+}
+
+// takeFrom keeps what holds on from a run's former record. The clocks of a job that is
+// still the same go on.
+func (r *run) takeFrom(old *run) {
+	r.plan = old.plan
+	r.heldUntil = old.heldUntil
+	for i, step := range r.record.Steps {
+		if i >= len(old.record.Steps) || old.record.Steps[i].Repeat != step.Repeat || !step.State.HasJob() {
+			continue
+		}
+		if t, ok := old.jobClocks[i]; ok {
+			r.jobClocks[i] = t
+		}
+		if t, ok := old.doubtClocks[i]; ok && step.DoubtMs != 0 {
+			r.doubtClocks[i] = t
+		}
+	}
+}
+
+// decodeReusing is Decode, but does not unpack a document that the run's former record
+// holds already.
+func decodeReusing(value json.RawMessage, old *run) (*Record, error) {
 	if old != nil {
 		var s stored
-		if json.Unmarshal(value, &s) == nil && s.Sum == old.rec.Sum && s.Salt == old.rec.Salt {
-			return s.record(old.rec.Doc, old.rec.docPack)
+		if json.Unmarshal(value, &s) == nil && s.Sum == old.record.Sum && s.Salt == old.record.Salt {
+			return s.record(old.record.Doc, old.record.packedDoc)
 		}
 	}
 	return Decode(value)
@@ -147,22 +167,22 @@
 		return
 	}
 	for _, jobID := range r.jobIDs {
-		delete(k.jobs, jobID)
+		delete(k.runOfJob, jobID)
 	}
 	r.jobIDs = nil
 }
 
 // JobChanged notes that something became known of a job.
 func (k *Keeper) JobChanged(jobID string) {
-	if id, ok := k.jobs[jobID]; ok {
+	if id, ok := k.runOfJob[jobID]; ok {
 		k.dirty[id] = true
 	}
 }
 
 // JobMissing notes that a read found a job in no record at all.
 func (k *Keeper) JobMissing(jobID string) {
-	if r := k.runs[k.jobs[jobID]]; r != nil {
-		r.gone[slices.Index(r.jobIDs, jobID)] = true
+	if r := k.runs[k.runOfJob[jobID]]; r != nil {
+		r.missing[slices.Index(r.jobIDs, jobID)] = true
 		k.dirty[r.id] = true
 	}
 }
@@ -177,54 +197,57 @@
 	}
 }
 
-// Known tells whether a live run has this id, and whether its record can't be read.
-func (k *Keeper) Known(id string) (rec *Record, aside bool) {
+// Known is the record of a live run with this ID, nil if there is none, and whether
+// its record is quarantined since it can't be read.
+func (k *Keeper) Known(id string) (record *Record, quarantined bool) {
 	if r := k.runs[id]; r != nil {
-		return r.rec, false
+		return r.record, false
 	}
-	return nil, k.aside[id]
+	return nil, k.quarantined[id]
 }
 
 // Room tells whether one more run with so many steps can be held.
 func (k *Keeper) Room(steps int) bool {
-	return len(k.runs) < k.limits.Runs && k.open+steps <= k.limits.Steps
+	return len(k.runs) < k.limits.Runs && k.openSteps+steps <= k.limits.Steps
 }
 
-// load makes a run's plan and the uids of its jobs. A document that this version
-// refuses, though one accepted it, is set aside.
+// load makes a run's plan and the IDs of its jobs. A document that this version
+// refuses, though one accepted it, is quarantined.
 func (k *Keeper) load(r *run) bool {
 	if r.plan == nil {
-		r.plan = k.planOf(r.rec)
+		r.plan = k.planOf(r.record)
 	}
-	if r.plan == nil || len(r.plan.Steps) != len(r.rec.Steps) {
+	if r.plan == nil || len(r.plan.Steps) != len(r.record.Steps) {
 		delete(k.runs, r.id)
-		k.open -= r.rec.open()
-		k.aside[r.id] = true
+		k.openSteps -= r.record.openSteps()
+		k.quarantined[r.id] = true
 		return false
 	}
-	if r.jobIDs == nil {
-		r.jobIDs = make([]string, len(r.plan.Steps))
-		for i := range r.plan.Steps {
-			if r.rec.Steps[i].State.HasJob() {
-				r.jobIDs[i] = JobID(r.id, r.rec.Salt, r.plan.Steps[i].Name, r.rec.Steps[i].Repeat)
-				k.jobs[r.jobIDs[i]] = r.id
-			}
+	if r.jobIDs != nil {
+		return true
+	}
+	r.jobIDs = make([]string, len(r.plan.Steps))
+	for i, step := range r.record.Steps {
+		if step.State.HasJob() {
+			r.jobIDs[i] = JobID(r.id, r.record.Salt, r.plan.Steps[i].Name, step.Repeat)
+			k.runOfJob[r.jobIDs[i]] = r.id
 		}
 	}
 	return true
 }
 
-// planOf is the plan of a record's document, from a small cache.
-func (k *Keeper) planOf(rec *Record) *Plan {
-	if p, ok := k.plans[rec.Sum]; ok {
+// planOf is the plan of a record's document, from a small cache; nil if the document
+// is refused.
+func (k *Keeper) planOf(record *Record) *Plan {
+	if p, ok := k.plans[record.Sum]; ok {
 		return p
 	}
-	p, _ := CompileJSON(rec.Doc)
-	if len(k.order) >= tuning.PlanCache {
-		delete(k.plans, k.order[0])
-		k.order = k.order[1:]
+	p, _ := CompileJSON(record.Doc)
+	if len(k.planOrder) >= tuning.PlanCache {
+		delete(k.plans, k.planOrder[0])
+		k.planOrder = k.planOrder[1:]
 	}
-	k.plans[rec.Sum] = p
-	k.order = append(k.order, rec.Sum)
+	k.plans[record.Sum] = p
+	k.planOrder = append(k.planOrder, record.Sum)
 	return p
 }
--- a/internal/pipelines/keeper_test.go
+++ b/internal/pipelines/keeper_test.go
@@ -517,8 +517,8 @@
 		func(int) bool { return true },
 		&seat{},
 	)
-	if _, aside := k.Known("run-1"); !aside || k.open != 0 {
-		t.Errorf("aside %v, %d steps open", aside, k.open)
+	if _, aside := k.Known("run-1"); !aside || k.openSteps != 0 {
+		t.Errorf("aside %v, %d steps open", aside, k.openSteps)
 	}
 }
 
--- a/internal/pipelines/record.go
+++ b/internal/pipelines/record.go
@@ -44,7 +44,7 @@
 	Doc   []byte // the document's JSON
 	Steps []StepRun
 
-	docPack json.RawMessage // the document as stored; it never changes
+	packedDoc json.RawMessage // the document as stored; it never changes
 }
 
 // Sum is what tells one document from another: BLAKE3 of its JSON, whose fields
@@ -79,14 +79,14 @@
 
 // MaxBytes is the most that a run's record may come to take.
 func (r *Record) MaxBytes() int {
-	if r.docPack == nil {
-		r.docPack = pack(r.Doc)
+	if r.packedDoc == nil {
+		r.packedDoc = pack(r.Doc)
 	}
-	return len(r.docPack) + len(r.Steps)*tuning.StepStateBytes + tuning.RunHeadBytes
+	return len(r.packedDoc) + len(r.Steps)*tuning.StepStateBytes + tuning.RunHeadBytes
 }
 
-// open counts the steps that have not ended.
-func (r *Record) open() int {
+// openSteps counts the steps that have not ended.
+func (r *Record) openSteps() int {
 	n := 0
 	for i := range r.Steps {
 		if !r.Steps[i].State.Over() {
--- a/internal/pipelines/request.go
+++ b/internal/pipelines/request.go
@@ -57,19 +57,20 @@
 }
 
 // Accept is the change that accepts a run; the jobs of its first steps go with
-// it, as many as one transaction holds. Too long a record is an error.
-func (k *Keeper) Accept(q *Request, salt string, nowMs int64, w Cluster) (*Change, error) {
-	rec := NewRecord(q.Plan, q.Doc, salt, nowMs)
-	if most := rec.MaxBytes(); most > k.limits.ValueBytes {
+// it, as many as one transaction holds. A record that could become too long for the
+// state service is an error.
+func (k *Keeper) Accept(q *Request, salt string, nowMs int64, cluster Cluster) (*Change, error) {
+	record := NewRecord(q.Plan, q.Doc, salt, nowMs)
+	if size := record.MaxBytes(); size > k.limits.ValueBytes {
 		return nil, fmt.Errorf(
 			"the run would take up to %d bytes of the state service's %d: fewer steps or shorter fields are needed",
-			most,
+			size,
 			k.limits.ValueBytes,
 		)
 	}
-	d := k.draft(&run{id: q.ID, rec: rec, plan: q.Plan}, nowMs)
+	d := newDraft(&run{id: q.ID, record: record, plan: q.Plan}, nowMs)
 	d.moved = true
 	unfold(q.Plan, d.steps, nowMs)
-	k.submit(d, w)
+	k.submit(d, cluster)
 	return d.finish(), nil
 }
