--- a/internal/pipelines/encoding.go
+++ b/internal/pipelines/encoding.go
@@ -13,8 +13,9 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// whys numbers the causes in records; new ones are added at the end.
-var whys = []Why{
+// causes numbers the causes in records; new ones are added at the end, and none is
+// moved: stored records hold the numbers.
+var causes = []Why{
 	NoCause,
 	WhenFalse,
 	WhenBroken,
@@ -47,12 +48,12 @@
 // pack gives JSON that holds b: b itself if it is JSON and not longer than a
 // text with its compressed form.
 func pack(b []byte) json.RawMessage {
-	enc, _ := coder()
-	z := base64.StdEncoding.EncodeToString(enc.EncodeAll(b, nil))
-	if len(z)+2 >= len(b) {
+	encoder, _ := coder()
+	compressed := base64.StdEncoding.EncodeToString(encoder.EncodeAll(b, nil))
+	if len(compressed)+2 >= len(b) {
 		return b
 	}
-	return json.RawMessage(`"` + z + `"`)
+	return json.RawMessage(`"` + compressed + `"`)
 }
 
 func unpack(v json.RawMessage) ([]byte, error) {
@@ -67,36 +68,59 @@
 }
 
 func unpackText(text string) ([]byte, error) {
-	z, err := base64.StdEncoding.DecodeString(text)
+	compressed, err := base64.StdEncoding.DecodeString(text)
 	if err != nil {
 		return nil, err
 	}
-	_, dec := coder()
-	return dec.DecodeAll(z, nil)
+	_, decoder := coder()
+	return decoder.DecodeAll(compressed, nil)
 }
 
-// stepStates numbers the states in records; new ones are added at the end.
-var stepStates = []StepState{Waiting, Ready, Submitted, Running, Succeeded, Failed, Skipped, Cancelling, Cancelled}
+// stepStates numbers the states in records; new ones are added at the end, and none is
+// moved: stored records hold the numbers.
+var stepStates = []StepState{
+	Waiting,
+	Ready,
+	Submitted,
+	Running,
+	Succeeded,
+	Failed,
+	Skipped,
+	Cancelling,
+	Cancelled,
+}
 
 // packSteps writes the steps' states as numbers, times counted from the run's
 // acceptance in ms.
 func packSteps(steps []StepRun, atMs int64) string {
 	var b []byte
-	since := func(t, from int64) uint64 {
-		if t == 0 {
-			return 0
-		}
-		return uint64(max(t-from, 0)) + 1
-	}
 	for _, s := range steps {
-		b = append(b, byte(slices.Index(stepStates, s.State)), byte(slices.Index(whys, s.Why)))
+		start := max(s.AtMs, atMs)
+		b = append(b, byte(slices.Index(stepStates, s.State)), byte(slices.Index(causes, s.Why)))
 		b = binary.AppendUvarint(b, uint64(s.Repeat))
-		b = binary.AppendUvarint(b, since(s.AtMs, atMs))
-		b = binary.AppendUvarint(b, since(s.EndMs, max(s.AtMs, atMs)))
-		b = binary.AppendUvarint(b, since(s.DoubtMs, max(s.AtMs, atMs)))
+		b = binary.AppendUvarint(b, packTime(s.AtMs, atMs))
+		b = binary.AppendUvarint(b, packTime(s.EndMs, start))
+		b = binary.AppendUvarint(b, packTime(s.DoubtMs, start))
+	}
+	encoder, _ := coder()
+	return base64.StdEncoding.EncodeToString(encoder.EncodeAll(b, nil))
+}
+
+// packTime counts a time from another one, 0 for none; a time before that counts as
+// the same.
+func packTime(ms, fromMs int64) uint64 {
+	if ms == 0 {
+		return 0
 	}
-	enc, _ := coder()
-	return base64.StdEncoding.EncodeToString(enc.EncodeAll(b, nil))
+	return uint64(max(ms-fromMs, 0)) + 1
+}
+
+// unpackTime is the reverse of packTime.
+func unpackTime(packed uint64, fromMs int64) int64 {
+	if packed == 0 {
+		return 0
+	}
+	return fromMs + int64(packed) - 1
 }
 
 var errSteps = errors.New("steps of a run can't be read")
@@ -108,45 +132,61 @@
 	}
 	var out []StepRun
 	for len(b) > 0 {
-		if len(b) < 2 || int(b[0]) >= len(stepStates) || int(b[1]) >= len(whys) {
-			return nil, errSteps
-		}
-		s := StepRun{State: stepStates[b[0]], Why: whys[b[1]]}
-		b = b[2:]
-		var v [4]uint64
-		for i := range v {
-			n := 0
-			if v[i], n = binary.Uvarint(b); n <= 0 || v[i] > 1<<50 {
-				return nil, errSteps
-			}
-			b = b[n:]
-		}
-		then := func(v uint64, from int64) int64 {
-			if v == 0 {
-				return 0
-			}
-			return from + int64(v) - 1
-		}
-		s.Repeat = int(v[0])
-		s.AtMs = then(v[1], atMs)
-		s.EndMs = then(v[2], max(s.AtMs, atMs))
-		s.DoubtMs = then(v[3], max(s.AtMs, atMs))
 		if len(out) == tuning.MaxSteps {
 			return nil, errSteps
 		}
-		out = append(out, s)
+		var step StepRun
+		if step, b, err = unpackStep(b, atMs); err != nil {
+			return nil, err
+		}
+		out = append(out, step)
 	}
 	return out, nil
 }
 
+// unpackStep reads one step and returns what follows it.
+func unpackStep(b []byte, atMs int64) (StepRun, []byte, error) {
+	if len(b) < 2 || int(b[0]) >= len(stepStates) || int(b[1]) >= len(causes) {
+		return StepRun{}, nil, errSteps
+	}
+	s := StepRun{State: stepStates[b[0]], Why: causes[b[1]]}
+	b = b[2:]
+	var numbers [4]uint64
+	for i := range numbers {
+		value, size := binary.Uvarint(b)
+		if size <= 0 || value > maxPackedNumber {
+			return StepRun{}, nil, errSteps
+		}
+		numbers[i] = value
+		b = b[size:]
+	}
+	s.Repeat = int(numbers[0])
+	s.AtMs = unpackTime(numbers[1], atMs)
+	start := max(s.AtMs, atMs)
+	s.EndMs = unpackTime(numbers[2], start)
+	s.DoubtMs = unpackTime(numbers[3], start)
+	return s, b, nil
+}
+
+// maxPackedNumber bounds repeats and times in ms, so that sums with times of day stay
+// within 64 bits.
+const maxPackedNumber = 1 << 50
+
 // Encode writes a run's record.
 func (r *Record) Encode() json.RawMessage {
 	if r.packedDoc == nil {
 		r.packedDoc = pack(r.Doc)
 	}
-	return jobs.Encode(
-		stored{recordVersion, r.State, r.AtMs, r.EndMs, r.Sum, r.Salt, r.packedDoc, packSteps(r.Steps, r.AtMs)},
-	)
+	return jobs.Encode(stored{
+		Version: recordVersion,
+		State:   r.State,
+		AtMs:    r.AtMs,
+		EndMs:   r.EndMs,
+		Sum:     r.Sum,
+		Salt:    r.Salt,
+		Doc:     r.packedDoc,
+		Steps:   packSteps(r.Steps, r.AtMs),
+	})
 }
 
 // Decode reads a run's record and checks it. Unknown fields are ignored; a
--- a/internal/pipelines/explain.go
+++ b/internal/pipelines/explain.go
@@ -7,61 +7,81 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// explain says in words why a step is where it is.
-func (p *Plan) explain(i int, rec *Record, v *StepStatus, waits string) string {
-	s, plan := rec.Steps[i], &p.Steps[i]
-	condition := "success()"
-	if plan.When != nil {
-		condition = plan.When.Text
-	}
+// explain says in words why a step is where it is; waitsFor is what its job waits for,
+// "" for nothing.
+func (p *Plan) explain(i int, record *Record, status *StepStatus, waitsFor string) string {
+	run, step := record.Steps[i], &p.Steps[i]
 	var parts []string
-	say := func(format string, args ...any) { parts = append(parts, fmt.Sprintf(format, args...)) }
-	switch v.Status {
+	switch status.Status {
 	case Waiting:
-		var open []string
-		for _, need := range p.Groups[plan.Group].Needs {
-			if _, over := groupOutcome(p, need, rec.Steps); !over {
-				open = append(open, p.Groups[need].Name)
-			}
-		}
-		if more := len(open) - tuning.MaxNamedSteps; more > 0 {
-			// A status has a line for each step, and no line may be above 64 KiB.
-			open = append(open[:tuning.MaxNamedSteps], fmt.Sprintf("%d more", more))
-		}
-		if len(open) > 0 {
-			say("waits for %s to end; runs then when %s", strings.Join(open, ", "), condition)
-		} else {
-			say("all it needs has ended; its condition %s is looked at next", condition)
-		}
+		parts = append(parts, p.explainWaiting(step, record))
 	case Ready:
-		say("may start; its job is submitted as soon as the controllers' changes allow")
+		parts = append(parts, "may start; its job is submitted as soon as the controllers' changes allow")
 	case Submitted, Running:
-		say("job %s: %d of %d tasks on machines, %d done", v.Job, v.Running, v.Tasks, v.Done)
-		if waits != "" {
-			say("%s", waits)
-		}
-		if s.DoubtMs != 0 {
-			say("failing everywhere; called failed after %g s of that", plan.DoubtS)
-		}
-		if plan.TimeoutS > 0 {
-			say("called failed %g s after its acceptance", plan.TimeoutS)
-		}
+		parts = explainLive(run, step, status, waitsFor)
 	case Succeeded:
-		say("job %s is done", v.Job)
+		parts = append(parts, fmt.Sprintf("job %s is done", status.Job))
 	case Failed:
-		say("job %s failed: %s", v.Job, s.Why)
-		if plan.AllowFailure {
-			say("the run goes on (allow_failure)")
+		parts = append(parts, fmt.Sprintf("job %s failed: %s", status.Job, run.Why))
+		if step.AllowFailure {
+			parts = append(parts, "the run goes on (allow_failure)")
 		}
 	case Skipped:
-		say("%s: %s", s.Why, condition)
+		parts = append(parts, fmt.Sprintf("%s: %s", run.Why, step.condition()))
 	case Cancelling:
-		say("job %s is being cancelled", v.Job)
+		parts = append(parts, fmt.Sprintf("job %s is being cancelled", status.Job))
 	case Cancelled:
-		say("%s", s.Why)
+		parts = append(parts, string(run.Why))
 	}
-	if s.Repeat > 0 {
-		say("repeat %d of at most %d", s.Repeat, plan.Repeats)
+	if run.Repeat > 0 {
+		parts = append(parts, fmt.Sprintf("repeat %d of at most %d", run.Repeat, step.Repeats))
 	}
 	return strings.Join(parts, "; ")
 }
+
+// condition is the step's condition as its file writes it.
+func (s *Step) condition() string {
+	if s.When == nil {
+		return "success()"
+	}
+	return s.When.Text
+}
+
+// explainWaiting names the steps that have not ended and that a step needs.
+func (p *Plan) explainWaiting(step *Step, record *Record) string {
+	var open []string
+	for _, need := range p.Groups[step.Group].Needs {
+		if _, over := groupOutcome(p, need, record.Steps); !over {
+			open = append(open, p.Groups[need].Name)
+		}
+	}
+	if more := len(open) - tuning.MaxNamedSteps; more > 0 {
+		// A status has a line for each step, and no line may be above 64 KiB.
+		open = append(open[:tuning.MaxNamedSteps], fmt.Sprintf("%d more", more))
+	}
+	if len(open) == 0 {
+		return fmt.Sprintf("all it needs has ended; its condition %s is looked at next", step.condition())
+	}
+	return fmt.Sprintf("waits for %s to end; runs then when %s", strings.Join(open, ", "), step.condition())
+}
+
+// explainLive says how far a live job is and what may end it.
+func explainLive(run StepRun, step *Step, status *StepStatus, waitsFor string) []string {
+	parts := []string{fmt.Sprintf(
+		"job %s: %d of %d tasks on machines, %d done",
+		status.Job,
+		status.Running,
+		status.Tasks,
+		status.Done,
+	)}
+	if waitsFor != "" {
+		parts = append(parts, waitsFor)
+	}
+	if run.DoubtMs != 0 {
+		parts = append(parts, fmt.Sprintf("failing everywhere; called failed after %g s of that", step.DoubtS))
+	}
+	if step.TimeoutS > 0 {
+		parts = append(parts, fmt.Sprintf("called failed %g s after its acceptance", step.TimeoutS))
+	}
+	return parts
+}
--- a/internal/pipelines/golden_test.go
+++ b/internal/pipelines/golden_test.go
@@ -25,7 +25,7 @@
 	for _, s := range stepStates {
 		r.Steps = append(r.Steps, StepRun{State: s})
 	}
-	for i, w := range whys {
+	for i, w := range causes {
 		r.Steps = append(r.Steps, StepRun{State: Failed, Why: w, AtMs: 1700000001000 + int64(i)})
 	}
 	return r
@@ -73,7 +73,7 @@
 	for _, s := range stepStates {
 		words = append(words, string(s))
 	}
-	for _, w := range whys {
+	for _, w := range causes {
 		words = append(words, string(w))
 	}
 	goldentest.Bytes(t, "words.txt", []byte(strings.Join(words, "\n")+"\n"))
--- a/internal/pipelines/keeper_test.go
+++ b/internal/pipelines/keeper_test.go
@@ -540,7 +540,7 @@
 func TestSteps(t *testing.T) {
 	at := int64(1e12)
 	for i, state := range stepStates {
-		for j, why := range whys {
+		for j, why := range causes {
 			want := []StepRun{
 				{State: state, Why: why, Repeat: i + j, AtMs: at + int64(i)*1e6, EndMs: at + 9e8},
 				{State: Waiting},
--- a/internal/pipelines/record.go
+++ b/internal/pipelines/record.go
@@ -19,7 +19,7 @@
 	RanPrefix = "ran/"
 )
 
-// ValidID tells whether an id has the form of runs' ids: run- and 1 to 40 lower
+// ValidID tells whether an ID has the form of runs' IDs: run- and 1 to 40 lower
 // case letters, digits or dashes.
 func ValidID(id string) bool {
 	rest, ok := strings.CutPrefix(id, "run-")
@@ -34,13 +34,14 @@
 	return true
 }
 
-// Record is a run as stored.
+// Record is a run as stored, once under RunPrefix or RanPrefix. Its steps are as many,
+// and in the same order, as those of its document's plan.
 type Record struct {
 	State RunState
 	AtMs  int64  // acceptance, time of day
 	EndMs int64  // 0 while it lives
 	Sum   string // of the document: a repeated submission must have the same
-	Salt  string // by chance; enters the uids of its jobs, so that nobody takes one before
+	Salt  string // random; enters the IDs of its jobs, so that nobody takes one before
 	Doc   []byte // the document's JSON
 	Steps []StepRun
 
@@ -54,23 +55,30 @@
 	return hex.EncodeToString(sum[:16])
 }
 
-// jobIDContext separates these uids from any other use of the hash.
+// jobIDContext separates these IDs from any other use of the hash.
 const jobIDContext = "harrierreel 2026-12-01 uid of a pipeline step's job"
 
-// JobID is the uid of a step's job: a MAC over run, step and repeat, keyed from
+// JobID is the ID of a step's job: a MAC over run, step and repeat, keyed from
 // the run's salt, in the form of job ids with 18 digits. Whoever submits the
 // step derives the same, so that it is accepted once.
 func JobID(id, salt, step string, repeat int) string {
 	var key [32]byte
 	blake3.DeriveKey(key[:], jobIDContext, []byte(salt))
 	h := blake3.New(8, key[:])
-	fmt.Fprintf(h, "%d:%s%d:%s%d", len(id), id, len(step), step, repeat)
+	h.Write(fmt.Appendf(nil, "%d:%s%d:%s%d", len(id), id, len(step), step, repeat)) // a hash never fails
 	return fmt.Sprintf("wk-%018d", binary.BigEndian.Uint64(h.Sum(nil))%1_000_000_000_000_000_000)
 }
 
 // NewRecord is the record of a run as accepted.
 func NewRecord(p *Plan, doc []byte, salt string, nowMs int64) *Record {
-	r := &Record{State: RunLive, AtMs: nowMs, Sum: Sum(doc), Salt: salt, Doc: doc, Steps: make([]StepRun, len(p.Steps))}
+	r := &Record{
+		State: RunLive,
+		AtMs:  nowMs,
+		Sum:   Sum(doc),
+		Salt:  salt,
+		Doc:   doc,
+		Steps: make([]StepRun, len(p.Steps)),
+	}
 	for i := range r.Steps {
 		r.Steps[i].State = Waiting
 	}
--- a/internal/pipelines/status.go
+++ b/internal/pipelines/status.go
@@ -6,21 +6,21 @@
 	"github.com/harrierreel/harrierreel/internal/jobs"
 )
 
-// Status is what users are told of a run. Fields are only ever added.
+// Status is what users get of a run. Fields are only ever added.
 type Status struct {
 	ID     string       `json:"id"`
 	Name   string       `json:"name"`
 	Owner  string       `json:"owner"`
 	Status RunState     `json:"status"`
-	TookS  float64      `json:"took_s"` // since its acceptance, or until its end
+	TookS  float64      `json:"took_s"` // seconds from its acceptance until now or its end
 	Steps  []StepStatus `json:"steps"`
 }
 
-// StepStatus is what users are told of a step.
+// StepStatus is what users get of a step.
 type StepStatus struct {
 	Name         string    `json:"name"`
 	Status       StepState `json:"status"`
-	Job          string    `json:"job"`    // uid of its present job, or of the one it will have
+	Job          string    `json:"job"`    // ID of its present job, or of the one it will have
 	Repeat       int       `json:"repeat"` // counted from 0
 	Why          Why       `json:"why,omitempty"`
 	AllowFailure bool      `json:"allow_failure,omitempty"`
@@ -28,7 +28,7 @@
 	Tasks        int       `json:"pieces"`
 	Done         int       `json:"done"`
 	Running      int       `json:"running"`
-	TookS        float64   `json:"took_s"` // since its job's acceptance, or until its end
+	TookS        float64   `json:"took_s"` // seconds from its job's acceptance until now or its end
 	Explain      string    `json:"explain,omitempty"`
 }
 
@@ -52,44 +52,66 @@
 }
 
 // StatusOf describes a run, ended or not; false if its document can't be read.
-func (k *Keeper) StatusOf(id string, rec *Record, nowMs int64, w Cluster, explain bool) (Status, bool) {
-	p := k.planOf(rec)
-	if p == nil || len(p.Steps) != len(rec.Steps) {
+func (k *Keeper) StatusOf(id string, record *Record, nowMs int64, cluster Cluster, explain bool) (Status, bool) {
+	p := k.planOf(record)
+	if p == nil || len(p.Steps) != len(record.Steps) {
 		return Status{}, false
 	}
-	seconds := func(from, to int64) float64 {
-		if from == 0 {
-			return 0
-		}
-		if to == 0 {
-			to = nowMs
-		}
-		return float64(max(to-from, 0)) / 1000
+	out := Status{
+		ID:     id,
+		Name:   p.Name,
+		Owner:  p.Owner,
+		Status: record.State,
+		TookS:  elapsedSeconds(record.AtMs, record.EndMs, nowMs),
 	}
-	out := Status{ID: id, Name: p.Name, Owner: p.Owner, Status: rec.State, TookS: seconds(rec.AtMs, rec.EndMs)}
-	for i, s := range rec.Steps {
-		plan := &p.Steps[i]
-		v := StepStatus{
-			Name: plan.Name, Status: s.State, Job: JobID(id, rec.Salt, plan.Name, s.Repeat), Repeat: s.Repeat, Why: s.Why,
-			AllowFailure: plan.AllowFailure, Tasks: plan.Spec.TaskCount, TookS: seconds(s.AtMs, s.EndMs),
-		}
-		for _, n := range p.Groups[plan.Group].Needs {
-			v.Needs = append(v.Needs, p.Groups[n].Name)
-		}
-		switch {
-		case s.State == Succeeded:
-			v.Done = v.Tasks
-		case s.State.HasJob():
-			job, _ := w.Job(v.Job)
-			v.Done, v.Running = job.Done, job.Running
-			if s.State == Submitted && job.Running > 0 {
-				v.Status = Running
-			}
-		}
+	for i := range record.Steps {
+		status := p.stepStatus(i, id, record, nowMs, cluster)
 		if explain {
-			v.Explain = p.explain(i, rec, &v, w.Why(v.Job))
+			status.Explain = p.explain(i, record, &status, cluster.Why(status.Job))
 		}
-		out.Steps = append(out.Steps, v)
+		out.Steps = append(out.Steps, status)
 	}
 	return out, true
 }
+
+// stepStatus describes a step, without an explanation.
+func (p *Plan) stepStatus(i int, id string, record *Record, nowMs int64, cluster Cluster) StepStatus {
+	run, step := record.Steps[i], &p.Steps[i]
+	out := StepStatus{
+		Name:         step.Name,
+		Status:       run.State,
+		Job:          JobID(id, record.Salt, step.Name, run.Repeat),
+		Repeat:       run.Repeat,
+		Why:          run.Why,
+		AllowFailure: step.AllowFailure,
+		Tasks:        step.Spec.TaskCount,
+		TookS:        elapsedSeconds(run.AtMs, run.EndMs, nowMs),
+	}
+	for _, need := range p.Groups[step.Group].Needs {
+		out.Needs = append(out.Needs, p.Groups[need].Name)
+	}
+	switch {
+	case run.State == Succeeded:
+		out.Done = out.Tasks
+	case run.State.HasJob():
+		job, _ := cluster.Job(out.Job)
+		out.Done = job.Done
+		out.Running = job.Running
+		if run.State == Submitted && job.Running > 0 {
+			out.Status = Running
+		}
+	}
+	return out
+}
+
+// elapsedSeconds is the time from a start until an end, or until now without one; 0
+// before the start. It is never negative, though the time of day may jump.
+func elapsedSeconds(startMs, endMs, nowMs int64) float64 {
+	if startMs == 0 {
+		return 0
+	}
+	if endMs == 0 {
+		endMs = nowMs
+	}
+	return float64(max(endMs-startMs, 0)) / 1000
+}
