--- a/internal/pipelines/record.go
+++ b/internal/pipelines/record.go
@@ -65,7 +65,7 @@
 	var key [32]byte
 	blake3.DeriveKey(key[:], jobIDContext, []byte(salt))
 	h := blake3.New(8, key[:])
-	h.Write(fmt.Appendf(nil, "%d:%s%d:%s%d", len(id), id, len(step), step, repeat)) // a hash never fails
+	_, _ = h.Write(fmt.Appendf(nil, "%d:%s%d:%s%d", len(id), id, len(step), step, repeat)) // a hash never fails
 	return fmt.Sprintf("wk-%018d", binary.BigEndian.Uint64(h.Sum(nil))%1_000_000_000_000_000_000)
 }
 
--- a/internal/pipelines/request.go
+++ b/internal/pipelines/request.go
@@ -22,7 +22,7 @@
 	Faults []Fault `json:"faults,omitempty"`
 }
 
-// ParseRequest reads a submission's body. The refusal tells every fault.
+// ParseRequest reads a submission's body. The refusal holds every fault.
 func ParseRequest(body []byte) (*Request, *Refusal) {
 	var r struct {
 		ID       string `json:"id"`
@@ -38,19 +38,22 @@
 	if len(faults) > 0 {
 		return nil, &Refusal{Error: fmt.Sprintf("%d faults in the pipeline", len(faults)), Faults: faults}
 	}
-	return &Request{r.ID, jobs.Encode(r.Pipeline), p}, nil
+	return &Request{ID: r.ID, Doc: jobs.Encode(r.Pipeline), Plan: p}, nil
 }
 
-// Judge names the steps that can never run, each by its place in the document.
+// Judge names the steps that can never run, each by its place in the document; judge
+// explains why a job can never run, or returns "".
 func (p *Plan) Judge(judge func(*jobs.Spec) string) []Fault {
 	var out []Fault
 	for i := range p.Steps {
-		s := &p.Steps[i]
-		if why := judge(&s.Spec); why != "" {
-			if f := (Fault{Path: s.path, Want: "can never run: " + why}); !slices.Contains(out, f) &&
-				len(out) < tuning.MaxFaults {
-				out = append(out, f)
-			}
+		step := &p.Steps[i]
+		reason := judge(&step.Spec)
+		if reason == "" {
+			continue
+		}
+		fault := Fault{Path: step.path, Want: "can never run: " + reason}
+		if !slices.Contains(out, fault) && len(out) < tuning.MaxFaults {
+			out = append(out, fault)
 		}
 	}
 	return out
--- a/internal/pipelines/when.go
+++ b/internal/pipelines/when.go
@@ -1,6 +1,7 @@
 package pipelines
 
 import (
+	"errors"
 	"fmt"
 	"slices"
 	"strings"
@@ -15,7 +16,7 @@
 
 // Condition is a compiled `when`. It is a value: nothing in it changes.
 type Condition struct {
-	Text    string
+	Text    string // as written
 	program *vm.Program
 }
 
@@ -29,42 +30,44 @@
 	cancelled outcome = "cancelled"
 )
 
-// facts is what a condition may ask about.
+// facts is what a condition may depend on.
 type facts struct {
-	success, failure bool
-	outcomes         map[string]outcome // of its ancestors
-	matrix           map[string]any
+	success  bool               // all that the step needs succeeded
+	failure  bool               // one of its ancestors failed
+	outcomes map[string]outcome // of its ancestors
+	matrix   map[string]any
 }
 
-func (f facts) env() map[string]any {
+// environment is what the names in a condition stand for.
+func (f facts) environment() map[string]any {
 	steps := map[string]any{}
 	for name, o := range f.outcomes {
 		steps[name] = map[string]any{"outcome": string(o)}
 	}
-	m := f.matrix
-	if m == nil {
-		m = map[string]any{}
+	values := f.matrix
+	if values == nil {
+		values = map[string]any{}
 	}
 	return map[string]any{
 		"success": func() bool { return f.success },
 		"failure": func() bool { return f.failure },
 		"always":  func() bool { return true },
 		"steps":   steps,
-		"matrix":  m,
+		"matrix":  values,
 	}
 }
 
 // holds evaluates a condition. One that fails to evaluate does not hold; its
-// step is skipped and the error says why.
+// step is skipped and the error says why. Without a condition, success() counts.
 func (w *Condition) holds(f facts) (bool, error) {
 	if w == nil {
 		return f.success, nil
 	}
-	v, err := expr.Run(w.program, f.env())
+	value, err := expr.Run(w.program, f.environment())
 	if err != nil {
-		return false, fmt.Errorf("when: %v", err)
+		return false, fmt.Errorf("when: %w", err)
 	}
-	ok, _ := v.(bool)
+	ok, _ := value.(bool)
 	return ok, nil
 }
 
@@ -76,14 +79,15 @@
 	wrong string
 }
 
+// Visit is called by ast.Walk for each node, the inner ones first.
 func (m *mentions) Visit(node *ast.Node) {
 	switch n := (*node).(type) {
 	case *ast.IdentifierNode:
-		if n.Value == "steps" {
+		if isSteps(n) {
 			m.bare++
 		}
 	case *ast.MemberNode:
-		if id, ok := n.Node.(*ast.IdentifierNode); ok && id.Value == "steps" {
+		if isSteps(n.Node) {
 			m.bare--
 			name, ok := n.Property.(*ast.StringNode)
 			if !ok {
@@ -92,57 +96,61 @@
 			}
 			m.steps = append(m.steps, name.Value)
 		}
-		if inner, ok := n.Node.(*ast.MemberNode); ok {
-			if id, ok := inner.Node.(*ast.IdentifierNode); ok && id.Value == "steps" {
-				if what, ok := n.Property.(*ast.StringNode); !ok || what.Value != "outcome" {
-					m.wrong = "a step has only .outcome: succeeded, failed, skipped or cancelled"
-				}
+		if inner, ok := n.Node.(*ast.MemberNode); ok && isSteps(inner.Node) {
+			if member, ok := n.Property.(*ast.StringNode); !ok || member.Value != "outcome" {
+				m.wrong = "a step has only .outcome: succeeded, failed, skipped or cancelled"
 			}
 		}
 	}
 }
 
-// compileWhen reads a condition of a step whose ancestors are named.
-func compileWhen(text string, ancestors []string) (*Condition, string) {
+// isSteps tells whether a node is the name `steps`.
+func isSteps(n ast.Node) bool {
+	id, ok := n.(*ast.IdentifierNode)
+	return ok && id.Value == "steps"
+}
+
+// compileWhen reads a condition of a step whose ancestors are named. The error is the
+// text of a fault, which users get as it stands.
+func compileWhen(text string, ancestors []string) (*Condition, error) {
 	if len(text) > tuning.MaxWhen {
-		return nil, fmt.Sprintf("expected at most %d bytes", tuning.MaxWhen)
+		return nil, fmt.Errorf("expected at most %d bytes", tuning.MaxWhen)
 	}
 	tree, err := parser.Parse(text)
 	if err != nil {
-		return nil, "expected an expression: " + firstLine(err)
+		return nil, errors.New("expected an expression: " + firstLine(err))
 	}
 	var m mentions
 	ast.Walk(&tree.Node, &m)
 	switch {
 	case m.wrong != "":
-		return nil, m.wrong
+		return nil, errors.New(m.wrong)
 	case m.bare > 0:
-		return nil, "expected steps.NAME.outcome"
+		return nil, errors.New("expected steps.NAME.outcome")
 	}
 	sample := facts{outcomes: map[string]outcome{}}
-	for _, s := range m.steps {
-		if !slices.Contains(ancestors, s) {
-			return nil, fmt.Sprintf(
+	for _, name := range m.steps {
+		if !slices.Contains(ancestors, name) {
+			return nil, fmt.Errorf(
 				"speaks of the step %q, which this step does not need, so that it may not have ended; expected one of: %s",
-				s,
+				name,
 				someNames(ancestors),
 			)
 		}
-		sample.outcomes[s] = succeeded
+		sample.outcomes[name] = succeeded
 	}
 	program, err := expr.Compile(
 		text,
-		expr.Env(sample.env()),
+		expr.Env(sample.environment()),
 		expr.AsBool(),
 		expr.DisableAllBuiltins(),
 		expr.MaxNodes(tuning.MaxWhenNodes),
 	)
 	if err != nil {
-		return nil, "expected true or false from success(), failure(), always(), steps.NAME.outcome and matrix.NAME: " + firstLine(
-			err,
-		)
+		const want = "expected true or false from success(), failure(), always(), steps.NAME.outcome and matrix.NAME: "
+		return nil, errors.New(want + firstLine(err))
 	}
-	return &Condition{text, program}, ""
+	return &Condition{Text: text, program: program}, nil
 }
 
 func firstLine(err error) string {
@@ -151,43 +159,46 @@
 }
 
 // conditions compiles every `when` and refuses those that can never hold.
-func (c *compiler) conditions(p *Plan, raw []any) {
+func (c *compiler) conditions(p *Plan, rawSteps []any) {
 	for i := range p.Groups {
-		step, _ := raw[i].(map[string]any)
-		text, ok := step["when"].(string)
-		if !ok || c.circular ||
-			slices.ContainsFunc(
-				c.faults,
-				func(f Fault) bool { return strings.HasPrefix(f.Path, fieldPath(indexPath("steps", i), "needs")) },
-			) {
+		rawStep, _ := rawSteps[i].(map[string]any)
+		text, ok := rawStep["when"].(string)
+		if !ok || c.circular || c.needsFaulty(i) {
 			continue
 		}
 		path := fieldPath(indexPath("steps", i), "when")
-		above := c.above(p, i)
-		w, fault := compileWhen(text, above)
-		if fault != "" {
-			c.fail(path, "%s", fault)
+		ancestors := p.ancestorNames(i)
+		condition, err := compileWhen(text, ancestors)
+		if err != nil {
+			c.fail(path, "%s", err)
 			continue
 		}
-		ever := len(p.Groups[i].Steps) == 0 // faulty otherwise
+		satisfiable := len(p.Groups[i].Steps) == 0 // such a group is faulty otherwise
 		for _, s := range p.Groups[i].Steps {
-			p.Steps[s].When = w
-			ever = ever || p.canHold(i, &p.Steps[s])
+			p.Steps[s].When = condition
+			satisfiable = satisfiable || p.canHold(i, &p.Steps[s])
 		}
-		if !ever {
+		if !satisfiable {
 			c.fail(
 				path,
 				"can never hold, so that the step can never run; expected a condition that some outcome of %s fulfils",
-				orNothing(above),
+				orNothing(ancestors),
 			)
 		}
 	}
 }
 
-// above names the steps that a group needs, and those that these need.
-func (c *compiler) above(p *Plan, i int) []string {
+// needsFaulty tells whether a fault was found in what a group needs, so that its
+// ancestors are not known.
+func (c *compiler) needsFaulty(group int) bool {
+	path := fieldPath(indexPath("steps", group), "needs")
+	return slices.ContainsFunc(c.faults, func(f Fault) bool { return strings.HasPrefix(f.Path, path) })
+}
+
+// ancestorNames names the steps that a group needs, and those that these need.
+func (p *Plan) ancestorNames(group int) []string {
 	var out []string
-	for _, a := range p.Groups[i].Ancestors {
+	for _, a := range p.Groups[group].Ancestors {
 		out = append(out, p.Groups[a].Name)
 	}
 	slices.Sort(out)
@@ -201,31 +212,40 @@
 	return someNames(names)
 }
 
-// canHold tries a condition on every outcome of the steps above, as long as
-// they are few; more are believed.
-func (p *Plan) canHold(g int, s *Step) bool {
-	above := p.Groups[g].Ancestors
-	if len(above) > tuning.OutcomeCombinations {
+var allOutcomes = []outcome{succeeded, failed, skipped, cancelled}
+
+// canHold tries a condition on every combination of its ancestors' outcomes, as long
+// as they are few; with more it is taken to hold for some.
+func (p *Plan) canHold(group int, s *Step) bool {
+	ancestors := p.Groups[group].Ancestors
+	if len(ancestors) > tuning.OutcomeCombinations {
 		return true
 	}
-	all := []outcome{succeeded, failed, skipped, cancelled}
-	count := 1
-	for range above {
-		count *= len(all)
-	}
-	for n := range count {
-		f := facts{success: true, outcomes: map[string]outcome{}, matrix: s.Matrix}
-		for k, rest := 0, n; k < len(above); k, rest = k+1, rest/len(all) {
-			o := all[rest%len(all)]
-			f.outcomes[p.Groups[above[k]].Name] = o
-			f.failure = f.failure || o == failed
-			if slices.Contains(p.Groups[g].Needs, above[k]) {
-				f.success = f.success && o == succeeded
-			}
-		}
+	combinations := 1
+	for range ancestors {
+		combinations *= len(allOutcomes)
+	}
+	for n := range combinations {
+		f := p.factsOfCombination(group, n)
+		f.matrix = s.Matrix
 		if ok, err := s.When.holds(f); ok && err == nil {
 			return true
 		}
 	}
 	return false
 }
+
+// factsOfCombination is the n-th combination of outcomes of a group's ancestors.
+func (p *Plan) factsOfCombination(group, n int) facts {
+	f := facts{success: true, outcomes: map[string]outcome{}}
+	for _, ancestor := range p.Groups[group].Ancestors {
+		o := allOutcomes[n%len(allOutcomes)]
+		n /= len(allOutcomes)
+		f.outcomes[p.Groups[ancestor].Name] = o
+		f.failure = f.failure || o == failed
+		if slices.Contains(p.Groups[group].Needs, ancestor) {
+			f.success = f.success && o == succeeded
+		}
+	}
+	return f
+}
