--- a/internal/pipelines/bench_test.go
+++ b/internal/pipelines/bench_test.go
@@ -12,8 +12,8 @@
 	"github.com/harrierreel/harrierreel/internal/jobs"
 )
 
-// benched is 1,000 runs of five steps with a job under way each, as records.
-func benched(b *testing.B) (map[string]json.RawMessage, map[string]jobs.JobState) {
+// thousandRuns is 1,000 runs of five steps with a job under way each, as records.
+func thousandRuns(b *testing.B) (map[string]json.RawMessage, map[string]jobs.JobState) {
 	b.Helper()
 	var steps []string
 	for i := range 5 {
@@ -53,22 +53,20 @@
 // BenchmarkSweep is the look at 1,000 owned runs of which nothing is new, as it
 // is taken each second, with the memory that a live run takes when owned.
 func BenchmarkSweep(b *testing.B) {
-	records, live := benched(b)
+	records, live := thousandRuns(b)
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	k := benchKeeper(b, records)
-	s := &seat{k: k, jobs: live, now: time.Unix(1_900_000_000, 0), ms: 1e12}
-	yes := func(string) bool { return true }
-	room := func(int) bool { return true }
+	c := &testController{keeper: k, jobs: live, now: time.Unix(1_900_000_000, 0), nowMs: 1e12}
 	sweep := func() {
-		s.now = s.now.Add(10 * time.Millisecond)
+		c.now = c.now.Add(10 * time.Millisecond)
 		k.lastSweep = time.Time{}
 		for first := true; first || len(k.dirty) > 0; first = false {
-			if c, _ := k.Pass(s.now, s.ms, yes, func(string) bool { return false }, room, s); len(c) > 0 {
+			if changes, _ := c.pass(); len(changes) > 0 {
 				b.Fatal("something changed")
 			}
-			k.lastSweep = s.now
+			k.lastSweep = c.now
 		}
 	}
 	sweep()
@@ -83,28 +81,22 @@
 // BenchmarkTakeOver is reading 1,000 runs' records and deciding what they need,
 // as a controller does that takes all of them over.
 func BenchmarkTakeOver(b *testing.B) {
-	records, live := benched(b)
+	records, live := thousandRuns(b)
 	for b.Loop() {
 		k := benchKeeper(b, maps.Clone(records))
-		s := &seat{k: k, jobs: live, now: time.Unix(1_900_000_000, 0), ms: 1e12}
+		c := &testController{keeper: k, jobs: live, now: time.Unix(1_900_000_000, 0), nowMs: 1e12}
 		for len(k.dirty) > 0 {
-			k.Pass(
-				s.now,
-				s.ms,
-				func(string) bool { return true },
-				func(string) bool { return false },
-				func(int) bool { return true },
-				s,
-			)
+			c.pass()
 		}
 	}
 }
 
 // BenchmarkCompile is checking a file with a matrix of 200 steps.
 func BenchmarkCompile(b *testing.B) {
-	doc := []byte(
-		`{"name":"p","owner":"t","steps":[{"name":"a",` + step + `},{"name":"m","needs":"a","when":"steps.a.outcome == 'succeeded'","matrix":{"x":[1,2,3,4,5,6,7,8,9,10],"y":[1,2,3,4,5,6,7,8,9,10,11,12,13,14,15,16,17,18,19,20]},` + step + `}]}`,
-	)
+	doc := []byte(`{"name":"p","owner":"t","steps":[{"name":"a",` + step + `},
+		{"name":"m","needs":"a","when":"steps.a.outcome == 'succeeded'","matrix":{
+			"x":[1,2,3,4,5,6,7,8,9,10],
+			"y":[1,2,3,4,5,6,7,8,9,10,11,12,13,14,15,16,17,18,19,20]},` + step + `}]}`)
 	for b.Loop() {
 		if p, _ := CompileJSON(doc); p == nil {
 			b.Fatal("refused")
--- a/internal/pipelines/golden_test.go
+++ b/internal/pipelines/golden_test.go
@@ -25,8 +25,8 @@
 	for _, s := range stepStates {
 		r.Steps = append(r.Steps, StepRun{State: s})
 	}
-	for i, w := range causes {
-		r.Steps = append(r.Steps, StepRun{State: Failed, Why: w, AtMs: 1700000001000 + int64(i)})
+	for i, cause := range causes {
+		r.Steps = append(r.Steps, StepRun{State: Failed, Why: cause, AtMs: 1700000001000 + int64(i)})
 	}
 	return r
 }
@@ -35,13 +35,17 @@
 	const short = `{"name":"p","owner":"vision"}`
 	long := `{"name":"p","owner":"vision","steps":[` + strings.Repeat(`{"name":"a","bundle":"b"},`, 40) + `{}]}`
 	full := goldenRecord(long)
-	least := Record{State: RunLive, Doc: []byte(`{}`)}
+	minimal := Record{State: RunLive, Doc: []byte(`{}`)}
 	goldentest.Filled(t, full, "packedDoc") // packedDoc is made by Encode
-	for name, r := range map[string]Record{"run.json": full, "run-plain.json": goldenRecord(short), "run-least.json": least} {
+	for name, r := range map[string]Record{
+		"run.json":       full,
+		"run-plain.json": goldenRecord(short),
+		"run-least.json": minimal,
+	} {
 		want := r
 		goldentest.Bytes(t, name, r.Encode())
-		stands := goldentest.Read(t, name)
-		back, err := Decode(stands)
+		golden := goldentest.Read(t, name)
+		back, err := Decode(golden)
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
 			continue
@@ -55,7 +59,7 @@
 		goldentest.Bytes(t, name, back.Encode())
 
 		var s stored
-		if err := json.Unmarshal(stands, &s); err != nil {
+		if err := json.Unmarshal(golden, &s); err != nil {
 			t.Fatal(err)
 		}
 		goldentest.JSON(t, name, s)
@@ -65,16 +69,16 @@
 	}
 }
 
-func TestGoldenWords(t *testing.T) {
-	words := []string{RunPrefix, RanPrefix, JobID("run-1", "0123456789abcdef", "a[x=1]", 2), Sum([]byte(`{}`))}
+func TestGoldenTexts(t *testing.T) {
+	texts := []string{RunPrefix, RanPrefix, JobID("run-1", "0123456789abcdef", "a[x=1]", 2), Sum([]byte(`{}`))}
 	for _, s := range []RunState{RunLive, RunCancelling, RunSucceeded, RunFailed, RunCancelled} {
-		words = append(words, string(s))
+		texts = append(texts, string(s))
 	}
 	for _, s := range stepStates {
-		words = append(words, string(s))
+		texts = append(texts, string(s))
 	}
-	for _, w := range causes {
-		words = append(words, string(w))
+	for _, cause := range causes {
+		texts = append(texts, string(cause))
 	}
-	goldentest.Bytes(t, "words.txt", []byte(strings.Join(words, "\n")+"\n"))
+	goldentest.Bytes(t, "words.txt", []byte(strings.Join(texts, "\n")+"\n"))
 }
--- a/internal/pipelines/keeper.go
+++ b/internal/pipelines/keeper.go
@@ -51,7 +51,7 @@
 	// jump of the time of day ends a step. By index of the step, like what follows.
 	jobClocks   map[int]time.Time
 	doubtClocks map[int]time.Time
-	readAt      map[int]time.Time // when a read of its job was last asked for
+	readAt      map[int]time.Time // when a read of its job was last requested
 	missing     map[int]bool      // jobs that a read found in no record
 	unexamined  bool              // not looked at as a whole since it was loaded
 	heldUntil   time.Time         // until then a user's cancellation goes first
--- /dev/null
+++ b/internal/pipelines/model_test.go
@@ -0,0 +1,246 @@
+package pipelines
+
+import (
+	"encoding/json"
+	"maps"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"github.com/harrierreel/harrierreel/internal/jobs"
+)
+
+// step is what every step of the tests' documents needs.
+const step = `"cores":1,"memory_gb":1,"bundle":"b"`
+
+// documents that the properties are tried on: chains, diamonds, conditions,
+// repeats, failures that are allowed, a matrix.
+var documents = []string{
+	`{"name":"p","owner":"t","steps":[
+		{"name":"a",` + step + `},
+		{"name":"b","needs":"a","repeats":2,` + step + `},
+		{"name":"c","needs":["b"],` + step + `}]}`,
+	`{"name":"p","owner":"t","steps":[
+		{"name":"d","needs":["b","c"],` + step + `},
+		{"name":"a",` + step + `},
+		{"name":"b","needs":"a","allow_failure":true,"repeats":1,` + step + `},
+		{"name":"c","needs":"a",` + step + `}]}`,
+	`{"name":"p","owner":"t","steps":[
+		{"name":"a","matrix":{"x":[1,2,3,4,5,6,7,8,9]},` + step + `},
+		{"name":"f","needs":"a","when":"failure()",` + step + `},
+		{"name":"z","needs":["a","f"],"when":"always()",` + step + `},
+		{"name":"y","needs":["z"],"when":"steps.a.outcome == 'failed' || success()","timeout_s":30,` + step + `}]}`,
+}
+
+// wideDocument has 64 steps that are ready at once.
+const wideDocument = `{"name":"p","owner":"t","steps":[
+	{"name":"a","matrix":{"x":[1,2,3,4,5,6,7,8],"y":[1,2,3,4,5,6,7,8]},` + step + `}]}`
+
+// timedDocument has one step that may take 30 s.
+const timedDocument = `{"name":"p","owner":"t","steps":[{"name":"a","timeout_s":30,` + step + `}]}`
+
+// plainDocument has one step.
+const plainDocument = `{"name":"p","owner":"t","steps":[{"name":"a",` + step + `}]}`
+
+func yes(string) bool { return true }
+
+func no(string) bool { return false }
+
+func enoughRoom(int) bool { return true }
+
+// storeModel is the state service: a run, its jobs, and who saw what of them.
+type storeModel struct {
+	run         json.RawMessage
+	over        bool
+	revision    int
+	jobs        map[string]jobs.JobState
+	submissions map[string]int // of each job ID that took effect
+}
+
+// testController is a controller with its own, perhaps older, copy of the store.
+type testController struct {
+	keeper   *Keeper
+	revision int
+	jobs     map[string]jobs.JobState
+	doubted  map[string]bool
+	now      time.Time // the monotonic clock
+	nowMs    int64     // the time of day
+}
+
+func (c *testController) Job(jobID string) (JobView, bool) {
+	state, ok := c.jobs[jobID]
+	return JobView{State: state, Running: 1, Probing: c.doubted[jobID]}, ok
+}
+func (c *testController) Final(string) (jobs.JobState, bool) { return "", false }
+func (c *testController) Why(string) string                  { return "" }
+func (c *testController) Judge(*jobs.Spec) string            { return "" }
+
+// pass lets the keeper decide about all its runs.
+func (c *testController) pass() (changes []Change, reads []string) {
+	return c.keeper.Pass(c.now, c.nowMs, yes, no, enoughRoom, c)
+}
+
+// wait lets time pass on both clocks.
+func (c *testController) wait(d time.Duration) {
+	c.now = c.now.Add(d)
+	c.nowMs += d.Milliseconds()
+}
+
+// sync brings the controller's copy up to date.
+func (c *testController) sync(t *rapid.T, m *storeModel) {
+	c.jobs = maps.Clone(m.jobs)
+	if c.revision == m.revision {
+		for jobID := range m.jobs {
+			c.keeper.JobChanged(jobID)
+		}
+		return
+	}
+	c.revision = m.revision
+	value := m.run
+	if m.over {
+		value = nil
+	}
+	if err := c.keeper.Changed("run-1", value); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// allows tells whether the conditions of a controller's change hold.
+func (m *storeModel) allows(c *testController, change *Change) bool {
+	if c.revision != m.revision || m.over {
+		return false
+	}
+	for _, spec := range change.Submit {
+		if _, there := m.jobs[spec.ID]; there {
+			return false
+		}
+	}
+	for _, jobID := range change.Cancel {
+		if m.jobs[jobID] != jobs.Live {
+			return false
+		}
+	}
+	return true
+}
+
+// commit applies a change if its conditions hold, and checks what it does.
+func (m *storeModel) commit(t *rapid.T, c *testController, change *Change, p *Plan) bool {
+	if !m.allows(c, change) {
+		return false
+	}
+	before, err := Decode(m.run)
+	if err != nil {
+		t.Fatal(err)
+	}
+	after, err := Decode(change.Record)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if before.State != RunLive && len(change.Submit) > 0 {
+		t.Fatalf("submits while the run is %s", before.State)
+	}
+	m.run = change.Record
+	m.over = change.Over
+	m.revision++
+	for _, jobID := range change.Cancel {
+		m.jobs[jobID] = jobs.Cancelled
+	}
+	for _, spec := range change.Submit {
+		m.jobs[spec.ID] = jobs.Live
+		if m.submissions[spec.ID]++; m.submissions[spec.ID] > 1 {
+			t.Fatalf("%s submitted twice", spec.ID)
+		}
+	}
+	if change.Over != after.State.Over() {
+		t.Fatalf("moved away: %v, but it is %s", change.Over, after.State)
+	}
+	if change.Ops() > c.keeper.limits.TxnOps {
+		t.Fatalf("%d writes in one transaction", change.Ops())
+	}
+	m.check(t, before, after, p)
+	return true
+}
+
+// check holds a run's records against the rules: an ended step stays as it is, none
+// starts before what it needs has ended, and none has two live jobs.
+func (m *storeModel) check(t *rapid.T, before, after *Record, p *Plan) {
+	for i, s := range after.Steps {
+		if former := before.Steps[i]; former.State.Over() && s.State != former.State {
+			t.Fatalf("%s went from %s to %s", p.Steps[i].Name, former.State, s.State)
+		}
+		if s.State != Waiting && s.State != Cancelled {
+			for _, need := range p.Groups[p.Steps[i].Group].Needs {
+				if _, over := groupOutcome(p, need, after.Steps); !over {
+					t.Fatalf("%s is %s before %s has ended", p.Steps[i].Name, s.State, p.Groups[need].Name)
+				}
+			}
+		}
+		live := 0
+		for r := 0; r <= p.Steps[i].Repeats+1; r++ {
+			if m.jobs[JobID("run-1", after.Salt, p.Steps[i].Name, r)] == jobs.Live {
+				live++
+			}
+		}
+		if live > 1 {
+			t.Fatalf("%s has %d live jobs", p.Steps[i].Name, live)
+		}
+		if live == 1 && !s.State.HasJob() {
+			t.Fatalf("%s is %s with a live job", p.Steps[i].Name, s.State)
+		}
+	}
+}
+
+// newController is a controller with one run of a document, and its plan.
+func newController(t *testing.T, doc string) (*testController, *Plan) {
+	t.Helper()
+	p, faults := CompileJSON([]byte(doc))
+	if len(faults) > 0 {
+		t.Fatal(faults)
+	}
+	c := &testController{
+		keeper:  NewKeeper(Limits{Runs: 10, Steps: 1000, ValueBytes: 8 << 10, TxnOps: 16}),
+		jobs:    map[string]jobs.JobState{},
+		doubted: map[string]bool{},
+		now:     time.Unix(1_900_000_000, 0),
+		nowMs:   1e12,
+	}
+	c.keeper.SetRate(c.now, 1000)
+	if err := c.keeper.Changed("run-1", NewRecord(p, []byte(doc), "salt", c.nowMs).Encode()); err != nil {
+		t.Fatal(err)
+	}
+	return c, p
+}
+
+// advance lets a second pass and commits what the keeper decides.
+func (c *testController) advance(t *testing.T) []Change {
+	t.Helper()
+	c.wait(time.Second)
+	changes, _ := c.pass()
+	for _, change := range changes {
+		for _, spec := range change.Submit {
+			c.jobs[spec.ID] = jobs.Live
+		}
+		for _, jobID := range change.Cancel {
+			c.jobs[jobID] = jobs.Cancelled
+		}
+		value := change.Record
+		if change.Over {
+			value = nil
+		}
+		if err := c.keeper.Changed(change.ID, value); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return changes
+}
+
+// step is the state of a step of the one run.
+func (c *testController) step(t *testing.T, i int) StepRun {
+	t.Helper()
+	record, _ := c.keeper.Known("run-1")
+	if record == nil {
+		t.Fatal("the run is over")
+	}
+	return record.Steps[i]
+}
--- a/internal/pipelines/needs.go
+++ b/internal/pipelines/needs.go
@@ -44,12 +44,12 @@
 	}
 }
 
-// visitState is how far the search for circles has come with a group.
-type visitState uint8
+// searchState is how far the search for circles has come with a group.
+type searchState uint8
 
 const (
-	unvisited visitState = iota
-	onTrail              // its needs are being visited
+	unvisited searchState = iota
+	onTrail               // its needs are being visited
 	visited
 )
 
@@ -57,13 +57,13 @@
 type search struct {
 	compiler *compiler
 	plan     *Plan
-	states   []visitState
+	states   []searchState
 	trail    []int // groups from the first one to the present one
 }
 
 // circles reports each circle of needs once, and fills in the ancestors.
 func (c *compiler) circles(p *Plan) {
-	s := search{compiler: c, plan: p, states: make([]visitState, len(p.Groups))}
+	s := search{compiler: c, plan: p, states: make([]searchState, len(p.Groups))}
 	for g := range p.Groups {
 		if s.states[g] == unvisited {
 			s.descend(g)
