--- a/internal/pipelines/keeper_test.go
+++ b/internal/pipelines/keeper_test.go
@@ -34,6 +34,31 @@
 	}
 }
 
+// A step that took too long is repeated with a job of its own, as often as its file
+// allows.
+func TestRepeatIsANewJob(t *testing.T) {
+	const doc = `{"name":"p","owner":"t","steps":[{"name":"a","timeout_s":30,"repeats":1,` + step + `}]}`
+	c, p := newController(t, doc)
+	var last Change
+	for seconds := 0; seconds < 100 && !last.Over; seconds++ {
+		if changes := c.advance(t); len(changes) > 0 {
+			last = changes[0]
+		}
+	}
+	for repeat := range 2 {
+		if jobID := JobID("run-1", "salt", p.Steps[0].Name, repeat); c.jobs[jobID] != jobs.Cancelled {
+			t.Errorf("the job of repeat %d is %q", repeat, c.jobs[jobID])
+		}
+	}
+	record, err := Decode(last.Record)
+	if err != nil || len(c.jobs) != 2 {
+		t.Fatalf("%d jobs, %v", len(c.jobs), err)
+	}
+	if s := record.Steps[0]; s.State != Failed || s.Repeat != 1 || s.Why != TimedOut {
+		t.Errorf("%+v", s)
+	}
+}
+
 // A look at a run that is under a transaction must not restart its clocks: the time
 // of day, which the next would then count from, may have jumped.
 func TestClocksGoOnWhileTheRunIsUnderATransaction(t *testing.T) {
