--- /dev/null
+++ b/internal/pipelines/step_spec.go
@@ -0,0 +1,118 @@
+package pipelines
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+
+	"github.com/harrierreel/harrierreel/internal/jobs"
+	"github.com/harrierreel/harrierreel/internal/tuning"
+)
+
+// rawStep is one step as written, its placeholders filled in.
+type rawStep struct {
+	path   string
+	fields map[string]any
+	matrix map[string]any
+	faulty map[string]bool // fields whose kind was reported already
+}
+
+// step checks one step and adds it to the plan.
+func (c *compiler) step(p *Plan, group int, raw rawStep) {
+	s := Step{
+		Name:   p.Groups[group].Name + matrixSuffix(raw.matrix),
+		Group:  group,
+		Matrix: raw.matrix,
+		DoubtS: tuning.StepDoubt.Seconds(),
+		path:   raw.path,
+	}
+	// Job IDs are derived from names: values that read the same would make two steps
+	// with one job.
+	if c.stepNames[s.Name] && len(raw.matrix) > 0 {
+		c.fail(
+			fieldPath(raw.path, "matrix"),
+			"expected values that read differently, %s comes twice",
+			s.Name,
+		)
+		return
+	}
+	c.stepNames[s.Name] = true
+	s.AllowFailure, _ = raw.fields["allow_failure"].(bool)
+	if v, ok := toNumber(raw.fields["repeats"]); ok {
+		if s.Repeats = int(v); v > tuning.MaxRepeats {
+			c.fail(fieldPath(raw.path, "repeats"), "expected at most %d", tuning.MaxRepeats)
+		}
+	}
+	c.seconds(raw, "timeout_s", &s.TimeoutS)
+	c.seconds(raw, "doubt_s", &s.DoubtS)
+	spec := c.jobSpec(p, raw)
+	if spec == nil {
+		return
+	}
+	s.Spec = *spec
+	p.Groups[group].Steps = append(p.Groups[group].Steps, len(p.Steps))
+	p.Steps = append(p.Steps, s)
+}
+
+// matrixSuffix tells the steps of a matrix apart, as in [x=1,y=2].
+func matrixSuffix(values map[string]any) string {
+	if len(values) == 0 {
+		return ""
+	}
+	var parts []string
+	for _, name := range slices.Sorted(maps.Keys(values)) {
+		parts = append(parts, fmt.Sprintf("%s=%v", name, values[name]))
+	}
+	return "[" + strings.Join(parts, ",") + "]"
+}
+
+// seconds reads a duration; without the field, its default stays.
+func (c *compiler) seconds(raw rawStep, name string, out *float64) {
+	v, ok := toNumber(raw.fields[name])
+	if !ok {
+		return
+	}
+	*out = v
+	if v < 1 {
+		c.fail(fieldPath(raw.path, name), "expected at least 1 second")
+	}
+}
+
+// jobSpec checks a step's job as a submission is checked; nil if it is faulty. Its
+// ID is left open.
+func (c *compiler) jobSpec(p *Plan, raw rawStep) *jobs.Spec {
+	job := map[string]any{
+		"uid":      "wk-0",
+		"jobclass": p.Name,
+		"owner":    p.Owner,
+		"shape":    jobs.JobArray,
+		"rank":     "standard",
+		"pieces":   1,
+	}
+	for name := range jobFields {
+		if v, ok := raw.fields[name]; ok {
+			job[name] = v
+		}
+	}
+	jobs.FillDefaults(job)
+	if job["shape"] == jobs.Service {
+		c.fail(
+			fieldPath(raw.path, "shape"),
+			"expected sweep or ensemble: a standing job never ends, so no step after it could start",
+		)
+		return nil
+	}
+	spec, faults := jobs.CheckSpec(jobs.Encode(job))
+	for _, f := range faults {
+		// What is wrong with the pipeline's name or owner, or with the field's
+		// kind, was reported already.
+		if job[f.Field] != "" && !raw.faulty[f.Field] {
+			c.fail(fieldPath(raw.path, f.Field), "%s", f.Reason)
+		}
+	}
+	if spec != nil {
+		spec.ID = ""
+	}
+	return spec
+}
