--- a/internal/provisioning/leader_test.go
+++ b/internal/provisioning/leader_test.go
@@ -50,20 +50,18 @@
 	state := clusterstate.New(quota.Flat(teams), func(string) {})
 	state.Now = time.UnixMilli(1e12)
 	log := slog.New(slog.DiscardHandler)
-	q := queue.New(state, queue.Env{
-		Name:           "n0",
-		TxnOps:         16,
-		ValueBytes:     8192,
-		MaxRangeTasks:  30,
-		UsesBatches:    func() bool { return false },
-		WriteRPS:       100,
-		Log:            log,
-		Busy:           func(string) bool { return false },
-		Allows:         func(int, int) bool { return true },
-		HasSpareWrites: func() bool { return true },
-		Ready:          func(m *clusterstate.Machine) bool { return m.State == fleet.Up },
-		CanPlace:       func(*clusterstate.Task, *clusterstate.Machine) bool { return true },
-		Commit:         func([]decide.Decision) {},
+	q := queue.New(state, queue.Config{
+		Name:          "n0",
+		MaxTxnWrites:  16,
+		MaxValueBytes: 8192,
+		MaxRangeTasks: 30,
+		MaxWritesPerS: 100,
+		Log:           log,
+	}, queue.Collaborators{
+		Budget:   queueSide{},
+		Commits:  queueSide{},
+		Machines: queueSide{},
+		Cluster:  queueSide{},
 	})
 	l.Provisioner = New(state,
 		Config{
@@ -267,3 +265,15 @@
 		l.t.Fatal(err)
 	}
 }
+
+// queueSide lets the queue under the provisioner do all that it wants.
+type queueSide struct{}
+
+func (queueSide) Busy(string) bool                                        { return false }
+func (queueSide) Commit([]decide.Decision)                                {}
+func (queueSide) Allows(int, int) bool                                    { return true }
+func (queueSide) HasSpareWrites() bool                                    { return true }
+func (queueSide) Ready(m *clusterstate.Machine) bool                      { return m.State == fleet.Up }
+func (queueSide) CanPlace(*clusterstate.Task, *clusterstate.Machine) bool { return true }
+func (queueSide) UsesBatches() bool                                       { return false }
+func (queueSide) HasLeftView(string) bool                                 { return false }
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -115,8 +115,8 @@
 	windowReservations []string                         // task IDs, of windows that are about to open
 }
 
-// NewQueue makes an empty queue over the cluster's state.
-func NewQueue(state *clusterstate.State, config Config, collaborators Collaborators) *Queue {
+// New makes an empty queue over the cluster's state.
+func New(state *clusterstate.State, config Config, collaborators Collaborators) *Queue {
 	q := &Queue{
 		state:       state,
 		config:      config,
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -43,7 +43,7 @@
 		ImageGBPerS:  1,
 		Zones:        []string{"a", "b"},
 	}
-	d.Queue = NewQueue(state,
+	d.Queue = New(state,
 		Config{
 			Name:          "n0",
 			MaxTxnWrites:  16,
--- a/internal/shard/fixture_test.go
+++ b/internal/shard/fixture_test.go
@@ -121,19 +121,17 @@
 
 // newScheduler is the real queue over the shard under test.
 func newScheduler(o *owner, state *clusterstate.State, config Config) *queue.Queue {
-	return queue.New(state, queue.Env{
-		Name:           config.Name,
-		TxnOps:         config.Cluster.State.TxnOps,
-		ValueBytes:     config.ValueBytes,
-		MaxRangeTasks:  30,
-		Log:            config.Log,
-		UsesBatches:    o.controller.UsesBatches,
-		Busy:           func(string) bool { return false },
-		Allows:         o.controller.Allows,
-		HasSpareWrites: o.controller.HasSpareWrites,
-		Ready:          func(m *clusterstate.Machine) bool { return o.Ready(m) },
-		CanPlace:       func(t *clusterstate.Task, m *clusterstate.Machine) bool { return o.CanPlace(t, m) },
-		Commit:         o.controller.Commit,
+	return queue.New(state, queue.Config{
+		Name:          config.Name,
+		MaxTxnWrites:  config.Cluster.State.TxnOps,
+		MaxValueBytes: config.ValueBytes,
+		MaxRangeTasks: 30,
+		Log:           config.Log,
+	}, queue.Collaborators{
+		Budget:   o.controller,
+		Commits:  queueSide{o},
+		Machines: queueSide{o},
+		Cluster:  queueSide{o},
 	})
 }
 
@@ -217,3 +215,16 @@
 func (c *fakeController) LeaseWithheld()              { c.leasesWithheld++ }
 
 func (c *fakeController) Complain(owner, machine string, here bool) { c.complain(owner, machine, here) }
+
+// queueSide is the shard under test, with its controller, as the queue sees it.
+type queueSide struct{ owner *owner }
+
+func (queueSide) Busy(string) bool                     { return false }
+func (q queueSide) Commit(decisions []decide.Decision) { q.owner.controller.Commit(decisions) }
+func (q queueSide) Ready(m *clusterstate.Machine) bool { return q.owner.Ready(m) }
+func (q queueSide) UsesBatches() bool                  { return q.owner.controller.UsesBatches() }
+func (queueSide) HasLeftView(string) bool              { return false }
+
+func (q queueSide) CanPlace(task *clusterstate.Task, m *clusterstate.Machine) bool {
+	return q.owner.CanPlace(task, m)
+}
