--- a/internal/controller/changes.go
+++ b/internal/controller/changes.go
@@ -100,7 +100,7 @@
 		return
 	}
 	c.view = view
-	for _, m := range c.Machines {
+	for _, m := range c.state.Machines {
 		m.Owner = c.ownerOf(m.Name)
 	}
 }
@@ -118,13 +118,13 @@
 }
 
 func (c *Controller) applyTaskRange(record change) {
-	jobID, err := c.ApplyTaskRange(record.key, record.value)
+	jobID, err := c.state.ApplyTaskRange(record.key, record.value)
 	c.logUnreadable(record, err)
 	c.api.RunJobChanged(jobID)
 }
 
 func (c *Controller) applyBatch(record change) {
-	jobIDs, err := c.ApplyBatch(record.key, record.value, record.revision)
+	jobIDs, err := c.state.ApplyBatch(record.key, record.value, record.revision)
 	c.logUnreadable(record, err)
 	for _, jobID := range jobIDs {
 		c.api.RunJobChanged(jobID)
@@ -132,13 +132,13 @@
 }
 
 func (c *Controller) applyJob(record change) {
-	c.logUnreadable(record, c.ApplyJob(record.name, record.value))
+	c.logUnreadable(record, c.state.ApplyJob(record.name, record.value))
 	c.api.RunJobChanged(record.name)
 }
 
 func (c *Controller) applyMachine(record change) {
 	c.shard.ReviewMachine(record.name)
-	c.logUnreadable(record, c.ApplyMachine(record.name, c.ownerOf(record.name), record.value))
+	c.logUnreadable(record, c.state.ApplyMachine(record.name, c.ownerOf(record.name), record.value))
 	if record.value == nil {
 		c.reachability.MachineRemoved(record.name)
 		c.shard.MachineRemoved(record.name)
@@ -154,7 +154,7 @@
 // applyMachineType takes in a machine type. One that cannot be read leaves the known one.
 func (c *Controller) applyMachineType(record change) {
 	if record.value == nil {
-		delete(c.MachineTypes, record.name)
+		delete(c.state.MachineTypes, record.name)
 		return
 	}
 	var machineType jobs.MachineType
@@ -163,7 +163,7 @@
 		c.log.Error("unreadable machine type ignored", "key", record.key, "error", err)
 		return
 	}
-	c.MachineTypes[machineType.Name] = &machineType
+	c.state.MachineTypes[machineType.Name] = &machineType
 }
 
 func (c *Controller) applySummary(record change) {
--- a/internal/controller/closing.go
+++ b/internal/controller/closing.go
@@ -10,8 +10,8 @@
 
 // closeJobs closes jobs whose tasks are done and removes the records of closed jobs.
 func (c *Controller) closeJobs() {
-	for _, jobID := range clusterstate.SortedKeys(c.Complete) {
-		c.closeJob(c.Complete[jobID])
+	for _, jobID := range clusterstate.SortedKeys(c.state.Complete) {
+		c.closeJob(c.state.Complete[jobID])
 	}
 	c.clearClosedJobs()
 }
@@ -39,11 +39,11 @@
 func (c *Controller) clearClosedJobs() {
 	txnOps := c.settings.Cluster.State.TxnOps
 	var decisions []decide.Decision
-	for _, jobID := range clusterstate.SortedKeys(c.Closed) {
+	for _, jobID := range clusterstate.SortedKeys(c.state.Closed) {
 		if len(decisions) >= txnOps || !c.client.HasSpareWrites() {
 			break
 		}
-		decisions = append(decisions, completion.ClearRecords(c.Closed[jobID], txnOps, c.committer.Busy)...)
+		decisions = append(decisions, completion.ClearRecords(c.state.Closed[jobID], txnOps, c.committer.Busy)...)
 	}
 	c.committer.Commit(decisions)
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -47,8 +47,8 @@
 	mirror *store.Mirror
 	sync   syncState
 
-	*clusterstate.State // what is known from the records, and the time of the present event
-	view                *members.View
+	state *clusterstate.State // what is known from the records, and the time of the present event
+	view  *members.View
 
 	role          members.Role // under the view of roleEpoch, not under a newer one in view
 	roleEpoch     uint64
@@ -85,7 +85,7 @@
 func New(set *settings.Settings, transport Transport, log *slog.Logger, random *rand.Rand) *Controller {
 	c := &Controller{settings: set, log: log, rand: random, role: members.Outside}
 	c.transport = transport.countingErrors(&c.callErrors)
-	c.State = clusterstate.New(quota.Flat(set.TeamMap()), c.reviewMachine)
+	c.state = clusterstate.New(quota.Flat(set.TeamMap()), c.reviewMachine)
 	c.client = c.newClient()
 	c.cancellations = c.newCancellations()
 	c.acks = c.newAckLog()
@@ -103,6 +103,9 @@
 	return c
 }
 
+// State is what is known from the records. Callers outside this package only read it, between events.
+func (c *Controller) State() *clusterstate.State { return c.state }
+
 // wake has the loop look for decisions to take.
 func (c *Controller) wake() { c.dirty = true }
 
@@ -115,8 +118,8 @@
 // Run handles one event at its time, and what follows from it. It must not be called while
 // another Run or Tick is under way.
 func (c *Controller) Run(now time.Time, event func()) {
-	last := c.Now
-	c.Now = now
+	last := c.state.Now
+	c.state.Now = now
 	if gap := now.Sub(last); gap >= tuning.Standstill && !last.IsZero() {
 		c.handleStall(gap)
 	}
@@ -148,10 +151,10 @@
 // reconcile takes the decisions that the last events made possible, at most once in
 // tuning.ReconcileGap.
 func (c *Controller) reconcile() {
-	if !c.dirty || c.Now.Sub(c.reconciledAt) < tuning.ReconcileGap {
+	if !c.dirty || c.state.Now.Sub(c.reconciledAt) < tuning.ReconcileGap {
 		return
 	}
-	c.dirty, c.reconciledAt = false, c.Now
+	c.dirty, c.reconciledAt = false, c.state.Now
 	if !c.caughtUp() || !c.membership.Certain() {
 		c.dirty = c.sync.live
 		return
@@ -170,18 +173,18 @@
 	c.reconcileLeader()
 	c.api.ReconcileRuns()
 	c.calendar.Reconcile(c.role != members.Outside)
-	c.client.Dispatch(c.Now)
+	c.client.Dispatch(c.state.Now)
 }
 
 // reconcileLeader takes the leader's decisions. It looks at every machine, so the pause between
 // two calls grows with their number.
 func (c *Controller) reconcileLeader() {
-	pause := tuning.ReconcileGap + time.Duration(len(c.Machines))*tuning.LeaderGapPerMachine
-	if c.Now.Sub(c.leaderReconciledAt) < pause {
+	pause := tuning.ReconcileGap + time.Duration(len(c.state.Machines))*tuning.LeaderGapPerMachine
+	if c.state.Now.Sub(c.leaderReconciledAt) < pause {
 		c.dirty = c.dirty || c.role == members.Leader
 		return
 	}
-	c.leaderReconciledAt = c.Now
+	c.leaderReconciledAt = c.state.Now
 	c.runLeaderDuties()
 }
 
--- a/internal/controller/diagnostics.go
+++ b/internal/controller/diagnostics.go
@@ -8,15 +8,15 @@
 
 // logWriteCounts logs what the writes to the store were spent on, by kind of key.
 func (c *Controller) logWriteCounts() {
-	if c.Now.Sub(c.writesLoggedAt) >= tuning.Step {
-		c.writesLoggedAt = c.Now
+	if c.state.Now.Sub(c.writesLoggedAt) >= tuning.Step {
+		c.writesLoggedAt = c.state.Now
 		c.log.Debug("store writes counted", "writes", fmt.Sprint(c.client.TakeWriteCounts()))
 	}
 }
 
 // logCallErrors logs which calls were refused, once a minute.
 func (c *Controller) logCallErrors() {
-	unexpected, load := c.callErrors.Due(c.Now)
+	unexpected, load := c.callErrors.Due(c.state.Now)
 	if unexpected != "" {
 		c.log.Error("calls refused that should not have been made", "calls", unexpected)
 	}
--- a/internal/controller/gossip.go
+++ b/internal/controller/gossip.go
@@ -21,15 +21,15 @@
 	}
 	c.membership.PeerAlive(gossip.From)
 	c.cancellations.Receive(gossip.From, gossip.Message)
-	c.acks.PeerAlive(gossip.From, c.Now)
+	c.acks.PeerAlive(gossip.From, c.state.Now)
 	if gossip.Acknowledged != nil {
-		c.acks.ApplyPeerAcks(*gossip.Acknowledged, c.Now)
+		c.acks.ApplyPeerAcks(*gossip.Acknowledged, c.state.Now)
 	}
 	c.reachability.ApplyGossip(gossip.From, gossip.StoreReachable, gossip.Isolated)
 	c.shard.Reconciling.OtherHeard(gossip.From, gossip.MachinesHeardEpoch, gossip.Epoch)
 	if gossip.Epoch > c.mirror.Epoch {
 		if c.behindSince.IsZero() {
-			c.behindSince = c.Now
+			c.behindSince = c.state.Now
 		}
 		c.watchNow()
 	}
@@ -54,7 +54,7 @@
 // be the leader.
 func (c *Controller) applyUnreached(from string, machines []string) {
 	for _, machine := range machines[:min(len(machines), tuning.MaxUnreached)] {
-		if owner := c.ownerOf(machine); owner != from && c.Machines[machine] != nil {
+		if owner := c.ownerOf(machine); owner != from && c.state.Machines[machine] != nil {
 			c.reachability.Complain(owner, machine, false)
 		}
 	}
@@ -67,10 +67,10 @@
 	if c.mirror.Epoch > c.gossipedEpoch {
 		pause /= 2
 	}
-	if c.Now.Sub(c.gossipedAt) < pause {
+	if c.state.Now.Sub(c.gossipedAt) < pause {
 		return
 	}
-	c.gossipedAt, c.gossipedEpoch = c.Now, c.mirror.Epoch
+	c.gossipedAt, c.gossipedEpoch = c.state.Now, c.mirror.Epoch
 	gossip := c.newGossip(c.cancellations.Handshake())
 	gossip.Unreached = c.reachability.LocalComplaints()
 	c.broadcast(gossip)
@@ -132,5 +132,5 @@
 	}
 	isSelf := func(name string) bool { return name == c.settings.NodeName }
 	others := slices.DeleteFunc(slices.Clone(c.view.Names()), isSelf)
-	return c.acks.HearsAll(others, c.Now)
+	return c.acks.HearsAll(others, c.state.Now)
 }
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -34,7 +34,7 @@
 	c.log.Info("process stalled", "duration_ms", gap.Milliseconds())
 	c.shard.Stalled(gap)
 	c.reachability.ResetComplaints()
-	c.provisioner.Since = c.Now
+	c.provisioner.Since = c.state.Now
 	c.membership.Stalled(gap)
 }
 
@@ -42,17 +42,17 @@
 // which decays by a quarter with each tick.
 func (c *Controller) measureLoopLag() {
 	if !c.tickedAt.IsZero() {
-		delay := max(0, c.Now.Sub(c.tickedAt)-2*tuning.Tick)
+		delay := max(0, c.state.Now.Sub(c.tickedAt)-2*tuning.Tick)
 		c.loopLag = max(delay, c.loopLag*3/4)
 	}
-	c.tickedAt = c.Now
+	c.tickedAt = c.state.Now
 }
 
 // lag is how far this controller is behind, with its own loop or with the watch.
 func (c *Controller) lag() time.Duration {
 	lag := c.loopLag
 	if !c.behindSince.IsZero() {
-		lag = max(lag, c.Now.Sub(c.behindSince)-tuning.Tick)
+		lag = max(lag, c.state.Now.Sub(c.behindSince)-tuning.Tick)
 	}
 	return lag
 }
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -61,9 +61,9 @@
 	if c.queue.Scarce() {
 		minWrites = tuning.MinBatchWrites
 	}
-	overdue := c.Now.Sub(c.leaderState.releasedAt) > tuning.ReleaseLate
+	overdue := c.state.Now.Sub(c.leaderState.releasedAt) > tuning.ReleaseLate
 	if c.client.Allows(0, minWrites) || overdue {
-		c.leaderState.releasedAt, c.leaderState.queueWasEmpty = c.Now, len(c.Queued) == 0
+		c.leaderState.releasedAt, c.leaderState.queueWasEmpty = c.state.Now, len(c.state.Queued) == 0
 		c.queue.Release()
 	}
 }
@@ -75,16 +75,16 @@
 	if !c.client.HasSpareWrites() {
 		pause = tuning.BatchEveryScarce
 	}
-	return c.leaderState.queueWasEmpty || c.Now.Sub(c.leaderState.releasedAt) >= pause
+	return c.leaderState.queueWasEmpty || c.state.Now.Sub(c.leaderState.releasedAt) >= pause
 }
 
 // clearBatches removes batch records that hold only tasks of closed jobs.
 func (c *Controller) clearBatches() {
-	due := c.Now.Sub(c.leaderState.batchesClearedAt) >= tuning.Step
-	if len(c.Batches) == 0 || !due || !c.client.HasSpareWrites() {
+	due := c.state.Now.Sub(c.leaderState.batchesClearedAt) >= tuning.Step
+	if len(c.state.Batches) == 0 || !due || !c.client.HasSpareWrites() {
 		return
 	}
-	c.leaderState.batchesClearedAt = c.Now
+	c.leaderState.batchesClearedAt = c.state.Now
 	txnOps := c.settings.Cluster.State.TxnOps
-	c.committer.Commit(completion.ClearBatches(c.State, c.mirror.Epoch, txnOps, c.committer.Busy))
+	c.committer.Commit(completion.ClearBatches(c.state, c.mirror.Epoch, txnOps, c.committer.Busy))
 }
--- a/internal/controller/leader_checks.go
+++ b/internal/controller/leader_checks.go
@@ -11,7 +11,7 @@
 	if c.role != members.Leader {
 		return
 	}
-	c.checks.Begin(c.roleEpoch, c.Now)
+	c.checks.Begin(c.roleEpoch, c.state.Now)
 	if c.checks.Done() {
 		return
 	}
@@ -33,7 +33,7 @@
 
 // recordCheck notes whether a check holds, and logs it the first time that it does.
 func (c *Controller) recordCheck(check standby.Check, holds bool) {
-	first, after := c.checks.Record(check, holds, c.Now)
+	first, after := c.checks.Record(check, holds, c.state.Now)
 	if !first {
 		return
 	}
--- a/internal/controller/release_test.go
+++ b/internal/controller/release_test.go
@@ -47,7 +47,7 @@
 
 // putJob enters an accepted job into the mirror.
 func putJob(c *Controller, spec jobs.Spec, revision uint64) {
-	put(c, jobs.JobPrefix+spec.ID, jobs.Record{State: jobs.Live, AcceptedMs: c.NowMs(), Spec: spec}, revision)
+	put(c, jobs.JobPrefix+spec.ID, jobs.Record{State: jobs.Live, AcceptedMs: c.state.NowMs(), Spec: spec}, revision)
 }
 
 // newLeader is a controller that leads by itself over so many machines of 16 cores, with so
@@ -69,14 +69,14 @@
 		Gossip: func(string, []byte) {},
 	}
 	c := New(set, transport, slog.New(slog.DiscardHandler), rand.New(rand.NewPCG(1, 1)))
-	c.Now = time.UnixMilli(1e12)
+	c.state.Now = time.UnixMilli(1e12)
 	enterRecords(c, machines, waiting)
 	c.sync.live = true
 	c.role, c.roleEpoch = members.Leader, 1
-	c.client.Dispatch(c.Now)
-	c.Now = c.Now.Add(time.Second) // the budget fills
-	c.client.Dispatch(c.Now)
-	c.shard.Reconciling.View(1, nil, nil, c.Now) // as on any day: steady
+	c.client.Dispatch(c.state.Now)
+	c.state.Now = c.state.Now.Add(time.Second) // the budget fills
+	c.client.Dispatch(c.state.Now)
+	c.shard.Reconciling.View(1, nil, nil, c.state.Now) // as on any day: steady
 	return c
 }
 
@@ -117,17 +117,17 @@
 func TestReleaseStopsAtTheWriteBudget(t *testing.T) {
 	c := newLeader(500, 1000, 40)
 	c.queue.Waiting = []*queue.Waiting{
-		{Task: &clusterstate.Task{Job: c.Jobs["wk-000999"]}, Count: 1},
+		{Task: &clusterstate.Task{Job: c.state.Jobs["wk-000999"]}, Count: 1},
 		{Task: &clusterstate.Task{Job: &clusterstate.Job{ID: "wk-000998"}}, Count: 1},
 	}
 	c.queue.Release()
-	if got := len(c.Reservations); got < 10 || got > 40 {
+	if got := len(c.state.Reservations); got < 10 || got > 40 {
 		t.Errorf("released %d tasks with 40 writes a second", got)
 	}
 	if len(c.queue.Waiting) != 1 || c.queue.Waiting[0].Task.Job.ID != "wk-000999" {
 		t.Errorf("waiting: %v", c.queue.Waiting)
 	}
-	for _, inconsistency := range c.Audit() {
+	for _, inconsistency := range c.state.Audit() {
 		t.Error(inconsistency)
 	}
 }
@@ -151,7 +151,7 @@
 		jobID := fmt.Sprintf("wk-%06d", i)
 		placed := []jobs.Task{{State: jobs.Placed, Machine: "i-000001", Attempt: 1}}
 		c.mirror.Put(jobs.TaskRangeKey(jobID, 0), jobs.EncodeTaskRange(placed, 8192), 5000)
-		decision, ok := completion.WithLastTask(c.Jobs[jobID].Tasks[0])
+		decision, ok := completion.WithLastTask(c.state.Jobs[jobID].Tasks[0])
 		if !ok || len(decision.Writes) != 3 {
 			t.Fatalf("end of %s: %v %v", jobID, ok, decision.Writes)
 		}
@@ -191,7 +191,7 @@
 		if len(faults) > 0 {
 			b.Fatal(faults)
 		}
-		c.Account.Rebase(quotas)
+		c.state.Account.Rebase(quotas)
 	}
 	for i := range waiting {
 		spec := arraySpec(fmt.Sprintf("wk-9%05d", i), 1)
--- a/internal/controller/replicas.go
+++ b/internal/controller/replicas.go
@@ -11,11 +11,11 @@
 // ever: one is stopped where another machine has room for it and holds its image, so that it
 // is away for a moment only. A few at a time.
 func (c *Controller) moveReplicas() {
-	if c.Now.Sub(c.leaderState.replicasMovedAt) < tuning.MoveEvery {
+	if c.state.Now.Sub(c.leaderState.replicasMovedAt) < tuning.MoveEvery {
 		return
 	}
-	c.leaderState.replicasMovedAt = c.Now
-	limit := max(1, int(tuning.MovesShare*float64(len(c.Machines))))
+	c.leaderState.replicasMovedAt = c.state.Now
+	limit := max(1, int(tuning.MovesShare*float64(len(c.state.Machines))))
 	c.committer.Commit(c.replicaMoves(limit))
 }
 
@@ -24,11 +24,11 @@
 	event := jobs.TaskEvent{Kind: jobs.Stop, Reason: "moved off a draining machine"}
 	var decisions []decide.Decision
 	for _, machine := range clusterstate.SortedKeys(c.provisioner.Summary.Drain) {
-		for _, taskID := range clusterstate.SortedKeys(c.TasksOnMachine[machine]) {
+		for _, taskID := range clusterstate.SortedKeys(c.state.TasksOnMachine[machine]) {
 			if len(decisions) >= limit {
 				return decisions
 			}
-			task := c.TasksOnMachine[machine][taskID]
+			task := c.state.TasksOnMachine[machine][taskID]
 			if !c.isMovable(task, machine) || !c.hasRoomElsewhere(task, machine) {
 				continue
 			}
@@ -49,15 +49,15 @@
 	if !task.ObservedRunning && c.ownerOf(machine) == c.settings.NodeName {
 		return false
 	}
-	return task.Job.Record.Spec.Kind == jobs.Service && c.Now.Sub(task.Since) >= tuning.MoveAfter
+	return task.Job.Record.Spec.Kind == jobs.Service && c.state.Now.Sub(task.Since) >= tuning.MoveAfter
 }
 
 // hasRoomElsewhere tells whether a machine that holds a replica's image has room for it.
 func (c *Controller) hasRoomElsewhere(task *clusterstate.Task, machine string) bool {
-	zones := c.TasksByZone(task.Job)
-	if m := c.Machines[machine]; m != nil {
+	zones := c.state.TasksByZone(task.Job)
+	if m := c.state.Machines[machine]; m != nil {
 		zones[m.Zone]--
 	}
 	target := c.queue.FindMachine(task.WithoutPreference(), zones)
-	return target != "" && c.HasImage(target, task.Job.Record.Spec.Image)
+	return target != "" && c.state.HasImage(target, task.Job.Record.Spec.Image)
 }
--- a/internal/controller/runtime.go
+++ b/internal/controller/runtime.go
@@ -28,7 +28,7 @@
 	transport := dialers{events: events}.transport(serving, set, func(name string) { c.PeerDisconnected(name) })
 	random := rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), 0))
 	c = New(set, transport, log, random)
-	c.Now = time.Now()
+	c.state.Now = time.Now()
 	go newListener(set, c, events).Run(serving.Done())
 	return runLoop(ctx, c, events)
 }
--- a/internal/controller/shutdown.go
+++ b/internal/controller/shutdown.go
@@ -9,14 +9,14 @@
 // leadership passes on, and the shard with it. Calls after the first change nothing.
 func (c *Controller) Shutdown() {
 	if c.shuttingDownSince.IsZero() {
-		c.shuttingDownSince = c.Now
+		c.shuttingDownSince = c.state.Now
 		c.log.Info("shutdown started")
 	}
 }
 
 // continueShutdown resigns from the view once the load balancer sends no more users here.
 func (c *Controller) continueShutdown() {
-	if !c.shuttingDownSince.IsZero() && c.Now.Sub(c.shuttingDownSince) >= tuning.LeaveUsers {
+	if !c.shuttingDownSince.IsZero() && c.state.Now.Sub(c.shuttingDownSince) >= tuning.LeaveUsers {
 		c.membership.Resign()
 	}
 }
@@ -28,6 +28,6 @@
 		return false
 	}
 	alone := c.view != nil && len(c.view.Members) == 1
-	timedOut := c.Now.Sub(c.shuttingDownSince) >= tuning.LeaveUsers+tuning.LeaveWithin
+	timedOut := c.state.Now.Sub(c.shuttingDownSince) >= tuning.LeaveUsers+tuning.LeaveWithin
 	return c.role == members.Outside || alone || timedOut
 }
--- a/internal/controller/sync.go
+++ b/internal/controller/sync.go
@@ -68,14 +68,14 @@
 
 // syncMirror lists what must be listed and keeps one watch open.
 func (c *Controller) syncMirror() {
-	if c.Now.Before(c.sync.retryAt) {
+	if c.state.Now.Before(c.sync.retryAt) {
 		return
 	}
 	switch {
 	case !c.sync.live && !c.sync.listing && !c.sync.watching:
 		c.sync.listing = true
 		if c.sync.prefixIndex == 0 && c.sync.pageAfter == "" {
-			c.sync.query = c.cancellations.BeginStoreQuery(c.Now)
+			c.sync.query = c.cancellations.BeginStoreQuery(c.state.Now)
 		}
 		c.listPage(c.sync.pageAfter)
 	case c.sync.live && !c.sync.watching:
@@ -91,7 +91,7 @@
 		if err != nil {
 			// What was read stays: where pages often fail, a listing that began
 			// anew each time would never end.
-			c.sync.listing, c.sync.pageAfter, c.sync.retryAt = false, after, c.Now.Add(tuning.SyncAgain)
+			c.sync.listing, c.sync.pageAfter, c.sync.retryAt = false, after, c.state.Now.Add(tuning.SyncAgain)
 			return
 		}
 		if c.sync.watchFrom == 0 {
@@ -125,7 +125,7 @@
 	if c.caughtUp() {
 		c.cancellations.StoreQueryAnswered(c.sync.query)
 	}
-	c.log.Info("state loaded", "jobs", len(c.Jobs), "machines", len(c.Machines), "epoch", c.mirror.Epoch)
+	c.log.Info("state loaded", "jobs", len(c.state.Jobs), "machines", len(c.state.Machines), "epoch", c.mirror.Epoch)
 	c.watchNow()
 }
 
@@ -142,7 +142,7 @@
 		return
 	}
 	c.sync.watching = true
-	query, opened := c.cancellations.BeginStoreQuery(c.Now), c.Now
+	query, opened := c.cancellations.BeginStoreQuery(c.state.Now), c.state.Now
 	c.client.Watch(c.mirror.Epoch, func(epoch uint64, events []store.Event, err error) {
 		c.sync.watching = false
 		switch {
@@ -150,7 +150,7 @@
 			c.log.Info("watch expired, listing again", "epoch", c.mirror.Epoch)
 			c.sync = syncState{}
 		case err != nil:
-			c.sync.retryAt = c.Now.Add(tuning.SyncAgain)
+			c.sync.retryAt = c.state.Now.Add(tuning.SyncAgain)
 		default:
 			c.mirror.ApplyEvents(epoch, events)
 			c.watchAnswered(query, opened)
@@ -166,7 +166,7 @@
 	}
 	c.behindSince = time.Time{}
 	c.committer.SettleWatched()
-	c.sync.retryAt = c.Now.Add(c.watchGap())
+	c.sync.retryAt = c.state.Now.Add(c.watchGap())
 	c.membership.RestoreCertainty()
 	c.api.AnswerQueries(opened)
 }
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -27,7 +27,7 @@
 
 // ownsMachine tells whether a machine belongs to this controller.
 func (c *Controller) ownsMachine(machine string) bool {
-	if m := c.Machines[machine]; m != nil {
+	if m := c.state.Machines[machine]; m != nil {
 		return m.Owner == c.settings.NodeName
 	}
 	return c.ownerOf(machine) == c.settings.NodeName
--- a/internal/controller/wiring_api.go
+++ b/internal/controller/wiring_api.go
@@ -15,7 +15,7 @@
 		Random:   c.rand,
 	}
 	collaborators := apiCollaborators{controller: c}
-	return api.New(c.State, config, api.Collaborators{
+	return api.New(c.state, config, api.Collaborators{
 		View:          collaborators,
 		Health:        collaborators,
 		Watch:         collaborators,
--- a/internal/controller/wiring_calendar.go
+++ b/internal/controller/wiring_calendar.go
@@ -11,7 +11,7 @@
 
 // newCalendar makes the release calendar, nil where operators have none.
 func (c *Controller) newCalendar() *calendar.Service {
-	return calendar.New(c.State, c.settings.Operator.Calendar, calendar.Env{
+	return calendar.New(c.state, c.settings.Operator.Calendar, calendar.Env{
 		OffMs:  c.settings.Cluster.ClockOffMs,
 		Limit:  c.valueBytes(),
 		TxnOps: c.settings.Cluster.State.TxnOps,
--- a/internal/controller/wiring_cancellation.go
+++ b/internal/controller/wiring_cancellation.go
@@ -24,7 +24,7 @@
 		Shards: cancellationShards{n},
 		Store:  n.client,
 	}
-	return cancellation.New(n.State, config, collaborators, rand.Uint64)
+	return cancellation.New(n.state, config, collaborators, rand.Uint64)
 }
 
 // cancellationTransport sends messages of cancellations to other controllers and to agents.
--- a/internal/controller/wiring_commit.go
+++ b/internal/controller/wiring_commit.go
@@ -9,7 +9,7 @@
 // newCommitter makes what sends decisions to the store as transactions.
 func (n *Controller) newCommitter() *commit.Committer {
 	collaborators := committerCollaborators{controller: n}
-	return commit.New(n.State, commit.Config{
+	return commit.New(n.state, commit.Config{
 		Name:        n.settings.NodeName,
 		StoreLimits: n.settings.Cluster.State,
 		ValueBytes:  n.valueBytes(),
--- a/internal/controller/wiring_membership.go
+++ b/internal/controller/wiring_membership.go
@@ -14,7 +14,7 @@
 // to lead.
 func (n *Controller) newMembership() *membership.Membership {
 	adapter := membershipAdapter{controller: n}
-	return membership.New(n.State,
+	return membership.New(n.state,
 		membership.Config{
 			Name:          n.settings.NodeName,
 			LeaseTTL:      jobs.Seconds(n.settings.Operator.MemberTTLS),
--- a/internal/controller/wiring_provisioning.go
+++ b/internal/controller/wiring_provisioning.go
@@ -22,7 +22,7 @@
 		Rand:       c.rand,
 	}
 	adapter := provisioningAdapter{controller: c}
-	return provisioning.New(c.State, config, provisioning.Collaborators{
+	return provisioning.New(c.state, config, provisioning.Collaborators{
 		Queue:       c.queue,
 		Cloud:       adapter,
 		Leadership:  adapter,
@@ -55,7 +55,7 @@
 // MayScaleOut tells whether the checks and the reconciliation let the leader request machines.
 func (a provisioningAdapter) MayScaleOut() bool {
 	c := a.controller
-	return c.checks.Permits(standby.Rent) && c.shard.Reconciling.MayRent(c.Now)
+	return c.checks.Permits(standby.Rent) && c.shard.Reconciling.MayRent(c.state.Now)
 }
 
 // Reconciled tells whether reconciliation is over.
--- a/internal/controller/wiring_queue.go
+++ b/internal/controller/wiring_queue.go
@@ -10,7 +10,7 @@
 // newQueue makes the queue, which schedules the tasks that wait.
 func (c *Controller) newQueue() *queue.Queue {
 	adapter := queueAdapter{controller: c}
-	return queue.New(c.State,
+	return queue.New(c.state,
 		queue.Config{
 			Name:               c.settings.NodeName,
 			Objectives:         c.settings.Cluster.Objectives,
--- a/internal/controller/wiring_reachability.go
+++ b/internal/controller/wiring_reachability.go
@@ -9,7 +9,7 @@
 // newReachability makes the tracker of who reaches whom.
 func (c *Controller) newReachability() *reachability.Tracker {
 	collaborators := reachabilityAdapter{controller: c}
-	return reachability.New(c.State, reachability.Config{
+	return reachability.New(c.state, reachability.Config{
 		Log:        c.log,
 		Rand:       c.rand,
 		Agents:     collaborators,
--- a/internal/controller/wiring_shard.go
+++ b/internal/controller/wiring_shard.go
@@ -14,7 +14,7 @@
 		ValueBytes: n.valueBytes(),
 		Log:        n.log,
 	}
-	return shard.New(n.State, config, shard.Collaborators{
+	return shard.New(n.state, config, shard.Collaborators{
 		View:          shardView{n},
 		Agents:        shardAgents{n},
 		Loop:          shardLoop{n},
@@ -83,11 +83,11 @@
 }
 
 func (c shardCancellations) MayRenewLeases() bool {
-	return c.controller.cancellations.MayRenewLeases(c.controller.Now)
+	return c.controller.cancellations.MayRenewLeases(c.controller.state.Now)
 }
 
 func (c shardCancellations) MayLaunch() bool {
-	return c.controller.cancellations.MayLaunch(c.controller.Now)
+	return c.controller.cancellations.MayLaunch(c.controller.state.Now)
 }
 
 func (c shardCancellations) LeaseWithheld() { c.controller.cancellations.LeasesWithheld++ }
--- a/internal/simulation/nodes.go
+++ b/internal/simulation/nodes.go
@@ -196,7 +196,7 @@
 		}
 		c.n.Tick(c.w.Now)
 		if pulses++; pulses%auditEvery == 0 {
-			for _, what := range c.n.Audit() {
+			for _, what := range c.n.State().Audit() {
 				c.w.Break("%s keeps wrong count: %s", c.Name, what)
 			}
 		}
@@ -360,7 +360,7 @@
 // LiveJobs is how many live jobs a controller knows.
 func (c *Node) LiveJobs() int {
 	live := 0
-	for _, j := range c.n.Jobs {
+	for _, j := range c.n.State().Jobs {
 		if j.Record != nil && j.Record.State == jobs.Live {
 			live++
 		}
