--- a/internal/http1/client.go
+++ b/internal/http1/client.go
@@ -9,22 +9,23 @@
 )
 
 // Client sends requests to one address over a bounded set of kept
-// connections.
+// connections. It is safe for concurrent use.
 type Client struct {
 	Addr    string
-	MaxIdle int
-	MaxBody int
+	MaxIdle int // connections kept; 0: each is closed after its response
+	MaxBody int // bytes of a response's body
 
 	mu   sync.Mutex
 	idle []idleConn
 }
 
+// idleConn is a kept connection.
 type idleConn struct {
-	net.Conn
-	at time.Time
+	conn  net.Conn
+	since time.Time
 }
 
-// Do sends a request and returns the answer. Any error means that the outcome
+// Do sends a request and returns the response. Any error means that the outcome
 // is unknown to the caller.
 func (c *Client) Do(method, target string, body []byte, timeout time.Duration) (*Message, error) {
 	deadline := time.Now().Add(timeout)
@@ -35,9 +36,21 @@
 	closing := c.MaxIdle == 0
 	_ = conn.SetDeadline(deadline)
 	if _, err = conn.Write(AppendRequest(nil, method, target, c.Addr, body, closing)); err != nil {
-		conn.Close()
+		_ = conn.Close()
 		return nil, err
 	}
+	m, reusable, err := c.receive(conn)
+	if err != nil || closing || !reusable {
+		_ = conn.Close()
+		return m, err
+	}
+	c.put(conn)
+	return m, nil
+}
+
+// receive reads one response. The connection is reusable if the server keeps it open and
+// nothing follows the response.
+func (c *Client) receive(conn net.Conn) (m *Message, reusable bool, err error) {
 	buf := make([]byte, 0, 4096)
 	for {
 		if len(buf) == cap(buf) {
@@ -45,54 +58,50 @@
 			copy(grown, buf)
 			buf = grown
 		}
-		n, err := conn.Read(buf[len(buf):cap(buf)])
+		n, readErr := conn.Read(buf[len(buf):cap(buf)])
 		buf = buf[:len(buf)+n]
 		if n > 0 {
-			m, used, perr := Parse(Response, buf, c.MaxBody)
-			if perr != nil {
-				conn.Close()
-				return nil, perr
-			}
-			if m != nil {
-				if m.Close || closing || used != len(buf) {
-					conn.Close()
-				} else {
-					c.put(conn)
-				}
-				return m, nil
+			m, used, err := Parse(Response, buf, c.MaxBody)
+			if err != nil || m != nil {
+				return m, err == nil && !m.Close && used == len(buf), err
 			}
 		}
-		if err != nil {
-			conn.Close()
-			return nil, err
+		if readErr != nil {
+			return nil, false, readErr
 		}
 	}
 }
 
+// get returns a kept connection that is not too old, or a new one.
 func (c *Client) get(timeout time.Duration) (net.Conn, error) {
+	if conn := c.takeIdle(); conn != nil {
+		return conn, nil
+	}
+	return net.DialTimeout("tcp4", c.Addr, min(timeout, tuning.DialTimeout))
+}
+
+// takeIdle returns the connection kept last, nil if there is none, and closes those that
+// have been idle for too long.
+func (c *Client) takeIdle() net.Conn {
 	c.mu.Lock()
+	defer c.mu.Unlock()
 	for len(c.idle) > 0 {
 		last := c.idle[len(c.idle)-1]
 		c.idle = c.idle[:len(c.idle)-1]
-		if time.Since(last.at) < tuning.IdleConn {
-			c.mu.Unlock()
-			return last.Conn, nil
+		if time.Since(last.since) < tuning.IdleConn {
+			return last.conn
 		}
-		last.Conn.Close()
-	}
-	c.mu.Unlock()
-	if timeout > tuning.DialTimeout {
-		timeout = tuning.DialTimeout
+		_ = last.conn.Close()
 	}
-	return net.DialTimeout("tcp4", c.Addr, timeout)
+	return nil
 }
 
 func (c *Client) put(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.idle) >= c.MaxIdle {
-		conn.Close()
+		_ = conn.Close()
 		return
 	}
-	c.idle = append(c.idle, idleConn{conn, time.Now()})
+	c.idle = append(c.idle, idleConn{conn: conn, since: time.Now()})
 }
--- a/internal/http1/wire_test.go
+++ b/internal/http1/message_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"net/http"
 	"strings"
 	"testing"
 )
@@ -9,7 +10,7 @@
 func TestParseRequest(t *testing.T) {
 	text := "POST /work HTTP/1.1\r\nHost: x\r\ncontent-length: 2\r\n\r\n{}GET"
 	m, used, err := Parse(Request, []byte(text), 100)
-	if err != nil || m.Method != "POST" || m.Target != "/work" || string(m.Body) != "{}" || used != len(text)-3 {
+	if err != nil || m.Method != http.MethodPost || m.Target != "/work" || string(m.Body) != "{}" || used != len(text)-3 {
 		t.Fatalf("%+v %d %v", m, used, err)
 	}
 	for i := range len(text) - 3 {
@@ -36,7 +37,7 @@
 		"endless head":      "GET / HTTP/1.1\r\nA: " + strings.Repeat("a", 9000),
 	} {
 		if m, _, err := Parse(Request, []byte(text), 100); err == nil {
-			t.Errorf("%s: taken as %+v", name, m)
+			t.Errorf("%s: accepted as %+v", name, m)
 		}
 	}
 }
@@ -60,7 +61,7 @@
 	}
 }
 
-func TestRoundTrip(t *testing.T) {
+func TestParseReadsWhatIsAppended(t *testing.T) {
 	out := AppendResponse(nil, 503, []byte("{}"), false, 7)
 	if m, _, err := Parse(Response, out, 1000); err != nil || m.RetryAfter != 7 {
 		t.Errorf("%+v %v", m, err)
@@ -92,8 +93,8 @@
 				t.Fatalf("%+v %d %v", m, used, err)
 			}
 			// What follows a message does not change it.
-			again, used2, err := Parse(k, append(bytes.Clone(b[:used]), 'x'), 64)
-			if err != nil || used2 != used || !bytes.Equal(again.Body, m.Body) {
+			again, usedAgain, err := Parse(k, append(bytes.Clone(b[:used]), 'x'), 64)
+			if err != nil || usedAgain != used || !bytes.Equal(again.Body, m.Body) {
 				t.Fatalf("%+v against %+v", again, m)
 			}
 		}
--- a/internal/http1/server_test.go
+++ b/internal/http1/server_test.go
@@ -42,11 +42,30 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
+	t.Cleanup(func() { _ = c.Close() })
 	_ = c.SetDeadline(time.Now().Add(patience))
 	return c
 }
 
+// send writes text to a connection. The server may have closed it already: what the test
+// then reads says so.
+func send(c net.Conn, text string) { _, _ = io.WriteString(c, text) }
+
+// receive reads one response.
+func receive(t *testing.T, c net.Conn) *Message {
+	t.Helper()
+	buf := make([]byte, 4096)
+	n, err := c.Read(buf)
+	if err != nil {
+		t.Fatal(err)
+	}
+	m, _, err := Parse(Response, buf[:n], 1<<16)
+	if err != nil || m == nil {
+		t.Fatalf("%q: %+v %v", buf[:n], m, err)
+	}
+	return m
+}
+
 // freeAddr is a loopback address that nobody listens on.
 func freeAddr(t *testing.T) string {
 	t.Helper()
@@ -54,11 +73,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer func() { _ = l.Close() }()
 	return l.Addr().String()
 }
 
-// serve runs a server; the channel tells of every set-up of its listener.
+// serve runs a server; the channel receives whenever its listener has been set up.
 func serve(t *testing.T, conns int, with ...func(*Server)) (*Server, <-chan struct{}) {
 	t.Helper()
 	up := make(chan struct{}, 100)
@@ -85,9 +104,9 @@
 	return s, up
 }
 
-// ask sends a request until it is answered: a client gives up a connection that
+// request sends a request until it is answered: a client gives up a connection that
 // a busy machine does not open within tuning.DialTimeout.
-func ask(t *testing.T, c *Client, method, target string, body []byte) *Message {
+func request(t *testing.T, c *Client, method, target string, body []byte) *Message {
 	t.Helper()
 	for end := time.Now().Add(patience); ; {
 		m, err := c.Do(method, target, body, patience)
@@ -100,10 +119,10 @@
 	}
 }
 
-// answers checks that the server answers.
-func answers(t *testing.T, addr string) {
+// checkAnswers checks that the server answers.
+func checkAnswers(t *testing.T, addr string) {
 	t.Helper()
-	if m := ask(t, &Client{Addr: addr, MaxBody: 1 << 16}, "GET", "/", nil); m.Status != 200 {
+	if m := request(t, &Client{Addr: addr, MaxBody: 1 << 16}, "GET", "/", nil); m.Status != 200 {
 		t.Fatalf("answered %d", m.Status)
 	}
 }
@@ -113,7 +132,7 @@
 	c := &Client{Addr: s.Front, MaxIdle: 1, MaxBody: 1 << 17}
 	for _, target := range []string{"/now", "/later", "/now"} {
 		body := []byte(strings.Repeat("x", 60000))
-		if m := ask(t, c, "POST", target, body); len(m.Body) != len(body) {
+		if m := request(t, c, "POST", target, body); len(m.Body) != len(body) {
 			t.Fatalf("%s: %d bytes", target, len(m.Body))
 		}
 	}
@@ -126,41 +145,39 @@
 func TestServerOutlivesBadClients(t *testing.T) {
 	s, _ := serve(t, 100)
 	for _, text := range []string{
-		"\x00\x01\x02\n", "GET / HTTP/1.1\r\n", "POST / HTTP/1.1\r\nContent-Length: 70000\r\n\r\n",
-		"POST / HTTP/1.1\r\nContent-Length: 10\r\n\r\nabc", strings.Repeat("A", 20000),
+		"\x00\x01\x02\n",
+		"GET / HTTP/1.1\r\n",
+		"POST / HTTP/1.1\r\nContent-Length: 70000\r\n\r\n",
+		"POST / HTTP/1.1\r\nContent-Length: 10\r\n\r\nabc",
+		strings.Repeat("A", 20000),
 	} {
 		conn := dial(t, s.Front)
-		fmt.Fprint(conn, text)
-		conn.Close()
+		send(conn, text)
+		_ = conn.Close()
 	}
 	// Pipelining is against the protocol: the first is answered, then the
 	// connection ends.
 	conn := dial(t, s.Front)
-	fmt.Fprint(conn, "GET /later HTTP/1.1\r\n\r\nGET /now HTTP/1.1\r\n\r\n")
+	send(conn, "GET /later HTTP/1.1\r\n\r\nGET /now HTTP/1.1\r\n\r\n")
 	all, _ := io.ReadAll(bufio.NewReader(conn))
 	if n := strings.Count(string(all), "HTTP/1.1 "); n != 1 {
 		t.Errorf("%d answers to a pipelined pair", n)
 	}
-	answers(t, s.Front)
+	checkAnswers(t, s.Front)
 }
 
 // Users who keep their connections open must leave room for workers.
-func TestGuestsLeaveRoom(t *testing.T) {
+func TestGuestsLeaveConnectionsToWorkers(t *testing.T) {
 	s, _ := serve(t, 100, func(s *Server) {
 		s.IsGuest = func(m *Message) bool { return m.Target == "/guest" }
 		s.MaxGuests = 2
 	})
 	closes := func(target string) bool {
 		c := dial(t, s.Front)
-		fmt.Fprintf(c, "GET %s HTTP/1.1\r\n\r\n", target)
-		buf := make([]byte, 4096)
-		n, err := c.Read(buf)
-		if err != nil {
-			t.Fatal(err)
-		}
-		m, _, err := Parse(Response, buf[:n], 1<<16)
-		if err != nil || m == nil || m.Status != 200 {
-			t.Fatalf("%s: %v", target, err)
+		send(c, "GET "+target+" HTTP/1.1\r\n\r\n")
+		m := receive(t, c)
+		if m.Status != 200 {
+			t.Fatalf("%s: %+v", target, m)
 		}
 		return m.Close
 	}
@@ -174,41 +191,35 @@
 // A controller that stands alone has more machines than connections: while nearly all
 // are open they must not be kept.
 func TestCrowdedServerKeepsNoConnection(t *testing.T) {
-	const most = 10.0
-	s, _ := serve(t, int(most))
-	kept := int(math.Floor(most * tuning.CrowdedShare))
+	const maxConns = 10
+	s, _ := serve(t, maxConns)
+	kept := int(math.Floor(maxConns * tuning.CrowdedShare))
 	for i := range kept + 1 {
 		c := dial(t, s.Front)
-		fmt.Fprint(c, "GET /worker HTTP/1.1\r\n\r\n")
-		buf := make([]byte, 4096)
-		n, err := c.Read(buf)
-		if err != nil {
-			t.Fatal(err)
-		}
-		m, _, err := Parse(Response, buf[:n], 1<<16)
-		if err != nil || m == nil || m.Close != (i == kept) {
-			t.Fatalf("connection %d: %+v %v", i+1, m, err)
+		send(c, "GET /worker HTTP/1.1\r\n\r\n")
+		if m := receive(t, c); m.Close != (i == kept) {
+			t.Fatalf("connection %d: %+v", i+1, m)
 		}
 	}
 }
 
 // Machines that are taken away leave their connections open: they must not use
-// up the cap for good.
-func TestStaleConnections(t *testing.T) {
+// up the limit for good.
+func TestStaleConnectionsAreFound(t *testing.T) {
 	now := time.Unix(1000, 0)
 	ago := func(s int) time.Time { return now.Add(-time.Duration(s) * time.Second) }
 	for name, c := range map[string]struct {
 		conn *clientConn
 		want bool
 	}{
-		"fresh":                  {&clientConn{since: ago(1), last: ago(1)}, false},
-		"between reports":        {&clientConn{since: ago(30), last: ago(30)}, false},
-		"gone":                   {&clientConn{since: ago(100), last: ago(100)}, true},
-		"half a request":         {&clientConn{in: []byte("GET"), since: ago(11), last: ago(1)}, true},
-		"a request in work":      {&clientConn{busy: true, since: ago(100), last: ago(100)}, false},
-		"closing already":        {&clientConn{done: true, since: ago(100), last: ago(100)}, false},
-		"half a request, fresh":  {&clientConn{in: []byte("GET"), since: ago(1), last: ago(1)}, false},
-		"answered after a while": {&clientConn{since: ago(100), last: ago(2)}, false},
+		"fresh":                  {&clientConn{requestSince: ago(1), lastActive: ago(1)}, false},
+		"between heartbeats":     {&clientConn{requestSince: ago(30), lastActive: ago(30)}, false},
+		"gone":                   {&clientConn{requestSince: ago(100), lastActive: ago(100)}, true},
+		"half a request":         {&clientConn{in: []byte("GET"), requestSince: ago(11), lastActive: ago(1)}, true},
+		"a request in progress":  {&clientConn{busy: true, requestSince: ago(100), lastActive: ago(100)}, false},
+		"closing already":        {&clientConn{closing: true, requestSince: ago(100), lastActive: ago(100)}, false},
+		"half a request, fresh":  {&clientConn{in: []byte("GET"), requestSince: ago(1), lastActive: ago(1)}, false},
+		"answered after a while": {&clientConn{requestSince: ago(100), lastActive: ago(2)}, false},
 	} {
 		if got := c.conn.stale(now); got != c.want {
 			t.Errorf("%s: stale %v", name, got)
@@ -216,11 +227,11 @@
 	}
 }
 
-func TestServerClosesBeyondItsCap(t *testing.T) {
+func TestServerClosesConnectionsBeyondItsLimit(t *testing.T) {
 	s, _ := serve(t, 20)
 	for range 17 { // as many as stay open after an answer (CrowdedShare)
 		c := dial(t, s.Front)
-		fmt.Fprint(c, "GET / HTTP/1.1\r\n\r\n")
+		send(c, "GET / HTTP/1.1\r\n\r\n")
 		if _, err := c.Read(make([]byte, 10)); err != nil {
 			t.Fatal(err)
 		}
@@ -229,7 +240,7 @@
 		dial(t, s.Front)
 	}
 	if n, err := dial(t, s.Front).Read(make([]byte, 10)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("a connection beyond the cap got %d bytes: %v", n, err)
+		t.Errorf("a connection beyond the limit got %d bytes: %v", n, err)
 	}
 	if s.Down.Load() != 0 {
 		t.Error("the listener ended")
@@ -265,12 +276,32 @@
 		}
 	}()
 	addr := await(t, lines, "the address")
+	if line := exhaustSockets(t, addr, lines); line != "back" {
+		t.Fatalf("the listener is not back: %q", line)
+	}
+	checkAnswers(t, addr)
+	_ = in.Close()
+	for range lines {
+	}
+	if err := cmd.Wait(); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// exhaustSockets opens connections to addr until the listener has ended, and closes them
+// all. It returns the next line that the server's process prints.
+func exhaustSockets(t *testing.T, addr string, lines <-chan string) string {
+	t.Helper()
 	var conns []net.Conn
-	var down string
-	for end := time.Now().Add(patience); down == ""; {
+	defer func() {
+		for _, c := range conns {
+			_ = c.Close()
+		}
+	}()
+	for end := time.Now().Add(patience); ; {
 		select {
-		case down = <-lines:
-			continue
+		case line := <-lines:
+			return line
 		default:
 		}
 		// An attempt that times out says nothing: a busy machine is slow to answer,
@@ -281,28 +312,17 @@
 		case err == nil:
 			conns = append(conns, c)
 		case errors.Is(err, syscall.ECONNREFUSED):
-			down = await(t, lines, "the listener to be back")
+			return await(t, lines, "the listener to be back")
 		}
 		if len(conns) > 1000 || time.Now().After(end) {
 			t.Fatalf("the accept loop never ended, %d connections", len(conns))
 		}
 	}
-	for _, c := range conns {
-		c.Close()
-	}
-	if down != "back" {
-		t.Fatalf("the listener is not back: %q", down)
-	}
-	answers(t, addr)
-	in.Close()
-	for range lines {
-	}
-	if err := cmd.Wait(); err != nil {
-		t.Fatal(err)
-	}
 }
 
+// fewSockets is the server's process.
 func fewSockets(t *testing.T) {
+	t.Helper()
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: 40, Max: 40}); err != nil {
 		t.Fatal(err)
 	}
@@ -313,23 +333,15 @@
 	_, _ = io.ReadAll(os.Stdin)
 }
 
-func TestPeerLines(t *testing.T) {
+func TestPeerLinesAreHandedOnWhole(t *testing.T) {
 	got := make(chan string, 10)
-	s := &Server{
-		Front: freeAddr(t), Peer: freeAddr(t), MaxConns: 10,
-		Handle: func(_ *Message, respond func(Reply)) { respond(Reply{Status: 200}) },
-		Line:   func(b []byte) { got <- string(b) },
-	}
-	up := make(chan struct{}, 10)
-	s.Listening = func() { up <- struct{}{} }
-	stop := make(chan struct{})
-	ended := make(chan struct{})
-	go func() { s.Run(stop); close(ended) }()
-	defer func() { close(stop); await(t, ended, "the server's end") }()
-	await(t, up, "the listener")
+	s, _ := serve(t, 10, func(s *Server) {
+		s.Peer = freeAddr(t)
+		s.Line = func(b []byte) { got <- string(b) }
+	})
 	conn := dial(t, s.Peer)
-	fmt.Fprint(conn, "{\"a\":1}\n{\"b\"")
-	fmt.Fprint(conn, ":2}\n")
+	send(conn, "{\"a\":1}\n{\"b\"")
+	send(conn, ":2}\n")
 	for _, want := range []string{`{"a":1}`, `{"b":2}`} {
 		if line := await(t, got, want); line != want {
 			t.Errorf("%s, not %s", line, want)
