--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -17,52 +17,54 @@
 )
 
 type goldenBlock struct {
-	kind  kind
+	kind  blockKind
 	value any
 }
 
 func goldenBlocks() []goldenBlock {
+	listed := store.Item{Key: "job/wk-1", Value: json.RawMessage(`{"a":1}`), Revision: 17, LeaseID: 5}
+	put := store.Event{Put: "job/wk-2", Value: json.RawMessage(`{"b":2}`), Revision: 41}
+	remove := store.Event{Remove: "job/wk-1", Revision: 42}
 	return []goldenBlock{
-		{head, begin{Since: 40, AtMs: 1700000000001}},
-		{
-			rows,
-			listing{
-				Rows: []store.Item{{Key: "job/wk-1", Value: json.RawMessage(`{"a":1}`), Revision: 17, LeaseID: 5}},
-				More: true,
-			},
-		},
-		{rows, listing{}},
-		{events, changes{To: 41, Events: []store.Event{{Put: "job/wk-2", Value: json.RawMessage(`{"b":2}`), Revision: 41}}}},
-		{events, changes{To: 42, Events: []store.Event{{Remove: "job/wk-1", Revision: 42}}}},
-		{end, finish{Epoch: 42, Blocks: 5}},
+		{headBlock, header{Since: 40, AtMs: 1700000000001}},
+		{rowsBlock, rowPage{Rows: []store.Item{listed}, More: true}},
+		{rowsBlock, rowPage{}},
+		{eventsBlock, eventPage{To: 41, Events: []store.Event{put}}},
+		{eventsBlock, eventPage{To: 42, Events: []store.Event{remove}}},
+		{endBlock, trailer{Epoch: 42, Blocks: 5}},
 	}
 }
 
-// written is a file of some blocks.
-func written(t *testing.T, blocks []goldenBlock) []byte {
+// fileOf returns a file of some blocks.
+func fileOf(t *testing.T, blocks []goldenBlock) []byte {
 	t.Helper()
 	out := bytes.NewBufferString(magic)
 	w := &writer{w: out}
 	for _, b := range blocks {
-		if err := w.block(b.kind, b.value); err != nil {
+		if err := w.writeBlock(b.kind, b.value); err != nil {
 			t.Fatal(err)
 		}
 	}
 	return out.Bytes()
 }
 
-// blocksOf reads the blocks of a file, and what they are unpacked, a line each.
-func blocksOf(t *testing.T, file []byte) (blocks []goldenBlock, unpacked []byte) {
+// blocksOf reads the blocks of a file, and their decompressed content, a line each.
+func blocksOf(t *testing.T, file []byte) (blocks []goldenBlock, decompressed []byte) {
 	t.Helper()
 	r, err := newReader(bytes.NewReader(file))
 	if err != nil {
 		t.Fatal(err)
 	}
-	types := map[kind]any{head: &begin{}, rows: &listing{}, events: &changes{}, end: &finish{}}
+	types := map[blockKind]any{
+		headBlock:   &header{},
+		rowsBlock:   &rowPage{},
+		eventsBlock: &eventPage{},
+		endBlock:    &trailer{},
+	}
 	for {
-		k, b, err := r.block()
+		k, b, err := r.readBlock()
 		if errors.Is(err, io.EOF) {
-			return blocks, unpacked
+			return blocks, decompressed
 		}
 		if err != nil {
 			t.Fatal(err)
@@ -72,7 +74,7 @@
 			t.Fatal(err)
 		}
 		blocks = append(blocks, goldenBlock{k, v.Elem().Interface()})
-		unpacked = fmt.Appendf(unpacked, "%c %s\n", k, b)
+		decompressed = fmt.Appendf(decompressed, "%c %s\n", k, b)
 	}
 }
 
@@ -83,17 +85,17 @@
 	}
 	goldentest.Filled(
 		t,
-		changes{To: 1, Events: []store.Event{{Put: "a", Remove: "b", Value: json.RawMessage(`1`), Revision: 1}}},
+		eventPage{To: 1, Events: []store.Event{{Put: "a", Remove: "b", Value: json.RawMessage(`1`), Revision: 1}}},
 	)
 	goldentest.Filled(t, blocks[len(blocks)-1].value)
 
-	goldentest.Bytes(t, "blocks.bin", written(t, blocks))
-	stands := goldentest.Read(t, "blocks.bin")
-	back, unpacked := blocksOf(t, stands)
-	goldentest.Bytes(t, "blocks.txt", unpacked)
-	goldentest.Bytes(t, "blocks.bin", written(t, back))
+	goldentest.Bytes(t, "blocks.bin", fileOf(t, blocks))
+	golden := goldentest.Read(t, "blocks.bin")
+	back, decompressed := blocksOf(t, golden)
+	goldentest.Bytes(t, "blocks.txt", decompressed)
+	goldentest.Bytes(t, "blocks.bin", fileOf(t, back))
 
-	s, err := Read(bytes.NewReader(stands))
+	s, err := Read(bytes.NewReader(golden))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,10 +109,10 @@
 	}
 }
 
-// TestGoldenFile holds a whole file as it is taken of a service that changes meanwhile.
+// TestGoldenFile compares a whole file that is taken of a service that changes meanwhile.
 func TestGoldenFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "state")
-	if _, err := Take(running(), file, time.UnixMilli(1700000000001), nil); err != nil {
+	if _, err := Take(changingService(), file, time.UnixMilli(1700000000001), nil); err != nil {
 		t.Fatal(err)
 	}
 	b, err := os.ReadFile(file)
@@ -118,9 +120,9 @@
 		t.Fatal(err)
 	}
 	goldentest.Bytes(t, "state.bin", b)
-	back, unpacked := blocksOf(t, goldentest.Read(t, "state.bin"))
-	goldentest.Bytes(t, "state.txt", unpacked)
-	goldentest.Bytes(t, "state.bin", written(t, back))
+	back, decompressed := blocksOf(t, goldentest.Read(t, "state.bin"))
+	goldentest.Bytes(t, "state.txt", decompressed)
+	goldentest.Bytes(t, "state.bin", fileOf(t, back))
 }
 
 func TestGoldenReport(t *testing.T) {
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -20,16 +20,15 @@
 	"github.com/harrierreel/harrierreel/internal/taskbatch"
 )
 
-// service is a state service that goes on changing while it is read: before each
-// answer, busy may change it.
+// service is a key-value store that may change while it is read.
 type service struct {
-	epoch   uint64
-	items   map[string]store.Item
-	log     []store.Event
-	forgets uint64 // changes up to here
-	page    int
-	calls   int
-	busy    func(call int)
+	epoch        uint64
+	items        map[string]store.Item
+	log          []store.Event
+	forgotten    uint64 // changes up to this epoch are forgotten
+	pageSize     int
+	calls        int
+	beforeAnswer func(call int) // may change the service
 }
 
 func (s *service) put(key string, v any) {
@@ -46,10 +45,10 @@
 
 func (s *service) List(after string) (store.Page, error) {
 	s.calls++
-	s.busy(s.calls)
+	s.beforeAnswer(s.calls)
 	p := store.Page{Epoch: s.epoch}
 	for _, k := range clusterstate.SortedKeys(s.items) {
-		if k > after && len(p.Rows) == s.page {
+		if k > after && len(p.Rows) == s.pageSize {
 			p.HasNext = true
 			break
 		}
@@ -62,8 +61,8 @@
 
 func (s *service) Changes(since uint64) (uint64, []store.Event, error) {
 	s.calls++
-	s.busy(s.calls)
-	if since < s.forgets {
+	s.beforeAnswer(s.calls)
+	if since < s.forgotten {
 		return 0, nil, store.ErrGone
 	}
 	i := slices.IndexFunc(s.log, func(e store.Event) bool { return e.Revision > since })
@@ -73,10 +72,10 @@
 	return s.epoch, slices.Clone(s.log[i:]), nil
 }
 
-// running is a service with a leader, machines and jobs, whose tasks move between
-// packs, and whose leader changes, while it is read.
-func running() *service {
-	s := &service{items: map[string]store.Item{}, page: 3}
+// changingService is a service with a leader, machines and jobs. While it is read, tasks
+// move between batch records and the leader changes.
+func changingService() *service {
+	s := &service{items: map[string]store.Item{}, pageSize: 3}
 	s.put("view", map[string]any{"leader": "n0", "epoch": 4, "members": []any{}})
 	for i := range 4 {
 		s.put(fmt.Sprint("host/i-", i), fleet.MachineRecord{State: fleet.Up, MachineType: "g4", Zone: "a"})
@@ -100,24 +99,21 @@
 			},
 		)
 	}
-	pack := func(es ...taskbatch.Entry) json.RawMessage { return taskbatch.Encode(es) }
-	on := func(job, n, machine int) taskbatch.Entry {
+	batch := func(entries ...taskbatch.Entry) json.RawMessage { return taskbatch.Encode(entries) }
+	placed := func(job, machine int) taskbatch.Entry {
 		return taskbatch.Entry{
 			JobID: fmt.Sprint("wk-", job),
-			Index: n,
 			Task:  jobs.Task{State: jobs.Placed, Machine: fmt.Sprint("i-", machine), Zone: "a", Attempt: 1},
 		}
 	}
-	s.put("pack/a", pack(on(0, 0, 0), on(1, 0, 1)))
-	s.put("pack/z", pack(on(2, 0, 2)))
+	s.put("pack/a", batch(placed(0, 0), placed(1, 1)))
+	s.put("pack/z", batch(placed(2, 2)))
 	s.put("task/wk-3/0", jobs.EncodeTaskRange([]jobs.Task{{State: jobs.Finished, Attempt: 1}}, 8192))
 	s.put("final/wk-9", jobs.Final{State: jobs.Done, DoneCount: 1})
-	s.busy = func(call int) {
+	s.beforeAnswer = func(call int) {
 		switch call {
-		case 2: // united: what was in a is now in z
-			s.epoch++
-			s.items["pack/z"] = store.Item{Key: "pack/z", Value: pack(on(0, 0, 0), on(1, 0, 1), on(2, 0, 2)), Revision: s.epoch}
-			s.log = append(s.log, store.Event{Put: "pack/z", Value: s.items["pack/z"].Value, Revision: s.epoch})
+		case 2: // in one transaction, what was in a moves to z
+			s.put("pack/z", batch(placed(0, 0), placed(1, 1), placed(2, 2)))
 			delete(s.items, "pack/a")
 			s.log = append(s.log, store.Event{Remove: "pack/a", Revision: s.epoch})
 		case 3:
@@ -125,7 +121,7 @@
 		case 4:
 			s.remove("host/i-3")
 		case 5:
-			s.put("aa/behind", 1) // before what is listed by now
+			s.put("aa/behind", 1) // sorts before what is listed by now
 		case 7:
 			s.put("zz/late", 1)
 		}
@@ -133,7 +129,7 @@
 	return s
 }
 
-func saved(t *testing.T, file string) *State {
+func readFile(t *testing.T, file string) *State {
 	t.Helper()
 	b, err := os.ReadFile(file)
 	if err != nil {
@@ -146,8 +142,8 @@
 	return s
 }
 
-// as is what a service held at an epoch, by its log.
-func as(s *service, epoch uint64) map[string]string {
+// heldAt is what a service held at an epoch, by its log.
+func heldAt(s *service, epoch uint64) map[string]string {
 	out := map[string]string{}
 	for _, e := range s.log {
 		if e.Revision > epoch {
@@ -162,7 +158,7 @@
 	return out
 }
 
-func same(t *testing.T, s *State, want map[string]string) {
+func checkItems(t *testing.T, s *State, want map[string]string) {
 	t.Helper()
 	if len(s.Items) != len(want) {
 		t.Errorf("%d keys, not %d", len(s.Items), len(want))
@@ -174,20 +170,20 @@
 	}
 }
 
-// A snapshot taken while packs are united, the leader changes and keys come and go is
-// what the service held at one epoch, and its records agree.
-func TestTakenWhileAllMoves(t *testing.T) {
-	src := running()
+// A snapshot taken while batch records are merged, the leader changes and keys come and go
+// is what the service held at one epoch, and its records agree.
+func TestSnapshotOfChangingServiceIsConsistent(t *testing.T) {
+	source := changingService()
 	file := filepath.Join(t.TempDir(), "state")
-	epoch, err := Take(src, file, time.UnixMilli(1), nil)
+	epoch, err := Take(source, file, time.UnixMilli(1), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := saved(t, file)
-	if s.Epoch != epoch || src.calls < 6 {
-		t.Fatal(s.Epoch, epoch, src.calls)
+	s := readFile(t, file)
+	if s.Epoch != epoch || source.calls < 6 {
+		t.Fatal(s.Epoch, epoch, source.calls)
 	}
-	same(t, s, as(src, epoch))
+	checkItems(t, s, heldAt(source, epoch))
 	if r := Check(s, nil); len(r.Findings) > 0 || r.Live != 4 || r.On != 3 || r.Tasks != 4 {
 		t.Errorf("%+v", r)
 	}
@@ -195,77 +191,85 @@
 		t.Error(info.Mode())
 	}
 	if _, err := os.Stat(file + ".part"); err == nil {
-		t.Error("the part is left")
+		t.Error("the partial file is left")
 	}
 }
 
-// broken gives nothing from some call on.
-type broken struct {
+// failingService answers no call from some call on.
+type failingService struct {
 	*service
-	from int
+	firstFailing int
 }
 
-var errBroken = errors.New("no answer")
+var errNoAnswer = errors.New("no answer")
 
-func (b *broken) List(after string) (store.Page, error) {
-	if b.calls+1 >= b.from {
-		return store.Page{}, errBroken
+func (f *failingService) List(after string) (store.Page, error) {
+	if f.calls+1 >= f.firstFailing {
+		return store.Page{}, errNoAnswer
 	}
-	return b.service.List(after)
+	return f.service.List(after)
 }
 
-func (b *broken) Changes(since uint64) (uint64, []store.Event, error) {
-	if b.calls+1 >= b.from {
-		return 0, nil, errBroken
+func (f *failingService) Changes(since uint64) (uint64, []store.Event, error) {
+	if f.calls+1 >= f.firstFailing {
+		return 0, nil, errNoAnswer
 	}
-	return b.service.Changes(since)
+	return f.service.Changes(since)
 }
 
-// Cut off at any answer, and with any number of bytes of the last block missing, the
-// next attempt goes on and gives the same as one that was never cut off.
-func TestGoesOn(t *testing.T) {
-	for from := 1; from <= 8; from++ {
+// Interrupted at any answer, and with any number of bytes of the last block missing, the
+// next attempt goes on and gives the same as one that was never interrupted.
+func TestInterruptedTakeResumes(t *testing.T) {
+	for firstFailing := 1; firstFailing <= 8; firstFailing++ {
 		for _, missing := range []int{0, 1, 40} {
-			src := running()
-			file := filepath.Join(t.TempDir(), "state")
-			if _, err := Take(&broken{src, from}, file, time.UnixMilli(1), nil); !errors.Is(err, errBroken) {
-				if err != nil || from < 7 {
-					t.Fatal(from, err)
-				}
-				continue
-			}
-			if b, _ := os.ReadFile(file + ".part"); len(b) > missing {
-				_ = os.WriteFile(file+".part", b[:len(b)-missing], 0o600)
-			}
-			before := src.calls
-			epoch, err := Take(src, file, time.UnixMilli(2), nil)
-			if err != nil {
-				t.Fatal(from, missing, err)
-			}
-			same(t, saved(t, file), as(src, epoch))
-			if from == 6 && missing == 0 && src.calls-before > 5 {
-				t.Errorf("%d calls after the resumption", src.calls-before)
-			}
+			checkResumes(t, firstFailing, missing)
 		}
 	}
-	// One whose changes are forgotten begins anew.
-	src := running()
+}
+
+func checkResumes(t *testing.T, firstFailing, missing int) {
+	t.Helper()
+	source := changingService()
 	file := filepath.Join(t.TempDir(), "state")
-	_, _ = Take(&broken{src, 5}, file, time.UnixMilli(1), nil)
-	src.forgets = src.epoch
-	src.busy = func(int) {}
-	said := ""
-	epoch, err := Take(src, file, time.UnixMilli(2), func(what string) { said += what })
-	if err != nil || !strings.Contains(said, "anew") {
-		t.Fatal(err, said)
-	}
-	same(t, saved(t, file), as(src, epoch))
+	_, err := Take(&failingService{source, firstFailing}, file, time.UnixMilli(1), nil)
+	if !errors.Is(err, errNoAnswer) {
+		if err != nil || firstFailing < 7 {
+			t.Fatal(firstFailing, err)
+		}
+		return
+	}
+	if b, _ := os.ReadFile(file + ".part"); len(b) > missing {
+		_ = os.WriteFile(file+".part", b[:len(b)-missing], 0o600)
+	}
+	before := source.calls
+	epoch, err := Take(source, file, time.UnixMilli(2), nil)
+	if err != nil {
+		t.Fatal(firstFailing, missing, err)
+	}
+	checkItems(t, readFile(t, file), heldAt(source, epoch))
+	if firstFailing == 6 && missing == 0 && source.calls-before > 5 {
+		t.Errorf("%d calls after the resumption", source.calls-before)
+	}
+}
+
+func TestTakeBeginsAnewWhenChangesAreForgotten(t *testing.T) {
+	source := changingService()
+	file := filepath.Join(t.TempDir(), "state")
+	_, _ = Take(&failingService{source, 5}, file, time.UnixMilli(1), nil)
+	source.forgotten = source.epoch
+	source.beforeAnswer = func(int) {}
+	lines := ""
+	epoch, err := Take(source, file, time.UnixMilli(2), func(line string) { lines += line })
+	if err != nil || !strings.Contains(lines, "anew") {
+		t.Fatal(err, lines)
+	}
+	checkItems(t, readFile(t, file), heldAt(source, epoch))
 }
 
-// Cut anywhere or with any bit flipped, a file is refused, and says where.
-func TestDamagedFiles(t *testing.T) {
+// Cut anywhere or with any bit flipped, a file is refused.
+func TestDamagedFilesAreRefused(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "state")
-	if _, err := Take(running(), file, time.UnixMilli(1), nil); err != nil {
+	if _, err := Take(changingService(), file, time.UnixMilli(1), nil); err != nil {
 		t.Fatal(err)
 	}
 	b, _ := os.ReadFile(file)
@@ -284,54 +288,55 @@
 	}
 }
 
-// Each thing that must never be is found.
-func TestFindings(t *testing.T) {
-	base := func() *State {
-		s := running()
-		return &State{Epoch: s.epoch, Items: s.items}
+func TestCheckFindsEachFault(t *testing.T) {
+	put := func(key string, v any) func(*State) {
+		return func(s *State) { s.Items[key] = store.Item{Key: key, Value: jobs.Encode(v), Revision: 1} }
+	}
+	remove := func(key string) func(*State) {
+		return func(s *State) { delete(s.Items, key) }
 	}
-	put := func(s *State, key string, v any) {
-		s.Items[key] = store.Item{Key: key, Value: jobs.Encode(v), Revision: 1}
+	nothing := func(*State) {}
+	taskRange := jobs.EncodeTaskRange([]jobs.Task{{State: jobs.Placed, Machine: "i-1", Zone: "a", Attempt: 1}}, 8192)
+	cancelled := func(s *State) {
+		var record jobs.Record
+		_ = json.Unmarshal(s.Items["job/wk-3"].Value, &record)
+		record.State = jobs.Cancelled
+		put("job/wk-3", record)(s)
 	}
-	on := jobs.Task{State: jobs.Placed, Machine: "i-1", Zone: "a", Attempt: 1}
+	limited := map[string]quota.Team{"t": {Name: "t", Max: quota.Of(2, 0, 0)}}
 	for name, c := range map[string]struct {
 		change func(s *State)
+		teams  map[string]quota.Team
 		want   string
 	}{
-		"nothing":               {func(*State) {}, ""},
-		"a task twice":          {func(s *State) { put(s, "task/wk-0/0", jobs.EncodeTaskRange([]jobs.Task{on}, 8192)) }, "holds too"},
-		"on an unknown machine": {func(s *State) { delete(s.Items, "host/i-2") }, "of which there is no record"},
-		"no job":                {func(s *State) { delete(s.Items, "job/wk-1") }, "neither a record nor a final state"},
-		"live and done":         {func(s *State) { put(s, "final/wk-1", jobs.Final{State: jobs.Done}) }, "for ever"},
-		"over without a final": {func(s *State) {
-			r := jobs.Record{}
-			_ = json.Unmarshal(s.Items["job/wk-3"].Value, &r)
-			r.State = jobs.Cancelled
-			put(s, "job/wk-3", r)
-		}, "no final state"},
-		"beyond the job's tasks":   {func(s *State) { put(s, "task/wk-3/9", jobs.EncodeTaskRange([]jobs.Task{on}, 8192)) }, "of a job of 9 tasks"},
-		"an unreadable pack":       {func(s *State) { put(s, "pack/a", 7) }, "can't be read"},
-		"an unreadable view":       {func(s *State) { put(s, "view", 7) }, "not a view"},
-		"unreadable loans":         {func(s *State) { put(s, "loan/0", 7) }, "can't be read"},
-		"an unreadable final":      {func(s *State) { put(s, "final/wk-8", 7) }, "can't be read"},
-		"more than a team's limit": {func(*State) {}, "more than its limit"},
+		"nothing":                  {nothing, nil, ""},
+		"a task twice":             {put("task/wk-0/0", taskRange), nil, "holds too"},
+		"on an unknown machine":    {remove("host/i-2"), nil, "of which there is no record"},
+		"no job":                   {remove("job/wk-1"), nil, "neither a record nor a final state"},
+		"live and done":            {put("final/wk-1", jobs.Final{State: jobs.Done}), nil, "for ever"},
+		"over without a final":     {cancelled, nil, "no final state"},
+		"beyond the job's tasks":   {put("task/wk-3/9", taskRange), nil, "of a job of 9 tasks"},
+		"an unreadable batch":      {put("pack/a", 7), nil, "can't be read"},
+		"an unreadable view":       {put("view", 7), nil, "not a view"},
+		"unreadable loans":         {put("loan/0", 7), nil, "can't be read"},
+		"an unreadable final":      {put("final/wk-8", 7), nil, "can't be read"},
+		"more than a team's limit": {nothing, limited, "more than its limit"},
 	} {
-		s := base()
-		c.change(s)
-		var teams map[string]quota.Team
-		if name == "more than a team's limit" {
-			teams = map[string]quota.Team{"t": {Name: "t", Max: quota.Of(2, 0, 0)}}
-		}
-		got := fmt.Sprint(Check(s, teams).Findings)
-		if c.want == "" && got != "[]" || !strings.Contains(got, c.want) {
-			t.Errorf("%s: %s", name, got)
-		}
+		t.Run(name, func(t *testing.T) {
+			service := changingService()
+			s := &State{Epoch: service.epoch, Items: service.items}
+			c.change(s)
+			got := fmt.Sprint(Check(s, c.teams).Findings)
+			if (c.want == "" && got != "[]") || !strings.Contains(got, c.want) {
+				t.Errorf("found %s", got)
+			}
+		})
 	}
 }
 
 func FuzzRead(f *testing.F) {
 	file := filepath.Join(f.TempDir(), "state")
-	if _, err := Take(running(), file, time.UnixMilli(1), nil); err != nil {
+	if _, err := Take(changingService(), file, time.UnixMilli(1), nil); err != nil {
 		f.Fatal(err)
 	}
 	b, _ := os.ReadFile(file)
