--- a/cmd/harrierreel/main.go
+++ b/cmd/harrierreel/main.go
@@ -1,5 +1,5 @@
-// Command harrierreel is a cluster scheduler: users' interface, workers, cloud
-// and state service, and what runs where.
+// Command harrierreel is a cluster scheduler: `serve` runs one controller, the other verbs
+// are the command line for users and operators.
 package main
 
 import (
@@ -16,75 +16,111 @@
 
 	"github.com/harrierreel/harrierreel/examples"
 	"github.com/harrierreel/harrierreel/internal/cli"
-
-	// The program must be linked against the system's C library.
 	"github.com/harrierreel/harrierreel/internal/controller"
-	_ "github.com/harrierreel/harrierreel/internal/libc"
+	_ "github.com/harrierreel/harrierreel/internal/libc" // the program must be linked against the system's C library
 	"github.com/harrierreel/harrierreel/internal/settings"
 )
 
 const version = "0.1.0"
 
 func main() {
-	code, text := cli.Code(root().Execute())
+	code, text := cli.Code(rootCommand().Execute())
 	if text != "" {
-		fmt.Fprintln(os.Stderr, "harrierreel:", text)
+		printError(text)
 	}
 	os.Exit(code)
 }
 
-func root() *cobra.Command {
-	cmd := &cobra.Command{Use: "harrierreel", Short: "A cluster scheduler", SilenceUsage: true, SilenceErrors: true}
-	cmd.AddCommand(serve(), cli.Try(logger(slog.LevelError), examples.KisiiPayouts))
+// printError prints a line about a failure to standard error; nothing can be done if that
+// fails, too.
+func printError(text string) { _, _ = fmt.Fprintln(os.Stderr, "harrierreel:", text) }
+
+func rootCommand() *cobra.Command {
+	cmd := &cobra.Command{
+		Use:           "harrierreel",
+		Short:         "A cluster scheduler",
+		SilenceUsage:  true,
+		SilenceErrors: true,
+	}
+	cmd.AddCommand(serveCommand(), cli.Try(newLogger(slog.LevelError), examples.KisiiPayouts))
 	cmd.AddCommand(cli.Commands()...)
-	cmd.AddCommand(&cobra.Command{
-		Use: "version", Short: "Print the version", Args: cobra.NoArgs,
-		Run: func(c *cobra.Command, _ []string) { fmt.Fprintln(c.OutOrStdout(), "harrierreel", version) },
-	})
+	cmd.AddCommand(versionCommand())
 	return cmd
 }
 
-func serve() *cobra.Command {
-	var file, operator string
-	cmd := &cobra.Command{
-		Use: "serve", Short: "Run one controller", Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
-			log := logger(slog.LevelInfo)
-			if file == "" {
-				fmt.Fprintln(os.Stderr, "harrierreel: settings: --config: is missing; expected the platform's settings file")
-				return &cli.Exit{Code: cli.ExitUsage}
-			}
-			set, err := settings.Load(file, operator)
-			if err != nil {
-				for _, line := range strings.Split(err.Error(), "\n") {
-					fmt.Fprintln(os.Stderr, "harrierreel: settings:", line)
-				}
-				return &cli.Exit{Code: cli.ExitUsage}
-			}
-			ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-			defer stop()
-			// Asked once, it gives its place away first; asked again, it ends at once.
-			context.AfterFunc(ctx, stop)
-			log.Info("starting", "node", controller.Describe(set), "version", version)
-			log.Info("fits", set.Cluster.StartupAttributes()...)
-			for _, told := range set.Cluster.TimingWarnings() {
-				log.Warn("times are tight", "what", told)
-			}
-			if err := controller.Serve(ctx, set, log); !errors.Is(err, context.Canceled) {
-				return &cli.Exit{Code: cli.ExitFailed, Text: err.Error()}
-			}
-			return nil
+func versionCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "version",
+		Short: "Print the version",
+		Args:  cobra.NoArgs,
+		Run: func(c *cobra.Command, _ []string) {
+			_, _ = fmt.Fprintln(c.OutOrStdout(), "harrierreel", version)
 		},
 	}
-	cmd.Flags().StringVar(&file, "config", "", "the platform's settings file (TOML)")
-	cmd.Flags().
-		StringVar(&operator, "operator", os.Getenv("HARRIERREEL_OPERATOR"), "the operators' own settings (HCL), optional, several files with commas between; also HARRIERREEL_OPERATOR")
+}
+
+func serveCommand() *cobra.Command {
+	var file, operatorFiles string
+	cmd := &cobra.Command{
+		Use:   "serve",
+		Short: "Run one controller",
+		Args:  cobra.NoArgs,
+		RunE:  func(*cobra.Command, []string) error { return serve(file, operatorFiles) },
+	}
+	flags := cmd.Flags()
+	flags.StringVar(&file, "config", "", "the platform's settings file (TOML)")
+	flags.StringVar(
+		&operatorFiles,
+		"operator",
+		os.Getenv("HARRIERREEL_OPERATOR"),
+		"the operators' own settings (HCL), optional, several files with commas between; also HARRIERREEL_OPERATOR",
+	)
 	return cmd
 }
 
-// logger writes to standard error at the level that LOG_LEVEL names.
-func logger(otherwise slog.Level) *slog.Logger {
-	level := otherwise
+// serve runs a controller until it is asked to end by a signal.
+func serve(file, operatorFiles string) error {
+	log := newLogger(slog.LevelInfo)
+	set, err := loadSettings(file, operatorFiles)
+	if err != nil {
+		return err
+	}
+	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
+	defer stop()
+	// The first signal makes the controller hand over its leadership before it ends; after
+	// that a second one ends the program at once.
+	context.AfterFunc(ctx, stop)
+	log.Info("starting", "node", controller.Describe(set), "version", version)
+	log.Info("fits", set.Cluster.StartupAttributes()...)
+	for _, warning := range set.Cluster.TimingWarnings() {
+		log.Warn("times are tight", "what", warning)
+	}
+	if err := controller.Serve(ctx, set, log); !errors.Is(err, context.Canceled) {
+		return &cli.Exit{Code: cli.ExitFailed, Text: err.Error()}
+	}
+	return nil
+}
+
+// loadSettings reads the settings and prints every fault, a line each.
+func loadSettings(file, operatorFiles string) (*settings.Settings, error) {
+	if file == "" {
+		printError("settings: --config: is missing; expected the platform's settings file")
+		return nil, &cli.Exit{Code: cli.ExitUsage}
+	}
+	set, err := settings.Load(file, operatorFiles)
+	if err != nil {
+		for _, line := range strings.Split(err.Error(), "\n") {
+			printError("settings: " + line)
+		}
+		return nil, &cli.Exit{Code: cli.ExitUsage}
+	}
+	return set, nil
+}
+
+// newLogger returns a logger that writes to standard error at the level that LOG_LEVEL
+// names, or else at defaultLevel.
+func newLogger(defaultLevel slog.Level) *slog.Logger {
+	level := defaultLevel
 	switch os.Getenv("LOG_LEVEL") {
 	case "error":
 		level = slog.LevelError
