--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -1,6 +1,5 @@
-// Package goldentest helps tests hold what goes over the wire or into storage
-// to files written by an earlier state of the code, byte for byte. Only tests
-// use it.
+// Package goldentest helps tests compare what is sent or stored with files written by an
+// earlier state of the code, byte for byte. Only tests use it.
 package goldentest
 
 import (
@@ -20,54 +19,54 @@
 
 // Bytes compares got with the file testdata/golden/name of the package under
 // test. With -update it writes the file instead.
-func Bytes(t testing.TB, name string, got []byte) {
-	t.Helper()
+func Bytes(tb testing.TB, name string, got []byte) {
+	tb.Helper()
 	path := filepath.Join("testdata", "golden", name)
 	if *update {
 		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
+			tb.Fatal(err)
 		}
 		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
+			tb.Fatal(err)
 		}
 		return
 	}
-	if want := Read(t, name); !bytes.Equal(got, want) {
-		t.Errorf("%s: the code now writes\n%q\nthe golden file has\n%q", name, got, want)
+	if want := Read(tb, name); !bytes.Equal(got, want) {
+		tb.Errorf("%s: the code now writes\n%q\nthe golden file has\n%q", name, got, want)
 	}
 }
 
 // Read returns the content of testdata/golden/name.
-func Read(t testing.TB, name string) []byte {
-	t.Helper()
+func Read(tb testing.TB, name string) []byte {
+	tb.Helper()
 	b, err := os.ReadFile(filepath.Join("testdata", "golden", name))
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return b
 }
 
-// JSON holds the JSON form of v to testdata/golden/name, and the file, decoded
-// into a value of v's type and encoded again, to itself. It is for types that
+// JSON compares the JSON form of v with testdata/golden/name, and the file with itself,
+// decoded into a value of v's type and encoded again. It is for types that
 // the code gives to encoding/json itself.
-func JSON[T any](t testing.TB, name string, v T) {
-	t.Helper()
+func JSON[T any](tb testing.TB, name string, v T) {
+	tb.Helper()
 	b, err := json.Marshal(v)
 	if err != nil {
-		t.Fatalf("%s: %v", name, err)
+		tb.Fatalf("%s: %v", name, err)
 	}
-	Bytes(t, name, b)
+	Bytes(tb, name, b)
 	var back T
-	if err := json.Unmarshal(Read(t, name), &back); err != nil {
-		t.Errorf("%s: decoding the golden file: %v", name, err)
+	if err := json.Unmarshal(Read(tb, name), &back); err != nil {
+		tb.Errorf("%s: decoding the golden file: %v", name, err)
 		return
 	}
 	b, err = json.Marshal(back)
 	if err != nil {
-		t.Fatalf("%s: %v", name, err)
+		tb.Fatalf("%s: %v", name, err)
 	}
-	if want := Read(t, name); !bytes.Equal(b, want) {
-		t.Errorf("%s: decoded and encoded again it is\n%q\nthe golden file has\n%q", name, b, want)
+	if want := Read(tb, name); !bytes.Equal(b, want) {
+		tb.Errorf("%s: decoded and encoded again it is\n%q\nthe golden file has\n%q", name, b, want)
 	}
 }
 
@@ -78,10 +77,10 @@
 // with the JSON tag "-" are passed over, and so are the paths in except, which
 // join names by a dot: a field's JSON name, or its Go name if it has no tag; a
 // slice's "0"; a map's key.
-func Filled(t testing.TB, v any, except ...string) {
-	t.Helper()
+func Filled(tb testing.TB, v any, except ...string) {
+	tb.Helper()
 	for _, path := range zeros(reflect.ValueOf(v), "", nil, except) {
-		t.Errorf("%T: %s is zero", v, path)
+		tb.Errorf("%T: %s is zero", v, path)
 	}
 }
 
@@ -93,6 +92,7 @@
 	if !v.IsValid() || v.IsZero() {
 		return []string{path}
 	}
+	//nolint:exhaustive // All other kinds are plain values, which are not zero here.
 	switch v.Kind() {
 	case reflect.Pointer, reflect.Interface:
 		return zeros(v.Elem(), path, within, except)
@@ -149,6 +149,7 @@
 	return field.Name, true
 }
 
+// keyName returns the name of a map's key within a path.
 func keyName(key reflect.Value) string {
 	switch {
 	case key.Kind() == reflect.String:
@@ -161,6 +162,7 @@
 	return "key"
 }
 
+// join appends a name to a path.
 func join(path, name string) string {
 	if path == "" {
 		return name
