--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -43,8 +43,8 @@
 	Peer     string // address of the listener for lines; may be empty
 	MaxConns int
 	// IsGuest, if set, reports whether a request is a guest's: users come in any number,
-	// workers do not. With more than MaxGuests guests' connections open, each of them ends
-	// with its response, so that users who keep theirs open leave room for workers. Beyond
+	// workers do not. While more of their connections are open than the limit that follows, each of
+	// them ends with its response, so that users who keep theirs open leave room for workers. Beyond
 	// tuning.CrowdedShare of MaxConns everybody's does.
 	IsGuest   func(m *Message) bool
 	MaxGuests int
--- a/internal/settings/operator.go
+++ b/internal/settings/operator.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math"
+	"slices"
 	"strings"
 
 	"github.com/hashicorp/hcl/v2"
@@ -194,9 +195,9 @@
 		return
 	}
 	operator.Packs = Packs(*f.Records.Packs)
-	known := operator.Packs == PacksOff || operator.Packs == PacksScarce || operator.Packs == PacksAlways
+	known := []Packs{PacksOff, PacksScarce, PacksAlways}
 	faults.require(
-		known,
+		slices.Contains(known, operator.Packs),
 		"records.packs",
 		fmt.Sprintf("is %q; expected %q, %q or %q", operator.Packs, PacksOff, PacksScarce, PacksAlways),
 	)
--- a/internal/snapshot/content.go
+++ b/internal/snapshot/content.go
@@ -16,7 +16,8 @@
 	Items map[string]store.Item
 }
 
-// Read reads a complete snapshot. Its errors wrap ErrCut or ErrDamaged.
+// Read reads a complete snapshot. Its errors say whether the file is truncated or damaged
+// (errors.Is with the errors of this package).
 func Read(r io.Reader) (*State, error) {
 	c, err := readContent(r)
 	if err != nil {
--- a/internal/snapshot/format.go
+++ b/internal/snapshot/format.go
@@ -121,7 +121,7 @@
 }
 
 // readBlock returns the next block's content, decompressed, and io.EOF after the last block.
-// Other errors wrap ErrCut or ErrDamaged.
+// Other errors say, as those of Read do, whether the file is truncated or damaged.
 func (r *reader) readBlock() (blockKind, []byte, error) {
 	first, err := r.r.ReadByte()
 	if err != nil {
