--- a/internal/cli/calendar_test.go
+++ b/internal/cli/calendar_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-const nights = `
+const marketsCalendar = `
 calendar {
   revision = 4
   zone = "Africa/Nairobi"
@@ -39,71 +39,77 @@
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	var o, n bytes.Buffer
-	a := &app{out: &o, note: &n}
+	var outBuffer, noteBuffer bytes.Buffer
+	a := &app{out: &outBuffer, note: &noteBuffer}
 	c := a.calendar()
 	c.SilenceErrors, c.SilenceUsage = true, true
 	c.SetArgs(append([]string{args[0], file}, args[1:]...))
 	err := c.Execute()
-	code, said := Code(err)
-	return o.String(), n.String() + said, code
+	code, text = Code(err)
+	return outBuffer.String(), noteBuffer.String() + text, code
 }
 
-func TestCalendarVerbs(t *testing.T) {
-	good, bad := strings.Replace(nights, "%s", "01:00", 1), strings.Replace(nights, "%s", "20:00", 1)
-	if out, _, code := calendarVerb(
-		t,
-		good,
-		"check",
-	); code != 0 ||
-		!strings.Contains(out, "revision 4: 1 tracks, 2 windows") {
-		t.Error(out, code)
-	}
-	if _, note, code := calendarVerb(
-		t,
-		bad,
-		"check",
-	); code != ExitUsage ||
-		!strings.Contains(note, "calendar.hcl: markets: export meets weekend on 2026-") {
-		t.Error(note, code)
-	}
-	if _, note, code := calendarVerb(
-		t,
-		strings.Replace(good, "revision = 4", "revision = 4\n pace = 3", 1),
-		"check",
-	); code != ExitUsage ||
-		!strings.Contains(note, "calendar.hcl:4") {
-		t.Error(note, code)
+func TestCalendarVerbsReportFaultsAndCollisions(t *testing.T) {
+	good := strings.Replace(marketsCalendar, "%s", "01:00", 1)
+	overlapping := strings.Replace(marketsCalendar, "%s", "20:00", 1)
+	unknownField := strings.Replace(good, "revision = 4", "revision = 4\n pace = 3", 1)
+	for name, c := range map[string]struct {
+		text string
+		args []string
+		code int
+		out  string
+		note string
+	}{
+		"check of a good calendar": {
+			text: good,
+			args: []string{"check"},
+			out:  "revision 4: 1 tracks, 2 windows",
+		},
+		"check of overlapping windows": {
+			text: overlapping,
+			args: []string{"check"},
+			code: ExitUsage,
+			note: "calendar.hcl: markets: export meets weekend on 2026-",
+		},
+		"check of an unknown field": {
+			text: unknownField,
+			args: []string{"check"},
+			code: ExitUsage,
+			note: "calendar.hcl:4",
+		},
+		"plan of overlapping windows": {
+			text: overlapping,
+			args: []string{"plan", "--from", "2026-03-28", "--days", "2"},
+			code: ExitFailed,
+			out:  "meets export",
+			note: "2 pairs of windows meet",
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			out, note, code := calendarVerb(t, c.text, c.args...)
+			if code != c.code || !strings.Contains(out, c.out) || !strings.Contains(note, c.note) {
+				t.Errorf("ends with %d, want %d; prints %q, notes %q", code, c.code, out, note)
+			}
+		})
 	}
+}
+
+func TestCalendarPlanPrintsAnOccurrencePerLine(t *testing.T) {
+	good := strings.Replace(marketsCalendar, "%s", "01:00", 1)
 	out, _, code := calendarVerb(t, good, "plan", "--from", "2026-03-28", "--days", "2", "-o", "json")
-	if lines := strings.Split(
-		strings.TrimSpace(out),
-		"\n",
-	); code != 0 || len(lines) != 4 ||
-		!strings.Contains(lines[3], `"begin":"2026-03-29T22:00:00+03:00"`) {
+	lines := strings.Split(strings.TrimSpace(out), "\n")
+	if code != 0 || len(lines) != 4 || !strings.Contains(lines[3], `"begin":"2026-03-29T22:00:00+03:00"`) {
 		t.Error(out, code)
 	}
-	if out, note, code := calendarVerb(
-		t,
-		bad,
-		"plan",
-		"--from",
-		"2026-03-28",
-		"--days",
-		"2",
-	); code != ExitFailed || !strings.Contains(out, "meets export") ||
-		!strings.Contains(note, "2 pairs of windows meet") {
-		t.Error(out, note, code)
-	}
 }
 
-func TestNoCalendarIsShown(t *testing.T) {
+func TestCalendarShowWithoutSourceIsBadUsage(t *testing.T) {
 	a := &app{out: &bytes.Buffer{}, note: &bytes.Buffer{}}
 	c := a.calendar()
 	c.SilenceErrors, c.SilenceUsage = true, true
 	c.SetArgs([]string{"show"})
-	var e *Exit
-	if err := c.Execute(); !errors.As(err, &e) || e.Code != ExitUsage {
+	var exit *Exit
+	if err := c.Execute(); !errors.As(err, &exit) || exit.Code != ExitUsage {
 		t.Error(err)
 	}
 }
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -3,10 +3,10 @@
 import (
 	"bytes"
 	"encoding/json"
-	"fmt"
 	"io"
 	"os"
 	"path/filepath"
+	"strconv"
 	"strings"
 	"testing"
 	"time"
@@ -19,57 +19,87 @@
 	"github.com/harrierreel/harrierreel/internal/pipelines"
 )
 
-const file = "name: p\nowner: t\ndefaults: {cores: 1, memory_gb: 1, bundle: b}\nsteps:\n  - name: a\n  - {name: b, needs: a}\n"
+const pipelineFile = `name: p
+owner: t
+defaults: {cores: 1, memory_gb: 1, bundle: b}
+steps:
+  - name: a
+  - {name: b, needs: a}
+`
 
-// front answers as a controller: each request takes the next answer.
-type front struct {
-	answers []string // "STATUS BODY"
-	asked   []string
+const jobFile = `owner: t
+shape: sweep
+rank: standard
+jobclass: c
+pieces: 2
+cores: 1
+memory_gb: 1
+bundle: b
+`
+
+// fakeController takes the next answer for each request; without one the connection breaks.
+type fakeController struct {
+	answers  []string // "STATUS BODY"
+	requests []string // "METHOD TARGET BODY"
 }
 
-func (f *front) do(_, method, target string, body []byte) (*http1.Message, error) {
-	f.asked = append(f.asked, method+" "+target+" "+string(body))
+func (f *fakeController) do(_, method, target string, body []byte) (*http1.Message, error) {
+	f.requests = append(f.requests, method+" "+target+" "+string(body))
 	if len(f.answers) == 0 {
 		return nil, io.ErrUnexpectedEOF
 	}
 	status, answer, _ := strings.Cut(f.answers[0], " ")
 	f.answers = f.answers[1:]
-	m := &http1.Message{Body: []byte(answer)}
-	for _, c := range status {
-		m.Status = m.Status*10 + int(c-'0')
-	}
-	return m, nil
+	code, err := strconv.Atoi(status)
+	return &http1.Message{Status: code, Body: []byte(answer)}, err
 }
 
-// play runs a command line against a front, on a clock that does not wait.
-func play(t *testing.T, f *front, height int, args ...string) (code int, out, note string) {
+// execute runs a command line against a controller, on a clock that does not wait.
+func execute(t *testing.T, f *fakeController, height int, args ...string) (code int, out, note string) {
 	t.Helper()
-	var o, n bytes.Buffer
-	a := &app{out: &o, note: &n, height: func() int { return height }}
+	var outBuffer, noteBuffer bytes.Buffer
+	a := &app{out: &outBuffer, note: &noteBuffer, height: func() int { return height }}
 	a.dial = func(servers []string, patience time.Duration) *client.Client {
 		c := client.New(servers, patience)
 		now := time.Unix(0, 0)
-		c.Do, c.Now, c.Sleep = f.do, func() time.Time { return now }, func(d time.Duration) { now = now.Add(d) }
+		c.Do = f.do
+		c.Now = func() time.Time { return now }
+		c.Sleep = func(d time.Duration) { now = now.Add(d) }
 		return c
 	}
 	root := &cobra.Command{Use: "harrierreel", SilenceUsage: true, SilenceErrors: true}
 	root.AddCommand(a.commands()...)
 	root.SetArgs(args)
 	code, text := Code(root.Execute())
-	return code, o.String(), n.String() + text
+	return code, outBuffer.String(), noteBuffer.String() + text
 }
 
-func runStatus(state pipelines.RunState, a, b pipelines.StepState) string {
-	s := pipelines.Status{ID: "run-x", Name: "p", Owner: "t", Status: state, TookS: 3, Steps: []pipelines.StepStatus{
-		{
-			Name:   "a",
-			Status: a,
-			Job:    "wk-1",
-			Tasks:  1,
+// runAnswer is a controller's answer about a run of pipelineFile.
+func runAnswer(state pipelines.RunState, a, b pipelines.StepState) string {
+	status := pipelines.Status{
+		ID:     "run-x",
+		Name:   "p",
+		Owner:  "t",
+		Status: state,
+		TookS:  3,
+		Steps: []pipelines.StepStatus{
+			{
+				Name:   "a",
+				Status: a,
+				Job:    "wk-1",
+				Tasks:  1,
+			},
+			{
+				Name:    "b",
+				Status:  b,
+				Job:     "wk-2",
+				Tasks:   1,
+				Needs:   []string{"a"},
+				Explain: "waits for a to end",
+			},
 		},
-		{Name: "b", Status: b, Job: "wk-2", Tasks: 1, Needs: []string{"a"}, Explain: "waits for a to end"},
-	}}
-	return "200 " + string(s.Encode())
+	}
+	return "200 " + string(status.Encode())
 }
 
 func write(t *testing.T, text string) string {
@@ -81,44 +111,45 @@
 	return name
 }
 
-func TestRunToItsEnd(t *testing.T) {
-	name := write(t, file)
-	for _, c := range []struct {
-		end  pipelines.RunState
-		code int
-	}{{pipelines.RunSucceeded, ExitDone}, {pipelines.RunFailed, ExitFailed}, {pipelines.RunCancelled, ExitCancelled}} {
-		f := &front{answers: []string{
-			runStatus(pipelines.RunLive, pipelines.Submitted, pipelines.Waiting), "503 {}",
-			runStatus(pipelines.RunLive, pipelines.Succeeded, pipelines.Submitted),
-			runStatus(c.end, pipelines.Succeeded, pipelines.Cancelled),
-		}}
-		code, out, _ := play(t, f, 0, "pipeline", "run", name, "--id", "run-x", "--server", "a:1")
-		if code != c.code {
-			t.Errorf("%s ends with %d, not %d", c.end, code, c.code)
-		}
-		if n := strings.Count(
-			out,
-			"\n",
-		); n != 6 || !strings.Contains(out, "succeeded  a") ||
-			!strings.HasSuffix(out, string(c.end)+" after 3.0 s\n") {
-			t.Errorf("%d lines:\n%s", n, out)
-		}
-		if !strings.HasPrefix(f.asked[0], `POST /pipelines {"id":"run-x","pipeline":{`) ||
-			f.asked[1] != "GET /pipelines/run-x " {
-			t.Error(f.asked)
-		}
+func TestPipelineRunExitCodeFollowsItsEnd(t *testing.T) {
+	name := write(t, pipelineFile)
+	for end, wantCode := range map[pipelines.RunState]int{
+		pipelines.RunSucceeded: ExitDone,
+		pipelines.RunFailed:    ExitFailed,
+		pipelines.RunCancelled: ExitCancelled,
+	} {
+		t.Run(string(end), func(t *testing.T) {
+			f := &fakeController{answers: []string{
+				runAnswer(pipelines.RunLive, pipelines.Submitted, pipelines.Waiting),
+				"503 {}",
+				runAnswer(pipelines.RunLive, pipelines.Succeeded, pipelines.Submitted),
+				runAnswer(end, pipelines.Succeeded, pipelines.Cancelled),
+			}}
+			code, out, _ := execute(t, f, 0, "pipeline", "run", name, "--id", "run-x", "--server", "a:1")
+			if code != wantCode {
+				t.Errorf("ends with %d, want %d", code, wantCode)
+			}
+			if lines := strings.Count(out, "\n"); lines != 6 ||
+				!strings.Contains(out, "succeeded  a") ||
+				!strings.HasSuffix(out, string(end)+" after 3.0 s\n") {
+				t.Errorf("%d lines:\n%s", lines, out)
+			}
+			if !strings.HasPrefix(f.requests[0], `POST /pipelines {"id":"run-x","pipeline":{`) ||
+				f.requests[1] != "GET /pipelines/run-x " {
+				t.Error(f.requests)
+			}
+		})
 	}
 }
 
 // Every line of JSON is an object with a known event, whatever happens.
-func TestJSONLines(t *testing.T) {
-	f := &front{
-		answers: []string{
-			runStatus(pipelines.RunLive, pipelines.Submitted, pipelines.Waiting),
-			runStatus(pipelines.RunFailed, pipelines.Failed, pipelines.Skipped),
-		},
-	}
-	code, out, _ := play(t, f, 24, "pipeline", "run", write(t, file), "--server", "a:1", "-o", "json")
+func TestJSONOutputHasOneEventPerLine(t *testing.T) {
+	f := &fakeController{answers: []string{
+		runAnswer(pipelines.RunLive, pipelines.Submitted, pipelines.Waiting),
+		runAnswer(pipelines.RunFailed, pipelines.Failed, pipelines.Skipped),
+	}}
+	name := write(t, pipelineFile)
+	code, out, _ := execute(t, f, 24, "pipeline", "run", name, "--server", "a:1", "-o", "json")
 	var events []string
 	for _, line := range strings.Split(strings.TrimSpace(out), "\n") {
 		var v struct {
@@ -132,166 +163,261 @@
 	if got := strings.Join(events, " "); code != ExitFailed || got != "accepted step step step ended" {
 		t.Errorf("%d: %s", code, got)
 	}
-	code, out, _ = play(t, &front{}, 0, "pipeline", "check", write(t, "name: x\n"), "-o", "json")
+	code, out, _ = execute(t, &fakeController{}, 0, "pipeline", "check", write(t, "name: x\n"), "-o", "json")
 	if code != ExitUsage || strings.Count(out, `"event":"fault"`) != 2 {
 		t.Errorf("%d: %s", code, out)
 	}
 }
 
-// On a terminal the table is drawn over itself, and fits.
-func TestLiveView(t *testing.T) {
-	f := &front{
-		answers: []string{
-			runStatus(pipelines.RunLive, pipelines.Running, pipelines.Waiting),
-			runStatus(pipelines.RunSucceeded, pipelines.Succeeded, pipelines.Succeeded),
-		},
-	}
-	_, out, _ := play(t, f, 24, "pipeline", "run", write(t, file), "--server", "a:1")
+func TestRunTableIsRedrawnInPlace(t *testing.T) {
+	f := &fakeController{answers: []string{
+		runAnswer(pipelines.RunLive, pipelines.Running, pipelines.Waiting),
+		runAnswer(pipelines.RunSucceeded, pipelines.Succeeded, pipelines.Succeeded),
+	}}
+	_, out, _ := execute(t, f, 24, "pipeline", "run", write(t, pipelineFile), "--server", "a:1")
 	if strings.Count(out, "\x1b[4A\x1b[J") != 1 || strings.Count(out, "STEP") != 2 {
 		t.Errorf("%q", out)
 	}
-	s := &pipelines.Status{Status: pipelines.RunLive}
+}
+
+func TestRunTableKeepsLimitWithActiveStepsFirst(t *testing.T) {
+	status := &pipelines.Status{Status: pipelines.RunLive}
 	for range 100 {
-		s.Steps = append(s.Steps, pipelines.StepStatus{Name: "x", Status: pipelines.Waiting})
+		status.Steps = append(status.Steps, pipelines.StepStatus{Name: "x", Status: pipelines.Waiting})
 	}
-	s.Steps[70].Status = pipelines.Running
-	table := runTable(s, 10)
-	if strings.Count(table, "\n") != 13 || !strings.Contains(strings.Split(table, "\n")[1], "running") ||
-		!strings.Contains(table, "and 90 more") ||
-		!strings.Contains(table, "99 waiting") {
-		t.Error(table)
+	status.Steps[70].Status = pipelines.Running
+	text := runTable(status, 10)
+	if strings.Count(text, "\n") != 13 ||
+		!strings.Contains(strings.Split(text, "\n")[1], "running") ||
+		!strings.Contains(text, "and 90 more") ||
+		!strings.Contains(text, "99 waiting") {
+		t.Error(text)
 	}
 }
 
-func TestExits(t *testing.T) {
-	good := write(t, file)
-	fault := `422 {"error":"steps that can never run","faults":[{"path":"steps[1]","want":"can never run: unknown team"}]}`
-	for _, c := range []struct {
-		args   string
-		answer string
-		code   int
-		says   string
-	}{
-		{"pipeline run " + good + " --server a:1 --detach", runStatus(pipelines.RunLive, pipelines.Ready, pipelines.Waiting), 0, ""},
-		{"pipeline run " + good + " --server a:1", fault, 2, "p.yaml:6:5: steps[1]: can never run: unknown team"},
-		{"pipeline run " + good + " --server a:1", `409 {"error":"another pipeline has this id"}`, 2, "another pipeline"},
-		{"pipeline run " + good + " --server a:1 --id RUN", "", 2, "--id"},
-		{"pipeline run " + good, "", 2, "HARRIERREEL_SERVER"},
-		{"pipeline run " + good + " --server nowhere", "", 2, "not address:port"},
-		{"pipeline run " + good + " --server a:1,b:2", "", 4, "no controller reachable"},
-		{"pipeline run none.yaml --server a:1", "", 2, "can't be opened"},
-		{"pipeline status run-x --server a:1", runStatus(pipelines.RunFailed, pipelines.Failed, pipelines.Skipped), 0, ""},
-		{"pipeline status run-x --wait --server a:1", runStatus(pipelines.RunFailed, pipelines.Failed, pipelines.Skipped), 1, ""},
-		{"pipeline status run-x --server a:1", `404 {"error":"no such run"}`, 2, "no such run"},
-		{"pipeline status nonsense --server a:1", "", 2, "no run's id"},
-		{"pipeline cancel run-x --server a:1", runStatus(pipelines.RunCancelled, pipelines.Cancelled, pipelines.Cancelled), 0, ""},
-		{"pipeline explain run-x --server a:1", runStatus(pipelines.RunLive, pipelines.Running, pipelines.Waiting), 0, ""},
-		{"pipeline nonsense", "", 2, "unknown command"},
-		{"status wk-1 --server a:1", `200 {"uid":"wk-1","status":"running","done":1,"running":2}`, 0, ""},
-		{"quota show --server a:1", `200 {"number":2,"nodes":[{"path":"kenya/pricing","kind":"team","depth":2,"used":{"accelerators":4},"waiting":3}]}`, 0, ""},
-		{"quota show --server a:1", `404 {"error":"no such path"}`, 2, "no such path"},
-		{"quota apply " + write(t, "quotas {}\n") + " --server a:1", "", 2, "--dry-run"},
-		{"quota apply " + write(t, "pipelines {}\n") + " --server a:1 --yes", "", 2, "no quotas block"},
-		{"quota apply " + write(t, "quotas {\n  team {}\n  speed = 1\n}\n") + " --server a:1 --yes", "", 2, "Unsupported argument"},
-		{"status x --server a:1", "", 2, "no job's uid"},
-		{"cancel wk-1 --server a:1", `200 {"uid":"wk-1","status":"cancelled"}`, 0, ""},
-		{"wait wk-1 --server a:1", `200 {"uid":"wk-1","status":"cancelled"}`, 3, ""},
-		{"wait wk-1 --server a:1 -o json", `200 {"uid":"wk-1","status":"done","done":1}`, 0, ""},
-		{"wait wk-1 --server a:1 -o yaml", "", 2, "--output"},
-		{"wait --server a:1", "", 2, "requires at least 1 arg"},
-		{"submit " + write(t, "owner: t\nshape: sweep\nrank: standard\njobclass: c\npieces: 2\ncores: 1\nmemory_gb: 1\nbundle: b\n") + " --server a:1", `201 {"uid":"wk-1","status":"pending"}`, 0, ""},
-		{"submit " + write(t, "owner: t\npieces: 0\n") + " --server a:1", "", 2, "2:9: pieces"},
-	} {
-		f := &front{}
-		if c.answer != "" {
-			f.answers = []string{c.answer}
-		}
-		code, out, note := play(t, f, 0, strings.Fields(c.args)...)
-		if code != c.code || !strings.Contains(note, c.says) {
-			t.Errorf("%s: ends with %d, not %d; says %q, %q", c.args, code, c.code, out, note)
-		}
+// verbCase is a command line, a controller's answer to it, and how it is to end. No answer
+// means that the verb sends no request, or reaches nobody.
+type verbCase struct {
+	args   string
+	answer string
+	code   int
+	note   string // what the notes are to contain
+}
+
+func checkVerbs(t *testing.T, cases map[string]verbCase) {
+	t.Helper()
+	for name, c := range cases {
+		t.Run(name, func(t *testing.T) {
+			f := &fakeController{}
+			if c.answer != "" {
+				f.answers = []string{c.answer}
+			}
+			code, out, note := execute(t, f, 0, strings.Fields(c.args)...)
+			if code != c.code || !strings.Contains(note, c.note) {
+				t.Errorf("%s: ends with %d, want %d; prints %q, notes %q", c.args, code, c.code, out, note)
+			}
+		})
 	}
 }
 
+func TestPipelineRunExitCodes(t *testing.T) {
+	run := "pipeline run " + write(t, pipelineFile)
+	const neverRuns = `422 {"error":"steps that can never run",` +
+		`"faults":[{"path":"steps[1]","want":"can never run: unknown team"}]}`
+	checkVerbs(t, map[string]verbCase{
+		"detached": {
+			args:   run + " --server a:1 --detach",
+			answer: runAnswer(pipelines.RunLive, pipelines.Ready, pipelines.Waiting),
+		},
+		"step can never run": {
+			args:   run + " --server a:1",
+			answer: neverRuns,
+			code:   2,
+			note:   "p.yaml:6:5: steps[1]: can never run: unknown team",
+		},
+		"id is taken": {
+			args:   run + " --server a:1",
+			answer: `409 {"error":"another pipeline has this id"}`,
+			code:   2,
+			note:   "another pipeline",
+		},
+		"id has a wrong form":      {args: run + " --server a:1 --id RUN", code: 2, note: "--id"},
+		"no server is given":       {args: run, code: 2, note: "HARRIERREEL_SERVER"},
+		"server without a port":    {args: run + " --server nowhere", code: 2, note: "not address:port"},
+		"no controller answers":    {args: run + " --server a:1,b:2", code: 4, note: "no controller reachable"},
+		"file does not exist":      {args: "pipeline run none.yaml --server a:1", code: 2, note: "can't be opened"},
+		"verb is unknown":          {args: "pipeline nonsense", code: 2, note: "unknown command"},
+		"id of status has no form": {args: "pipeline status nonsense --server a:1", code: 2, note: "no run's id"},
+	})
+}
+
+func TestPipelineStatusExitCodes(t *testing.T) {
+	failed := runAnswer(pipelines.RunFailed, pipelines.Failed, pipelines.Skipped)
+	checkVerbs(t, map[string]verbCase{
+		"status of a failed run": {args: "pipeline status run-x --server a:1", answer: failed},
+		"wait for a failed run":  {args: "pipeline status run-x --wait --server a:1", answer: failed, code: 1},
+		"status of an unknown run": {
+			args:   "pipeline status run-x --server a:1",
+			answer: `404 {"error":"no such run"}`,
+			code:   2,
+			note:   "no such run",
+		},
+		"cancel": {
+			args:   "pipeline cancel run-x --server a:1",
+			answer: runAnswer(pipelines.RunCancelled, pipelines.Cancelled, pipelines.Cancelled),
+		},
+		"explain": {
+			args:   "pipeline explain run-x --server a:1",
+			answer: runAnswer(pipelines.RunLive, pipelines.Running, pipelines.Waiting),
+		},
+	})
+}
+
+func TestQuotaExitCodes(t *testing.T) {
+	unknownField := write(t, "quotas {\n  team {}\n  speed = 1\n}\n")
+	checkVerbs(t, map[string]verbCase{
+		"show": {
+			args: "quota show --server a:1",
+			answer: `200 {"number":2,"nodes":[{"path":"kenya/pricing","kind":"team","depth":2,` +
+				`"used":{"accelerators":4},"waiting":3}]}`,
+		},
+		"show without quotas": {
+			args:   "quota show --server a:1",
+			answer: `404 {"error":"no such path"}`,
+			code:   2,
+			note:   "no such path",
+		},
+		"apply with neither flag": {
+			args: "quota apply " + write(t, "quotas {}\n") + " --server a:1",
+			code: 2,
+			note: "--dry-run",
+		},
+		"apply a file without quotas": {
+			args: "quota apply " + write(t, "pipelines {}\n") + " --server a:1 --yes",
+			code: 2,
+			note: "no quotas block",
+		},
+		"apply a file with an unknown field": {
+			args: "quota apply " + unknownField + " --server a:1 --yes",
+			code: 2,
+			note: "Unsupported argument",
+		},
+	})
+}
+
+func TestJobExitCodes(t *testing.T) {
+	const cancelled = `200 {"uid":"wk-1","status":"cancelled"}`
+	checkVerbs(t, map[string]verbCase{
+		"status": {
+			args:   "status wk-1 --server a:1",
+			answer: `200 {"uid":"wk-1","status":"running","done":1,"running":2}`,
+		},
+		"id has a wrong form":      {args: "status x --server a:1", code: 2, note: "no job's uid"},
+		"cancel":                   {args: "cancel wk-1 --server a:1", answer: cancelled},
+		"wait for a cancelled job": {args: "wait wk-1 --server a:1", answer: cancelled, code: 3},
+		"wait for a job that is done": {
+			args:   "wait wk-1 --server a:1 -o json",
+			answer: `200 {"uid":"wk-1","status":"done","done":1}`,
+		},
+		"unknown form of output": {args: "wait wk-1 --server a:1 -o yaml", code: 2, note: "--output"},
+		"wait for no job":        {args: "wait --server a:1", code: 2, note: "requires at least 1 arg"},
+		"submit": {
+			args:   "submit " + write(t, jobFile) + " --server a:1",
+			answer: `201 {"uid":"wk-1","status":"pending"}`,
+		},
+		"submit a file with faults": {
+			args: "submit " + write(t, "owner: t\npieces: 0\n") + " --server a:1",
+			code: 2,
+			note: "2:9: pieces",
+		},
+	})
+}
+
 // Why a job will be late stands below the table, and in its JSON line.
-func TestLateJobTold(t *testing.T) {
-	const answer = `200 {"uid":"wk-1","status":"running","done":1,"running":2,"late":"its deadline passed 3 s ago with 2 tasks left"}`
-	for args, want := range map[string]string{
-		"status wk-1 --server a:1":         "wk-1  running  1     2\nwk-1: its deadline passed 3 s ago with 2 tasks left\n",
-		"status wk-1 --server a:1 -o json": `"late":"its deadline passed 3 s ago with 2 tasks left"`,
+func TestLateJobIsShownWithReason(t *testing.T) {
+	const answer = `200 {"uid":"wk-1","status":"running","done":1,"running":2,` +
+		`"late":"its deadline passed 3 s ago with 2 tasks left"}`
+	for form, want := range map[string]string{
+		"text": "wk-1  running  1     2\nwk-1: its deadline passed 3 s ago with 2 tasks left\n",
+		"json": `"late":"its deadline passed 3 s ago with 2 tasks left"`,
 	} {
-		if _, out, _ := play(t, &front{answers: []string{answer}}, 0, strings.Fields(args)...); !strings.Contains(out, want) {
-			t.Errorf("%s: %q", args, out)
-		}
+		t.Run(form, func(t *testing.T) {
+			f := &fakeController{answers: []string{answer}}
+			_, out, _ := execute(t, f, 0, "status", "wk-1", "--server", "a:1", "-o", form)
+			if !strings.Contains(out, want) {
+				t.Errorf("prints %q, want %q", out, want)
+			}
+		})
 	}
 }
 
-// A tree is applied on the base that was just looked at; faults and races are told.
-func TestApplyQuota(t *testing.T) {
-	name := write(t, "quotas {\n  organisation \"kenya\" {\n    limit {\n      accelerators = 8\n    }\n  }\n}\n")
-	for answer, want := range map[string]string{
-		`200 {"number":8}`: "0 tree 8 is in force", `409 {"number":8}`: "2 another tree was put in force meanwhile",
-		`400 {"error":"1 faults","faults":["kenya: wrong"]}`: "2 kenya: wrong", `503 {}`: "4 no controller reachable",
+const quotaFile = `quotas {
+  organisation "kenya" {
+    limit {
+      accelerators = 8
+    }
+  }
+}
+`
+
+// A tree is applied on the base that was just read; faults and races are reported.
+func TestQuotaApplySendsBaseAndReportsRefusals(t *testing.T) {
+	name := write(t, quotaFile)
+	const request = `POST /quota {"base":7,"quotas":{"organisations":[` +
+		`{"name":"kenya","limit":{"accelerators":8}}]}}`
+	for title, c := range map[string]struct {
+		answer string
+		code   int
+		text   string
+	}{
+		"in force":               {`200 {"number":8}`, ExitDone, "tree 8 is in force"},
+		"another tree meanwhile": {`409 {"number":8}`, ExitUsage, "another tree was put in force meanwhile"},
+		"faults":                 {`400 {"error":"1 faults","faults":["kenya: wrong"]}`, ExitUsage, "kenya: wrong"},
+		"unavailable":            {`503 {}`, ExitUnreachable, "no controller reachable"},
 	} {
-		f := &front{answers: []string{`200 {"number":7,"nodes":[]}`, answer}}
-		code, out, note := play(t, f, 0, "quota", "apply", name, "--yes", "--server", "a:1")
-		if got := fmt.Sprint(
-			code,
-			" ",
-			out,
-			note,
-		); !strings.Contains(got, strings.TrimPrefix(want, want[:2])) ||
-			code != int(want[0]-'0') {
-			t.Errorf("%s: %s", answer, got)
-		}
-		if !strings.HasPrefix(
-			f.asked[1],
-			`POST /quota {"base":7,"quotas":{"organisations":[{"name":"kenya","limit":{"accelerators":8}}]}}`,
-		) {
-			t.Error(f.asked[1])
-		}
-	}
-	f := &front{
-		answers: []string{
-			`200 {"number":7}`,
-			`200 {"number":7,"over":[{"path":"kenya","by":{"accelerators":2}}],"stops":[{"task":"wk-1/0","path":"kenya"}]}`,
-		},
+		t.Run(title, func(t *testing.T) {
+			f := &fakeController{answers: []string{`200 {"number":7,"nodes":[]}`, c.answer}}
+			code, out, note := execute(t, f, 0, "quota", "apply", name, "--yes", "--server", "a:1")
+			if code != c.code || !strings.Contains(out+note, c.text) {
+				t.Errorf("ends with %d: %s%s; want %d: %s", code, out, note, c.code, c.text)
+			}
+			if !strings.HasPrefix(f.requests[1], request) {
+				t.Error(f.requests[1])
+			}
+		})
 	}
-	code, out, _ := play(t, f, 0, "quota", "apply", name, "--dry-run", "--server", "a:1")
-	if code != 0 || !strings.Contains(out, "kenya would be over its limit by 2g\nwk-1/0 would be stopped for kenya") ||
-		!strings.Contains(f.asked[1], `"dry_run":true`) {
-		t.Error(code, out, f.asked)
+}
+
+func TestQuotaDryRunShowsOverLimitAndStops(t *testing.T) {
+	f := &fakeController{answers: []string{
+		`200 {"number":7}`,
+		`200 {"number":7,"over":[{"path":"kenya","by":{"accelerators":2}}],` +
+			`"stops":[{"task":"wk-1/0","path":"kenya"}]}`,
+	}}
+	code, out, _ := execute(t, f, 0, "quota", "apply", write(t, quotaFile), "--dry-run", "--server", "a:1")
+	if code != 0 ||
+		!strings.Contains(out, "kenya would be over its limit by 2g\nwk-1/0 would be stopped for kenya") ||
+		!strings.Contains(f.requests[1], `"dry_run":true`) {
+		t.Error(code, out, f.requests)
 	}
 }
 
-// What is submitted without a uid gets one of the protocol's form, and goes out with every
-// field that a submission has to have, also those that the file leaves out.
-func TestSubmitted(t *testing.T) {
-	f := &front{answers: []string{`201 {"uid":"wk-1","status":"pending"}`}}
-	play(
-		t,
-		f,
-		0,
-		"submit",
-		write(
-			t,
-			`{"owner":"t","shape":"standing","rank":"prod","jobclass":"c","pieces":2,"cores":1,"memory_gb":1,"bundle":"b","scatter":true}`,
-		),
-		"--server",
-		"a:1",
-	)
+// What is submitted without a job ID gets one of the protocol's form, and goes out with
+// every field that a submission has to have, also those that the file leaves out.
+func TestSubmitSendsRandomIDAndAllFields(t *testing.T) {
+	f := &fakeController{answers: []string{`201 {"uid":"wk-1","status":"pending"}`}}
+	name := write(t, `{"owner":"t","shape":"standing","rank":"prod","jobclass":"c","pieces":2,`+
+		`"cores":1,"memory_gb":1,"bundle":"b","scatter":true}`)
+	execute(t, f, 0, "submit", name, "--server", "a:1")
+	body := []byte(strings.TrimPrefix(f.requests[0], "POST /work "))
 	var sent struct {
 		UID     string
 		Scatter bool
 	}
-	if err := json.Unmarshal(
-		[]byte(strings.TrimPrefix(f.asked[0], "POST /work ")),
-		&sent,
-	); err != nil || len(sent.UID) != 21 ||
-		!sent.Scatter {
-		t.Errorf("%v %+v", err, f.asked)
+	if err := json.Unmarshal(body, &sent); err != nil || len(sent.UID) != 21 || !sent.Scatter {
+		t.Errorf("%v %+v", err, f.requests)
 	}
-	if _, err := jobs.ParseSpec([]byte(strings.TrimPrefix(f.asked[0], "POST /work "))); err != nil {
-		t.Errorf("%v %+v", err, f.asked)
+	if _, err := jobs.ParseSpec(body); err != nil {
+		t.Errorf("%v %+v", err, f.requests)
 	}
 }
--- a/internal/cli/golden_test.go
+++ b/internal/cli/golden_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"fmt"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -17,14 +18,27 @@
 	"github.com/harrierreel/harrierreel/internal/quota"
 )
 
+// everyStepState is in the order in which the golden files hold the steps.
+var everyStepState = []pipelines.StepState{
+	pipelines.Waiting,
+	pipelines.Ready,
+	pipelines.Submitted,
+	pipelines.Running,
+	pipelines.Succeeded,
+	pipelines.Failed,
+	pipelines.Skipped,
+	pipelines.Cancelling,
+	pipelines.Cancelled,
+}
+
 // goldenRun is a run's status with a step in each state.
-func goldenRun(t *testing.T, state pipelines.RunState) string {
+func goldenRun(t *testing.T, runState pipelines.RunState) string {
 	t.Helper()
-	s := pipelines.Status{ID: "run-x", Name: "release", Owner: "team", Status: state, TookS: 12.5}
-	for i, x := range []pipelines.StepState{pipelines.Waiting, pipelines.Ready, pipelines.Submitted, pipelines.Running, pipelines.Succeeded, pipelines.Failed, pipelines.Skipped, pipelines.Cancelling, pipelines.Cancelled} {
+	s := pipelines.Status{ID: "run-x", Name: "release", Owner: "team", Status: runState, TookS: 12.5}
+	for i, state := range everyStepState {
 		step := pipelines.StepStatus{
 			Name:    fmt.Sprint("s", i),
-			Status:  x,
+			Status:  state,
 			Job:     fmt.Sprintf("wk-%06d", i),
 			Repeat:  i % 2,
 			Tasks:   4,
@@ -33,8 +47,10 @@
 			TookS:   float64(i) / 2,
 			Explain: "because",
 		}
-		if x == pipelines.Failed {
-			step.Why, step.AllowFailure, step.Needs = pipelines.TimedOut, true, []string{"s1", "s2"}
+		if state == pipelines.Failed {
+			step.Why = pipelines.TimedOut
+			step.AllowFailure = true
+			step.Needs = []string{"s1", "s2"}
 		}
 		s.Steps = append(s.Steps, step)
 	}
@@ -42,89 +58,118 @@
 	return "200 " + string(s.Encode())
 }
 
-// Every verb sends what it sent, and prints and ends as it did, byte for byte.
-func TestGoldenVerbs(t *testing.T) {
-	const at = "testdata/golden/"
-	bound := quota.Bounds{Cores: 1.5, Accelerators: 2, MemoryGB: 3}
-	tree := "200 " + string(quota.EncodeTree(7, []quota.View{
-		{Kind: "root", Used: bound, Weight: 1},
+var goldenBounds = quota.Bounds{Cores: 1.5, Accelerators: 2, MemoryGB: 3}
+
+// goldenTree is an answer with a tree of quotas with every field filled.
+func goldenTree() string {
+	return "200 " + string(quota.EncodeTree(7, []quota.View{
+		{Kind: "root", Used: goldenBounds, Weight: 1},
 		{
 			Path:       "kenya",
 			Kind:       quota.Organisation,
 			Depth:      1,
-			Used:       bound,
-			Guaranteed: bound,
-			Limit:      bound,
-			Borrowed:   bound,
-			Lent:       bound,
+			Used:       goldenBounds,
+			Guaranteed: goldenBounds,
+			Limit:      goldenBounds,
+			Borrowed:   goldenBounds,
+			Lent:       goldenBounds,
 			Weight:     2,
 			Waiting:    3,
 			Why:        "at its limit",
 		},
 	}))
-	preview := "200 " + string(
-		jobs.Encode(
-			quota.Preview{
-				Number: 7,
-				Over:   []quota.Over{{Path: "kenya", By: bound}},
-				Stops:  []quota.PreviewStop{{Task: "wk-000001/0", Path: "kenya"}},
-			},
-		),
-	)
+}
+
+// goldenPreview is an answer about a tree that would put a path over its limit.
+func goldenPreview() string {
+	return "200 " + string(jobs.Encode(quota.Preview{
+		Number: 7,
+		Over:   []quota.Over{{Path: "kenya", By: goldenBounds}},
+		Stops:  []quota.PreviewStop{{Task: "wk-000001/0", Path: "kenya"}},
+	}))
+}
+
+// goldenCase is a command line and a controller's answers to its requests.
+type goldenCase struct {
+	args    string
+	answers []string
+}
+
+func goldenJobCases() []goldenCase {
 	const (
-		late    = `200 {"uid":"wk-000001","status":"running","done":1,"running":2,"late":"its deadline passed 3 s ago with 2 tasks left"}`
+		late = `200 {"uid":"wk-000001","status":"running","done":1,"running":2,` +
+			`"late":"its deadline passed 3 s ago with 2 tasks left"}`
 		plain   = `201 {"uid":"wk-000001","status":"pending"}`
 		done    = `200 {"uid":"wk-000001","status":"done","done":4,"running":0}`
 		stopped = `200 {"uid":"wk-000001","status":"cancelled","done":1,"running":0}`
-		never   = `422 {"error":"steps that can never run","faults":[{"path":"steps[1]","want":"can never run: unknown team"},{"path":"steps[0].cores","want":"no","at_name":true}]}`
 	)
-	live, failed := goldenRun(t, pipelines.RunLive), goldenRun(t, pipelines.RunFailed)
-	var out bytes.Buffer
-	for _, c := range []struct {
-		args    string
-		answers []string
-	}{
-		{"submit " + at + "job.yaml", []string{plain}},
-		{"submit " + at + "job.yaml --wait", []string{plain, late, done}},
-		{"submit " + at + "job.yaml", []string{`422 {"error":"unknown team"}`}},
-		{"submit " + at + "job-faults.yaml", nil},
+	return []goldenCase{
+		{"submit testdata/golden/job.yaml", []string{plain}},
+		{"submit testdata/golden/job.yaml --wait", []string{plain, late, done}},
+		{"submit testdata/golden/job.yaml", []string{`422 {"error":"unknown team"}`}},
+		{"submit testdata/golden/job-faults.yaml", nil},
 		{"status wk-000001 wk-000002", []string{late, plain}},
 		{"status wk-000001", []string{`404 {"error":"no such job"}`}},
 		{"cancel wk-000001", []string{stopped}},
 		{"wait wk-000001", []string{late, stopped}},
-		{"pipeline check " + at + "pipeline.yaml", nil},
-		{"pipeline check " + at + "pipeline-faults.yaml", nil},
-		{"pipeline run " + at + "pipeline.yaml --id run-x", []string{live, live, failed}},
-		{"pipeline run " + at + "pipeline.yaml --id run-x --detach", []string{live}},
-		{"pipeline run " + at + "pipeline.yaml --id run-x", []string{never}},
-		{"pipeline run " + at + "pipeline.yaml --id run-x", []string{`409 {"error":"another pipeline has this id"}`}},
+	}
+}
+
+func goldenPipelineCases(t *testing.T) []goldenCase {
+	t.Helper()
+	const never = `422 {"error":"steps that can never run","faults":[` +
+		`{"path":"steps[1]","want":"can never run: unknown team"},` +
+		`{"path":"steps[0].cores","want":"no","at_name":true}]}`
+	live := goldenRun(t, pipelines.RunLive)
+	failed := goldenRun(t, pipelines.RunFailed)
+	return []goldenCase{
+		{"pipeline check testdata/golden/pipeline.yaml", nil},
+		{"pipeline check testdata/golden/pipeline-faults.yaml", nil},
+		{"pipeline run testdata/golden/pipeline.yaml --id run-x", []string{live, live, failed}},
+		{"pipeline run testdata/golden/pipeline.yaml --id run-x --detach", []string{live}},
+		{"pipeline run testdata/golden/pipeline.yaml --id run-x", []string{never}},
+		{"pipeline run testdata/golden/pipeline.yaml --id run-x", []string{`409 {"error":"another pipeline has this id"}`}},
 		{"pipeline status run-x", []string{live}},
 		{"pipeline status run-x --wait", []string{live, failed}},
 		{"pipeline explain run-x", []string{live}},
 		{"pipeline cancel run-x", []string{goldenRun(t, pipelines.RunCancelled)}},
 		{"pipeline cancel run-x", []string{`404 {"error":"no such run"}`}},
+	}
+}
+
+func goldenOperatorCases() []goldenCase {
+	const faults = `400 {"error":"2 faults in the quotas","faults":["kenya: wrong","italia: wrong"]}`
+	tree := goldenTree()
+	preview := goldenPreview()
+	return []goldenCase{
 		{"quota show", []string{tree}},
 		{"quota show", []string{`404 {"error":"no such path"}`}},
-		{"quota apply " + at + "quotas.hcl --dry-run", []string{tree, preview}},
-		{"quota apply " + at + "quotas.hcl --dry-run", []string{tree, `200 {"number":7}`}},
-		{"quota apply " + at + "quotas.hcl --yes", []string{tree, `200 {"number":8}`}},
-		{"quota apply " + at + "quotas.hcl --yes", []string{tree, `409 {"number":8}`}},
-		{"quota apply " + at + "quotas.hcl --yes", []string{tree, `400 {"error":"2 faults in the quotas","faults":["kenya: wrong","italia: wrong"]}`}},
-		{"quota apply " + at + "quotas.hcl --yes", []string{tree, `413 {"error":"too long"}`}},
-		{"quota apply " + at + "calendar.hcl --yes", nil},
-		{"calendar plan " + at + "calendar.hcl --from 2026-03-28 --days 2", nil},
-		{"calendar plan " + at + "quotas.hcl --from 2026-03-28 --days 2", nil},
-	} {
+		{"quota apply testdata/golden/quotas.hcl --dry-run", []string{tree, preview}},
+		{"quota apply testdata/golden/quotas.hcl --dry-run", []string{tree, `200 {"number":7}`}},
+		{"quota apply testdata/golden/quotas.hcl --yes", []string{tree, `200 {"number":8}`}},
+		{"quota apply testdata/golden/quotas.hcl --yes", []string{tree, `409 {"number":8}`}},
+		{"quota apply testdata/golden/quotas.hcl --yes", []string{tree, faults}},
+		{"quota apply testdata/golden/quotas.hcl --yes", []string{tree, `413 {"error":"too long"}`}},
+		{"quota apply testdata/golden/calendar.hcl --yes", nil},
+		{"calendar plan testdata/golden/calendar.hcl --from 2026-03-28 --days 2", nil},
+		{"calendar plan testdata/golden/quotas.hcl --from 2026-03-28 --days 2", nil},
+	}
+}
+
+// Every verb sends what it sent, and prints and ends as it did, byte for byte.
+func TestGoldenVerbs(t *testing.T) {
+	var out bytes.Buffer
+	for _, c := range slices.Concat(goldenJobCases(), goldenPipelineCases(t), goldenOperatorCases()) {
 		for _, form := range []string{"text", "json"} {
 			args := strings.Fields(c.args)
 			if args[0] != "calendar" && !strings.HasPrefix(c.args, "pipeline check") {
 				args = append(args, "--server", "a:1")
 			}
-			f := &front{answers: c.answers}
-			code, printed, note := play(t, f, 0, append(args, "-o", form)...)
+			f := &fakeController{answers: c.answers}
+			code, printed, note := execute(t, f, 0, append(args, "-o", form)...)
 			fmt.Fprintf(&out, "## %s, as %s: ends with %d\n", c.args, form, code)
-			for _, asked := range f.asked {
-				fmt.Fprintf(&out, "asked: %s\n", asked)
+			for _, request := range f.requests {
+				fmt.Fprintf(&out, "asked: %s\n", request)
 			}
 			fmt.Fprintf(&out, "printed:\n%snoted:\n%s\n\n", printed, note)
 		}
@@ -132,14 +177,14 @@
 	goldentest.Bytes(t, "verbs.txt", out.Bytes())
 }
 
-// What a terminal is drawn keeps.
+// What is drawn on a terminal stays, byte for byte.
 func TestGoldenTable(t *testing.T) {
-	f := &front{answers: []string{goldenRun(t, pipelines.RunLive), goldenRun(t, pipelines.RunSucceeded)}}
-	_, out, _ := play(t, f, 12, "pipeline", "run", "testdata/golden/pipeline.yaml", "--id", "run-x", "--server", "a:1")
+	f := &fakeController{answers: []string{goldenRun(t, pipelines.RunLive), goldenRun(t, pipelines.RunSucceeded)}}
+	_, out, _ := execute(t, f, 12, "pipeline", "run", "testdata/golden/pipeline.yaml", "--id", "run-x", "--server", "a:1")
 	goldentest.Bytes(t, "drawn.txt", []byte(out))
 }
 
-// The verbs, their flags and their help keep.
+// The verbs, their flags and their help stay, byte for byte.
 func TestGoldenHelp(t *testing.T) {
 	t.Setenv("HARRIERREEL_SERVER", "")
 	var out bytes.Buffer
@@ -157,13 +202,14 @@
 	goldentest.Bytes(t, "help.txt", out.Bytes())
 }
 
-// A client asks one controller after the other, and says so, as ever.
+// A client tries one controller after the other, and says so, as ever.
 func TestGoldenClient(t *testing.T) {
 	var out bytes.Buffer
 	for _, status := range []int{200, 201, 400, 404, 405, 409, 413, 421, 422, 429, 500, 503, 504} {
 		c := client.New([]string{"a:1", "b:2"}, 3*time.Second)
 		now := time.Unix(0, 0)
-		c.Now, c.Sleep = func() time.Time { return now }, func(d time.Duration) { now = now.Add(d) }
+		c.Now = func() time.Time { return now }
+		c.Sleep = func(d time.Duration) { now = now.Add(d) }
 		c.Note = func(what string) { fmt.Fprintf(&out, "  %s\n", what) }
 		c.Do = func(server, method, target string, body []byte) (*http1.Message, error) {
 			fmt.Fprintf(&out, "  %s: %s %s %s\n", server, method, target, body)
--- a/internal/cli/rollout_test.go
+++ b/internal/cli/rollout_test.go
@@ -13,6 +13,23 @@
 	return rollout.Plan{Leader: "n0", Epoch: epoch, Order: []string{"n1", "n0"}}
 }
 
+// waitOnPlans waits for n1 on a clock that does not wait, and gives the seconds it took and
+// how many reasons were reported.
+func waitOnPlans(planAt func(second int) rollout.Plan) (elapsed, notes int, err error) {
+	now := time.Unix(0, 0)
+	wait := rolloutWait{
+		name:      "n1",
+		plan:      func() (rollout.Plan, error) { return planAt(int(now.Unix())), nil },
+		stableFor: 10 * time.Second,
+		patience:  60 * time.Second,
+		now:       func() time.Time { return now },
+		sleep:     func(d time.Duration) { now = now.Add(d) },
+		progress:  func(string) { notes++ },
+	}
+	err = wait.run()
+	return int(now.Unix()), notes, err
+}
+
 // A wait ends once nothing has stood against it for long enough under one view; a view
 // that changes begins it anew, and without an end it says why.
 func TestRolloutWaitEndsAfterStableView(t *testing.T) {
@@ -54,18 +71,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			now := time.Unix(0, 0)
-			notes := 0
-			wait := rolloutWait{
-				name:      "n1",
-				plan:      func() (rollout.Plan, error) { return c.planAt(int(now.Unix())), nil },
-				stableFor: 10 * time.Second,
-				patience:  60 * time.Second,
-				now:       func() time.Time { return now },
-				sleep:     func(d time.Duration) { now = now.Add(d) },
-				progress:  func(string) { notes++ },
-			}
-			err := wait.run()
+			elapsed, notes, err := waitOnPlans(c.planAt)
 			if c.duration < 0 {
 				var exit *Exit
 				if !errors.As(err, &exit) || exit.Code != ExitNotYet || exit.Text != c.reason || notes > 1 {
@@ -73,23 +79,24 @@
 				}
 				return
 			}
-			if err != nil || int(now.Unix()) != c.duration {
-				t.Errorf("ends with %v after %d s, want %d s", err, now.Unix(), c.duration)
+			if err != nil || elapsed != c.duration {
+				t.Errorf("ends with %v after %d s, want %d s", err, elapsed, c.duration)
 			}
 		})
 	}
-	t.Run("plan cannot be read", func(t *testing.T) {
-		unreadable := errors.New("gone")
-		wait := rolloutWait{
-			name:     "n1",
-			plan:     func() (rollout.Plan, error) { return rollout.Plan{}, unreadable },
-			patience: time.Second,
-			now:      time.Now,
-			sleep:    func(time.Duration) {},
-			progress: func(string) {},
-		}
-		if err := wait.run(); !errors.Is(err, unreadable) {
-			t.Errorf("ends with %v, want %v", err, unreadable)
-		}
-	})
+}
+
+func TestRolloutWaitReturnsErrorOfPlan(t *testing.T) {
+	unreadable := errors.New("gone")
+	wait := rolloutWait{
+		name:     "n1",
+		plan:     func() (rollout.Plan, error) { return rollout.Plan{}, unreadable },
+		patience: time.Second,
+		now:      time.Now,
+		sleep:    func(time.Duration) {},
+		progress: func(string) {},
+	}
+	if err := wait.run(); !errors.Is(err, unreadable) {
+		t.Errorf("ends with %v, want %v", err, unreadable)
+	}
 }
