--- a/internal/lending/ledger.go
+++ b/internal/lending/ledger.go
@@ -1,67 +1,462 @@
 package lending
 
 import (
+	"cmp"
 	"encoding/json"
-	"fmt"
+	"log/slog"
+	"maps"
 	"slices"
-	"strconv"
 	"time"
 
+	"github.com/harrierreel/harrierreel/internal/clusterstate"
+	"github.com/harrierreel/harrierreel/internal/decide"
+	"github.com/harrierreel/harrierreel/internal/fleet"
 	"github.com/harrierreel/harrierreel/internal/jobs"
+	"github.com/harrierreel/harrierreel/internal/quota"
+	"github.com/harrierreel/harrierreel/internal/sharding"
+	"github.com/harrierreel/harrierreel/internal/store"
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Prefix is the prefix of the sheets in the state service.
-const Prefix = "loan/"
+// Env is what the keeper is told from outside.
+type Env struct {
+	Limit int // bytes of a value of the shared state
+	// Again: a job that lent is left alone for so long.
+	Again time.Duration
+	// ByPriority: where nobody can lend, PROTOCOL's preemption by rank goes on as without
+	// lending, below guarantees too.
+	ByPriority bool
+	Log        *slog.Logger
+	// Busy tells whether a record is under a transaction.
+	Busy func(key string) bool
+	// Ready tells whether a machine is heard and takes new tasks.
+	Ready func(m *clusterstate.Machine) bool
+	// Begins tells whether a job's work may begin now by the calendar; nil: all may.
+	Begins func(s *jobs.Spec) bool
+	// Elsewhere tells whether a replica finds room with its image on another machine.
+	Elsewhere func(t *clusterstate.Task) bool
+}
+
+// Ledger is the leader's keeping of loans. What it keeps follows from the records: a
+// new leader has the sheets and looks at each loan anew.
+type Ledger struct {
+	*clusterstate.State
+	Env
+
+	records  map[int]*LoanRecord // as stored; nil for one that cannot be read
+	ahead    map[int]ahead       // loans that have come further than what is stored
+	taken    map[int]bool        // sheets written by this look
+	asking   map[string]int      // tasks asked for by this look, by job
+	nextID   int
+	counted  Counts
+	loggedAt time.Time
+}
+
+// ahead is how far a loan has come since it was stored.
+type ahead struct {
+	from, to Loan
+	at       time.Time
+}
+
+// Counts is what has happened to loans under this leader, for the log.
+type Counts struct {
+	Asked, Lent, CalledBack, Returned, BrokenOff int
+	Taken, Given, Lost                           float64 // accelerators: taken, given back, gone with their machines
+	Spared                                       int     // looks that found a lender only among those that lent of late
+}
+
+// NewLedger makes the keeping of loans over a book.
+func NewLedger(b *clusterstate.State, env Env) *Ledger {
+	return &Ledger{
+		State:   b,
+		Env:     env,
+		records: map[int]*LoanRecord{},
+		ahead:   map[int]ahead{},
+		taken:   map[int]bool{},
+		asking:  map[string]int{},
+	}
+}
+
+// ApplyRecord takes a sheet in, nil for one that is gone. One that cannot be read is told
+// and set aside: its loans are left alone and nothing is written over it.
+func (k *Ledger) ApplyRecord(key string, value json.RawMessage) {
+	n, ok := RecordNumber(key)
+	if !ok {
+		return
+	}
+	if value == nil {
+		delete(k.records, n)
+		return
+	}
+	s, err := Decode(value)
+	if err != nil {
+		k.Log.Error("unreadable loans set aside", "key", key, "error", err)
+	}
+	k.records[n] = s
+	if s != nil {
+		for _, l := range s.Loans {
+			k.nextID = max(k.nextID, l.ID+1)
+		}
+	}
+}
+
+// Loans lists the loans by age, as far as they have come.
+func (k *Ledger) Loans() []Loan {
+	var out []Loan
+	for _, n := range sortedKeys(k.records) {
+		if s := k.records[n]; s != nil {
+			for _, l := range s.Loans {
+				out = append(out, k.now(l))
+			}
+		}
+	}
+	slices.SortFunc(out, func(a, b Loan) int { return cmp.Or(cmp.Compare(a.BeganMs, b.BeganMs), cmp.Compare(a.ID, b.ID)) })
+	return out
+}
+
+// come is how far a loan has come since it was stored as it is, if it has.
+func (k *Ledger) come(l Loan) (ahead, bool) {
+	a, ok := k.ahead[l.ID]
+	return a, ok && a.from.State == l.State && a.from.SinceMs == l.SinceMs && a.from.FreeMs == l.FreeMs
+}
+
+// now is a stored loan as far as it has come.
+func (k *Ledger) now(l Loan) Loan {
+	if a, ok := k.come(l); ok {
+		return a.to
+	}
+	return l
+}
+
+// facts is what the records say about a loan.
+func (k *Ledger) facts(l *Loan) Facts {
+	f := Facts{NowMs: k.NowMs()}
+	m := k.Machines[l.Machine]
+	f.Gone = m == nil || m.State == fleet.Deleting || m.State == fleet.Deleted
+	f.Doubtful = !f.Gone && (m.State == fleet.Warned || m.State == fleet.Faulty)
+	if j := k.Jobs[l.Job]; j != nil {
+		t := j.Active[l.TaskIndex]
+		_, booked := k.Reservations[jobs.TaskID(l.Job, l.TaskIndex)]
+		f.On = t != nil && t.OnMachine() && t.Machine == l.Machine
+		f.Coming = t != nil && t.State == jobs.Released && t.PreferredMachine == l.Machine ||
+			booked && k.Reservations[jobs.TaskID(l.Job, l.TaskIndex)].Machine == l.Machine
+		f.Waits = t == nil && !booked && k.begins(j) && l.TaskIndex < j.Record.Spec.TaskCount
+	}
+	for _, s := range l.From {
+		j := k.Jobs[s.Job]
+		if j == nil {
+			continue
+		}
+		f.LenderWaits = f.LenderWaits || k.begins(j) && k.Queued[s.Job] == j
+		for _, t := range k.TasksOnMachine[l.Machine] {
+			if t.Job == j {
+				f.Leaving = f.Leaving || t.State == jobs.Stopping
+				f.LenderBack = f.LenderBack || t.State == jobs.Placed && l.FreeMs > 0 && t.Since.UnixMilli() >= l.FreeMs
+			}
+		}
+	}
+	return f
+}
+
+func live(j *clusterstate.Job) bool { return j.Record != nil && j.Record.State == jobs.Live }
+
+// begins tells whether a job's work may begin now. While its window is shut, or is only
+// about to open, no room is kept for it and no replica called back: it could not come,
+// and what it needs at its opening is prepared by the queue.
+func (k *Ledger) begins(j *clusterstate.Job) bool {
+	return live(j) && (k.Begins == nil || k.Begins(&j.Record.Spec))
+}
+
+// Reconcile brings every loan as far as the records say, and returns what is to be written
+// and whom to call back. waits tells whether a job found no room in the last look at
+// the queue.
+func (k *Ledger) Reconcile(account *quota.Account, waits func(jobID string) bool) []decide.Decision {
+	clear(k.taken)
+	clear(k.asking)
+	stored := map[int]bool{}
+	for _, n := range sortedKeys(k.records) {
+		if k.records[n] == nil {
+			continue
+		}
+		for _, l := range k.records[n].Loans {
+			stored[l.ID] = true
+			k.step(l)
+		}
+	}
+	for id := range k.ahead {
+		if !stored[id] {
+			delete(k.ahead, id)
+		}
+	}
+	ds := k.callBack(account, waits)
+	for _, n := range sortedKeys(k.records) {
+		if d, ok := k.save(n); ok {
+			ds = append(ds, d)
+		}
+	}
+	k.logCounts()
+	return ds
+}
+
+// step looks at one loan.
+func (k *Ledger) step(stored Loan) {
+	l := k.now(stored)
+	f := k.facts(&l)
+	for moved := true; moved; {
+		was := l.State
+		if l, moved = Next(l, Observe, f); moved {
+			k.note(stored, l)
+			k.count(was, &l)
+		}
+	}
+}
+
+// note keeps how far a loan has come until it is stored.
+func (k *Ledger) note(stored, l Loan) {
+	at := k.Now
+	if a, ok := k.come(stored); ok {
+		at = a.at
+	}
+	k.ahead[l.ID] = ahead{stored, l, at}
+}
+
+// count notes a loan's new state.
+func (k *Ledger) count(was State, l *Loan) {
+	if was == l.State {
+		return
+	}
+	switch l.State {
+	case Asked:
+		k.counted.Asked++
+		k.counted.Taken += l.GPUs
+	case Lent:
+		k.counted.Lent++
+	case CalledBack:
+		k.counted.CalledBack++
+	case Returned:
+		k.counted.Returned++
+		k.counted.Given += l.GPUs
+	case BrokenOff:
+		k.counted.BrokenOff++
+		k.counted.Lost += l.GPUs
+	case Wanted, Vacated:
+	}
+	k.Log.Debug("loan",
+		"id", l.ID, "state", string(l.State), "for", jobs.TaskID(l.Job, l.TaskIndex), "machine", l.Machine,
+		"from", l.From[0].Job, "gpus", l.GPUs, "why", l.Why)
+}
+
+// Counts is what has been counted so far.
+func (k *Ledger) Counts() Counts { return k.counted }
+
+// logCounts tells the counts once a minute, if any loan was asked for.
+func (k *Ledger) logCounts() {
+	if k.Now.Sub(k.loggedAt) < tuning.LoanLogEvery {
+		return
+	}
+	k.loggedAt = k.Now
+	if c := k.counted; c != (Counts{}) {
+		k.Log.Info("loans",
+			"asked", c.Asked, "lent", c.Lent, "called_back", c.CalledBack, "returned", c.Returned,
+			"broken_off", c.BrokenOff, "gpus_taken", c.Taken, "gpus_given", c.Given, "gpus_gone", c.Lost,
+			"spared", c.Spared)
+	}
+}
+
+// sheet is what a sheet would be with all loans as far as they have come.
+func (k *Ledger) sheet(n int) *LoanRecord {
+	out := &LoanRecord{}
+	if s := k.records[n]; s != nil {
+		for _, l := range s.Loans {
+			out.Loans = append(out.Loans, k.now(l))
+		}
+	}
+	return out.without(k.NowMs(), k.Again)
+}
+
+// write is the record of a sheet. It is conditional on the version that is known, as
+// every write is, so an old leader's sheet comes to nothing.
+func (k *Ledger) write(n int, s *LoanRecord) store.Write {
+	k.taken[n] = true
+	if len(s.Loans) == 0 {
+		return decide.Remove(RecordKey(n))
+	}
+	return decide.Put(RecordKey(n), s)
+}
+
+// save is the decision that stores what has changed on a sheet: gathered for a while,
+// since every step is found again from the records.
+func (k *Ledger) save(n int) (decide.Decision, bool) {
+	s := k.records[n]
+	if s == nil || k.taken[n] || k.Busy(RecordKey(n)) {
+		return decide.Decision{}, false
+	}
+	due := false
+	for _, l := range s.Loans {
+		a, changed := k.come(l)
+		due = due || changed && k.Now.Sub(a.at) >= tuning.LoanSave ||
+			l.State.Over() && k.NowMs()-l.BeganMs > (k.Again+tuning.LoanLogEvery).Milliseconds()
+	}
+	if !due {
+		return decide.Decision{}, false
+	}
+	return decide.Decision{Writes: []store.Write{k.write(n, k.sheet(n))}}, true
+}
+
+// open is a sheet that takes another loan now.
+func (k *Ledger) open() (int, bool) {
+	for n := range tuning.LoanRecords {
+		s, known := k.records[n]
+		if known && s == nil || k.taken[n] || k.Busy(RecordKey(n)) {
+			continue
+		}
+		if k.sheet(n).fits(k.Limit) {
+			return n, true
+		}
+	}
+	return 0, false
+}
 
-// LoanRecord is one value of the shared state: many loans, so that a change of several is
-// one. A loan stays on the sheet on which it began.
-type LoanRecord struct {
-	Loans []Loan `json:"l"`
+// lent is how many tasks each job has lent of late.
+func (k *Ledger) lent() map[string]int {
+	out := maps.Clone(k.asking)
+	for _, l := range k.Loans() {
+		if k.NowMs()-l.BeganMs < k.Again.Milliseconds() {
+			for _, f := range l.From {
+				out[f.Job] += f.Tasks
+			}
+		}
+	}
+	return out
 }
 
-// RecordKey is the key of a sheet.
-func RecordKey(sheet int) string { return Prefix + strconv.Itoa(sheet) }
+// most is how many of a job's tasks may be lent in the time that a job is left alone
+// for: all of a gang or one task alone, once; of a sweep, whose tasks do not need one
+// another, a share.
+func most(spec *jobs.Spec) int {
+	if spec.Kind != jobs.JobArray {
+		return 1
+	}
+	return max(1, int(tuning.SweepLends*float64(spec.TaskCount)))
+}
 
-// RecordNumber is the inverse of Key; false for a key that none has.
-func RecordNumber(key string) (int, bool) {
-	if len(key) <= len(Prefix) || key[:len(Prefix)] != Prefix {
-		return 0, false
+// For is the loan that makes room for a replica, if there is one.
+func (k *Ledger) For(jobID string, n int) (Loan, bool) {
+	for _, l := range k.Loans() {
+		if l.Job == jobID && l.TaskIndex == n && l.ForBorrower() {
+			return l, true
+		}
 	}
-	n, err := strconv.Atoi(key[len(Prefix):])
-	return n, err == nil && n >= 0 && n < tuning.LoanRecords && RecordKey(n) == key
+	return Loan{}, false
 }
 
-// Decode reads a sheet and checks it. An error names the first fault.
-func Decode(b []byte) (*LoanRecord, error) {
-	var s LoanRecord
-	if err := json.Unmarshal(b, &s); err != nil {
-		return nil, err
+// Ask is the decision that begins a loan: its record and the stops of all that give,
+// gangs whole, in one transaction. False if nobody can give, or none can be kept.
+func (k *Ledger) Ask(s *Search) (decide.Decision, Plan, bool) {
+	n, ok := k.open()
+	if !ok {
+		return decide.Decision{}, Plan{}, false
+	}
+	lent := k.lent()
+	met := false
+	s.Spared = func(j *clusterstate.Job) bool {
+		spared := lent[j.ID] >= most(&j.Record.Spec)
+		met = met || spared
+		return spared
+	}
+	s.Busy, s.Now = k.Busy, k.Now
+	s.Known = func(m *clusterstate.Machine) bool { return k.Ready(m) }
+	plan, ok := Choose(k.State, s)
+	if !ok && plan.Machine != "" {
+		plan.From = k.gangLeaves(plan.Machine, s.Task.Job.Record.Spec.Accelerators)
 	}
-	seen := map[int]bool{}
-	for i := range s.Loans {
-		l := &s.Loans[i]
-		switch l.State {
-		case Asked, Vacated, Lent, CalledBack, Returned, BrokenOff:
-		default:
-			return nil, fmt.Errorf("loan %d has unknown state %q", l.ID, l.State)
+	if len(plan.From) == 0 {
+		if met {
+			k.counted.Spared++
 		}
-		if seen[l.ID] || l.Machine == "" || !jobs.ValidID(l.Job) || l.TaskIndex < 0 || l.GPUs < 0 || len(l.From) == 0 {
-			return nil, fmt.Errorf("loan %d is not whole", l.ID)
+		return decide.Decision{}, Plan{}, false
+	}
+	l := Loan{ID: k.nextID, Job: s.Task.Job.ID, TaskIndex: s.Task.Index, Machine: plan.Machine, From: plan.From}
+	for _, f := range plan.From {
+		l.GPUs += f.GPUs
+	}
+	l, _ = Next(l, Ask, Facts{NowMs: k.NowMs()})
+	d := decide.Decision{ReadSet: []string{jobs.JobPrefix + l.Job, fleet.MachinePrefix + l.Machine}}
+	for _, t := range plan.Tasks {
+		next, ok := jobs.NextTask(t.Task, jobs.TaskEvent{Kind: jobs.Stop, Reason: "lends its place to " + s.Task.ID})
+		if !ok {
+			return decide.Decision{}, Plan{}, false
 		}
-		seen[l.ID] = true
+		d.Changes = append(d.Changes, decide.Change{Task: t, Next: next})
 	}
-	return &s, nil
+	sheet := k.sheet(n)
+	sheet.Loans = append(sheet.Loans, l)
+	d.Writes = []store.Write{k.write(n, sheet)}
+	d.OnSettled = func(ok bool) {
+		if ok {
+			k.count(Wanted, &l)
+		}
+	}
+	for _, f := range plan.From {
+		k.asking[f.Job] += f.Tasks
+	}
+	k.nextID++
+	return d, plan, true
+}
+
+// gangLeaves is what gangs that lend have on a machine and are leaving: one that gave
+// whole for one replica gives its other machines to those that wait next.
+func (k *Ledger) gangLeaves(machine string, gpus float64) []Share {
+	for _, taskID := range clusterstate.SortedKeys(k.TasksOnMachine[machine]) {
+		t := k.TasksOnMachine[machine][taskID]
+		if t.State == jobs.Stopping && t.Job.Record != nil && t.Job.Record.Spec.IsGang() && k.lends(t.Job.ID) {
+			return []Share{{Job: t.Job.ID, GPUs: min(gpus, t.Job.Record.Spec.Accelerators)}}
+		}
+	}
+	return nil
 }
 
-// without drops the loans that are over and no longer remembered.
-func (s *LoanRecord) without(nowMs int64, again time.Duration) *LoanRecord {
-	return &LoanRecord{Loans: slices.DeleteFunc(slices.Clone(s.Loans), func(l Loan) bool {
-		return l.State.Over() && nowMs-l.BeganMs > again.Milliseconds()
-	})}
+// lends tells whether a job gave for a loan that is not over.
+func (k *Ledger) lends(jobID string) bool {
+	return slices.ContainsFunc(k.Loans(), func(l Loan) bool {
+		return !l.State.Over() && slices.ContainsFunc(l.From, func(s Share) bool { return s.Job == jobID })
+	})
 }
 
-// fits tells whether a sheet can take a loan more, and be changed after that.
-func (s *LoanRecord) fits(limit int) bool {
-	return len(s.Loans) < tuning.MaxLoansPerRecord && len(jobs.Encode(s)) < int(tuning.LoanRecordFillShare*float64(limit))
+// KeptRoom is room on a machine that is for one job's tasks only.
+type KeptRoom struct {
+	Job       string
+	Machine   string
+	Resources sharding.Resources
+	// TaskID is the replica that a room is for, none where it is a lender's.
+	TaskID string
+}
+
+// Rooms lists the rooms that are kept, in order of the loans: for replicas while their
+// room is made, then for a while for those that gave it.
+func (k *Ledger) Rooms() []KeptRoom {
+	var out []KeptRoom
+	for _, l := range k.Loans() {
+		if j := k.Jobs[l.Job]; l.ForBorrower() && j != nil && k.begins(j) && j.Active[l.TaskIndex] == nil &&
+			k.Machines[l.Machine] != nil {
+			out = append(out, KeptRoom{l.Job, l.Machine, j.Record.Spec.Resources(), jobs.TaskID(l.Job, l.TaskIndex)})
+		}
+		if !l.ForLender() || k.Machines[l.Machine] == nil {
+			continue
+		}
+		for _, s := range l.From {
+			j := k.Jobs[s.Job]
+			if j == nil || !k.begins(j) || k.Queued[s.Job] != j {
+				continue
+			}
+			need := j.Record.Spec.Resources()
+			for left := s.GPUs; left > 0 || left == s.GPUs; left -= need.Accelerators {
+				out = append(out, KeptRoom{s.Job, l.Machine, need, ""})
+				if need.Accelerators <= 0 {
+					break
+				}
+			}
+		}
+	}
+	return out
 }
--- a/internal/lending/loan.go
+++ b/internal/lending/loan.go
@@ -1,6 +1,6 @@
 // Package lending is GPUs that batch work and training lend to serving: who gives
 // (choose.go), how far each loan has come (loan.go), the leader's keeping of them in the
-// shared state (keeper.go, ledger.go). No IO, no clock.
+// shared state (ledger.go, loan_record.go). No IO, no clock.
 package lending
 
 import "github.com/harrierreel/harrierreel/internal/tuning"
