--- a/internal/lending/callback.go
+++ b/internal/lending/callback.go
@@ -12,8 +12,8 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// back is a replica that could be called back.
-type back struct {
+// recallCandidate is a replica that could be called back.
+type recallCandidate struct {
 	loan  Loan
 	task  *clusterstate.Task
 	place int // 0 if it finds a place with its image elsewhere, else 1
@@ -25,10 +25,10 @@
 // find a place with their image elsewhere, then where the fewest of its image are.
 func (k *Ledger) callBack(account *quota.Account, waits func(jobID string) bool) []decide.Decision {
 	var ds []decide.Decision
-	away := k.goneOfLate()
-	for _, b := range k.owedBack(account, waits, away) {
-		n, ok := k.recordOf(b.loan.ID)
-		if away[b.loan.Job] || !ok || k.taken[n] || k.Busy(RecordKey(n)) {
+	away := k.servicesWithRecall()
+	for _, b := range k.recallCandidates(account, waits, away) {
+		n, ok := k.recordNumberOf(b.loan.ID)
+		if away[b.loan.Job] || !ok || k.written[n] || k.Busy(RecordKey(n)) {
 			continue
 		}
 		next, ok := jobs.NextTask(
@@ -40,7 +40,7 @@
 			continue
 		}
 		away[l.Job] = true
-		sheet := k.sheet(n)
+		sheet := k.currentRecord(n)
 		for i := range sheet.Loans {
 			if sheet.Loans[i].ID == l.ID {
 				sheet.Loans[i] = l
@@ -50,7 +50,7 @@
 			ds,
 			decide.Decision{
 				Changes: decide.TransitionTask(b.task, next),
-				Writes:  []store.Write{k.write(n, sheet)},
+				Writes:  []store.Write{k.recordWrite(n, sheet)},
 				OnSettled: func(ok bool) {
 					if ok {
 						k.count(Lent, &l)
@@ -62,8 +62,8 @@
 	return ds
 }
 
-// goneOfLate is the services with a replica that goes or has just gone.
-func (k *Ledger) goneOfLate() map[string]bool {
+// servicesWithRecall is the services with a replica that goes or has just gone.
+func (k *Ledger) servicesWithRecall() map[string]bool {
 	away := map[string]bool{}
 	for _, l := range k.Loans() {
 		if l.State == CalledBack && l.FreeMs == 0 || l.FreeMs > 0 && k.NowMs()-l.FreeMs < tuning.CallGap.Milliseconds() {
@@ -73,19 +73,19 @@
 	return away
 }
 
-// owedBack lists the replicas that may be called back now, in the order in which they go.
-func (k *Ledger) owedBack(account *quota.Account, waits func(jobID string) bool, away map[string]bool) []back {
-	var out []back
+// recallCandidates lists the replicas that may be called back now, in the order in which they go.
+func (k *Ledger) recallCandidates(account *quota.Account, waits func(jobID string) bool, away map[string]bool) []recallCandidate {
+	var out []recallCandidate
 	for _, l := range k.Loans() {
 		j := k.Jobs[l.Job]
 		if l.State != Lent || away[l.Job] || j == nil || !live(j) || k.NowMs()-l.SinceMs < tuning.MinLoanTime.Milliseconds() {
 			continue
 		}
 		t := j.Active[l.TaskIndex]
-		if t == nil || t.State != jobs.Placed || k.Busy(t.Stored.Key) || !k.maySpare(j, t) || !k.owed(account, &l, j, waits) {
+		if t == nil || t.State != jobs.Placed || k.Busy(t.Stored.Key) || !k.canSpareReplica(j, t) || !k.lenderIsOwed(account, &l, j, waits) {
 			continue
 		}
-		b := back{loan: l, task: t, place: 1}
+		b := recallCandidate{loan: l, task: t, place: 1}
 		if k.Elsewhere(t) {
 			b.place = 0
 		}
@@ -98,13 +98,15 @@
 	}
 	slices.SortStableFunc(
 		out,
-		func(x, y back) int { return cmp.Or(cmp.Compare(x.place, y.place), cmp.Compare(x.same, y.same)) },
+		func(x, y recallCandidate) int {
+			return cmp.Or(cmp.Compare(x.place, y.place), cmp.Compare(x.same, y.same))
+		},
 	)
 	return out
 }
 
-// recordOf is the sheet that a loan is on.
-func (k *Ledger) recordOf(id int) (int, bool) {
+// recordNumberOf is the sheet that a loan is on.
+func (k *Ledger) recordNumberOf(id int) (int, bool) {
 	for n, s := range k.records {
 		if s != nil && slices.ContainsFunc(s.Loans, func(l Loan) bool { return l.ID == id }) {
 			return n, true
@@ -113,8 +115,8 @@
 	return 0, false
 }
 
-// maySpare tells whether a service can do without one replica for a moment.
-func (k *Ledger) maySpare(j *clusterstate.Job, t *clusterstate.Task) bool {
+// canSpareReplica tells whether a service can do without one replica for a moment.
+func (k *Ledger) canSpareReplica(j *clusterstate.Job, t *clusterstate.Task) bool {
 	up, here := 0, 0
 	for _, o := range j.Active {
 		if o.State == jobs.Stopping {
@@ -130,13 +132,13 @@
 	return up-1 >= (j.Record.Spec.TaskCount+1)/2 && here > 1
 }
 
-// owed tells whether a lender waits for what it is guaranteed, and the borrower is
+// lenderIsOwed tells whether a lender waits for what it is guaranteed, and the borrower is
 // beyond its own guarantee.
-func (k *Ledger) owed(account *quota.Account, l *Loan, borrower *clusterstate.Job, waits func(jobID string) bool) bool {
+func (k *Ledger) lenderIsOwed(account *quota.Account, l *Loan, borrower *clusterstate.Job, waits func(jobID string) bool) bool {
 	spec := &borrower.Record.Spec
 	for _, s := range l.From {
 		j := k.Jobs[s.Job]
-		if j == nil || !k.begins(j) || k.Queued[s.Job] != j || !waits(s.Job) {
+		if j == nil || !k.mayBegin(j) || k.Queued[s.Job] != j || !waits(s.Job) {
 			continue
 		}
 		lender := &j.Record.Spec
--- a/internal/lending/choose.go
+++ b/internal/lending/choose.go
@@ -39,23 +39,23 @@
 
 // Plan is who gives on which machine.
 type Plan struct {
-	Machine string
-	Tasks   []*clusterstate.Task // to stop, whole gangs, those elsewhere included
-	From    []Share              // by job, of what the replica takes
-	InS     float64              // seconds until the replica runs there, as a guess
-	LostS   float64              // seconds of an accelerator's work lost, as a guess
-	own     bool                 // it needs the team's own work of lower rank
-	cost    float64              // of all that, see costs
+	Machine     string
+	Tasks       []*clusterstate.Task // to stop, whole gangs, those elsewhere included
+	From        []Share              // by job, of what the replica takes
+	StartDelayS float64              // seconds until the replica runs there, as a guess
+	LostS       float64              // seconds of an accelerator's work lost, as a guess
+	usesOwnTeam bool                 // it needs the team's own work of lower rank
+	cost        float64              // of all that, see costs
 }
 
-// unit is what stops together: a task, or a gang.
-type unit struct {
-	tasks []*clusterstate.Task
-	here  sharding.Resources // what it frees on the machine
-	uid   string
-	lostS float64 // of accelerators' work
-	waitS float64 // until it has left
-	own   bool    // the borrower's own team's
+// stopUnit is what stops together: a task, or a gang.
+type stopUnit struct {
+	tasks          []*clusterstate.Task
+	freed          sharding.Resources // what it frees on the machine
+	jobID          string
+	lostS          float64 // of accelerators' work
+	leaveDelayS    float64 // until it has left
+	ofBorrowerTeam bool    // the borrower's own team's
 }
 
 // Choose finds the machine where lending costs the least. False if there is none, or if
@@ -73,15 +73,15 @@
 		if build == nil || !build.Capacity().Fits(spec.Resources()) || !Holds(spec, build) || s.OnlyWithImage && !has {
 			continue
 		}
-		free := s.room(b, m, build)
+		free := s.freeResources(b, m, build)
 		if free.Fits(spec.Resources()) {
 			return Plan{Machine: m.Name}, false // room is coming already
 		}
-		p, ok := s.onMachine(b, m, build, free)
-		if !ok || s.InS > 0 && p.InS > s.InS {
+		p, ok := s.planFor(b, m, build, free)
+		if !ok || s.InS > 0 && p.StartDelayS > s.InS {
 			continue
 		}
-		if p.cost = s.costs(&p); best == nil || p.cost < best.cost {
+		if p.cost = s.cost(&p); best == nil || p.cost < best.cost {
 			best = &p
 		}
 	}
@@ -96,18 +96,18 @@
 	return build.CacheGB <= 0 || spec.ImageGB <= build.CacheGB
 }
 
-// costs is what a plan costs in seconds of an accelerator: what lenders lose, and what
+// cost is what a plan costs in seconds of an accelerator: what lenders lose, and what
 // the replica's waiting is worth; an image that takes minutes outweighs all else.
-func (s *Search) costs(p *Plan) float64 {
-	cost := p.LostS + p.InS*tuning.LoanServes*max(s.Task.Job.Record.Spec.Accelerators, 1)
-	if p.own {
+func (s *Search) cost(p *Plan) float64 {
+	cost := p.LostS + p.StartDelayS*tuning.LoanServes*max(s.Task.Job.Record.Spec.Accelerators, 1)
+	if p.usesOwnTeam {
 		cost += tuning.LoanOwn.Seconds() * max(s.Task.Job.Record.Spec.Accelerators, 1)
 	}
 	return cost
 }
 
-// room is what is free on a machine, with what is on its way out.
-func (s *Search) room(b *clusterstate.State, m *clusterstate.Machine, build *jobs.MachineType) sharding.Resources {
+// freeResources is what is free on a machine, with what is on its way out.
+func (s *Search) freeResources(b *clusterstate.State, m *clusterstate.Machine, build *jobs.MachineType) sharding.Resources {
 	free := build.Capacity().Sub(m.Usage.Resources)
 	for _, t := range b.TasksOnMachine[m.Name] {
 		if t.Job.Record != nil && (t.State == jobs.Stopping || s.Stopping[t]) {
@@ -117,8 +117,8 @@
 	return free
 }
 
-// onMachine is the plan for one machine.
-func (s *Search) onMachine(
+// planFor is the plan for one machine.
+func (s *Search) planFor(
 	b *clusterstate.State,
 	m *clusterstate.Machine,
 	build *jobs.MachineType,
@@ -126,34 +126,34 @@
 ) (Plan, bool) {
 	spec := &s.Task.Job.Record.Spec
 	need := spec.Resources()
-	units := s.units(b, m)
+	units := s.stopUnits(b, m)
 	// The least lost for what it frees here goes first.
-	slices.SortFunc(units, func(x, y unit) int {
+	slices.SortFunc(units, func(x, y stopUnit) int {
 		return cmp.Or(
-			cmp.Compare(x.lostS/max(x.here.ShareOf(need), 1e-9), y.lostS/max(y.here.ShareOf(need), 1e-9)),
+			cmp.Compare(x.lostS/max(x.freed.ShareOf(need), 1e-9), y.lostS/max(y.freed.ShareOf(need), 1e-9)),
 			cmp.Compare(x.tasks[0].ID, y.tasks[0].ID),
 		)
 	})
 	account := s.Account.Clone()
-	var chosen []unit
+	var chosen []stopUnit
 	for _, u := range units {
 		if free.Fits(need) {
 			break
 		}
 		// Each is weighed with those chosen before it gone: two that are within what a
 		// team has beyond its guarantee need not be so together.
-		if !s.may(b, account, &u) {
+		if !s.mayStop(b, account, &u) {
 			continue
 		}
 		account.Charge(u.tasks[0].Job.Record.Spec.QuotaKey(), u.tasks[0].Job.Record.Spec.Amount(), -len(u.tasks))
-		chosen, free = append(chosen, u), free.Add(u.here)
+		chosen, free = append(chosen, u), free.Add(u.freed)
 	}
 	if !free.Fits(need) {
 		return Plan{}, false
 	}
 	// What the later, dearer ones made needless stays.
-	chosen = slices.DeleteFunc(chosen, func(u unit) bool {
-		if rest := free.Sub(u.here); rest.Fits(need) {
+	chosen = slices.DeleteFunc(chosen, func(u stopUnit) bool {
+		if rest := free.Sub(u.freed); rest.Fits(need) {
 			free = rest
 			return true
 		}
@@ -163,32 +163,32 @@
 	left := need.Accelerators
 	for _, u := range chosen {
 		p.Tasks = append(p.Tasks, u.tasks...)
-		p.give(&u, &left)
-		p.InS, p.own = max(p.InS, u.waitS), p.own || u.own
+		p.addShare(&u, &left)
+		p.StartDelayS, p.usesOwnTeam = max(p.StartDelayS, u.leaveDelayS), p.usesOwnTeam || u.ofBorrowerTeam
 		p.LostS += u.lostS
 	}
-	p.InS += ImagePullS(b, s.Now, m, build, spec)
+	p.StartDelayS += ImagePullS(b, s.Now, m, build, spec)
 	// What is freed beyond the need may find no one of its size: whole machines are
 	// not broken up if another place costs less.
 	p.LostS += free.Sub(need).Accelerators * tuning.LoanWaste.Seconds()
 	return p, len(chosen) > 0
 }
 
-// give notes what a unit gives of what is left to give, by job.
-func (p *Plan) give(u *unit, left *float64) {
-	gpus := min(u.here.Accelerators, *left)
+// addShare notes what a unit gives of what is left to give, by job.
+func (p *Plan) addShare(u *stopUnit, left *float64) {
+	gpus := min(u.freed.Accelerators, *left)
 	*left -= gpus
-	i := slices.IndexFunc(p.From, func(s Share) bool { return s.Job == u.uid })
+	i := slices.IndexFunc(p.From, func(s Share) bool { return s.Job == u.jobID })
 	if i < 0 {
-		i, p.From = len(p.From), append(p.From, Share{Job: u.uid})
+		i, p.From = len(p.From), append(p.From, Share{Job: u.jobID})
 	}
 	p.From[i].GPUs += gpus
 	p.From[i].Tasks += len(u.tasks)
 }
 
-// may tells whether a unit may be stopped for the replica: PROTOCOL's preemption, and no
+// mayStop tells whether a unit may be stopped for the replica: PROTOCOL's preemption, and no
 // team goes below its guarantee but for its own work of higher rank.
-func (s *Search) may(b *clusterstate.State, account *quota.Account, u *unit) bool {
+func (s *Search) mayStop(b *clusterstate.State, account *quota.Account, u *stopUnit) bool {
 	spec := &u.tasks[0].Job.Record.Spec
 	leaf, all := b.QuotaLeaf(spec), quota.Amount{}.Add(spec.Amount(), len(u.tasks))
 	if spec.PriorityOrder() > s.Priority {
@@ -197,9 +197,9 @@
 	return account.Yields(s.Entitled, leaf, all)
 }
 
-// units lists what could be stopped on a machine.
-func (s *Search) units(b *clusterstate.State, m *clusterstate.Machine) []unit {
-	var out []unit
+// stopUnits lists what could be stopped on a machine.
+func (s *Search) stopUnits(b *clusterstate.State, m *clusterstate.Machine) []stopUnit {
+	var out []stopUnit
 	seen := map[string]bool{}
 	for _, taskID := range clusterstate.SortedKeys(b.TasksOnMachine[m.Name]) {
 		t := b.TasksOnMachine[m.Name][taskID]
@@ -208,27 +208,27 @@
 			s.Spared(t.Job) {
 			continue
 		}
-		u := unit{tasks: []*clusterstate.Task{t}, uid: t.Job.ID}
+		u := stopUnit{tasks: []*clusterstate.Task{t}, jobID: t.Job.ID}
 		if t.Job.Record.Spec.IsGang() {
 			if seen[t.Job.ID] {
 				continue
 			}
 			seen[t.Job.ID] = true
-			if u.tasks = s.gang(b, t.Job); u.tasks == nil {
+			if u.tasks = s.gangTasks(b, t.Job); u.tasks == nil {
 				continue
 			}
 		}
-		if s.fill(b, m, &u) {
+		if s.estimate(b, m, &u) {
 			out = append(out, u)
 		}
 	}
 	return out
 }
 
-// gang lists a gang's tasks, nil if it cannot be stopped in order now: one that is not
+// gangTasks lists a gang's tasks, nil if it cannot be stopped in order now: one that is not
 // whole (a member is lost, or it is stopped already) or of which a machine could not be
 // told in time would lose its progress since its last save.
-func (s *Search) gang(b *clusterstate.State, j *clusterstate.Job) []*clusterstate.Task {
+func (s *Search) gangTasks(b *clusterstate.State, j *clusterstate.Job) []*clusterstate.Task {
 	records := make([]*jobs.Task, 0, len(j.Tasks))
 	var out []*clusterstate.Task
 	for _, n := range sortedKeys(j.Tasks) {
@@ -246,8 +246,8 @@
 	return out
 }
 
-// fill works out what a unit loses and frees; false if it may not be stopped now.
-func (s *Search) fill(b *clusterstate.State, m *clusterstate.Machine, u *unit) bool {
+// estimate works out what a unit loses and frees; false if it may not be stopped now.
+func (s *Search) estimate(b *clusterstate.State, m *clusterstate.Machine, u *stopUnit) bool {
 	spec := &u.tasks[0].Job.Record.Spec
 	ran := 0.0
 	for _, t := range u.tasks {
@@ -256,7 +256,7 @@
 		}
 		ran = max(ran, s.Now.Sub(t.Since).Seconds())
 		if t.Machine == m.Name {
-			u.here = u.here.Add(spec.Resources())
+			u.freed = u.freed.Add(spec.Resources())
 		}
 	}
 	// Estimates are often wrong by half: what has run past its own is taken to need a
@@ -270,7 +270,7 @@
 	}
 	lost := ran
 	if spec.CheckpointIntervalS > 0 {
-		lost, u.waitS = 0, spec.CheckpointTimeS
+		lost, u.leaveDelayS = 0, spec.CheckpointTimeS
 	}
 	build := b.MachineTypes[m.MachineType]
 	again := build.BootS // a machine of its own, at worst
@@ -283,7 +283,7 @@
 		spec.Accelerators,
 		spec.Resources().ShareOf(build.Capacity())*build.Accelerators,
 	)
-	u.own = spec.Team == s.Task.Job.Record.Spec.Team
+	u.ofBorrowerTeam = spec.Team == s.Task.Job.Record.Spec.Team
 	return true
 }
 
--- a/internal/lending/golden_test.go
+++ b/internal/lending/golden_test.go
@@ -21,7 +21,7 @@
 			BeganMs:   1700000000001,
 			SinceMs:   1700000000002,
 			FreeMs:    1700000000003,
-			Why:       "the replica ended",
+			Reason:    "the replica ended",
 		},
 		{ID: 2, State: Asked, Job: "wk-4", Machine: "m-2", From: []Share{{}}},
 	}}
--- a/internal/lending/ledger.go
+++ b/internal/lending/ledger.go
@@ -43,13 +43,13 @@
 	*clusterstate.State
 	Env
 
-	records  map[int]*LoanRecord // as stored; nil for one that cannot be read
-	ahead    map[int]ahead       // loans that have come further than what is stored
-	taken    map[int]bool        // sheets written by this look
-	asking   map[string]int      // tasks asked for by this look, by job
-	nextID   int
-	counted  Counts
-	loggedAt time.Time
+	records   map[int]*LoanRecord // as stored; nil for one that cannot be read
+	progress  map[int]ahead       // loans that have come further than what is stored
+	written   map[int]bool        // sheets written by this look
+	requested map[string]int      // tasks asked for by this look, by job
+	nextID    int
+	counted   Counts
+	loggedAt  time.Time
 }
 
 // ahead is how far a loan has come since it was stored.
@@ -60,20 +60,20 @@
 
 // Counts is what has happened to loans under this leader, for the log.
 type Counts struct {
-	Asked, Lent, CalledBack, Returned, BrokenOff int
-	Taken, Given, Lost                           float64 // accelerators: taken, given back, gone with their machines
-	Spared                                       int     // looks that found a lender only among those that lent of late
+	Requested, Lent, CalledBack, Returned, BrokenOff          int
+	AcceleratorsTaken, AcceleratorsReturned, AcceleratorsLost float64 // accelerators: taken, given back, gone with their machines
+	SparedSearches                                            int     // looks that found a lender only among those that lent of late
 }
 
 // NewLedger makes the keeping of loans over a book.
 func NewLedger(b *clusterstate.State, env Env) *Ledger {
 	return &Ledger{
-		State:   b,
-		Env:     env,
-		records: map[int]*LoanRecord{},
-		ahead:   map[int]ahead{},
-		taken:   map[int]bool{},
-		asking:  map[string]int{},
+		State:     b,
+		Env:       env,
+		records:   map[int]*LoanRecord{},
+		progress:  map[int]ahead{},
+		written:   map[int]bool{},
+		requested: map[string]int{},
 	}
 }
 
@@ -106,7 +106,7 @@
 	for _, n := range sortedKeys(k.records) {
 		if s := k.records[n]; s != nil {
 			for _, l := range s.Loans {
-				out = append(out, k.now(l))
+				out = append(out, k.current(l))
 			}
 		}
 	}
@@ -114,15 +114,15 @@
 	return out
 }
 
-// come is how far a loan has come since it was stored as it is, if it has.
-func (k *Ledger) come(l Loan) (ahead, bool) {
-	a, ok := k.ahead[l.ID]
+// progressOf is how far a loan has come since it was stored as it is, if it has.
+func (k *Ledger) progressOf(l Loan) (ahead, bool) {
+	a, ok := k.progress[l.ID]
 	return a, ok && a.from.State == l.State && a.from.SinceMs == l.SinceMs && a.from.FreeMs == l.FreeMs
 }
 
-// now is a stored loan as far as it has come.
-func (k *Ledger) now(l Loan) Loan {
-	if a, ok := k.come(l); ok {
+// current is a stored loan as far as it has come.
+func (k *Ledger) current(l Loan) Loan {
+	if a, ok := k.progressOf(l); ok {
 		return a.to
 	}
 	return l
@@ -132,25 +132,25 @@
 func (k *Ledger) facts(l *Loan) Facts {
 	f := Facts{NowMs: k.NowMs()}
 	m := k.Machines[l.Machine]
-	f.Gone = m == nil || m.State == fleet.Deleting || m.State == fleet.Deleted
-	f.Doubtful = !f.Gone && (m.State == fleet.Warned || m.State == fleet.Faulty)
+	f.MachineGone = m == nil || m.State == fleet.Deleting || m.State == fleet.Deleted
+	f.MachineDoubtful = !f.MachineGone && (m.State == fleet.Warned || m.State == fleet.Faulty)
 	if j := k.Jobs[l.Job]; j != nil {
 		t := j.Active[l.TaskIndex]
 		_, booked := k.Reservations[jobs.TaskID(l.Job, l.TaskIndex)]
-		f.On = t != nil && t.OnMachine() && t.Machine == l.Machine
-		f.Coming = t != nil && t.State == jobs.Released && t.PreferredMachine == l.Machine ||
+		f.ReplicaOnMachine = t != nil && t.OnMachine() && t.Machine == l.Machine
+		f.ReplicaReleased = t != nil && t.State == jobs.Released && t.PreferredMachine == l.Machine ||
 			booked && k.Reservations[jobs.TaskID(l.Job, l.TaskIndex)].Machine == l.Machine
-		f.Waits = t == nil && !booked && k.begins(j) && l.TaskIndex < j.Record.Spec.TaskCount
+		f.ReplicaWaits = t == nil && !booked && k.mayBegin(j) && l.TaskIndex < j.Record.Spec.TaskCount
 	}
 	for _, s := range l.From {
 		j := k.Jobs[s.Job]
 		if j == nil {
 			continue
 		}
-		f.LenderWaits = f.LenderWaits || k.begins(j) && k.Queued[s.Job] == j
+		f.LenderWaits = f.LenderWaits || k.mayBegin(j) && k.Queued[s.Job] == j
 		for _, t := range k.TasksOnMachine[l.Machine] {
 			if t.Job == j {
-				f.Leaving = f.Leaving || t.State == jobs.Stopping
+				f.LenderLeaving = f.LenderLeaving || t.State == jobs.Stopping
 				f.LenderBack = f.LenderBack || t.State == jobs.Placed && l.FreeMs > 0 && t.Since.UnixMilli() >= l.FreeMs
 			}
 		}
@@ -160,10 +160,10 @@
 
 func live(j *clusterstate.Job) bool { return j.Record != nil && j.Record.State == jobs.Live }
 
-// begins tells whether a job's work may begin now. While its window is shut, or is only
+// mayBegin tells whether a job's work may begin now. While its window is shut, or is only
 // about to open, no room is kept for it and no replica called back: it could not come,
 // and what it needs at its opening is prepared by the queue.
-func (k *Ledger) begins(j *clusterstate.Job) bool {
+func (k *Ledger) mayBegin(j *clusterstate.Job) bool {
 	return live(j) && (k.Begins == nil || k.Begins(&j.Record.Spec))
 }
 
@@ -171,8 +171,8 @@
 // and whom to call back. waits tells whether a job found no room in the last look at
 // the queue.
 func (k *Ledger) Reconcile(account *quota.Account, waits func(jobID string) bool) []decide.Decision {
-	clear(k.taken)
-	clear(k.asking)
+	clear(k.written)
+	clear(k.requested)
 	stored := map[int]bool{}
 	for _, n := range sortedKeys(k.records) {
 		if k.records[n] == nil {
@@ -180,17 +180,17 @@
 		}
 		for _, l := range k.records[n].Loans {
 			stored[l.ID] = true
-			k.step(l)
+			k.advance(l)
 		}
 	}
-	for id := range k.ahead {
+	for id := range k.progress {
 		if !stored[id] {
-			delete(k.ahead, id)
+			delete(k.progress, id)
 		}
 	}
 	ds := k.callBack(account, waits)
 	for _, n := range sortedKeys(k.records) {
-		if d, ok := k.save(n); ok {
+		if d, ok := k.saveRecord(n); ok {
 			ds = append(ds, d)
 		}
 	}
@@ -198,26 +198,26 @@
 	return ds
 }
 
-// step looks at one loan.
-func (k *Ledger) step(stored Loan) {
-	l := k.now(stored)
+// advance looks at one loan.
+func (k *Ledger) advance(stored Loan) {
+	l := k.current(stored)
 	f := k.facts(&l)
 	for moved := true; moved; {
 		was := l.State
 		if l, moved = Next(l, Observe, f); moved {
-			k.note(stored, l)
+			k.keepProgress(stored, l)
 			k.count(was, &l)
 		}
 	}
 }
 
-// note keeps how far a loan has come until it is stored.
-func (k *Ledger) note(stored, l Loan) {
+// keepProgress keeps how far a loan has come until it is stored.
+func (k *Ledger) keepProgress(stored, l Loan) {
 	at := k.Now
-	if a, ok := k.come(stored); ok {
+	if a, ok := k.progressOf(stored); ok {
 		at = a.at
 	}
-	k.ahead[l.ID] = ahead{stored, l, at}
+	k.progress[l.ID] = ahead{stored, l, at}
 }
 
 // count notes a loan's new state.
@@ -227,23 +227,23 @@
 	}
 	switch l.State {
 	case Asked:
-		k.counted.Asked++
-		k.counted.Taken += l.GPUs
+		k.counted.Requested++
+		k.counted.AcceleratorsTaken += l.GPUs
 	case Lent:
 		k.counted.Lent++
 	case CalledBack:
 		k.counted.CalledBack++
 	case Returned:
 		k.counted.Returned++
-		k.counted.Given += l.GPUs
+		k.counted.AcceleratorsReturned += l.GPUs
 	case BrokenOff:
 		k.counted.BrokenOff++
-		k.counted.Lost += l.GPUs
+		k.counted.AcceleratorsLost += l.GPUs
 	case Wanted, Vacated:
 	}
 	k.Log.Debug("loan",
 		"id", l.ID, "state", string(l.State), "for", jobs.TaskID(l.Job, l.TaskIndex), "machine", l.Machine,
-		"from", l.From[0].Job, "gpus", l.GPUs, "why", l.Why)
+		"from", l.From[0].Job, "gpus", l.GPUs, "why", l.Reason)
 }
 
 // Counts is what has been counted so far.
@@ -257,69 +257,69 @@
 	k.loggedAt = k.Now
 	if c := k.counted; c != (Counts{}) {
 		k.Log.Info("loans",
-			"asked", c.Asked, "lent", c.Lent, "called_back", c.CalledBack, "returned", c.Returned,
-			"broken_off", c.BrokenOff, "gpus_taken", c.Taken, "gpus_given", c.Given, "gpus_gone", c.Lost,
-			"spared", c.Spared)
+			"asked", c.Requested, "lent", c.Lent, "called_back", c.CalledBack, "returned", c.Returned,
+			"broken_off", c.BrokenOff, "gpus_taken", c.AcceleratorsTaken, "gpus_given", c.AcceleratorsReturned, "gpus_gone", c.AcceleratorsLost,
+			"spared", c.SparedSearches)
 	}
 }
 
-// sheet is what a sheet would be with all loans as far as they have come.
-func (k *Ledger) sheet(n int) *LoanRecord {
+// currentRecord is what a sheet would be with all loans as far as they have come.
+func (k *Ledger) currentRecord(n int) *LoanRecord {
 	out := &LoanRecord{}
 	if s := k.records[n]; s != nil {
 		for _, l := range s.Loans {
-			out.Loans = append(out.Loans, k.now(l))
+			out.Loans = append(out.Loans, k.current(l))
 		}
 	}
-	return out.without(k.NowMs(), k.Again)
+	return out.withoutExpired(k.NowMs(), k.Again)
 }
 
-// write is the record of a sheet. It is conditional on the version that is known, as
+// recordWrite is the record of a sheet. It is conditional on the version that is known, as
 // every write is, so an old leader's sheet comes to nothing.
-func (k *Ledger) write(n int, s *LoanRecord) store.Write {
-	k.taken[n] = true
+func (k *Ledger) recordWrite(n int, s *LoanRecord) store.Write {
+	k.written[n] = true
 	if len(s.Loans) == 0 {
 		return decide.Remove(RecordKey(n))
 	}
 	return decide.Put(RecordKey(n), s)
 }
 
-// save is the decision that stores what has changed on a sheet: gathered for a while,
+// saveRecord is the decision that stores what has changed on a sheet: gathered for a while,
 // since every step is found again from the records.
-func (k *Ledger) save(n int) (decide.Decision, bool) {
+func (k *Ledger) saveRecord(n int) (decide.Decision, bool) {
 	s := k.records[n]
-	if s == nil || k.taken[n] || k.Busy(RecordKey(n)) {
+	if s == nil || k.written[n] || k.Busy(RecordKey(n)) {
 		return decide.Decision{}, false
 	}
 	due := false
 	for _, l := range s.Loans {
-		a, changed := k.come(l)
+		a, changed := k.progressOf(l)
 		due = due || changed && k.Now.Sub(a.at) >= tuning.LoanSave ||
 			l.State.Over() && k.NowMs()-l.BeganMs > (k.Again+tuning.LoanLogEvery).Milliseconds()
 	}
 	if !due {
 		return decide.Decision{}, false
 	}
-	return decide.Decision{Writes: []store.Write{k.write(n, k.sheet(n))}}, true
+	return decide.Decision{Writes: []store.Write{k.recordWrite(n, k.currentRecord(n))}}, true
 }
 
-// open is a sheet that takes another loan now.
-func (k *Ledger) open() (int, bool) {
+// openRecord is a sheet that takes another loan now.
+func (k *Ledger) openRecord() (int, bool) {
 	for n := range tuning.LoanRecords {
 		s, known := k.records[n]
-		if known && s == nil || k.taken[n] || k.Busy(RecordKey(n)) {
+		if known && s == nil || k.written[n] || k.Busy(RecordKey(n)) {
 			continue
 		}
-		if k.sheet(n).fits(k.Limit) {
+		if k.currentRecord(n).hasRoom(k.Limit) {
 			return n, true
 		}
 	}
 	return 0, false
 }
 
-// lent is how many tasks each job has lent of late.
-func (k *Ledger) lent() map[string]int {
-	out := maps.Clone(k.asking)
+// recentlyLent is how many tasks each job has lent of late.
+func (k *Ledger) recentlyLent() map[string]int {
+	out := maps.Clone(k.requested)
 	for _, l := range k.Loans() {
 		if k.NowMs()-l.BeganMs < k.Again.Milliseconds() {
 			for _, f := range l.From {
@@ -330,10 +330,10 @@
 	return out
 }
 
-// most is how many of a job's tasks may be lent in the time that a job is left alone
+// maxLentTasks is how many of a job's tasks may be lent in the time that a job is left alone
 // for: all of a gang or one task alone, once; of a sweep, whose tasks do not need one
 // another, a share.
-func most(spec *jobs.Spec) int {
+func maxLentTasks(spec *jobs.Spec) int {
 	if spec.Kind != jobs.JobArray {
 		return 1
 	}
@@ -353,14 +353,14 @@
 // Ask is the decision that begins a loan: its record and the stops of all that give,
 // gangs whole, in one transaction. False if nobody can give, or none can be kept.
 func (k *Ledger) Ask(s *Search) (decide.Decision, Plan, bool) {
-	n, ok := k.open()
+	n, ok := k.openRecord()
 	if !ok {
 		return decide.Decision{}, Plan{}, false
 	}
-	lent := k.lent()
+	lent := k.recentlyLent()
 	met := false
 	s.Spared = func(j *clusterstate.Job) bool {
-		spared := lent[j.ID] >= most(&j.Record.Spec)
+		spared := lent[j.ID] >= maxLentTasks(&j.Record.Spec)
 		met = met || spared
 		return spared
 	}
@@ -368,11 +368,11 @@
 	s.Known = func(m *clusterstate.Machine) bool { return k.Ready(m) }
 	plan, ok := Choose(k.State, s)
 	if !ok && plan.Machine != "" {
-		plan.From = k.gangLeaves(plan.Machine, s.Task.Job.Record.Spec.Accelerators)
+		plan.From = k.leavingGangShares(plan.Machine, s.Task.Job.Record.Spec.Accelerators)
 	}
 	if len(plan.From) == 0 {
 		if met {
-			k.counted.Spared++
+			k.counted.SparedSearches++
 		}
 		return decide.Decision{}, Plan{}, false
 	}
@@ -380,7 +380,7 @@
 	for _, f := range plan.From {
 		l.GPUs += f.GPUs
 	}
-	l, _ = Next(l, Ask, Facts{NowMs: k.NowMs()})
+	l, _ = Next(l, Request, Facts{NowMs: k.NowMs()})
 	d := decide.Decision{ReadSet: []string{jobs.JobPrefix + l.Job, fleet.MachinePrefix + l.Machine}}
 	for _, t := range plan.Tasks {
 		next, ok := jobs.NextTask(t.Task, jobs.TaskEvent{Kind: jobs.Stop, Reason: "lends its place to " + s.Task.ID})
@@ -389,24 +389,24 @@
 		}
 		d.Changes = append(d.Changes, decide.Change{Task: t, Next: next})
 	}
-	sheet := k.sheet(n)
+	sheet := k.currentRecord(n)
 	sheet.Loans = append(sheet.Loans, l)
-	d.Writes = []store.Write{k.write(n, sheet)}
+	d.Writes = []store.Write{k.recordWrite(n, sheet)}
 	d.OnSettled = func(ok bool) {
 		if ok {
 			k.count(Wanted, &l)
 		}
 	}
 	for _, f := range plan.From {
-		k.asking[f.Job] += f.Tasks
+		k.requested[f.Job] += f.Tasks
 	}
 	k.nextID++
 	return d, plan, true
 }
 
-// gangLeaves is what gangs that lend have on a machine and are leaving: one that gave
+// leavingGangShares is what gangs that lend have on a machine and are leaving: one that gave
 // whole for one replica gives its other machines to those that wait next.
-func (k *Ledger) gangLeaves(machine string, gpus float64) []Share {
+func (k *Ledger) leavingGangShares(machine string, gpus float64) []Share {
 	for _, taskID := range clusterstate.SortedKeys(k.TasksOnMachine[machine]) {
 		t := k.TasksOnMachine[machine][taskID]
 		if t.State == jobs.Stopping && t.Job.Record != nil && t.Job.Record.Spec.IsGang() && k.lends(t.Job.ID) {
@@ -437,7 +437,7 @@
 func (k *Ledger) Rooms() []KeptRoom {
 	var out []KeptRoom
 	for _, l := range k.Loans() {
-		if j := k.Jobs[l.Job]; l.ForBorrower() && j != nil && k.begins(j) && j.Active[l.TaskIndex] == nil &&
+		if j := k.Jobs[l.Job]; l.ForBorrower() && j != nil && k.mayBegin(j) && j.Active[l.TaskIndex] == nil &&
 			k.Machines[l.Machine] != nil {
 			out = append(out, KeptRoom{l.Job, l.Machine, j.Record.Spec.Resources(), jobs.TaskID(l.Job, l.TaskIndex)})
 		}
@@ -446,7 +446,7 @@
 		}
 		for _, s := range l.From {
 			j := k.Jobs[s.Job]
-			if j == nil || !k.begins(j) || k.Queued[s.Job] != j {
+			if j == nil || !k.mayBegin(j) || k.Queued[s.Job] != j {
 				continue
 			}
 			need := j.Record.Spec.Resources()
--- a/internal/lending/ledger_test.go
+++ b/internal/lending/ledger_test.go
@@ -20,8 +20,8 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// yard is a small fleet with its records, in which decisions are committed at once.
-type yard struct {
+// loanFixture is a small fleet with its records, in which decisions are committed at once.
+type loanFixture struct {
 	*clusterstate.State
 	k      *Ledger
 	sheets map[string]json.RawMessage
@@ -38,8 +38,8 @@
 	"batch": {Name: "batch", Guaranteed: quota.Of(0, 2, 0)},
 }
 
-func newYard(machines int) *yard {
-	y := &yard{
+func newLoanFixture(machines int) *loanFixture {
+	y := &loanFixture{
 		State:  clusterstate.New(quota.Flat(teams), func(string) {}),
 		sheets: map[string]json.RawMessage{},
 		began:  map[int]Loan{},
@@ -64,7 +64,7 @@
 
 func host(i int) string { return fmt.Sprintf("i-%d", i) }
 
-func (y *yard) host(i int, s fleet.State) {
+func (y *loanFixture) host(i int, s fleet.State) {
 	_ = y.ApplyMachine(
 		host(i),
 		"n0",
@@ -73,7 +73,7 @@
 }
 
 // leader has another controller lead: all that it knows are the records.
-func (y *yard) leader() {
+func (y *loanFixture) leader() {
 	y.k = NewLedger(y.State, Env{
 		Limit:     8192,
 		Again:     tuning.LendAgain,
@@ -88,7 +88,7 @@
 }
 
 // job submits a job; its tasks are on the machines named, others wait.
-func (y *yard) job(
+func (y *loanFixture) job(
 	jobID, owner, shape, priority, image string,
 	accel float64,
 	pieces int,
@@ -123,7 +123,7 @@
 }
 
 // set writes one task's record.
-func (y *yard) set(j *clusterstate.Job, n int, next jobs.Task) {
+func (y *loanFixture) set(j *clusterstate.Job, n int, next jobs.Task) {
 	if t := j.Tasks[n]; t != nil && t.Stored != nil {
 		records := make([]jobs.Task, len(t.Stored.Tasks))
 		for i, o := range t.Stored.Tasks {
@@ -137,7 +137,7 @@
 }
 
 // commit takes a decision whole, or not.
-func (y *yard) commit(d decide.Decision, ok bool) {
+func (y *loanFixture) commit(d decide.Decision, ok bool) {
 	if ok {
 		for _, c := range d.Changes {
 			y.set(c.Task.Job, c.Task.Index, c.Next)
@@ -157,7 +157,7 @@
 }
 
 // search is one for a replica.
-func (y *yard) search(j *clusterstate.Job, n int, cached bool) *Search {
+func (y *loanFixture) search(j *clusterstate.Job, n int, cached bool) *Search {
 	spec := &j.Record.Spec
 	account := Leaving(y.State, y.Account, nil)
 	return &Search{
@@ -179,7 +179,7 @@
 	}
 }
 
-func (y *yard) ask(t interface{ Fatalf(string, ...any) }, j *clusterstate.Job, n int, ok bool) bool {
+func (y *loanFixture) ask(t interface{ Fatalf(string, ...any) }, j *clusterstate.Job, n int, ok bool) bool {
 	s := y.search(j, n, false)
 	before := Leaving(y.State, y.Account, nil)
 	d, plan, found := y.k.Ask(s)
@@ -216,7 +216,7 @@
 }
 
 // look has the leader look at all loans.
-func (y *yard) look(waits func(string) bool, ok bool) {
+func (y *loanFixture) look(waits func(string) bool, ok bool) {
 	for _, d := range y.k.Reconcile(y.Account, waits) {
 		y.commit(d, ok)
 	}
@@ -231,7 +231,7 @@
 }
 
 // place puts a job's task on a machine, if the room is there and kept for no other.
-func (y *yard) place(j *clusterstate.Job, n int, h string) bool {
+func (y *loanFixture) place(j *clusterstate.Job, n int, h string) bool {
 	free := y.MachineTypes["g4"].Capacity().Sub(y.UsedResources(h))
 	for _, r := range y.k.Rooms() {
 		if r.Machine == h && r.Job != j.ID {
@@ -256,7 +256,7 @@
 // TestShutBorrower: room made for a replica whose window is shut is given up at once, and
 // kept for a lender only if its own is not.
 func TestShutBorrower(t *testing.T) {
-	y := newYard(1)
+	y := newLoanFixture(1)
 	y.job("wk-1", "batch", jobs.JobArray, "standard", "b", 1, 4, host(0), host(0), host(0), host(0))
 	serve := y.job("wk-2", "serve", jobs.Service, "prod", "s", 1, 1)
 	if !y.ask(t, serve, 0, true) {
@@ -292,7 +292,7 @@
 // with its machine.
 func TestAnyPlan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		y := newYard(4)
+		y := newLoanFixture(4)
 		full := func(i int) float64 { return y.MachineTypes["g4"].Accelerators - y.UsedResources(host(i)).Accelerators }
 		names := 10
 		fresh := func() string { names++; return fmt.Sprintf("wk-%d", names) }
@@ -462,7 +462,7 @@
 	})
 }
 
-func pieces(p Plan) string {
+func planText(p Plan) string {
 	var out []string
 	for _, x := range p.Tasks {
 		out = append(out, x.ID)
@@ -473,85 +473,85 @@
 
 func TestChoose(t *testing.T) {
 	all := func(h string, n int) []string { return slices.Repeat([]string{h}, n) }
-	old := func(y *yard, s time.Duration) { y.Now = y.Now.Add(s) }
+	old := func(y *loanFixture, s time.Duration) { y.Now = y.Now.Add(s) }
 	for name, c := range map[string]struct {
-		with func(y *yard) float64 // what the replica needs
-		want string                // "" for none
+		with func(y *loanFixture) float64 // what the replica needs
+		want string                       // "" for none
 	}{
-		"what lost least since its save": {func(y *yard) float64 {
+		"what lost least since its save": {func(y *loanFixture) float64 {
 			y.job("wk-1", "train", jobs.JobArray, "standard", "x", 1, 8, all("i-0", 4)...)
 			old(y, 100*time.Second)
 			y.job("wk-2", "train", jobs.JobArray, "standard", "x", 1, 8, all("i-1", 4)...)
 			old(y, 30*time.Second) // both have their images
 			return 1
 		}, "i-1 wk-2/0"},
-		"where the weights are": {func(y *yard) float64 {
+		"where the weights are": {func(y *loanFixture) float64 {
 			y.job("wk-1", "train", jobs.JobArray, "standard", "x", 1, 8, all("i-0", 4)...)
 			y.Images.Add("i-0", fleet.Image{Name: "weights", GB: 20}, 100)
 			old(y, 100*time.Second)
 			y.job("wk-2", "train", jobs.JobArray, "standard", "x", 1, 8, all("i-1", 4)...)
 			return 1
 		}, "i-0 wk-1/0"},
-		"not below a guarantee": {func(y *yard) float64 {
+		"not below a guarantee": {func(y *loanFixture) float64 {
 			y.job("wk-1", "train", jobs.JobArray, "standard", "x", 1, 4, all("i-0", 4)...)
 			y.job("wk-2", "batch", jobs.JobArray, "standard", "x", 1, 8, append(all("i-0", 0), all("i-1", 4)...)...)
 			return 1
 		}, "i-1 wk-2/0"},
-		"its own team's work of lower rank last": {func(y *yard) float64 {
+		"its own team's work of lower rank last": {func(y *loanFixture) float64 {
 			y.job("wk-1", "serve", jobs.JobArray, "idle", "x", 1, 4, all("i-0", 4)...)
 			y.job("wk-2", "batch", jobs.JobArray, "standard", "x", 1, 8, all("i-1", 4)...)
 			return 1
 		}, "i-1 wk-2/0"},
-		"but its own team's": {func(y *yard) float64 {
+		"but its own team's": {func(y *loanFixture) float64 {
 			y.job("wk-1", "serve", jobs.JobArray, "idle", "x", 1, 4, all("i-0", 4)...)
 			y.job("wk-2", "train", jobs.JobArray, "standard", "x", 1, 4, all("i-1", 4)...)
 			return 1
 		}, "i-0 wk-1/0"},
-		"nothing at the end of its run": {func(y *yard) float64 {
+		"nothing at the end of its run": {func(y *loanFixture) float64 {
 			y.job("wk-1", "batch", jobs.JobArray, "idle", "x", 1, 4, all("i-0", 4)...)
 			old(y, 590*time.Second)
 			y.job("wk-2", "serve", jobs.JobArray, "prod", "x", 1, 4, all("i-1", 4)...)
 			return 1
 		}, ""},
-		"a gang whole": {func(y *yard) float64 {
+		"a gang whole": {func(y *loanFixture) float64 {
 			y.job("wk-1", "train", jobs.Gang, "standard", "x", 4, 2, "i-0", "i-1")
 			y.job("wk-2", "train", jobs.JobArray, "standard", "x", 4, 1, "i-2")
 			return 1
 		}, "i-0 wk-1/0 wk-1/1"},
-		"no gang that has lost a task": {func(y *yard) float64 {
+		"no gang that has lost a task": {func(y *loanFixture) float64 {
 			y.job("wk-1", "train", jobs.Gang, "standard", "x", 4, 3, "i-0", "i-1")
 			y.job("wk-2", "train", jobs.JobArray, "standard", "x", 4, 1, "i-2")
 			return 1
 		}, ""},
-		"no gang on a machine that is not heard": {func(y *yard) float64 {
+		"no gang on a machine that is not heard": {func(y *loanFixture) float64 {
 			y.job("wk-1", "train", jobs.Gang, "standard", "x", 4, 2, "i-0", "i-1")
 			y.job("wk-2", "train", jobs.JobArray, "standard", "x", 4, 1, "i-2")
 			y.host(1, fleet.Lost)
 			return 1
 		}, ""},
-		"no gang that would take its team below": {func(y *yard) float64 {
+		"no gang that would take its team below": {func(y *loanFixture) float64 {
 			y.job("wk-1", "train", jobs.Gang, "standard", "x", 4, 2, "i-0", "i-1") // any one of them could go
 			return 1
 		}, ""},
-		"the fewest accelerators freed in vain": {func(y *yard) float64 {
+		"the fewest accelerators freed in vain": {func(y *loanFixture) float64 {
 			y.job("wk-2", "train", jobs.JobArray, "standard", "x", 1, 8, all("i-1", 4)...)
 			old(y, 240*time.Second)
 			y.job("wk-1", "train", jobs.JobArray, "standard", "x", 4, 2, "i-0")
 			old(y, 30*time.Second)
 			return 1
 		}, "i-1 wk-2/0"},
-		"two that go below together": {func(y *yard) float64 {
+		"two that go below together": {func(y *loanFixture) float64 {
 			y.job("wk-1", "batch", jobs.JobArray, "standard", "x", 1, 3, all("i-0", 3)...)
 			y.job("wk-2", "serve", jobs.JobArray, "prod", "x", 1, 4, all("i-1", 3)...)
 			return 3
 		}, ""},
-		"none while room is coming": {func(y *yard) float64 {
+		"none while room is coming": {func(y *loanFixture) float64 {
 			y.job("wk-1", "train", jobs.JobArray, "standard", "x", 1, 8, all("i-0", 4)...)
 			y.job("wk-2", "train", jobs.JobArray, "standard", "x", 1, 3, all("i-1", 3)...)
 			return 1
 		}, ""},
 	} {
-		y := newYard(3)
+		y := newLoanFixture(3)
 		y.host(2, fleet.Warned) // what is there counts for its team, and lends nothing
 		need := c.with(y)
 		j := y.job("wk-9", "serve", jobs.Service, "prod", "weights", need, 2)
@@ -559,7 +559,7 @@
 		s.Spared, s.Busy, s.Known, s.Now = func(*clusterstate.Job) bool { return false }, func(string) bool { return false }, func(m *clusterstate.Machine) bool { return m.State == fleet.Up }, y.Now
 		got := ""
 		if p, ok := Choose(y.State, s); ok {
-			got = pieces(p)
+			got = planText(p)
 		}
 		if got != c.want {
 			t.Errorf("%s: %q, not %q", name, got, c.want)
@@ -570,12 +570,12 @@
 // An image that a type's cache cannot hold is never planned there, and fetches share a
 // machine's rate.
 func TestWeights(t *testing.T) {
-	y := newYard(1)
+	y := newLoanFixture(1)
 	j := y.job("wk-9", "serve", jobs.Service, "prod", "weights", 1, 2)
 	y.job("wk-1", "batch", jobs.JobArray, "standard", "x", 2, 8, "i-0", "i-0")
 	s := y.search(j, 0, false)
 	s.Spared, s.Busy, s.Known, s.Now = func(*clusterstate.Job) bool { return false }, func(string) bool { return false }, func(*clusterstate.Machine) bool { return true }, y.Now
-	if p, ok := Choose(y.State, s); !ok || p.InS != 40 { // 20 GB, beside 20 of an image that is being fetched
+	if p, ok := Choose(y.State, s); !ok || p.StartDelayS != 40 { // 20 GB, beside 20 of an image that is being fetched
 		t.Error(p, ok)
 	}
 	y.MachineTypes["g4"].CacheGB = 10
@@ -587,7 +587,7 @@
 // A lender that waits for what it is guaranteed has replicas called back one at a time,
 // and never so many that less than half are up or none is left in a zone.
 func TestCallsBack(t *testing.T) {
-	y := newYard(4)
+	y := newLoanFixture(4)
 	svc := y.job(
 		"wk-9",
 		"batch",
@@ -668,7 +668,7 @@
 
 // One replica stays in each zone.
 func TestStaysInZone(t *testing.T) {
-	y := newYard(4)
+	y := newLoanFixture(4)
 	svc := y.job("wk-9", "serve", jobs.Service, "prod", "w", 2, 4, "i-0", "i-0", "i-2", "i-1")
 	y.job("wk-1", "train", jobs.JobArray, "standard", "x", 1, 4)
 	sheet := &LoanRecord{
@@ -685,7 +685,7 @@
 
 // Few changes: what follows from the records is stored several steps at a time.
 func TestFewChanges(t *testing.T) {
-	y := newYard(1)
+	y := newLoanFixture(1)
 	y.job("wk-1", "batch", jobs.JobArray, "standard", "x", 1, 7, "i-0", "i-0", "i-0", "i-0")
 	j := y.job("wk-9", "serve", jobs.Service, "prod", "w", 1, 1)
 	if !y.ask(t, j, 0, true) {
@@ -708,18 +708,18 @@
 		}
 		y.Now = y.Now.Add(100 * time.Millisecond)
 	}
-	if writes != 1 || y.k.Loans()[0].State != Lent || y.k.Counts().Asked != 1 {
+	if writes != 1 || y.k.Loans()[0].State != Lent || y.k.Counts().Requested != 1 {
 		t.Error(writes, y.k.Loans(), y.k.Counts())
 	}
-	if got := y.k.Counts().Spared; y.ask(t, y.job("wk-8", "serve", jobs.Service, "prod", "w", 1, 1), 0, true) ||
-		y.k.Counts().Spared != got+1 {
+	if got := y.k.Counts().SparedSearches; y.ask(t, y.job("wk-8", "serve", jobs.Service, "prod", "w", 1, 1), 0, true) ||
+		y.k.Counts().SparedSearches != got+1 {
 		t.Error("wk-1 lends twice within", tuning.LendAgain)
 	}
 }
 
 // A replica that is released to its machine holds the loan until it is there.
 func TestComing(t *testing.T) {
-	y := newYard(1)
+	y := newLoanFixture(1)
 	y.job("wk-1", "batch", jobs.JobArray, "standard", "x", 1, 7, "i-0", "i-0", "i-0", "i-0")
 	j := y.job("wk-9", "serve", jobs.Service, "prod", "w", 1, 1)
 	if !y.ask(t, j, 0, true) {
@@ -740,7 +740,7 @@
 
 // Loans that cannot be read are left alone, and none is begun on their sheet.
 func TestUnreadableSheet(t *testing.T) {
-	y := newYard(1)
+	y := newLoanFixture(1)
 	for n := range tuning.LoanRecords - 1 {
 		y.k.ApplyRecord(RecordKey(n), []byte(`{"l":[{"i":1,"s":"odd"}]}`))
 	}
@@ -758,7 +758,7 @@
 // 4,000 loans stand in records side by side, and one more begins.
 func TestRecordsHold4000Loans(t *testing.T) {
 	const loans = 4000
-	y := newYard(1)
+	y := newLoanFixture(1)
 	id := 0
 	for id < loans {
 		var record LoanRecord
--- a/internal/lending/loan.go
+++ b/internal/lending/loan.go
@@ -35,7 +35,7 @@
 	BeganMs   int64   `json:"at"`          // time of day when it was asked for
 	SinceMs   int64   `json:"t"`           // when it came to its state
 	FreeMs    int64   `json:"k,omitempty"` // called back: since when the room is the lender's, 0 while the replica is there
-	Why       string  `json:"w,omitempty"`
+	Reason    string  `json:"w,omitempty"`
 }
 
 // Share is what one job gave.
@@ -50,7 +50,7 @@
 
 // Events of a loan.
 const (
-	Ask      Event = "ask"       // its stops are committed with it
+	Request  Event = "ask"       // its stops are committed with it
 	Observe  Event = "look"      // the records are looked at
 	CallBack Event = "call back" // the lender's guaranteed work waits
 )
@@ -58,14 +58,14 @@
 // Facts is what the records say about a loan now.
 type Facts struct {
 	NowMs int64
-	// Gone: the machine is no more, or will be; Doubtful: it has a notice, so nothing
+	// MachineGone: the machine is no more, or will be; Doubtful: it has a notice, so nothing
 	// new goes there.
-	Gone, Doubtful bool
-	// Leaving: a task of a lender is still on the machine, on its way out.
-	Leaving bool
-	// On: the replica may be on the machine; Coming: it is released to it. Waits: it
+	MachineGone, MachineDoubtful bool
+	// LenderLeaving: a task of a lender is still on the machine, on its way out.
+	LenderLeaving bool
+	// ReplicaOnMachine: the replica may be on the machine; Coming: it is released to it. Waits: it
 	// has no place anywhere, and its job lives.
-	On, Coming, Waits bool
+	ReplicaOnMachine, ReplicaReleased, ReplicaWaits bool
 	// LenderWaits: a lender has tasks that wait; LenderBack: one has started there again.
 	LenderWaits, LenderBack bool
 }
@@ -73,36 +73,36 @@
 // Next is the one place where a loan changes. It tells whether it did.
 func Next(l Loan, e Event, f Facts) (Loan, bool) {
 	to := func(s State, why string) (Loan, bool) {
-		l.State, l.SinceMs, l.Why = s, f.NowMs, why
+		l.State, l.SinceMs, l.Reason = s, f.NowMs, why
 		return l, true
 	}
 	age := f.NowMs - l.SinceMs
 	// Only a committed stop begins a loan, and only what is lent can be called back.
 	switch {
-	case e == Ask && (l.State == Wanted || l.State == ""):
+	case e == Request && (l.State == Wanted || l.State == ""):
 		l.BeganMs = f.NowMs
 		return to(Asked, "")
-	case e == CallBack && l.State == Lent && f.On:
+	case e == CallBack && l.State == Lent && f.ReplicaOnMachine:
 		return to(CalledBack, "the lender's guaranteed work waits")
 	case e != Observe || l.State.Over():
 		return l, false
 	}
 	// What is on a machine that is gone cannot be given back.
-	if f.Gone {
+	if f.MachineGone {
 		return to(BrokenOff, "the machine is gone")
 	}
 	switch l.State {
 	case Asked, Vacated:
 		switch {
-		case f.On && !f.Leaving:
+		case f.ReplicaOnMachine && !f.LenderLeaving:
 			return to(Lent, "")
-		case f.Coming || f.On:
+		case f.ReplicaReleased || f.ReplicaOnMachine:
 			return l, false
-		case f.Doubtful:
+		case f.MachineDoubtful:
 			return to(BrokenOff, "the machine will be taken")
-		case !f.Waits:
+		case !f.ReplicaWaits:
 			return to(CalledBack, "the replica no longer waits")
-		case l.State == Asked && !f.Leaving:
+		case l.State == Asked && !f.LenderLeaving:
 			return to(Vacated, "")
 		case l.State == Asked && age > tuning.LoanRequestTimeout.Milliseconds():
 			return to(CalledBack, "the lender did not leave in time")
@@ -110,7 +110,7 @@
 			return to(CalledBack, "the replica did not come in time")
 		}
 	case Lent:
-		if !f.On && !f.Coming {
+		if !f.ReplicaOnMachine && !f.ReplicaReleased {
 			return to(CalledBack, "the replica ended")
 		}
 	case CalledBack:
@@ -124,7 +124,7 @@
 // time, so that room never stands empty for one that does not come.
 func giveBack(l Loan, f Facts, to func(State, string) (Loan, bool)) (Loan, bool) {
 	switch {
-	case f.On || f.Leaving:
+	case f.ReplicaOnMachine || f.LenderLeaving:
 		return l, false
 	case l.FreeMs == 0:
 		l.FreeMs = f.NowMs
--- a/internal/lending/loan_record.go
+++ b/internal/lending/loan_record.go
@@ -54,14 +54,14 @@
 	return &s, nil
 }
 
-// without drops the loans that are over and no longer remembered.
-func (s *LoanRecord) without(nowMs int64, again time.Duration) *LoanRecord {
+// withoutExpired drops the loans that are over and no longer remembered.
+func (s *LoanRecord) withoutExpired(nowMs int64, again time.Duration) *LoanRecord {
 	return &LoanRecord{Loans: slices.DeleteFunc(slices.Clone(s.Loans), func(l Loan) bool {
 		return l.State.Over() && nowMs-l.BeganMs > again.Milliseconds()
 	})}
 }
 
-// fits tells whether a sheet can take a loan more, and be changed after that.
-func (s *LoanRecord) fits(limit int) bool {
+// hasRoom tells whether a sheet can take a loan more, and be changed after that.
+func (s *LoanRecord) hasRoom(limit int) bool {
 	return len(s.Loans) < tuning.MaxLoansPerRecord && len(jobs.Encode(s)) < int(tuning.LoanRecordFillShare*float64(limit))
 }
