--- a/internal/lending/callback.go
+++ b/internal/lending/callback.go
@@ -14,139 +14,181 @@
 
 // recallCandidate is a replica that could be called back.
 type recallCandidate struct {
-	loan  Loan
-	task  *clusterstate.Task
-	place int // 0 if it finds a place with its image elsewhere, else 1
-	same  int // replicas of its image on the machine
+	loan Loan
+	task *clusterstate.Task
+	// placeRank is 0 if the replica finds a place with its image elsewhere, else 1.
+	placeRank int
+	// sameImage counts the tasks with its image on the machine.
+	sameImage int
 }
 
-// callBack is the decisions that call replicas back: one at a time a service, never
-// below half of its replicas, none that is the last in its zone, and first those that
-// find a place with their image elsewhere, then where the fewest of its image are.
-func (k *Ledger) callBack(account *quota.Account, waits func(jobID string) bool) []decide.Decision {
-	var ds []decide.Decision
-	away := k.servicesWithRecall()
-	for _, b := range k.recallCandidates(account, waits, away) {
-		n, ok := k.recordNumberOf(b.loan.ID)
-		if away[b.loan.Job] || !ok || k.written[n] || k.Busy(RecordKey(n)) {
+// callBack returns the decisions that call replicas back: one at a time of a service, never
+// below half of its replicas, never the last in its zone. Those that find a place with
+// their image elsewhere go first, then those where the fewest tasks have their image.
+func (l *Ledger) callBack(account *quota.Account, waits func(jobID string) bool) []decide.Decision {
+	var decisions []decide.Decision
+	recalling := l.servicesWithRecall()
+	for _, candidate := range l.recallCandidates(account, waits, recalling) {
+		if recalling[candidate.loan.Job] {
 			continue
 		}
-		next, ok := jobs.NextTask(
-			b.task.Task,
-			jobs.TaskEvent{Kind: jobs.Stop, Reason: "gives back what " + b.loan.From[0].Job + " lent"},
-		)
-		l, moved := Next(b.loan, CallBack, k.facts(&b.loan))
-		if !ok || !moved {
-			continue
+		if decision, ok := l.callBackOne(candidate); ok {
+			recalling[candidate.loan.Job] = true
+			decisions = append(decisions, decision)
 		}
-		away[l.Job] = true
-		sheet := k.currentRecord(n)
-		for i := range sheet.Loans {
-			if sheet.Loans[i].ID == l.ID {
-				sheet.Loans[i] = l
-			}
+	}
+	return decisions
+}
+
+// callBackOne is the decision that stops a replica and notes it in its loan, in one transaction.
+func (l *Ledger) callBackOne(candidate recallCandidate) (decide.Decision, bool) {
+	number, ok := l.recordNumberOf(candidate.loan.ID)
+	if !ok || l.written[number] || l.env.Busy(RecordKey(number)) {
+		return decide.Decision{}, false
+	}
+	next, ok := jobs.NextTask(candidate.task.Task, jobs.TaskEvent{
+		Kind:   jobs.Stop,
+		Reason: "gives back what " + candidate.loan.From[0].Job + " lent",
+	})
+	if !ok {
+		return decide.Decision{}, false
+	}
+	loan, changed := Next(candidate.loan, CallBack, l.facts(&candidate.loan))
+	if !changed {
+		return decide.Decision{}, false
+	}
+	record := l.currentRecord(number)
+	for i := range record.Loans {
+		if record.Loans[i].ID == loan.ID {
+			record.Loans[i] = loan
 		}
-		ds = append(
-			ds,
-			decide.Decision{
-				Changes: decide.TransitionTask(b.task, next),
-				Writes:  []store.Write{k.recordWrite(n, sheet)},
-				OnSettled: func(ok bool) {
-					if ok {
-						k.count(Lent, &l)
-					}
-				},
-			},
-		)
 	}
-	return ds
+	return decide.Decision{
+		Changes: decide.TransitionTask(candidate.task, next),
+		Writes:  []store.Write{l.recordWrite(number, record)},
+		OnSettled: func(committed bool) {
+			if committed {
+				l.count(Lent, &loan)
+			}
+		},
+	}, true
 }
 
-// servicesWithRecall is the services with a replica that goes or has just gone.
-func (k *Ledger) servicesWithRecall() map[string]bool {
-	away := map[string]bool{}
-	for _, l := range k.Loans() {
-		if l.State == CalledBack && l.FreeMs == 0 || l.FreeMs > 0 && k.NowMs()-l.FreeMs < tuning.CallGap.Milliseconds() {
-			away[l.Job] = true
+// servicesWithRecall is the services with a replica that is being called back, or was a short
+// while ago.
+func (l *Ledger) servicesWithRecall() map[string]bool {
+	recalling := map[string]bool{}
+	for _, loan := range l.Loans() {
+		stopping := loan.State == CalledBack && loan.FreeMs == 0
+		justFreed := loan.FreeMs > 0 && l.state.NowMs()-loan.FreeMs < tuning.CallGap.Milliseconds()
+		if stopping || justFreed {
+			recalling[loan.Job] = true
 		}
 	}
-	return away
+	return recalling
 }
 
 // recallCandidates lists the replicas that may be called back now, in the order in which they go.
-func (k *Ledger) recallCandidates(account *quota.Account, waits func(jobID string) bool, away map[string]bool) []recallCandidate {
-	var out []recallCandidate
-	for _, l := range k.Loans() {
-		j := k.Jobs[l.Job]
-		if l.State != Lent || away[l.Job] || j == nil || !live(j) || k.NowMs()-l.SinceMs < tuning.MinLoanTime.Milliseconds() {
+func (l *Ledger) recallCandidates(
+	account *quota.Account,
+	waits func(jobID string) bool,
+	recalling map[string]bool,
+) []recallCandidate {
+	var candidates []recallCandidate
+	for _, loan := range l.Loans() {
+		if recalling[loan.Job] {
 			continue
 		}
-		t := j.Active[l.TaskIndex]
-		if t == nil || t.State != jobs.Placed || k.Busy(t.Stored.Key) || !k.canSpareReplica(j, t) || !k.lenderIsOwed(account, &l, j, waits) {
+		task := l.recallableTask(&loan)
+		if task == nil || !l.canSpareReplica(task) || !l.lenderIsOwed(account, &loan, task.Job, waits) {
 			continue
 		}
-		b := recallCandidate{loan: l, task: t, place: 1}
-		if k.Elsewhere(t) {
-			b.place = 0
+		candidate := recallCandidate{loan: loan, task: task, placeRank: 1}
+		if l.env.Elsewhere(task) {
+			candidate.placeRank = 0
 		}
-		for _, o := range k.TasksOnMachine[l.Machine] {
-			if o.Job.Record != nil && o.Job.Record.Spec.Image == j.Record.Spec.Image {
-				b.same++
+		image := task.Job.Record.Spec.Image
+		for _, other := range l.state.TasksOnMachine[loan.Machine] {
+			if other.Job.Record != nil && other.Job.Record.Spec.Image == image {
+				candidate.sameImage++
 			}
 		}
-		out = append(out, b)
+		candidates = append(candidates, candidate)
 	}
-	slices.SortStableFunc(
-		out,
-		func(x, y recallCandidate) int {
-			return cmp.Or(cmp.Compare(x.place, y.place), cmp.Compare(x.same, y.same))
-		},
-	)
-	return out
+	slices.SortStableFunc(candidates, func(a, b recallCandidate) int {
+		return cmp.Or(cmp.Compare(a.placeRank, b.placeRank), cmp.Compare(a.sameImage, b.sameImage))
+	})
+	return candidates
 }
 
-// recordNumberOf is the sheet that a loan is on.
-func (k *Ledger) recordNumberOf(id int) (int, bool) {
-	for n, s := range k.records {
-		if s != nil && slices.ContainsFunc(s.Loans, func(l Loan) bool { return l.ID == id }) {
-			return n, true
+// recallableTask is the replica of a loan if it has run long enough and is under no transaction,
+// else nil.
+func (l *Ledger) recallableTask(loan *Loan) *clusterstate.Task {
+	job := l.state.Jobs[loan.Job]
+	if loan.State != Lent || job == nil || !live(job) {
+		return nil
+	}
+	if l.state.NowMs()-loan.SinceMs < tuning.MinLoanTime.Milliseconds() {
+		return nil
+	}
+	task := job.Active[loan.TaskIndex]
+	if task == nil || task.State != jobs.Placed || l.env.Busy(task.Stored.Key) {
+		return nil
+	}
+	return task
+}
+
+// recordNumberOf is the number of the record that a loan is in.
+func (l *Ledger) recordNumberOf(id int) (int, bool) {
+	hasID := func(loan Loan) bool { return loan.ID == id }
+	for number, record := range l.records {
+		if record != nil && slices.ContainsFunc(record.Loans, hasID) {
+			return number, true
 		}
 	}
 	return 0, false
 }
 
 // canSpareReplica tells whether a service can do without one replica for a moment.
-func (k *Ledger) canSpareReplica(j *clusterstate.Job, t *clusterstate.Task) bool {
-	up, here := 0, 0
-	for _, o := range j.Active {
-		if o.State == jobs.Stopping {
+func (l *Ledger) canSpareReplica(replica *clusterstate.Task) bool {
+	placed, inZone := 0, 0
+	for _, other := range replica.Job.Active {
+		if other.State == jobs.Stopping {
 			return false
 		}
-		if o.State == jobs.Placed {
-			up++
-			if o.Zone == t.Zone {
-				here++
-			}
+		if other.State != jobs.Placed {
+			continue
+		}
+		placed++
+		if other.Zone == replica.Zone {
+			inZone++
 		}
 	}
-	return up-1 >= (j.Record.Spec.TaskCount+1)/2 && here > 1
+	half := (replica.Job.Record.Spec.TaskCount + 1) / 2
+	return placed-1 >= half && inZone > 1
 }
 
-// lenderIsOwed tells whether a lender waits for what it is guaranteed, and the borrower is
+// lenderIsOwed tells whether a lender waits for what it is guaranteed, while the borrower is
 // beyond its own guarantee.
-func (k *Ledger) lenderIsOwed(account *quota.Account, l *Loan, borrower *clusterstate.Job, waits func(jobID string) bool) bool {
+func (l *Ledger) lenderIsOwed(
+	account *quota.Account,
+	loan *Loan,
+	borrower *clusterstate.Job,
+	waits func(jobID string) bool,
+) bool {
 	spec := &borrower.Record.Spec
-	for _, s := range l.From {
-		j := k.Jobs[s.Job]
-		if j == nil || !k.mayBegin(j) || k.Queued[s.Job] != j || !waits(s.Job) {
+	for _, share := range loan.From {
+		job := l.state.Jobs[share.Job]
+		if job == nil || !l.mayBegin(job) || l.state.Queued[share.Job] != job || !waits(share.Job) {
 			continue
 		}
-		lender := &j.Record.Spec
+		lender := &job.Record.Spec
 		count := 1
 		if lender.IsGang() {
 			count = lender.TaskCount
 		}
-		if account.Yields(account.Entitled(k.QuotaLeaf(lender), lender.Amount(), count), k.QuotaLeaf(spec), spec.Amount()) {
+		entitled := account.Entitled(l.state.QuotaLeaf(lender), lender.Amount(), count)
+		if account.Yields(entitled, l.state.QuotaLeaf(spec), spec.Amount()) {
 			return true
 		}
 	}
--- a/internal/lending/ledger.go
+++ b/internal/lending/ledger.go
@@ -4,459 +4,318 @@
 	"cmp"
 	"encoding/json"
 	"log/slog"
-	"maps"
 	"slices"
 	"time"
 
 	"github.com/harrierreel/harrierreel/internal/clusterstate"
 	"github.com/harrierreel/harrierreel/internal/decide"
-	"github.com/harrierreel/harrierreel/internal/fleet"
 	"github.com/harrierreel/harrierreel/internal/jobs"
 	"github.com/harrierreel/harrierreel/internal/quota"
-	"github.com/harrierreel/harrierreel/internal/sharding"
 	"github.com/harrierreel/harrierreel/internal/store"
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Env is what the keeper is told from outside.
+// Env is the settings of a ledger and what it asks of its controller.
 type Env struct {
-	Limit int // bytes of a value of the shared state
-	// Again: a job that lent is left alone for so long.
+	// Limit is the size limit of a value in the state service, in bytes.
+	Limit int
+	// Again is how long a job that lent is not asked to lend again.
 	Again time.Duration
-	// ByPriority: where nobody can lend, PROTOCOL's preemption by rank goes on as without
-	// lending, below guarantees too.
+	// ByPriority: where nobody can lend, the preemption by priority of PROTOCOL goes on as
+	// without lending, below guarantees too.
 	ByPriority bool
 	Log        *slog.Logger
 	// Busy tells whether a record is under a transaction.
 	Busy func(key string) bool
-	// Ready tells whether a machine is heard and takes new tasks.
-	Ready func(m *clusterstate.Machine) bool
-	// Begins tells whether a job's work may begin now by the calendar; nil: all may.
-	Begins func(s *jobs.Spec) bool
-	// Elsewhere tells whether a replica finds room with its image on another machine.
-	Elsewhere func(t *clusterstate.Task) bool
+	// Ready tells whether a machine is reachable and takes new tasks.
+	Ready func(machine *clusterstate.Machine) bool
+	// Begins tells whether a job's tasks may start now by the release calendar; nil: all may.
+	Begins func(spec *jobs.Spec) bool
+	// Elsewhere tells whether a replica finds room on another machine that has its image.
+	Elsewhere func(task *clusterstate.Task) bool
 }
 
-// Ledger is the leader's keeping of loans. What it keeps follows from the records: a
-// new leader has the sheets and looks at each loan anew.
+// Ledger is the leader's view of all loans. All that it decides from follows from the records:
+// a new leader reads them and observes each loan anew. It is not safe for concurrent use.
 type Ledger struct {
-	*clusterstate.State
-	Env
+	// ByPriority is Env.ByPriority.
+	ByPriority bool
+
+	state *clusterstate.State
+	env   Env
 
 	records   map[int]*LoanRecord // as stored; nil for one that cannot be read
-	progress  map[int]ahead       // loans that have come further than what is stored
-	written   map[int]bool        // sheets written by this look
-	requested map[string]int      // tasks asked for by this look, by job
+	progress  map[int]progress    // by loan ID: loans that have advanced since they were stored
+	written   map[int]bool        // records written by this reconciliation
+	requested map[string]int      // tasks that this reconciliation stops for loans, by job
 	nextID    int
-	counted   Counts
+	counts    Counts
 	loggedAt  time.Time
 }
 
-// ahead is how far a loan has come since it was stored.
-type ahead struct {
-	from, to Loan
-	at       time.Time
+// progress is how far a loan has advanced since it was stored.
+type progress struct {
+	stored  Loan
+	current Loan
+	since   time.Time // of the first step that is not stored
 }
 
 // Counts is what has happened to loans under this leader, for the log.
 type Counts struct {
-	Requested, Lent, CalledBack, Returned, BrokenOff          int
-	AcceleratorsTaken, AcceleratorsReturned, AcceleratorsLost float64 // accelerators: taken, given back, gone with their machines
-	SparedSearches                                            int     // looks that found a lender only among those that lent of late
+	Requested  int
+	Lent       int
+	CalledBack int
+	Returned   int
+	BrokenOff  int
+	// AcceleratorsTaken is the accelerators of all loans begun, AcceleratorsReturned of those
+	// given back, AcceleratorsLost of those whose machine was gone before.
+	AcceleratorsTaken    float64
+	AcceleratorsReturned float64
+	AcceleratorsLost     float64
+	// SparedSearches counts the searches that found lenders only among the jobs that had
+	// lent a short while ago.
+	SparedSearches int
 }
 
-// NewLedger makes the keeping of loans over a book.
-func NewLedger(b *clusterstate.State, env Env) *Ledger {
+// NewLedger makes a ledger without loans over a controller's state; ApplyRecord fills it.
+func NewLedger(state *clusterstate.State, env Env) *Ledger {
 	return &Ledger{
-		State:     b,
-		Env:       env,
-		records:   map[int]*LoanRecord{},
-		progress:  map[int]ahead{},
-		written:   map[int]bool{},
-		requested: map[string]int{},
+		ByPriority: env.ByPriority,
+		state:      state,
+		env:        env,
+		records:    map[int]*LoanRecord{},
+		progress:   map[int]progress{},
+		written:    map[int]bool{},
+		requested:  map[string]int{},
 	}
 }
 
-// ApplyRecord takes a sheet in, nil for one that is gone. One that cannot be read is told
-// and set aside: its loans are left alone and nothing is written over it.
-func (k *Ledger) ApplyRecord(key string, value json.RawMessage) {
-	n, ok := RecordNumber(key)
+// ApplyRecord takes a stored record in, nil for one that is deleted. One that cannot be read is
+// logged and quarantined: its loans are left alone and nothing is written over it.
+func (l *Ledger) ApplyRecord(key string, value json.RawMessage) {
+	number, ok := RecordNumber(key)
 	if !ok {
 		return
 	}
 	if value == nil {
-		delete(k.records, n)
+		delete(l.records, number)
 		return
 	}
-	s, err := Decode(value)
+	record, err := Decode(value)
 	if err != nil {
-		k.Log.Error("unreadable loans set aside", "key", key, "error", err)
+		l.env.Log.Error("loan record quarantined", "key", key, "error", err)
 	}
-	k.records[n] = s
-	if s != nil {
-		for _, l := range s.Loans {
-			k.nextID = max(k.nextID, l.ID+1)
-		}
+	l.records[number] = record
+	if record == nil {
+		return
+	}
+	for _, loan := range record.Loans {
+		l.nextID = max(l.nextID, loan.ID+1)
 	}
 }
 
-// Loans lists the loans by age, as far as they have come.
-func (k *Ledger) Loans() []Loan {
-	var out []Loan
-	for _, n := range sortedKeys(k.records) {
-		if s := k.records[n]; s != nil {
-			for _, l := range s.Loans {
-				out = append(out, k.current(l))
+// Loans lists the loans by age, as far as they have advanced.
+func (l *Ledger) Loans() []Loan {
+	var loans []Loan
+	for _, number := range sortedKeys(l.records) {
+		if record := l.records[number]; record != nil {
+			for _, loan := range record.Loans {
+				loans = append(loans, l.current(loan))
 			}
 		}
 	}
-	slices.SortFunc(out, func(a, b Loan) int { return cmp.Or(cmp.Compare(a.BeganMs, b.BeganMs), cmp.Compare(a.ID, b.ID)) })
-	return out
-}
-
-// progressOf is how far a loan has come since it was stored as it is, if it has.
-func (k *Ledger) progressOf(l Loan) (ahead, bool) {
-	a, ok := k.progress[l.ID]
-	return a, ok && a.from.State == l.State && a.from.SinceMs == l.SinceMs && a.from.FreeMs == l.FreeMs
+	slices.SortFunc(loans, func(a, b Loan) int {
+		return cmp.Or(cmp.Compare(a.BeganMs, b.BeganMs), cmp.Compare(a.ID, b.ID))
+	})
+	return loans
 }
 
-// current is a stored loan as far as it has come.
-func (k *Ledger) current(l Loan) Loan {
-	if a, ok := k.progressOf(l); ok {
-		return a.to
-	}
-	return l
+// Counts is what has been counted so far.
+func (l *Ledger) Counts() Counts { return l.counts }
+
+// progressOf is how far a loan has advanced since it was stored in this form, if it has.
+func (l *Ledger) progressOf(stored Loan) (progress, bool) {
+	found, ok := l.progress[stored.ID]
+	same := found.stored.State == stored.State &&
+		found.stored.SinceMs == stored.SinceMs &&
+		found.stored.FreeMs == stored.FreeMs
+	return found, ok && same
 }
 
-// facts is what the records say about a loan.
-func (k *Ledger) facts(l *Loan) Facts {
-	f := Facts{NowMs: k.NowMs()}
-	m := k.Machines[l.Machine]
-	f.MachineGone = m == nil || m.State == fleet.Deleting || m.State == fleet.Deleted
-	f.MachineDoubtful = !f.MachineGone && (m.State == fleet.Warned || m.State == fleet.Faulty)
-	if j := k.Jobs[l.Job]; j != nil {
-		t := j.Active[l.TaskIndex]
-		_, booked := k.Reservations[jobs.TaskID(l.Job, l.TaskIndex)]
-		f.ReplicaOnMachine = t != nil && t.OnMachine() && t.Machine == l.Machine
-		f.ReplicaReleased = t != nil && t.State == jobs.Released && t.PreferredMachine == l.Machine ||
-			booked && k.Reservations[jobs.TaskID(l.Job, l.TaskIndex)].Machine == l.Machine
-		f.ReplicaWaits = t == nil && !booked && k.mayBegin(j) && l.TaskIndex < j.Record.Spec.TaskCount
-	}
-	for _, s := range l.From {
-		j := k.Jobs[s.Job]
-		if j == nil {
-			continue
-		}
-		f.LenderWaits = f.LenderWaits || k.mayBegin(j) && k.Queued[s.Job] == j
-		for _, t := range k.TasksOnMachine[l.Machine] {
-			if t.Job == j {
-				f.LenderLeaving = f.LenderLeaving || t.State == jobs.Stopping
-				f.LenderBack = f.LenderBack || t.State == jobs.Placed && l.FreeMs > 0 && t.Since.UnixMilli() >= l.FreeMs
-			}
-		}
+// current is a stored loan as far as it has advanced.
+func (l *Ledger) current(stored Loan) Loan {
+	if found, ok := l.progressOf(stored); ok {
+		return found.current
 	}
-	return f
+	return stored
 }
 
-func live(j *clusterstate.Job) bool { return j.Record != nil && j.Record.State == jobs.Live }
+func live(job *clusterstate.Job) bool { return job.Record != nil && job.Record.State == jobs.Live }
 
-// mayBegin tells whether a job's work may begin now. While its window is shut, or is only
-// about to open, no room is kept for it and no replica called back: it could not come,
-// and what it needs at its opening is prepared by the queue.
-func (k *Ledger) mayBegin(j *clusterstate.Job) bool {
-	return live(j) && (k.Begins == nil || k.Begins(&j.Record.Spec))
+// mayBegin tells whether a job's tasks may start now. While its window is closed, or is only
+// about to open, no room is reserved for it and no replica called back: it could not use the
+// room, and what it needs at the opening is prepared by the queue.
+func (l *Ledger) mayBegin(job *clusterstate.Job) bool {
+	return live(job) && (l.env.Begins == nil || l.env.Begins(&job.Record.Spec))
 }
 
-// Reconcile brings every loan as far as the records say, and returns what is to be written
-// and whom to call back. waits tells whether a job found no room in the last look at
-// the queue.
-func (k *Ledger) Reconcile(account *quota.Account, waits func(jobID string) bool) []decide.Decision {
-	clear(k.written)
-	clear(k.requested)
+// Reconcile advances every loan as far as the records say, and returns the decisions that store
+// it and that call replicas back. waits tells whether a job found no room in the last pass
+// of the queue.
+func (l *Ledger) Reconcile(account *quota.Account, waits func(jobID string) bool) []decide.Decision {
+	clear(l.written)
+	clear(l.requested)
 	stored := map[int]bool{}
-	for _, n := range sortedKeys(k.records) {
-		if k.records[n] == nil {
+	for _, number := range sortedKeys(l.records) {
+		if l.records[number] == nil {
 			continue
 		}
-		for _, l := range k.records[n].Loans {
-			stored[l.ID] = true
-			k.advance(l)
+		for _, loan := range l.records[number].Loans {
+			stored[loan.ID] = true
+			l.advance(loan)
 		}
 	}
-	for id := range k.progress {
+	for id := range l.progress {
 		if !stored[id] {
-			delete(k.progress, id)
+			delete(l.progress, id)
 		}
 	}
-	ds := k.callBack(account, waits)
-	for _, n := range sortedKeys(k.records) {
-		if d, ok := k.saveRecord(n); ok {
-			ds = append(ds, d)
+	decisions := l.callBack(account, waits)
+	for _, number := range sortedKeys(l.records) {
+		if decision, ok := l.saveRecord(number); ok {
+			decisions = append(decisions, decision)
 		}
 	}
-	k.logCounts()
-	return ds
+	l.logCounts()
+	return decisions
 }
 
-// advance looks at one loan.
-func (k *Ledger) advance(stored Loan) {
-	l := k.current(stored)
-	f := k.facts(&l)
-	for moved := true; moved; {
-		was := l.State
-		if l, moved = Next(l, Observe, f); moved {
-			k.keepProgress(stored, l)
-			k.count(was, &l)
+// advance takes one loan as far as the records say.
+func (l *Ledger) advance(stored Loan) {
+	loan := l.current(stored)
+	facts := l.facts(&loan)
+	for {
+		before := loan.State
+		var changed bool
+		if loan, changed = Next(loan, Observe, facts); !changed {
+			return
 		}
+		l.keepProgress(stored, loan)
+		l.count(before, &loan)
 	}
 }
 
-// keepProgress keeps how far a loan has come until it is stored.
-func (k *Ledger) keepProgress(stored, l Loan) {
-	at := k.Now
-	if a, ok := k.progressOf(stored); ok {
-		at = a.at
+// keepProgress keeps how far a loan has advanced until it is stored.
+func (l *Ledger) keepProgress(stored, current Loan) {
+	since := l.state.Now
+	if earlier, ok := l.progressOf(stored); ok {
+		since = earlier.since
 	}
-	k.progress[l.ID] = ahead{stored, l, at}
+	l.progress[current.ID] = progress{stored: stored, current: current, since: since}
 }
 
-// count notes a loan's new state.
-func (k *Ledger) count(was State, l *Loan) {
-	if was == l.State {
+// count counts and logs a loan's new state.
+func (l *Ledger) count(before State, loan *Loan) {
+	if before == loan.State {
 		return
 	}
-	switch l.State {
+	switch loan.State {
 	case Asked:
-		k.counted.Requested++
-		k.counted.AcceleratorsTaken += l.GPUs
+		l.counts.Requested++
+		l.counts.AcceleratorsTaken += loan.GPUs
 	case Lent:
-		k.counted.Lent++
+		l.counts.Lent++
 	case CalledBack:
-		k.counted.CalledBack++
+		l.counts.CalledBack++
 	case Returned:
-		k.counted.Returned++
-		k.counted.AcceleratorsReturned += l.GPUs
+		l.counts.Returned++
+		l.counts.AcceleratorsReturned += loan.GPUs
 	case BrokenOff:
-		k.counted.BrokenOff++
-		k.counted.AcceleratorsLost += l.GPUs
+		l.counts.BrokenOff++
+		l.counts.AcceleratorsLost += loan.GPUs
 	case Wanted, Vacated:
 	}
-	k.Log.Debug("loan",
-		"id", l.ID, "state", string(l.State), "for", jobs.TaskID(l.Job, l.TaskIndex), "machine", l.Machine,
-		"from", l.From[0].Job, "gpus", l.GPUs, "why", l.Reason)
+	l.env.Log.Debug("loan changed state",
+		"loan_id", loan.ID,
+		"state", string(loan.State),
+		"task_id", jobs.TaskID(loan.Job, loan.TaskIndex),
+		"machine", loan.Machine,
+		"lender_job_id", loan.From[0].Job,
+		"gpus", loan.GPUs,
+		"reason", loan.Reason)
 }
 
-// Counts is what has been counted so far.
-func (k *Ledger) Counts() Counts { return k.counted }
-
-// logCounts tells the counts once a minute, if any loan was asked for.
-func (k *Ledger) logCounts() {
-	if k.Now.Sub(k.loggedAt) < tuning.LoanLogEvery {
+// logCounts logs the counts once a tuning.LoanLogEvery, if there was any loan.
+func (l *Ledger) logCounts() {
+	if l.state.Now.Sub(l.loggedAt) < tuning.LoanLogEvery {
 		return
 	}
-	k.loggedAt = k.Now
-	if c := k.counted; c != (Counts{}) {
-		k.Log.Info("loans",
-			"asked", c.Requested, "lent", c.Lent, "called_back", c.CalledBack, "returned", c.Returned,
-			"broken_off", c.BrokenOff, "gpus_taken", c.AcceleratorsTaken, "gpus_given", c.AcceleratorsReturned, "gpus_gone", c.AcceleratorsLost,
-			"spared", c.SparedSearches)
+	l.loggedAt = l.state.Now
+	if l.counts == (Counts{}) {
+		return
 	}
+	l.env.Log.Info("loans counted",
+		"requested", l.counts.Requested,
+		"lent", l.counts.Lent,
+		"called_back", l.counts.CalledBack,
+		"returned", l.counts.Returned,
+		"broken_off", l.counts.BrokenOff,
+		"gpus_taken", l.counts.AcceleratorsTaken,
+		"gpus_returned", l.counts.AcceleratorsReturned,
+		"gpus_lost", l.counts.AcceleratorsLost,
+		"spared", l.counts.SparedSearches)
 }
 
-// currentRecord is what a sheet would be with all loans as far as they have come.
-func (k *Ledger) currentRecord(n int) *LoanRecord {
-	out := &LoanRecord{}
-	if s := k.records[n]; s != nil {
-		for _, l := range s.Loans {
-			out.Loans = append(out.Loans, k.current(l))
+// currentRecord is what a record would be with all its loans as far as they have advanced.
+func (l *Ledger) currentRecord(number int) *LoanRecord {
+	current := &LoanRecord{}
+	if record := l.records[number]; record != nil {
+		for _, loan := range record.Loans {
+			current.Loans = append(current.Loans, l.current(loan))
 		}
 	}
-	return out.withoutExpired(k.NowMs(), k.Again)
+	return current.withoutExpired(l.state.NowMs(), l.env.Again)
 }
 
-// recordWrite is the record of a sheet. It is conditional on the version that is known, as
-// every write is, so an old leader's sheet comes to nothing.
-func (k *Ledger) recordWrite(n int, s *LoanRecord) store.Write {
-	k.written[n] = true
-	if len(s.Loans) == 0 {
-		return decide.Remove(RecordKey(n))
+// recordWrite is the write of a record. As every write it is conditional on the revision that
+// is known, so that a former leader's write fails.
+func (l *Ledger) recordWrite(number int, record *LoanRecord) store.Write {
+	l.written[number] = true
+	if len(record.Loans) == 0 {
+		return decide.Remove(RecordKey(number))
 	}
-	return decide.Put(RecordKey(n), s)
+	return decide.Put(RecordKey(number), record)
 }
 
-// saveRecord is the decision that stores what has changed on a sheet: gathered for a while,
-// since every step is found again from the records.
-func (k *Ledger) saveRecord(n int) (decide.Decision, bool) {
-	s := k.records[n]
-	if s == nil || k.written[n] || k.Busy(RecordKey(n)) {
+// saveRecord is the decision that stores what has changed in a record. Changes are gathered
+// for tuning.LoanSave, since a new leader finds every step again from the records.
+func (l *Ledger) saveRecord(number int) (decide.Decision, bool) {
+	record := l.records[number]
+	if record == nil || l.written[number] || l.env.Busy(RecordKey(number)) {
 		return decide.Decision{}, false
 	}
-	due := false
-	for _, l := range s.Loans {
-		a, changed := k.progressOf(l)
-		due = due || changed && k.Now.Sub(a.at) >= tuning.LoanSave ||
-			l.State.Over() && k.NowMs()-l.BeganMs > (k.Again+tuning.LoanLogEvery).Milliseconds()
-	}
-	if !due {
+	if !slices.ContainsFunc(record.Loans, l.saveDue) {
 		return decide.Decision{}, false
 	}
-	return decide.Decision{Writes: []store.Write{k.recordWrite(n, k.currentRecord(n))}}, true
-}
-
-// openRecord is a sheet that takes another loan now.
-func (k *Ledger) openRecord() (int, bool) {
-	for n := range tuning.LoanRecords {
-		s, known := k.records[n]
-		if known && s == nil || k.written[n] || k.Busy(RecordKey(n)) {
-			continue
-		}
-		if k.currentRecord(n).hasRoom(k.Limit) {
-			return n, true
-		}
-	}
-	return 0, false
-}
-
-// recentlyLent is how many tasks each job has lent of late.
-func (k *Ledger) recentlyLent() map[string]int {
-	out := maps.Clone(k.requested)
-	for _, l := range k.Loans() {
-		if k.NowMs()-l.BeganMs < k.Again.Milliseconds() {
-			for _, f := range l.From {
-				out[f.Job] += f.Tasks
-			}
-		}
-	}
-	return out
+	return decide.Decision{Writes: []store.Write{l.recordWrite(number, l.currentRecord(number))}}, true
 }
 
-// maxLentTasks is how many of a job's tasks may be lent in the time that a job is left alone
-// for: all of a gang or one task alone, once; of a sweep, whose tasks do not need one
-// another, a share.
-func maxLentTasks(spec *jobs.Spec) int {
-	if spec.Kind != jobs.JobArray {
-		return 1
+// saveDue tells whether a stored loan's record must be written for it: its progress has waited
+// long enough, or it is over and can be dropped.
+func (l *Ledger) saveDue(stored Loan) bool {
+	found, changed := l.progressOf(stored)
+	if changed && l.state.Now.Sub(found.since) >= tuning.LoanSave {
+		return true
 	}
-	return max(1, int(tuning.SweepLends*float64(spec.TaskCount)))
+	ageMs := l.state.NowMs() - stored.BeganMs
+	return stored.State.Over() && ageMs > (l.env.Again+tuning.LoanLogEvery).Milliseconds()
 }
 
-// For is the loan that makes room for a replica, if there is one.
-func (k *Ledger) For(jobID string, n int) (Loan, bool) {
-	for _, l := range k.Loans() {
-		if l.Job == jobID && l.TaskIndex == n && l.ForBorrower() {
-			return l, true
-		}
-	}
-	return Loan{}, false
-}
-
-// Ask is the decision that begins a loan: its record and the stops of all that give,
-// gangs whole, in one transaction. False if nobody can give, or none can be kept.
-func (k *Ledger) Ask(s *Search) (decide.Decision, Plan, bool) {
-	n, ok := k.openRecord()
-	if !ok {
-		return decide.Decision{}, Plan{}, false
-	}
-	lent := k.recentlyLent()
-	met := false
-	s.Spared = func(j *clusterstate.Job) bool {
-		spared := lent[j.ID] >= maxLentTasks(&j.Record.Spec)
-		met = met || spared
-		return spared
-	}
-	s.Busy, s.Now = k.Busy, k.Now
-	s.Known = func(m *clusterstate.Machine) bool { return k.Ready(m) }
-	plan, ok := Choose(k.State, s)
-	if !ok && plan.Machine != "" {
-		plan.From = k.leavingGangShares(plan.Machine, s.Task.Job.Record.Spec.Accelerators)
-	}
-	if len(plan.From) == 0 {
-		if met {
-			k.counted.SparedSearches++
-		}
-		return decide.Decision{}, Plan{}, false
-	}
-	l := Loan{ID: k.nextID, Job: s.Task.Job.ID, TaskIndex: s.Task.Index, Machine: plan.Machine, From: plan.From}
-	for _, f := range plan.From {
-		l.GPUs += f.GPUs
-	}
-	l, _ = Next(l, Request, Facts{NowMs: k.NowMs()})
-	d := decide.Decision{ReadSet: []string{jobs.JobPrefix + l.Job, fleet.MachinePrefix + l.Machine}}
-	for _, t := range plan.Tasks {
-		next, ok := jobs.NextTask(t.Task, jobs.TaskEvent{Kind: jobs.Stop, Reason: "lends its place to " + s.Task.ID})
-		if !ok {
-			return decide.Decision{}, Plan{}, false
-		}
-		d.Changes = append(d.Changes, decide.Change{Task: t, Next: next})
-	}
-	sheet := k.currentRecord(n)
-	sheet.Loans = append(sheet.Loans, l)
-	d.Writes = []store.Write{k.recordWrite(n, sheet)}
-	d.OnSettled = func(ok bool) {
-		if ok {
-			k.count(Wanted, &l)
-		}
-	}
-	for _, f := range plan.From {
-		k.requested[f.Job] += f.Tasks
-	}
-	k.nextID++
-	return d, plan, true
-}
-
-// leavingGangShares is what gangs that lend have on a machine and are leaving: one that gave
-// whole for one replica gives its other machines to those that wait next.
-func (k *Ledger) leavingGangShares(machine string, gpus float64) []Share {
-	for _, taskID := range clusterstate.SortedKeys(k.TasksOnMachine[machine]) {
-		t := k.TasksOnMachine[machine][taskID]
-		if t.State == jobs.Stopping && t.Job.Record != nil && t.Job.Record.Spec.IsGang() && k.lends(t.Job.ID) {
-			return []Share{{Job: t.Job.ID, GPUs: min(gpus, t.Job.Record.Spec.Accelerators)}}
-		}
-	}
-	return nil
-}
-
-// lends tells whether a job gave for a loan that is not over.
-func (k *Ledger) lends(jobID string) bool {
-	return slices.ContainsFunc(k.Loans(), func(l Loan) bool {
-		return !l.State.Over() && slices.ContainsFunc(l.From, func(s Share) bool { return s.Job == jobID })
-	})
-}
-
-// KeptRoom is room on a machine that is for one job's tasks only.
-type KeptRoom struct {
-	Job       string
-	Machine   string
-	Resources sharding.Resources
-	// TaskID is the replica that a room is for, none where it is a lender's.
-	TaskID string
-}
-
-// Rooms lists the rooms that are kept, in order of the loans: for replicas while their
-// room is made, then for a while for those that gave it.
-func (k *Ledger) Rooms() []KeptRoom {
-	var out []KeptRoom
-	for _, l := range k.Loans() {
-		if j := k.Jobs[l.Job]; l.ForBorrower() && j != nil && k.mayBegin(j) && j.Active[l.TaskIndex] == nil &&
-			k.Machines[l.Machine] != nil {
-			out = append(out, KeptRoom{l.Job, l.Machine, j.Record.Spec.Resources(), jobs.TaskID(l.Job, l.TaskIndex)})
-		}
-		if !l.ForLender() || k.Machines[l.Machine] == nil {
-			continue
-		}
-		for _, s := range l.From {
-			j := k.Jobs[s.Job]
-			if j == nil || !k.mayBegin(j) || k.Queued[s.Job] != j {
-				continue
-			}
-			need := j.Record.Spec.Resources()
-			for left := s.GPUs; left > 0 || left == s.GPUs; left -= need.Accelerators {
-				out = append(out, KeptRoom{s.Job, l.Machine, need, ""})
-				if need.Accelerators <= 0 {
-					break
-				}
-			}
-		}
+func sortedKeys[V any](m map[int]V) []int {
+	keys := make([]int, 0, len(m))
+	for key := range m {
+		keys = append(keys, key)
 	}
-	return out
+	slices.Sort(keys)
+	return keys
 }
--- a/internal/lending/loan.go
+++ b/internal/lending/loan.go
@@ -1,147 +1,191 @@
-// Package lending is GPUs that batch work and training lend to serving: who gives
-// (choose.go), how far each loan has come (loan.go), the leader's keeping of them in the
-// shared state (ledger.go, loan_record.go). No IO, no clock.
+// Package lending lets batch work and training lend accelerators to services: which tasks give
+// room on which machine (choose.go), the state machine of a loan (loan.go), the stored records
+// of loans (loan_record.go), and the leader's ledger, which advances the loans (ledger.go),
+// begins them (request.go), keeps their room (room.go) and calls replicas back (callback.go).
+// It has no IO and reads no clock.
 package lending
 
 import "github.com/harrierreel/harrierreel/internal/tuning"
 
-// State is how far a loan has come. What is wanted is not stored: it follows from a
-// replica that waits. All others are, and each can be found again from the records.
+// State is how far a loan has come. Wanted is never stored: it follows from a replica that
+// waits. All others are stored, and a new leader finds each again from the records.
 type State string
 
 // States of a loan.
 const (
 	Wanted     State = "wanted"      // a replica waits, nothing is taken
 	Asked      State = "asked"       // the lender's tasks are to stop, by the same transaction
-	Vacated    State = "vacated"     // they are gone, the room is kept for the replica
+	Vacated    State = "vacated"     // they are gone, the room is reserved for the replica
 	Lent       State = "lent"        // the replica is on the machine
-	CalledBack State = "called back" // the replica goes or is gone, the room is the lender's for a while
-	Returned   State = "returned"    // over: the lender has it, or has let its time pass
+	CalledBack State = "called back" // the replica is stopping or gone, the room is the lender's for a while
+	Returned   State = "returned"    // over: the lender has the room, or did not use it in time
 	BrokenOff  State = "broken off"  // over: there is no room to give back any more
 )
 
-// Over tells whether nothing comes after a state.
+// Over tells whether no state follows a state.
 func (s State) Over() bool { return s == Returned || s == BrokenOff }
 
-// Loan is one replica's room, made by stopping others on one machine.
+// stored tells whether a state is one that records may hold.
+func (s State) stored() bool {
+	switch s {
+	case Asked, Vacated, Lent, CalledBack, Returned, BrokenOff:
+		return true
+	case Wanted:
+		return false
+	}
+	return false
+}
+
+// Loan is the room of one replica, made by stopping others on one machine. Its tags are the
+// stored form: they must not change.
 type Loan struct {
 	ID        int     `json:"i"`
 	State     State   `json:"s"`
-	Job       string  `json:"b"`           // whose replica it is for
-	TaskIndex int     `json:"n"`           // which of them
-	Machine   string  `json:"h"`           // machine
-	From      []Share `json:"f"`           // from whom, in the order in which it goes back
-	GPUs      float64 `json:"g"`           // accelerators lent
-	BeganMs   int64   `json:"at"`          // time of day when it was asked for
-	SinceMs   int64   `json:"t"`           // when it came to its state
-	FreeMs    int64   `json:"k,omitempty"` // called back: since when the room is the lender's, 0 while the replica is there
-	Reason    string  `json:"w,omitempty"`
+	Job       string  `json:"b"`  // service that the room is for
+	TaskIndex int     `json:"n"`  // replica of the service
+	Machine   string  `json:"h"`  // machine
+	From      []Share `json:"f"`  // lenders, in the order in which the room goes back
+	GPUs      float64 `json:"g"`  // accelerators lent
+	BeganMs   int64   `json:"at"` // time of day when it was requested
+	SinceMs   int64   `json:"t"`  // time of day when it came to its state
+	// FreeMs is, of a loan called back, since when the room is the lender's; 0 while the
+	// replica is there.
+	FreeMs int64  `json:"k,omitempty"`
+	Reason string `json:"w,omitempty"` // of its state, for people
 }
 
-// Share is what one job gave.
+// Share is what one job lends.
 type Share struct {
 	Job   string  `json:"j"`
 	GPUs  float64 `json:"g"` // of what the replica takes
-	Tasks int     `json:"n"` // that stop, those of a gang elsewhere included
+	Tasks int     `json:"n"` // tasks stopped, a gang's on other machines included
 }
 
-// Event is what the keeper tells a loan.
+// Event is what advances a loan.
 type Event string
 
 // Events of a loan.
 const (
-	Request  Event = "ask"       // its stops are committed with it
-	Observe  Event = "look"      // the records are looked at
+	Request  Event = "ask"       // the stops of the lenders' tasks commit with it
+	Observe  Event = "look"      // the records are compared with the loan
 	CallBack Event = "call back" // the lender's guaranteed work waits
 )
 
 // Facts is what the records say about a loan now.
 type Facts struct {
 	NowMs int64
-	// MachineGone: the machine is no more, or will be; Doubtful: it has a notice, so nothing
-	// new goes there.
-	MachineGone, MachineDoubtful bool
-	// LenderLeaving: a task of a lender is still on the machine, on its way out.
+	// MachineGone: the machine is deleted, or being deleted.
+	MachineGone bool
+	// MachineDoubtful: the machine is warned or faulty, so no new task goes there.
+	MachineDoubtful bool
+	// LenderLeaving: a task of a lender is still on the machine and stopping.
 	LenderLeaving bool
-	// ReplicaOnMachine: the replica may be on the machine; Coming: it is released to it. Waits: it
-	// has no place anywhere, and its job lives.
-	ReplicaOnMachine, ReplicaReleased, ReplicaWaits bool
-	// LenderWaits: a lender has tasks that wait; LenderBack: one has started there again.
-	LenderWaits, LenderBack bool
+	// ReplicaOnMachine: the replica may be on the machine.
+	ReplicaOnMachine bool
+	// ReplicaReleased: the replica is released to the machine.
+	ReplicaReleased bool
+	// ReplicaWaits: the replica has no place anywhere, and its job is live.
+	ReplicaWaits bool
+	// LenderWaits: a lender has tasks that wait.
+	LenderWaits bool
+	// LenderBack: a lender's task has started on the machine since the room is the lender's.
+	LenderBack bool
 }
 
-// Next is the one place where a loan changes. It tells whether it did.
-func Next(l Loan, e Event, f Facts) (Loan, bool) {
-	to := func(s State, why string) (Loan, bool) {
-		l.State, l.SinceMs, l.Reason = s, f.NowMs, why
-		return l, true
+// Next is the state machine of a loan: nothing else changes a loan's state. It tells whether
+// the loan changed.
+func Next(loan Loan, event Event, facts Facts) (Loan, bool) {
+	switch event {
+	// Only a committed stop begins a loan.
+	case Request:
+		if loan.State == Wanted || loan.State == "" {
+			loan.BeganMs = facts.NowMs
+			return loan.to(Asked, "", facts)
+		}
+	// Only a replica that is on the machine can be called back.
+	case CallBack:
+		if loan.State == Lent && facts.ReplicaOnMachine {
+			return loan.to(CalledBack, "the lender's guaranteed work waits", facts)
+		}
+	case Observe:
+		return loan.observe(facts)
 	}
-	age := f.NowMs - l.SinceMs
-	// Only a committed stop begins a loan, and only what is lent can be called back.
-	switch {
-	case e == Request && (l.State == Wanted || l.State == ""):
-		l.BeganMs = f.NowMs
-		return to(Asked, "")
-	case e == CallBack && l.State == Lent && f.ReplicaOnMachine:
-		return to(CalledBack, "the lender's guaranteed work waits")
-	case e != Observe || l.State.Over():
+	return loan, false
+}
+
+// to returns a loan in its next state.
+func (l Loan) to(state State, reason string, facts Facts) (Loan, bool) {
+	l.State, l.SinceMs, l.Reason = state, facts.NowMs, reason
+	return l, true
+}
+
+// observe compares a loan with the records.
+func (l Loan) observe(facts Facts) (Loan, bool) {
+	if l.State.Over() {
 		return l, false
 	}
-	// What is on a machine that is gone cannot be given back.
-	if f.MachineGone {
-		return to(BrokenOff, "the machine is gone")
+	// Room on a machine that is gone cannot be given back.
+	if facts.MachineGone {
+		return l.to(BrokenOff, "the machine is gone", facts)
 	}
 	switch l.State {
 	case Asked, Vacated:
-		switch {
-		case f.ReplicaOnMachine && !f.LenderLeaving:
-			return to(Lent, "")
-		case f.ReplicaReleased || f.ReplicaOnMachine:
-			return l, false
-		case f.MachineDoubtful:
-			return to(BrokenOff, "the machine will be taken")
-		case !f.ReplicaWaits:
-			return to(CalledBack, "the replica no longer waits")
-		case l.State == Asked && !f.LenderLeaving:
-			return to(Vacated, "")
-		case l.State == Asked && age > tuning.LoanRequestTimeout.Milliseconds():
-			return to(CalledBack, "the lender did not leave in time")
-		case l.State == Vacated && age > tuning.LoanVacant.Milliseconds():
-			return to(CalledBack, "the replica did not come in time")
-		}
+		return l.observeReserved(facts)
 	case Lent:
-		if !f.ReplicaOnMachine && !f.ReplicaReleased {
-			return to(CalledBack, "the replica ended")
+		if !facts.ReplicaOnMachine && !facts.ReplicaReleased {
+			return l.to(CalledBack, "the replica ended", facts)
 		}
 	case CalledBack:
-		return giveBack(l, f, to)
+		return l.observeReturn(facts)
 	case Wanted, Returned, BrokenOff:
 	}
 	return l, false
 }
 
-// giveBack is the end of a loan: once the room is free it is the lender's for a bounded
-// time, so that room never stands empty for one that does not come.
-func giveBack(l Loan, f Facts, to func(State, string) (Loan, bool)) (Loan, bool) {
+// observeReserved is the step of a loan whose room is made, or reserved for its replica.
+func (l Loan) observeReserved(facts Facts) (Loan, bool) {
+	ageMs := facts.NowMs - l.SinceMs
+	switch {
+	case facts.ReplicaOnMachine && !facts.LenderLeaving:
+		return l.to(Lent, "", facts)
+	case facts.ReplicaReleased || facts.ReplicaOnMachine:
+		return l, false
+	case facts.MachineDoubtful:
+		return l.to(BrokenOff, "the machine will be taken", facts)
+	case !facts.ReplicaWaits:
+		return l.to(CalledBack, "the replica no longer waits", facts)
+	case l.State == Asked && !facts.LenderLeaving:
+		return l.to(Vacated, "", facts)
+	case l.State == Asked && ageMs > tuning.LoanRequestTimeout.Milliseconds():
+		return l.to(CalledBack, "the lender did not leave in time", facts)
+	case l.State == Vacated && ageMs > tuning.LoanVacant.Milliseconds():
+		return l.to(CalledBack, "the replica did not come in time", facts)
+	}
+	return l, false
+}
+
+// observeReturn is the step of a loan that is called back: once the room is free it is reserved
+// for the lender for a bounded time, so that room never stays empty for a lender that does
+// not use it.
+func (l Loan) observeReturn(facts Facts) (Loan, bool) {
 	switch {
-	case f.ReplicaOnMachine || f.LenderLeaving:
+	case facts.ReplicaOnMachine || facts.LenderLeaving:
 		return l, false
 	case l.FreeMs == 0:
-		l.FreeMs = f.NowMs
+		l.FreeMs = facts.NowMs
 		return l, true
-	case f.LenderBack:
-		return to(Returned, "the lender is back")
-	case !f.LenderWaits:
-		return to(Returned, "the lender needs it no more")
-	case f.NowMs-l.FreeMs > tuning.LoanReturnReservation.Milliseconds():
-		return to(Returned, "the lender did not come in time")
+	case facts.LenderBack:
+		return l.to(Returned, "the lender is back", facts)
+	case !facts.LenderWaits:
+		return l.to(Returned, "the lender needs it no more", facts)
+	case facts.NowMs-l.FreeMs > tuning.LoanReturnReservation.Milliseconds():
+		return l.to(Returned, "the lender did not come in time", facts)
 	}
 	return l, false
 }
 
-// ForBorrower tells whether a loan's room is kept for its replica, ForLender whether
-// for those that gave it.
+// ForBorrower tells whether a loan's room is reserved for its replica.
 func (l *Loan) ForBorrower() bool { return l.State == Asked || l.State == Vacated }
 
-// ForLender: see ForBorrower.
+// ForLender tells whether a loan's room is reserved for the jobs that lent it.
 func (l *Loan) ForLender() bool { return l.State == CalledBack && l.FreeMs > 0 }
--- a/internal/lending/loan_record.go
+++ b/internal/lending/loan_record.go
@@ -5,63 +5,71 @@
 	"fmt"
 	"slices"
 	"strconv"
+	"strings"
 	"time"
 
 	"github.com/harrierreel/harrierreel/internal/jobs"
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Prefix is the prefix of the sheets in the state service.
+// Prefix is the prefix of the keys of loan records in the state service.
 const Prefix = "loan/"
 
-// LoanRecord is one value of the shared state: many loans, so that a change of several is
-// one. A loan stays on the sheet on which it began.
+// LoanRecord is one value of the state service. It holds many loans, so that changes of several
+// are one write. A loan stays in the record in which it began.
 type LoanRecord struct {
 	Loans []Loan `json:"l"`
 }
 
-// RecordKey is the key of a sheet.
-func RecordKey(sheet int) string { return Prefix + strconv.Itoa(sheet) }
+// RecordKey is the key of the loan record with a number.
+func RecordKey(number int) string { return Prefix + strconv.Itoa(number) }
 
-// RecordNumber is the inverse of Key; false for a key that none has.
+// RecordNumber is the inverse of RecordKey; false for a key that no loan record has.
 func RecordNumber(key string) (int, bool) {
-	if len(key) <= len(Prefix) || key[:len(Prefix)] != Prefix {
+	digits, found := strings.CutPrefix(key, Prefix)
+	if !found {
 		return 0, false
 	}
-	n, err := strconv.Atoi(key[len(Prefix):])
-	return n, err == nil && n >= 0 && n < tuning.LoanRecords && RecordKey(n) == key
+	number, err := strconv.Atoi(digits)
+	return number, err == nil && number >= 0 && number < tuning.LoanRecords && RecordKey(number) == key
 }
 
-// Decode reads a sheet and checks it. An error names the first fault.
-func Decode(b []byte) (*LoanRecord, error) {
-	var s LoanRecord
-	if err := json.Unmarshal(b, &s); err != nil {
-		return nil, err
+// Decode reads a loan record and checks it. The error names the first loan that is wrong.
+func Decode(value []byte) (*LoanRecord, error) {
+	var record LoanRecord
+	if err := json.Unmarshal(value, &record); err != nil {
+		return nil, fmt.Errorf("decode loan record: %w", err)
 	}
 	seen := map[int]bool{}
-	for i := range s.Loans {
-		l := &s.Loans[i]
-		switch l.State {
-		case Asked, Vacated, Lent, CalledBack, Returned, BrokenOff:
-		default:
-			return nil, fmt.Errorf("loan %d has unknown state %q", l.ID, l.State)
+	for i := range record.Loans {
+		loan := &record.Loans[i]
+		if !loan.State.stored() {
+			return nil, fmt.Errorf("decode loan record: loan %d has unknown state %q", loan.ID, loan.State)
 		}
-		if seen[l.ID] || l.Machine == "" || !jobs.ValidID(l.Job) || l.TaskIndex < 0 || l.GPUs < 0 || len(l.From) == 0 {
-			return nil, fmt.Errorf("loan %d is not whole", l.ID)
+		if seen[loan.ID] || !loan.complete() {
+			return nil, fmt.Errorf("decode loan record: loan %d is incomplete", loan.ID)
 		}
-		seen[l.ID] = true
+		seen[loan.ID] = true
 	}
-	return &s, nil
+	return &record, nil
 }
 
-// withoutExpired drops the loans that are over and no longer remembered.
-func (s *LoanRecord) withoutExpired(nowMs int64, again time.Duration) *LoanRecord {
-	return &LoanRecord{Loans: slices.DeleteFunc(slices.Clone(s.Loans), func(l Loan) bool {
-		return l.State.Over() && nowMs-l.BeganMs > again.Milliseconds()
-	})}
+// complete tells whether a stored loan says all that is needed to advance it.
+func (l *Loan) complete() bool {
+	return l.Machine != "" && jobs.ValidID(l.Job) && l.TaskIndex >= 0 && l.GPUs >= 0 && len(l.From) > 0
 }
 
-// hasRoom tells whether a sheet can take a loan more, and be changed after that.
-func (s *LoanRecord) hasRoom(limit int) bool {
-	return len(s.Loans) < tuning.MaxLoansPerRecord && len(jobs.Encode(s)) < int(tuning.LoanRecordFillShare*float64(limit))
+// withoutExpired is a record without the loans that are over and began longer ago than a time.
+func (r *LoanRecord) withoutExpired(nowMs int64, retention time.Duration) *LoanRecord {
+	expired := func(loan Loan) bool {
+		return loan.State.Over() && nowMs-loan.BeganMs > retention.Milliseconds()
+	}
+	return &LoanRecord{Loans: slices.DeleteFunc(slices.Clone(r.Loans), expired)}
+}
+
+// hasRoom tells whether a record can take one more loan, and grow with the changes of its loans
+// after that, within the limit of a value in bytes.
+func (r *LoanRecord) hasRoom(limitBytes int) bool {
+	return len(r.Loans) < tuning.MaxLoansPerRecord &&
+		len(jobs.Encode(r)) < int(tuning.LoanRecordFillShare*float64(limitBytes))
 }
