--- a/internal/lending/golden_test.go
+++ b/internal/lending/golden_test.go
@@ -8,7 +8,7 @@
 	"github.com/harrierreel/harrierreel/internal/goldentest"
 )
 
-func TestGoldenSheet(t *testing.T) {
+func TestGoldenLoanRecord(t *testing.T) {
 	full := LoanRecord{Loans: []Loan{
 		{
 			ID:        1,
@@ -26,18 +26,23 @@
 		{ID: 2, State: Asked, Job: "wk-4", Machine: "m-2", From: []Share{{}}},
 	}}
 	goldentest.Filled(t, full)
-	for name, s := range map[string]LoanRecord{"loan.json": full, "loan-least.json": {}, "loan-none.json": {Loans: []Loan{}}} {
-		goldentest.JSON(t, name, s)
-		if back, err := Decode(goldentest.Read(t, name)); err != nil || !reflect.DeepEqual(*back, s) {
-			t.Errorf("%s: read %+v, %v", name, back, err)
+	for name, record := range map[string]LoanRecord{
+		"loan.json":       full,
+		"loan-least.json": {},
+		"loan-none.json":  {Loans: []Loan{}},
+	} {
+		goldentest.JSON(t, name, record)
+		decoded, err := Decode(goldentest.Read(t, name))
+		if err != nil || !reflect.DeepEqual(*decoded, record) {
+			t.Errorf("%s: read %+v, %v", name, decoded, err)
 		}
 	}
 }
 
-func TestGoldenWords(t *testing.T) {
-	words := []string{Prefix, RecordKey(3)}
+func TestGoldenKeysAndStates(t *testing.T) {
+	values := []string{Prefix, RecordKey(3)}
 	for _, s := range []State{Wanted, Asked, Vacated, Lent, CalledBack, Returned, BrokenOff} {
-		words = append(words, string(s))
+		values = append(values, string(s))
 	}
-	goldentest.Bytes(t, "words.txt", []byte(strings.Join(words, "\n")+"\n"))
+	goldentest.Bytes(t, "words.txt", []byte(strings.Join(values, "\n")+"\n"))
 }
