--- a/internal/calendar/cost_test.go
+++ b/internal/calendar/cost_test.go
@@ -8,14 +8,14 @@
 	"github.com/harrierreel/harrierreel/internal/quota"
 )
 
-// nobody is a world without tasks.
-type nobody struct{}
+// emptyCluster is a world without tasks.
+type emptyCluster struct{}
 
-func (nobody) Settled() bool                     { return true }
-func (nobody) Attempts(func(quota.Key) bool) int { return 0 }
+func (emptyCluster) Settled() bool                     { return true }
+func (emptyCluster) Attempts(func(quota.Key) bool) int { return 0 }
 
-// wide is a calendar of 200 windows, four on each track, one after the other.
-func wide(t testing.TB) *Keeper {
+// keeperOf200Windows is a calendar of 200 windows, four on each track, one after the other.
+func keeperOf200Windows(t testing.TB) *Keeper {
 	d := &Document{Revision: 1, Zone: "Africa/Nairobi"}
 	for i := range 50 {
 		track := TrackDoc{Name: fmt.Sprint("track", i)}
@@ -32,7 +32,7 @@
 		t.Fatal(faults)
 	}
 	k := NewKeeper(p, 8<<10)
-	if err := k.Document(EncodeDocument(d)); err != nil {
+	if err := k.ApplyDocument(EncodeDocument(d)); err != nil {
 		t.Fatal(err)
 	}
 	return k
@@ -42,11 +42,11 @@
 // no record more than a value.
 func TestCostOfTwoHundredWindows(t *testing.T) {
 	t.Parallel()
-	k := wide(t)
+	k := keeperOf200Windows(t)
 	changes, largest, opened := 0, 0, 0
 	at := day
 	for ; at.Before(day.Add(24 * time.Hour)); at = at.Add(time.Second) {
-		for _, c := range k.Reconcile(Now{ms(at), 500, 60_000}, nobody{}) {
+		for _, c := range k.Reconcile(Now{ms(at), 500, 60_000}, emptyCluster{}) {
 			changes++
 			largest = max(largest, len(c.Value))
 			for _, m := range c.Moves {
@@ -54,7 +54,7 @@
 					opened++
 				}
 			}
-			if err := k.Changed(c.Track, c.Value); err != nil {
+			if err := k.ApplyTrack(c.Track, c.Value); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -68,36 +68,36 @@
 
 // BenchmarkLookWhenNothingIsDue is what each pass of the leader pays.
 func BenchmarkLookWhenNothingIsDue(b *testing.B) {
-	k := wide(b)
+	k := keeperOf200Windows(b)
 	n := Now{ms(day.Add(4*time.Hour + 58*time.Minute)), 500, 60_000}
 	for range 3 {
-		for _, c := range k.Reconcile(n, nobody{}) {
-			_ = k.Changed(c.Track, c.Value)
+		for _, c := range k.Reconcile(n, emptyCluster{}) {
+			_ = k.ApplyTrack(c.Track, c.Value)
 		}
 	}
 	for b.Loop() {
-		k.Reconcile(n, nobody{})
+		k.Reconcile(n, emptyCluster{})
 	}
 }
 
 // BenchmarkLookAtAll is what a look at all 50 tracks costs, as twice a minute.
 func BenchmarkLookAtAll(b *testing.B) {
-	k := wide(b)
+	k := keeperOf200Windows(b)
 	n := Now{ms(day.Add(4*time.Hour + 58*time.Minute)), 500, 60_000}
 	for range 3 {
-		for _, c := range k.Reconcile(n, nobody{}) {
-			_ = k.Changed(c.Track, c.Value)
+		for _, c := range k.Reconcile(n, emptyCluster{}) {
+			_ = k.ApplyTrack(c.Track, c.Value)
 		}
 	}
 	for b.Loop() {
 		k.Touch()
-		k.Reconcile(n, nobody{})
+		k.Reconcile(n, emptyCluster{})
 	}
 }
 
 // BenchmarkGate is what a job in the queue costs at each look.
 func BenchmarkGate(b *testing.B) {
-	k := wide(b)
+	k := keeperOf200Windows(b)
 	n := Now{ms(day), 500, 60_000}
 	for b.Loop() {
 		k.Gate(n, quota.Key{Team: "shop", Class: "class7-2"})
--- a/internal/calendar/document.go
+++ b/internal/calendar/document.go
@@ -75,11 +75,11 @@
 	Late    time.Duration // how much later than that a missed one may
 	Need    quota.Bounds
 
-	until   clock
-	zone    *time.Location
-	rule    *rrule.RRule // in local time without a zone
-	starts  time.Time    // first occurrence at the earliest, local time without a zone
-	planned cache
+	until      clock
+	zone       *time.Location
+	rule       *rrule.RRule // in local time without a zone
+	firstStart time.Time    // first occurrence at the earliest, local time without a zone
+	planned    cache
 }
 
 // Has tells whether a class of a team belongs to a window.
@@ -99,7 +99,7 @@
 	Revision int
 	Zone     *time.Location
 	Tracks   []*Track
-	of       map[quota.Key]*Track
+	trackOf  map[quota.Key]*Track
 }
 
 // TrackOf is the track that a class's windows are on, nil for a class without any.
@@ -107,7 +107,7 @@
 	if p == nil {
 		return nil
 	}
-	return p.of[k]
+	return p.trackOf[k]
 }
 
 // window is a track's window by name, nil if it has none such.
@@ -128,14 +128,14 @@
 
 var nameForm = regexp.MustCompile(`^[A-Za-z][A-Za-z0-9_.-]{0,39}$`)
 
-// builder makes a plan of a document and gathers its faults.
-type builder struct {
+// documentCheck makes a plan of a document and gathers its faults.
+type documentCheck struct {
 	plan   *Plan
 	known  Known
 	faults []string
 }
 
-func (b *builder) fail(path, format string, args ...any) {
+func (b *documentCheck) fail(path, format string, args ...any) {
 	if len(b.faults) < tuning.MaxFaults {
 		b.faults = append(b.faults, path+": "+fmt.Sprintf(format, args...))
 	}
@@ -145,10 +145,10 @@
 // and every one is told by its place. from is the time, by the wall clock, from which
 // windows are looked at for overlaps.
 func Build(d *Document, known Known, from time.Time) (*Plan, []string) {
-	b := &builder{known: known, plan: newPlan(d)}
-	b.build()
+	b := &documentCheck{known: known, plan: newPlan(d)}
+	b.checkDocument()
 	if len(b.faults) == 0 {
-		b.clocks(from)
+		b.checkClockChanges(from)
 		for _, t := range b.plan.Tracks {
 			for _, c := range t.collisions(from, from.Add(tuning.CalendarAhead)) {
 				b.fail(t.Name, "%s meets %s on %s", c.First, c.Second, c.At.Format(timeForm))
@@ -177,11 +177,11 @@
 }
 
 func newPlan(d *Document) *Plan {
-	return &Plan{Doc: *d, Revision: d.Revision, of: map[quota.Key]*Track{}}
+	return &Plan{Doc: *d, Revision: d.Revision, trackOf: map[quota.Key]*Track{}}
 }
 
-// build checks all but what hangs on the dates.
-func (b *builder) build() {
+// checkDocument checks all but what hangs on the dates.
+func (b *documentCheck) checkDocument() {
 	d := &b.plan.Doc
 	if d.Revision < 1 {
 		b.fail("revision", "expected a whole number above 0")
@@ -190,12 +190,12 @@
 	b.plan.Zone = zone
 	tracks, windows := map[string]bool{}, 0
 	for _, t := range d.Tracks {
-		b.name("track", t.Name, tracks)
+		b.checkName("track", t.Name, tracks)
 		track := &Track{Name: t.Name}
 		names := map[string]bool{}
 		for i := range t.Windows {
 			path := t.Name + "." + t.Windows[i].Name
-			b.name(path, t.Windows[i].Name, names)
+			b.checkName(path, t.Windows[i].Name, names)
 			track.Windows = append(track.Windows, b.window(path, track, &t.Windows[i], zone))
 		}
 		windows += len(t.Windows)
@@ -206,7 +206,7 @@
 	}
 }
 
-func (b *builder) name(path, name string, seen map[string]bool) {
+func (b *documentCheck) checkName(path, name string, seen map[string]bool) {
 	if !nameForm.MatchString(name) {
 		b.fail(path, "%q is no name; expected a letter, then letters, digits, . _ and -, 40 at most", name)
 	}
@@ -216,7 +216,7 @@
 	seen[name] = true
 }
 
-func (b *builder) zone(path, name string) *time.Location {
+func (b *documentCheck) zone(path, name string) *time.Location {
 	if name == "" || name == "Local" {
 		b.fail(path, "expected a time zone, as Africa/Nairobi")
 		return time.UTC
@@ -229,13 +229,13 @@
 	return z
 }
 
-func (b *builder) window(path string, track *Track, d *WindowDoc, zone *time.Location) *Window {
+func (b *documentCheck) window(path string, track *Track, d *WindowDoc, zone *time.Location) *Window {
 	w := &Window{Name: d.Name, Track: track.Name, Team: d.Team, Classes: d.Classes, zone: zone}
 	if d.Zone != "" {
 		w.zone = b.zone(path+".zone", d.Zone)
 	}
-	b.work(path, track, d)
-	b.when(path, w, d)
+	b.checkClasses(path, track, d)
+	b.checkTimes(path, w, d)
 	switch d.AtEnd {
 	case AtEndFinish, "":
 	case AtEndStop:
@@ -258,14 +258,14 @@
 	}
 	if d.Need != nil {
 		w.Need = *d.Need
-		b.need(path, d)
+		b.checkNeed(path, d)
 	}
 	return w
 }
 
-// work checks whose work a window is for. A class belongs to one track: on two, one
+// checkClasses checks whose work a window is for. A class belongs to one track: on two, one
 // of them could open beside what the other let begin.
-func (b *builder) work(path string, track *Track, d *WindowDoc) {
+func (b *documentCheck) checkClasses(path string, track *Track, d *WindowDoc) {
 	if _, known := b.known.Teams[d.Team]; b.known.Teams != nil && !known || d.Team == "" {
 		b.fail(
 			path+".team",
@@ -283,10 +283,10 @@
 			b.fail(at, "no class is called %q; expected one of %s", c, strings.Join(b.known.Classes, ", "))
 		}
 		key := quota.Key{Team: d.Team, Class: c}
-		if other := b.plan.of[key]; other != nil && other != track {
+		if other := b.plan.trackOf[key]; other != nil && other != track {
 			b.fail(at, "%s of %s has windows on track %q already", c, d.Team, other.Name)
 		}
-		b.plan.of[key] = track
+		b.plan.trackOf[key] = track
 	}
 }
 
@@ -296,13 +296,13 @@
 	timeForm  = "2006-01-02 15:04 MST"
 )
 
-// when checks a window's times.
-func (b *builder) when(path string, w *Window, d *WindowDoc) {
+// checkTimes checks a window's times.
+func (b *documentCheck) checkTimes(path string, w *Window, d *WindowDoc) {
 	start, err := time.Parse(startForm, d.Start)
 	if err != nil {
 		b.fail(path+".start", "%q is no local time; expected one as 2026-01-31T22:30", d.Start)
 	}
-	w.starts = start
+	w.firstStart = start
 	opt, err := rrule.StrToROption(strings.TrimPrefix(d.Rule, "RRULE:"))
 	switch {
 	case err != nil:
@@ -339,7 +339,7 @@
 	}
 }
 
-func (b *builder) duration(path, text string) time.Duration {
+func (b *documentCheck) duration(path, text string) time.Duration {
 	if text == "" {
 		return 0
 	}
@@ -351,8 +351,8 @@
 	return d
 }
 
-// need checks what a window expects to need against its team's limit.
-func (b *builder) need(path string, d *WindowDoc) {
+// checkNeed checks what a window expects to need against its team's limit.
+func (b *documentCheck) checkNeed(path string, d *WindowDoc) {
 	team := b.known.Teams[d.Team]
 	cores, accelerators, memory := team.Max.Float()
 	for _, x := range []struct {
@@ -368,8 +368,8 @@
 	}
 }
 
-// clocks checks that no change of the clock swallows a window that ends by the clock.
-func (b *builder) clocks(from time.Time) {
+// checkClockChanges checks that no change of the clock swallows a window that ends by the clock.
+func (b *documentCheck) checkClockChanges(from time.Time) {
 	for _, t := range b.plan.Tracks {
 		for _, w := range t.Windows {
 			all := w.between(from, from.Add(tuning.CalendarAhead))
--- a/internal/calendar/document_test.go
+++ b/internal/calendar/document_test.go
@@ -11,8 +11,8 @@
 	"github.com/harrierreel/harrierreel/internal/quota"
 )
 
-// parse reads a calendar block.
-func parse(t *testing.T, text string) *Document {
+// parseDocument reads a calendar block.
+func parseDocument(t *testing.T, text string) *Document {
 	t.Helper()
 	var f struct {
 		Calendar Document `hcl:"calendar,block"`
@@ -23,23 +23,23 @@
 	return &f.Calendar
 }
 
-var platform = Known{
+var knownTeams = Known{
 	Teams:   map[string]quota.Team{"shop": {Name: "shop", Max: quota.Of(0, 40, 0)}, "prices": {Name: "prices"}},
 	Classes: []string{"export", "weekend", "match"},
 }
 
 var day = time.Date(2026, 3, 1, 0, 0, 0, 0, time.UTC)
 
-func built(t *testing.T, text string) *Plan {
+func buildPlan(t *testing.T, text string) *Plan {
 	t.Helper()
-	p, faults := Build(parse(t, text), platform, day)
+	p, faults := Build(parseDocument(t, text), knownTeams, day)
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
 	return p
 }
 
-const good = `
+const goodDocument = `
 calendar {
   revision = 3
   zone = "Africa/Nairobi"
@@ -67,7 +67,7 @@
 }`
 
 func TestPlanOfADocument(t *testing.T) {
-	p := built(t, good)
+	p := buildPlan(t, goodDocument)
 	spans := p.Tracks[0].Between(day, day.Add(7*24*time.Hour)) // 1 March 2026 is a Sunday
 	var got []string
 	for _, s := range spans[:3] {
@@ -87,8 +87,8 @@
 func TestEveryFaultIsTold(t *testing.T) {
 	bad := strings.NewReplacer(`team = "shop"`, `team = "shoe"`, `"weekend"]`, `"weak"]`, `revision = 3`, `revision = 0`, `"FREQ=DAILY"`, `"FREQ=HOURLY"`,
 		`late = "6h"`, ``, `at_end = "stop"`, `at_end = "halt"`, `slip = "20m"`, `slip = "3h"`, `"Africa/Nairobi"`, `"Africa/Nowhere"`).
-		Replace(good)
-	_, faults := Build(parse(t, bad), platform, day)
+		Replace(goodDocument)
+	_, faults := Build(parseDocument(t, bad), knownTeams, day)
 	text := strings.Join(faults, "\n")
 	for _, at := range []string{"revision:", "zone:", "markets.export.team:", "markets.export.rule:", "markets.export.slip:", "markets.export.at_end:", "markets.weekend.classes[0]:", "markets.weekend.late:"} {
 		if !strings.Contains(text, at) {
@@ -105,14 +105,14 @@
 		{`["weekend"]`, `["weekend"]` + "\n zone = \"Rome\""}:   "markets.weekend.zone: no time zone is called",
 		{`until = "05:30"`, "until = \"05:30\"\nlength=\"1h\""}: "markets.weekend: expected either length or until",
 	} {
-		_, faults := Build(parse(t, strings.Replace(good, change[0], change[1], 1)), platform, day)
+		_, faults := Build(parseDocument(t, strings.Replace(goodDocument, change[0], change[1], 1)), knownTeams, day)
 		if len(faults) == 0 || !strings.Contains(faults[0], want) {
 			t.Errorf("%v gives %v, not %q", change, faults, want)
 		}
 	}
 }
 
-const rome = `
+const romeDocument = `
 calendar {
   revision = 1
   zone = "Europe/Rome"
@@ -136,7 +136,7 @@
 		{`until = "05:00"`, "2026-03-28T12:00", "03-29T01:30-03:00,03-30T00:30-03:00"},
 		{`until = "05:00"`, "2026-10-24T12:00", "10-25T00:30-04:00,10-26T01:30-04:00"},
 	} {
-		p := built(t, fmt.Sprintf(rome, c.end))
+		p := buildPlan(t, fmt.Sprintf(romeDocument, c.end))
 		from, _ := time.Parse(startForm, c.month)
 		var got []string
 		for _, s := range p.Tracks[0].Between(from, from.Add(48*time.Hour)) {
@@ -146,7 +146,7 @@
 			t.Errorf("%s: %v, not %s", c.end, got, c.want)
 		}
 	}
-	_, faults := Build(parse(t, fmt.Sprintf(rome, `until = "03:10"`)), platform, day)
+	_, faults := Build(parseDocument(t, fmt.Sprintf(romeDocument, `until = "03:10"`)), knownTeams, day)
 	if len(faults) != 1 || !strings.Contains(faults[0], "t.w: the change of the clock on 2026-03-29") {
 		t.Error(faults)
 	}
@@ -166,7 +166,7 @@
 		)
 	}
 	b.WriteString("}\n")
-	d := parse(t, b.String())
+	d := parseDocument(t, b.String())
 	p, faults := Build(d, Known{}, day)
 	if len(faults) > 0 {
 		t.Fatal(faults)
@@ -187,14 +187,14 @@
 // its time alone shuts it; and of one that is on a track that nobody can read nothing
 // begins at all.
 func TestNothingBeginsPastItsEnd(t *testing.T) {
-	k := NewKeeper(built(t, good), 8<<10)
+	k := NewKeeper(buildPlan(t, goodDocument), 8<<10)
 	class := quota.Key{Team: "shop", Class: "export"}
 	rec := Record{
 		Occurrences: []Occurrence{
 			{Window: "export", Begin: 1000, End: 9000, Opened: 1500, State: Open, Team: "shop", Classes: []string{"export"}},
 		},
 	}
-	if err := k.Changed("markets", rec.encode(8<<10)); err != nil {
+	if err := k.ApplyTrack("markets", rec.encode(8<<10)); err != nil {
 		t.Fatal(err)
 	}
 	for at, want := range map[int64]Verdict{2000: Allowed, 8499: Allowed, 8500: Shut, 20000: Shut} {
@@ -205,7 +205,7 @@
 	if v, keys := k.Gate(Now{Ms: 2000}, quota.Key{Team: "shop", Class: "match"}); v != Free || keys != nil {
 		t.Error("a class without windows is judged", v, keys)
 	}
-	if err := k.Changed("markets", []byte(`{"v":7}`)); err == nil {
+	if err := k.ApplyTrack("markets", []byte(`{"v":7}`)); err == nil {
 		t.Error("an unknown version was read")
 	}
 	if v, _ := k.Gate(Now{Ms: 2000}, class); v != Shut {
--- a/internal/calendar/gate.go
+++ b/internal/calendar/gate.go
@@ -25,7 +25,7 @@
 	plan := k.Plan()
 	own := plan.TrackOf(class)
 	var open *Occurrence
-	for name, h := range k.holds {
+	for name, h := range k.holders {
 		if !h.Has(class) {
 			continue
 		}
@@ -47,10 +47,10 @@
 			rec = &Record{}
 		}
 		switch h := rec.holder(); {
-		case k.aside[own.Name]:
+		case k.quarantined[own.Name]:
 			return Shut, nil
 		case open == nil:
-			return rec.soon(own, class), nil
+			return rec.opensSoon(own, class), nil
 		case h != nil && !h.Has(class):
 			return Shut, nil
 		}
@@ -64,8 +64,8 @@
 	return Allowed, keys
 }
 
-// soon tells whether a class's window is about to open.
-func (r *Record) soon(t *Track, class quota.Key) Verdict {
+// opensSoon tells whether a class's window is about to open.
+func (r *Record) opensSoon(t *Track, class quota.Key) Verdict {
 	for _, o := range r.Occurrences {
 		if w := t.window(o.Window); w != nil && w.Has(class) && (o.State == Preparing || o.State == Slipped) {
 			return Soon
--- a/internal/calendar/golden_edges_test.go
+++ b/internal/calendar/golden_edges_test.go
@@ -76,10 +76,10 @@
 		},
 	}}}}
 	goldentest.Filled(t, want, "t.0.w.0.u") // one of length and until; the other window has it
-	if got := parse(t, string(goldentest.Read(t, "full.hcl"))); !reflect.DeepEqual(got, want) {
+	if got := parseDocument(t, string(goldentest.Read(t, "full.hcl"))); !reflect.DeepEqual(got, want) {
 		t.Errorf("read as %+v", got)
 	}
-	plan := built(t, goldenFile)
+	plan := buildPlan(t, goldenFile)
 	var out bytes.Buffer
 	for _, s := range plan.Dry(time.Date(2026, 3, 27, 0, 0, 0, 0, plan.Zone), time.Date(2026, 4, 1, 0, 0, 0, 0, plan.Zone)) {
 		line, err := json.Marshal(s)
@@ -168,7 +168,7 @@
 			},
 		},
 	}}
-	_, faults := Build(bad, platform, day)
+	_, faults := Build(bad, knownTeams, day)
 	_, meets := Build(&Document{Revision: 1, Zone: "Africa/Nairobi", Tracks: []TrackDoc{{Name: "k", Windows: []WindowDoc{
 		{Name: "a", Team: "shop", Classes: []string{"export"}, Start: "2026-01-05T22:00", Rule: "FREQ=MONTHLY", Length: "3h"},
 		{
@@ -179,6 +179,6 @@
 			Rule:    "FREQ=MONTHLY",
 			Length:  "3h",
 		},
-	}}}}, platform, day)
+	}}}}, knownTeams, day)
 	goldentest.Bytes(t, "faults.txt", []byte(strings.Join(append(faults, meets...), "\n")+"\n"))
 }
--- a/internal/calendar/golden_test.go
+++ b/internal/calendar/golden_test.go
@@ -55,7 +55,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, dec := coder()
+		_, dec := compressor()
 		text, err := dec.DecodeAll(packed, nil)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/calendar/keeper.go
+++ b/internal/calendar/keeper.go
@@ -46,31 +46,31 @@
 // Keeper knows the document in force and the occurrences, and decides what becomes of
 // them. Only the leader commits what it decides.
 type Keeper struct {
-	file   *Plan // of this controller's own file
-	plan   *Plan // in force, nil until one was read
-	tracks map[string]*Record
-	holds  map[string]*Occurrence // those that have their track, by track
-	aside  map[string]bool        // tracks whose records can't be read
+	filePlan    *Plan // of this controller's own file
+	plan        *Plan // in force, nil until one was read
+	tracks      map[string]*Record
+	holders     map[string]*Occurrence // those that have their track, by track
+	quarantined map[string]bool        // tracks whose records can't be read
 	// blocked is the windows whose time has come, but whose track is not proven free,
 	// by track, as of the last look.
-	blocked map[string]Move
-	limit   int   // bytes of a record
-	last    int64 // when it last looked, ms
-	next    int64 // when it looks again, ms
-	dirty   bool
+	blocked    map[string]Move
+	limitBytes int   // bytes of a record
+	lastMs     int64 // when it last looked, ms
+	nextMs     int64 // when it looks again, ms
+	changed    bool
 }
 
 // NewKeeper makes a keeper that knows a controller's own file, and writes records of at
 // most so many bytes.
 func NewKeeper(file *Plan, limit int) *Keeper {
 	return &Keeper{
-		file:    file,
-		tracks:  map[string]*Record{},
-		holds:   map[string]*Occurrence{},
-		aside:   map[string]bool{},
-		blocked: map[string]Move{},
-		limit:   limit,
-		dirty:   true,
+		filePlan:    file,
+		tracks:      map[string]*Record{},
+		holders:     map[string]*Occurrence{},
+		quarantined: map[string]bool{},
+		blocked:     map[string]Move{},
+		limitBytes:  limit,
+		changed:     true,
 	}
 }
 
@@ -80,13 +80,13 @@
 	if k.plan != nil {
 		return k.plan
 	}
-	return k.file
+	return k.filePlan
 }
 
-// Document takes the document in force in. One that can't be read is an error, and
+// ApplyDocument takes the document in force in. One that can't be read is an error, and
 // the plan is kept.
-func (k *Keeper) Document(value json.RawMessage) error {
-	k.dirty = true
+func (k *Keeper) ApplyDocument(value json.RawMessage) error {
+	k.changed = true
 	if value == nil {
 		k.plan = nil
 		return nil
@@ -103,33 +103,33 @@
 	return nil
 }
 
-// Changed takes a track's record in, nil for one that is gone. One that can't be read
+// ApplyTrack takes a track's record in, nil for one that is gone. One that can't be read
 // is an error: nothing of its track begins, and nothing is decided about it.
-func (k *Keeper) Changed(track string, value json.RawMessage) error {
-	k.dirty = true
-	delete(k.aside, track)
+func (k *Keeper) ApplyTrack(track string, value json.RawMessage) error {
+	k.changed = true
+	delete(k.quarantined, track)
 	delete(k.tracks, track)
-	delete(k.holds, track)
+	delete(k.holders, track)
 	if value == nil {
 		return nil
 	}
 	rec, err := DecodeRecord(value)
 	if err != nil {
-		k.aside[track] = true
+		k.quarantined[track] = true
 		return err
 	}
 	k.tracks[track] = rec
 	if h := rec.holder(); h != nil {
-		k.holds[track] = h
+		k.holders[track] = h
 	}
 	return nil
 }
 
 // Touch has all tracks looked at.
-func (k *Keeper) Touch() { k.dirty = true }
+func (k *Keeper) Touch() { k.changed = true }
 
-// names lists the tracks that are planned or kept.
-func (k *Keeper) names() []string {
+// trackNames lists the tracks that are planned or kept.
+func (k *Keeper) trackNames() []string {
 	all := map[string]bool{}
 	for name := range k.tracks {
 		all[name] = true
@@ -142,21 +142,21 @@
 
 // Reconcile decides what becomes of the occurrences now.
 func (k *Keeper) Reconcile(n Now, w Cluster) []Change {
-	if k.plan == nil || !k.dirty && n.Ms >= k.last && n.Ms < k.next {
+	if k.plan == nil || !k.changed && n.Ms >= k.lastMs && n.Ms < k.nextMs {
 		return nil
 	}
 	clear(k.blocked)
-	k.dirty, k.last, k.next = false, n.Ms, n.Ms+tuning.CalendarIdle.Milliseconds()
+	k.changed, k.lastMs, k.nextMs = false, n.Ms, n.Ms+tuning.CalendarIdle.Milliseconds()
 	var out []Change
-	for _, name := range k.names() {
-		if k.aside[name] {
+	for _, name := range k.trackNames() {
+		if k.quarantined[name] {
 			continue
 		}
 		if len(out) == tuning.CalendarChanges {
 			k.wake(n, n.Ms+1) // the others have their turn next
 			break
 		}
-		if c := k.look(name, n, w); c != nil {
+		if c := k.decideTrack(name, n, w); c != nil {
 			out = append(out, *c)
 			k.wake(n, n.Ms+1) // should it not be committed, it is decided again
 		}
@@ -167,102 +167,102 @@
 // wake has the keeper look again at a time, if it is still to come.
 func (k *Keeper) wake(n Now, at int64) {
 	if at > n.Ms {
-		k.next = min(k.next, max(at, n.Ms+tuning.CalendarPollEvery.Milliseconds()))
+		k.nextMs = min(k.nextMs, max(at, n.Ms+tuning.CalendarPollEvery.Milliseconds()))
 	}
 }
 
-// draft is a track's next record in the making.
-type draft struct {
-	k       *Keeper
-	n       Now
-	w       Cluster
-	track   *Track  // nil: the plan in force has none such
-	was     *Record // as committed
-	rec     Record
-	moves   []Move
-	touched bool
+// trackDraft is a track's next record in the making.
+type trackDraft struct {
+	keeper    *Keeper
+	now       Now
+	cluster   Cluster
+	track     *Track  // nil: the plan in force has none such
+	committed *Record // as committed
+	record    Record
+	moves     []Move
+	changed   bool
 }
 
-// step applies an event to an occurrence of the draft.
-func (d *draft) step(o *Occurrence, e Event) bool {
-	e.NowMs = d.n.Ms
+// apply applies an event to an occurrence of the draft.
+func (d *trackDraft) apply(o *Occurrence, e Event) bool {
+	e.NowMs = d.now.Ms
 	next, ok := Next(*o, e)
 	if !ok {
 		return false
 	}
 	d.moves = append(d.moves, Move{o.Window, o.Begin, o.State, next.State})
 	if !next.State.Waits() {
-		d.rec.DoneMs = max(d.rec.DoneMs, o.Begin)
+		d.record.DoneMs = max(d.record.DoneMs, o.Begin)
 	}
-	*o, d.touched = next, true
+	*o, d.changed = next, true
 	return true
 }
 
-// look decides about one track.
-func (k *Keeper) look(name string, n Now, w Cluster) *Change {
-	d := &draft{k: k, n: n, w: w, was: k.tracks[name]}
-	if d.was == nil {
-		d.was = &Record{}
+// decideTrack decides about one track.
+func (k *Keeper) decideTrack(name string, n Now, w Cluster) *Change {
+	d := &trackDraft{keeper: k, now: n, cluster: w, committed: k.tracks[name]}
+	if d.committed == nil {
+		d.committed = &Record{}
 	}
-	d.rec = Record{DoneMs: d.was.DoneMs, Occurrences: slices.Clone(d.was.Occurrences)}
+	d.record = Record{DoneMs: d.committed.DoneMs, Occurrences: slices.Clone(d.committed.Occurrences)}
 	for _, t := range k.plan.Tracks {
 		if t.Name == name {
 			d.track = t
 		}
 	}
-	d.revise()
-	d.end()
-	for i := range d.rec.Occurrences {
-		if o := &d.rec.Occurrences[i]; o.State.Waits() {
-			d.await(o)
+	d.applyRevision()
+	d.closeEnded()
+	for i := range d.record.Occurrences {
+		if o := &d.record.Occurrences[i]; o.State.Waits() {
+			d.advanceWaiting(o)
 		}
 	}
-	d.fill() // first, so that a late one sees what comes after it
-	d.open()
-	if d.track == nil && len(d.rec.Occurrences) > 0 && d.old() {
+	d.planAhead() // first, so that a late one sees what comes after it
+	d.openDue()
+	if d.track == nil && len(d.record.Occurrences) > 0 && d.expired() {
 		return &Change{Track: name, Moves: d.moves}
 	}
-	if !d.touched {
+	if !d.changed {
 		return nil
 	}
 	urgent := slices.ContainsFunc(d.moves, func(m Move) bool { return m.To.Holds() || m.To == Closed })
-	return &Change{Track: name, Value: d.rec.encode(k.limit), Moves: d.moves, Urgent: urgent}
+	return &Change{Track: name, Value: d.record.encode(k.limitBytes), Moves: d.moves, Urgent: urgent}
 }
 
-// old tells whether a track that is planned no more may be forgotten: nothing of it
+// expired tells whether a track that is planned no more may be forgotten: nothing of it
 // could be run late any more should it come back.
-func (d *draft) old() bool {
-	for _, o := range d.rec.Occurrences {
+func (d *trackDraft) expired() bool {
+	for _, o := range d.record.Occurrences {
 		if !o.State.Final() {
 			return false
 		}
 	}
-	return d.n.Ms-d.rec.DoneMs > 3*tuning.MaxWindow.Milliseconds()
+	return d.now.Ms-d.record.DoneMs > 3*tuning.MaxWindow.Milliseconds()
 }
 
-// revise has what only waits go by the revision in force. What is planned is planned
+// applyRevision has what only waits go by the revision in force. What is planned is planned
 // anew; what has come further is dropped unless the revision has the same.
-func (d *draft) revise() {
-	d.rec.Occurrences = slices.DeleteFunc(d.rec.Occurrences, func(o Occurrence) bool {
-		gone := o.State == Planned && o.Revision != d.k.plan.Revision
-		d.touched = d.touched || gone
+func (d *trackDraft) applyRevision() {
+	d.record.Occurrences = slices.DeleteFunc(d.record.Occurrences, func(o Occurrence) bool {
+		gone := o.State == Planned && o.Revision != d.keeper.plan.Revision
+		d.changed = d.changed || gone
 		return gone
 	})
-	for i := range d.rec.Occurrences {
-		o := &d.rec.Occurrences[i]
-		if !o.State.Waits() || o.Revision == d.k.plan.Revision {
+	for i := range d.record.Occurrences {
+		o := &d.record.Occurrences[i]
+		if !o.State.Waits() || o.Revision == d.keeper.plan.Revision {
 			continue
 		}
-		if s, ok := d.span(o); ok {
-			o.Revision, o.End, d.touched = d.k.plan.Revision, ms(s.End), true
+		if s, ok := d.plannedSpan(o); ok {
+			o.Revision, o.End, d.changed = d.keeper.plan.Revision, ms(s.End), true
 		} else {
-			d.step(o, Event{Kind: Drop})
+			d.apply(o, Event{Kind: Drop})
 		}
 	}
 }
 
-// span is when the plan in force has an occurrence.
-func (d *draft) span(o *Occurrence) (Span, bool) {
+// plannedSpan is when the plan in force has an occurrence.
+func (d *trackDraft) plannedSpan(o *Occurrence) (Span, bool) {
 	if d.track == nil {
 		return Span{}, false
 	}
@@ -275,29 +275,29 @@
 	return Span{}, false
 }
 
-// end closes what is open once its time may be over, and notes as closed what is
+// closeEnded closes what is open once its time may be over, and notes as closed what is
 // proven to be on no machine. The proof counts only for what was closing in the
 // committed record: up to that commit something may have begun, and nothing after it.
-func (d *draft) end() {
-	for i := range d.rec.Occurrences {
-		o := &d.rec.Occurrences[i]
+func (d *trackDraft) closeEnded() {
+	for i := range d.record.Occurrences {
+		o := &d.record.Occurrences[i]
 		switch {
-		case o.State == Open && d.n.Ms >= o.End-d.n.OffMs:
-			d.step(o, Event{Kind: Finish})
+		case o.State == Open && d.now.Ms >= o.End-d.now.OffMs:
+			d.apply(o, Event{Kind: Finish})
 		case o.State == Open:
-			d.k.wake(d.n, o.End-d.n.OffMs)
+			d.keeper.wake(d.now, o.End-d.now.OffMs)
 		case o.State == Closing:
-			if d.w.Settled() && d.w.Attempts(o.Has) == 0 {
-				d.step(o, Event{Kind: Emptied})
+			if d.cluster.Settled() && d.cluster.Attempts(o.Has) == 0 {
+				d.apply(o, Event{Kind: Emptied})
 			} else {
-				d.k.wake(d.n, d.n.Ms+1)
+				d.keeper.wake(d.now, d.now.Ms+1)
 			}
 		}
 	}
 }
 
-// await prepares what is about to open and gives up what did not.
-func (d *draft) await(o *Occurrence) {
+// advanceWaiting prepares what is about to open and gives up what did not.
+func (d *trackDraft) advanceWaiting(o *Occurrence) {
 	if d.track == nil {
 		return
 	}
@@ -305,30 +305,30 @@
 	if w == nil {
 		return
 	}
-	prepare := o.Begin - d.n.PrepareMs
-	onTime := o.Begin + d.n.OffMs + w.Slip.Milliseconds()
+	prepare := o.Begin - d.now.PrepareMs
+	onTime := o.Begin + d.now.OffMs + w.Slip.Milliseconds()
 	late := onTime + w.Late.Milliseconds()
-	for _, at := range []int64{prepare, o.Begin + d.n.OffMs, onTime + 1, late + 1} {
-		d.k.wake(d.n, at)
+	for _, at := range []int64{prepare, o.Begin + d.now.OffMs, onTime + 1, late + 1} {
+		d.keeper.wake(d.now, at)
 	}
 	switch {
-	case o.State == Slipped && d.n.Ms > late, o.State != Slipped && d.n.Ms > onTime && (!w.RunLate || d.n.Ms > late):
-		d.step(o, Event{Kind: Drop})
-	case d.n.Ms > onTime:
-		d.step(o, Event{Kind: Miss})
-	case d.n.Ms >= prepare:
-		d.step(o, Event{Kind: Prepare})
+	case o.State == Slipped && d.now.Ms > late, o.State != Slipped && d.now.Ms > onTime && (!w.RunLate || d.now.Ms > late):
+		d.apply(o, Event{Kind: Drop})
+	case d.now.Ms > onTime:
+		d.apply(o, Event{Kind: Miss})
+	case d.now.Ms >= prepare:
+		d.apply(o, Event{Kind: Prepare})
 	}
 }
 
-// open opens the next one whose time has come, if nothing else may be on the track.
-func (d *draft) open() {
-	if d.track == nil || d.rec.holder() != nil {
+// openDue opens the next one whose time has come, if nothing else may be on the track.
+func (d *trackDraft) openDue() {
+	if d.track == nil || d.record.holder() != nil {
 		return
 	}
 	for _, late := range []bool{false, true} {
-		for i := range d.rec.Occurrences {
-			o := &d.rec.Occurrences[i]
+		for i := range d.record.Occurrences {
+			o := &d.record.Occurrences[i]
 			if !o.State.Waits() || (o.State == Slipped) != late {
 				continue
 			}
@@ -336,13 +336,13 @@
 			if !due {
 				continue
 			}
-			if w := d.track.window(o.Window); d.free(w) {
-				d.step(o, Event{Kind: Begin, EndMs: end, As: w})
-				d.k.wake(d.n, end-d.n.OffMs)
+			if w := d.track.window(o.Window); d.trackIsFree(w) {
+				d.apply(o, Event{Kind: Begin, EndMs: end, As: w})
+				d.keeper.wake(d.now, end-d.now.OffMs)
 				return
 			}
-			d.k.wake(d.n, d.n.Ms+1)
-			d.k.blocked[d.track.Name] = Move{o.Window, o.Begin, o.State, Open}
+			d.keeper.wake(d.now, d.now.Ms+1)
+			d.keeper.blocked[d.track.Name] = Move{o.Window, o.Begin, o.State, Open}
 			if !late {
 				return // what was missed before must not go in between
 			}
@@ -353,78 +353,78 @@
 // due tells whether an occurrence's time has come, and when it is to end: with the
 // clock's fault counted against it at both ends. A late one has its whole length,
 // where that ends before the next one of the track begins.
-func (d *draft) due(o *Occurrence, late bool) (end int64, due bool) {
+func (d *trackDraft) due(o *Occurrence, late bool) (end int64, due bool) {
 	if !late {
-		return o.End, d.n.Ms >= o.Begin+d.n.OffMs && d.n.Ms < o.End-d.n.OffMs
+		return o.End, d.now.Ms >= o.Begin+d.now.OffMs && d.now.Ms < o.End-d.now.OffMs
 	}
-	end = d.n.Ms + o.End - o.Begin
-	for i := range d.rec.Occurrences {
-		next := &d.rec.Occurrences[i]
-		if next.State.Waits() && next.State != Slipped && end+2*d.n.OffMs > next.Begin {
+	end = d.now.Ms + o.End - o.Begin
+	for i := range d.record.Occurrences {
+		next := &d.record.Occurrences[i]
+		if next.State.Waits() && next.State != Slipped && end+2*d.now.OffMs > next.Begin {
 			return end, false
 		}
 	}
 	return end, true
 }
 
-// free tells whether no attempt of the track's other work may be on any machine, now
+// trackIsFree tells whether no attempt of the track's other work may be on any machine, now
 // or later: what the plan has on this track begins only in an open occurrence, and
 // there is none, neither here nor, from before the revision, on another track. So
 // once it is free it stays so until the occurrence is committed as open.
-func (d *draft) free(w *Window) bool {
+func (d *trackDraft) trackIsFree(w *Window) bool {
 	other := func(k quota.Key) bool {
-		return !w.Has(k) && d.k.plan.TrackOf(k) == d.track
+		return !w.Has(k) && d.keeper.plan.TrackOf(k) == d.track
 	}
-	for name, h := range d.k.holds {
+	for name, h := range d.keeper.holders {
 		for _, c := range h.Classes {
 			if name != d.track.Name && other(quota.Key{Team: h.Team, Class: c}) {
 				return false
 			}
 		}
 	}
-	return d.w.Settled() && d.w.Attempts(other) == 0
+	return d.cluster.Settled() && d.cluster.Attempts(other) == 0
 }
 
-// fill plans the next occurrences: with every change of the track, and by a change of
+// planAhead plans the next occurrences: with every change of the track, and by a change of
 // its own once few are left.
-func (d *draft) fill() {
+func (d *trackDraft) planAhead() {
 	if d.track == nil {
 		return
 	}
 	waiting := 0
 	have := map[string]bool{}
-	for _, o := range d.rec.Occurrences {
+	for _, o := range d.record.Occurrences {
 		if o.State.Waits() {
 			waiting++
 		}
-		have[key(o.Window, o.Begin)] = true
+		have[occurrenceKey(o.Window, o.Begin)] = true
 	}
-	if !d.touched && waiting >= tuning.MinPlannedOccurrences || waiting >= tuning.MaxPlannedOccurrences {
+	if !d.changed && waiting >= tuning.MinPlannedOccurrences || waiting >= tuning.MaxPlannedOccurrences {
 		return
 	}
-	now := time.UnixMilli(d.n.Ms)
-	fresh := len(d.was.Occurrences) == 0 && d.was.DoneMs == 0 // what was before the calendar was not missed
+	now := time.UnixMilli(d.now.Ms)
+	fresh := len(d.committed.Occurrences) == 0 && d.committed.DoneMs == 0 // what was before the calendar was not missed
 	for _, s := range d.track.Between(now.Add(-2*tuning.MaxWindow), now.Add(tuning.PlannedAhead)) {
 		begin := ms(s.Begin)
 		if waiting >= tuning.MaxPlannedOccurrences {
 			break
 		}
-		if begin <= d.rec.DoneMs || have[key(s.Window.Name, begin)] || now.After(s.lastOpening()) ||
+		if begin <= d.record.DoneMs || have[occurrenceKey(s.Window.Name, begin)] || now.After(s.lastOpening()) ||
 			fresh && now.After(s.Begin.Add(s.Window.Slip)) {
 			continue
 		}
-		d.rec.Occurrences = append(
-			d.rec.Occurrences,
-			Occurrence{Window: s.Window.Name, Begin: begin, End: ms(s.End), State: Planned, Revision: d.k.plan.Revision},
+		d.record.Occurrences = append(
+			d.record.Occurrences,
+			Occurrence{Window: s.Window.Name, Begin: begin, End: ms(s.End), State: Planned, Revision: d.keeper.plan.Revision},
 		)
-		d.touched = true
-		d.k.wake(d.n, max(begin-d.n.PrepareMs, d.n.Ms+1))
+		d.changed = true
+		d.keeper.wake(d.now, max(begin-d.now.PrepareMs, d.now.Ms+1))
 		waiting++
 	}
-	slices.SortStableFunc(d.rec.Occurrences, func(a, b Occurrence) int { return int(min(max(a.Begin-b.Begin, -1), 1)) })
+	slices.SortStableFunc(d.record.Occurrences, func(a, b Occurrence) int { return int(min(max(a.Begin-b.Begin, -1), 1)) })
 }
 
-// key names an occurrence among those of its track.
-func key(window string, begin int64) string {
+// occurrenceKey names an occurrence among those of its track.
+func occurrenceKey(window string, begin int64) string {
 	return window + time.UnixMilli(begin).UTC().Format(" 20060102150405.000")
 }
--- a/internal/calendar/model_test.go
+++ b/internal/calendar/model_test.go
@@ -21,23 +21,25 @@
 // arrive late or never, and tasks. It has only what the protocol has: a transaction is
 // committed if the stamps that it names are the newest.
 
-// item is a value of the state service.
-type item struct {
+// modelItem is a value of the state service.
+type modelItem struct {
 	Stamp int
 	Value string
 }
 
-// values is the state service, or what a controller knows of it.
-type values struct {
+// modelStore is the state service, or what a controller knows of it.
+type modelStore struct {
 	Epoch   int
-	Items   map[string]item
+	Items   map[string]modelItem
 	Running map[string]int // attempts by class, as their records say
 }
 
-func (s values) clone() values { return values{s.Epoch, maps.Clone(s.Items), maps.Clone(s.Running)} }
+func (s modelStore) clone() modelStore {
+	return modelStore{s.Epoch, maps.Clone(s.Items), maps.Clone(s.Running)}
+}
 
-// txn is a transaction under way.
-type txn struct {
+// modelTransaction is a transaction under way.
+type modelTransaction struct {
 	By    int
 	If    map[string]int
 	Key   string // written, "" for none
@@ -46,17 +48,17 @@
 	Lost  bool   // its controller knows nothing of it any more
 }
 
-// control is a controller.
-type control struct {
-	Known values
+// modelController is a controller.
+type modelController struct {
+	Known modelStore
 	File  int // its own document, by index
 }
 
 type model struct {
 	Now     int64
-	True    values
-	Ctl     []control
-	Flight  []txn
+	True    modelStore
+	Ctl     []modelController
+	Flight  []modelTransaction
 	Leader  int // that the view names
 	Changes int // of the lead, and ends of a leader
 	Opened  map[string]int
@@ -80,7 +82,7 @@
 func newModel(docs []*Plan, classes []string, n int, now int64, off int64) *model {
 	m := &model{
 		Now:     now,
-		True:    values{Epoch: 1, Items: map[string]item{viewKey: {1, "0"}}, Running: map[string]int{}},
+		True:    modelStore{Epoch: 1, Items: map[string]modelItem{viewKey: {1, "0"}}, Running: map[string]int{}},
 		Opened:  map[string]int{},
 		Ended:   map[string]State{},
 		docs:    docs,
@@ -94,7 +96,7 @@
 		m.stored[string(EncodeDocument(&p.Doc))] = p
 	}
 	for i := range n {
-		m.Ctl = append(m.Ctl, control{Known: m.True.clone(), File: i % len(docs)})
+		m.Ctl = append(m.Ctl, modelController{Known: m.True.clone(), File: i % len(docs)})
 	}
 	return m
 }
@@ -130,20 +132,20 @@
 			}
 			k.tracks[track] = rec
 			if h := rec.holder(); h != nil {
-				k.holds[track] = h
+				k.holders[track] = h
 			}
 		}
 	}
 	return k
 }
 
-// eyes is what a controller knows of tasks.
-type eyes struct {
+// modelCluster is what a controller knows of tasks.
+type modelCluster struct {
 	m *model
 	i int
 }
 
-func (e eyes) Settled() bool {
+func (e modelCluster) Settled() bool {
 	newest := 0
 	for key, it := range e.m.Ctl[e.i].Known.Items {
 		if key != viewKey {
@@ -153,7 +155,7 @@
 	return e.m.Ctl[e.i].Known.Epoch >= newest || e.m.unguarded == "settled"
 }
 
-func (e eyes) Attempts(of func(quota.Key) bool) int {
+func (e modelCluster) Attempts(of func(quota.Key) bool) int {
 	sum := 0
 	for class, n := range e.m.Ctl[e.i].Known.Running {
 		if of(classKey(class)) {
@@ -176,7 +178,7 @@
 func (m *model) time() Now { return Now{m.Now, m.off, 60_000} }
 
 // send puts a transaction on its way, conditional on what its controller knows.
-func (m *model) send(i int, t txn, keys ...string) {
+func (m *model) send(i int, t modelTransaction, keys ...string) {
 	t.By, t.If = i, map[string]int{}
 	for _, key := range append(keys, viewKey, StoreKey) {
 		t.If[key] = m.Ctl[i].Known.Items[key].Stamp
@@ -187,10 +189,10 @@
 // enforce has a controller put its own file in force if its revision is higher.
 func (m *model) enforce(i int) bool {
 	k := m.keeper(i)
-	if k.plan != nil && k.plan.Revision >= k.file.Revision {
+	if k.plan != nil && k.plan.Revision >= k.filePlan.Revision {
 		return false
 	}
-	m.send(i, txn{Key: StoreKey, Value: string(EncodeDocument(&k.file.Doc))})
+	m.send(i, modelTransaction{Key: StoreKey, Value: string(EncodeDocument(&k.filePlan.Doc))})
 	return true
 }
 
@@ -205,9 +207,9 @@
 	if k.plan == nil {
 		return m.enforce(i)
 	}
-	changes := k.Reconcile(m.time(), eyes{m, i})
+	changes := k.Reconcile(m.time(), modelCluster{m, i})
 	for _, c := range changes {
-		m.send(i, txn{Key: TrackKey(c.Track), Value: string(c.Value)}, TrackKey(c.Track))
+		m.send(i, modelTransaction{Key: TrackKey(c.Track), Value: string(c.Value)}, TrackKey(c.Track))
 	}
 	return len(changes) > 0
 }
@@ -226,7 +228,7 @@
 	if m.unguarded == "stamp" {
 		keys = nil
 	}
-	m.send(i, txn{Class: class}, keys...)
+	m.send(i, modelTransaction{Class: class}, keys...)
 	return true
 }
 
@@ -243,7 +245,7 @@
 	m.True.Epoch++
 	if t.Key != "" {
 		m.wrote(t.Key, m.True.Items[t.Key].Value, t.Value)
-		m.True.Items[t.Key] = item{m.True.Epoch, t.Value}
+		m.True.Items[t.Key] = modelItem{m.True.Epoch, t.Value}
 		if answered && !t.Lost {
 			m.Ctl[t.By].Known.Items[t.Key] = m.True.Items[t.Key]
 		}
@@ -336,7 +338,7 @@
 	m.Changes++
 	m.True.Epoch++
 	m.Leader = to
-	m.True.Items[viewKey] = item{m.True.Epoch, strconv.Itoa(to)}
+	m.True.Items[viewKey] = modelItem{m.True.Epoch, strconv.Itoa(to)}
 	m.Ctl[to].Known.Items[viewKey] = m.True.Items[viewKey]
 }
 
@@ -361,7 +363,7 @@
 // twoWindows is a track with a window after the other, a minute long each.
 func twoWindows(t *testing.T, revision int) *Plan {
 	t.Helper()
-	return built(t, fmt.Sprintf(`
+	return buildPlan(t, fmt.Sprintf(`
 calendar {
   revision = %d
   zone = "UTC"
@@ -396,7 +398,7 @@
 // before does not matter.
 func (m *model) rank() string {
 	stamps := map[int]bool{0: true, m.True.Epoch: true}
-	see := func(s values) {
+	see := func(s modelStore) {
 		stamps[s.Epoch] = true
 		for _, it := range s.Items {
 			stamps[it.Stamp] = true
@@ -416,7 +418,7 @@
 		order[s] = i
 	}
 	var b strings.Builder
-	put := func(s values) {
+	put := func(s modelStore) {
 		fmt.Fprint(&b, order[s.Epoch])
 		for _, k := range slices.Sorted(maps.Keys(s.Items)) {
 			fmt.Fprint(&b, k, order[s.Items[k].Stamp], m.number(s.Items[k].Value))
@@ -474,7 +476,7 @@
 	if m.Changes < 1 {
 		attempt(func(c *model) bool { c.lead((m.Leader + 1) % len(m.Ctl)); return true })
 	}
-	if m.Changes < 1 && slices.ContainsFunc(m.Flight, func(t txn) bool { return t.By == m.Leader && !t.Lost }) {
+	if m.Changes < 1 && slices.ContainsFunc(m.Flight, func(t modelTransaction) bool { return t.By == m.Leader && !t.Lost }) {
 		attempt(func(c *model) bool { c.restart(m.Leader); c.Changes++; return true })
 	}
 	for _, at := range instants {
@@ -539,19 +541,19 @@
 // the lead passing on, crashes, lost answers, lagging mirrors, tasks that run over.
 func TestDrawnNights(t *testing.T) {
 	t.Parallel()
-	docs := []*Plan{nights(t, 1, 10, "finish"), nights(t, 2, 25, "stop"), moved(t)}
+	docs := []*Plan{nightPlan(t, 1, 10, "finish"), nightPlan(t, 2, 25, "stop"), movedPlan(t)}
 	classes := []string{"export", "match", "weekend"}
-	rapid.Check(t, func(t *rapid.T) { night(t, docs, classes, "") })
+	rapid.Check(t, func(t *rapid.T) { checkNight(t, docs, classes, "") })
 }
 
 // TestDrawnNightsNeedTheProof: the same nights find what is wrong without it.
 func TestDrawnNightsNeedTheProof(t *testing.T) {
 	t.Parallel()
-	docs := []*Plan{nights(t, 1, 10, "finish"), nights(t, 2, 25, "stop")}
+	docs := []*Plan{nightPlan(t, 1, 10, "finish"), nightPlan(t, 2, 25, "stop")}
 	found := 0
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		if play(rng.IntN, docs, []string{"export", "match", "weekend"}, "proof").broken != "" {
+		if playNight(rng.IntN, docs, []string{"export", "match", "weekend"}, "proof").broken != "" {
 			found++
 		}
 	}
@@ -560,7 +562,7 @@
 	}
 }
 
-func nights(t *testing.T, revision, slip int, end string) *Plan {
+func nightPlan(t *testing.T, revision, slip int, end string) *Plan {
 	t.Helper()
 	window := func(name, class, start string, more string) string {
 		return fmt.Sprintf(
@@ -573,7 +575,7 @@
 			more,
 		)
 	}
-	return built(
+	return buildPlan(
 		t,
 		fmt.Sprintf(
 			"calendar {\nrevision = %d\nzone = \"UTC\"\ntrack \"t\" {\n%s%s}\ntrack \"u\" {\n%s}\n}\n",
@@ -590,29 +592,29 @@
 	)
 }
 
-// moved has the classes on other tracks.
-func moved(t *testing.T) *Plan {
+// movedPlan has the classes on other tracks.
+func movedPlan(t *testing.T) *Plan {
 	t.Helper()
-	d := nights(t, 3, 20, "finish").Doc
+	d := nightPlan(t, 3, 20, "finish").Doc
 	one, two := d.Tracks[0].Windows, d.Tracks[1].Windows
 	d.Tracks = []TrackDoc{{Name: "t", Windows: []WindowDoc{one[1]}}, {Name: "u", Windows: []WindowDoc{two[0], one[0]}}}
 	d.Tracks[1].Windows[1].Start = "2026-03-02T01:45"
-	p, faults := Build(&d, platform, day)
+	p, faults := Build(&d, knownTeams, day)
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
 	return p
 }
 
-func night(t *rapid.T, docs []*Plan, classes []string, unguarded string) {
-	m := play(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "choice") }, docs, classes, unguarded)
+func checkNight(t *rapid.T, docs []*Plan, classes []string, unguarded string) {
+	m := playNight(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "choice") }, docs, classes, unguarded)
 	if m.broken != "" {
 		t.Fatal(m.broken)
 	}
 }
 
-// play is a night of chance, and then a day of quiet in which everything ends.
-func play(choose func(n int) int, docs []*Plan, classes []string, unguarded string) *model {
+// playNight is a night of chance, and then a day of quiet in which everything ends.
+func playNight(choose func(n int) int, docs []*Plan, classes []string, unguarded string) *model {
 	begin := time.Date(2026, 3, 2, 0, 58, 0, 0, time.UTC).UnixMilli()
 	m := newModel(docs, classes, 2+choose(4), begin, 1000)
 	m.unguarded = unguarded
--- a/internal/calendar/record.go
+++ b/internal/calendar/record.go
@@ -33,7 +33,7 @@
 	Doc      string `json:"doc"`
 }
 
-var coder = sync.OnceValues(func() (*zstd.Encoder, *zstd.Decoder) {
+var compressor = sync.OnceValues(func() (*zstd.Encoder, *zstd.Decoder) {
 	enc, _ := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1))
 	dec, _ := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(tuning.MaxCalendarBytes))
 	return enc, dec
@@ -41,7 +41,7 @@
 
 // EncodeDocument writes the document that is in force.
 func EncodeDocument(d *Document) json.RawMessage {
-	enc, _ := coder()
+	enc, _ := compressor()
 	return jobs.Encode(
 		stored{storedVersion, d.Revision, base64.StdEncoding.EncodeToString(enc.EncodeAll(jobs.Encode(d), nil))},
 	)
@@ -60,7 +60,7 @@
 	if err != nil {
 		return nil, err
 	}
-	_, dec := coder()
+	_, dec := compressor()
 	text, err := dec.DecodeAll(packed, nil)
 	if err != nil {
 		return nil, err
@@ -78,8 +78,8 @@
 // Compile makes the plan of a stored document without looking for overlaps: it was
 // checked before it was put in force.
 func Compile(d *Document) (*Plan, error) {
-	b := &builder{plan: newPlan(d)}
-	b.build()
+	b := &documentCheck{plan: newPlan(d)}
+	b.checkDocument()
 	if len(b.faults) > 0 {
 		return nil, errors.New(strings.Join(b.faults, "; "))
 	}
--- a/internal/calendar/service.go
+++ b/internal/calendar/service.go
@@ -46,15 +46,15 @@
 type Service struct {
 	*clusterstate.State
 	Env
-	keeper        *Keeper
-	since         time.Time // when this node began to lead, zero if it does not
-	looked        time.Time // last look for what must be stopped
-	told          map[string]bool
-	lateCheckedAt time.Time
-	old           bool // it was told that another document holds
-	// strange: the document in force can't be read, so it is neither replaced nor
+	keeper          *Keeper
+	leadingSince    time.Time // when this node began to lead, zero if it does not
+	stopsCheckedAt  time.Time // last look for what must be stopped
+	logged          map[string]bool
+	lateCheckedAt   time.Time
+	overruledLogged bool // it was told that another document holds
+	// documentUnreadable: the document in force can't be read, so it is neither replaced nor
 	// gone by.
-	strange bool
+	documentUnreadable bool
 }
 
 // New makes the service of a controller's own file; nil for none.
@@ -70,7 +70,7 @@
 	if env.WallMs == nil {
 		env.WallMs = b.NowMs
 	}
-	return &Service{State: b, Env: env, keeper: NewKeeper(plan, env.Limit), told: map[string]bool{}}
+	return &Service{State: b, Env: env, keeper: NewKeeper(plan, env.Limit), logged: map[string]bool{}}
 }
 
 // Keys are the keys that every decision is conditional on because of the calendar, and
@@ -101,10 +101,10 @@
 	}
 	var err error
 	if key == StoreKey {
-		err = s.keeper.Document(value)
-		s.old, s.strange = false, err != nil
+		err = s.keeper.ApplyDocument(value)
+		s.overruledLogged, s.documentUnreadable = false, err != nil
 	} else {
-		err = s.keeper.Changed(strings.TrimPrefix(key, TrackPrefix), value)
+		err = s.keeper.ApplyTrack(strings.TrimPrefix(key, TrackPrefix), value)
 	}
 	if err != nil {
 		s.Log.Error("unreadable record of the calendar set aside", "key", key, "error", err)
@@ -128,7 +128,7 @@
 		return Free
 	}
 	v, _ := s.keeper.Gate(s.now(), spec.QuotaKey())
-	if v == Soon && s.Now.Sub(s.since) < jobs.Seconds(s.StepS*float64(s.Fresh)) {
+	if v == Soon && s.Now.Sub(s.leadingSince) < jobs.Seconds(s.StepS*float64(s.Fresh)) {
 		return Shut
 	}
 	return v
@@ -141,7 +141,7 @@
 	if s == nil {
 		return ds
 	}
-	g := guard{s: s, now: s.now(), known: map[quota.Key]verdict{}}
+	g := guard{service: s, now: s.now(), results: map[quota.Key]gateResult{}}
 	out := make([]decide.Decision, 0, len(ds))
 	for _, d := range ds {
 		keys, ok := g.judge(&d)
@@ -159,30 +159,30 @@
 
 // guard judges the decisions of one moment.
 type guard struct {
-	s     *Service
-	now   Now
-	known map[quota.Key]verdict
+	service *Service
+	now     Now
+	results map[quota.Key]gateResult
 }
 
-type verdict struct {
-	v    Verdict
-	keys []string
+type gateResult struct {
+	verdict Verdict
+	keys    []string
 }
 
 // judge tells whether a decision may be taken, and the keys that it hangs on then.
 func (g *guard) judge(d *decide.Decision) (keys []string, ok bool) {
 	ok = true
 	begins := func(jobID string, j *clusterstate.Job) {
-		if j = cmp.Or(j, g.s.Jobs[jobID]); j == nil || j.Record == nil {
+		if j = cmp.Or(j, g.service.Jobs[jobID]); j == nil || j.Record == nil {
 			return
 		}
 		class := j.Record.Spec.QuotaKey()
-		k, known := g.known[class]
+		k, known := g.results[class]
 		if !known {
-			k.v, k.keys = g.s.keeper.Gate(g.now, class)
-			g.known[class] = k
+			k.verdict, k.keys = g.service.keeper.Gate(g.now, class)
+			g.results[class] = k
 		}
-		ok = ok && (k.v == Free || k.v == Allowed)
+		ok = ok && (k.verdict == Free || k.verdict == Allowed)
 		for _, key := range k.keys {
 			if !slices.Contains(keys, key) {
 				keys = append(keys, key)
@@ -213,22 +213,22 @@
 	if s == nil {
 		return
 	}
-	if s.since.IsZero() {
-		s.since = s.Now
+	if s.leadingSince.IsZero() {
+		s.leadingSince = s.Now
 		s.keeper.Touch()
 	}
-	if s.keeper.plan == nil || s.strange {
+	if s.keeper.plan == nil || s.documentUnreadable {
 		return
 	}
 	n := s.now()
 	var ds []decide.Decision
-	for _, c := range s.keeper.Reconcile(n, &world{s: s}) {
-		ds = append(ds, s.change(&c))
+	for _, c := range s.keeper.Reconcile(n, &clusterView{service: s}) {
+		ds = append(ds, s.recordDecision(&c))
 	}
 	s.logBlocked()
-	if s.Now.Sub(s.looked) >= tuning.CalendarPollEvery {
-		s.looked = s.Now
-		ds = append(ds, s.withdraw(n)...)
+	if s.Now.Sub(s.stopsCheckedAt) >= tuning.CalendarPollEvery {
+		s.stopsCheckedAt = s.Now
+		ds = append(ds, s.stopDecisions(n)...)
 		s.logLateJobs(n)
 	}
 	s.Commit(ds)
@@ -237,17 +237,17 @@
 // Reset forgets what only a leader keeps.
 func (s *Service) Reset() {
 	if s != nil {
-		s.since, s.told = time.Time{}, map[string]bool{}
+		s.leadingSince, s.logged = time.Time{}, map[string]bool{}
 	}
 }
 
 // Reconcile puts this controller's own file in force if its revision is the highest. Any
 // controller in the view may: each decision of all hangs on the document's stamp.
 func (s *Service) Reconcile(inView bool) {
-	if s == nil || !inView || s.strange {
+	if s == nil || !inView || s.documentUnreadable {
 		return // one that can't be read is neither replaced nor gone by
 	}
-	held, own := 0, s.keeper.file.Revision
+	held, own := 0, s.keeper.filePlan.Revision
 	if s.keeper.plan != nil {
 		held = s.keeper.plan.Revision
 	}
@@ -259,7 +259,7 @@
 				[]decide.Decision{
 					{
 						Urgent: true,
-						Writes: []store.Write{{Put: StoreKey, Value: EncodeDocument(&s.keeper.file.Doc)}},
+						Writes: []store.Write{{Put: StoreKey, Value: EncodeDocument(&s.keeper.filePlan.Doc)}},
 						OnSettled: func(ok bool) {
 							if ok {
 								s.Log.Info("calendar in force", "revision", own)
@@ -269,18 +269,18 @@
 				},
 			)
 		}
-	case !s.old && own < held:
-		s.old = true
+	case !s.overruledLogged && own < held:
+		s.overruledLogged = true
 		s.Log.Error("a calendar of a higher revision is in force; this controller's file is not used",
 			"revision", held, "file", own)
-	case !s.old && own == held && !bytes.Equal(jobs.Encode(s.keeper.plan.Doc), jobs.Encode(s.keeper.file.Doc)):
-		s.old = true
+	case !s.overruledLogged && own == held && !bytes.Equal(jobs.Encode(s.keeper.plan.Doc), jobs.Encode(s.keeper.filePlan.Doc)):
+		s.overruledLogged = true
 		s.Log.Error("another calendar of the same revision is in force; this controller's file is not used", "revision", held)
 	}
 }
 
-// change is the decision that a track's record changes.
-func (s *Service) change(c *Change) decide.Decision {
+// recordDecision is the decision that a track's record changes.
+func (s *Service) recordDecision(c *Change) decide.Decision {
 	key := TrackKey(c.Track)
 	w := store.Write{Put: key, Value: c.Value}
 	if c.Value == nil {
@@ -300,10 +300,10 @@
 	}}
 }
 
-// withdraw takes back what was given to a part and may not begin any more, and stops
+// stopDecisions takes back what was given to a part and may not begin any more, and stops
 // what is on machines of windows that end so. Services have no end of their own, so
 // they are stopped at every end.
-func (s *Service) withdraw(n Now) []decide.Decision {
+func (s *Service) stopDecisions(n Now) []decide.Decision {
 	var ds []decide.Decision
 	for _, taskID := range clusterstate.SortedKeys(s.Released) {
 		t := s.Released[taskID]
@@ -311,25 +311,25 @@
 			continue
 		}
 		if v, _ := s.keeper.Gate(n, t.Job.Record.Spec.QuotaKey()); v == Shut || v == Soon {
-			ds = append(ds, s.withdrawn("window is not open", t)...)
+			ds = append(ds, s.withdrawTasks("window is not open", t)...)
 		}
 	}
-	for _, track := range clusterstate.SortedKeys(s.keeper.holds) {
-		h := s.keeper.holds[track]
+	for _, track := range clusterstate.SortedKeys(s.keeper.holders) {
+		h := s.keeper.holders[track]
 		if h.State != Closing {
 			continue
 		}
-		for _, j := range s.ofWindow(h) {
+		for _, j := range s.jobsOf(h) {
 			if len(ds) < tuning.CalendarStops {
-				ds = append(ds, s.wind(j, h, s.wanted(track))...)
+				ds = append(ds, s.closeJob(j, h, s.anotherWindowDue(track))...)
 			}
 		}
 	}
 	return ds
 }
 
-// ofWindow lists the jobs with tasks that an occurrence let begin, by their uids.
-func (s *Service) ofWindow(h *Occurrence) []*clusterstate.Job {
+// jobsOf lists the jobs with tasks that an occurrence let begin, by their uids.
+func (s *Service) jobsOf(h *Occurrence) []*clusterstate.Job {
 	var out []*clusterstate.Job
 	for _, j := range s.Jobs {
 		if len(j.Active) > 0 && j.Record != nil && j.Record.State == jobs.Live && h.Has(j.Record.Spec.QuotaKey()) {
@@ -340,9 +340,9 @@
 	return out
 }
 
-// wind has a job's tasks make way at its window's end, if they must: of a gang that is
+// closeJob has a job's tasks make way at its window's end, if they must: of a gang that is
 // not whole on machines no more will come, so the rest goes too.
-func (s *Service) wind(j *clusterstate.Job, h *Occurrence, wanted bool) (ds []decide.Decision) {
+func (s *Service) closeJob(j *clusterstate.Job, h *Occurrence, wanted bool) (ds []decide.Decision) {
 	var on []*clusterstate.Task
 	for _, num := range slices.Sorted(maps.Keys(j.Active)) {
 		t := j.Active[num]
@@ -350,7 +350,7 @@
 			on = append(on, t)
 		}
 		if wanted && t.State == jobs.Stopping {
-			ds = append(ds, s.clear(t)...)
+			ds = append(ds, s.deleteUnresponsive(t)...)
 		}
 	}
 	spec := &j.Record.Spec
@@ -361,12 +361,12 @@
 	if !spec.IsGang() {
 		on = on[:min(len(on), tuning.CalendarStops)]
 	}
-	return append(ds, s.withdrawn("window "+h.Window+" ended", on...)...)
+	return append(ds, s.withdrawTasks("window "+h.Window+" ended", on...)...)
 }
 
-// withdrawn is the decision that some tasks of a job make way, all in one where they
+// withdrawTasks is the decision that some tasks of a job make way, all in one where they
 // are a gang: it saves only if all of it is told at once.
-func (s *Service) withdrawn(why string, ts ...*clusterstate.Task) []decide.Decision {
+func (s *Service) withdrawTasks(why string, ts ...*clusterstate.Task) []decide.Decision {
 	var ds []decide.Decision
 	var whole decide.Decision
 	gang := len(ts) > 1 && ts[0].Job.Record.Spec.IsGang()
@@ -388,18 +388,18 @@
 	return ds
 }
 
-// wanted tells whether another window of a track is due, or about to be.
-func (s *Service) wanted(track string) bool {
+// anotherWindowDue tells whether another window of a track is due, or about to be.
+func (s *Service) anotherWindowDue(track string) bool {
 	rec := s.keeper.tracks[track]
 	return rec != nil &&
 		slices.ContainsFunc(rec.Occurrences, func(o Occurrence) bool { return o.State == Preparing || o.State == Slipped })
 }
 
-// clear has a machine deleted that nobody hears while a task on it, which is to stop,
+// deleteUnresponsive has a machine deleted that nobody hears while a task on it, which is to stop,
 // holds up the next window: only the delete proves that it is gone.
-func (s *Service) clear(t *clusterstate.Task) []decide.Decision {
+func (s *Service) deleteUnresponsive(t *clusterstate.Task) []decide.Decision {
 	m := s.Machines[t.Machine]
-	if m == nil || s.Now.Sub(t.Since) < tuning.HoldsGiveUp || s.Now.Sub(s.since) < tuning.HoldsGiveUp {
+	if m == nil || s.Now.Sub(t.Since) < tuning.HoldsGiveUp || s.Now.Sub(s.leadingSince) < tuning.HoldsGiveUp {
 		return nil
 	}
 	if since, unresponsive := s.UnresponsiveSince(m); !unresponsive || s.Now.Sub(since) < tuning.HoldsGiveUp {
@@ -412,8 +412,8 @@
 func (s *Service) logBlocked() {
 	for _, track := range clusterstate.SortedKeys(s.keeper.blocked) {
 		m := s.keeper.blocked[track]
-		if id := track + " " + key(m.Window, m.Begin); !s.told[id] {
-			s.told[id] = true
+		if id := track + " " + occurrenceKey(m.Window, m.Begin); !s.logged[id] {
+			s.logged[id] = true
 			s.Log.Info("window waits until its track is free",
 				"track", track, "window", m.Window, "begin", time.UnixMilli(m.Begin).UTC().Format(time.RFC3339))
 		}
@@ -426,16 +426,16 @@
 		return
 	}
 	s.lateCheckedAt = s.Now
-	if len(s.told) > tuning.MaxCalendarLogged {
-		clear(s.told)
+	if len(s.logged) > tuning.MaxCalendarLogged {
+		clear(s.logged)
 	}
 	for _, jobID := range clusterstate.SortedKeys(s.Queued) {
 		r := s.Queued[jobID].Record
-		if s.told[jobID] {
+		if s.logged[jobID] {
 			continue
 		}
 		if opens, due, late := s.keeper.late(n, r); late {
-			s.told[jobID] = true
+			s.logged[jobID] = true
 			s.Log.Info("waits for its window and can't end in time",
 				"job", jobID, "class", r.Spec.Class, "due", time.UnixMilli(due).UTC().Format(time.RFC3339),
 				"opens", time.UnixMilli(opens).UTC().Format(time.RFC3339))
@@ -443,32 +443,32 @@
 	}
 }
 
-// world is what one look of the keeper is told of tasks, counted once.
-type world struct {
-	s       *Service
-	counted map[quota.Key]int
-	unknown int
+// clusterView is what one look of the keeper is told of tasks, counted once.
+type clusterView struct {
+	service  *Service
+	attempts map[quota.Key]int
+	unknown  int
 }
 
 // Settled tells whether the records are known up to the newest change of the calendar:
 // a commit of this node's own is known before what others committed earlier.
-func (w *world) Settled() bool {
-	newest := w.s.Mirror.Revision(StoreKey)
-	for track := range w.s.keeper.tracks {
-		newest = max(newest, w.s.Mirror.Revision(TrackKey(track)))
+func (w *clusterView) Settled() bool {
+	newest := w.service.Mirror.Revision(StoreKey)
+	for track := range w.service.keeper.tracks {
+		newest = max(newest, w.service.Mirror.Revision(TrackKey(track)))
 	}
-	return w.s.Mirror.Epoch >= newest
+	return w.service.Mirror.Epoch >= newest
 }
 
 // Attempts counts what is given to a part, may be on a machine, or is under a
 // transaction of this node's. A record of a task goes only when a report under our
 // baton or an answered delete has proven it gone, so none of them counts here.
-func (w *world) Attempts(of func(quota.Key) bool) int {
-	if w.counted == nil {
-		w.count()
+func (w *clusterView) Attempts(of func(quota.Key) bool) int {
+	if w.attempts == nil {
+		w.countAttempts()
 	}
 	sum := w.unknown
-	for k, n := range w.counted {
+	for k, n := range w.attempts {
 		if of(k) {
 			sum += n
 		}
@@ -476,12 +476,12 @@
 	return sum
 }
 
-func (w *world) count() {
-	w.counted = map[quota.Key]int{}
-	for jobID, j := range w.s.Jobs {
+func (w *clusterView) countAttempts() {
+	w.attempts = map[quota.Key]int{}
+	for jobID, j := range w.service.Jobs {
 		n := len(j.Active)
 		// Nobody knows which tasks a record holds that can't be read.
-		if j.TasksUnreadable || j.RecordUnreadable || w.s.MayBeQuarantined(jobID) {
+		if j.TasksUnreadable || j.RecordUnreadable || w.service.MayBeQuarantined(jobID) {
 			n++
 		}
 		switch {
@@ -489,15 +489,15 @@
 		case j.Record == nil:
 			w.unknown += n
 		default:
-			w.counted[j.Record.Spec.QuotaKey()] += n
+			w.attempts[j.Record.Spec.QuotaKey()] += n
 		}
 	}
-	if w.s.MayBeQuarantined("") {
+	if w.service.MayBeQuarantined("") {
 		w.unknown++ // a record that says not even which jobs it is about
 	}
-	for taskID, r := range w.s.Reservations {
+	for taskID, r := range w.service.Reservations {
 		if !strings.HasPrefix(taskID, Kept) && r.Task.Job.Record != nil {
-			w.counted[r.Task.Job.Record.Spec.QuotaKey()]++
+			w.attempts[r.Task.Job.Record.Spec.QuotaKey()]++
 		}
 	}
 }
--- a/internal/calendar/service_test.go
+++ b/internal/calendar/service_test.go
@@ -15,8 +15,8 @@
 	"github.com/harrierreel/harrierreel/internal/taskbatch"
 )
 
-// service is a service with jobs of two classes, one of which has windows.
-func service(t *testing.T) *Service {
+// newTestService is a service with jobs of two classes, one of which has windows.
+func newTestService(t *testing.T) *Service {
 	t.Helper()
 	b := clusterstate.New(quota.Flat(nil), func(string) {})
 	b.Now = time.UnixMilli(2000)
@@ -34,7 +34,7 @@
 	}
 	return New(
 		b,
-		parse(t, good),
+		parseDocument(t, goodDocument),
 		Env{
 			Limit:  8 << 10,
 			Log:    slog.New(slog.DiscardHandler),
@@ -48,7 +48,7 @@
 // TestGuard: whatever way work is to begin by, it is dropped while its window is shut,
 // and carries the track's key while it is open; work without windows passes as it is.
 func TestGuard(t *testing.T) {
-	s := service(t)
+	s := newTestService(t)
 	released := s.Released["wk-1/0"]
 	placed, _ := jobs.NextTask(released.Task, jobs.TaskEvent{Kind: jobs.Place, Machine: "i-1", Attempt: 1})
 	back, _ := jobs.NextTask(released.Task, jobs.TaskEvent{Kind: jobs.TakeBack})
--- a/internal/calendar/show.go
+++ b/internal/calendar/show.go
@@ -70,9 +70,9 @@
 		var err error
 		switch {
 		case r.Key == StoreKey:
-			err = k.Document(r.Value)
+			err = k.ApplyDocument(r.Value)
 		case strings.HasPrefix(r.Key, TrackPrefix):
-			err = k.Changed(strings.TrimPrefix(r.Key, TrackPrefix), r.Value)
+			err = k.ApplyTrack(strings.TrimPrefix(r.Key, TrackPrefix), r.Value)
 		}
 		if err != nil {
 			return nil, nil, fmt.Errorf("%s can't be read: %w", r.Key, err)
@@ -82,7 +82,7 @@
 		return nil, nil, errors.New("no calendar is in force")
 	}
 	var out []Shown
-	for _, name := range k.names() {
+	for _, name := range k.trackNames() {
 		rec := k.tracks[name]
 		if rec == nil {
 			continue
