--- a/internal/calendar/cost_test.go
+++ b/internal/calendar/cost_test.go
@@ -46,7 +46,7 @@
 	changes, largest, opened := 0, 0, 0
 	at := day
 	for ; at.Before(day.Add(24 * time.Hour)); at = at.Add(time.Second) {
-		for _, c := range k.Reconcile(Now{ms(at), 500, 60_000}, emptyCluster{}) {
+		for _, c := range k.Reconcile(Now{at.UnixMilli(), 500, 60_000}, emptyCluster{}) {
 			changes++
 			largest = max(largest, len(c.Value))
 			for _, m := range c.Moves {
@@ -69,7 +69,7 @@
 // BenchmarkLookWhenNothingIsDue is what each pass of the leader pays.
 func BenchmarkLookWhenNothingIsDue(b *testing.B) {
 	k := keeperOf200Windows(b)
-	n := Now{ms(day.Add(4*time.Hour + 58*time.Minute)), 500, 60_000}
+	n := Now{day.Add(4*time.Hour + 58*time.Minute).UnixMilli(), 500, 60_000}
 	for range 3 {
 		for _, c := range k.Reconcile(n, emptyCluster{}) {
 			_ = k.ApplyTrack(c.Track, c.Value)
@@ -83,7 +83,7 @@
 // BenchmarkLookAtAll is what a look at all 50 tracks costs, as twice a minute.
 func BenchmarkLookAtAll(b *testing.B) {
 	k := keeperOf200Windows(b)
-	n := Now{ms(day.Add(4*time.Hour + 58*time.Minute)), 500, 60_000}
+	n := Now{day.Add(4*time.Hour + 58*time.Minute).UnixMilli(), 500, 60_000}
 	for range 3 {
 		for _, c := range k.Reconcile(n, emptyCluster{}) {
 			_ = k.ApplyTrack(c.Track, c.Value)
@@ -98,7 +98,7 @@
 // BenchmarkGate is what a job in the queue costs at each look.
 func BenchmarkGate(b *testing.B) {
 	k := keeperOf200Windows(b)
-	n := Now{ms(day), 500, 60_000}
+	n := Now{day.UnixMilli(), 500, 60_000}
 	for b.Loop() {
 		k.Gate(n, quota.Key{Team: "shop", Class: "class7-2"})
 	}
--- /dev/null
+++ b/internal/calendar/log.go
@@ -0,0 +1,64 @@
+package calendar
+
+import (
+	"time"
+
+	"github.com/harrierreel/harrierreel/internal/clusterstate"
+	"github.com/harrierreel/harrierreel/internal/tuning"
+)
+
+// logTime is a time of day in ms as the log has it.
+func logTime(ms int64) string { return time.UnixMilli(ms).UTC().Format(time.RFC3339) }
+
+// logMove logs that an occurrence changed state.
+func (s *Service) logMove(track string, move Move) {
+	s.config.Log.Info("window changed state",
+		"track", track,
+		"window", move.Window,
+		"begin", logTime(move.Begin),
+		"from", string(move.From),
+		"to", string(move.To))
+}
+
+// logBlocked logs the windows that must wait for their track, each once.
+func (s *Service) logBlocked() {
+	for _, track := range clusterstate.SortedKeys(s.keeper.blocked) {
+		move := s.keeper.blocked[track]
+		id := track + " " + occurrenceKey(move.Window, move.Begin)
+		if s.logged[id] {
+			continue
+		}
+		s.logged[id] = true
+		s.config.Log.Info("window blocked by its track",
+			"track", track,
+			"window", move.Window,
+			"begin", logTime(move.Begin))
+	}
+}
+
+// logLateJobs logs the jobs that wait for a window and cannot end by their deadline, each once.
+func (s *Service) logLateJobs(now Now) {
+	if s.state.Now.Sub(s.lateCheckedAt) < tuning.CalendarLateCheckEvery {
+		return
+	}
+	s.lateCheckedAt = s.state.Now
+	if len(s.logged) > tuning.MaxCalendarLogged {
+		clear(s.logged)
+	}
+	for _, jobID := range clusterstate.SortedKeys(s.state.Queued) {
+		if s.logged[jobID] {
+			continue
+		}
+		record := s.state.Queued[jobID].Record
+		opensMs, dueMs, late := s.keeper.late(now, record)
+		if !late {
+			continue
+		}
+		s.logged[jobID] = true
+		s.config.Log.Info("job late by its window",
+			"job_id", jobID,
+			"class", record.Spec.Class,
+			"due", logTime(dueMs),
+			"opens", logTime(opensMs))
+	}
+}
--- a/internal/calendar/occurrence.go
+++ b/internal/calendar/occurrence.go
@@ -9,9 +9,9 @@
 const (
 	Planned   State = "planned"
 	Preparing State = "preparing" // its waiting jobs count as queued room
-	Open      State = "open"      // its work may begin
-	Closing   State = "closing"   // nothing of it begins, some may still be on machines
-	Closed    State = "closed"    // nothing of it is on any machine
+	Open      State = "open"      // its tasks may begin
+	Closing   State = "closing"   // none of its tasks begins, some may still be on machines
+	Closed    State = "closed"    // none of its tasks is on any machine
 	Slipped   State = "slipped"   // missed, and may still open
 	Skipped   State = "skipped"   // never opened
 )
@@ -25,7 +25,11 @@
 // Waits tells whether an occurrence in this state has not begun.
 func (s State) Waits() bool { return s == Planned || s == Preparing || s == Slipped }
 
-// Occurrence is one time of a window, as stored. Times are times of day in ms.
+// known tells whether a state is one of those that exist.
+func (s State) known() bool { return s.Final() || s.Holds() || s.Waits() }
+
+// Occurrence is one time of a window, as stored: its tags must not change. Times are times of day
+// in ms.
 type Occurrence struct {
 	Window   string `json:"w"`
 	Begin    int64  `json:"b"`
@@ -34,17 +38,17 @@
 	Revision int    `json:"r"`
 	AtMs     int64  `json:"at,omitempty"` // of its last change
 	Opened   int64  `json:"o,omitempty"`
-	// What it lets begin, kept from when it opens: it ends under the revision that it
-	// began with.
+	// Team, Classes and Stop are what it lets begin and how it ends, kept from when it opens:
+	// it ends under the revision that it began with.
 	Team    string   `json:"t,omitempty"`
 	Classes []string `json:"c,omitempty"`
 	Stop    bool     `json:"x,omitempty"`
 }
 
-// Has tells whether a class of a team is what it lets begin.
-func (o *Occurrence) Has(k quota.Key) bool {
-	w := Window{Team: o.Team, Classes: o.Classes}
-	return w.Has(k)
+// Has tells whether an occurrence lets a class of a team begin.
+func (o *Occurrence) Has(class quota.Key) bool {
+	window := Window{Team: o.Team, Classes: o.Classes}
+	return window.Has(class)
 }
 
 // EventKind names an event of an occurrence.
@@ -52,12 +56,12 @@
 
 // Events of an occurrence.
 const (
-	Prepare EventKind = "prepare" // machines take so long to boot
+	Prepare EventKind = "prepare" // it begins as soon as machines take to boot
 	Begin   EventKind = "begin"   // its time has come and its track is proven free
 	Miss    EventKind = "miss"    // it did not open in time, and may still
-	Drop    EventKind = "drop"    // it did not open in time, or another revision has none such
+	Drop    EventKind = "drop"    // it did not open in time, or another revision does not have it
 	Finish  EventKind = "finish"  // its time is over
-	Emptied EventKind = "emptied" // proven that nothing of it is on any machine
+	Emptied EventKind = "emptied" // none of its tasks is on any machine, by proof
 )
 
 // Event is what can happen to an occurrence.
@@ -68,29 +72,33 @@
 	As    *Window // of Begin: what it is
 }
 
-// Next is the one place where an occurrence changes state. It only ever goes forward,
-// so that no step of a clock opens or closes anything twice.
-func Next(o Occurrence, e Event) (Occurrence, bool) {
-	to := State("")
+// Next is the state machine of an occurrence: nothing else changes its state. It only ever goes
+// forward, so that a clock that is set back opens or closes nothing twice. It tells whether the
+// occurrence changed.
+func Next(occurrence Occurrence, event Event) (Occurrence, bool) {
+	state := occurrence.State
 	switch {
-	case e.Kind == Prepare && o.State == Planned:
-		to = Preparing
-	case e.Kind == Begin && o.State.Waits() && e.As != nil:
-		to = Open
-		o.Opened, o.End = e.NowMs, e.EndMs
-		o.Team, o.Classes, o.Stop = e.As.Team, e.As.Classes, e.As.Stop
-	case e.Kind == Miss && (o.State == Planned || o.State == Preparing):
-		to = Slipped
-	case e.Kind == Drop && o.State.Waits():
-		to = Skipped
-	case e.Kind == Finish && o.State == Open:
-		to = Closing
-	case e.Kind == Emptied && o.State == Closing:
-		to = Closed
-		o.Team, o.Classes, o.Stop = "", nil, false
+	case event.Kind == Prepare && state == Planned:
+		occurrence.State = Preparing
+	case event.Kind == Begin && state.Waits() && event.As != nil:
+		occurrence.State = Open
+		occurrence.Opened = event.NowMs
+		occurrence.End = event.EndMs
+		occurrence.Team = event.As.Team
+		occurrence.Classes = event.As.Classes
+		occurrence.Stop = event.As.Stop
+	case event.Kind == Miss && (state == Planned || state == Preparing):
+		occurrence.State = Slipped
+	case event.Kind == Drop && state.Waits():
+		occurrence.State = Skipped
+	case event.Kind == Finish && state == Open:
+		occurrence.State = Closing
+	case event.Kind == Emptied && state == Closing:
+		occurrence.State = Closed
+		occurrence.Team, occurrence.Classes, occurrence.Stop = "", nil, false
 	default:
-		return o, false
+		return occurrence, false
 	}
-	o.State, o.AtMs = to, e.NowMs
-	return o, true
+	occurrence.AtMs = event.NowMs
+	return occurrence, true
 }
--- a/internal/calendar/plan.go
+++ b/internal/calendar/plan.go
@@ -20,69 +20,82 @@
 	Begin, End time.Time
 }
 
-// cache is the last answer of a window's rule: the next look mostly asks for the same.
+// cache is the last answer of a window's rule: the next question is mostly the same.
 type cache struct {
 	from, to time.Time
 	spans    []Span
 }
 
-// at is the moment of a local time in a zone. One that a change of the clock leaves
-// out is as much later as the clock is put forward, and of two alike the first
-// counts, as RFC 5545 has it.
+// at is the moment of a local time in a zone. A local time that a change of the clock leaves out
+// is as much later as the clock is put forward, and of two alike the first counts, as RFC
+// 5545 has it.
 func at(local time.Time, zone *time.Location) time.Time {
-	naive := local.Unix()
-	var early, late time.Time
-	for i, hours := range []int64{-26, 26} {
-		_, offset := time.Unix(naive+hours*3600, 0).In(zone).Zone()
-		t := time.Unix(naive-int64(offset), 0).In(zone)
-		if i == 0 {
-			early = t
-		} else {
-			late = t
-		}
-	}
-	if _, offset := late.Zone(); late.Unix()+int64(offset) == naive && late.Before(early) {
+	// Offsets of a day before and a day after: more than any change of the clock, so one of
+	// them holds at the local time if it exists.
+	early := withOffsetOf(local, -26*time.Hour, zone)
+	late := withOffsetOf(local, 26*time.Hour, zone)
+	switch {
+	case showsLocal(late, local) && late.Before(early):
 		return late
-	}
-	if _, offset := early.Zone(); early.Unix()+int64(offset) == naive {
+	case showsLocal(early, local):
 		return early
-	}
-	if _, offset := late.Zone(); late.Unix()+int64(offset) == naive {
+	case showsLocal(late, local):
 		return late
 	}
 	return early // left out: counted with the offset from before
 }
 
+// withOffsetOf is the moment of a local time by the offset that a zone has some time from it.
+func withOffsetOf(local time.Time, distance time.Duration, zone *time.Location) time.Time {
+	_, offset := local.Add(distance).In(zone).Zone()
+	return time.Unix(local.Unix()-int64(offset), 0).In(zone)
+}
+
+// showsLocal tells whether clocks show a local time at a moment.
+func showsLocal(moment, local time.Time) bool {
+	_, offset := moment.Zone()
+	return moment.Unix()+int64(offset) == local.Unix()
+}
+
 // between lists when a window is planned to begin in a stretch of time.
 func (w *Window) between(from, to time.Time) []Span {
-	if c := &w.planned; c.from.IsZero() || from.Before(c.from) || to.After(c.to) {
-		*c = w.compute(from, to.Add(24*time.Hour)) // so that the next looks find it here
+	known := &w.planned
+	if known.from.IsZero() || from.Before(known.from) || to.After(known.to) {
+		*known = w.compute(from, to.Add(24*time.Hour)) // a day more, for the next questions
 	}
-	var out []Span
-	for _, s := range w.planned.spans {
-		if !s.Begin.Before(from) && s.Begin.Before(to) {
-			out = append(out, s)
+	var spans []Span
+	for _, span := range known.spans {
+		if !span.Begin.Before(from) && span.Begin.Before(to) {
+			spans = append(spans, span)
 		}
 	}
-	return out
+	return spans
 }
 
-// compute lists when a window begins in a stretch of time. The rule counts in local
-// time: a day on either side is more than any offset.
+// maxOffset is more than any zone's offset: the rule counts in local time.
+const maxOffset = 25 * time.Hour
+
+// compute lists when a window begins in a stretch of time.
 func (w *Window) compute(from, to time.Time) cache {
-	c := cache{from: from, to: to}
+	computed := cache{from: from, to: to}
 	next := w.rule.Iterator()
-	for l, ok := next(); ok && l.Before(to.UTC().Add(25*time.Hour)) && len(c.spans) < tuning.MaxOccurrences; l, ok = next() {
-		if l.Before(from.UTC().Add(-25 * time.Hour)) {
+	var last time.Time
+	for len(computed.spans) < tuning.MaxOccurrences {
+		local, ok := next()
+		if !ok || !local.Before(to.UTC().Add(maxOffset)) {
+			break
+		}
+		if local.Before(from.UTC().Add(-maxOffset)) {
 			continue
 		}
-		b := at(l, w.zone)
-		if b.Before(from) || !b.Before(to) || len(c.spans) > 0 && !b.After(c.spans[len(c.spans)-1].Begin) {
+		begin := at(local, w.zone)
+		if begin.Before(from) || !begin.Before(to) || len(computed.spans) > 0 && !begin.After(last) {
 			continue
 		}
-		c.spans = append(c.spans, Span{w, b, w.end(l, b)})
+		last = begin
+		computed.spans = append(computed.spans, Span{Window: w, Begin: begin, End: w.end(local, begin)})
 	}
-	return c
+	return computed
 }
 
 // end is when a window ends that begins at a local time.
@@ -90,11 +103,11 @@
 	if !w.until.set {
 		return begin.Add(w.Length)
 	}
-	l := time.Date(local.Year(), local.Month(), local.Day(), w.until.hour, w.until.minute, 0, 0, time.UTC)
-	if !l.After(local) {
-		l = l.AddDate(0, 0, 1)
+	end := time.Date(local.Year(), local.Month(), local.Day(), w.until.hour, w.until.minute, 0, 0, time.UTC)
+	if !end.After(local) {
+		end = end.AddDate(0, 0, 1)
 	}
-	return at(l, w.zone)
+	return at(end, w.zone)
 }
 
 // lastOpening is the time after which an occurrence does not open any more.
@@ -102,17 +115,17 @@
 
 // Between lists when a track's windows are planned to begin, in order.
 func (t *Track) Between(from, to time.Time) []Span {
-	var out []Span
-	for _, w := range t.Windows {
-		out = append(out, w.between(from, to)...)
+	var spans []Span
+	for _, window := range t.Windows {
+		spans = append(spans, window.between(from, to)...)
 	}
-	slices.SortStableFunc(out, func(a, b Span) int {
-		if c := a.Begin.Compare(b.Begin); c != 0 {
-			return c
+	slices.SortStableFunc(spans, func(a, b Span) int {
+		if order := a.Begin.Compare(b.Begin); order != 0 {
+			return order
 		}
 		return strings.Compare(a.Window.Name, b.Window.Name)
 	})
-	return out
+	return spans
 }
 
 // Collision is two windows of a track that are planned for the same time.
@@ -121,30 +134,32 @@
 	At            time.Time
 }
 
-// collisions lists the pairs of windows that meet by plan, each once.
+// collisions lists the pairs of windows that overlap by plan, each once.
 func (t *Track) collisions(from, to time.Time) []Collision {
-	var out []Collision
-	told := map[[2]string]bool{}
+	var collisions []Collision
+	type pair struct{ first, second string }
+	listed := map[pair]bool{}
 	var last Span // that ends last so far
-	for _, s := range t.Between(from.Add(-tuning.MaxWindow), to) {
-		if last.Window != nil && s.Begin.Before(last.End) {
-			if pair := [2]string{last.Window.Name, s.Window.Name}; !told[pair] {
-				told[pair] = true
-				out = append(out, Collision{last.Window.Name, s.Window.Name, s.Begin})
+	for _, span := range t.Between(from.Add(-tuning.MaxWindow), to) {
+		if last.Window != nil && span.Begin.Before(last.End) {
+			both := pair{first: last.Window.Name, second: span.Window.Name}
+			if !listed[both] {
+				listed[both] = true
+				collisions = append(collisions, Collision{First: both.first, Second: both.second, At: span.Begin})
 			}
 		}
-		if last.Window == nil || s.End.After(last.End) {
-			last = s
+		if last.Window == nil || span.End.After(last.End) {
+			last = span
 		}
 	}
-	return out
+	return collisions
 }
 
-// Collisions lists the windows that meet by plan, each pair once.
+// Collisions lists the windows that overlap by plan, each pair once.
 func (p *Plan) Collisions(from, to time.Time) []Collision {
-	var out []Collision
-	for _, t := range p.Tracks {
-		out = append(out, t.collisions(from, to)...)
+	var collisions []Collision
+	for _, track := range p.Tracks {
+		collisions = append(collisions, track.collisions(from, to)...)
 	}
-	return out
+	return collisions
 }
--- a/internal/calendar/record.go
+++ b/internal/calendar/record.go
@@ -7,11 +7,8 @@
 	"fmt"
 	"slices"
 	"strings"
-	"sync"
-	"time"
-
-	"github.com/klauspost/compress/zstd"
 
+	"github.com/harrierreel/harrierreel/internal/compression"
 	"github.com/harrierreel/harrierreel/internal/jobs"
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
@@ -25,73 +22,81 @@
 // storedVersion is the form in which both are stored.
 const storedVersion = 1
 
-// stored is the document in force as kept: packed, for 200 windows must fit into one
-// value. Every decision is conditional on its stamp.
+// Errors of what is stored.
+var (
+	errUnknownVersion   = errors.New("unknown version")
+	errRevisionMismatch = errors.New("the revision is not that of the document")
+	errInvalidDocument  = errors.New("invalid document")
+	errUnknownState     = errors.New("unknown state")
+	errTwoHolders       = errors.New("two occurrences hold the track")
+)
+
+// stored is the document in force as kept: compressed, for 200 windows must fit into one value.
+// Every decision is conditional on its revision in the store.
 type stored struct {
 	Version  int    `json:"v"`
 	Revision int    `json:"n"`
 	Doc      string `json:"doc"`
 }
 
-var compressor = sync.OnceValues(func() (*zstd.Encoder, *zstd.Decoder) {
-	enc, _ := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1))
-	dec, _ := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(tuning.MaxCalendarBytes))
-	return enc, dec
-})
+var compressor = compression.New(tuning.MaxCalendarBytes)
 
 // EncodeDocument writes the document that is in force.
-func EncodeDocument(d *Document) json.RawMessage {
-	enc, _ := compressor()
-	return jobs.Encode(
-		stored{storedVersion, d.Revision, base64.StdEncoding.EncodeToString(enc.EncodeAll(jobs.Encode(d), nil))},
-	)
+func EncodeDocument(document *Document) json.RawMessage {
+	encoder, _ := compressor()
+	compressed := encoder.EncodeAll(jobs.Encode(document), nil)
+	return jobs.Encode(stored{
+		Version:  storedVersion,
+		Revision: document.Revision,
+		Doc:      base64.StdEncoding.EncodeToString(compressed),
+	})
 }
 
 // DecodeDocument reads the document in force. A version that is not known is an error.
-func DecodeDocument(b []byte) (*Document, error) {
-	var s stored
-	if err := json.Unmarshal(b, &s); err != nil {
-		return nil, err
+func DecodeDocument(value []byte) (*Document, error) {
+	var outer stored
+	if err := json.Unmarshal(value, &outer); err != nil {
+		return nil, fmt.Errorf("decode calendar: %w", err)
 	}
-	if s.Version != storedVersion {
-		return nil, fmt.Errorf("unknown version %d of the calendar", s.Version)
+	if outer.Version != storedVersion {
+		return nil, fmt.Errorf("decode calendar: %w %d", errUnknownVersion, outer.Version)
 	}
-	packed, err := base64.StdEncoding.DecodeString(s.Doc)
+	compressed, err := base64.StdEncoding.DecodeString(outer.Doc)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("decode calendar: %w", err)
 	}
-	_, dec := compressor()
-	text, err := dec.DecodeAll(packed, nil)
+	_, decoder := compressor()
+	text, err := decoder.DecodeAll(compressed, nil)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("decompress calendar: %w", err)
 	}
-	var d Document
-	if err := json.Unmarshal(text, &d); err != nil {
-		return nil, err
+	var document Document
+	if err := json.Unmarshal(text, &document); err != nil {
+		return nil, fmt.Errorf("decode calendar's document: %w", err)
 	}
-	if d.Revision != s.Revision {
-		return nil, errors.New("the calendar's revision is not that of its document")
+	if document.Revision != outer.Revision {
+		return nil, fmt.Errorf("decode calendar: %w", errRevisionMismatch)
 	}
-	return &d, nil
+	return &document, nil
 }
 
-// Compile makes the plan of a stored document without looking for overlaps: it was
-// checked before it was put in force.
-func Compile(d *Document) (*Plan, error) {
-	b := &documentCheck{plan: newPlan(d)}
-	b.checkDocument()
-	if len(b.faults) > 0 {
-		return nil, errors.New(strings.Join(b.faults, "; "))
+// Compile makes the plan of a stored document without looking for overlaps: it was checked before
+// it was put in force.
+func Compile(document *Document) (*Plan, error) {
+	check := &documentCheck{plan: newPlan(document)}
+	check.checkDocument()
+	if len(check.faults) > 0 {
+		return nil, fmt.Errorf("compile calendar: %w: %s", errInvalidDocument, strings.Join(check.faults, "; "))
 	}
-	return b.plan, nil
+	return check.plan, nil
 }
 
-// Record is a track's occurrences as stored: those that wait, in order, the one that
-// holds the track, and the last few that ended.
+// Record is a track's occurrences as stored: those that wait, in order, the one that holds the
+// track, and the last few that ended.
 type Record struct {
 	Version int `json:"v"`
-	// DoneMs is the planned begin of the last one that has begun or ended: none up
-	// to there is ever planned again.
+	// DoneMs is the planned begin of the last one that has begun or ended, a time of day in ms:
+	// none up to there is ever planned again.
 	DoneMs      int64        `json:"d"`
 	Occurrences []Occurrence `json:"o"`
 }
@@ -100,55 +105,65 @@
 func TrackKey(track string) string { return TrackPrefix + track }
 
 // DecodeRecord reads a track's occurrences and checks them.
-func DecodeRecord(b []byte) (*Record, error) {
-	var r Record
-	if err := json.Unmarshal(b, &r); err != nil {
-		return nil, err
+func DecodeRecord(value []byte) (*Record, error) {
+	var record Record
+	if err := json.Unmarshal(value, &record); err != nil {
+		return nil, fmt.Errorf("decode track: %w", err)
 	}
-	if r.Version != storedVersion {
-		return nil, fmt.Errorf("unknown version %d of a track", r.Version)
+	if record.Version != storedVersion {
+		return nil, fmt.Errorf("decode track: %w %d", errUnknownVersion, record.Version)
 	}
-	holds := 0
-	for _, o := range r.Occurrences {
-		switch o.State {
-		case Open, Closing:
-			holds++
-		case Planned, Preparing, Closed, Slipped, Skipped:
-		default:
-			return nil, fmt.Errorf("unknown state %q of %s", o.State, o.Window)
+	holders := 0
+	for _, occurrence := range record.Occurrences {
+		if !occurrence.State.known() {
+			return nil, fmt.Errorf("decode track: %w %q of %s", errUnknownState, occurrence.State, occurrence.Window)
+		}
+		if occurrence.State.Holds() {
+			holders++
 		}
 	}
-	if holds > 1 {
-		return nil, errors.New("two occurrences hold the track")
+	if holders > 1 {
+		return nil, fmt.Errorf("decode track: %w", errTwoHolders)
 	}
-	return &r, nil
+	return &record, nil
 }
 
-// encode writes a track's occurrences. The oldest of what ended goes first where they
-// would not fit, then the last of what is planned: it is planned again.
-func (r *Record) encode(limit int) json.RawMessage {
+// encode writes a track's occurrences in at most so many bytes. Where they would not fit, the
+// oldest of what ended goes first, then the last of what is planned: it is planned again.
+func (r *Record) encode(limitBytes int) json.RawMessage {
 	r.Version = storedVersion
 	for {
-		ended := 0
-		for _, o := range r.Occurrences {
-			if o.State.Final() {
-				ended++
-			}
+		value := jobs.Encode(r)
+		if len(value) <= limitBytes && r.ended() <= tuning.MaxEndedOccurrences {
+			return value
 		}
-		b := jobs.Encode(r)
-		fits := len(b) <= limit
-		if fits && ended <= tuning.MaxEndedOccurrences {
-			return b
+		index, ok := r.dispensable()
+		if !ok {
+			return value
 		}
-		i := slices.IndexFunc(r.Occurrences, func(o Occurrence) bool { return o.State.Final() })
-		if last := len(r.Occurrences) - 1; i < 0 {
-			if last < 0 || r.Occurrences[last].State != Planned {
-				return b
-			}
-			i = last
+		r.Occurrences = slices.Delete(r.Occurrences, index, index+1)
+	}
+}
+
+// ended counts the occurrences that never change again.
+func (r *Record) ended() int {
+	count := 0
+	for _, occurrence := range r.Occurrences {
+		if occurrence.State.Final() {
+			count++
 		}
-		r.Occurrences = slices.Delete(r.Occurrences, i, i+1)
 	}
+	return count
+}
+
+// dispensable is the index of the occurrence that a record can best do without.
+func (r *Record) dispensable() (int, bool) {
+	oldestEnded := slices.IndexFunc(r.Occurrences, func(o Occurrence) bool { return o.State.Final() })
+	if oldestEnded >= 0 {
+		return oldestEnded, true
+	}
+	last := len(r.Occurrences) - 1
+	return last, last >= 0 && r.Occurrences[last].State == Planned
 }
 
 // holder is the occurrence that has the track, nil for none.
@@ -160,6 +175,3 @@
 	}
 	return nil
 }
-
-// ms is a time of day in ms.
-func ms(t time.Time) int64 { return t.UnixMilli() }
--- a/internal/calendar/show.go
+++ b/internal/calendar/show.go
@@ -12,8 +12,17 @@
 	"github.com/harrierreel/harrierreel/internal/store"
 )
 
-// Shown is an occurrence for people and scripts. Fields are only ever added. Times are
-// in the window's zone.
+// lateOpening is by how much an occurrence opens later than planned before operators are shown it,
+// and lateRounding what the delay is rounded to.
+const (
+	lateOpening  = time.Second
+	lateRounding = 100 * time.Millisecond
+)
+
+var errNoCalendar = errors.New("no calendar is in force")
+
+// Shown is an occurrence for people and scripts. Fields are only ever added. Times are in the
+// window's zone.
 type Shown struct {
 	Track    string    `json:"track"`
 	Window   string    `json:"window"`
@@ -26,99 +35,126 @@
 	Note     string    `json:"note,omitempty"`
 }
 
-// Dry lists what a plan would do in a stretch of time, with what meets by plan.
+// Dry lists what a plan would do in a stretch of time, with a note on what overlaps by plan.
 func (p *Plan) Dry(from, to time.Time) []Shown {
-	var out []Shown
-	for _, t := range p.Tracks {
-		var last Span
-		for _, s := range t.Between(from, to) {
-			x := Shown{t.Name, s.Window.Name, s.Window.Team, s.Window.Classes, s.Begin, s.End, Planned, p.Revision, ""}
-			if last.Window != nil && s.Begin.Before(last.End) {
-				x.Note = "meets " + last.Window.Name
-			} else if _, a := s.Begin.Zone(); a != offset(s.Begin.Add(-24*time.Hour)) {
-				x.Note = "after a change of the clock"
-			}
-			if last.Window == nil || s.End.After(last.End) {
-				last = s
+	var all []Shown
+	for _, track := range p.Tracks {
+		var last Span // that ends last so far
+		for _, span := range track.Between(from, to) {
+			all = append(all, Shown{
+				Track:    track.Name,
+				Window:   span.Window.Name,
+				Team:     span.Window.Team,
+				Classes:  span.Window.Classes,
+				Begin:    span.Begin,
+				End:      span.End,
+				State:    Planned,
+				Revision: p.Revision,
+				Note:     planNote(span, last),
+			})
+			if last.Window == nil || span.End.After(last.End) {
+				last = span
 			}
-			out = append(out, x)
 		}
 	}
-	sortShown(out)
-	return out
+	sortShown(all)
+	return all
+}
+
+// planNote is what is particular of a planned span; last is the one before it that ends last.
+func planNote(span, last Span) string {
+	if last.Window != nil && span.Begin.Before(last.End) {
+		return "meets " + last.Window.Name
+	}
+	if zoneOffset(span.Begin) != zoneOffset(span.Begin.Add(-24*time.Hour)) {
+		return "after a change of the clock"
+	}
+	return ""
 }
 
-func offset(t time.Time) int {
+func zoneOffset(t time.Time) int {
 	_, seconds := t.Zone()
 	return seconds
 }
 
-func sortShown(out []Shown) {
-	slices.SortStableFunc(out, func(a, b Shown) int {
-		if c := a.Begin.Compare(b.Begin); c != 0 {
-			return c
+func sortShown(shown []Shown) {
+	slices.SortStableFunc(shown, func(a, b Shown) int {
+		if order := a.Begin.Compare(b.Begin); order != 0 {
+			return order
 		}
 		return strings.Compare(a.Track+" "+a.Window, b.Track+" "+b.Window)
 	})
 }
 
-// Read takes in the calendar's keys as listed from the state service, and lists the
-// occurrences that stand there. Without a document in force it is an error.
-func Read(rows []store.Item) (*Keeper, []Shown, error) {
-	k := NewKeeper(nil, 0)
-	for _, r := range rows {
+// Read takes in the calendar's keys as listed from the state service, and lists the occurrences
+// that are stored. Without a document in force it is an error.
+func Read(items []store.Item) (*Keeper, []Shown, error) {
+	keeper := NewKeeper(nil, 0)
+	for _, item := range items {
 		var err error
-		switch {
-		case r.Key == StoreKey:
-			err = k.ApplyDocument(r.Value)
-		case strings.HasPrefix(r.Key, TrackPrefix):
-			err = k.ApplyTrack(strings.TrimPrefix(r.Key, TrackPrefix), r.Value)
+		if track, isTrack := strings.CutPrefix(item.Key, TrackPrefix); isTrack {
+			err = keeper.ApplyTrack(track, item.Value)
+		} else if item.Key == StoreKey {
+			err = keeper.ApplyDocument(item.Value)
 		}
 		if err != nil {
-			return nil, nil, fmt.Errorf("%s can't be read: %w", r.Key, err)
+			return nil, nil, fmt.Errorf("%s can't be read: %w", item.Key, err)
 		}
 	}
-	if k.plan == nil {
-		return nil, nil, errors.New("no calendar is in force")
+	if keeper.plan == nil {
+		return nil, nil, errNoCalendar
 	}
-	var out []Shown
-	for _, name := range k.trackNames() {
-		rec := k.tracks[name]
-		if rec == nil {
+	var all []Shown
+	for _, name := range keeper.trackNames() {
+		record := keeper.tracks[name]
+		if record == nil {
 			continue
 		}
-		for _, o := range rec.Occurrences {
-			x := Shown{
-				Track:    name,
-				Window:   o.Window,
-				Team:     o.Team,
-				Classes:  o.Classes,
-				Begin:    time.UnixMilli(o.Begin).UTC(),
-				End:      time.UnixMilli(o.End).UTC(),
-				State:    o.State,
-				Revision: o.Revision,
-			}
-			for _, t := range k.plan.Tracks {
-				if w := t.window(o.Window); w != nil && t.Name == name {
-					x.Begin, x.End = x.Begin.In(w.zone), x.End.In(w.zone)
-					if x.Team == "" {
-						x.Team, x.Classes = w.Team, w.Classes
-					}
-				}
-			}
-			if o.Opened > o.Begin+1000 {
-				x.Note = "opened " + (time.Duration(o.Opened-o.Begin) * time.Millisecond).Round(100*time.Millisecond).
-					String() +
-					" late"
-			}
-			out = append(out, x)
+		for i := range record.Occurrences {
+			all = append(all, keeper.plan.show(name, &record.Occurrences[i]))
 		}
 	}
-	sortShown(out)
-	return k, out, nil
+	sortShown(all)
+	return keeper, all, nil
 }
 
-// Late is a job that waits for its window and cannot end by its time.
+// show is an occurrence of a track for operators.
+func (p *Plan) show(trackName string, occurrence *Occurrence) Shown {
+	shown := Shown{
+		Track:    trackName,
+		Window:   occurrence.Window,
+		Team:     occurrence.Team,
+		Classes:  occurrence.Classes,
+		Begin:    time.UnixMilli(occurrence.Begin).UTC(),
+		End:      time.UnixMilli(occurrence.End).UTC(),
+		State:    occurrence.State,
+		Revision: occurrence.Revision,
+	}
+	if window := p.window(trackName, occurrence.Window); window != nil {
+		shown.Begin = shown.Begin.In(window.zone)
+		shown.End = shown.End.In(window.zone)
+		if shown.Team == "" {
+			shown.Team, shown.Classes = window.Team, window.Classes
+		}
+	}
+	delay := time.Duration(occurrence.Opened-occurrence.Begin) * time.Millisecond
+	if occurrence.Opened > 0 && delay > lateOpening {
+		shown.Note = "opened " + delay.Round(lateRounding).String() + " late"
+	}
+	return shown
+}
+
+// window is a window by its track and name, nil for none such.
+func (p *Plan) window(trackName, name string) *Window {
+	for _, track := range p.Tracks {
+		if track.Name == trackName {
+			return track.window(name)
+		}
+	}
+	return nil
+}
+
+// Late is a job that waits for its window and cannot end by its deadline.
 type Late struct {
 	JobID string    `json:"uid"`
 	Team  string    `json:"team"`
@@ -127,57 +163,70 @@
 	Opens time.Time `json:"opens"` // zero if nothing is planned
 }
 
-// Lates lists the jobs among some records that cannot end by their time because of
-// their windows, as planned now, at a time of day in ms.
-func (k *Keeper) Lates(rows []store.Item, nowMs int64) []Late {
-	var out []Late
-	for _, r := range rows {
-		jobID := strings.TrimPrefix(r.Key, jobs.JobPrefix)
-		rec, err := jobs.DecodeRecord(jobID, r.Value)
-		if err != nil || rec.State != jobs.Live {
+// Lates lists the jobs among some records that cannot end by their deadline because of their
+// windows, as planned now, at a time of day in ms. Records that can't be read are left out.
+func (k *Keeper) Lates(items []store.Item, nowMs int64) []Late {
+	var all []Late
+	for _, item := range items {
+		jobID := strings.TrimPrefix(item.Key, jobs.JobPrefix)
+		record, err := jobs.DecodeRecord(jobID, item.Value)
+		if err != nil || record.State != jobs.Live {
 			continue
 		}
-		if opens, due, late := k.late(Now{Ms: nowMs}, rec); late {
-			x := Late{JobID: jobID, Team: rec.Spec.Team, Class: rec.Spec.Class, Due: time.UnixMilli(due).UTC()}
-			if opens > 0 {
-				x.Opens = time.UnixMilli(opens).UTC()
-			}
-			out = append(out, x)
+		opensMs, dueMs, late := k.late(Now{Ms: nowMs}, record)
+		if !late {
+			continue
+		}
+		job := Late{
+			JobID: jobID,
+			Team:  record.Spec.Team,
+			Class: record.Spec.Class,
+			Due:   time.UnixMilli(dueMs).UTC(),
 		}
+		if opensMs > 0 {
+			job.Opens = time.UnixMilli(opensMs).UTC()
+		}
+		all = append(all, job)
 	}
-	return out
+	return all
 }
 
-// late tells whether a job that waits for its window can end by its time: when its
-// window opens next, 0 for never, and when it is due, times of day in ms.
-func (k *Keeper) late(n Now, r *jobs.Record) (opens, due int64, late bool) {
-	if r.Spec.DeadlineS == nil {
+// late tells whether a job that waits for its window cannot end by its deadline: when its window
+// opens next, 0 for never, and when the job is due, times of day in ms.
+func (k *Keeper) late(now Now, record *jobs.Record) (opensMs, dueMs int64, late bool) {
+	if record.Spec.DeadlineS == nil {
 		return 0, 0, false
 	}
-	if v, _ := k.Gate(n, r.Spec.QuotaKey()); v != Shut && v != Soon {
+	class := record.Spec.QuotaKey()
+	if verdict, _ := k.Gate(now, class); verdict != Shut && verdict != Soon {
 		return 0, 0, false
 	}
-	due = r.AcceptedMs + int64(*r.Spec.DeadlineS*1000)
-	opens = k.NextOpening(r.Spec.QuotaKey())
-	return opens, due, opens == 0 || max(opens, n.Ms)+int64(r.Spec.ExpectedDurationS*1000) > due
+	dueMs = record.AcceptedMs + int64(*record.Spec.DeadlineS*1000)
+	opensMs = k.NextOpening(class)
+	endsMs := max(opensMs, now.Ms) + int64(record.Spec.ExpectedDurationS*1000)
+	return opensMs, dueMs, opensMs == 0 || endsMs > dueMs
 }
 
 // Meet lists the tracks on which classes that no one window has together are on machines.
-func (p *Plan) Meet(on map[quota.Key]bool) (out []string) {
-	for _, t := range p.Tracks {
-		var here []quota.Key
-		for k := range on {
-			if p.TrackOf(k) == t {
-				here = append(here, k)
+func (p *Plan) Meet(onMachines map[quota.Key]bool) []string {
+	var names []string
+	for _, track := range p.Tracks {
+		var classes []quota.Key
+		for class := range onMachines {
+			if p.TrackOf(class) == track {
+				classes = append(classes, class)
 			}
 		}
-		whole := len(here) == 0
-		for _, w := range t.Windows {
-			whole = whole || !slices.ContainsFunc(here, func(k quota.Key) bool { return !w.Has(k) })
-		}
-		if !whole {
-			out = append(out, t.Name)
+		if len(classes) > 0 && !track.hasWindowOf(classes) {
+			names = append(names, track.Name)
 		}
 	}
-	return out
+	return names
+}
+
+// hasWindowOf tells whether one window of a track has all of some classes.
+func (t *Track) hasWindowOf(classes []quota.Key) bool {
+	return slices.ContainsFunc(t.Windows, func(window *Window) bool {
+		return !slices.ContainsFunc(classes, func(class quota.Key) bool { return !window.Has(class) })
+	})
 }
--- a/internal/controller/wiring_calendar.go
+++ b/internal/controller/wiring_calendar.go
@@ -11,22 +11,51 @@
 
 // newCalendar makes the release calendar, nil where operators have none.
 func (c *Controller) newCalendar() *calendar.Service {
-	return calendar.New(c.State, c.settings.Operator.Calendar, calendar.Env{
-		OffMs:  c.settings.Cluster.ClockOffMs,
-		Limit:  c.valueBytes(),
-		TxnOps: c.settings.Cluster.State.TxnOps,
-		StepS:  c.settings.Operator.StepS,
-		Fresh:  c.settings.Operator.FreshSteps,
-		Log:    c.log,
-		Mirror: c.mirror,
-		WallMs: c.transport.WallClockMs,
-		Busy:   c.committer.Busy,
-		Commit: c.committer.Commit,
-		UnresponsiveSince: func(m *clusterstate.Machine) (time.Time, bool) {
-			return c.shard.UnresponsiveSince(m)
+	adapter := calendarAdapter{controller: c}
+	return calendar.New(c.State, c.settings.Operator.Calendar,
+		calendar.Config{
+			ClockOffMs:   c.settings.Cluster.ClockOffMs,
+			ValueBytes:   c.valueBytes(),
+			MaxTxnWrites: c.settings.Cluster.State.TxnOps,
+			ScalerStepS:  c.settings.Operator.StepS,
+			FreshSteps:   c.settings.Operator.FreshSteps,
+			Log:          c.log,
 		},
-		TransitionMachine: func(machine string, e fleet.Event, why string) []decide.Decision {
-			return c.shard.TransitionMachine(machine, e, why)
+		calendar.Collaborators{
+			Mirror:   c.mirror,
+			Clock:    adapter,
+			Commits:  adapter,
+			Machines: adapter,
 		},
-	})
+	)
+}
+
+// calendarAdapter is the controller as its calendar sees it. What the controller is made of is
+// looked up at each call, since some of it is made after the calendar.
+type calendarAdapter struct{ controller *Controller }
+
+// WallMs returns the time of day in ms, that of the event under way if the transport has none.
+func (a calendarAdapter) WallMs() int64 {
+	if a.controller.transport.WallClockMs == nil {
+		return a.controller.NowMs()
+	}
+	return a.controller.transport.WallClockMs()
+}
+
+// Busy reports whether a record is under a transaction.
+func (a calendarAdapter) Busy(key string) bool { return a.controller.committer.Busy(key) }
+
+// Commit has decisions committed.
+func (a calendarAdapter) Commit(decisions []decide.Decision) {
+	a.controller.committer.Commit(decisions)
+}
+
+// UnresponsiveSince returns since when a machine has not answered, false if it does.
+func (a calendarAdapter) UnresponsiveSince(machine *clusterstate.Machine) (time.Time, bool) {
+	return a.controller.shard.UnresponsiveSince(machine)
+}
+
+// TransitionMachine returns the decision that an event changes a machine's record.
+func (a calendarAdapter) TransitionMachine(machine string, event fleet.Event, reason string) []decide.Decision {
+	return a.controller.shard.TransitionMachine(machine, event, reason)
 }
