--- a/internal/calendar/cluster_view.go
+++ b/internal/calendar/cluster_view.go
@@ -58,7 +58,7 @@
 		}
 	}
 	if state.MayBeQuarantined("") {
-		v.unknown++ // a record that does not even tell which jobs it is about
+		v.unknown++ // a record that does not even say which jobs it is about
 	}
 	for taskID, reservation := range state.Reservations {
 		if !strings.HasPrefix(taskID, Kept) && reservation.Task.Job.Record != nil {
--- a/internal/calendar/explore_test.go
+++ b/internal/calendar/explore_test.go
@@ -155,7 +155,7 @@
 	if m.LeaderChanges >= 1 {
 		return
 	}
-	attempt(func(c *model) bool { c.lead((m.Leader + 1) % len(m.Controllers)); return true })
+	attempt(func(c *model) bool { c.changeLeader((m.Leader + 1) % len(m.Controllers)); return true })
 	ofLeader := func(t modelTransaction) bool { return t.By == m.Leader && !t.Lost }
 	if slices.ContainsFunc(m.Flight, ofLeader) {
 		attempt(func(c *model) bool {
@@ -169,22 +169,22 @@
 // explore goes through every state that the model can come to, and returns how many there are and
 // what went wrong first.
 func explore(first *model, instants []int64) (states int, broken string) {
-	seen := map[string]bool{first.fingerprint(): true}
+	visited := map[string]bool{first.fingerprint(): true}
 	stack := []*model{first}
-	for len(stack) > 0 && len(seen) < maxStates {
+	for len(stack) > 0 && len(visited) < maxStates {
 		m := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
 		for _, following := range m.next(instants) {
 			if following.broken != "" {
-				return len(seen), following.broken
+				return len(visited), following.broken
 			}
-			if id := following.fingerprint(); !seen[id] {
-				seen[id] = true
+			if id := following.fingerprint(); !visited[id] {
+				visited[id] = true
 				stack = append(stack, following)
 			}
 		}
 	}
-	return len(seen), ""
+	return len(visited), ""
 }
 
 // TestNoOverlapInAnyExploredState: two windows of a track, three controllers, the lead passing on at
--- a/internal/calendar/guard.go
+++ b/internal/calendar/guard.go
@@ -18,7 +18,7 @@
 		return decisions
 	}
 	guard := guard{service: s, now: s.now(), results: map[quota.Key]gateResult{}}
-	passed := make([]decide.Decision, 0, len(decisions))
+	admitted := make([]decide.Decision, 0, len(decisions))
 	for _, decision := range decisions {
 		keys, ok := guard.judge(&decision)
 		if !ok {
@@ -28,9 +28,9 @@
 		if len(keys) > 0 {
 			decision.ReadSet = append(slices.Clone(decision.ReadSet), keys...)
 		}
-		passed = append(passed, decision)
+		admitted = append(admitted, decision)
 	}
-	return passed
+	return admitted
 }
 
 // guard judges the decisions of one moment.
--- a/internal/calendar/model_test.go
+++ b/internal/calendar/model_test.go
@@ -277,9 +277,9 @@
 // catchUp has a controller's watch bring everything.
 func (m *model) catchUp(i int) { m.Controllers[i].Known = m.Store.clone() }
 
-// lead has another controller lead, whose watch may be behind its own commit of the view. The old
+// changeLeader has another controller lead, whose watch may be behind its own commit of the view. The old
 // one may be frozen and think that it still does.
-func (m *model) lead(to int) {
+func (m *model) changeLeader(to int) {
 	m.LeaderChanges++
 	m.Store.Epoch++
 	m.Leader = to
--- a/internal/calendar/nights_test.go
+++ b/internal/calendar/nights_test.go
@@ -157,7 +157,7 @@
 func (m *model) randomFault(choose func(n int) int, i int) {
 	switch choose(12) {
 	case 0:
-		m.lead(i)
+		m.changeLeader(i)
 	case 1, 2, 3, 4, 5:
 		m.restart(i)
 		m.Controllers[i].File = choose(len(m.documents))
@@ -168,7 +168,7 @@
 
 // rest is a quiet day: everything arrives, all attempts end, one controller leads.
 func (m *model) rest() {
-	m.lead(0)
+	m.changeLeader(0)
 	for range 120 {
 		m.catchUp(0)
 		for len(m.Flight) > 0 {
--- a/internal/calendar/service_test.go
+++ b/internal/calendar/service_test.go
@@ -114,19 +114,19 @@
 		{Writes: []store.Write{{Put: jobs.TaskRangeKey("wk-2", 0), Value: encodeTask(placed)}}},
 		{Writes: []store.Write{{Remove: jobs.TaskRangeKey("wk-1", 4)}}},
 	}
-	passed := service.Guard(slices.Concat(begins, others))
-	if len(passed) != len(others) || dropped != len(begins) {
-		t.Errorf("%d decisions pass, %d are dropped", len(passed), dropped)
+	admitted := service.Guard(slices.Concat(begins, others))
+	if len(admitted) != len(others) || dropped != len(begins) {
+		t.Errorf("%d decisions pass, %d are dropped", len(admitted), dropped)
 	}
 	service.Changed(TrackKey("markets"), exportOpen().encode(testValueBytes))
-	passed = service.Guard(slices.Concat(begins, others))
-	for i, decision := range passed {
+	admitted = service.Guard(slices.Concat(begins, others))
+	for i, decision := range admitted {
 		carries := slices.Contains(decision.ReadSet, TrackKey("markets"))
 		if carries != (i < len(begins)) {
 			t.Errorf("%s carries the track's key: %v", decision.String(), carries)
 		}
 	}
-	if len(passed) != len(begins)+len(others) {
-		t.Error(len(passed))
+	if len(admitted) != len(begins)+len(others) {
+		t.Error(len(admitted))
 	}
 }
--- a/internal/calendar/stops.go
+++ b/internal/calendar/stops.go
@@ -82,7 +82,7 @@
 }
 
 // withdrawTasks is the decisions that withdraw some tasks of a job. Those of a gang are one
-// decision if it fits a transaction: a gang saves only if all its tasks are told at once.
+// decision if it fits a transaction: a gang saves only if all its tasks are stopped at once.
 func (s *Service) withdrawTasks(reason string, tasks ...*clusterstate.Task) []decide.Decision {
 	var single []decide.Decision
 	var whole decide.Decision
--- a/internal/lending/callback.go
+++ b/internal/lending/callback.go
@@ -16,8 +16,8 @@
 type recallCandidate struct {
 	loan Loan
 	task *clusterstate.Task
-	// placeRank is 0 if the replica finds a place with its image elsewhere, else 1.
-	placeRank int
+	// placeOrder is 0 if the replica finds a place with its image elsewhere, else 1.
+	placeOrder int
 	// sameImage counts the tasks with its image on the machine.
 	sameImage int
 }
@@ -103,9 +103,9 @@
 		if task == nil || !l.canSpareReplica(task) || !l.lenderIsOwed(account, &loan, task.Job, waits) {
 			continue
 		}
-		candidate := recallCandidate{loan: loan, task: task, placeRank: 1}
+		candidate := recallCandidate{loan: loan, task: task, placeOrder: 1}
 		if l.env.Elsewhere(task) {
-			candidate.placeRank = 0
+			candidate.placeOrder = 0
 		}
 		image := task.Job.Record.Spec.Image
 		for _, other := range l.state.TasksOnMachine[loan.Machine] {
@@ -116,7 +116,7 @@
 		candidates = append(candidates, candidate)
 	}
 	slices.SortStableFunc(candidates, func(a, b recallCandidate) int {
-		return cmp.Or(cmp.Compare(a.placeRank, b.placeRank), cmp.Compare(a.sameImage, b.sameImage))
+		return cmp.Or(cmp.Compare(a.placeOrder, b.placeOrder), cmp.Compare(a.sameImage, b.sameImage))
 	})
 	return candidates
 }
--- a/internal/lending/image_pull.go
+++ b/internal/lending/image_pull.go
@@ -30,7 +30,7 @@
 			left = max(other.ImageGB-now.Sub(task.Since).Seconds()*machineType.ImageGBPerS, 0)
 		}
 		// The oldest task of an image began the pull.
-		if least, known := leftGB[other.Image]; !known || left < least {
+		if known, pulling := leftGB[other.Image]; !pulling || left < known {
 			leftGB[other.Image] = left
 		}
 	}
--- a/internal/lending/ledger.go
+++ b/internal/lending/ledger.go
@@ -200,13 +200,13 @@
 		if loan, changed = Next(loan, Observe, facts); !changed {
 			return
 		}
-		l.keepProgress(stored, loan)
+		l.setProgress(stored, loan)
 		l.count(before, &loan)
 	}
 }
 
-// keepProgress keeps how far a loan has advanced until it is stored.
-func (l *Ledger) keepProgress(stored, current Loan) {
+// setProgress keeps how far a loan has advanced until it is stored.
+func (l *Ledger) setProgress(stored, current Loan) {
 	since := l.state.Now
 	if earlier, ok := l.progressOf(stored); ok {
 		since = earlier.since
--- a/internal/lending/loan_record.go
+++ b/internal/lending/loan_record.go
@@ -40,16 +40,16 @@
 	if err := json.Unmarshal(value, &record); err != nil {
 		return nil, fmt.Errorf("decode loan record: %w", err)
 	}
-	seen := map[int]bool{}
+	known := map[int]bool{}
 	for i := range record.Loans {
 		loan := &record.Loans[i]
 		if !loan.State.stored() {
 			return nil, fmt.Errorf("decode loan record: loan %d has unknown state %q", loan.ID, loan.State)
 		}
-		if seen[loan.ID] || !loan.complete() {
+		if known[loan.ID] || !loan.complete() {
 			return nil, fmt.Errorf("decode loan record: loan %d is incomplete", loan.ID)
 		}
-		seen[loan.ID] = true
+		known[loan.ID] = true
 	}
 	return &record, nil
 }
--- a/internal/lending/loan_test.go
+++ b/internal/lending/loan_test.go
@@ -190,15 +190,15 @@
 				t.Fatal("returned with the replica there")
 			}
 		}
-		quiet := Facts{
+		calm := Facts{
 			ReplicaWaits: rapid.Bool().Draw(t, "replica waits"),
 			LenderWaits:  rapid.Bool().Draw(t, "lender waits still"),
 		}
 		longest := max(tuning.LoanRequestTimeout, tuning.LoanVacant, tuning.LoanReturnReservation)
 		for range 8 {
 			nowMs += longest.Milliseconds() + 1
-			quiet.NowMs = nowMs
-			loan, _ = Next(loan, Observe, quiet)
+			calm.NowMs = nowMs
+			loan, _ = Next(loan, Observe, calm)
 		}
 		if !loan.State.Over() {
 			t.Fatalf("still %s", loan.State)
--- a/internal/lending/stop_unit.go
+++ b/internal/lending/stop_unit.go
@@ -32,7 +32,7 @@
 // stopUnits lists what could be stopped on a machine.
 func (s *Search) stopUnits(state *clusterstate.State, machine *clusterstate.Machine) []stopUnit {
 	var units []stopUnit
-	seenGangs := map[string]bool{}
+	listedGangs := map[string]bool{}
 	tasks := state.TasksOnMachine[machine.Name]
 	for _, taskID := range clusterstate.SortedKeys(tasks) {
 		task := tasks[taskID]
@@ -41,10 +41,10 @@
 		}
 		unit := stopUnit{tasks: []*clusterstate.Task{task}, jobID: task.Job.ID}
 		if task.Job.Record.Spec.IsGang() {
-			if seenGangs[task.Job.ID] {
+			if listedGangs[task.Job.ID] {
 				continue
 			}
-			seenGangs[task.Job.ID] = true
+			listedGangs[task.Job.ID] = true
 			if unit.tasks = s.gangTasks(state, task.Job); unit.tasks == nil {
 				continue
 			}
@@ -62,7 +62,7 @@
 }
 
 // gangTasks lists a gang's tasks, nil if it cannot be stopped in order now. A gang that is not
-// whole (a task is lost, or it is stopped already), or with a machine that cannot be told
+// whole (a task is lost, or it is stopped already), or with a machine that cannot be ordered
 // in time, would lose its progress since its last checkpoint.
 func (s *Search) gangTasks(state *clusterstate.State, job *clusterstate.Job) []*clusterstate.Task {
 	records := make([]*jobs.Task, 0, len(job.Tasks))
