--- /dev/null
+++ b/internal/lending/ledger_test.go
@@ -0,0 +1,138 @@
+package lending
+
+import (
+	"testing"
+	"time"
+
+	"github.com/harrierreel/harrierreel/internal/jobs"
+	"github.com/harrierreel/harrierreel/internal/tuning"
+)
+
+// Room made for a replica whose window is closed is given up at once, and reserved for a lender
+// only if its own window is open.
+func TestRoomIsNotReservedWhileWindowIsClosed(t *testing.T) {
+	f := newLoanFixture(1)
+	f.job("wk-1", "batch", jobs.JobArray, "standard", "b", 1, 4, "i-0", "i-0", "i-0", "i-0")
+	serve := f.job("wk-2", "serve", jobs.Service, "prod", "s", 1, 1)
+	if !f.request(t, serve, 0, true) {
+		t.Fatal("nobody lends")
+	}
+	lender := f.firstLoan(t).From[0].Job
+	for index, task := range f.state.Jobs[lender].Tasks {
+		if task.State == jobs.Stopping {
+			f.setTask(f.state.Jobs[lender], index, jobs.Task{State: jobs.Pending})
+		}
+	}
+	closed := map[string]bool{jobs.Service: true}
+	f.ledger.env.Begins = func(spec *jobs.Spec) bool { return !closed[spec.Class] }
+	if rooms := f.ledger.Rooms(); len(rooms) != 0 {
+		t.Error("room is reserved for a replica that may not begin", rooms)
+	}
+	f.state.Now = f.state.Now.Add(time.Second)
+	f.reconcile(nobodyWaits, true)
+	rooms := f.ledger.Rooms()
+	if loan := f.firstLoan(t); loan.State != CalledBack || len(rooms) != 1 || rooms[0].Job != lender {
+		t.Errorf("%+v, reserved %v", loan, rooms)
+	}
+	closed[jobs.JobArray] = true
+	f.reconcile(nobodyWaits, true)
+	rooms = f.ledger.Rooms()
+	if loan := f.firstLoan(t); loan.State != Returned || len(rooms) != 0 {
+		t.Errorf("%+v, reserved %v", loan, rooms)
+	}
+}
+
+// What follows from the records is stored several steps at a time.
+func TestLoanStepsAreStoredTogether(t *testing.T) {
+	f := newLoanFixture(1)
+	f.job("wk-1", "batch", jobs.JobArray, "standard", "x", 1, 7, "i-0", "i-0", "i-0", "i-0")
+	service := f.service("wk-9")
+	if !f.request(t, service, 0, true) {
+		t.Fatal("nobody lends")
+	}
+	writes := 0
+	for range 400 {
+		for _, decision := range f.ledger.Reconcile(f.state.Account, allWait) {
+			writes += len(decision.Writes)
+			f.commit(decision, true)
+		}
+		f.loseStopping(f.state.Jobs["wk-1"])
+		if loan, ok := f.ledger.For("wk-9", 0); ok && loan.State == Vacated {
+			f.place(service, 0, loan.Machine)
+		}
+		f.state.Now = f.state.Now.Add(100 * time.Millisecond)
+	}
+	if writes != 1 || f.firstLoan(t).State != Lent || f.ledger.Counts().Requested != 1 {
+		t.Error(writes, f.ledger.Loans(), f.ledger.Counts())
+	}
+	spared := f.ledger.Counts().SparedSearches
+	began := f.request(t, f.service("wk-8"), 0, true)
+	if began || f.ledger.Counts().SparedSearches != spared+1 {
+		t.Error("wk-1 lends twice within", tuning.LendAgain)
+	}
+}
+
+// A replica that is released to its machine holds the loan until it is there.
+func TestReleasedReplicaHoldsItsLoan(t *testing.T) {
+	f := newLoanFixture(1)
+	f.job("wk-1", "batch", jobs.JobArray, "standard", "x", 1, 7, "i-0", "i-0", "i-0", "i-0")
+	service := f.service("wk-9")
+	if !f.request(t, service, 0, true) {
+		t.Fatal("nobody lends")
+	}
+	f.loseStopping(f.state.Jobs["wk-1"])
+	f.setTask(service, 0, jobs.Task{State: jobs.Released, Controller: "n0", Zone: "a", PreferredMachine: "i-0"})
+	f.reconcile(allWait, true)
+	if loan := f.firstLoan(t); loan.State != Asked {
+		t.Error(loan)
+	}
+}
+
+// Loans that cannot be read are left alone, and none is begun in their record.
+func TestUnreadableLoanRecordIsNotWritten(t *testing.T) {
+	f := newLoanFixture(1)
+	for number := range tuning.LoanRecords - 1 {
+		f.ledger.ApplyRecord(RecordKey(number), []byte(`{"l":[{"i":1,"s":"odd"}]}`))
+	}
+	f.job("wk-1", "batch", jobs.JobArray, "standard", "x", 1, 7, "i-0", "i-0", "i-0", "i-0")
+	last := RecordKey(tuning.LoanRecords - 1)
+	if !f.request(t, f.service("wk-9"), 0, true) || f.records[last] == nil {
+		t.Error(f.records)
+	}
+	f.ledger.ApplyRecord(last, []byte(`7`))
+	if f.request(t, f.service("wk-8"), 0, true) {
+		t.Error("a loan was begun over what cannot be read")
+	}
+}
+
+// 4,000 loans stand in records side by side, and one more begins.
+func TestRecordsHold4000Loans(t *testing.T) {
+	const loans = 4000
+	f := newLoanFixture(1)
+	id := 0
+	for id < loans {
+		var record LoanRecord
+		for range tuning.MaxLoansPerRecord {
+			id++
+			record.Loans = append(record.Loans, Loan{
+				ID:      id,
+				State:   Lent,
+				Job:     "wk-7",
+				Machine: "i-7",
+				From:    []Share{{Job: "wk-6", GPUs: 1, Tasks: 1}},
+				GPUs:    1,
+				BeganMs: f.state.NowMs(),
+				SinceMs: f.state.NowMs(),
+			})
+		}
+		number := (id - 1) / tuning.MaxLoansPerRecord
+		f.ledger.ApplyRecord(RecordKey(number), jobs.Encode(record))
+	}
+	if got := len(f.ledger.Loans()); got != loans {
+		t.Fatalf("%d loans are read, want %d", got, loans)
+	}
+	f.job("wk-1", "batch", jobs.JobArray, "standard", "x", 1, 7, "i-0", "i-0", "i-0", "i-0")
+	if !f.request(t, f.service("wk-9"), 0, true) {
+		t.Error("no loan begins beside 4,000 others")
+	}
+}
