--- a/internal/lending/callback.go
+++ b/internal/lending/callback.go
@@ -43,7 +43,7 @@
 // callBackOne is the decision that stops a replica and notes it in its loan, in one transaction.
 func (l *Ledger) callBackOne(candidate recallCandidate) (decide.Decision, bool) {
 	number, ok := l.recordNumberOf(candidate.loan.ID)
-	if !ok || l.written[number] || l.env.Busy(RecordKey(number)) {
+	if !ok || l.written[number] || l.locks.Busy(RecordKey(number)) {
 		return decide.Decision{}, false
 	}
 	next, ok := jobs.NextTask(candidate.task.Task, jobs.TaskEvent{
@@ -104,7 +104,7 @@
 			continue
 		}
 		candidate := recallCandidate{loan: loan, task: task, placeOrder: 1}
-		if l.env.Elsewhere(task) {
+		if l.placement.FitsElsewhere(task) {
 			candidate.placeOrder = 0
 		}
 		image := task.Job.Record.Spec.Image
@@ -132,7 +132,7 @@
 		return nil
 	}
 	task := job.Active[loan.TaskIndex]
-	if task == nil || task.State != jobs.Placed || l.env.Busy(task.Stored.Key) {
+	if task == nil || task.State != jobs.Placed || l.locks.Busy(task.Stored.Key) {
 		return nil
 	}
 	return task
--- a/internal/lending/fixture_test.go
+++ b/internal/lending/fixture_test.go
@@ -24,10 +24,23 @@
 	state   *clusterstate.State
 	ledger  *Ledger
 	records map[string]json.RawMessage
-	began   map[int]Loan // by ID, as first seen
-	ended   map[int]Loan // by ID, once over
+	began   map[int]Loan    // by ID, as first seen
+	ended   map[int]Loan    // by ID, once over
+	closed  map[string]bool // classes that may not begin
 }
 
+// Busy: no record is under a transaction for longer than a step.
+func (f *loanFixture) Busy(string) bool { return false }
+
+// MayBegin tells whether a class's window is not closed.
+func (f *loanFixture) MayBegin(spec *jobs.Spec) bool { return !f.closed[spec.Class] }
+
+// Ready tells whether a machine is up.
+func (f *loanFixture) Ready(machine *clusterstate.Machine) bool { return isUp(machine) }
+
+// FitsElsewhere: no replica finds room elsewhere.
+func (f *loanFixture) FitsElsewhere(*clusterstate.Task) bool { return false }
+
 var teams = map[string]quota.Team{
 	"serve": {Name: "serve", Guaranteed: quota.Of(0, 6, 0)},
 	"train": {Name: "train", Guaranteed: quota.Of(0, 4, 0)},
@@ -49,6 +62,7 @@
 		records: map[string]json.RawMessage{},
 		began:   map[int]Loan{},
 		ended:   map[int]Loan{},
+		closed:  map[string]bool{},
 	}
 	f.state.Now = time.UnixMilli(1_000_000)
 	f.state.MachineTypes["g4"] = &jobs.MachineType{
@@ -82,14 +96,14 @@
 
 // changeLeader has another controller lead: all that it knows are the records.
 func (f *loanFixture) changeLeader() {
-	f.ledger = NewLedger(f.state, Env{
-		Limit:     8192,
-		Again:     tuning.LendAgain,
-		Log:       slog.New(slog.DiscardHandler),
-		Busy:      func(string) bool { return false },
-		Ready:     isUp,
-		Elsewhere: func(*clusterstate.Task) bool { return false },
-	})
+	f.ledger = NewLedger(f.state,
+		Config{
+			ValueBytes:  8192,
+			RepeatAfter: tuning.LendAgain,
+			Log:         slog.New(slog.DiscardHandler),
+		},
+		Collaborators{Records: f, Calendar: f, Placement: f},
+	)
 	for _, key := range clusterstate.SortedKeys(f.records) {
 		f.ledger.ApplyRecord(key, f.records[key])
 	}
--- a/internal/lending/ledger.go
+++ b/internal/lending/ledger.go
@@ -15,34 +15,56 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Env is the settings of a ledger and what it asks of its controller.
-type Env struct {
-	// Limit is the size limit of a value in the state service, in bytes.
-	Limit int
-	// Again is how long a job that lent is not asked to lend again.
-	Again time.Duration
+// Config is the settings of a ledger.
+type Config struct {
+	// ValueBytes is the size limit of a value in the state service.
+	ValueBytes int
+	// RepeatAfter is how long a job that lent is not asked to lend again.
+	RepeatAfter time.Duration
 	// ByPriority: where nobody can lend, the preemption by priority of PROTOCOL goes on as
 	// without lending, below guarantees too.
 	ByPriority bool
 	Log        *slog.Logger
+}
+
+// Collaborators are what a ledger needs of its queue.
+type Collaborators struct {
+	Records   TransactionStatus
+	Calendar  StartGate
+	Placement Placement
+}
+
+// TransactionStatus knows which records are under a transaction.
+type TransactionStatus interface {
 	// Busy tells whether a record is under a transaction.
-	Busy func(key string) bool
+	Busy(key string) bool
+}
+
+// StartGate is the release calendar.
+type StartGate interface {
+	// MayBegin tells whether a job's tasks may start now.
+	MayBegin(spec *jobs.Spec) bool
+}
+
+// Placement knows where tasks can go.
+type Placement interface {
 	// Ready tells whether a machine is reachable and takes new tasks.
-	Ready func(machine *clusterstate.Machine) bool
-	// Begins tells whether a job's tasks may start now by the release calendar; nil: all may.
-	Begins func(spec *jobs.Spec) bool
-	// Elsewhere tells whether a replica finds room on another machine that has its image.
-	Elsewhere func(task *clusterstate.Task) bool
+	Ready(machine *clusterstate.Machine) bool
+	// FitsElsewhere tells whether a replica finds room on another machine that has its image.
+	FitsElsewhere(replica *clusterstate.Task) bool
 }
 
 // Ledger is the leader's view of all loans. All that it decides from follows from the records:
 // a new leader reads them and observes each loan anew. It is not safe for concurrent use.
 type Ledger struct {
-	// ByPriority is Env.ByPriority.
+	// ByPriority is Config.ByPriority.
 	ByPriority bool
 
-	state *clusterstate.State
-	env   Env
+	state     *clusterstate.State
+	config    Config
+	locks     TransactionStatus
+	calendar  StartGate
+	placement Placement
 
 	records   map[int]*LoanRecord // as stored; nil for one that cannot be read
 	progress  map[int]progress    // by loan ID: loans that have advanced since they were stored
@@ -78,11 +100,14 @@
 }
 
 // NewLedger makes a ledger without loans over a controller's state; ApplyRecord fills it.
-func NewLedger(state *clusterstate.State, env Env) *Ledger {
+func NewLedger(state *clusterstate.State, config Config, collaborators Collaborators) *Ledger {
 	return &Ledger{
-		ByPriority: env.ByPriority,
+		ByPriority: config.ByPriority,
 		state:      state,
-		env:        env,
+		config:     config,
+		locks:      collaborators.Records,
+		calendar:   collaborators.Calendar,
+		placement:  collaborators.Placement,
 		records:    map[int]*LoanRecord{},
 		progress:   map[int]progress{},
 		written:    map[int]bool{},
@@ -103,7 +128,7 @@
 	}
 	record, err := Decode(value)
 	if err != nil {
-		l.env.Log.Error("loan record quarantined", "key", key, "error", err)
+		l.config.Log.Error("loan record quarantined", "key", key, "error", err)
 	}
 	l.records[number] = record
 	if record == nil {
@@ -156,7 +181,7 @@
 // about to open, no room is reserved for it and no replica called back: it could not use the
 // room, and what it needs at the opening is prepared by the queue.
 func (l *Ledger) mayBegin(job *clusterstate.Job) bool {
-	return live(job) && (l.env.Begins == nil || l.env.Begins(&job.Record.Spec))
+	return live(job) && l.calendar.MayBegin(&job.Record.Spec)
 }
 
 // Reconcile advances every loan as far as the records say, and returns the decisions that store
@@ -235,7 +260,7 @@
 		l.counts.AcceleratorsLost += loan.GPUs
 	case Wanted, Vacated:
 	}
-	l.env.Log.Debug("loan changed state",
+	l.config.Log.Debug("loan changed state",
 		"loan_id", loan.ID,
 		"state", string(loan.State),
 		"task_id", jobs.TaskID(loan.Job, loan.TaskIndex),
@@ -254,7 +279,7 @@
 	if l.counts == (Counts{}) {
 		return
 	}
-	l.env.Log.Info("loans counted",
+	l.config.Log.Info("loans counted",
 		"requested", l.counts.Requested,
 		"lent", l.counts.Lent,
 		"called_back", l.counts.CalledBack,
@@ -274,7 +299,7 @@
 			current.Loans = append(current.Loans, l.current(loan))
 		}
 	}
-	return current.withoutExpired(l.state.NowMs(), l.env.Again)
+	return current.withoutExpired(l.state.NowMs(), l.config.RepeatAfter)
 }
 
 // recordWrite is the write of a record. As every write it is conditional on the revision that
@@ -291,7 +316,7 @@
 // for tuning.LoanSave, since a new leader finds every step again from the records.
 func (l *Ledger) saveRecord(number int) (decide.Decision, bool) {
 	record := l.records[number]
-	if record == nil || l.written[number] || l.env.Busy(RecordKey(number)) {
+	if record == nil || l.written[number] || l.locks.Busy(RecordKey(number)) {
 		return decide.Decision{}, false
 	}
 	if !slices.ContainsFunc(record.Loans, l.saveDue) {
@@ -308,7 +333,7 @@
 		return true
 	}
 	ageMs := l.state.NowMs() - stored.BeganMs
-	return stored.State.Over() && ageMs > (l.env.Again+tuning.LoanLogEvery).Milliseconds()
+	return stored.State.Over() && ageMs > (l.config.RepeatAfter+tuning.LoanLogEvery).Milliseconds()
 }
 
 func sortedKeys[V any](m map[int]V) []int {
--- a/internal/lending/ledger_test.go
+++ b/internal/lending/ledger_test.go
@@ -23,8 +23,7 @@
 			f.setTask(f.state.Jobs[lender], index, jobs.Task{State: jobs.Pending})
 		}
 	}
-	closed := map[string]bool{jobs.Service: true}
-	f.ledger.env.Begins = func(spec *jobs.Spec) bool { return !closed[spec.Class] }
+	f.closed[jobs.Service] = true
 	if rooms := f.ledger.Rooms(); len(rooms) != 0 {
 		t.Error("room is reserved for a replica that may not begin", rooms)
 	}
@@ -34,7 +33,7 @@
 	if loan := f.firstLoan(t); loan.State != CalledBack || len(rooms) != 1 || rooms[0].Job != lender {
 		t.Errorf("%+v, reserved %v", loan, rooms)
 	}
-	closed[jobs.JobArray] = true
+	f.closed[jobs.JobArray] = true
 	f.reconcile(nobodyWaits, true)
 	rooms = f.ledger.Rooms()
 	if loan := f.firstLoan(t); loan.State != Returned || len(rooms) != 0 {
--- a/internal/lending/request.go
+++ b/internal/lending/request.go
@@ -88,8 +88,8 @@
 		anySpared = anySpared || spared
 		return spared
 	}
-	search.busy = l.env.Busy
-	search.ready = l.env.Ready
+	search.busy = l.locks.Busy
+	search.ready = l.placement.Ready
 	search.now = l.state.Now
 	plan, ok := Choose(l.state, search)
 	if !ok && plan.Machine != "" {
@@ -109,21 +109,21 @@
 	for number := range tuning.LoanRecords {
 		record, stored := l.records[number]
 		unreadable := stored && record == nil
-		if unreadable || l.written[number] || l.env.Busy(RecordKey(number)) {
+		if unreadable || l.written[number] || l.locks.Busy(RecordKey(number)) {
 			continue
 		}
-		if l.currentRecord(number).hasRoom(l.env.Limit) {
+		if l.currentRecord(number).hasRoom(l.config.ValueBytes) {
 			return number, true
 		}
 	}
 	return 0, false
 }
 
-// recentlyLent is how many tasks each job has lent within Env.Again.
+// recentlyLent is how many tasks each job has lent within Config.RepeatAfter.
 func (l *Ledger) recentlyLent() map[string]int {
 	lent := maps.Clone(l.requested)
 	for _, loan := range l.Loans() {
-		if l.state.NowMs()-loan.BeganMs >= l.env.Again.Milliseconds() {
+		if l.state.NowMs()-loan.BeganMs >= l.config.RepeatAfter.Milliseconds() {
 			continue
 		}
 		for _, share := range loan.From {
@@ -133,7 +133,7 @@
 	return lent
 }
 
-// maxLentTasks is how many of a job's tasks may be lent within Env.Again: all of a gang or one
+// maxLentTasks is how many of a job's tasks may be lent within Config.RepeatAfter: all of a gang or one
 // task alone, once; of a job array, whose tasks do not need one another, a share.
 func maxLentTasks(spec *jobs.Spec) int {
 	if spec.Kind != jobs.JobArray {
--- a/internal/queue/lending.go
+++ b/internal/queue/lending.go
@@ -16,21 +16,39 @@
 	if config == nil {
 		return nil
 	}
-	return lending.NewLedger(q.state, lending.Env{
-		Limit:      q.config.MaxValueBytes,
-		Again:      jobs.Seconds(config.AgainS),
-		ByPriority: config.ByPriority,
-		Log:        q.config.Log,
-		Busy:       q.commits.Busy,
-		Ready:      q.machines.Ready,
-		Begins:     q.MayBegin,
-		Elsewhere: func(task *clusterstate.Task) bool {
-			zones := q.state.TasksByZone(task.Job)
-			zones[task.Zone]--
-			to := q.FindMachine(task.WithoutPreference(), zones)
-			return to != "" && to != task.Machine && q.state.HasImage(to, task.Job.Record.Spec.Image)
+	adapter := lendingAdapter{queue: q}
+	return lending.NewLedger(q.state,
+		lending.Config{
+			ValueBytes:  q.config.MaxValueBytes,
+			RepeatAfter: jobs.Seconds(config.AgainS),
+			ByPriority:  config.ByPriority,
+			Log:         q.config.Log,
 		},
-	})
+		lending.Collaborators{Records: adapter, Calendar: adapter, Placement: adapter},
+	)
+}
+
+// lendingAdapter is the queue as the ledger of loans sees it.
+type lendingAdapter struct{ queue *Queue }
+
+// Busy tells whether a record is under a transaction.
+func (a lendingAdapter) Busy(key string) bool { return a.queue.commits.Busy(key) }
+
+// MayBegin tells whether a job's tasks may start now by the release calendar.
+func (a lendingAdapter) MayBegin(spec *jobs.Spec) bool { return a.queue.MayBegin(spec) }
+
+// Ready tells whether a machine takes new tasks.
+func (a lendingAdapter) Ready(machine *clusterstate.Machine) bool { return a.queue.machines.Ready(machine) }
+
+// FitsElsewhere tells whether a replica finds room on another machine that has its image.
+func (a lendingAdapter) FitsElsewhere(replica *clusterstate.Task) bool {
+	zones := a.queue.state.TasksByZone(replica.Job)
+	zones[replica.Zone]--
+	machine := a.queue.FindMachine(replica.WithoutPreference(), zones)
+	if machine == "" || machine == replica.Machine {
+		return false
+	}
+	return a.queue.state.HasImage(machine, replica.Job.Record.Spec.Image)
 }
 
 // Prefixes returns the store prefixes of loan records, nil if nothing is lent.
