--- a/internal/queue/lending.go
+++ b/internal/queue/lending.go
@@ -38,7 +38,9 @@
 func (a lendingAdapter) MayBegin(spec *jobs.Spec) bool { return a.queue.MayBegin(spec) }
 
 // Ready tells whether a machine takes new tasks.
-func (a lendingAdapter) Ready(machine *clusterstate.Machine) bool { return a.queue.machines.Ready(machine) }
+func (a lendingAdapter) Ready(machine *clusterstate.Machine) bool {
+	return a.queue.machines.Ready(machine)
+}
 
 // FitsElsewhere tells whether a replica finds room on another machine that has its image.
 func (a lendingAdapter) FitsElsewhere(replica *clusterstate.Task) bool {
