--- a/internal/controller/wiring_cancellation.go
+++ b/internal/controller/wiring_cancellation.go
@@ -10,21 +10,21 @@
 
 // newCancellations makes the service of acknowledged cancellations. The incarnation of its process is drawn without the
 // seed, since it decides nothing.
-func (n *Controller) newCancellations() *cancellation.Service {
+func (c *Controller) newCancellations() *cancellation.Service {
 	config := cancellation.Config{
-		Name:         n.settings.NodeName,
-		Peers:        n.settings.PeerNames(),
-		ProofWindow:  n.proofWindow(),
-		CancelWithin: jobs.Seconds(n.settings.Cluster.Workers.CancelS),
-		Log:          n.log,
+		Name:         c.settings.NodeName,
+		Peers:        c.settings.PeerNames(),
+		ProofWindow:  c.proofWindow(),
+		CancelWithin: jobs.Seconds(c.settings.Cluster.Workers.CancelS),
+		Log:          c.log,
 	}
 	collaborators := cancellation.Collaborators{
-		Peers:  cancellationTransport{n},
-		Agents: cancellationTransport{n},
-		Shards: cancellationShards{n},
-		Store:  n.client,
+		Peers:  cancellationTransport{c},
+		Agents: cancellationTransport{c},
+		Shards: cancellationShards{c},
+		Store:  c.client,
 	}
-	return cancellation.New(n.state, config, collaborators, rand.Uint64)
+	return cancellation.New(c.state, config, collaborators, rand.Uint64)
 }
 
 // cancellationTransport sends messages of cancellations to other controllers and to agents.
--- a/internal/controller/wiring_commit.go
+++ b/internal/controller/wiring_commit.go
@@ -7,15 +7,15 @@
 )
 
 // newCommitter makes what sends decisions to the store as transactions.
-func (n *Controller) newCommitter() *commit.Committer {
-	collaborators := committerCollaborators{controller: n}
-	return commit.New(n.state, commit.Config{
-		Name:        n.settings.NodeName,
-		StoreLimits: n.settings.Cluster.State,
-		ValueBytes:  n.valueBytes(),
-		Log:         n.log,
-		Client:      n.client,
-		Mirror:      n.mirror,
+func (c *Controller) newCommitter() *commit.Committer {
+	collaborators := committerCollaborators{controller: c}
+	return commit.New(c.state, commit.Config{
+		Name:        c.settings.NodeName,
+		StoreLimits: c.settings.Cluster.State,
+		ValueBytes:  c.valueBytes(),
+		Log:         c.log,
+		Client:      c.client,
+		Mirror:      c.mirror,
 		Membership:  collaborators,
 		Guard:       collaborators,
 		Loop:        collaborators,
--- a/internal/controller/wiring_membership.go
+++ b/internal/controller/wiring_membership.go
@@ -12,20 +12,20 @@
 
 // newMembership makes this controller's membership: its lease, its vote on the view and its readiness
 // to lead.
-func (n *Controller) newMembership() *membership.Membership {
-	adapter := membershipAdapter{controller: n}
-	return membership.New(n.state,
+func (c *Controller) newMembership() *membership.Membership {
+	adapter := membershipAdapter{controller: c}
+	return membership.New(c.state,
 		membership.Config{
-			Name:          n.settings.NodeName,
-			LeaseTTL:      jobs.Seconds(n.settings.Operator.MemberTTLS),
-			MaxTxnWrites:  n.settings.Cluster.State.TxnOps,
-			AnswersProbes: n.settings.Operator.TakeOver == settings.TakeOverCalls,
-			Zones:         n.settings.Zones(),
-			Log:           n.log,
+			Name:          c.settings.NodeName,
+			LeaseTTL:      jobs.Seconds(c.settings.Operator.MemberTTLS),
+			MaxTxnWrites:  c.settings.Cluster.State.TxnOps,
+			AnswersProbes: c.settings.Operator.TakeOver == settings.TakeOverCalls,
+			Zones:         c.settings.Zones(),
+			Log:           c.log,
 		},
 		membership.Collaborators{
-			Client:  n.client,
-			Mirror:  n.mirror,
+			Client:  c.client,
+			Mirror:  c.mirror,
 			Cluster: adapter,
 			Fitness: adapter,
 			Loop:    adapter,
--- a/internal/controller/wiring_readconsistency.go
+++ b/internal/controller/wiring_readconsistency.go
@@ -7,8 +7,8 @@
 
 // newAckLog makes the log of the jobs' states that users were answered with. Without peers no other controller answers,
 // so no answer is delayed.
-func (n *Controller) newAckLog() *readconsistency.AckLog {
-	if len(n.settings.Peers) == 0 {
+func (c *Controller) newAckLog() *readconsistency.AckLog {
+	if len(c.settings.Peers) == 0 {
 		return readconsistency.NewAckLog(0)
 	}
 	return readconsistency.NewAckLog(tuning.AckDelay)
--- a/internal/controller/wiring_shard.go
+++ b/internal/controller/wiring_shard.go
@@ -7,23 +7,23 @@
 )
 
 // newShard makes what this controller does for the machines of its shard.
-func (n *Controller) newShard() *shard.Shard {
+func (c *Controller) newShard() *shard.Shard {
 	config := shard.Config{
-		Name:       n.settings.NodeName,
-		Cluster:    n.settings.Cluster,
-		ValueBytes: n.valueBytes(),
-		Log:        n.log,
+		Name:       c.settings.NodeName,
+		Cluster:    c.settings.Cluster,
+		ValueBytes: c.valueBytes(),
+		Log:        c.log,
 	}
-	return shard.New(n.state, config, shard.Collaborators{
-		View:          shardView{n},
-		Agents:        shardAgents{n},
-		Loop:          shardLoop{n},
-		Scheduler:     n.queue,
-		Provisioner:   shardProvisioner{n},
-		Commits:       n.committer,
-		Budget:        shardBudget{n},
-		Cancellations: shardCancellations{n},
-		Complaints:    n.reachability,
+	return shard.New(c.state, config, shard.Collaborators{
+		View:          shardView{c},
+		Agents:        shardAgents{c},
+		Loop:          shardLoop{c},
+		Scheduler:     c.queue,
+		Provisioner:   shardProvisioner{c},
+		Commits:       c.committer,
+		Budget:        shardBudget{c},
+		Cancellations: shardCancellations{c},
+		Complaints:    c.reachability,
 	})
 }
 
@@ -37,8 +37,8 @@
 func (v shardView) OwnerOf(machine string) string { return v.controller.ownerOf(machine) }
 
 func (v shardView) MayAnswerAgents() bool {
-	n := v.controller
-	return !n.outsideView() && n.caughtUp() && !n.membership.Uncertain()
+	c := v.controller
+	return !c.outsideView() && c.caughtUp() && !c.membership.Uncertain()
 }
 
 // shardAgents sends the shard's requests to workers' agents.
--- a/internal/controller/wiring_store.go
+++ b/internal/controller/wiring_store.go
@@ -12,9 +12,9 @@
 
 // newClient makes the client of the state service. Its watch is held for no longer than the
 // acknowledgement of cancellations allows.
-func (n *Controller) newClient() *store.Client {
-	client := store.New(n.transport.State, n.transport.Watch)
-	watchHold := time.Duration(float64(n.proofWindow()) * tuning.WatchHoldShare)
+func (c *Controller) newClient() *store.Client {
+	client := store.New(c.transport.State, c.transport.Watch)
+	watchHold := time.Duration(float64(c.proofWindow()) * tuning.WatchHoldShare)
 	if watchHold > 0 {
 		client.WatchHold = min(client.WatchHold, watchHold)
 	}
@@ -23,14 +23,14 @@
 
 // proofWindow is for how long leases may be renewed after the last proof that no cancellation
 // is missing.
-func (n *Controller) proofWindow() time.Duration {
-	workers := n.settings.Cluster.Workers
+func (c *Controller) proofWindow() time.Duration {
+	workers := c.settings.Cluster.Workers
 	return cancellation.Window(workers.LeaseS, workers.CancelS)
 }
 
 // newMirror makes the mirror of the live keys. Records that are kept for ever are only passed on.
-func (n *Controller) newMirror() *store.Mirror {
-	mirror := store.NewMirror(n.applyChange)
+func (c *Controller) newMirror() *store.Mirror {
+	mirror := store.NewMirror(c.applyChange)
 	mirror.Transient = func(key string) bool {
 		return hasPrefix(key, jobs.FinalPrefix) || hasPrefix(key, pipelines.RanPrefix)
 	}
