--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -57,6 +57,20 @@
 	gone            time.Time
 }
 
+// rental is a request for machines.
+type rental struct {
+	Name        string `json:"hire"` // repeated requests of one name rent once
+	MachineType string `json:"build"`
+	Zone        string `json:"site"`
+	Spot        bool   `json:"loaner"`
+	Count       int    `json:"count"`
+}
+
+// machineDeletion is a request to delete machines.
+type machineDeletion struct {
+	Machines []string `json:"hosts"`
+}
+
 type hired struct {
 	body  string
 	hosts []string
@@ -138,9 +152,9 @@
 	case path == "/hosts" && method == "POST":
 		return c.rent(body)
 	case path == "/hosts/delete":
-		var d struct{ Hosts []string }
-		_ = json.Unmarshal(body, &d)
-		for _, h := range d.Hosts {
+		var deletion machineDeletion
+		_ = json.Unmarshal(body, &deletion)
+		for _, h := range deletion.Machines {
 			if wk := c.w.Workers[h]; wk != nil && wk.busy() {
 				c.Lost++
 			}
@@ -153,15 +167,11 @@
 }
 
 func (c *Cloud) rent(body []byte) (int, []byte) {
-	var r struct {
-		Hire, Build, Site string
-		Loaner            bool
-		Count             int
-	}
+	var r rental
 	_ = json.Unmarshal(body, &r)
-	if old, ok := c.hires[r.Hire]; ok {
+	if old, ok := c.hires[r.Name]; ok {
 		if old.body != string(body) {
-			c.w.Break("rent name %s used for two requests", r.Hire)
+			c.w.Break("rent name %s used for two requests", r.Name)
 		}
 		return 200, encode(map[string]any{"hosts": old.hosts})
 	}
@@ -170,12 +180,12 @@
 		if c.alive() >= c.Limit {
 			break
 		}
-		out = append(out, c.add(r.Build, r.Site, r.Loaner, c.BootS))
+		out = append(out, c.add(r.MachineType, r.Zone, r.Spot, c.BootS))
 	}
 	if len(out) == 0 {
 		return 503, []byte(`{"error":"no capacity"}`)
 	}
-	c.hires[r.Hire] = hired{string(body), out}
+	c.hires[r.Name] = hired{string(body), out}
 	return 200, encode(map[string]any{"hosts": out})
 }
 
--- a/internal/simulation/judge_test.go
+++ b/internal/simulation/judge_test.go
@@ -89,7 +89,7 @@
 		if c.answered > 0 {
 			var orders []order
 			if c.orders != "" {
-				orders = []order{{Verb: "stop", Piece: "wk-000001/0", Try: 1}}
+				orders = []order{{Verb: "stop", TaskID: "wk-000001/0", Attempt: 1}}
 			}
 			wk.execute(orders, told.Add(c.answered))
 			wk.noteUnstopped(told.Add(c.answered))
--- a/internal/simulation/limits.go
+++ b/internal/simulation/limits.go
@@ -45,15 +45,16 @@
 
 // multi is a transaction.
 type multi struct {
-	If []struct {
-		Key   string
-		Stamp uint64
-	}
+	Conditions []struct {
+		Key      string `json:"key"`
+		Revision uint64 `json:"stamp"`
+	} `json:"if"`
 	Writes []struct {
-		Write, Remove string
-		V             json.RawMessage
-		Hold          uint64
-	}
+		Write   string          `json:"write"`
+		Remove  string          `json:"remove"`
+		Value   json.RawMessage `json:"v"`
+		LeaseID uint64          `json:"hold"`
+	} `json:"writes"`
 }
 
 // malformed tells why the state service answers a request 400, "" if it does not.
@@ -123,10 +124,10 @@
 	if s.TxnOps > 0 && len(t.Writes) > s.TxnOps {
 		return fmt.Sprintf("%d changes", len(t.Writes))
 	}
-	if s.TxnOps > 0 && len(t.If) > condsPerOp*s.TxnOps {
-		return fmt.Sprintf("%d conditions with %d changes", len(t.If), len(t.Writes))
+	if s.TxnOps > 0 && len(t.Conditions) > condsPerOp*s.TxnOps {
+		return fmt.Sprintf("%d conditions with %d changes", len(t.Conditions), len(t.Writes))
 	}
-	for _, c := range t.If {
+	for _, c := range t.Conditions {
 		if why := keyFault(c.Key); why != "" {
 			return why
 		}
@@ -137,12 +138,12 @@
 			return "a change that neither writes nor removes, or does both"
 		case keyFault(wr.Write+wr.Remove) != "":
 			return keyFault(wr.Write + wr.Remove)
-		case wr.Write != "" && len(wr.V) == 0:
+		case wr.Write != "" && len(wr.Value) == 0:
 			return "no value for " + wr.Write
-		case s.ValueKB > 0 && float64(len(wr.V)) > s.ValueKB*1024:
-			return fmt.Sprintf("%d bytes in %s", len(wr.V), wr.Write)
-		case wr.Hold > s.nextID:
-			return fmt.Sprintf("lease %d was never given", wr.Hold)
+		case s.ValueKB > 0 && float64(len(wr.Value)) > s.ValueKB*1024:
+			return fmt.Sprintf("%d bytes in %s", len(wr.Value), wr.Write)
+		case wr.LeaseID > s.nextID:
+			return fmt.Sprintf("lease %d was never given", wr.LeaseID)
 		}
 	}
 	return ""
@@ -161,8 +162,8 @@
 // ordersFault tells what is wrong with commands, "" if nothing is.
 func ordersFault(orders []order) string {
 	for _, o := range orders {
-		_, _, ok := jobs.SplitTaskID(o.Piece)
-		if !ok || o.Try == 0 || o.Verb != "launch" && o.Verb != "stop" && o.Verb != "reap" {
+		_, _, ok := jobs.SplitTaskID(o.TaskID)
+		if !ok || o.Attempt == 0 || o.Verb != "launch" && o.Verb != "stop" && o.Verb != "reap" {
 			return fmt.Sprintf("order %+v", o)
 		}
 	}
@@ -174,16 +175,16 @@
 func (wk *Worker) checkAnswer(node string, status int, body []byte, fencingToken uint64) {
 	wk.w.checkLines(node, body)
 	var r struct {
-		Baton  *uint64 `json:"baton"`
-		Orders []order `json:"orders"`
+		FencingToken *uint64 `json:"baton"`
+		Commands     []order `json:"orders"`
 	}
 	switch status {
 	case 421, 503:
 	case 200:
-		if json.Unmarshal(body, &r) != nil || r.Baton == nil || *r.Baton < fencingToken {
+		if json.Unmarshal(body, &r) != nil || r.FencingToken == nil || *r.FencingToken < fencingToken {
 			wk.w.Breach("%s answers %s's report under baton %d with 200 and %.80s", node, wk.h.ID, fencingToken, body)
 		}
-		if why := ordersFault(r.Orders); why != "" {
+		if why := ordersFault(r.Commands); why != "" {
 			wk.w.Breach("%s sends %s %s", node, wk.h.ID, why)
 		}
 	default:
@@ -221,7 +222,7 @@
 	}
 	for _, wr := range t.Writes {
 		key := wr.Write + wr.Remove
-		if !strings.HasPrefix(key, jobs.JobPrefix) && strings.Contains(key+string(wr.V), s.Poison) {
+		if !strings.HasPrefix(key, jobs.JobPrefix) && strings.Contains(key+string(wr.Value), s.Poison) {
 			return true
 		}
 	}
@@ -243,25 +244,22 @@
 		}
 		return ""
 	case method == "POST" && path == "/hosts/delete":
-		var d struct{ Hosts []string }
-		if json.Unmarshal(body, &d) != nil || len(d.Hosts) == 0 || len(d.Hosts) > mostDelete {
-			return fmt.Sprintf("%d names", len(d.Hosts))
+		var deletion machineDeletion
+		if json.Unmarshal(body, &deletion) != nil || len(deletion.Machines) == 0 || len(deletion.Machines) > mostDelete {
+			return fmt.Sprintf("%d names", len(deletion.Machines))
 		}
 		return ""
 	case method == "POST" && path == "/hosts":
-		var r struct {
-			Hire, Build, Site string
-			Count             int
-		}
-		if json.Unmarshal(body, &r) != nil || r.Hire == "" || r.Count < 1 || r.Count > mostRent {
-			return fmt.Sprintf("%d machines as %q", r.Count, r.Hire)
+		var r rental
+		if json.Unmarshal(body, &r) != nil || r.Name == "" || r.Count < 1 || r.Count > mostRent {
+			return fmt.Sprintf("%d machines as %q", r.Count, r.Name)
 		}
 		for _, b := range cloudBuilds {
-			if zones, ok := b["sites"].([]string); ok && b["name"] == r.Build && slices.Contains(zones, r.Site) {
+			if zones, ok := b["sites"].([]string); ok && b["name"] == r.MachineType && slices.Contains(zones, r.Zone) {
 				return ""
 			}
 		}
-		return fmt.Sprintf("no type %q in %q", r.Build, r.Site)
+		return fmt.Sprintf("no type %q in %q", r.MachineType, r.Zone)
 	}
 	return "no such call"
 }
--- a/internal/simulation/nodes.go
+++ b/internal/simulation/nodes.go
@@ -526,8 +526,8 @@
 // told checks what a user is told against what was told before.
 func (w *Simulator) told(j *Job, body []byte) {
 	var s struct {
-		Status string
-		Done   *int
+		Status string `json:"status"`
+		Done   *int   `json:"done"`
 	}
 	if json.Unmarshal(body, &s) != nil {
 		w.Break("unreadable answer %s", body)
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -378,14 +378,14 @@
 		return
 	}
 	for _, wr := range t.Writes {
-		if wr.Hold != 0 && s.grants[wr.Hold] == nil {
+		if wr.LeaseID != 0 && s.grants[wr.LeaseID] == nil {
 			answer(400, []byte(`{"error":"no such lease"}`))
 			return
 		}
 	}
 	var failed []string
-	for _, c := range t.If {
-		if s.items[c.Key].Stamp != c.Stamp {
+	for _, c := range t.Conditions {
+		if s.items[c.Key].Stamp != c.Revision {
 			failed = append(failed, c.Key)
 		}
 	}
@@ -399,11 +399,11 @@
 	for _, wr := range t.Writes {
 		s.Writes++
 		if s.Committed != nil {
-			s.Committed(wr.Write+wr.Remove, wr.V)
+			s.Committed(wr.Write+wr.Remove, wr.Value)
 		}
 		if wr.Write != "" {
-			s.items[wr.Write] = storeItem{wr.Write, wr.V, s.epoch, wr.Hold}
-			s.note(storeEvent{Write: wr.Write, V: wr.V, Stamp: s.epoch})
+			s.items[wr.Write] = storeItem{wr.Write, wr.Value, s.epoch, wr.LeaseID}
+			s.note(storeEvent{Write: wr.Write, V: wr.Value, Stamp: s.epoch})
 		} else if _, ok := s.items[wr.Remove]; ok {
 			delete(s.items, wr.Remove)
 			s.note(storeEvent{Remove: wr.Remove, Stamp: s.epoch})
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -231,18 +231,18 @@
 				tryNext()
 			default:
 				var r struct {
-					Baton  *uint64 `json:"baton"`
-					Orders []order `json:"orders"`
+					FencingToken *uint64 `json:"baton"`
+					Commands     []order `json:"orders"`
 				}
-				if json.Unmarshal(b, &r) != nil || r.Baton == nil || *r.Baton < wk.baton || wk.tenure != agentEpoch {
+				if json.Unmarshal(b, &r) != nil || r.FencingToken == nil || *r.FencingToken < wk.baton || wk.tenure != agentEpoch {
 					return
 				}
-				if *r.Baton > wk.baton {
+				if *r.FencingToken > wk.baton {
 					wk.Batons++
-					wk.baton, wk.changed = *r.Baton, true
+					wk.baton, wk.changed = *r.FencingToken, true
 				}
 				wk.answered = now
-				wk.execute(r.Orders, left)
+				wk.execute(r.Commands, left)
 				wk.noteUnstopped(left)
 			}
 		}
@@ -256,9 +256,10 @@
 }
 
 type order struct {
-	Verb, Piece string
-	Try         uint64
-	WindDownS   float64 `json:"wind_down_s"`
+	Verb         string  `json:"verb"`
+	TaskID       string  `json:"piece"`
+	Attempt      uint64  `json:"try"`
+	GracePeriodS float64 `json:"wind_down_s"`
 }
 
 // Call is a node's way to a worker.
@@ -294,23 +295,24 @@
 		return 200, wk.body()
 	}
 	var c struct {
-		Baton, Tenure *uint64
-		Orders        []order
+		FencingToken *uint64 `json:"baton"`
+		AgentEpoch   *uint64 `json:"tenure"`
+		Commands     []order `json:"orders"`
 	}
-	if json.Unmarshal(body, &c) != nil || c.Baton == nil || c.Tenure == nil || len(body) > mostBody ||
+	if json.Unmarshal(body, &c) != nil || c.FencingToken == nil || c.AgentEpoch == nil || len(body) > mostBody ||
 		target != "/commands" ||
-		ordersFault(c.Orders) != "" {
-		wk.w.Breach("%s refuses commands: %s of %d bytes %s", wk.h.ID, target, len(body), ordersFault(c.Orders))
+		ordersFault(c.Commands) != "" {
+		wk.w.Breach("%s refuses commands: %s of %d bytes %s", wk.h.ID, target, len(body), ordersFault(c.Commands))
 		return 400, []byte("{}")
 	}
-	if *c.Baton < wk.baton || *c.Tenure != wk.tenure {
+	if *c.FencingToken < wk.baton || *c.AgentEpoch != wk.tenure {
 		return 409, wk.body()
 	}
-	if *c.Baton > wk.baton {
+	if *c.FencingToken > wk.baton {
 		wk.Batons++
-		wk.baton, wk.changed = *c.Baton, true
+		wk.baton, wk.changed = *c.FencingToken, true
 	}
-	wk.execute(c.Orders, sent)
+	wk.execute(c.Commands, sent)
 	return 200, wk.body()
 }
 
@@ -318,7 +320,7 @@
 func (wk *Worker) execute(orders []order, sent time.Time) {
 	wk.w.orders += len(orders)
 	for _, o := range orders {
-		p := wk.pieces[attempt(o.Piece, o.Try)]
+		p := wk.pieces[attempt(o.TaskID, o.Attempt)]
 		switch o.Verb {
 		case "launch":
 			if p == nil {
@@ -328,17 +330,17 @@
 		case "stop":
 			switch {
 			case p == nil || p.status == "ended":
-			case wk.w.Loans != nil && p.job != nil && p.job.Shape == jobs.Gang && p.job.Pieces > 1 && p.job.SnapshotS > 0 && o.WindDownS > 0:
+			case wk.w.Loans != nil && p.job != nil && p.job.Shape == jobs.Gang && p.job.Pieces > 1 && p.job.SnapshotS > 0 && o.GracePeriodS > 0:
 				if p.status != "saving" {
 					wk.stopInOrder(p)
 				}
 			default:
-				wk.end(p, "stopped", p.job != nil && p.job.SnapshotS > 0 && o.WindDownS > 0)
+				wk.end(p, "stopped", p.job != nil && p.job.SnapshotS > 0 && o.GracePeriodS > 0)
 			}
 		case "reap":
 			if p != nil && p.status == "ended" {
-				delete(wk.pieces, attempt(o.Piece, o.Try))
-				wk.reaped[attempt(o.Piece, o.Try)] = true
+				delete(wk.pieces, attempt(o.TaskID, o.Attempt))
+				wk.reaped[attempt(o.TaskID, o.Attempt)] = true
 				wk.changed = true
 			}
 		}
@@ -348,7 +350,7 @@
 // inUse tells whether another attempt of a task is on the machine.
 func (wk *Worker) inUse(o order) bool {
 	for _, p := range wk.pieces {
-		if p.piece == o.Piece && p.status != "ended" {
+		if p.piece == o.TaskID && p.status != "ended" {
 			return true
 		}
 	}
@@ -363,19 +365,19 @@
 
 func (wk *Worker) launch(o order, sent time.Time) {
 	w := wk.w
-	jobID, n, ok := jobs.SplitTaskID(o.Piece)
+	jobID, n, ok := jobs.SplitTaskID(o.TaskID)
 	j := w.Jobs[jobID]
 	if j == nil && (w.Real != nil || len(w.Runs) > 0) {
 		j = w.describe(jobID)
 	}
-	p := &wpiece{piece: o.Piece, try: o.Try, status: "pulling", job: j, n: n, sent: sent}
+	p := &wpiece{piece: o.TaskID, try: o.Attempt, status: "pulling", job: j, n: n, sent: sent}
 	refused := wk.inUse(o)
-	wk.pieces[attempt(o.Piece, o.Try)] = p
-	if wk.reaped[attempt(o.Piece, o.Try)] {
-		w.Breach("%s is launched on %s a second time as try %d", o.Piece, wk.h.ID, o.Try)
+	wk.pieces[attempt(o.TaskID, o.Attempt)] = p
+	if wk.reaped[attempt(o.TaskID, o.Attempt)] {
+		w.Breach("%s is launched on %s a second time as try %d", o.TaskID, wk.h.ID, o.Attempt)
 	}
 	if !ok || j == nil || n >= j.Pieces {
-		w.Breach("%s is launched, which no one submitted", o.Piece)
+		w.Breach("%s is launched, which no one submitted", o.TaskID)
 		wk.end(p, "no_such", false)
 		return
 	}
@@ -398,7 +400,7 @@
 		return
 	}
 	if w.Launched != nil {
-		w.Launched(o.Piece)
+		w.Launched(o.TaskID)
 	}
 	w.moment(Launched)
 	fetch := j.PullS
