--- /dev/null
+++ b/internal/simulation/gangs.go
@@ -0,0 +1,109 @@
+package simulation
+
+import (
+	"time"
+
+	"github.com/harrierreel/harrierreel/internal/jobs"
+)
+
+// gangTasks lists the pieces of a gang's attempt.
+func (w *Simulator) gangTasks(j *Job, try uint64) map[*agentTask]*Worker {
+	out := map[*agentTask]*Worker{}
+	for _, wk := range w.Workers {
+		for _, p := range wk.tasks {
+			if p.job == j && p.attempt == try && p.status != "ended" {
+				out[p] = wk
+			}
+		}
+	}
+	return out
+}
+
+func (w *Simulator) startGang(j *Job, try uint64) {
+	mates := w.gangTasks(j, try)
+	if len(mates) < j.Pieces {
+		return
+	}
+	for p := range mates {
+		if p.status != "waiting" {
+			return
+		}
+	}
+	for p, wk := range mates {
+		wk.run(p)
+	}
+	hungSince := map[*Worker]time.Time{}
+	var watch func()
+	watch = func() {
+		now := w.gangTasks(j, try)
+		if len(now) == 0 {
+			return
+		}
+		gone := len(now) < j.Pieces
+		for _, wk := range now {
+			switch since, seen := hungSince[wk]; {
+			case !wk.Hung:
+				delete(hungSince, wk)
+			case !seen:
+				hungSince[wk] = w.Now
+			case w.Now.Sub(since).Seconds() >= w.GangPeerS:
+				gone = true
+			}
+		}
+		for p, wk := range now {
+			if gone && !wk.Hung { // one that hangs notices when it goes on
+				wk.end(p, "mates_gone", false)
+			}
+		}
+		w.After(time.Second, watch)
+	}
+	w.After(time.Second, watch)
+}
+
+// endGang completes a gang: if one of its tasks is done, every task is.
+func (w *Simulator) endGang(j *Job, try uint64) {
+	for n := range j.Pieces {
+		j.Done[n] = true
+	}
+	j.LastDone = w.Now
+	w.jobEnded(j)
+	for p, wk := range w.gangTasks(j, try) {
+		wk.end(p, "done", false)
+	}
+}
+
+// stopGracefully is a gang's task that is told to stop and to save. Progress is safe only
+// if all are told within GangPeerS of the first.
+func (wk *Worker) stopGracefully(p *agentTask) {
+	w := wk.sim
+	if p.status != "running" {
+		wk.end(p, "stopped", false)
+		return
+	}
+	p.status, wk.changed = "saving", true
+	mates := w.gangTasks(p.job, p.attempt)
+	first, all := true, len(mates) == p.job.Pieces
+	for m := range mates {
+		first = first && (m == p || m.status != "saving")
+		all = all && m.status == "saving"
+	}
+	if first {
+		w.Loans.notify("told", wk.machine.ID)
+		w.After(time.Duration(w.GangPeerS*float64(time.Second)), func() {
+			if !p.saved {
+				w.Loans.Fell++
+			}
+			for m, at := range w.gangTasks(p.job, p.attempt) {
+				at.end(m, "mates_gone", false)
+			}
+		})
+	}
+	if all {
+		w.Loans.Saved++
+		for m, at := range mates {
+			at.after(m, 1, func() { at.end(m, "stopped", true) })
+		}
+	}
+}
+
+func (j *Job) gang() bool { return j.Shape == jobs.Gang && j.Pieces > 1 }
--- a/internal/simulation/loans.go
+++ b/internal/simulation/loan_watch.go
@@ -4,7 +4,6 @@
 	"encoding/json"
 	"slices"
 	"strings"
-	"time"
 
 	"github.com/harrierreel/harrierreel/internal/jobs"
 	"github.com/harrierreel/harrierreel/internal/lending"
@@ -143,37 +142,3 @@
 		lo.sim.After(0, func() { f(machine) })
 	}
 }
-
-// stopGracefully is a gang's task that is told to stop and to save. Progress is safe only
-// if all are told within GangPeerS of the first.
-func (wk *Worker) stopGracefully(p *agentTask) {
-	w := wk.sim
-	if p.status != "running" {
-		wk.end(p, "stopped", false)
-		return
-	}
-	p.status, wk.changed = "saving", true
-	mates := w.gangTasks(p.job, p.attempt)
-	first, all := true, len(mates) == p.job.Pieces
-	for m := range mates {
-		first = first && (m == p || m.status != "saving")
-		all = all && m.status == "saving"
-	}
-	if first {
-		w.Loans.notify("told", wk.machine.ID)
-		w.After(time.Duration(w.GangPeerS*float64(time.Second)), func() {
-			if !p.saved {
-				w.Loans.Fell++
-			}
-			for m, at := range w.gangTasks(p.job, p.attempt) {
-				at.end(m, "mates_gone", false)
-			}
-		})
-	}
-	if all {
-		w.Loans.Saved++
-		for m, at := range mates {
-			at.after(m, 1, func() { at.end(m, "stopped", true) })
-		}
-	}
-}
--- a/internal/simulation/judge.go
+++ b/internal/simulation/stranded.go
@@ -22,55 +22,6 @@
 	stopsWithin = 2 * time.Second
 )
 
-// startAfterCancel counts the start of a task whose user had been told that its job is
-// cancelled. A launch that had left by then may be anywhere on its way, and a machine that
-// fetches the image starts the task if no stop comes before: these are only counted. One
-// that left later, or whose machine was answered later without a stop, breaks the rule.
-func (w *Simulator) startAfterCancel(wk *Worker, p *agentTask) {
-	j := p.job
-	if !j.Cancelled {
-		return
-	}
-	w.StartsAfterCancel++
-	switch {
-	case p.launchSentAt.After(j.CancelledAt):
-		w.Break(
-			"started_cancelled: %s on %s, by a launch that left %v after its user was told",
-			p.taskID,
-			wk.machine.ID,
-			p.launchSentAt.Sub(j.CancelledAt),
-		)
-	case p.unstoppedAt.After(j.CancelledAt):
-		w.Break(
-			"started_cancelled: %s on %s, which was answered %v after its user was told",
-			p.taskID,
-			wk.machine.ID,
-			p.unstoppedAt.Sub(j.CancelledAt),
-		)
-	}
-}
-
-// noteUnstopped marks what an answer to a report, which left its controller at some time,
-// leaves on the machine of jobs whose users had long been told that they are cancelled.
-func (wk *Worker) noteUnstopped(sent time.Time) {
-	for _, p := range wk.tasks {
-		if j := p.job; j != nil && j.Cancelled && p.status == "pulling" && p.unstoppedAt.IsZero() &&
-			sent.Sub(j.CancelledAt) > stopsWithin {
-			p.unstoppedAt = sent
-		}
-	}
-}
-
-// checkCancelledTasks breaks on each cancelled task that is on the machine past cancel_s, be it
-// because the machine resumed with it.
-func (wk *Worker) checkCancelledTasks() {
-	for _, p := range wk.tasks {
-		if p.onMachine() {
-			wk.sim.checkCancelled(wk, p)
-		}
-	}
-}
-
 // waitingJob is a job that waits, since a machine that fits has had room.
 type waitingJob struct {
 	since    time.Time
@@ -158,8 +109,6 @@
 	return false
 }
 
-func (j *Job) gang() bool { return j.Shape == jobs.Gang && j.Pieces > 1 }
-
 // need is what one task takes of its machine.
 func (j *Job) need() sharding.Resources {
 	if j.spec == nil {
--- /dev/null
+++ b/internal/simulation/task_rules.go
@@ -0,0 +1,148 @@
+package simulation
+
+import "time"
+
+// checkStart checks the protocol's rules at a task's start.
+func (w *Simulator) checkStart(wk *Worker, p *agentTask) {
+	j := p.job
+	if j.Starts++; j.FirstStart.IsZero() {
+		j.FirstStart = w.Now
+	}
+	used := j.Accel
+	zones := map[string]int{wk.machine.Zone: 1}
+	for _, o := range w.Workers {
+		for _, q := range o.tasks {
+			if q == p || !q.onMachine() || q.job == nil {
+				continue
+			}
+			if q.taskID == p.taskID {
+				w.Break("ran_twice: %s starts on %s while on %s", p.taskID, wk.machine.ID, o.machine.ID)
+			}
+			if q.job.Owner == j.Owner {
+				used += q.job.Accel
+			}
+			if q.job == j {
+				zones[o.machine.Zone]++
+			}
+		}
+	}
+	if m := w.Max[j.Owner]; m > 0 && used > m {
+		w.Break("quota: %s uses %v of %v", j.Owner, used, m)
+	}
+	wrong := (j.Site != "" && j.Site != wk.machine.Zone) || (wk.machine.Spot && !j.Loaner) || (j.SamePlace && len(zones) > 1) ||
+		(j.Scatter && zones[wk.machine.Zone] > (j.Pieces+1)/2)
+	if len(j.Builds) > 0 {
+		found := false
+		for _, b := range j.Builds {
+			found = found || b == wk.machine.MachineType
+		}
+		wrong = wrong || !found
+	}
+	if wrong {
+		w.Break("wrong_place: %s on %s in %s", p.taskID, wk.machine.ID, wk.machine.Zone)
+	}
+	if !j.Accepted && j.Told == "" && !j.Submitted() {
+		w.Break("started %s, which no one submitted", p.taskID)
+	}
+	w.startAfterCancel(wk, p)
+	w.checkCancelled(wk, p)
+}
+
+// Submitted tells whether a user has submitted the job.
+func (j *Job) Submitted() bool { return j.Body != nil }
+
+// checkCancelled breaks once on a task that is on its machine past cancel_s.
+func (w *Simulator) checkCancelled(wk *Worker, p *agentTask) {
+	if !p.reported && p.job != nil && p.job.Cancelled && w.Now.Sub(p.job.CancelledAt).Seconds() > w.CancelS {
+		p.reported = true
+		w.Break("ran_cancelled: %s on %s", p.taskID, wk.machine.ID)
+	}
+}
+
+// TasksOn counts all tasks that are on machines.
+func (w *Simulator) TasksOn() int {
+	c := 0
+	for _, wk := range w.Workers {
+		for _, p := range wk.tasks {
+			if p.onMachine() {
+				c++
+			}
+		}
+	}
+	return c
+}
+
+// Running counts a job's tasks that are on machines.
+func (w *Simulator) Running(jobID string) int {
+	c := 0
+	for _, wk := range w.Workers {
+		for _, p := range wk.tasks {
+			if p.job != nil && p.job.UID == jobID && p.onMachine() {
+				c++
+			}
+		}
+	}
+	return c
+}
+
+// HostOf is a machine that a job's task is on, in order of name.
+func (w *Simulator) HostOf(jobID string) string {
+	best := ""
+	for id, wk := range w.Workers {
+		for _, p := range wk.tasks {
+			if p.job != nil && p.job.UID == jobID && p.status != "ended" && (best == "" || id < best) {
+				best = id
+			}
+		}
+	}
+	return best
+}
+
+// startAfterCancel counts the start of a task whose user had been told that its job is
+// cancelled. A launch that had left by then may be anywhere on its way, and a machine that
+// fetches the image starts the task if no stop comes before: these are only counted. One
+// that left later, or whose machine was answered later without a stop, breaks the rule.
+func (w *Simulator) startAfterCancel(wk *Worker, p *agentTask) {
+	j := p.job
+	if !j.Cancelled {
+		return
+	}
+	w.StartsAfterCancel++
+	switch {
+	case p.launchSentAt.After(j.CancelledAt):
+		w.Break(
+			"started_cancelled: %s on %s, by a launch that left %v after its user was told",
+			p.taskID,
+			wk.machine.ID,
+			p.launchSentAt.Sub(j.CancelledAt),
+		)
+	case p.unstoppedAt.After(j.CancelledAt):
+		w.Break(
+			"started_cancelled: %s on %s, which was answered %v after its user was told",
+			p.taskID,
+			wk.machine.ID,
+			p.unstoppedAt.Sub(j.CancelledAt),
+		)
+	}
+}
+
+// noteUnstopped marks what an answer to a report, which left its controller at some time,
+// leaves on the machine of jobs whose users had long been told that they are cancelled.
+func (wk *Worker) noteUnstopped(sent time.Time) {
+	for _, p := range wk.tasks {
+		if j := p.job; j != nil && j.Cancelled && p.status == "pulling" && p.unstoppedAt.IsZero() &&
+			sent.Sub(j.CancelledAt) > stopsWithin {
+			p.unstoppedAt = sent
+		}
+	}
+}
+
+// checkCancelledTasks breaks on each cancelled task that is on the machine past cancel_s, be it
+// because the machine resumed with it.
+func (wk *Worker) checkCancelledTasks() {
+	for _, p := range wk.tasks {
+		if p.onMachine() {
+			wk.sim.checkCancelled(wk, p)
+		}
+	}
+}
