--- a/internal/simulation/limits.go
+++ b/internal/simulation/limits.go
@@ -49,12 +49,15 @@
 		Key      string `json:"key"`
 		Revision uint64 `json:"stamp"`
 	} `json:"if"`
-	Writes []struct {
-		Write   string          `json:"write"`
-		Remove  string          `json:"remove"`
-		Value   json.RawMessage `json:"v"`
-		LeaseID uint64          `json:"hold"`
-	} `json:"writes"`
+	Writes []change `json:"writes"`
+}
+
+// change is one write or removal of a transaction.
+type change struct {
+	Write   string          `json:"write"`
+	Remove  string          `json:"remove"`
+	Value   json.RawMessage `json:"v"`
+	LeaseID uint64          `json:"hold"`
 }
 
 // malformed tells why the state service answers a request 400, "" if it does not.
@@ -62,36 +65,46 @@
 	if len(body) > maxBodyBytes {
 		return fmt.Sprintf("%d bytes", len(body))
 	}
-	number := func(field string, low, high int) string {
-		if v := q.Get(field); v != "" {
-			if n, err := strconv.Atoi(v); err != nil || n < low || n > high {
-				return field + " is " + v
-			}
-		}
-		return ""
-	}
 	key, one := strings.CutPrefix(path, "/store/")
 	_, lease := leaseIDOf(path)
 	switch {
 	case method == "GET" && path == "/follow":
-		return number("hold_ms", 0, maxWatchHoldMs)
+		return numberFault(q, "hold_ms", 0, maxWatchHoldMs)
 	case method == "GET" && path == "/store":
-		return number("limit", 1, maxListItems)
+		return numberFault(q, "limit", 1, maxListItems)
 	case method == "GET" && one:
 		return keyFault(key)
 	case method == "POST" && path == "/multi":
 		return s.transactionFault(body)
 	case method == "POST" && path == "/grants":
-		if ttl := ttlOf(body); ttl < minLeaseTTLMs || ttl > maxLeaseTTLMs {
-			return fmt.Sprintf("ttl_ms is %d", ttl)
-		}
-		return ""
+		return ttlFault(ttlOf(body))
 	case method == "POST" && lease && strings.HasSuffix(path, "/renew"), method == "DELETE" && lease:
 		return ""
 	}
 	return "no such call"
 }
 
+// numberFault tells what is wrong with a parameter that is a number, "" if it is missing
+// or within its limits.
+func numberFault(q url.Values, field string, low, high int) string {
+	v := q.Get(field)
+	if v == "" {
+		return ""
+	}
+	if n, err := strconv.Atoi(v); err != nil || n < low || n > high {
+		return field + " is " + v
+	}
+	return ""
+}
+
+// ttlFault tells what is wrong with the time of a lease in ms.
+func ttlFault(ttl int) string {
+	if ttl < minLeaseTTLMs || ttl > maxLeaseTTLMs {
+		return fmt.Sprintf("ttl_ms is %d", ttl)
+	}
+	return ""
+}
+
 // ttlOf is the time of a lease that is asked for, 0 if there is none.
 func ttlOf(body []byte) int {
 	var g struct {
@@ -132,23 +145,31 @@
 			return why
 		}
 	}
-	for _, wr := range t.Writes {
-		switch {
-		case (wr.Write == "") == (wr.Remove == ""):
-			return "a change that neither writes nor removes, or does both"
-		case keyFault(wr.Write+wr.Remove) != "":
-			return keyFault(wr.Write + wr.Remove)
-		case wr.Write != "" && len(wr.Value) == 0:
-			return "no value for " + wr.Write
-		case s.ValueKB > 0 && float64(len(wr.Value)) > s.ValueKB*1024:
-			return fmt.Sprintf("%d bytes in %s", len(wr.Value), wr.Write)
-		case wr.LeaseID > s.lastLeaseID:
-			return fmt.Sprintf("lease %d was never given", wr.LeaseID)
+	for _, change := range t.Writes {
+		if why := s.changeFault(change); why != "" {
+			return why
 		}
 	}
 	return ""
 }
 
+// changeFault tells what limit a change of a transaction passes.
+func (s *Store) changeFault(c change) string {
+	switch {
+	case (c.Write == "") == (c.Remove == ""):
+		return "a change that neither writes nor removes, or does both"
+	case keyFault(c.Write+c.Remove) != "":
+		return keyFault(c.Write + c.Remove)
+	case c.Write != "" && len(c.Value) == 0:
+		return "no value for " + c.Write
+	case s.ValueKB > 0 && float64(len(c.Value)) > s.ValueKB*1024:
+		return fmt.Sprintf("%d bytes in %s", len(c.Value), c.Write)
+	case c.LeaseID > s.lastLeaseID:
+		return fmt.Sprintf("lease %d was never given", c.LeaseID)
+	}
+	return ""
+}
+
 // CheckRefused holds against the controllers that run what they were refused, or could
 // not commit, and a correct program never asks for.
 func (w *Simulator) CheckRefused() {
@@ -237,29 +258,34 @@
 	case method == "GET" && path == "/catalog":
 		return ""
 	case method == "GET" && path == "/hosts":
-		if limit := q.Get("limit"); limit != "" {
-			if n, err := strconv.Atoi(limit); err != nil || n < 1 || n > maxMachinePage {
-				return "limit is " + limit
-			}
-		}
-		return ""
+		return numberFault(q, "limit", 1, maxMachinePage)
 	case method == "POST" && path == "/hosts/delete":
-		var deletion machineDeletion
-		if json.Unmarshal(body, &deletion) != nil || len(deletion.Machines) == 0 || len(deletion.Machines) > maxDeletedAtOnce {
-			return fmt.Sprintf("%d names", len(deletion.Machines))
-		}
-		return ""
+		return deletionFault(body)
 	case method == "POST" && path == "/hosts":
-		var r rental
-		if json.Unmarshal(body, &r) != nil || r.Name == "" || r.Count < 1 || r.Count > maxRentedAtOnce {
-			return fmt.Sprintf("%d machines as %q", r.Count, r.Name)
-		}
-		for _, b := range machineTypes {
-			if zones, ok := b["sites"].([]string); ok && b["name"] == r.MachineType && slices.Contains(zones, r.Zone) {
-				return ""
-			}
-		}
-		return fmt.Sprintf("no type %q in %q", r.MachineType, r.Zone)
+		return rentalFault(body)
 	}
 	return "no such call"
 }
+
+// deletionFault tells what is wrong with a request to delete machines.
+func deletionFault(body []byte) string {
+	var d machineDeletion
+	if json.Unmarshal(body, &d) != nil || len(d.Machines) == 0 || len(d.Machines) > maxDeletedAtOnce {
+		return fmt.Sprintf("%d names", len(d.Machines))
+	}
+	return ""
+}
+
+// rentalFault tells what is wrong with a request for machines.
+func rentalFault(body []byte) string {
+	var r rental
+	if json.Unmarshal(body, &r) != nil || r.Name == "" || r.Count < 1 || r.Count > maxRentedAtOnce {
+		return fmt.Sprintf("%d machines as %q", r.Count, r.Name)
+	}
+	for _, b := range machineTypes {
+		if zones, ok := b["sites"].([]string); ok && b["name"] == r.MachineType && slices.Contains(zones, r.Zone) {
+			return ""
+		}
+	}
+	return fmt.Sprintf("no type %q in %q", r.MachineType, r.Zone)
+}
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -200,52 +200,76 @@
 	from string,
 ) func(method, target string, body []byte, timeout time.Duration, done func(int, []byte, error)) {
 	return func(method, target string, body []byte, timeout time.Duration, done func(int, []byte, error)) {
+		r := &storeRequest{s, from, method, target, body}
 		serve := func(answer func(int, []byte)) { s.serve(from, method, target, body, answer) }
 		if target == "/multi" {
 			serve = s.sim.maybeLate("state", serve)
 		}
-		send := func() {
-			s.sim.call(from, "state", timeout, func(answer func(int, []byte)) {
-				slow := s.Slow
-				if s.SlowWatch > 0 && strings.HasPrefix(target, "/follow") {
-					slow = s.SlowWatch
-				}
-				if strings.HasPrefix(target, "/follow") {
-					slow += s.Lag[from]
-				}
-				if s.sim.happens(s.slowShare) {
-					slow += s.sim.randomBetween(0, s.maxSlow)
-				}
-				if slow > 0 {
-					quick := answer
-					answer = func(status int, b []byte) { s.sim.After(slow, func() { quick(status, b) }) }
-				}
-				if target == "/multi" && !s.Down && !s.Refuse[from] && s.sim.happens(s.sim.lateWrites) {
-					s.sim.After(s.sim.randomBetween(lateWriteFrom, lateWriteTo), func() {
-						s.sim.LateDone++
-						s.serve("", method, target, body, func(int, []byte) {}) // it has passed what refuses its sender
-					})
-					return
-				}
-				if target == "/multi" && !s.Down && !s.Refuse[from] && s.sim.happens(s.sim.lostAnswers) {
-					s.sim.Unheard++
-					s.serve(from, method, target, body, func(int, []byte) {})
-					return
-				}
-				if target == "/multi" && s.Late[from] > 0 {
-					s.sim.After(s.Late[from], func() { s.serve(from, method, target, body, answer) })
-					return
-				}
-				if target == "/multi" && s.Lose[from] > 0 {
-					s.Lose[from]--
-					s.serve(from, method, target, body, func(int, []byte) {})
-					return
-				}
+		s.sim.call(from, "state", timeout, func(answer func(int, []byte)) {
+			answer = r.slowed(answer)
+			if target != "/multi" || !r.disturbed(answer) {
 				serve(answer)
-			}, done)
+			}
+		}, done)
+	}
+}
+
+// storeRequest is a node's request that has arrived at the state service.
+type storeRequest struct {
+	store  *Store
+	from   string
+	method string
+	target string
+	body   []byte
+}
+
+// slowed gives back an answer that comes as late as the service is slow.
+func (r *storeRequest) slowed(answer func(int, []byte)) func(int, []byte) {
+	s := r.store
+	slow := s.Slow
+	if strings.HasPrefix(r.target, "/follow") {
+		if s.SlowWatch > 0 {
+			slow = s.SlowWatch
 		}
-		send()
+		slow += s.Lag[r.from]
+	}
+	if s.sim.happens(s.slowShare) {
+		slow += s.sim.randomBetween(0, s.maxSlow)
+	}
+	if slow <= 0 {
+		return answer
 	}
+	return func(status int, b []byte) { s.sim.After(slow, func() { answer(status, b) }) }
+}
+
+// disturbed carries out a transaction that comes late or whose answer is lost, and tells
+// whether this is one.
+func (r *storeRequest) disturbed(answer func(int, []byte)) bool {
+	s := r.store
+	served := !s.Down && !s.Refuse[r.from]
+	switch {
+	case served && s.sim.happens(s.sim.lateWrites):
+		s.sim.After(s.sim.randomBetween(lateWriteFrom, lateWriteTo), func() {
+			s.sim.LateDone++
+			r.serveUnheard("") // it has passed what refuses its sender
+		})
+	case served && s.sim.happens(s.sim.lostAnswers):
+		s.sim.Unheard++
+		r.serveUnheard(r.from)
+	case s.Late[r.from] > 0:
+		s.sim.After(s.Late[r.from], func() { s.serve(r.from, r.method, r.target, r.body, answer) })
+	case s.Lose[r.from] > 0:
+		s.Lose[r.from]--
+		r.serveUnheard(r.from)
+	default:
+		return false
+	}
+	return true
+}
+
+// serveUnheard carries the request out without an answer.
+func (r *storeRequest) serveUnheard(from string) {
+	r.store.serve(from, r.method, r.target, r.body, func(int, []byte) {})
 }
 
 // Serve answers a request that came over a socket.
@@ -274,46 +298,71 @@
 	case path == "/follow":
 		s.watch(from, q, answer)
 	case method == "GET" && path == "/store":
-		if s.pages++; s.FailPages > 0 && s.pages%s.FailPages == 0 {
-			answer(503, []byte("{}"))
-			return
-		}
-		s.Listed++
-		s.list(q, answer)
+		s.listPage(q, answer)
 	case method == "GET" && strings.HasPrefix(path, "/store/"):
-		it, ok := s.items[path[len("/store/"):]]
-		if !ok {
-			answer(404, encode(map[string]uint64{"epoch": s.revision}))
-			return
-		}
-		answer(200, encode(it))
+		s.read(path[len("/store/"):], answer)
 	case path == "/multi":
-		s.commit(body, func(status int, b []byte) {
-			if status == 200 {
-				if s.commits[from]++; s.items[members.ViewKey].Revision == s.revision {
-					s.commitsAtView = maps.Clone(s.commits)
-				}
-			}
-			answer(status, b)
-		})
+		s.commitFrom(from, body, answer)
 	case path == "/grants":
-		s.lastLeaseID++
-		ttl := time.Duration(ttlOf(body)) * time.Millisecond
-		s.leases[s.lastLeaseID] = &lease{ttl, s.sim.Now.Add(ttl)}
-		answer(200, encode(map[string]uint64{"hold": s.lastLeaseID}))
+		s.grantLease(body, answer)
 	default:
-		id, _ := leaseIDOf(path)
-		switch g := s.leases[id]; {
-		case g == nil:
-			answer(404, []byte("{}"))
-		case method == "DELETE":
-			s.endLease(id)
-			answer(200, []byte("{}"))
-			s.wake()
-		default:
-			g.ends = s.sim.Now.Add(g.ttl)
-			answer(200, []byte("{}"))
+		s.serveLease(method, path, answer)
+	}
+}
+
+// listPage answers a page of a listing, unless this is one that fails.
+func (s *Store) listPage(q url.Values, answer func(int, []byte)) {
+	if s.pages++; s.FailPages > 0 && s.pages%s.FailPages == 0 {
+		answer(503, []byte("{}"))
+		return
+	}
+	s.Listed++
+	s.list(q, answer)
+}
+
+// read answers what a key holds.
+func (s *Store) read(key string, answer func(int, []byte)) {
+	item, ok := s.items[key]
+	if !ok {
+		answer(404, encode(map[string]uint64{"epoch": s.revision}))
+		return
+	}
+	answer(200, encode(item))
+}
+
+// commitFrom carries out a node's transaction and counts it.
+func (s *Store) commitFrom(from string, body []byte, answer func(int, []byte)) {
+	s.commit(body, func(status int, b []byte) {
+		if status == 200 {
+			if s.commits[from]++; s.items[members.ViewKey].Revision == s.revision {
+				s.commitsAtView = maps.Clone(s.commits)
+			}
 		}
+		answer(status, b)
+	})
+}
+
+// grantLease gives a new lease.
+func (s *Store) grantLease(body []byte, answer func(int, []byte)) {
+	s.lastLeaseID++
+	ttl := time.Duration(ttlOf(body)) * time.Millisecond
+	s.leases[s.lastLeaseID] = &lease{ttl, s.sim.Now.Add(ttl)}
+	answer(200, encode(map[string]uint64{"hold": s.lastLeaseID}))
+}
+
+// serveLease renews or ends a lease.
+func (s *Store) serveLease(method, path string, answer func(int, []byte)) {
+	id, _ := leaseIDOf(path)
+	switch l := s.leases[id]; {
+	case l == nil:
+		answer(404, []byte("{}"))
+	case method == "DELETE":
+		s.endLease(id)
+		answer(200, []byte("{}"))
+		s.wake()
+	default:
+		l.ends = s.sim.Now.Add(l.ttl)
+		answer(200, []byte("{}"))
 	}
 }
 
