--- a/internal/simulation/task_rules.go
+++ b/internal/simulation/task_rules.go
@@ -1,6 +1,9 @@
 package simulation
 
-import "time"
+import (
+	"slices"
+	"time"
+)
 
 // checkStart checks the protocol's rules at a task's start.
 func (w *Simulator) checkStart(wk *Worker, p *agentTask) {
@@ -8,44 +11,60 @@
 	if j.Starts++; j.FirstStart.IsZero() {
 		j.FirstStart = w.Now
 	}
-	used := j.Accel
-	zones := map[string]int{wk.machine.Zone: 1}
-	for _, o := range w.Workers {
-		for _, q := range o.tasks {
+	used, zones := w.besides(wk, p)
+	if limit := w.Max[j.Owner]; limit > 0 && used > limit {
+		w.Break("quota: %s uses %v of %v", j.Owner, used, limit)
+	}
+	if j.misplaced(wk, zones) {
+		w.Break("wrong_place: %s on %s in %s", p.taskID, wk.machine.ID, wk.machine.Zone)
+	}
+	if !j.Accepted && j.Told == "" && !j.Submitted() {
+		w.Break("started %s, which no one submitted", p.taskID)
+	}
+	w.startAfterCancel(wk, p)
+	w.checkCancelled(wk, p)
+}
+
+// besides looks at all other tasks on machines as a task starts: it breaks on one that is
+// the same task, and counts, with the new task, the accelerators of its team and the
+// job's tasks in each zone.
+func (w *Simulator) besides(wk *Worker, p *agentTask) (used float64, zones map[string]int) {
+	used = p.job.Accel
+	zones = map[string]int{wk.machine.Zone: 1}
+	for _, other := range w.Workers {
+		for _, q := range other.tasks {
 			if q == p || !q.onMachine() || q.job == nil {
 				continue
 			}
 			if q.taskID == p.taskID {
-				w.Break("ran_twice: %s starts on %s while on %s", p.taskID, wk.machine.ID, o.machine.ID)
+				w.Break("ran_twice: %s starts on %s while on %s", p.taskID, wk.machine.ID, other.machine.ID)
 			}
-			if q.job.Owner == j.Owner {
+			if q.job.Owner == p.job.Owner {
 				used += q.job.Accel
 			}
-			if q.job == j {
-				zones[o.machine.Zone]++
+			if q.job == p.job {
+				zones[other.machine.Zone]++
 			}
 		}
 	}
-	if m := w.Max[j.Owner]; m > 0 && used > m {
-		w.Break("quota: %s uses %v of %v", j.Owner, used, m)
-	}
-	wrong := (j.Site != "" && j.Site != wk.machine.Zone) || (wk.machine.Spot && !j.Loaner) || (j.SamePlace && len(zones) > 1) ||
-		(j.Scatter && zones[wk.machine.Zone] > (j.Pieces+1)/2)
-	if len(j.Builds) > 0 {
-		found := false
-		for _, b := range j.Builds {
-			found = found || b == wk.machine.MachineType
-		}
-		wrong = wrong || !found
-	}
-	if wrong {
-		w.Break("wrong_place: %s on %s in %s", p.taskID, wk.machine.ID, wk.machine.Zone)
-	}
-	if !j.Accepted && j.Told == "" && !j.Submitted() {
-		w.Break("started %s, which no one submitted", p.taskID)
+	return used, zones
+}
+
+// misplaced tells whether a machine is none that the job may have a task on, where zones
+// counts the job's tasks in each zone.
+func (j *Job) misplaced(wk *Worker, zones map[string]int) bool {
+	m := wk.machine
+	switch {
+	case j.Site != "" && j.Site != m.Zone:
+		return true
+	case m.Spot && !j.Loaner:
+		return true
+	case j.SamePlace && len(zones) > 1:
+		return true
+	case j.Scatter && zones[m.Zone] > (j.Pieces+1)/2:
+		return true
 	}
-	w.startAfterCancel(wk, p)
-	w.checkCancelled(wk, p)
+	return len(j.Builds) > 0 && !slices.Contains(j.Builds, m.MachineType)
 }
 
 // Submitted tells whether a user has submitted the job.
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -171,92 +171,146 @@
 		ps = append(ps, m)
 	}
 	return encode(map[string]any{
-		"host": wk.machine.ID, "endpoint": wk.sim.endpoint(wk.machine.ID), "build": wk.machine.MachineType, "site": wk.machine.Zone, "loaner": wk.machine.Spot,
-		"tenure": wk.agentEpoch, "tick": wk.heartbeatSeq, "baton": wk.fencingToken, "warning_s": wk.warningS, "pieces": ps,
+		"host":      wk.machine.ID,
+		"endpoint":  wk.sim.endpoint(wk.machine.ID),
+		"build":     wk.machine.MachineType,
+		"site":      wk.machine.Zone,
+		"loaner":    wk.machine.Spot,
+		"tenure":    wk.agentEpoch,
+		"tick":      wk.heartbeatSeq,
+		"baton":     wk.fencingToken,
+		"warning_s": wk.warningS,
+		"pieces":    ps,
 	})
 }
 
+// report sends a heartbeat to the controller that the worker reports to.
 func (wk *Worker) report() {
 	w := wk.sim
-	now, agentEpoch := w.Now, wk.agentEpoch
-	wk.inFlight, wk.changed, wk.sentAt = true, false, now
-	wk.nextReport = now.Add(time.Duration(w.ReportS * (0.75 + 0.5*w.RNG.Float64()) * float64(time.Second)))
-	name := w.Order[wk.nodeIndex%len(w.Order)]
-	tryNext := func() {
-		wk.nodeIndex++
-		wk.nextReport = w.Now.Add(time.Second)
-	}
-	body, fencingToken := wk.body(), wk.fencingToken
-	var left time.Time // the answer its controller
-	send := func(done func(int, []byte, error)) {
-		if w.unreachable[wk.machine.ID] {
-			w.failReport(done)
-			return
-		}
-		w.call(wk.machine.ID, name, 4*time.Second, w.maybeLate("beat", func(answer func(int, []byte)) {
-			w.Nodes[name].request("POST", "/agent/beat", body, func(status int, b []byte) {
-				left = w.Now
-				answer(status, b)
-			})
-		}), done)
-		w.maybeReplay(name, body)
-	}
-	if w.Real != nil {
-		send = func(done func(int, []byte, error)) { w.Real.Beat(name, body, done) }
-	}
-	send(func(status int, b []byte, err error) {
+	wk.inFlight, wk.changed, wk.sentAt = true, false, w.Now
+	wk.nextReport = w.Now.Add(time.Duration(w.ReportS * (0.75 + 0.5*w.RNG.Float64()) * float64(time.Second)))
+	r := &sentReport{
+		worker:       wk,
+		node:         w.Order[wk.nodeIndex%len(w.Order)],
+		sentAt:       w.Now,
+		agentEpoch:   wk.agentEpoch,
+		fencingToken: wk.fencingToken,
+		body:         wk.body(),
+	}
+	r.send(func(status int, b []byte, err error) {
 		if wk.dead {
 			return
 		}
-		handle := func() {
-			wk.inFlight = false
-			if err == nil {
-				wk.checkAnswer(name, status, b, fencingToken)
-			}
-			switch {
-			case err != nil:
-				tryNext()
-			case status == 421:
-				var r struct {
-					To string `json:"reports_to"`
-				}
-				_ = json.Unmarshal(b, &r)
-				for i, n := range w.Order {
-					if n == r.To && n != name {
-						wk.nodeIndex = i
-						wk.nextReport = w.Now
-						return
-					}
-				}
-				tryNext()
-			case status != 200:
-				tryNext()
-			default:
-				var r struct {
-					FencingToken *uint64   `json:"baton"`
-					Commands     []command `json:"orders"`
-				}
-				if json.Unmarshal(b, &r) != nil || r.FencingToken == nil || *r.FencingToken < wk.fencingToken || wk.agentEpoch != agentEpoch {
-					return
-				}
-				if *r.FencingToken > wk.fencingToken {
-					wk.Batons++
-					wk.fencingToken, wk.changed = *r.FencingToken, true
-				}
-				wk.answeredAt = now
-				wk.execute(r.Commands, left)
-				wk.noteUnstopped(left)
-			}
-		}
 		if wk.Hung {
 			// The machine resumes later than the answer's four seconds.
-			wk.queue = append(wk.queue, func() { wk.inFlight = false; tryNext() })
+			wk.queue = append(wk.queue, func() {
+				wk.inFlight = false
+				wk.tryNextNode()
+			})
 			return
 		}
-		handle()
+		r.answered(status, b, err)
 	})
 }
 
+// tryNextNode has the worker report to the next controller a second later.
+func (wk *Worker) tryNextNode() {
+	wk.nodeIndex++
+	wk.nextReport = wk.sim.Now.Add(time.Second)
+}
+
+// sentReport is a heartbeat that is on its way, with what the worker knew as it left.
+type sentReport struct {
+	worker       *Worker
+	node         string
+	sentAt       time.Time
+	agentEpoch   uint64
+	fencingToken uint64
+	body         []byte
+	answerLeft   time.Time // when the answer left its controller, zero over sockets
+}
+
+// send sends the report, unless the machine reaches no controller.
+func (r *sentReport) send(done func(int, []byte, error)) {
+	w, machine := r.worker.sim, r.worker.machine.ID
+	if w.Real != nil {
+		w.Real.Beat(r.node, r.body, done)
+		return
+	}
+	if w.unreachable[machine] {
+		w.failReport(done)
+		return
+	}
+	w.call(machine, r.node, 4*time.Second, w.maybeLate("beat", func(answer func(int, []byte)) {
+		w.Nodes[r.node].request("POST", "/agent/beat", r.body, func(status int, b []byte) {
+			r.answerLeft = w.Now
+			answer(status, b)
+		})
+	}), done)
+	w.maybeReplay(r.node, r.body)
+}
+
+// answered takes the answer to the report.
+func (r *sentReport) answered(status int, body []byte, err error) {
+	wk := r.worker
+	wk.inFlight = false
+	if err != nil {
+		wk.tryNextNode()
+		return
+	}
+	wk.checkAnswer(r.node, status, body, r.fencingToken)
+	switch status {
+	case 200:
+		r.acknowledged(body)
+	case 421:
+		r.redirected(body)
+	default:
+		wk.tryNextNode()
+	}
+}
+
+// redirected has the worker report at once to the controller that the answer names.
+func (r *sentReport) redirected(body []byte) {
+	var answer struct {
+		To string `json:"reports_to"`
+	}
+	_ = json.Unmarshal(body, &answer)
+	wk := r.worker
+	for i, n := range wk.sim.Order {
+		if n == answer.To && n != r.node {
+			wk.nodeIndex = i
+			wk.nextReport = wk.sim.Now
+			return
+		}
+	}
+	wk.tryNextNode()
+}
+
+// acknowledged renews the lease and carries out the commands of the answer.
+func (r *sentReport) acknowledged(body []byte) {
+	var answer struct {
+		FencingToken *uint64   `json:"baton"`
+		Commands     []command `json:"orders"`
+	}
+	wk := r.worker
+	if json.Unmarshal(body, &answer) != nil || answer.FencingToken == nil ||
+		*answer.FencingToken < wk.fencingToken || wk.agentEpoch != r.agentEpoch {
+		return
+	}
+	wk.learnToken(*answer.FencingToken)
+	wk.answeredAt = r.sentAt
+	wk.execute(answer.Commands, r.answerLeft)
+	wk.noteUnstopped(r.answerLeft)
+}
+
+// learnToken notes a fencing token, which the next report shows if it is higher.
+func (wk *Worker) learnToken(token uint64) {
+	if token > wk.fencingToken {
+		wk.Batons++
+		wk.fencingToken, wk.changed = token, true
+	}
+}
+
 type command struct {
 	Verb         string  `json:"verb"`
 	TaskID       string  `json:"piece"`
@@ -310,45 +364,50 @@
 	if *c.FencingToken < wk.fencingToken || *c.AgentEpoch != wk.agentEpoch {
 		return 409, wk.body()
 	}
-	if *c.FencingToken > wk.fencingToken {
-		wk.Batons++
-		wk.fencingToken, wk.changed = *c.FencingToken, true
-	}
+	wk.learnToken(*c.FencingToken)
 	wk.execute(c.Commands, sent)
 	return 200, wk.body()
 }
 
 // execute takes commands that left their controller at some time.
-func (wk *Worker) execute(orders []command, sent time.Time) {
-	wk.sim.commandCount += len(orders)
-	for _, o := range orders {
-		p := wk.tasks[attemptKey(o.TaskID, o.Attempt)]
-		switch o.Verb {
+func (wk *Worker) execute(commands []command, sent time.Time) {
+	wk.sim.commandCount += len(commands)
+	for _, c := range commands {
+		key := attemptKey(c.TaskID, c.Attempt)
+		task := wk.tasks[key]
+		switch c.Verb {
 		case "launch":
-			if p == nil {
+			if task == nil {
 				wk.changed = true
-				wk.launch(o, sent)
+				wk.launch(c, sent)
 			}
 		case "stop":
-			switch {
-			case p == nil || p.status == "ended":
-			case wk.sim.Loans != nil && p.job != nil && p.job.Shape == jobs.Gang && p.job.Pieces > 1 && p.job.SnapshotS > 0 && o.GracePeriodS > 0:
-				if p.status != "saving" {
-					wk.stopGracefully(p)
-				}
-			default:
-				wk.end(p, "stopped", p.job != nil && p.job.SnapshotS > 0 && o.GracePeriodS > 0)
+			if task != nil && task.status != "ended" {
+				wk.stop(task, c.GracePeriodS)
 			}
 		case "reap":
-			if p != nil && p.status == "ended" {
-				delete(wk.tasks, attemptKey(o.TaskID, o.Attempt))
-				wk.reaped[attemptKey(o.TaskID, o.Attempt)] = true
+			if task != nil && task.status == "ended" {
+				delete(wk.tasks, key)
+				wk.reaped[key] = true
 				wk.changed = true
 			}
 		}
 	}
 }
 
+// stop ends a task that is told to stop. One that takes snapshots saves first, if it has
+// time for that; a gang in a world with loans saves together.
+func (wk *Worker) stop(p *agentTask, gracePeriodS float64) {
+	saves := p.job != nil && p.job.SnapshotS > 0 && gracePeriodS > 0
+	if wk.sim.Loans == nil || !saves || !p.job.gang() {
+		wk.end(p, "stopped", saves)
+		return
+	}
+	if p.status != "saving" {
+		wk.stopGracefully(p)
+	}
+}
+
 // inUse tells whether another attempt of a task is on the machine.
 func (wk *Worker) inUse(o command) bool {
 	for _, p := range wk.tasks {
@@ -365,55 +424,65 @@
 	wk.changed = true
 }
 
-func (wk *Worker) launch(o command, sent time.Time) {
+func (wk *Worker) launch(c command, sent time.Time) {
 	w := wk.sim
-	jobID, n, ok := jobs.SplitTaskID(o.TaskID)
+	jobID, n, ok := jobs.SplitTaskID(c.TaskID)
 	j := w.Jobs[jobID]
 	if j == nil && (w.Real != nil || len(w.Runs) > 0) {
 		j = w.describe(jobID)
 	}
-	p := &agentTask{taskID: o.TaskID, attempt: o.Attempt, status: "pulling", job: j, index: n, launchSentAt: sent}
-	refused := wk.inUse(o)
-	wk.tasks[attemptKey(o.TaskID, o.Attempt)] = p
-	if wk.reaped[attemptKey(o.TaskID, o.Attempt)] {
-		w.Breach("%s is launched on %s a second time as try %d", o.TaskID, wk.machine.ID, o.Attempt)
+	p := &agentTask{taskID: c.TaskID, attempt: c.Attempt, status: "pulling", job: j, index: n, launchSentAt: sent}
+	refused := wk.inUse(c)
+	key := attemptKey(c.TaskID, c.Attempt)
+	wk.tasks[key] = p
+	if wk.reaped[key] {
+		w.Breach("%s is launched on %s a second time as try %d", c.TaskID, wk.machine.ID, c.Attempt)
 	}
-	if !ok || j == nil || n >= j.Pieces {
-		w.Breach("%s is launched, which no one submitted", o.TaskID)
+	switch {
+	case !ok || j == nil || n >= j.Pieces:
+		w.Breach("%s is launched, which no one submitted", c.TaskID)
 		wk.end(p, "no_such", false)
 		return
-	}
-	if refused {
+	case refused:
 		wk.end(p, "in_use", false)
 		return
+	case wk.overcommitted():
+		wk.end(p, "no_room", false)
+		return
 	}
+	if w.Launched != nil {
+		w.Launched(c.TaskID)
+	}
+	w.fireEvent(Launched)
+	wk.fetchImage(p)
+}
+
+// overcommitted tells whether the tasks on the machine need more accelerators than it has.
+func (wk *Worker) overcommitted() bool {
 	used := 0.0
-	for _, q := range wk.tasks {
-		if q.status != "ended" && q.job != nil {
-			used += q.job.Accel
+	for _, p := range wk.tasks {
+		if p.status != "ended" && p.job != nil {
+			used += p.job.Accel
 		}
 	}
 	room := 4.0
 	if wk.machine.MachineType == "g8" {
 		room = 8
 	}
-	if used > room {
-		wk.end(p, "no_room", false)
-		return
-	}
-	if w.Launched != nil {
-		w.Launched(o.TaskID)
-	}
-	w.fireEvent(Launched)
-	fetch := j.PullS
-	if wk.sim.Images && wk.images[j.Bundle] {
+	return used > room
+}
+
+// fetchImage has a task begin once the machine has its image.
+func (wk *Worker) fetchImage(p *agentTask) {
+	fetch := p.job.PullS
+	if wk.sim.Images && wk.images[p.job.Bundle] {
 		fetch = 0
 	}
 	wk.after(p, fetch, func() {
 		if wk.images == nil {
 			wk.images = map[string]bool{}
 		}
-		wk.images[j.Bundle] = true
+		wk.images[p.job.Bundle] = true
 		wk.begin(p)
 	})
 }
