--- a/internal/simulation/calendar_watch.go
+++ b/internal/simulation/calendar_watch.go
@@ -43,19 +43,7 @@
 		sim: w, tracks: map[string]*calendar.Record{}, before: map[string]*calendar.Record{}, specs: map[string]quota.Key{},
 		tasks: map[string]jobs.Task{}, opened: map[occurrence]int{}, final: map[occurrence]calendar.State{}, moved: moved,
 	}
-	next, settled := w.Store.Committed, w.Store.Settled
-	w.Store.Committed = func(key string, v json.RawMessage) {
-		if next != nil {
-			next(key, v)
-		}
-		c.committed(key, v)
-	}
-	w.Store.Settled = func() {
-		if settled != nil {
-			settled()
-		}
-		c.settled()
-	}
+	w.observe(c.committed, c.settled)
 	w.Launched = c.launched
 	w.calendar = c
 }
--- a/internal/simulation/invalid_requests.go
+++ b/internal/simulation/invalid_requests.go
@@ -31,52 +31,68 @@
 	if json.Unmarshal(body, &m) != nil || m == nil {
 		return 400, "not an object"
 	}
+	n, why := requiredFields(m)
+	if why != "" {
+		return 400, why
+	}
+	if n["pieces"] < 1 || n["pieces"] > jobs.MaxTasks || n["pieces"] != math.Trunc(n["pieces"]) {
+		return 400, "has no number of tasks"
+	}
+	limit, known := w.Max[m["owner"].(string)]
+	if len(w.Max) > 0 && !known {
+		return 422, "unknown team"
+	}
+	if !fitsSomeType(m, n) {
+		return 422, "fits no machine type"
+	}
+	tasks := n["pieces"]
+	if m["shape"] == jobs.JobArray {
+		tasks = 1
+	}
+	if w.account == nil && limit > 0 && tasks*n["accelerators"] > limit {
+		return 422, "needs more than its team's limit"
+	}
+	return 201, ""
+}
+
+// requiredFields gives back a submission's amounts, and what it lacks, "" if nothing.
+func requiredFields(m map[string]any) (amounts map[string]float64, why string) {
 	for _, f := range textFields {
 		if s, ok := m[f].(string); !ok || s == "" {
-			return 400, "lacks " + f
+			return nil, "lacks " + f
 		}
 	}
-	n := map[string]float64{}
+	amounts = map[string]float64{}
 	for _, f := range amountFields {
 		v, ok := m[f].(float64)
 		if !ok || v < 0 {
-			return 400, "lacks " + f
+			return nil, "lacks " + f
 		}
-		n[f] = v
+		amounts[f] = v
 	}
 	for _, f := range boolFields {
 		if _, ok := m[f].(bool); !ok {
-			return 400, "lacks " + f
+			return nil, "lacks " + f
 		}
 	}
-	if n["pieces"] < 1 || n["pieces"] > jobs.MaxTasks || n["pieces"] != math.Trunc(n["pieces"]) {
-		return 400, "has no number of tasks"
-	}
-	most, known := w.Max[m["owner"].(string)]
-	if len(w.Max) > 0 && !known {
-		return 422, "unknown team"
-	}
+	return amounts, ""
+}
+
+// fitsSomeType tells whether some machine type that a submission allows is large enough for
+// one of its tasks.
+func fitsSomeType(m map[string]any, n map[string]float64) bool {
 	zone, _ := m["site"].(string)
 	builds, _ := m["builds"].([]any)
-	fits := false
 	for _, b := range machineTypes {
 		whole := capacityOf(b["name"].(string))
 		allowed := (builds == nil || slices.Contains(builds, b["name"])) &&
 			(zone == "" || slices.Contains(b["sites"].([]string), zone))
-		fits = fits ||
-			allowed && n["cores"] <= whole.Cores && n["accelerators"] <= whole.Accelerators && n["memory_gb"] <= whole.MemoryGB
-	}
-	if !fits {
-		return 422, "fits no machine type"
-	}
-	tasks := n["pieces"]
-	if m["shape"] == jobs.JobArray {
-		tasks = 1
-	}
-	if w.account == nil && most > 0 && tasks*n["accelerators"] > most {
-		return 422, "needs more than its team's limit"
+		if allowed && n["cores"] <= whole.Cores && n["accelerators"] <= whole.Accelerators &&
+			n["memory_gb"] <= whole.MemoryGB {
+			return true
+		}
 	}
-	return 201, ""
+	return false
 }
 
 // checkAdmission holds the answer to a submission that no one had accepted against the
--- a/internal/simulation/leader_events.go
+++ b/internal/simulation/leader_events.go
@@ -45,27 +45,19 @@
 
 // watchReleases notes each transaction that releases or places tasks.
 func (w *Simulator) watchReleases() {
-	next, settled := w.Store.Committed, w.Store.Settled
-	gave := false
-	w.Store.Committed = func(key string, v json.RawMessage) {
-		if next != nil {
-			next(key, v)
-		}
+	released := false
+	w.observe(func(key string, v json.RawMessage) {
 		if strings.HasPrefix(key, jobs.TaskPrefix) || strings.HasPrefix(key, taskbatch.KeyPrefix) {
 			for _, e := range recordTasks(key, v) {
-				gave = gave || e.Task.State == jobs.Released
+				released = released || e.Task.State == jobs.Released
 			}
 		}
-	}
-	w.Store.Settled = func() {
-		if settled != nil {
-			settled()
-		}
-		if gave {
-			gave = false
+	}, func() {
+		if released {
+			released = false
 			w.fireEvent(Released)
 		}
-	}
+	})
 }
 
 // rentMoments tells when a rent is carried out and when its answer is taken.
--- a/internal/simulation/loan_watch.go
+++ b/internal/simulation/loan_watch.go
@@ -37,37 +37,32 @@
 		On:     map[string]func(string){},
 	}
 	w.Loans = lo
-	next, settled := w.Store.Committed, w.Store.Settled
-	w.Store.Committed = func(key string, v json.RawMessage) {
-		if next != nil {
-			next(key, v)
-		}
-		switch {
-		case strings.HasPrefix(key, jobs.JobPrefix):
-			if r, err := jobs.DecodeRecord(key[len(jobs.JobPrefix):], v); err == nil {
-				lo.specs[r.Spec.ID] = &r.Spec
-			}
-		case strings.HasPrefix(key, jobs.TaskPrefix), strings.HasPrefix(key, taskbatch.KeyPrefix):
-			for _, e := range recordTasks(key, v) {
-				taskID := jobs.TaskID(e.JobID, e.Index)
-				if _, known := lo.before[taskID]; !known {
-					lo.before[taskID] = lo.tasks[taskID]
-				}
-				lo.tasks[taskID] = e.Task
-			}
-		}
-	}
-	w.Store.Settled = func() {
-		if settled != nil {
-			settled()
-		}
+	w.observe(lo.committed, func() {
 		lo.check(guarantee)
 		clear(lo.before)
 		lo.notifyStates()
-	}
+	})
 	return lo
 }
 
+// committed takes one write of a transaction.
+func (lo *Loans) committed(key string, v json.RawMessage) {
+	switch {
+	case strings.HasPrefix(key, jobs.JobPrefix):
+		if r, err := jobs.DecodeRecord(key[len(jobs.JobPrefix):], v); err == nil {
+			lo.specs[r.Spec.ID] = &r.Spec
+		}
+	case strings.HasPrefix(key, jobs.TaskPrefix), strings.HasPrefix(key, taskbatch.KeyPrefix):
+		for _, e := range recordTasks(key, v) {
+			taskID := jobs.TaskID(e.JobID, e.Index)
+			if _, known := lo.before[taskID]; !known {
+				lo.before[taskID] = lo.tasks[taskID]
+			}
+			lo.tasks[taskID] = e.Task
+		}
+	}
+}
+
 // check looks at what a transaction stopped for loans.
 func (lo *Loans) check(guarantee map[string]float64) {
 	for taskID, was := range lo.before {
--- a/internal/simulation/pipeline_runs.go
+++ b/internal/simulation/pipeline_runs.go
@@ -105,7 +105,17 @@
 	if s.Status == pipelines.RunCancelled && !r.AbortAsked {
 		w.Break("went_back: %s is cancelled by nobody", r.ID)
 	}
-	ends := map[string]time.Time{}
+	w.checkRunSteps(r, &s)
+	w.checkRunOrder(r, &s)
+	r.Status, r.Told = s, string(s.Status)
+	if s.Status == pipelines.RunCancelled {
+		w.noteRunCancelled(r)
+	}
+}
+
+// checkRunSteps checks what is told of a run's steps against what was told before, and
+// against what the workers did.
+func (w *Simulator) checkRunSteps(r *Run, s *pipelines.Status) {
 	for i, step := range s.Steps {
 		if i < len(r.Status.Steps) {
 			was := r.Status.Steps[i]
@@ -114,18 +124,26 @@
 			}
 		}
 		j := w.Jobs[step.Job]
-		if j == nil {
-			if step.Status == pipelines.Succeeded {
-				w.Break("not_done: %s of %s never ran", step.Name, r.ID)
-			}
-			continue
+		if j != nil {
+			r.steps[step.Job] = j
 		}
-		r.steps[step.Job] = j
-		if step.Status == pipelines.Succeeded && len(j.Done) < j.Pieces {
+		switch {
+		case step.Status != pipelines.Succeeded:
+		case j == nil:
+			w.Break("not_done: %s of %s never ran", step.Name, r.ID)
+		case len(j.Done) < j.Pieces:
 			w.Break("not_done: %s of %s has %d of %d", step.Name, r.ID, len(j.Done), j.Pieces)
 		}
+	}
+}
+
+// checkRunOrder checks that no step started before all that it needs had ended.
+func (w *Simulator) checkRunOrder(r *Run, s *pipelines.Status) {
+	ends := map[string]time.Time{}
+	for _, step := range s.Steps {
+		j := w.Jobs[step.Job]
 		name, _, _ := strings.Cut(step.Name, "[")
-		if step.Status.Over() && j.LastDone.After(ends[name]) {
+		if j != nil && step.Status.Over() && j.LastDone.After(ends[name]) {
 			ends[name] = j.LastDone
 		}
 	}
@@ -137,10 +155,6 @@
 			}
 		}
 	}
-	r.Status, r.Told = s, string(s.Status)
-	if s.Status == pipelines.RunCancelled {
-		w.noteRunCancelled(r)
-	}
 }
 
 // noteRunCancelled checks, as for jobs, that all is gone in time.
--- a/internal/simulation/quota_watch.go
+++ b/internal/simulation/quota_watch.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"fmt"
 	"slices"
 	"strings"
 	"time"
@@ -55,86 +54,119 @@
 // its use does not grow; and that whatever is stopped has a cause. stops counts the
 // causes.
 func (w *Simulator) WatchQuotas(teams map[string]quota.Team, classes []string) (stops map[string]int) {
-	stops = map[string]int{}
-	specs := map[string]*jobs.Spec{}
-	stopped := map[string]bool{}
-	charged := map[string][]charge{} // by record
-	account := quota.NewAccount(quota.Flat(teams))
-	w.account = account
-	next := w.Store.Committed
-	take := func(key string, v json.RawMessage) {
-		for _, c := range charged[key] {
-			account.Charge(c.key, c.amount, -1)
+	q := &quotaWatch{
+		sim:     w,
+		teams:   teams,
+		classes: classes,
+		stops:   map[string]int{},
+		specs:   map[string]*jobs.Spec{},
+		stopped: map[string]bool{},
+		charged: map[string][]charge{},
+		account: quota.NewAccount(quota.Flat(teams)),
+	}
+	q.before = q.account.Clone()
+	w.account = q.account
+	w.observe(q.committed, q.settled)
+	return q.stops
+}
+
+// quotaWatch is what the records say of the use of quotas.
+type quotaWatch struct {
+	sim     *Simulator
+	teams   map[string]quota.Team
+	classes []string
+	stops   map[string]int // by cause
+	specs   map[string]*jobs.Spec
+	stopped map[string]bool     // attempts that were counted in stops
+	charged map[string][]charge // by record
+	account *quota.Account
+	before  *quota.Account // as of the transaction before
+}
+
+// committed takes one write of a transaction.
+func (q *quotaWatch) committed(key string, v json.RawMessage) {
+	switch {
+	case key == quota.StoreKey:
+		q.treeCommitted(v)
+	case strings.HasPrefix(key, jobs.JobPrefix):
+		jobID := key[len(jobs.JobPrefix):]
+		if r, err := jobs.DecodeRecord(jobID, v); err == nil {
+			q.specs[jobID] = &r.Spec
+			return
 		}
-		delete(charged, key)
-		for _, e := range recordTasks(key, v) {
-			spec := specs[e.JobID]
-			if spec == nil {
-				continue
-			}
-			if e.Task.Charged() {
-				charged[key] = append(charged[key], charge{e.JobID, spec.QuotaKey(), spec.Amount()})
-				account.Charge(spec.QuotaKey(), spec.Amount(), 1)
-			}
-			if e.Task.State == jobs.Stopping {
-				taskID := jobs.TaskID(e.JobID, e.Index)
-				if e.Task.Reason == "" {
-					w.Break("stopped without a cause: %s", taskID)
-				}
-				if attempt := fmt.Sprint(taskID, e.Task.Attempt); !stopped[attempt] {
-					stopped[attempt] = true
-					stops[e.Task.Reason]++
-				}
+		q.forget(jobID)
+	case strings.HasPrefix(key, jobs.TaskPrefix), strings.HasPrefix(key, taskbatch.KeyPrefix):
+		q.tasksCommitted(key, v)
+	}
+}
+
+// treeCommitted puts another tree in force.
+func (q *quotaWatch) treeCommitted(v json.RawMessage) {
+	s, err := quota.Decode(v)
+	if err != nil {
+		return // planted by a scenario
+	}
+	tree, faults := quota.Build(&s.Doc, q.teams, q.classes)
+	if tree == nil {
+		q.sim.Break("a tree with faults was put in force: %v", faults)
+		return
+	}
+	q.account.Rebase(tree)
+	q.before = q.account.Clone()
+}
+
+// forget takes back what a job is charged for. Its record goes when the last of its tasks
+// has truly ended; what a task batch still says of it counts no more.
+func (q *quotaWatch) forget(jobID string) {
+	delete(q.specs, jobID)
+	for key, charges := range q.charged {
+		q.charged[key] = slices.DeleteFunc(charges, func(c charge) bool {
+			if c.jobID == jobID {
+				q.account.Charge(c.key, c.amount, -1)
 			}
-		}
+			return c.jobID == jobID
+		})
 	}
-	before := account.Clone()
-	w.Store.Committed = func(key string, v json.RawMessage) {
-		if next != nil {
-			next(key, v)
+}
+
+// tasksCommitted charges the tasks of a record, in place of what it held before.
+func (q *quotaWatch) tasksCommitted(key string, v json.RawMessage) {
+	for _, c := range q.charged[key] {
+		q.account.Charge(c.key, c.amount, -1)
+	}
+	delete(q.charged, key)
+	for _, e := range recordTasks(key, v) {
+		spec := q.specs[e.JobID]
+		if spec == nil {
+			continue
 		}
-		switch {
-		case key == quota.StoreKey:
-			if s, err := quota.Decode(v); err == nil {
-				if tree, faults := quota.Build(&s.Doc, teams, classes); tree != nil {
-					account.Rebase(tree)
-					before = account.Clone()
-				} else {
-					w.Break("a tree with faults was put in force: %v", faults)
-				}
-			}
-		case strings.HasPrefix(key, jobs.JobPrefix):
-			jobID := key[len(jobs.JobPrefix):]
-			if r, err := jobs.DecodeRecord(jobID, v); err == nil {
-				specs[jobID] = &r.Spec
-				return
-			}
-			// Its record goes when the last of its tasks has truly ended; what a
-			// pack still says of it counts no more.
-			delete(specs, jobID)
-			for k, cs := range charged {
-				charged[k] = slices.DeleteFunc(cs, func(c charge) bool {
-					if c.jobID == jobID {
-						account.Charge(c.key, c.amount, -1)
-					}
-					return c.jobID == jobID
-				})
-			}
-		case strings.HasPrefix(key, jobs.TaskPrefix), strings.HasPrefix(key, taskbatch.KeyPrefix):
-			take(key, v)
+		if e.Task.Charged() {
+			q.charged[key] = append(q.charged[key], charge{e.JobID, spec.QuotaKey(), spec.Amount()})
+			q.account.Charge(spec.QuotaKey(), spec.Amount(), 1)
 		}
-	}
-	settled := w.Store.Settled
-	w.Store.Settled = func() {
-		if settled != nil {
-			settled()
+		if e.Task.State == jobs.Stopping {
+			q.countStop(jobs.TaskID(e.JobID, e.Index), e.Task)
 		}
-		for _, i := range account.Over() {
-			if !before.Used(i).Covers(account.Used(i)) {
-				w.Break("quota: %s uses %s, more than its limit", account.Tree().Path(i), account.Used(i))
-			}
+	}
+}
+
+// countStop counts an attempt that is stopped, once, by its cause.
+func (q *quotaWatch) countStop(taskID string, t jobs.Task) {
+	if t.Reason == "" {
+		q.sim.Break("stopped without a cause: %s", taskID)
+	}
+	if key := attemptKey(taskID, t.Attempt); !q.stopped[key] {
+		q.stopped[key] = true
+		q.stops[t.Reason]++
+	}
+}
+
+// settled checks the use after a transaction.
+func (q *quotaWatch) settled() {
+	for _, i := range q.account.Over() {
+		if !q.before.Used(i).Covers(q.account.Used(i)) {
+			q.sim.Break("quota: %s uses %s, more than its limit", q.account.Tree().Path(i), q.account.Used(i))
 		}
-		before = account.Clone()
 	}
-	return stops
+	q.before = q.account.Clone()
 }
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -496,3 +496,21 @@
 	}
 	return c
 }
+
+// observe has all writes and ends of transactions told to one more observer, after those
+// that are there.
+func (w *Simulator) observe(committed func(key string, v json.RawMessage), settled func()) {
+	nextCommitted, nextSettled := w.Store.Committed, w.Store.Settled
+	w.Store.Committed = func(key string, v json.RawMessage) {
+		if nextCommitted != nil {
+			nextCommitted(key, v)
+		}
+		committed(key, v)
+	}
+	w.Store.Settled = func() {
+		if nextSettled != nil {
+			nextSettled()
+		}
+		settled()
+	}
+}
--- a/internal/simulation/stranded.go
+++ b/internal/simulation/stranded.go
@@ -212,7 +212,8 @@
 func (w *Simulator) fitsNow(j *Job, held map[int]*Worker, free map[*Worker]sharding.Resources) bool {
 	need := j.need()
 	room := map[string]int{} // tasks that each zone has room for
-	for _, wk := range slices.SortedFunc(maps.Keys(free), func(a, b *Worker) int { return strings.Compare(a.machine.ID, b.machine.ID) }) {
+	byName := func(a, b *Worker) int { return strings.Compare(a.machine.ID, b.machine.ID) }
+	for _, wk := range slices.SortedFunc(maps.Keys(free), byName) {
 		for left := free[wk]; j.allowed(wk) && left.Fits(need) && room[wk.machine.Zone] < j.Pieces; left = left.Sub(need) {
 			room[wk.machine.Zone]++
 		}
--- a/internal/simulation/task_watch.go
+++ b/internal/simulation/task_watch.go
@@ -18,66 +18,81 @@
 // that its try never falls, that what is done stays done, and that no record of a task
 // on a machine goes while its job is live.
 func (w *Simulator) WatchTasks() {
-	tasks := map[string]*recordedTask{}
-	holds := map[string]map[string]bool{} // record to pieces
-	live := map[string]bool{}             // jobs that are neither done nor cancelled
-	next, settled := w.Store.Committed, w.Store.Settled
-	lost := map[string]bool{}   // pieces that a record of this transaction no longer holds
-	now := map[string][]entry{} // records that this transaction wrote
-	w.Store.Committed = func(key string, v json.RawMessage) {
-		if next != nil {
-			next(key, v)
-		}
-		switch {
-		case strings.HasPrefix(key, jobs.JobPrefix):
-			r, err := jobs.DecodeRecord(key[4:], v)
-			live[key[4:]] = err == nil && r.State == jobs.Live
-		case strings.HasPrefix(key, jobs.TaskPrefix), strings.HasPrefix(key, taskbatch.KeyPrefix):
-			now[key] = nil
-			for _, e := range recordTasks(key, v) {
-				now[key] = append(now[key], entry{jobs.TaskID(e.JobID, e.Index), e.Task})
-			}
-		}
+	t := &taskWatch{
+		sim:     w,
+		tasks:   map[string]*recordedTask{},
+		holds:   map[string]map[string]bool{},
+		live:    map[string]bool{},
+		written: map[string][]entry{},
 	}
-	w.Store.Settled = func() {
-		if settled != nil {
-			settled()
+	w.observe(t.committed, t.settled)
+}
+
+// taskWatch is what the records say of all tasks.
+type taskWatch struct {
+	sim     *Simulator
+	tasks   map[string]*recordedTask   // by task ID
+	holds   map[string]map[string]bool // record to task IDs
+	live    map[string]bool            // jobs that are neither done nor cancelled
+	written map[string][]entry         // records that this transaction wrote
+}
+
+// committed takes one write of a transaction.
+func (t *taskWatch) committed(key string, v json.RawMessage) {
+	switch {
+	case strings.HasPrefix(key, jobs.JobPrefix):
+		jobID := key[len(jobs.JobPrefix):]
+		r, err := jobs.DecodeRecord(jobID, v)
+		t.live[jobID] = err == nil && r.State == jobs.Live
+	case strings.HasPrefix(key, jobs.TaskPrefix), strings.HasPrefix(key, taskbatch.KeyPrefix):
+		t.written[key] = nil
+		for _, e := range recordTasks(key, v) {
+			t.written[key] = append(t.written[key], entry{jobs.TaskID(e.JobID, e.Index), e.Task})
 		}
-		for key := range now {
-			for taskID := range holds[key] {
-				lost[taskID] = true
-				tasks[taskID].in = ""
-			}
-			holds[key] = map[string]bool{}
+	}
+}
+
+// settled checks the records that a transaction wrote.
+func (t *taskWatch) settled() {
+	lost := map[string]bool{} // tasks that a record of this transaction no longer holds
+	for key := range t.written {
+		for taskID := range t.holds[key] {
+			lost[taskID] = true
+			t.tasks[taskID].in = ""
 		}
-		for key, es := range now {
-			for _, e := range es {
-				h := tasks[e.taskID]
-				switch {
-				case h == nil:
-					h = &recordedTask{}
-					tasks[e.taskID] = h
-				case h.in != "":
-					w.Break("%s is in %s and in %s", e.taskID, h.in, key)
-				case e.task.Attempt < h.task.Attempt:
-					w.Break("%s: try %d after %d", e.taskID, e.task.Attempt, h.task.Attempt)
-				case h.task.State == jobs.Finished && e.task.State != jobs.Finished:
-					w.Break("%s: %s after done", e.taskID, e.task.State)
-				}
-				h.in, h.task = key, e.task
-				holds[key][e.taskID] = true
-				delete(lost, e.taskID)
-			}
+		t.holds[key] = map[string]bool{}
+	}
+	for key, entries := range t.written {
+		for _, e := range entries {
+			t.take(key, e)
+			delete(lost, e.taskID)
 		}
-		for taskID := range lost {
-			jobID, _, _ := jobs.SplitTaskID(taskID)
-			if tasks[taskID].task.OnMachine() && live[jobID] {
-				w.Break("%s was on a machine when its record went", taskID)
-			}
+	}
+	for taskID := range lost {
+		jobID, _, _ := jobs.SplitTaskID(taskID)
+		if t.tasks[taskID].task.OnMachine() && t.live[jobID] {
+			t.sim.Break("%s was on a machine when its record went", taskID)
 		}
-		clear(lost)
-		clear(now)
 	}
+	clear(t.written)
+}
+
+// take notes that a record holds a task, and checks it against what was noted before.
+func (t *taskWatch) take(key string, e entry) {
+	known := t.tasks[e.taskID]
+	switch {
+	case known == nil:
+		known = &recordedTask{}
+		t.tasks[e.taskID] = known
+	case known.in != "":
+		t.sim.Break("%s is in %s and in %s", e.taskID, known.in, key)
+	case e.task.Attempt < known.task.Attempt:
+		t.sim.Break("%s: try %d after %d", e.taskID, e.task.Attempt, known.task.Attempt)
+	case known.task.State == jobs.Finished && e.task.State != jobs.Finished:
+		t.sim.Break("%s: %s after done", e.taskID, e.task.State)
+	}
+	known.in, known.task = key, e.task
+	t.holds[key][e.taskID] = true
 }
 
 // entry is a task in a record.
