--- a/internal/simulation/aftermath_test.go
+++ b/internal/simulation/aftermath_test.go
@@ -13,12 +13,12 @@
 	w := NewSimulator(1, slog.New(slog.DiscardHandler))
 	w.Now = w.Start.Add(10 * time.Minute)
 	at := func(s int) time.Time { return w.Start.Add(time.Duration(s) * time.Second) }
-	add := func(jobID, class, owner string, pieces, submitted, begun int) *Job {
+	add := func(jobID, class, owner string, taskCount, submitted, begun int) *Job {
 		j := &Job{
 			UID:         jobID,
 			Class:       class,
 			Owner:       owner,
-			Pieces:      pieces,
+			Pieces:      taskCount,
 			Accel:       1,
 			Accepted:    true,
 			SubmittedAt: at(submitted),
--- a/internal/simulation/gangs.go
+++ b/internal/simulation/gangs.go
@@ -7,11 +7,11 @@
 )
 
 // gangTasks lists the pieces of a gang's attempt.
-func (w *Simulator) gangTasks(j *Job, try uint64) map[*agentTask]*Worker {
+func (w *Simulator) gangTasks(j *Job, attempt uint64) map[*agentTask]*Worker {
 	out := map[*agentTask]*Worker{}
 	for _, wk := range w.Workers {
 		for _, p := range wk.tasks {
-			if p.job == j && p.attempt == try && p.status != "ended" {
+			if p.job == j && p.attempt == attempt && p.status != "ended" {
 				out[p] = wk
 			}
 		}
@@ -19,23 +19,23 @@
 	return out
 }
 
-func (w *Simulator) startGang(j *Job, try uint64) {
-	mates := w.gangTasks(j, try)
-	if len(mates) < j.Pieces {
+func (w *Simulator) startGang(j *Job, attempt uint64) {
+	peers := w.gangTasks(j, attempt)
+	if len(peers) < j.Pieces {
 		return
 	}
-	for p := range mates {
+	for p := range peers {
 		if p.status != "waiting" {
 			return
 		}
 	}
-	for p, wk := range mates {
+	for p, wk := range peers {
 		wk.run(p)
 	}
 	hungSince := map[*Worker]time.Time{}
 	var watch func()
 	watch = func() {
-		now := w.gangTasks(j, try)
+		now := w.gangTasks(j, attempt)
 		if len(now) == 0 {
 			return
 		}
@@ -61,13 +61,13 @@
 }
 
 // endGang completes a gang: if one of its tasks is done, every task is.
-func (w *Simulator) endGang(j *Job, try uint64) {
+func (w *Simulator) endGang(j *Job, attempt uint64) {
 	for n := range j.Pieces {
 		j.Done[n] = true
 	}
 	j.LastDone = w.Now
 	w.jobEnded(j)
-	for p, wk := range w.gangTasks(j, try) {
+	for p, wk := range w.gangTasks(j, attempt) {
 		wk.end(p, "done", false)
 	}
 }
@@ -81,9 +81,9 @@
 		return
 	}
 	p.status, wk.changed = "saving", true
-	mates := w.gangTasks(p.job, p.attempt)
-	first, all := true, len(mates) == p.job.Pieces
-	for m := range mates {
+	peers := w.gangTasks(p.job, p.attempt)
+	first, all := true, len(peers) == p.job.Pieces
+	for m := range peers {
 		first = first && (m == p || m.status != "saving")
 		all = all && m.status == "saving"
 	}
@@ -100,7 +100,7 @@
 	}
 	if all {
 		w.Loans.Saved++
-		for m, at := range mates {
+		for m, at := range peers {
 			at.after(m, 1, func() { at.end(m, "stopped", true) })
 		}
 	}
--- a/internal/simulation/leader_events.go
+++ b/internal/simulation/leader_events.go
@@ -118,11 +118,11 @@
 }
 
 // WrongTokens names the machines that have seen a token of no view so far, or one whose
-// counter is above most.
-func (w *Simulator) WrongTokens(most uint64) (out []string) {
+// counter is above maxCounter.
+func (w *Simulator) WrongTokens(maxCounter uint64) (out []string) {
 	epoch := w.Epoch()
 	for _, id := range w.Hosts() {
-		if token := w.Workers[id].fencingToken; token/agent.FencingTokenSpan > epoch || token%agent.FencingTokenSpan > most {
+		if token := w.Workers[id].fencingToken; token/agent.FencingTokenSpan > epoch || token%agent.FencingTokenSpan > maxCounter {
 			out = append(out, id)
 		}
 	}
--- a/internal/simulation/limits_test.go
+++ b/internal/simulation/limits_test.go
@@ -182,7 +182,7 @@
 	for range 1100 {
 		w.Cloud.AddRunning("g4", "a", false)
 	}
-	seen, since := 0, ""
+	listed, since := 0, ""
 	for more := true; more; {
 		_, answer := ask(w.Cloud.Serve, "GET", "/hosts?limit=500&since="+since, "")
 		var page struct {
@@ -192,11 +192,11 @@
 		if json.Unmarshal([]byte(answer), &page) != nil || len(page.Hosts) > 500 {
 			t.Fatal(answer)
 		}
-		seen, more = seen+len(page.Hosts), page.HasNext
+		listed, more = listed+len(page.Hosts), page.HasNext
 		since = page.Hosts[len(page.Hosts)-1].UID
 	}
-	if seen != 1100 {
-		t.Error(seen)
+	if listed != 1100 {
+		t.Error(listed)
 	}
 	w.Cloud.RPS = 2
 	var statuses []int
@@ -254,8 +254,8 @@
 }
 
 // commandJSON is one command.
-func commandJSON(verb, taskID string, try int) string {
-	return fmt.Sprintf(`{"verb":%q,"piece":%q,"try":%d}`, verb, taskID, try)
+func commandJSON(verb, taskID string, attempt int) string {
+	return fmt.Sprintf(`{"verb":%q,"piece":%q,"try":%d}`, verb, taskID, attempt)
 }
 
 var launchFirst = commandJSON("launch", "wk-1/0", 1)
--- a/internal/simulation/pipeline_runs.go
+++ b/internal/simulation/pipeline_runs.go
@@ -27,11 +27,11 @@
 func (w *Simulator) SubmitRun(r *Run) {
 	w.Runs[r.ID] = r
 	r.steps = map[string]*Job{}
-	var try func()
-	try = func() {
+	var submit func()
+	submit = func() {
 		w.request("POST", "/pipelines", r.Body, func(status int, b []byte, err error) {
 			if err != nil || status == 429 || status == 503 {
-				w.After(time.Second, try)
+				w.After(time.Second, submit)
 				return
 			}
 			r.Answer = status
@@ -42,7 +42,7 @@
 			}
 		})
 	}
-	try()
+	submit()
 }
 
 // AgainRun repeats a run's submission, perhaps with another body.
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -133,10 +133,10 @@
 	return s
 }
 
-// SlowSome has, for so long, that share of its answers come up to most later, each by a
+// SlowSome has, for so long, that share of its answers come up to longest later, each by a
 // time of its own: of two answers to one controller the later may come first.
-func (s *Store) SlowSome(share float64, most, long time.Duration) {
-	s.slowShare, s.maxSlow = chance{share, s.sim.Now.Add(long)}, most
+func (s *Store) SlowSome(share float64, longest, long time.Duration) {
+	s.slowShare, s.maxSlow = chance{share, s.sim.Now.Add(long)}, longest
 }
 
 // SetDown starts or ends an outage; every lease then has its full time again.
--- a/internal/simulation/stranded.go
+++ b/internal/simulation/stranded.go
@@ -42,12 +42,12 @@
 // WatchStranded looks from now on, all the time, at the jobs that wait.
 func (w *Simulator) WatchStranded() {
 	w.stranded = w.newStrandedWatch()
-	var look func()
-	look = func() {
+	var check func()
+	check = func() {
 		w.stranded.check()
-		w.After(strandedCheckEvery, look)
+		w.After(strandedCheckEvery, check)
 	}
-	look()
+	check()
 }
 
 // Stranded names the jobs that have waited for so long while there was room.
@@ -198,8 +198,8 @@
 	if w.account != nil && !w.account.Allows(w.account.Tree().Leaf(key), j.spec.Amount(), n) {
 		return false
 	}
-	most := w.Max[j.Owner]
-	return most == 0 || u[j.Owner]+float64(n)*j.Accel <= most+1e-6
+	limit := w.Max[j.Owner]
+	return limit == 0 || u[j.Owner]+float64(n)*j.Accel <= limit+1e-6
 }
 
 // allowed tells whether a machine is one that the job allows.
@@ -222,16 +222,16 @@
 	for _, wk := range held {
 		in[wk.machine.Zone]++
 	}
-	most := j.Pieces
+	maxInZone := j.Pieces
 	if j.Scatter {
-		most = (j.Pieces + 1) / 2
+		maxInZone = (j.Pieces + 1) / 2
 	}
 	total, widest := 0, 0
 	for zone, n := range room {
 		if j.SamePlace && len(in) > 0 && in[zone] == 0 {
 			continue // its other tasks are elsewhere
 		}
-		n = min(n, most-in[zone])
+		n = min(n, maxInZone-in[zone])
 		total, widest = total+max(n, 0), max(widest, n)
 	}
 	switch {
--- a/internal/simulation/stranded_test.go
+++ b/internal/simulation/stranded_test.go
@@ -22,9 +22,9 @@
 }
 
 // submitted is a job as a user hands it in.
-func submitted(w *Simulator, jobID, shape string, pieces int, change func(map[string]any)) *Job {
+func submitted(w *Simulator, jobID, shape string, taskCount int, change func(map[string]any)) *Job {
 	body := wholeSubmission(jobID, func(m map[string]any) {
-		m["shape"], m["pieces"] = shape, pieces
+		m["shape"], m["pieces"] = shape, taskCount
 		change(m)
 	})
 	spec, err := jobs.ParseSpec(body)
@@ -35,7 +35,7 @@
 		UID:         jobID,
 		Shape:       shape,
 		Owner:       spec.Team,
-		Pieces:      pieces,
+		Pieces:      taskCount,
 		Accel:       spec.Accelerators,
 		RunS:        100,
 		PullS:       5,
@@ -120,7 +120,7 @@
 	for name, c := range map[string]struct {
 		after  time.Duration
 		ended  bool
-		look   func(*Worker)
+		resume func(*Worker)
 		breaks string
 	}{
 		"resumes past cancel_s": {61 * time.Second, false, (*Worker).Resume, breaks},
@@ -141,7 +141,7 @@
 			wk.end(wk.tasks["wk-000001/0#1"], "stopped", false)
 		}
 		w.RunUntil(c.after)
-		if c.look(wk); !broke(w, c.breaks) {
+		if c.resume(wk); !broke(w, c.breaks) {
 			t.Errorf("%s: %q", name, w.Broken)
 		}
 	}
@@ -192,11 +192,11 @@
 }
 
 var strandedCases = map[string]struct {
-	shape    string
-	pieces   int
-	change   func(map[string]any)
-	prepare  func(strandedSetting)
-	stranded bool
+	shape     string
+	taskCount int
+	change    func(map[string]any)
+	prepare   func(strandedSetting)
+	stranded  bool
 }{
 	"room":             {jobs.JobArray, 1, whole, strandedSetting.room, true},
 	"one task of many": {jobs.JobArray, 99, whole, strandedSetting.room, true},
@@ -303,7 +303,7 @@
 func TestStrandedJobBreaksAfterNinetySeconds(t *testing.T) {
 	for name, c := range strandedCases {
 		w := quietWorld()
-		j := submitted(w, "wk-000001", c.shape, c.pieces, c.change)
+		j := submitted(w, "wk-000001", c.shape, c.taskCount, c.change)
 		c.prepare(strandedSetting{w, j})
 		var answered func()
 		answered = func() { // nobody is forgotten here
@@ -316,7 +316,7 @@
 		w.Aftermath()
 		want := ""
 		if c.stranded {
-			want = fmt.Sprintf("stranded: wk-000001 of team, a %s of %d, has waited for 1m30s", c.shape, c.pieces)
+			want = fmt.Sprintf("stranded: wk-000001 of team, a %s of %d, has waited for 1m30s", c.shape, c.taskCount)
 		}
 		if !broke(w, want) {
 			t.Errorf("%s: %q", name, w.Broken)
@@ -327,8 +327,8 @@
 // Who asked to have a job cancelled waits for an answer too: to that, and about the job.
 func TestCancellingUserWithoutAnswerIsForgotten(t *testing.T) {
 	for name, c := range map[string]struct {
-		asked, heard time.Duration // before the end; asked 0: answered
-		forgotten    bool
+		requested, heard time.Duration // before the end; requested 0: answered
+		forgotten        bool
 	}{
 		"answered, asked about lately":      {0, 20 * time.Second, false},
 		"answered, then never told of":      {0, 75 * time.Second, true},
@@ -340,8 +340,8 @@
 		w := quietWorld()
 		w.RunUntil(time.Hour)
 		j := submitted(w, "wk-000001", jobs.JobArray, 1, whole)
-		if j.AbortAsked, j.LastOK = true, w.Now.Add(-c.heard); c.asked > 0 {
-			j.AbortOpen = w.Now.Add(-c.asked)
+		if j.AbortAsked, j.LastOK = true, w.Now.Add(-c.heard); c.requested > 0 {
+			j.AbortOpen = w.Now.Add(-c.requested)
 		}
 		want := ""
 		if c.forgotten {
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -28,7 +28,7 @@
 // requestAt sends a user's request to one controller.
 func (w *Simulator) requestAt(name, method, target string, body []byte, done func(int, []byte, error)) {
 	var sent time.Time
-	asked := w.Now
+	requested := w.Now
 	w.Nodes[name].requests++
 	w.call("user", name, 5*time.Second, func(answer func(int, []byte)) {
 		w.Nodes[name].request(method, target, body, func(status int, b []byte) {
@@ -36,7 +36,7 @@
 			answer(status, b)
 		})
 	}, func(status int, b []byte, err error) {
-		w.answerSentAt, w.requestSentAt = sent, asked
+		w.answerSentAt, w.requestSentAt = sent, requested
 		if err == nil {
 			w.checkUserAnswer(name, method, target, status, b)
 		}
@@ -66,8 +66,8 @@
 	j.Done = map[int]bool{}
 	j.LastOK, j.SubmittedAt = w.Now, w.Now
 	w.pollBurst(j, burstWithin)
-	var try func()
-	try = func() {
+	var submit func()
+	submit = func() {
 		w.request("POST", "/work", j.Body, func(status int, _ []byte, err error) {
 			if err == nil && !j.Accepted {
 				w.checkAdmission(j.UID, j.Body, status)
@@ -85,11 +85,11 @@
 				}
 				j.Told = strconv.Itoa(status)
 			default:
-				w.After(time.Second, try)
+				w.After(time.Second, submit)
 			}
 		})
 	}
-	try()
+	submit()
 }
 
 // Again repeats a job's submission.
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -29,7 +29,7 @@
 }
 
 // attemptKey names one try of a task. A report lists each until it is reaped.
-func attemptKey(taskID string, try uint64) string { return fmt.Sprintf("%s#%d", taskID, try) }
+func attemptKey(taskID string, attempt uint64) string { return fmt.Sprintf("%s#%d", taskID, attempt) }
 
 type agentTask struct {
 	taskID, status, cause string
