--- a/internal/simulation/aftermath.go
+++ b/internal/simulation/aftermath.go
@@ -23,7 +23,7 @@
 	largestDivisor = 10
 )
 
-// Calm ends every trouble that the world can be in: what was cut, slow, late, down,
+// Calm ends every fault that the simulation can have: what was cut, slow, late, down,
 // hung or ended is whole again. It returns when the last process that stands still
 // runs on. What was lost or planted stays so.
 func (w *Simulator) Calm() time.Duration {
@@ -108,7 +108,7 @@
 
 // Waiting names the jobs about which no question was answered for so long, be they live or
 // over, and those whose users have asked for so long, in vain, to have them cancelled. A
-// run's jobs are asked about otherwise.
+// run's jobs are polled through the run.
 func (w *Simulator) Waiting(long time.Duration) (out []string) {
 	for _, j := range w.sortedJobs() {
 		asks := j.Accepted && !j.SubmittedAt.IsZero()
@@ -148,6 +148,7 @@
 	return float64(g.Served) / float64(g.Jobs)
 }
 
+// String is a group as reports show it.
 func (g Group) String() string {
 	return fmt.Sprintf(
 		"%s: %d of %d served, %d late, the latest after %v",
@@ -160,7 +161,7 @@
 }
 
 // ServedGroups counts the accepted jobs by class, by team, and of each class the
-// largest tenth by pieces times need. A job is served once it has begun: an array and
+// largest tenth by tasks times resources. A job is served once it has begun: an array and
 // a service with the first task, a gang with all of them. Jobs that their users
 // cancelled or that can never run do not count.
 func (w *Simulator) ServedGroups() (all, largest []Group) {
@@ -185,7 +186,7 @@
 	return all, largest
 }
 
-// size is pieces times need, by which the largest of a class are told.
+// size is tasks times resources, by which the largest of a class are chosen.
 func (j *Job) size() float64 { return float64(j.Pieces) * j.Accel }
 
 func (w *Simulator) group(name string, js []*Job) Group {
@@ -205,7 +206,7 @@
 }
 
 // CheckServed breaks on a class, a team or a class's largest jobs of which less than
-// half was served and, if asked for, on largest jobs that begin late.
+// half was served and, with inTime, on largest jobs that begin late.
 func (w *Simulator) CheckServed(inTime bool) {
 	all, largest := w.ServedGroups()
 	for _, g := range append(all, largest...) {
--- a/internal/simulation/calendar_watch.go
+++ b/internal/simulation/calendar_watch.go
@@ -22,7 +22,7 @@
 	tracks map[string]*calendar.Record
 	before map[string]*calendar.Record // as of the transaction before
 	specs  map[string]quota.Key
-	tasks  map[string]jobs.Task // tasks given to a part or on a machine, by piece
+	tasks  map[string]jobs.Task // tasks released to a shard or on a machine, by task ID
 	begun  []string             // by this transaction
 	// opened counts the openings of each occurrence, final is how it ended.
 	opened map[occurrence]int
@@ -37,7 +37,7 @@
 
 // WatchCalendar checks that no work of a class with windows begins but in an open
 // occurrence, that no two windows of a track are ever on machines at once, and that an
-// occurrence opens once and ends once. moved is told of each change.
+// occurrence opens once and ends once. moved is called for each change.
 func (w *Simulator) WatchCalendar(moved func(window string, to calendar.State)) {
 	c := &calendarWatch{
 		sim: w, tracks: map[string]*calendar.Record{}, before: map[string]*calendar.Record{}, specs: map[string]quota.Key{},
@@ -116,7 +116,7 @@
 	}
 }
 
-// settled looks at what a transaction let begin.
+// settled checks the tasks that a transaction let begin.
 func (c *calendarWatch) settled() {
 	for _, taskID := range c.begun {
 		jobID, _, _ := jobs.SplitTaskID(taskID)
@@ -151,7 +151,7 @@
 	return t != nil && !c.open(c.tracks[t.Name], key)
 }
 
-// launched looks for two windows of a track on machines at once.
+// launched breaks on two windows of a track on machines at once.
 func (c *calendarWatch) launched(taskID string) {
 	jobID, _, _ := jobs.SplitTaskID(taskID)
 	key := c.specs[jobID]
@@ -163,7 +163,7 @@
 		for _, p := range wk.tasks {
 			other, _, _ := jobs.SplitTaskID(p.taskID)
 			ok := c.specs[other]
-			if p.status == "ended" || ok == key || c.plan.TrackOf(ok) != t || c.together(t, key, ok) {
+			if p.status == statusEnded || ok == key || c.plan.TrackOf(ok) != t || c.together(t, key, ok) {
 				continue
 			}
 			c.sim.Break(
--- a/internal/simulation/cancellations.go
+++ b/internal/simulation/cancellations.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// CancelledOn lists the tasks of jobs that were told to be cancelled which are on machines
+// CancelledOn lists the tasks of jobs reported as cancelled which are on machines
 // that do not hang.
 func (w *Simulator) CancelledOn() (out []string) {
 	for _, wk := range w.Workers {
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -12,25 +12,27 @@
 	"time"
 )
 
-// Cloud stands in for the cloud.
+// Cloud simulates the cloud.
 type Cloud struct {
-	sim         *Simulator
-	Down        bool
-	BootS       float64
-	LagS        float64
-	Limit       int // machines at most
-	Never       int // the next machines that never come up
-	lastMachine int
+	sim   *Simulator
+	Down  bool
+	BootS float64 // from a rent until the machine is up, give or take a fifth
+	LagS  float64 // how old its lists are
+	Limit int     // machines at most
+	Never int     // the next machines that never come up
+
 	machines    map[string]*cloudMachine
+	lastMachine int // number in the newest name
 	rentals     map[string]rentalResult
 	Rented      int
 	Lost        int // machines deleted with tasks on them
 	deleted     int
+
 	// RPS is enforced, with bursts of two seconds' worth; 0 enforces none. Refused
 	// counts what went beyond.
 	RPS        float64
 	Refused    int
-	used       float64
+	used       float64 // of the burst
 	refilledAt time.Time
 }
 
@@ -76,7 +78,7 @@
 	machines []string
 }
 
-// Builds of the stand-in: one type with 4 accelerators, one with 8.
+// machineTypes of the simulated cloud: one type with 4 accelerators, one with 8.
 var machineTypes = []map[string]any{
 	{
 		"name":          "g4",
--- a/internal/simulation/counts.go
+++ b/internal/simulation/counts.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// What measurements ask of the world.
+// Counts for measurements.
 
 // OnMachines counts the tasks on machines.
 func (w *Simulator) OnMachines() int {
@@ -36,10 +36,10 @@
 	return n
 }
 
-// Orders counts the orders that workers were told so far.
+// Orders counts the commands that agents were sent so far.
 func (w *Simulator) Orders() int { return w.commandCount }
 
-// HeardUnder counts the machines that were shown a baton of this epoch.
+// HeardUnder counts the machines that were shown a fencing token of this epoch.
 func (w *Simulator) HeardUnder(epoch uint64) int {
 	n := 0
 	for _, wk := range w.Workers {
--- a/internal/simulation/gangs.go
+++ b/internal/simulation/gangs.go
@@ -6,12 +6,12 @@
 	"github.com/harrierreel/harrierreel/internal/jobs"
 )
 
-// gangTasks lists the pieces of a gang's attempt.
+// gangTasks lists the tasks of a gang's attempt that have not ended.
 func (w *Simulator) gangTasks(j *Job, attempt uint64) map[*agentTask]*Worker {
 	out := map[*agentTask]*Worker{}
 	for _, wk := range w.Workers {
 		for _, p := range wk.tasks {
-			if p.job == j && p.attempt == attempt && p.status != "ended" {
+			if p.job == j && p.attempt == attempt && p.status != statusEnded {
 				out[p] = wk
 			}
 		}
@@ -25,7 +25,7 @@
 		return
 	}
 	for p := range peers {
-		if p.status != "waiting" {
+		if p.status != statusWaiting {
 			return
 		}
 	}
@@ -72,20 +72,20 @@
 	}
 }
 
-// stopGracefully is a gang's task that is told to stop and to save. Progress is safe only
-// if all are told within GangPeerS of the first.
+// stopGracefully has a gang's task save before it stops. Progress is saved only if all
+// tasks of the gang get the command within GangPeerS of the first.
 func (wk *Worker) stopGracefully(p *agentTask) {
 	w := wk.sim
-	if p.status != "running" {
+	if p.status != statusRunning {
 		wk.end(p, "stopped", false)
 		return
 	}
-	p.status, wk.changed = "saving", true
+	p.status, wk.changed = statusSaving, true
 	peers := w.gangTasks(p.job, p.attempt)
 	first, all := true, len(peers) == p.job.Pieces
 	for m := range peers {
-		first = first && (m == p || m.status != "saving")
-		all = all && m.status == "saving"
+		first = first && (m == p || m.status != statusSaving)
+		all = all && m.status == statusSaving
 	}
 	if first {
 		w.Loans.notify("told", wk.machine.ID)
--- a/internal/simulation/invalid_requests.go
+++ b/internal/simulation/invalid_requests.go
@@ -10,7 +10,7 @@
 	"github.com/harrierreel/harrierreel/internal/jobs"
 )
 
-// invalidCounts is how many answers users had to each kind of odd request.
+// invalidCounts is how many answers users had to each kind of invalid request.
 type invalidCounts struct{ Repeats, Cancels, Unfit, Lacking int }
 
 // Least is the answers of the kind of which there were fewest.
--- a/internal/simulation/late_messages.go
+++ b/internal/simulation/late_messages.go
@@ -14,7 +14,7 @@
 }
 
 // happens draws whether the trouble meets this one. Nothing is drawn while there is no
-// such trouble: worlds without it keep their course.
+// such fault: simulations without it keep their course.
 func (w *Simulator) happens(d chance) bool { return w.Now.Before(d.until) && w.RNG.Float64() < d.share }
 
 // randomBetween draws a time from one to another.
@@ -38,7 +38,7 @@
 	w.lateWrites = chance{share, w.Now.Add(long)}
 }
 
-// LateReports has, for so long, a copy of that share of the workers' reports arrive again
+// LateReports has, for so long, a copy of that share of the agents' reports arrive again
 // at the node that they were sent to, 2 s to 1.5 leases later, though the machine may be
 // gone or cut off by then. Nobody hears the answer.
 func (w *Simulator) LateReports(share float64, long time.Duration) {
@@ -60,10 +60,11 @@
 	watching   bool
 }
 
-// Within how long kept copies arrive, as they were sent or in any order.
+// heldReportsWithin is within how long kept copies arrive, in the order in which they were
+// sent or in any order.
 const heldReportsWithin = 8 * time.Second
 
-// HoldReports has, for so long, a copy of that share of the workers' reports be kept for
+// HoldReports has, for so long, a copy of that share of the agents' reports be kept for
 // the next leader: it arrives there once that has acted, or, everywhere, at each
 // controller just as that leader begins, all within 8 s. Nobody hears the answers.
 func (w *Simulator) HoldReports(share float64, everywhere bool, long time.Duration) {
--- a/internal/simulation/late_messages_test.go
+++ b/internal/simulation/late_messages_test.go
@@ -9,7 +9,7 @@
 )
 
 // place has a machine hold a job's task in some state.
-func place(w *Simulator, machine string, j *Job, n int, status string) *Worker {
+func place(w *Simulator, machine string, j *Job, n int, status taskStatus) *Worker {
 	p := &agentTask{taskID: fmt.Sprintf("%s/%d", j.UID, n), attempt: 1, status: status, job: j, index: n}
 	wk := &Worker{
 		sim:     w,
@@ -24,6 +24,7 @@
 // still on a machine breaks the rule, also one that waits, saves, hangs or is cut off, and
 // so does one that begins later; none does before.
 func TestCancelledTaskOnMachineTooLongBreaks(t *testing.T) {
+	atFirst := map[string]taskStatus{"waiting": statusWaiting, "saving": statusSaving, "begins": statusPulling}
 	for _, again := range []bool{false, true} {
 		for _, status := range []string{"waiting", "running", "saving", "hung", "cut", "begins"} {
 			w := NewSimulator(1, slog.New(slog.DiscardHandler))
@@ -40,14 +41,14 @@
 				Done:       map[int]bool{},
 			}
 			w.Jobs[j.UID] = j
-			wk := place(w, "i-1", j, 0, map[string]string{"waiting": "waiting", "saving": "saving", "begins": "pulling"}[status])
+			wk := place(w, "i-1", j, 0, atFirst[status])
 			p := wk.tasks["wk-000001/0#1"]
 			switch status {
 			case "running", "cut":
-				p.status = "running"
+				p.status = statusRunning
 				w.Cut("*", "i-1", false)
 			case "hung":
-				p.status, wk.Hung = "running", true
+				p.status, wk.Hung = statusRunning, true
 			case "begins":
 				w.After(42*time.Second, func() { wk.begin(p) })
 			}
@@ -113,9 +114,9 @@
 		Done:   map[int]bool{},
 	}
 	w.Jobs[j.UID] = j
-	place(w, "i-1", j, 0, "running").Hung = true
+	place(w, "i-1", j, 0, statusRunning).Hung = true
 	w.Cut("*", "i-1", false)
-	again := place(w, "i-2", j, 0, "pulling")
+	again := place(w, "i-2", j, 0, statusPulling)
 	if again.begin(
 		again.tasks["wk-000001/0#1"],
 	); len(w.Broken) != 1 ||
@@ -123,7 +124,7 @@
 		t.Errorf("twice: %q", w.Broken)
 	}
 	w.Broken = nil
-	more := place(w, "i-3", j, 1, "pulling")
+	more := place(w, "i-3", j, 1, statusPulling)
 	if more.begin(
 		more.tasks["wk-000001/1#1"],
 	); len(w.Broken) != 1 ||
--- a/internal/simulation/leader_events.go
+++ b/internal/simulation/leader_events.go
@@ -22,7 +22,7 @@
 	Launched     = "launch"  // a task is launched on its machine
 )
 
-// leaderEvents is what a world keeps for scenarios about who leads and who is away.
+// leaderEvents is for scenarios about a leader that ends at some moment, and cut zones.
 type leaderEvents struct {
 	handlers map[string]func() // called at each of these moments
 	cutZones map[string]string // zones that are cut off, and the controller in each
@@ -122,7 +122,8 @@
 func (w *Simulator) WrongTokens(maxCounter uint64) (out []string) {
 	epoch := w.Epoch()
 	for _, id := range w.Hosts() {
-		if token := w.Workers[id].fencingToken; token/agent.FencingTokenSpan > epoch || token%agent.FencingTokenSpan > maxCounter {
+		token := w.Workers[id].fencingToken
+		if token/agent.FencingTokenSpan > epoch || token%agent.FencingTokenSpan > maxCounter {
 			out = append(out, id)
 		}
 	}
@@ -139,7 +140,7 @@
 	return out
 }
 
-// Tally is what has happened in a world so far, for bounds on storms.
+// Tally is what has happened in a simulation so far, for bounds on storms.
 type Tally struct{ Changes, Requests, Refused, Rents, Deletes, Orders, Views, Starts int }
 
 // Tally counts it.
--- a/internal/simulation/limits.go
+++ b/internal/simulation/limits.go
@@ -105,7 +105,7 @@
 	return ""
 }
 
-// ttlOf is the time of a lease that is asked for, 0 if there is none.
+// ttlOf is the requested time of a lease in ms, 0 if there is none.
 func ttlOf(body []byte) int {
 	var g struct {
 		TTL int `json:"ttl_ms"`
@@ -191,8 +191,8 @@
 	return ""
 }
 
-// checkAnswer holds an answer to a report against the protocol; baton is the highest
-// that the worker had seen when it reported.
+// checkAnswer holds an answer to a report against the protocol; fencingToken is the
+// highest that the agent had seen when it reported.
 func (wk *Worker) checkAnswer(node string, status int, body []byte, fencingToken uint64) {
 	wk.sim.checkLines(node, body)
 	var r struct {
@@ -213,7 +213,7 @@
 	}
 }
 
-// checkLines holds an answer to workers or users against the limit of its lines.
+// checkLines holds an answer to agents or users against the limit of its lines.
 func (w *Simulator) checkLines(node string, body []byte) {
 	for _, line := range bytes.Split(body, []byte("\n")) {
 		if len(line) > maxBodyBytes {
--- a/internal/simulation/loan_watch.go
+++ b/internal/simulation/loan_watch.go
@@ -10,15 +10,15 @@
 	"github.com/harrierreel/harrierreel/internal/taskbatch"
 )
 
-// Loans is what is seen of loans in a world where GPUs are lent.
+// Loans is what is seen of loans in a simulation where GPUs are lent.
 type Loans struct {
 	sim    *Simulator
 	specs  map[string]*jobs.Spec
 	tasks  map[string]jobs.Task
 	before map[string]jobs.Task // of this transaction, before it
 	state  map[int]lending.State
-	// On is called once when the first loan comes to a state, or a gang's first task is
-	// told to stop ("told"), with a machine of it.
+	// On is called once when the first loan comes to a state, or a gang's first task gets
+	// the command to stop ("told"), with a machine of it.
 	On map[string]func(machine string)
 	// Saved and Fell count gangs that were stopped with and without a save.
 	Saved, Fell int
@@ -63,7 +63,7 @@
 	}
 }
 
-// check looks at what a transaction stopped for loans.
+// check checks what a transaction stopped for loans.
 func (lo *Loans) check(guarantee map[string]float64) {
 	for taskID, was := range lo.before {
 		t := lo.tasks[taskID]
--- a/internal/simulation/messages.go
+++ b/internal/simulation/messages.go
@@ -19,10 +19,10 @@
 // Message is one thing that passes between a controller and what is around it, when the
 // controller sends it or has it: one that is lost on the way is only sent.
 type Message struct {
-	At         time.Duration // since the world's start
+	At         time.Duration // since the start of the simulation
 	Node       string        // the controller
 	Kind       MessageKind
-	Number     int    // an answer has that of its request; others are counted by the world
+	Number     int    // an answer has that of its request; others are counted by the simulator
 	Party      string // "state", "watch", "cloud", a machine's address or a controller; "" with Asked, Answers and Hears
 	Method     string
 	Target     string
@@ -33,7 +33,7 @@
 	Err        error  // of Told, if there is no answer
 }
 
-// record tells World.Messages of a message and gives back its number.
+// record passes Simulator.Messages a message and gives back its number.
 func (c *Node) record(m Message) int {
 	if m.Number == 0 {
 		c.sim.messageCount++
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -73,7 +73,7 @@
 	counted int
 }
 
-// HoldBack has each so-manieth request of a kind (beat, cmd, state's transactions, rent)
+// HoldBack has each every-th request of a kind (beat, cmd, state, rent)
 // arrive so late that its sender has given it up, and sent it again if it does that.
 func (w *Simulator) HoldBack(kind string, by time.Duration, every int) {
 	w.lateness[kind] = &lateness{by: by, every: every}
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -17,19 +17,20 @@
 	"github.com/harrierreel/harrierreel/internal/standby"
 )
 
-// Node runs a controller in the world.
+// Node runs a controller in the simulation.
 type Node struct {
-	sim                *Simulator
-	Name               string
-	settings           *settings.Settings
-	controller         *controller.Controller
-	generation         int
-	alive              bool
-	wakeAt             time.Time
-	frozenUntil        time.Time // until then the process stands still
-	shutdownSince      time.Time // to end in order
-	startedAt          time.Time
-	requests, answered int // users' requests, and those that were answered neither 503 nor 429
+	Name          string
+	sim           *Simulator
+	settings      *settings.Settings
+	controller    *controller.Controller
+	generation    int // of the process: counts its starts
+	alive         bool
+	startedAt     time.Time
+	wakeAt        time.Time // when the loop is to run again
+	frozenUntil   time.Time // until then the process stands still
+	shutdownSince time.Time // it was told to end in order then, zero if not
+	requests      int       // of users
+	answered      int       // of these, neither with 503 nor with 429
 }
 
 // balancerDelay is how long the load balancer takes to see that a controller calls itself
@@ -37,7 +38,7 @@
 const balancerDelay = 2 * time.Second
 
 // avoidedByBalancer tells that the load balancer sends users elsewhere: to a controller that has
-// just started once it is in the view, and no more to one that was asked to end.
+// just started once it is in the view, and no more to one that is shutting down.
 func (c *Node) avoidedByBalancer() bool {
 	return !c.shutdownSince.IsZero() && c.sim.Now.Sub(c.shutdownSince) > balancerDelay ||
 		c.sim.Now.Sub(c.startedAt) < balancerDelay && c.controller.Role() == members.Outside
@@ -83,8 +84,8 @@
 	}
 }
 
-// relayedField is in the lines that pass on what was told. Their chance is their own: however many
-// there are, the rest of a world keeps its course.
+// relayedField is in the lines that relay gossip. Their latency is drawn from gossipRNG:
+// however many there are, the rest of a simulation keeps its course.
 var relayedField = []byte(`"told_of"`)
 
 // auditEvery, in ticks: how often a node's counts are checked against a recount.
@@ -412,7 +413,7 @@
 // Alive tells whether the process runs.
 func (c *Node) Alive() bool { return c.alive }
 
-// Shown tells whether every worker that runs has been shown a baton of this epoch.
+// Shown tells whether every agent that runs has been shown a fencing token of this epoch.
 func (w *Simulator) Shown(epoch uint64) bool {
 	for _, wk := range w.Workers {
 		if !wk.Hung && wk.fencingToken < epoch*agent.FencingTokenSpan {
--- a/internal/simulation/pipeline_runs.go
+++ b/internal/simulation/pipeline_runs.go
@@ -14,7 +14,7 @@
 // Run is what a user knows of a run.
 type Run struct {
 	ID, Told   string
-	Status     pipelines.Status // newest that was told
+	Status     pipelines.Status // newest that was answered
 	Body       []byte
 	Answer     int // status of the last answer to its submission
 	Accepted   bool
@@ -86,8 +86,8 @@
 	})
 }
 
-// checkRunStatus checks what a user is told of a run against what was told before, and
-// against what the workers did.
+// checkRunStatus checks the answer about a run against earlier answers, and
+// against what the agents did.
 func (w *Simulator) checkRunStatus(r *Run, body []byte) {
 	var s pipelines.Status
 	for _, line := range strings.Split(string(body), "\n") {
@@ -113,8 +113,8 @@
 	}
 }
 
-// checkRunSteps checks what is told of a run's steps against what was told before, and
-// against what the workers did.
+// checkRunSteps checks the answer about a run's steps against earlier answers, and
+// against what the agents did.
 func (w *Simulator) checkRunSteps(r *Run, s *pipelines.Status) {
 	for i, step := range s.Steps {
 		if i < len(r.Status.Steps) {
--- a/internal/simulation/poll_bursts.go
+++ b/internal/simulation/poll_bursts.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// Users who look closely ask at every controller, again and again within milliseconds,
-// around the moment at which a job is accepted, ends, or is told to be cancelled. Some of
-// those questions come before that moment: their answers must not leave after it with what
+// In a poll burst users ask every controller, again and again within milliseconds, around
+// the moment at which a job is accepted, ends, or is reported as cancelled. Some of those
+// requests come before that moment: their answers must not leave after it with what
 // was so before.
 const (
-	burstRequests    = 3                       // questions to each controller at one such moment
+	burstRequests    = 3                       // requests to each controller in one burst
 	burstWithin      = 60 * time.Millisecond   // they come within so long of it
 	burstAfterEnd    = 1200 * time.Millisecond // of an end, which shows only later
 	burstCancelShare = 0.15                    // share of those accepted whose user cancels at once
 )
 
-// CloseLooks has users look closely for so long.
+// CloseLooks has users poll in bursts for so long.
 func (w *Simulator) CloseLooks(long time.Duration) { w.pollBurstsUntil = w.Now.Add(long) }
 
 // CancelAtEnd has, for so long, that share of the jobs that end called off at the moment
@@ -26,7 +26,7 @@
 	w.cancelAtEnd = chance{share, w.Now.Add(long)}
 }
 
-// pollBurst: something of a job is about to be told, or was just told.
+// pollBurst polls every controller, since a job's status is about to change or just changed.
 func (w *Simulator) pollBurst(j *Job, within time.Duration) {
 	if !w.Now.Before(w.pollBurstsUntil) {
 		return
@@ -39,7 +39,7 @@
 	}
 }
 
-// jobAccepted: the user was just told that a job is accepted.
+// jobAccepted is called once the user has the answer that a job is accepted.
 func (w *Simulator) jobAccepted(j *Job) {
 	w.pollBurst(j, burstWithin)
 	if w.Now.Before(w.pollBurstsUntil) && w.RNG.Float64() < burstCancelShare {
@@ -47,7 +47,7 @@
 	}
 }
 
-// jobEnded: the last task of a job has just ended on its machine.
+// jobEnded is called once the last task of a job has just ended on its machine.
 func (w *Simulator) jobEnded(j *Job) {
 	w.pollBurst(j, burstAfterEnd)
 	if w.happens(w.cancelAtEnd) {
--- a/internal/simulation/quota_watch.go
+++ b/internal/simulation/quota_watch.go
@@ -31,7 +31,7 @@
 	amount quota.Amount
 }
 
-// recordTasks is the tasks in a slice or a pack, none in what can't be read.
+// recordTasks is the tasks in a task range or a batch, none in what can't be read.
 func recordTasks(key string, v json.RawMessage) []taskbatch.Entry {
 	if strings.HasPrefix(key, taskbatch.KeyPrefix) {
 		es, _ := taskbatch.Decode(v)
--- a/internal/simulation/simulator.go
+++ b/internal/simulation/simulator.go
@@ -1,6 +1,8 @@
-// Package simulation has the project's own stand-ins for the state service, the
-// cloud, the workers and the users, on a fake clock and with seeded chance.
-// They follow the protocol's text and check its rules as they go.
+// Package simulation simulates the state service, the cloud, the agents on machines and the
+// users around real controllers, on a fake clock and with seeded random draws. The simulated
+// parties follow the protocol's text and check its rules as they go; a rule that a controller
+// breaks is noted in Simulator.Broken. A run is determined by its seed: whoever adds a draw
+// from RNG changes the course of every recorded scenario.
 package simulation
 
 import (
@@ -41,7 +43,7 @@
 	leaderEvents                         leaderEvents
 	// unreachable are machines that reach no controller.
 	unreachable     map[string]bool
-	pollBurstsUntil time.Time // users look closely until then; Looks counts answers
+	pollBurstsUntil time.Time // see CloseLooks; Looks counts the answers
 	cancelAtEnd     chance    // jobs that are called off as they end
 	Looks           int
 
@@ -65,8 +67,8 @@
 	Real     *Real              // set when the parties speak over sockets
 	Door     string             // the node that users reach, any if empty
 	Expired  int                // leases that ran out with tasks on the machine
-	// StartsAfterCancel counts starts of tasks whose user had been told that the job is
-	// cancelled.
+	// StartsAfterCancel counts starts of tasks whose user had the answer that the job
+	// is cancelled.
 	StartsAfterCancel int
 	Odd               invalidCounts // invalid requests that were answered
 
@@ -77,16 +79,16 @@
 
 	account  *quota.Account // of the tree in force, where quotas are watched
 	calendar *calendarWatch // where there is one
-	stranded *strandedWatch // of jobs that wait although there is room, nil if nobody looks
+	stranded *strandedWatch // of jobs that wait although there is room, nil if not watched
 
 	ClockOff map[string]time.Duration // of controllers' time of day
-	Launched func(taskID string)      // told of each launch, if set
-	// Messages, if set, is told of all that the controllers send and have, in order.
+	Launched func(taskID string)      // called for each launch, if set
+	// Messages, if set, is called for all that the controllers send and receive, in order.
 	Messages     func(Message)
 	messageCount int // counted so far
 }
 
-// Real carries what the world otherwise does by itself over sockets.
+// Real carries over sockets what the simulator otherwise delivers itself.
 type Real struct {
 	Endpoint func(machine string) string
 	Beat     func(node string, body []byte, done func(int, []byte, error))
@@ -102,38 +104,47 @@
 
 // Job is what the users know of a job.
 type Job struct {
-	UID, Shape, Owner   string
-	Class               string
-	Pieces              int
-	Accel               float64
-	RunS, PullS         float64
-	ApartS              float64 // each task of a sweep runs so much longer than the one before it
-	Bundle              string
-	SamePlace, Scatter  bool
-	Loaner              bool
-	Site                string
-	Builds              []string
-	FailOn              string // "every" machine, or a machine's name
-	SnapshotS           float64
-	Body                []byte
-	Accepted, Cancelled bool
-	AcceptedAt          time.Time // first told so
-	CancelledAt         time.Time
-	Done                map[int]bool
-	Told                string // newest status told
-	ToldAt              time.Time
-	AbortAsked          bool
-	AbortOpen           time.Time // it was asked for then and is not answered yet
-	Starts              int       // of its tasks
-	FirstStart,
-	LastDone time.Time
+	UID       string
+	Shape     string // sweep, gang or standing, as in jobs.Spec.Kind
+	Owner     string // team
+	Class     string
+	Pieces    int     // number of tasks
+	Accel     float64 // accelerators of each task
+	RunS      float64 // how long each task runs
+	ApartS    float64 // each task of an array runs so much longer than the one before it
+	PullS     float64 // how long a machine fetches the image
+	Bundle    string  // image
+	SamePlace bool    // all tasks in one zone
+	Scatter   bool    // at most half of the tasks, rounded up, in one zone
+	Loaner    bool    // spot machines are allowed
+	Site      string  // the only zone allowed, any if empty
+	Builds    []string
+	SnapshotS float64    // interval of checkpoints, 0 if it takes none
+	FailOn    string     // "every" machine, or a machine's name
+	Body      []byte     // the submission
+	spec      *jobs.Spec // as submitted
+
+	// What the user knows from answers.
 	SubmittedAt time.Time
-	Begun       time.Time  // first task runs, of a gang all
-	LastOK      time.Time  // a question about it was answered
-	spec        *jobs.Spec // as submitted
+	Accepted    bool
+	AcceptedAt  time.Time // when its user first had that answer
+	Told        string    // newest status that its user had in an answer
+	ToldAt      time.Time
+	LastOK      time.Time // a request about it was answered
+	AbortAsked  bool      // its user cancels it
+	AbortOpen   time.Time // it was requested then and is not answered yet
+	Cancelled   bool      // its user had that answer, at CancelledAt
+	CancelledAt time.Time
+
+	// What happened on machines.
+	Done       map[int]bool // tasks that are done
+	Starts     int          // of its tasks
+	FirstStart time.Time
+	Begun      time.Time // first task runs, of a gang all
+	LastDone   time.Time
 }
 
-// NewSimulator makes an empty world.
+// NewSimulator makes an empty simulation; all random draws come from the seed.
 func NewSimulator(seed uint64, log *slog.Logger) *Simulator {
 	w := &Simulator{
 		Start: time.Date(
@@ -225,7 +236,7 @@
 func encode(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // a stand-in's own value
+		panic(err) // a value of this package
 	}
 	return b
 }
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -13,7 +13,7 @@
 	"github.com/harrierreel/harrierreel/internal/members"
 )
 
-// Store stands in for the state service.
+// Store simulates the state service.
 type Store struct {
 	sim               *Simulator
 	Down              bool
@@ -29,7 +29,7 @@
 	// Lose drops the answers to a node's next transactions, Late delays the
 	// transactions themselves.
 	Lose map[string]int
-	// commits counts a node's transactions that were carried out, carriedAt up to the
+	// commits counts a node's transactions that were carried out, commitsAtView up to the
 	// last change of the view.
 	commits, commitsAtView map[string]int
 	// Lag delays the answers to a node's watches.
@@ -44,7 +44,7 @@
 	// Poison has transactions refused for no reason that the protocol knows: those that
 	// write anything of this job but its own record. Poisoned counts them.
 	Poison string
-	// FailPages has each so-manieth page of a listing refused, 0 none.
+	// FailPages has each FailPages-th page of a listing refused, 0 none.
 	FailPages              int
 	pages                  int
 	Listed                 int // pages that were listed
@@ -54,7 +54,7 @@
 	Refused                int
 	// Slow is added to every answer, SlowWatch to those of watches instead.
 	Slow, SlowWatch time.Duration
-	slowShare       chance // share of its answers that come up to slowMost later
+	slowShare       chance // share of its answers that come up to maxSlow later
 	maxSlow         time.Duration
 	// Committed, if set, is called for every write of a transaction, with a nil
 	// value for a removal, and Settled after each transaction. Requests counts all
@@ -465,7 +465,7 @@
 	s.wake()
 }
 
-// Put writes a key as an operator's hand would, to plant odd records.
+// Put writes a key as an operator could by hand, to plant unreadable records.
 func (s *Store) Put(key string, v string) {
 	s.revision++
 	s.items[key] = storeItem{key, json.RawMessage(v), s.revision, 0}
@@ -497,7 +497,7 @@
 	return c
 }
 
-// observe has all writes and ends of transactions told to one more observer, after those
+// observe has all writes and ends of transactions passed to one more observer, after those
 // that are there.
 func (w *Simulator) observe(committed func(key string, v json.RawMessage), settled func()) {
 	nextCommitted, nextSettled := w.Store.Committed, w.Store.Settled
--- a/internal/simulation/stranded.go
+++ b/internal/simulation/stranded.go
@@ -15,10 +15,10 @@
 	// placedWithin: once all troubles are over, no job waits for so long while a machine
 	// that fits has room and its team is under its limit.
 	placedWithin = 90 * time.Second
-	// strandedCheckEvery is how often the waiting jobs are looked at.
+	// strandedCheckEvery is how often the waiting jobs are checked.
 	strandedCheckEvery = time.Second
 	// stopsWithin: an answer to a report that leaves a controller so long after a user
-	// was told of a cancellation stops the job's tasks.
+	// had the answer to a cancellation stops the job's tasks.
 	stopsWithin = 2 * time.Second
 )
 
@@ -28,7 +28,7 @@
 	progress int
 }
 
-// strandedWatch looks at the jobs that wait.
+// strandedWatch follows the jobs that wait.
 type strandedWatch struct {
 	sim      *Simulator
 	waiting  map[string]waitingJob
@@ -39,7 +39,7 @@
 	return &strandedWatch{sim: w, waiting: map[string]waitingJob{}, reported: map[string]bool{}}
 }
 
-// WatchStranded looks from now on, all the time, at the jobs that wait.
+// WatchStranded checks the jobs that wait from now on, every strandedCheckEvery.
 func (w *Simulator) WatchStranded() {
 	w.stranded = w.newStrandedWatch()
 	var check func()
@@ -60,8 +60,8 @@
 	return out
 }
 
-// check takes the world in as it is, and breaks on each job that has waited for placedWithin
-// while at each look a machine that fits had room and its team was under its limit.
+// check breaks on each job that has waited for placedWithin while at each check a machine
+// that fits had room and its team was under its limit.
 func (s *strandedWatch) check() {
 	w := s.sim
 	held := w.heldTasks()
@@ -124,7 +124,7 @@
 	out := map[*Job]map[int]*Worker{}
 	for _, wk := range w.Workers {
 		for _, p := range wk.tasks {
-			if p.job == nil || p.status == "ended" {
+			if p.job == nil || p.status == statusEnded {
 				continue
 			}
 			if out[p.job] == nil {
@@ -145,7 +145,7 @@
 		}
 		room := capacityOf(wk.machine.MachineType)
 		for _, p := range wk.tasks {
-			if p.job != nil && p.status != "ended" {
+			if p.job != nil && p.status != statusEnded {
 				room = room.Sub(p.job.need())
 			}
 		}
@@ -175,7 +175,7 @@
 	use := teamsUse{}
 	for _, wk := range w.Workers {
 		for _, p := range wk.tasks {
-			if p.job != nil && p.status != "ended" {
+			if p.job != nil && p.status != statusEnded {
 				use[p.job.Owner] += p.job.Accel
 			}
 		}
--- a/internal/simulation/stranded_test.go
+++ b/internal/simulation/stranded_test.go
@@ -134,7 +134,7 @@
 	} {
 		w := quietWorld()
 		j := submitted(w, "wk-000001", jobs.JobArray, 1, whole)
-		wk := place(w, "i-1", j, 0, "running")
+		wk := place(w, "i-1", j, 0, statusRunning)
 		wk.Hung, wk.answeredAt = true, w.Now.Add(time.Hour)
 		j.Cancelled, j.CancelledAt = true, w.Now // by no timer of its own
 		if c.ended {
@@ -167,11 +167,11 @@
 	other := submitted(s.w, "wk-000099", jobs.JobArray, 1, change)
 	other.AbortAsked, other.spec = false, nil
 	s.machine(id, "a", false)
-	s.w.Workers[id].tasks["o"] = &agentTask{taskID: "wk-000099/0", attempt: 1, job: other, status: "pulling"}
+	s.w.Workers[id].tasks["o"] = &agentTask{taskID: "wk-000099/0", attempt: 1, job: other, status: statusPulling}
 }
 
 // own has a machine hold the job's first task.
-func (s strandedSetting) own(id, status string) {
+func (s strandedSetting) own(id string, status taskStatus) {
 	s.w.Workers[id].tasks["x"] = &agentTask{taskID: "wk-000001/0", attempt: 1, job: s.j, status: status}
 }
 
@@ -249,13 +249,13 @@
 		m["same_place"], m["accelerators"] = true, 4.0
 	}, func(s strandedSetting) {
 		s.two()
-		s.own("i-2", "running")
+		s.own("i-2", statusRunning)
 	}, false},
 	"half are in that zone": {jobs.JobArray, 2, func(m map[string]any) {
 		m["scatter"] = true
 	}, func(s strandedSetting) {
 		s.room()
-		s.own("i-1", "running")
+		s.own("i-1", statusRunning)
 	}, false},
 	"fails everywhere": {jobs.JobArray, 1, whole, func(s strandedSetting) {
 		s.room()
@@ -275,7 +275,7 @@
 	}, false},
 	"on a machine": {jobs.JobArray, 1, whole, func(s strandedSetting) {
 		s.room()
-		s.own("i-1", "pulling")
+		s.own("i-1", statusPulling)
 	}, false},
 	"machine to be taken": {jobs.JobArray, 1, whole, func(s strandedSetting) {
 		s.room()
--- a/internal/simulation/task_rules.go
+++ b/internal/simulation/task_rules.go
@@ -25,7 +25,7 @@
 	w.checkCancelled(wk, p)
 }
 
-// besides looks at all other tasks on machines as a task starts: it breaks on one that is
+// besides goes through all other tasks on machines as a task starts: it breaks on one that is
 // the same task, and counts, with the new task, the accelerators of its team and the
 // job's tasks in each zone.
 func (w *Simulator) besides(wk *Worker, p *agentTask) (used float64, zones map[string]int) {
@@ -109,7 +109,7 @@
 	best := ""
 	for id, wk := range w.Workers {
 		for _, p := range wk.tasks {
-			if p.job != nil && p.job.UID == jobID && p.status != "ended" && (best == "" || id < best) {
+			if p.job != nil && p.job.UID == jobID && p.status != statusEnded && (best == "" || id < best) {
 				best = id
 			}
 		}
@@ -117,7 +117,7 @@
 	return best
 }
 
-// startAfterCancel counts the start of a task whose user had been told that its job is
+// startAfterCancel counts the start of a task whose user had the answer that its job is
 // cancelled. A launch that had left by then may be anywhere on its way, and a machine that
 // fetches the image starts the task if no stop comes before: these are only counted. One
 // that left later, or whose machine was answered later without a stop, breaks the rule.
@@ -146,10 +146,10 @@
 }
 
 // noteUnstopped marks what an answer to a report, which left its controller at some time,
-// leaves on the machine of jobs whose users had long been told that they are cancelled.
+// leaves on the machine of jobs whose users long had the answer that they are cancelled.
 func (wk *Worker) noteUnstopped(sent time.Time) {
 	for _, p := range wk.tasks {
-		if j := p.job; j != nil && j.Cancelled && p.status == "pulling" && p.unstoppedAt.IsZero() &&
+		if j := p.job; j != nil && j.Cancelled && p.status == statusPulling && p.unstoppedAt.IsZero() &&
 			sent.Sub(j.CancelledAt) > stopsWithin {
 			p.unstoppedAt = sent
 		}
--- a/internal/simulation/task_watch.go
+++ b/internal/simulation/task_watch.go
@@ -15,7 +15,7 @@
 }
 
 // WatchTasks checks, after each transaction, that every task is in one record at most,
-// that its try never falls, that what is done stays done, and that no record of a task
+// that its attempt never falls, that what is done stays done, and that no record of a task
 // on a machine goes while its job is live.
 func (w *Simulator) WatchTasks() {
 	t := &taskWatch{
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -145,7 +145,7 @@
 	})
 }
 
-// checkStatus checks what a user is told against what was told before.
+// checkStatus checks an answer about a job against earlier answers.
 func (w *Simulator) checkStatus(j *Job, body []byte) {
 	var s jobStatus
 	if json.Unmarshal(body, &s) != nil {
@@ -154,7 +154,7 @@
 	}
 	if finalStatus(j.Told) && s.Status != j.Told {
 		if !w.answerSentAt.After(j.ToldAt) {
-			return // it was on its way when the user was told: of two requests at once either answer may come last
+			return // it crossed the other answer: of two requests at once either answer may come last
 		}
 		w.Break(
 			"went_back: %s was %s, is %s, asked %v and answered %v later",
@@ -183,10 +183,10 @@
 	Done   *int   `json:"done"`
 }
 
-// finalStatus tells whether a job that is told to be so remains so.
+// finalStatus tells whether a job with this status keeps it.
 func finalStatus(status string) bool { return status == "done" || status == "cancelled" }
 
-// checkStatusCause checks that a job is only told to be cancelled or done if its user
+// checkStatusCause checks that a job is only reported as cancelled or done if its user
 // cancelled it or all its tasks are done.
 func (w *Simulator) checkStatusCause(j *Job, s jobStatus) {
 	if s.Status == "cancelled" && !j.AbortAsked {
@@ -218,7 +218,7 @@
 	})
 }
 
-// noteCancelled notes that a user was told so, and checks that all is gone in time.
+// noteCancelled notes that a user had that answer, and checks that all is gone in time.
 func (w *Simulator) noteCancelled(j *Job) {
 	j.Cancelled, j.CancelledAt = true, w.Now
 	w.After(time.Duration(w.CancelS*float64(time.Second))+time.Millisecond, func() {
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -11,40 +11,64 @@
 	"github.com/harrierreel/harrierreel/internal/jobs"
 )
 
-// Worker stands in for a worker on its machine.
+// Worker simulates the agent on a machine.
 type Worker struct {
-	images                                 map[string]bool
-	sim                                    *Simulator
-	machine                                *cloudMachine
-	agentEpoch, heartbeatSeq, fencingToken uint64
-	tasks                                  map[string]*agentTask
-	nodeIndex                              int // node reported to
-	inFlight, changed, Hung                bool
-	dead                                   bool
-	sentAt, answeredAt, nextReport         time.Time
-	warningS                               *float64
-	queue                                  []func()        // what arrives while hanging
-	reaped                                 map[string]bool // attempts that were reaped
-	Batons                                 int             // times that it was shown a higher baton
-}
-
-// attemptKey names one try of a task. A report lists each until it is reaped.
+	sim     *Simulator
+	machine *cloudMachine
+	images  map[string]bool // images that were fetched
+
+	agentEpoch   uint64 // session, higher each time it lost all tasks
+	heartbeatSeq uint64
+	fencingToken uint64                // highest that it was shown
+	tasks        map[string]*agentTask // by attemptKey
+	reaped       map[string]bool       // attempts that were reaped
+
+	nodeIndex  int       // controller that it reports to, in Simulator.Order
+	inFlight   bool      // a report is not answered yet
+	changed    bool      // there is something new to report
+	sentAt     time.Time // of the last report
+	answeredAt time.Time // when the last report that was answered was sent: its lease runs from there
+	nextReport time.Time
+
+	Hung     bool     // stands still; what arrives waits in queue
+	queue    []func() // what arrives while hanging
+	dead     bool
+	warningS *float64 // seconds until the cloud takes the machine, nil if it does not
+	Batons   int      // times that it was shown a higher fencing token
+}
+
+// attemptKey names one attempt of a task. A report lists each until it is reaped.
 func attemptKey(taskID string, attempt uint64) string { return fmt.Sprintf("%s#%d", taskID, attempt) }
 
+// agentTask is one attempt of a task on its machine, from its launch until it is reaped.
 type agentTask struct {
-	taskID, status, cause string
-	attempt               uint64
-	job                   *Job
-	index                 int
-	saved                 bool
-	generation            int
-	launchSentAt          time.Time // the launch left its controller, zero if not known
-	unstoppedAt           time.Time // an answer that should have stopped it left then
-	reported              bool      // for being on its machine past cancel_s
-}
+	taskID       string
+	attempt      uint64
+	index        int // of the task in its job
+	job          *Job
+	status       taskStatus
+	cause        string    // of its end
+	saved        bool      // its progress, as it ended
+	generation   int       // counts changes of status: what was planned before one is void
+	launchSentAt time.Time // the launch left its controller, zero if not known
+	unstoppedAt  time.Time // an answer that should have stopped it left then
+	reported     bool      // for being on its machine past cancel_s
+}
+
+// taskStatus is the state of an attempt on its machine, as reports show it.
+type taskStatus string
+
+// The protocol's states of an attempt.
+const (
+	statusPulling taskStatus = "pulling" // the machine fetches the image
+	statusWaiting taskStatus = "waiting" // for the other tasks of its gang
+	statusRunning taskStatus = "running"
+	statusSaving  taskStatus = "saving" // before it stops
+	statusEnded   taskStatus = "ended"
+)
 
 func (p *agentTask) onMachine() bool {
-	return p.status == "waiting" || p.status == "running" || p.status == "saving"
+	return p.status == statusWaiting || p.status == statusRunning || p.status == statusSaving
 }
 
 // busy tells whether a task is on the machine.
@@ -102,7 +126,7 @@
 }
 
 // Reborn has the machine die and be back at once with the same address: its tasks are
-// gone, so is what it knew of batons, and it begins its next session.
+// gone, so is what it knew of fencing tokens, and it begins its next session.
 func (wk *Worker) Reborn() {
 	wk.tasks, wk.reaped = map[string]*agentTask{}, map[string]bool{}
 	wk.agentEpoch++
@@ -164,7 +188,7 @@
 	for _, n := range names {
 		p := wk.tasks[n]
 		m := map[string]any{"piece": p.taskID, "try": p.attempt, "status": p.status}
-		if p.status == "ended" {
+		if p.status == statusEnded {
 			m["cause"] = p.cause
 			m["saved"] = p.saved
 		}
@@ -184,7 +208,7 @@
 	})
 }
 
-// report sends a heartbeat to the controller that the worker reports to.
+// report sends a heartbeat to the controller that the agent reports to.
 func (wk *Worker) report() {
 	w := wk.sim
 	wk.inFlight, wk.changed, wk.sentAt = true, false, w.Now
@@ -213,13 +237,13 @@
 	})
 }
 
-// tryNextNode has the worker report to the next controller a second later.
+// tryNextNode has the agent report to the next controller a second later.
 func (wk *Worker) tryNextNode() {
 	wk.nodeIndex++
 	wk.nextReport = wk.sim.Now.Add(time.Second)
 }
 
-// sentReport is a heartbeat that is on its way, with what the worker knew as it left.
+// sentReport is a heartbeat that is on its way, with what the agent knew as it left.
 type sentReport struct {
 	worker       *Worker
 	node         string
@@ -269,7 +293,7 @@
 	}
 }
 
-// redirected has the worker report at once to the controller that the answer names.
+// redirected has the agent report at once to the controller that the answer names.
 func (r *sentReport) redirected(body []byte) {
 	var answer struct {
 		To string `json:"reports_to"`
@@ -318,7 +342,7 @@
 	GracePeriodS float64 `json:"wind_down_s"`
 }
 
-// Call is a node's way to a worker.
+// Call is a node's way to an agent.
 func (w *Simulator) Call(
 	from string,
 ) func(endpoint, method, target string, body []byte, timeout time.Duration, done func(int, []byte, error)) {
@@ -382,11 +406,11 @@
 				wk.launch(c, sent)
 			}
 		case "stop":
-			if task != nil && task.status != "ended" {
+			if task != nil && task.status != statusEnded {
 				wk.stop(task, c.GracePeriodS)
 			}
 		case "reap":
-			if task != nil && task.status == "ended" {
+			if task != nil && task.status == statusEnded {
 				delete(wk.tasks, key)
 				wk.reaped[key] = true
 				wk.changed = true
@@ -395,15 +419,15 @@
 	}
 }
 
-// stop ends a task that is told to stop. One that takes snapshots saves first, if it has
-// time for that; a gang in a world with loans saves together.
+// stop ends a task that gets the command to stop. One that takes snapshots saves first, if it has
+// time for that; a gang in a simulation with loans saves together.
 func (wk *Worker) stop(p *agentTask, gracePeriodS float64) {
 	saves := p.job != nil && p.job.SnapshotS > 0 && gracePeriodS > 0
 	if wk.sim.Loans == nil || !saves || !p.job.gang() {
 		wk.end(p, "stopped", saves)
 		return
 	}
-	if p.status != "saving" {
+	if p.status != statusSaving {
 		wk.stopGracefully(p)
 	}
 }
@@ -411,7 +435,7 @@
 // inUse tells whether another attempt of a task is on the machine.
 func (wk *Worker) inUse(o command) bool {
 	for _, p := range wk.tasks {
-		if p.taskID == o.TaskID && p.status != "ended" {
+		if p.taskID == o.TaskID && p.status != statusEnded {
 			return true
 		}
 	}
@@ -419,7 +443,7 @@
 }
 
 func (wk *Worker) end(p *agentTask, cause string, saved bool) {
-	p.status, p.cause, p.saved = "ended", cause, saved
+	p.status, p.cause, p.saved = statusEnded, cause, saved
 	p.generation++
 	wk.changed = true
 }
@@ -431,7 +455,7 @@
 	if j == nil && (w.Real != nil || len(w.Runs) > 0) {
 		j = w.describe(jobID)
 	}
-	p := &agentTask{taskID: c.TaskID, attempt: c.Attempt, status: "pulling", job: j, index: n, launchSentAt: sent}
+	p := &agentTask{taskID: c.TaskID, attempt: c.Attempt, status: statusPulling, job: j, index: n, launchSentAt: sent}
 	refused := wk.inUse(c)
 	key := attemptKey(c.TaskID, c.Attempt)
 	wk.tasks[key] = p
@@ -461,7 +485,7 @@
 func (wk *Worker) overcommitted() bool {
 	used := 0.0
 	for _, p := range wk.tasks {
-		if p.status != "ended" && p.job != nil {
+		if p.status != statusEnded && p.job != nil {
 			used += p.job.Accel
 		}
 	}
@@ -488,7 +512,7 @@
 }
 
 // describe makes a job from its record in the store: over sockets the
-// stand-in's users are real ones, who upload the description to the workers. So
+// simulation's users are real ones, who upload the description to the agents. So
 // do those of a run for its steps' jobs. The bundle "broken" fails everywhere.
 func (w *Simulator) describe(jobID string) *Job {
 	it, ok := w.Store.items[jobs.JobPrefix+jobID]
@@ -525,7 +549,7 @@
 	return j
 }
 
-// after runs f unless the piece has moved on or the machine is gone.
+// after runs f unless the task has moved on or the machine is gone.
 func (wk *Worker) after(p *agentTask, s float64, f func()) {
 	gen := p.generation
 	wk.sim.After(time.Duration(s*float64(time.Second)), func() {
@@ -554,7 +578,7 @@
 		return
 	}
 	if p.job.Shape == jobs.Gang && p.job.Pieces > 1 {
-		p.status = "waiting"
+		p.status = statusWaiting
 		wk.after(p, wk.sim.GangWaitS, func() { wk.end(p, "alone", false) })
 		wk.sim.startGang(p.job, p.attempt)
 		return
@@ -563,7 +587,7 @@
 }
 
 func (wk *Worker) run(p *agentTask) {
-	p.status = "running"
+	p.status = statusRunning
 	if p.job.Begun.IsZero() {
 		p.job.Begun = wk.sim.Now
 	}
