--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -123,13 +123,13 @@
 		Late:          map[string]time.Duration{},
 		Lag:           map[string]time.Duration{},
 	}
-	var heartbeatSeq func()
-	heartbeatSeq = func() {
+	var tick func()
+	tick = func() {
 		s.expire()
 		s.wake()
-		w.After(50*time.Millisecond, heartbeatSeq)
+		w.After(50*time.Millisecond, tick)
 	}
-	w.After(0, heartbeatSeq)
+	w.After(0, tick)
 	return s
 }
 
