--- a/internal/simulation/late_test.go
+++ b/internal/simulation/late_messages_test.go
@@ -9,21 +9,22 @@
 )
 
 // place has a machine hold a job's task in some state.
-func place(w *Simulator, machine string, j *Job, n int, status string) *Worker {
-	p := &wpiece{piece: fmt.Sprintf("%s/%d", j.UID, n), try: 1, status: status, job: j, n: n}
+func place(w *Simulator, machine string, j *Job, n int, status taskStatus) *Worker {
+	p := &agentTask{taskID: fmt.Sprintf("%s/%d", j.UID, n), attempt: 1, status: status, job: j, index: n}
 	wk := &Worker{
-		w:      w,
-		h:      &cloudHost{ID: machine, Build: "g4", Site: "a"},
-		pieces: map[string]*wpiece{attempt(p.piece, 1): p},
+		sim:     w,
+		machine: &cloudMachine{ID: machine, MachineType: "g4", Zone: "a"},
+		tasks:   map[string]*agentTask{attemptKey(p.taskID, 1): p},
 	}
 	w.Workers[machine] = wk
 	return wk
 }
 
-// TestRanCancelled: cancel_s after a user was told, by whichever answer, each task that is
+// TestCancelledTaskOnMachineTooLongBreaks: cancel_s after a user was told, by whichever answer, each task that is
 // still on a machine breaks the rule, also one that waits, saves, hangs or is cut off, and
 // so does one that begins later; none does before.
-func TestRanCancelled(t *testing.T) {
+func TestCancelledTaskOnMachineTooLongBreaks(t *testing.T) {
+	atFirst := map[string]taskStatus{"waiting": statusWaiting, "saving": statusSaving, "begins": statusPulling}
 	for _, again := range []bool{false, true} {
 		for _, status := range []string{"waiting", "running", "saving", "hung", "cut", "begins"} {
 			w := NewSimulator(1, slog.New(slog.DiscardHandler))
@@ -40,20 +41,20 @@
 				Done:       map[int]bool{},
 			}
 			w.Jobs[j.UID] = j
-			wk := place(w, "i-1", j, 0, map[string]string{"waiting": "waiting", "saving": "saving", "begins": "pulling"}[status])
-			p := wk.pieces["wk-000001/0#1"]
+			wk := place(w, "i-1", j, 0, atFirst[status])
+			p := wk.tasks["wk-000001/0#1"]
 			switch status {
 			case "running", "cut":
-				p.status = "running"
+				p.status = statusRunning
 				w.Cut("*", "i-1", false)
 			case "hung":
-				p.status, wk.Hung = "running", true
+				p.status, wk.Hung = statusRunning, true
 			case "begins":
 				w.After(42*time.Second, func() { wk.begin(p) })
 			}
-			w.told(j, []byte(`{"uid":"wk-000001","status":"cancelled"}`))
+			w.checkStatus(j, []byte(`{"uid":"wk-000001","status":"cancelled"}`))
 			if again { // told once more, which changes nothing
-				w.After(30*time.Second, func() { w.told(j, []byte(`{"status":"cancelled"}`)) })
+				w.After(30*time.Second, func() { w.checkStatus(j, []byte(`{"status":"cancelled"}`)) })
 			}
 			if w.RunUntil(41 * time.Second); len(w.Broken) != 0 {
 				t.Errorf("%s, told again %v, in time: %q", status, again, w.Broken)
@@ -68,14 +69,14 @@
 	}
 }
 
-// TestAnswersChecked: an answer that was on its way when the user was told another may
+// TestAnswersThatGoBackBreak: an answer that was on its way when the user was told another may
 // come last; one that left its controller later may not take back what was told.
-func TestAnswersChecked(t *testing.T) {
+func TestAnswersThatGoBackBreak(t *testing.T) {
 	w := NewSimulator(1, slog.New(slog.DiscardHandler))
 	j := &Job{UID: "wk-000001", Pieces: 2, Accepted: true, Done: map[int]bool{0: true}}
 	w.RunUntil(time.Second)
-	w.sent = w.Now
-	if w.told(
+	w.answerSentAt = w.Now
+	if w.checkStatus(
 		j,
 		[]byte(`{"status":"done"}`),
 	); len(w.Broken) != 1 ||
@@ -84,11 +85,11 @@
 	}
 	j.Done[1] = true
 	w.Broken = nil
-	if w.told(j, []byte(`{"status":"running"}`)); len(w.Broken) != 0 {
+	if w.checkStatus(j, []byte(`{"status":"running"}`)); len(w.Broken) != 0 {
 		t.Errorf("an answer that crossed: %q", w.Broken)
 	}
-	w.sent = w.Now.Add(time.Millisecond)
-	if w.told(
+	w.answerSentAt = w.Now.Add(time.Millisecond)
+	if w.checkStatus(
 		j,
 		[]byte(`{"status":"running"}`),
 	); len(w.Broken) != 1 ||
@@ -97,9 +98,9 @@
 	}
 }
 
-// TestStartsChecked: a task that starts while it is on another machine, hung or cut off
+// TestStartsAgainstTheRulesBreak: a task that starts while it is on another machine, hung or cut off
 // though that be, breaks a rule, and so does one beyond its team's limit.
-func TestStartsChecked(t *testing.T) {
+func TestStartsAgainstTheRulesBreak(t *testing.T) {
 	w := NewSimulator(1, slog.New(slog.DiscardHandler))
 	w.Max["t"] = 2
 	j := &Job{
@@ -113,29 +114,29 @@
 		Done:   map[int]bool{},
 	}
 	w.Jobs[j.UID] = j
-	place(w, "i-1", j, 0, "running").Hung = true
+	place(w, "i-1", j, 0, statusRunning).Hung = true
 	w.Cut("*", "i-1", false)
-	again := place(w, "i-2", j, 0, "pulling")
+	again := place(w, "i-2", j, 0, statusPulling)
 	if again.begin(
-		again.pieces["wk-000001/0#1"],
+		again.tasks["wk-000001/0#1"],
 	); len(w.Broken) != 1 ||
 		!strings.Contains(w.Broken[0], "ran_twice: wk-000001/0 starts on i-2 while on i-1") {
 		t.Errorf("twice: %q", w.Broken)
 	}
 	w.Broken = nil
-	more := place(w, "i-3", j, 1, "pulling")
+	more := place(w, "i-3", j, 1, statusPulling)
 	if more.begin(
-		more.pieces["wk-000001/1#1"],
+		more.tasks["wk-000001/1#1"],
 	); len(w.Broken) != 1 ||
 		!strings.Contains(w.Broken[0], "quota: t uses 3 of 2") {
 		t.Errorf("quota: %q", w.Broken)
 	}
 }
 
-// TestLateWrites: a transaction that meets the trouble gets no answer and is carried out
+// TestLateWritesAreCarriedOutLater: a transaction that meets the trouble gets no answer and is carried out
 // after newer ones, on its own conditions, 2 to 12 s later, though its sender is refused
 // by then; once the trouble is over none does.
-func TestLateWrites(t *testing.T) {
+func TestLateWritesAreCarriedOutLater(t *testing.T) {
 	for seed := range uint64(20) {
 		w := NewSimulator(seed, slog.New(slog.DiscardHandler))
 		call := w.Store.Call("n0")
@@ -162,20 +163,20 @@
 			answers["new"] != 200 {
 			t.Errorf("seed %d: late %s, new %s, answers %v", seed, w.Store.Value("late"), w.Store.Value("new"), answers)
 		}
-		revision := w.Store.items["met"].Stamp
+		revision := w.Store.items["met"].Revision
 		w.RunUntil(14 * time.Second)
 		if w.Store.Value("late") == nil || answers["late"] != -1 || w.LateDone != 2 {
 			t.Errorf("seed %d: late %s, answers %v, %d carried out late", seed, w.Store.Value("late"), answers, w.LateDone)
 		}
-		if w.Store.items["met"].Stamp != revision {
+		if w.Store.items["met"].Revision != revision {
 			t.Errorf("seed %d: a late transaction went against its condition", seed)
 		}
 	}
 }
 
-// TestLostAnswers: a transaction that meets the trouble is carried out at once and gets no
+// TestLostAnswersAreCarriedOutAtOnce: a transaction that meets the trouble is carried out at once and gets no
 // answer, so that others read it before its sender knows; once the trouble is over all do.
-func TestLostAnswers(t *testing.T) {
+func TestLostAnswersAreCarriedOutAtOnce(t *testing.T) {
 	w := NewSimulator(1, slog.New(slog.DiscardHandler))
 	call := w.Store.Call("n0")
 	answers := map[string]int{}
@@ -208,14 +209,14 @@
 	}
 }
 
-// TestHeldReports: copies of reports wait for the next leader and come to it once it has
+// TestHeldReportsReachTheNextLeader: copies of reports wait for the next leader and come to it once it has
 // acted, or to every controller as soon as it leads by the view.
-func TestHeldReports(t *testing.T) {
+func TestHeldReportsReachTheNextLeader(t *testing.T) {
 	for _, everywhere := range []bool{false, true} {
 		w := NewSimulator(1, slog.New(slog.DiscardHandler))
 		for _, name := range []string{"n0", "n1"} {
 			w.Order = append(w.Order, name)
-			w.Nodes[name] = &Node{w: w, Name: name} // one that doesn't run hears nothing
+			w.Nodes[name] = &Node{sim: w, Name: name} // one that doesn't run hears nothing
 		}
 		act := func(node, key, v string) {
 			w.Store.Call(
@@ -237,8 +238,8 @@
 		}
 		act("n0", "view", `{"leader":"n0","members":[{"name":"n0","inc":1},{"name":"n1","inc":2}],"epoch":1}`)
 		w.HoldReports(1, everywhere, time.Minute)
-		w.copyLate("n0", []byte("{}"))
-		w.copyLate("n1", []byte("{}"))
+		w.maybeReplay("n0", []byte("{}"))
+		w.maybeReplay("n1", []byte("{}"))
 		act("n0", "a", "1")
 		arrived("the same leader acts", 0)
 		act("n1", "view", `{"leader":"n1","members":[{"name":"n1","inc":2}],"epoch":2}`)
--- a/internal/simulation/lead.go
+++ b/internal/simulation/leader_events.go
@@ -22,50 +22,42 @@
 	Launched     = "launch"  // a task is launched on its machine
 )
 
-// lead is what a world keeps for scenarios about who leads and who is away.
-type lead struct {
-	at       map[string]func() // called at each of these moments
+// leaderEvents is for scenarios about a leader that ends at some moment, and cut zones.
+type leaderEvents struct {
+	handlers map[string]func() // called at each of these moments
 	cutZones map[string]string // zones that are cut off, and the controller in each
 }
 
 // Upon has f called at every moment of that name from now on.
 func (w *Simulator) Upon(moment string, f func()) {
-	if w.lead.at == nil {
-		w.lead.at = map[string]func(){}
+	if w.leaderEvents.handlers == nil {
+		w.leaderEvents.handlers = map[string]func(){}
 		w.watchReleases()
 	}
-	w.lead.at[moment] = f
+	w.leaderEvents.handlers[moment] = f
 }
 
-func (w *Simulator) moment(name string) {
-	if f := w.lead.at[name]; f != nil {
+func (w *Simulator) fireEvent(name string) {
+	if f := w.leaderEvents.handlers[name]; f != nil {
 		f()
 	}
 }
 
 // watchReleases notes each transaction that releases or places tasks.
 func (w *Simulator) watchReleases() {
-	next, settled := w.Store.Committed, w.Store.Settled
-	gave := false
-	w.Store.Committed = func(key string, v json.RawMessage) {
-		if next != nil {
-			next(key, v)
-		}
+	released := false
+	w.observe(func(key string, v json.RawMessage) {
 		if strings.HasPrefix(key, jobs.TaskPrefix) || strings.HasPrefix(key, taskbatch.KeyPrefix) {
-			for _, e := range tasksOf(key, v) {
-				gave = gave || e.Task.State == jobs.Released
+			for _, e := range recordTasks(key, v) {
+				released = released || e.Task.State == jobs.Released
 			}
 		}
-	}
-	w.Store.Settled = func() {
-		if settled != nil {
-			settled()
-		}
-		if gave {
-			gave = false
-			w.moment(Released)
+	}, func() {
+		if released {
+			released = false
+			w.fireEvent(Released)
 		}
-	}
+	})
 }
 
 // rentMoments tells when a rent is carried out and when its answer is taken.
@@ -76,14 +68,14 @@
 	return func(answer func(int, []byte)) {
 			serve(func(status int, b []byte) {
 				if status == 200 {
-					w.moment(RentDone)
+					w.fireEvent(RentDone)
 				}
 				answer(status, b)
 			})
 		}, func(status int, b []byte, err error) {
 			done(status, b, err)
 			if err == nil && status == 200 {
-				w.moment(RentAnswered)
+				w.fireEvent(RentAnswered)
 			}
 		}
 }
@@ -91,23 +83,23 @@
 // CutZone cuts a zone off: its machines and the controller in it reach one another, and
 // neither the other controllers nor what belongs to no zone. HealZone ends it.
 func (w *Simulator) CutZone(zone, controller string) {
-	if w.lead.cutZones == nil {
-		w.lead.cutZones = map[string]string{}
+	if w.leaderEvents.cutZones == nil {
+		w.leaderEvents.cutZones = map[string]string{}
 	}
-	w.lead.cutZones[zone] = controller
+	w.leaderEvents.cutZones[zone] = controller
 }
 
 // HealZone ends the cut of a zone.
-func (w *Simulator) HealZone(zone string) { delete(w.lead.cutZones, zone) }
+func (w *Simulator) HealZone(zone string) { delete(w.leaderEvents.cutZones, zone) }
 
-// apart tells that two parties are on different sides of a zone's cut. Users of the zone
+// separatedByZone tells that two parties are on different sides of a zone's cut. Users of the zone
 // stand on both.
-func (w *Simulator) apart(from, to string) bool {
-	for zone, controller := range w.lead.cutZones {
+func (w *Simulator) separatedByZone(from, to string) bool {
+	for zone, controller := range w.leaderEvents.cutZones {
 		inside := func(party string) bool {
 			base, _, _ := strings.Cut(party, ":")
-			h := w.Cloud.hosts[base]
-			return base == controller || h != nil && h.Site == zone
+			h := w.Cloud.machines[base]
+			return base == controller || h != nil && h.Zone == zone
 		}
 		if from != "user" && to != "user" && inside(from) != inside(to) {
 			return true
@@ -126,11 +118,12 @@
 }
 
 // WrongTokens names the machines that have seen a token of no view so far, or one whose
-// counter is above most.
-func (w *Simulator) WrongTokens(most uint64) (out []string) {
+// counter is above maxCounter.
+func (w *Simulator) WrongTokens(maxCounter uint64) (out []string) {
 	epoch := w.Epoch()
 	for _, id := range w.Hosts() {
-		if token := w.Workers[id].baton; token/agent.FencingTokenSpan > epoch || token%agent.FencingTokenSpan > most {
+		token := w.Workers[id].fencingToken
+		if token/agent.FencingTokenSpan > epoch || token%agent.FencingTokenSpan > maxCounter {
 			out = append(out, id)
 		}
 	}
@@ -140,14 +133,14 @@
 // Unrecorded names the machines that have been up for so long and have no record.
 func (w *Simulator) Unrecorded(long time.Duration) (out []string) {
 	for _, id := range slices.Sorted(maps.Keys(w.Workers)) {
-		if w.Now.Sub(w.Workers[id].h.upAt) >= long && w.Store.Value("host/"+id) == nil {
+		if w.Now.Sub(w.Workers[id].machine.upAt) >= long && w.Store.Value("host/"+id) == nil {
 			out = append(out, id)
 		}
 	}
 	return out
 }
 
-// Tally is what has happened in a world so far, for bounds on storms.
+// Tally is what has happened in a simulation so far, for bounds on storms.
 type Tally struct{ Changes, Requests, Refused, Rents, Deletes, Orders, Views, Starts int }
 
 // Tally counts it.
@@ -158,7 +151,7 @@
 		Refused:  w.Store.Refused,
 		Rents:    w.Cloud.Rented,
 		Deletes:  w.Cloud.deleted,
-		Orders:   w.orders,
+		Orders:   w.commandCount,
 		Views:    int(w.Epoch()),
 		Starts:   w.Begun(),
 	}
--- a/internal/simulation/runs.go
+++ b/internal/simulation/pipeline_runs.go
@@ -14,7 +14,7 @@
 // Run is what a user knows of a run.
 type Run struct {
 	ID, Told   string
-	Status     pipelines.Status // newest that was told
+	Status     pipelines.Status // newest that was answered
 	Body       []byte
 	Answer     int // status of the last answer to its submission
 	Accepted   bool
@@ -27,27 +27,27 @@
 func (w *Simulator) SubmitRun(r *Run) {
 	w.Runs[r.ID] = r
 	r.steps = map[string]*Job{}
-	var try func()
-	try = func() {
-		w.ask("POST", "/pipelines", r.Body, func(status int, b []byte, err error) {
+	var submit func()
+	submit = func() {
+		w.request("POST", "/pipelines", r.Body, func(status int, b []byte, err error) {
 			if err != nil || status == 429 || status == 503 {
-				w.After(time.Second, try)
+				w.After(time.Second, submit)
 				return
 			}
 			r.Answer = status
 			if status == 200 || status == 201 {
 				r.Accepted = true
-				w.toldRun(r, b)
+				w.checkRunStatus(r, b)
 				w.pollRun(r)
 			}
 		})
 	}
-	try()
+	submit()
 }
 
 // AgainRun repeats a run's submission, perhaps with another body.
 func (w *Simulator) AgainRun(r *Run, body []byte) {
-	w.ask("POST", "/pipelines", body, func(status int, b []byte, err error) {
+	w.request("POST", "/pipelines", body, func(status int, b []byte, err error) {
 		if err != nil {
 			return
 		}
@@ -55,18 +55,18 @@
 			w.Break("run accepted twice: %s", r.ID)
 		}
 		if status == 200 {
-			w.toldRun(r, b)
+			w.checkRunStatus(r, b)
 		}
 	})
 }
 
 func (w *Simulator) pollRun(r *Run) {
-	w.ask("GET", "/pipelines/"+r.ID, nil, func(status int, b []byte, err error) {
+	w.request("GET", "/pipelines/"+r.ID, nil, func(status int, b []byte, err error) {
 		if err == nil && status == 404 {
 			w.Break("forgotten: %s gets 404", r.ID)
 		}
 		if err == nil && status == 200 {
-			w.toldRun(r, b)
+			w.checkRunStatus(r, b)
 		}
 		if !pipelines.RunState(r.Told).Over() {
 			w.After(2*time.Second, func() { w.pollRun(r) })
@@ -77,18 +77,18 @@
 // AbortRun cancels a run, repeating until it is answered.
 func (w *Simulator) AbortRun(r *Run) {
 	r.AbortAsked = true
-	w.ask("POST", "/pipelines/"+r.ID+"/abort", nil, func(status int, b []byte, err error) {
+	w.request("POST", "/pipelines/"+r.ID+"/abort", nil, func(status int, b []byte, err error) {
 		if err != nil || status != 200 {
 			w.After(time.Second, func() { w.AbortRun(r) })
 			return
 		}
-		w.toldRun(r, b)
+		w.checkRunStatus(r, b)
 	})
 }
 
-// toldRun checks what a user is told of a run against what was told before, and
-// against what the workers did.
-func (w *Simulator) toldRun(r *Run, body []byte) {
+// checkRunStatus checks the answer about a run against earlier answers, and
+// against what the agents did.
+func (w *Simulator) checkRunStatus(r *Run, body []byte) {
 	var s pipelines.Status
 	for _, line := range strings.Split(string(body), "\n") {
 		if len(line) > 64<<10 {
@@ -105,7 +105,17 @@
 	if s.Status == pipelines.RunCancelled && !r.AbortAsked {
 		w.Break("went_back: %s is cancelled by nobody", r.ID)
 	}
-	ends := map[string]time.Time{}
+	w.checkRunSteps(r, &s)
+	w.checkRunOrder(r, &s)
+	r.Status, r.Told = s, string(s.Status)
+	if s.Status == pipelines.RunCancelled {
+		w.noteRunCancelled(r)
+	}
+}
+
+// checkRunSteps checks the answer about a run's steps against earlier answers, and
+// against what the agents did.
+func (w *Simulator) checkRunSteps(r *Run, s *pipelines.Status) {
 	for i, step := range s.Steps {
 		if i < len(r.Status.Steps) {
 			was := r.Status.Steps[i]
@@ -114,18 +124,26 @@
 			}
 		}
 		j := w.Jobs[step.Job]
-		if j == nil {
-			if step.Status == pipelines.Succeeded {
-				w.Break("not_done: %s of %s never ran", step.Name, r.ID)
-			}
-			continue
+		if j != nil {
+			r.steps[step.Job] = j
 		}
-		r.steps[step.Job] = j
-		if step.Status == pipelines.Succeeded && len(j.Done) < j.Pieces {
+		switch {
+		case step.Status != pipelines.Succeeded:
+		case j == nil:
+			w.Break("not_done: %s of %s never ran", step.Name, r.ID)
+		case len(j.Done) < j.Pieces:
 			w.Break("not_done: %s of %s has %d of %d", step.Name, r.ID, len(j.Done), j.Pieces)
 		}
+	}
+}
+
+// checkRunOrder checks that no step started before all that it needs had ended.
+func (w *Simulator) checkRunOrder(r *Run, s *pipelines.Status) {
+	ends := map[string]time.Time{}
+	for _, step := range s.Steps {
+		j := w.Jobs[step.Job]
 		name, _, _ := strings.Cut(step.Name, "[")
-		if step.Status.Over() && j.LastDone.After(ends[name]) {
+		if j != nil && step.Status.Over() && j.LastDone.After(ends[name]) {
 			ends[name] = j.LastDone
 		}
 	}
@@ -137,17 +155,13 @@
 			}
 		}
 	}
-	r.Status, r.Told = s, string(s.Status)
-	if s.Status == pipelines.RunCancelled {
-		w.cancelledRun(r)
-	}
 }
 
-// cancelledRun checks, as for jobs, that all is gone in time.
-func (w *Simulator) cancelledRun(r *Run) {
+// noteRunCancelled checks, as for jobs, that all is gone in time.
+func (w *Simulator) noteRunCancelled(r *Run) {
 	for _, step := range r.Status.Steps {
 		if j := w.Jobs[step.Job]; j != nil && !j.Cancelled && step.Status == pipelines.Cancelled {
-			w.cancelled(j)
+			w.noteCancelled(j)
 		}
 	}
 }
--- /dev/null
+++ b/internal/simulation/simulator.go
@@ -0,0 +1,242 @@
+// Package simulation simulates the state service, the cloud, the agents on machines and the
+// users around real controllers, on a fake clock and with seeded random draws. The simulated
+// parties follow the protocol's text and check its rules as they go; a rule that a controller
+// breaks is noted in Simulator.Broken. A run is determined by its seed: whoever adds a draw
+// from RNG changes the course of every recorded scenario.
+package simulation
+
+import (
+	"container/heap"
+	"encoding/json"
+	"fmt"
+	"log/slog"
+	"math/rand/v2"
+	"time"
+
+	"github.com/harrierreel/harrierreel/internal/jobs"
+	"github.com/harrierreel/harrierreel/internal/quota"
+)
+
+// Simulator holds the clock, the network and what lives in it.
+type Simulator struct {
+	Now       time.Time
+	Start     time.Time
+	RNG       *rand.Rand
+	gossipRNG *rand.Rand
+	Log       *slog.Logger
+
+	events      eventHeap
+	lateness    map[string]*lateness
+	seq         int
+	cuts        map[string]cutMode
+	heldPackets map[string][]func()
+	// Old are controllers whose program does not answer calls.
+	Old []string
+	// refusedPeers are controllers whose connections with the others are refused.
+	refusedPeers map[string]bool
+	// lateWrites, lostAnswers and lateReports meet a share of transactions and reports.
+	// LateCopies counts the copies that have arrived, LateDone the transactions carried
+	// out late, Unheard those carried out at once without an answer.
+	lateWrites, lostAnswers, lateReports chance
+	heldReports                          heldReports
+	LateCopies, LateDone, Unheard        int
+	leaderEvents                         leaderEvents
+	// unreachable are machines that reach no controller.
+	unreachable     map[string]bool
+	pollBurstsUntil time.Time // see CloseLooks; Looks counts the answers
+	cancelAtEnd     chance    // jobs that are called off as they end
+	Looks           int
+
+	Store   *Store
+	Cloud   *Cloud
+	Workers map[string]*Worker
+	Jobs    map[string]*Job
+	Runs    map[string]*Run
+	Images  bool   // machines keep what they have fetched
+	Loans   *Loans // where GPUs are lent
+	Nodes   map[string]*Node
+	Order   []string // node names
+
+	// Times in seconds.
+	LeaseS, ReportS, CancelS, GangWaitS, GangPeerS float64
+
+	Max      map[string]float64 // accelerators by team
+	Broken   []string           // rules that were broken
+	Sent503  int                // answers to submissions and cancellations
+	Breaches int                // of the protocol's limits, in Broken as well
+	Real     *Real              // set when the parties speak over sockets
+	Door     string             // the node that users reach, any if empty
+	Expired  int                // leases that ran out with tasks on the machine
+	// StartsAfterCancel counts starts of tasks whose user had the answer that the job
+	// is cancelled.
+	StartsAfterCancel int
+	Odd               invalidCounts // invalid requests that were answered
+
+	// answerSentAt is when the answer that is being taken left its controller,
+	// requestSentAt when its request was sent.
+	answerSentAt, requestSentAt time.Time
+	commandCount                int // sent to agents
+
+	account  *quota.Account // of the tree in force, where quotas are watched
+	calendar *calendarWatch // where there is one
+	stranded *strandedWatch // of jobs that wait although there is room, nil if not watched
+
+	ClockOff map[string]time.Duration // of controllers' time of day
+	Launched func(taskID string)      // called for each launch, if set
+	// Messages, if set, is called for all that the controllers send and receive, in order.
+	Messages     func(Message)
+	messageCount int // counted so far
+}
+
+// Real carries over sockets what the simulator otherwise delivers itself.
+type Real struct {
+	Endpoint func(machine string) string
+	Beat     func(node string, body []byte, done func(int, []byte, error))
+}
+
+// endpoint is a machine's address.
+func (w *Simulator) endpoint(machine string) string {
+	if w.Real != nil {
+		return w.Real.Endpoint(machine)
+	}
+	return "w:" + machine
+}
+
+// Job is what the users know of a job.
+type Job struct {
+	UID       string
+	Shape     string // sweep, gang or standing, as in jobs.Spec.Kind
+	Owner     string // team
+	Class     string
+	Pieces    int     // number of tasks
+	Accel     float64 // accelerators of each task
+	RunS      float64 // how long each task runs
+	ApartS    float64 // each task of an array runs so much longer than the one before it
+	PullS     float64 // how long a machine fetches the image
+	Bundle    string  // image
+	SamePlace bool    // all tasks in one zone
+	Scatter   bool    // at most half of the tasks, rounded up, in one zone
+	Loaner    bool    // spot machines are allowed
+	Site      string  // the only zone allowed, any if empty
+	Builds    []string
+	SnapshotS float64    // interval of checkpoints, 0 if it takes none
+	FailOn    string     // "every" machine, or a machine's name
+	Body      []byte     // the submission
+	spec      *jobs.Spec // as submitted
+
+	// What the user knows from answers.
+	SubmittedAt time.Time
+	Accepted    bool
+	AcceptedAt  time.Time // when its user first had that answer
+	Told        string    // newest status that its user had in an answer
+	ToldAt      time.Time
+	LastOK      time.Time // a request about it was answered
+	AbortAsked  bool      // its user cancels it
+	AbortOpen   time.Time // it was requested then and is not answered yet
+	Cancelled   bool      // its user had that answer, at CancelledAt
+	CancelledAt time.Time
+
+	// What happened on machines.
+	Done       map[int]bool // tasks that are done
+	Starts     int          // of its tasks
+	FirstStart time.Time
+	Begun      time.Time // first task runs, of a gang all
+	LastDone   time.Time
+}
+
+// NewSimulator makes an empty simulation; all random draws come from the seed.
+func NewSimulator(seed uint64, log *slog.Logger) *Simulator {
+	w := &Simulator{
+		Start: time.Date(
+			2030,
+			1,
+			1,
+			0,
+			0,
+			0,
+			0,
+			time.UTC,
+		),
+		RNG:          rand.New(rand.NewPCG(seed, 1)),
+		gossipRNG:    rand.New(rand.NewPCG(seed, 2)),
+		Log:          log,
+		cuts:         map[string]cutMode{},
+		lateness:     map[string]*lateness{},
+		heldPackets:  map[string][]func(){},
+		refusedPeers: map[string]bool{},
+		unreachable:  map[string]bool{},
+		Workers:      map[string]*Worker{},
+		Jobs:         map[string]*Job{},
+		Runs:         map[string]*Run{},
+		Nodes:        map[string]*Node{},
+		LeaseS:       30,
+		ReportS:      3,
+		CancelS:      60,
+		GangWaitS:    30,
+		GangPeerS:    5,
+		Max:          map[string]float64{},
+		ClockOff:     map[string]time.Duration{},
+	}
+	w.Now = w.Start
+	w.Store = newStore(w)
+	w.Cloud = newCloud(w)
+	return w
+}
+
+// At is the time since the start.
+func (w *Simulator) At() time.Duration { return w.Now.Sub(w.Start) }
+
+// Break notes a broken rule.
+func (w *Simulator) Break(format string, args ...any) {
+	w.Broken = append(w.Broken, fmt.Sprintf("%.3f s: ", w.At().Seconds())+fmt.Sprintf(format, args...))
+}
+
+type event struct {
+	at  time.Time
+	seq int
+	f   func()
+}
+
+type eventHeap []event
+
+func (h eventHeap) Len() int { return len(h) }
+func (h eventHeap) Less(i, j int) bool {
+	if !h[i].at.Equal(h[j].at) {
+		return h[i].at.Before(h[j].at)
+	}
+	return h[i].seq < h[j].seq
+}
+func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *eventHeap) Push(x any)   { *h = append(*h, x.(event)) }
+func (h *eventHeap) Pop() any {
+	old := *h
+	e := old[len(old)-1]
+	old[len(old)-1] = event{} // it holds whoever it was for
+	*h = old[:len(old)-1]
+	return e
+}
+
+// After runs f after d.
+func (w *Simulator) After(d time.Duration, f func()) {
+	w.seq++
+	heap.Push(&w.events, event{w.Now.Add(max(d, 0)), w.seq, f})
+}
+
+// RunUntil plays events up to a time since the start.
+func (w *Simulator) RunUntil(d time.Duration) {
+	end := w.Start.Add(d)
+	for len(w.events) > 0 && !w.events[0].at.After(end) {
+		e := heap.Pop(&w.events).(event)
+		w.Now = e.at
+		e.f()
+	}
+	w.Now = end
+}
+
+func encode(v any) []byte {
+	b, err := json.Marshal(v)
+	if err != nil {
+		panic(err) // a value of this package
+	}
+	return b
+}
--- /dev/null
+++ b/internal/simulation/task_watch.go
@@ -0,0 +1,102 @@
+package simulation
+
+import (
+	"encoding/json"
+	"strings"
+
+	"github.com/harrierreel/harrierreel/internal/jobs"
+	"github.com/harrierreel/harrierreel/internal/taskbatch"
+)
+
+// recordedTask is what the records say of one task.
+type recordedTask struct {
+	in   string // record that holds it, none if none does
+	task jobs.Task
+}
+
+// WatchTasks checks, after each transaction, that every task is in one record at most,
+// that its attempt never falls, that what is done stays done, and that no record of a task
+// on a machine goes while its job is live.
+func (w *Simulator) WatchTasks() {
+	t := &taskWatch{
+		sim:     w,
+		tasks:   map[string]*recordedTask{},
+		holds:   map[string]map[string]bool{},
+		live:    map[string]bool{},
+		written: map[string][]entry{},
+	}
+	w.observe(t.committed, t.settled)
+}
+
+// taskWatch is what the records say of all tasks.
+type taskWatch struct {
+	sim     *Simulator
+	tasks   map[string]*recordedTask   // by task ID
+	holds   map[string]map[string]bool // record to task IDs
+	live    map[string]bool            // jobs that are neither done nor cancelled
+	written map[string][]entry         // records that this transaction wrote
+}
+
+// committed takes one write of a transaction.
+func (t *taskWatch) committed(key string, v json.RawMessage) {
+	switch {
+	case strings.HasPrefix(key, jobs.JobPrefix):
+		jobID := key[len(jobs.JobPrefix):]
+		r, err := jobs.DecodeRecord(jobID, v)
+		t.live[jobID] = err == nil && r.State == jobs.Live
+	case strings.HasPrefix(key, jobs.TaskPrefix), strings.HasPrefix(key, taskbatch.KeyPrefix):
+		t.written[key] = nil
+		for _, e := range recordTasks(key, v) {
+			t.written[key] = append(t.written[key], entry{jobs.TaskID(e.JobID, e.Index), e.Task})
+		}
+	}
+}
+
+// settled checks the records that a transaction wrote.
+func (t *taskWatch) settled() {
+	lost := map[string]bool{} // tasks that a record of this transaction no longer holds
+	for key := range t.written {
+		for taskID := range t.holds[key] {
+			lost[taskID] = true
+			t.tasks[taskID].in = ""
+		}
+		t.holds[key] = map[string]bool{}
+	}
+	for key, entries := range t.written {
+		for _, e := range entries {
+			t.take(key, e)
+			delete(lost, e.taskID)
+		}
+	}
+	for taskID := range lost {
+		jobID, _, _ := jobs.SplitTaskID(taskID)
+		if t.tasks[taskID].task.OnMachine() && t.live[jobID] {
+			t.sim.Break("%s was on a machine when its record went", taskID)
+		}
+	}
+	clear(t.written)
+}
+
+// take notes that a record holds a task, and checks it against what was noted before.
+func (t *taskWatch) take(key string, e entry) {
+	known := t.tasks[e.taskID]
+	switch {
+	case known == nil:
+		known = &recordedTask{}
+		t.tasks[e.taskID] = known
+	case known.in != "":
+		t.sim.Break("%s is in %s and in %s", e.taskID, known.in, key)
+	case e.task.Attempt < known.task.Attempt:
+		t.sim.Break("%s: try %d after %d", e.taskID, e.task.Attempt, known.task.Attempt)
+	case known.task.State == jobs.Finished && e.task.State != jobs.Finished:
+		t.sim.Break("%s: %s after done", e.taskID, e.task.State)
+	}
+	known.in, known.task = key, e.task
+	t.holds[key][e.taskID] = true
+}
+
+// entry is a task in a record.
+type entry struct {
+	taskID string
+	task   jobs.Task
+}
