--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -52,7 +52,7 @@
 	}
 	_, height, err := term.GetSize(fd)
 	if err != nil {
-		return 24 // a terminal that does not tell its size: the usual one
+		return 24 // the usual height, where a terminal does not report its size
 	}
 	return height
 }
@@ -125,7 +125,7 @@
 	var body struct {
 		Error string `json:"error"`
 	}
-	// A body that is no JSON leaves the reason empty; server and status are still told.
+	// A body that is no JSON leaves the reason empty; server and status are still shown.
 	_ = json.Unmarshal(answer.Body, &body)
 	return usage("%s: %s answered %d: %s", id, answer.Server, answer.Status, body.Error)
 }
