--- a/internal/reconcile/tracker.go
+++ b/internal/reconcile/tracker.go
@@ -80,8 +80,9 @@
 	return t.Permits(ScaleOut) && now.Sub(t.heardAt) >= tuning.ReconcileScaleOutDelay
 }
 
-// AcceptsTasks reports whether tasks may be placed on a machine: on an own one once it is reconciled, on another owner's once
-// the owner had the time to hear its machines and to report which it does not hear.
+// AcceptsTasks reports whether tasks may be placed on a machine: on an own one once it is reconciled,
+// on another owner's once the owner had the time to hear its machines and to report which it does not
+// hear.
 func (t *Tracker) AcceptsTasks(machine string) bool {
 	if t.Steady() {
 		return true
@@ -99,8 +100,9 @@
 	return t.phase == Hearing && t.machines[machine] == MachineUnregistered
 }
 
-// SetView begins reconciliation with the first view, and sets which machines are this controller's under a later one and
-// which other controllers own some: all machines have to send a heartbeat under the new fencing token.
+// SetView begins reconciliation with the first view, and sets which machines are this controller's
+// under a later one and which other controllers own some: all machines have to send a heartbeat under
+// the new fencing token.
 func (t *Tracker) SetView(epoch uint64, machines, others []string, now time.Time) {
 	t.viewEpoch = epoch
 	if t.Steady() {
@@ -174,8 +176,8 @@
 	t.summary.answers[answer]++
 }
 
-// MachinesHeardEpoch is the epoch of the view under which all of this controller's machines have registered or were decommissioned,
-// 0 if they were not.
+// MachinesHeardEpoch is the epoch of the view under which all of this controller's machines have
+// registered or were decommissioned, 0 if they were not.
 func (t *Tracker) MachinesHeardEpoch() uint64 {
 	if t.startedAt.IsZero() || t.counts.Unregistered > 0 {
 		return 0
