--- /dev/null
+++ b/internal/scenario/expectations_test.go
@@ -0,0 +1,45 @@
+package scenario
+
+import "fmt"
+
+// expectFunc checks one expectation; args are the words of its line after "expect".
+type expectFunc func(s *script, args []string)
+
+// expectations has each by its first word.
+var expectations = joinExpectations()
+
+func joinExpectations() map[string]expectFunc {
+	joined := map[string]expectFunc{}
+	tables := []map[string]expectFunc{
+		controllerExpectations,
+		machineExpectations,
+		serviceExpectations,
+		jobExpectations,
+	}
+	for _, table := range tables {
+		for name, check := range table {
+			if joined[name] != nil {
+				panic(fmt.Sprintf("expectation %q stands in two tables", name))
+			}
+			joined[name] = check
+		}
+	}
+	return joined
+}
+
+// expect checks the expectation that its first word names. Any other first word is a job:
+// expect JOB done|cancelled|running|pending|refused.
+func (s *script) expect(args []string) {
+	s.t.Helper()
+	if check := expectations[args[0]]; check != nil {
+		check(s, args)
+		return
+	}
+	want := args[1]
+	if want == "refused" {
+		want = "422"
+	}
+	if got := s.job(args[0]).Status; got != want {
+		s.fatal("%s is %q, not %q", args[0], got, want)
+	}
+}
