--- /dev/null
+++ b/internal/scenario/submit_test.go
@@ -0,0 +1,153 @@
+package scenario
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+
+	"github.com/harrierreel/harrierreel/internal/simulation"
+)
+
+// submission is a job under way to its body, with what the body has beside the job.
+type submission struct {
+	job      *simulation.Job
+	priority string
+	due      string // JSON: seconds, or null
+	class    string
+	cores    float64
+	gb       float64 // size of the image
+}
+
+// properties sets what a submission says of a job, by its key.
+var properties = map[string]func(s *script, sub *submission, value string){
+	"pieces": func(s *script, sub *submission, value string) {
+		sub.job.TaskCount = int(s.number(value))
+	},
+	"accel": func(s *script, sub *submission, value string) {
+		sub.job.Accelerators = s.number(value)
+	},
+	"cores": func(s *script, sub *submission, value string) {
+		sub.cores = s.number(value)
+	},
+	"run": func(s *script, sub *submission, value string) {
+		sub.job.RunS = s.number(value)
+	},
+	// apart: its tasks end so many seconds after one another
+	"apart": func(s *script, sub *submission, value string) {
+		sub.job.ApartS = s.number(value)
+	},
+	"pull": func(s *script, sub *submission, value string) {
+		sub.job.PullS = s.number(value)
+	},
+	// gb: its image, by itself, as large as users say
+	"gb": func(s *script, sub *submission, value string) {
+		sub.job.PullS, sub.gb, sub.job.Image = s.number(value), s.number(value), "img-"+value
+	},
+	"owner": func(_ *script, sub *submission, value string) {
+		sub.job.Team = value
+	},
+	"rank": func(_ *script, sub *submission, value string) {
+		sub.priority = value
+	},
+	"same_place": func(_ *script, sub *submission, _ string) {
+		sub.job.SameZone = true
+	},
+	"scatter": func(_ *script, sub *submission, _ string) {
+		sub.job.SpreadZones = true
+	},
+	"loaner": func(_ *script, sub *submission, _ string) {
+		sub.job.Spot = true
+	},
+	"site": func(_ *script, sub *submission, value string) {
+		sub.job.Zone = value
+	},
+	"builds": func(_ *script, sub *submission, value string) {
+		sub.job.MachineTypes = strings.Split(value, ",")
+	},
+	"fail": func(s *script, sub *submission, value string) {
+		sub.job.FailOn = s.party(value)
+	},
+	// image: image=NAME:GB
+	"image": func(s *script, sub *submission, value string) {
+		image, size, _ := strings.Cut(value, ":")
+		sub.job.Image, sub.gb = image, s.number(size)
+	},
+	"snapshot": func(s *script, sub *submission, value string) {
+		sub.job.SnapshotS = s.number(value)
+	},
+	"class": func(_ *script, sub *submission, value string) {
+		sub.class = value
+	},
+	"due": func(_ *script, sub *submission, value string) {
+		sub.due = value
+	},
+}
+
+// submit UID SHAPE [key=value ...]
+func (s *script) submit(args []string) {
+	sub := &submission{
+		job: &simulation.Job{
+			ID:           args[0],
+			Kind:         args[1],
+			TaskCount:    1,
+			Accelerators: 1,
+			RunS:         10,
+			PullS:        1,
+			Team:         "team",
+			Image:        "img-1",
+		},
+		priority: "standard",
+		due:      "null",
+		class:    "c",
+		cores:    2,
+		gb:       1,
+	}
+	for _, arg := range args[2:] {
+		key, value, _ := strings.Cut(arg, "=")
+		set := properties[key]
+		if set == nil {
+			s.fatal("unknown property %q", key)
+		}
+		set(s, sub, value)
+	}
+	sub.job.Class = sub.class
+	sub.job.Body = sub.body()
+	s.w.Submit(sub.job)
+}
+
+// body is what is sent for the job.
+func (sub *submission) body() []byte {
+	j := sub.job
+	builds := "null"
+	if j.MachineTypes != nil {
+		builds = `["` + strings.Join(j.MachineTypes, `","`) + `"]`
+	}
+	zone := "null"
+	if j.Zone != "" {
+		zone = strconv.Quote(j.Zone)
+	}
+	return fmt.Appendf(
+		nil,
+		`{"uid":%q,"jobclass":%q,"owner":%q,"shape":%q,"rank":%q,"pieces":%d,"cores":%v,"accelerators":%v,"memory_gb":8,
+		"bundle":%q,"pull_gb":%v,"builds":%s,"site":%s,"same_place":%v,"scatter":%v,"loaner":%v,`+
+			`"expect_s":%v,"snapshot_s":%v,"stash_s":1,"due_s":%s}`,
+		j.ID,
+		sub.class,
+		j.Team,
+		j.Kind,
+		sub.priority,
+		j.TaskCount,
+		sub.cores,
+		j.Accelerators,
+		j.Image,
+		sub.gb,
+		builds,
+		zone,
+		j.SameZone,
+		j.SpreadZones,
+		j.Spot,
+		j.RunS,
+		j.SnapshotS,
+		sub.due,
+	)
+}
