--- a/internal/scenario/calendar_test.go
+++ b/internal/scenario/calendar_test.go
@@ -43,7 +43,11 @@
 	if s.set.Operator.Calendar == nil {
 		return
 	}
-	s.windows = &windows{upon: map[string][]string{}, state: map[string]calendar.State{}, opened: map[string][]time.Time{}}
+	s.windows = &windows{
+		upon:   map[string][]string{},
+		state:  map[string]calendar.State{},
+		opened: map[string][]time.Time{},
+	}
 	s.set.Cluster.ClockOffMs = 500
 	s.scarce = true // what waits for a window begins when that opens
 	s.w.WatchCalendar(func(window string, to calendar.State) {
@@ -113,7 +117,12 @@
 func TestCalendarEndsAtEachStep(t *testing.T) {
 	for _, window := range []string{"export", "weekend"} {
 		for _, state := range []calendar.State{calendar.Preparing, calendar.Open, calendar.Closing, calendar.Closed} {
-			for name, then := range map[string]string{"leader": "crash leader", "frozen": "freeze leader 20", "all": "crash-all"} {
+			ends := map[string]string{
+				"leader": "crash leader",
+				"frozen": "freeze leader 20",
+				"all":    "crash-all",
+			}
+			for name, then := range ends {
 				if name == "frozen" && state != calendar.Open && state != calendar.Closing {
 					continue
 				}
@@ -161,10 +170,7 @@
 		for i := range 5 {
 			start := w.Start.Add(each * time.Duration(i+1)).Add(time.Duration(n) * time.Minute)
 			doc.Windows = append(doc.Windows, calendar.WindowDoc{
-				Name: fmt.Sprint(
-					"w",
-					i,
-				),
+				Name:    fmt.Sprint("w", i),
 				Team:    "shop",
 				Classes: []string{fmt.Sprint(track, i)},
 				Start:   start.Format("2006-01-02T15:04"),
--- a/internal/scenario/down_test.go
+++ b/internal/scenario/down_test.go
@@ -48,6 +48,7 @@
 }
 
 func (f downFleet) play(b *testing.B, down time.Duration) {
+	b.Helper()
 	w := simulation.NewSimulator(11, slog.New(slog.DiscardHandler))
 	s := &script{w: w, vars: map[string]string{}, applied: map[string]int{}}
 	s.set = baseSettings(w)
@@ -85,7 +86,9 @@
 		submit(time.Duration(3000+50*i)*time.Millisecond, "sweep", "pieces=120", "accel=0.42", "run=2000")
 	}
 	total := 8*f.services + 4*f.gangs + f.tasks
-	for w.RunUntil(time.Minute); w.OnMachines() < total*99/100 && w.At() < 10*time.Minute; w.RunUntil(w.At() + time.Second) {
+	w.RunUntil(time.Minute)
+	for w.OnMachines() < total*99/100 && w.At() < 10*time.Minute {
+		w.RunUntil(w.At() + time.Second)
 	}
 	before, begun := w.OnMachines(), w.TaskStarts()
 	if before < total*99/100 {
--- a/internal/scenario/hour_test.go
+++ b/internal/scenario/hour_test.go
@@ -177,7 +177,8 @@
 		t.Error("nothing was stopped for a lowered limit: the hour tests nothing")
 	}
 	t.Logf(
-		"%d jobs; %d tasks stopped for a lowered limit, %d for others' guarantees or machines; waits within the guarantee: median %v, longest %v",
+		"%d jobs; %d tasks stopped for a lowered limit, %d for others' guarantees or machines; "+
+			"waits within the guarantee: median %v, longest %v",
 		len(w.Jobs),
 		lowered,
 		others,
--- a/internal/scenario/hung_test.go
+++ b/internal/scenario/hung_test.go
@@ -11,7 +11,7 @@
 	first, count := int(s.number(args[0])), int(s.number(args[1]))
 	long := time.Duration(s.number(args[2]) * float64(time.Second))
 	for i := range count {
-		machine := ""
+		var machine string
 		if verb == "hang-for" {
 			machine = s.host[first-1+i]
 		} else if machine = s.w.MachineOf(fmt.Sprintf("wk-%06d", first+i)); machine == "" {
--- a/internal/scenario/lead_test.go
+++ b/internal/scenario/lead_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"time"
+
+	"github.com/harrierreel/harrierreel/internal/simulation"
 )
 
 // leadVerb:
@@ -84,6 +86,31 @@
 	return time.Duration(s.number(text) * float64(time.Second))
 }
 
+// countSince is how many there were of something between two tallies.
+func (s *script) countSince(what string, now, was simulation.Tally) int {
+	s.t.Helper()
+	switch what {
+	case "changes":
+		return now.Changes - was.Changes
+	case "requests":
+		return now.Requests - was.Requests
+	case "refused":
+		return now.Refused - was.Refused
+	case "rents":
+		return now.Rents - was.Rents
+	case "deletes":
+		return now.Deletes - was.Deletes
+	case "orders":
+		return now.Commands - was.Commands
+	case "views":
+		return now.Views - was.Views
+	case "starts":
+		return now.Starts - was.Starts
+	}
+	s.fatal("%q is not counted", what)
+	return 0
+}
+
 // expectLead: expect since changes|requests|refused|rents|deletes|orders|views|starts MAX
 // (from the last mark on), expect least views MIN (so many changes of it since the mark),
 // expect tokens COUNTER (no machine has seen one of no view, or a counter above this),
@@ -92,26 +119,8 @@
 	s.t.Helper()
 	now, was := s.w.Tally(), s.marked
 	count := func(what string) int {
-		switch what {
-		case "changes":
-			return now.Changes - was.Changes
-		case "requests":
-			return now.Requests - was.Requests
-		case "refused":
-			return now.Refused - was.Refused
-		case "rents":
-			return now.Rents - was.Rents
-		case "deletes":
-			return now.Deletes - was.Deletes
-		case "orders":
-			return now.Commands - was.Commands
-		case "views":
-			return now.Views - was.Views
-		case "starts":
-			return now.Starts - was.Starts
-		}
-		s.fatal("%q is not counted", what)
-		return 0
+		s.t.Helper()
+		return s.countSince(what, now, was)
 	}
 	s.t.Logf("%s: %+v, marked at %+v", s.line, now, was)
 	switch args[0] {
--- a/internal/scenario/lending_test.go
+++ b/internal/scenario/lending_test.go
@@ -17,20 +17,20 @@
 	s.w.WatchLoans(guarantee)
 }
 
+// verbIsolatedEnds: isolated-ends: the machines of the start are cut no more.
+func (s *script) verbIsolatedEnds(_ []string) {
+	for _, h := range s.host {
+		s.w.Heal(h, "*")
+		s.w.Heal("*", h)
+	}
+}
+
 // loanVerb: end-on, freeze-on STATE leader|owner|others|all [SECONDS], hang-on, die-on, notice-on
-// STATE, cut-on (its machine from all), outage-on STATE SECONDS, abort-on STATE JOB: once the first loan comes to a state, or "told": a gang's
-// first task is told to stop. Controllers that end or stand still are back after SECONDS,
-// 4 if none are given.
+// STATE, cut-on (its machine from all), outage-on STATE SECONDS, abort-on STATE JOB: once the
+// first loan comes to a state, or "told": a gang's first task is told to stop. Controllers that
+// end or stand still are back after SECONDS, 4 if none are given.
 func (s *script) loanVerb(verb string, args []string) {
 	w := s.w
-	switch verb {
-	case "isolated-ends": // the machines of the start are cut no more
-		for _, h := range s.host {
-			w.Heal(h, "*")
-			w.Heal("*", h)
-		}
-		return
-	}
 	w.Loans.On[args[0]] = func(machine string) {
 		switch verb {
 		case "hang-on":
@@ -56,25 +56,44 @@
 			if len(args) > 2 {
 				back = s.number(args[2])
 			}
-			owner := ""
-			if v, ok := members.Decode(w.Store.Value(members.ViewKey)); ok {
-				owner = sharding.Owner(machine, v.Names())
-			}
-			for _, n := range w.NodeNames {
-				if args[1] == "all" || args[1] == "leader" && n == w.Leader() || args[1] == "owner" && n == owner ||
-					args[1] == "others" && n != owner && n != w.Leader() {
-					if verb == "freeze-on" {
-						w.Nodes[n].Freeze(time.Duration(back * float64(time.Second)))
-						continue
-					}
-					w.Nodes[n].Crash()
-					w.After(time.Duration(back*float64(time.Second)), w.Nodes[n].Boot)
-				}
+			s.endOrFreeze(verb, args[1], machine, time.Duration(back*float64(time.Second)))
+		}
+	}
+}
+
+// endOrFreeze has controllers end, or stand still, for so long: all, the leader, the owner of
+// a machine or those that are neither.
+func (s *script) endOrFreeze(verb, which, machine string, back time.Duration) {
+	w := s.w
+	owner := ""
+	if v, ok := members.Decode(w.Store.Value(members.ViewKey)); ok {
+		owner = sharding.Owner(machine, v.Names())
+	}
+	for _, n := range w.NodeNames {
+		if which == "all" || which == "leader" && n == w.Leader() || which == "owner" && n == owner ||
+			which == "others" && n != owner && n != w.Leader() {
+			if verb == "freeze-on" {
+				w.Nodes[n].Freeze(back)
+				continue
 			}
+			w.Nodes[n].Crash()
+			w.After(back, w.Nodes[n].Boot)
 		}
 	}
 }
 
+// loansIn counts the loans in a state, or all, or those that are open.
+func (s *script) loansIn(state string) int {
+	count := 0
+	for _, l := range s.w.Loans.Ledger() {
+		if state == "all" || state == "open" && !l.State.Over() ||
+			strings.ReplaceAll(string(l.State), " ", "-") == state {
+			count++
+		}
+	}
+	return count
+}
+
 // expectLoans: expect loans STATE|open|all MIN MAX, expect used TEAM MIN MAX (its tasks
 // on machines, in accelerators), expect upto JOB MIN (its tasks on machines), expect
 // gangs saved|fell MIN MAX.
@@ -83,12 +102,7 @@
 	got := 0
 	switch args[0] {
 	case "loans":
-		for _, l := range s.w.Loans.Ledger() {
-			if args[1] == "all" || args[1] == "open" && !l.State.Over() ||
-				strings.ReplaceAll(string(l.State), " ", "-") == args[1] {
-				got++
-			}
-		}
+		got = s.loansIn(args[1])
 	case "used":
 		for jobID, j := range s.w.Jobs {
 			if j.Team == args[1] {
--- a/internal/scenario/measure_test.go
+++ b/internal/scenario/measure_test.go
@@ -44,7 +44,24 @@
 	}
 }
 
+// chainFile is a pipeline file of measuredSteps steps, each of which needs the one before.
+func chainFile() []byte {
+	var text strings.Builder
+	text.WriteString("name: chain\nowner: team\n")
+	text.WriteString("defaults: {cores: 2, accelerators: 1, memory_gb: 8, bundle: img-1, pull_gb: 1, ")
+	text.WriteString("expect_s: " + strconv.Itoa(measuredStep) + "}\nsteps:\n")
+	for i := range measuredSteps {
+		text.WriteString("  - {name: s" + strconv.Itoa(i))
+		if i > 0 {
+			text.WriteString(", needs: s" + strconv.Itoa(i-1))
+		}
+		text.WriteString("}\n")
+	}
+	return []byte(text.String())
+}
+
 func measure(b *testing.B, kill bool) {
+	b.Helper()
 	w := simulation.NewSimulator(5, slog.New(slog.DiscardHandler))
 	set := baseSettings(w)
 	set.Cluster.Size = 5
@@ -56,17 +73,7 @@
 	for i := range 150 {
 		w.Cloud.AddRunning("g8", []string{"a", "b"}[i%2], false)
 	}
-	text := "name: chain\nowner: team\ndefaults: {cores: 2, accelerators: 1, memory_gb: 8, bundle: img-1, pull_gb: 1, expect_s: " + strconv.Itoa(
-		measuredStep,
-	) + "}\nsteps:\n"
-	for i := range measuredSteps {
-		text += fmt.Sprintf("  - {name: s%d", i)
-		if i > 0 {
-			text += fmt.Sprintf(", needs: s%d", i-1)
-		}
-		text += "}\n"
-	}
-	f, faults := pipefile.Parse("chain", []byte(text))
+	f, faults := pipefile.Parse("chain", chainFile())
 	if len(faults) > 0 {
 		b.Fatal(faults)
 	}
--- a/internal/scenario/messages_test.go
+++ b/internal/scenario/messages_test.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"bytes"
 	"encoding/hex"
+	"errors"
 	"flag"
 	"fmt"
 	"io"
@@ -121,7 +122,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // only read
 	lines := map[string]string{}
 	sc := bufio.NewScanner(f)
 	for sc.Scan() {
@@ -144,9 +145,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer f.Close()
 		buffered := bufio.NewWriter(f)
-		defer buffered.Flush()
+		defer func() {
+			if err := errors.Join(buffered.Flush(), f.Close()); err != nil {
+				t.Error(err)
+			}
+		}()
 		out = io.MultiWriter(h, buffered)
 	}
 	count, named := 0, numbers{}
@@ -158,7 +162,8 @@
 			if m.Kind == simulation.GossipSent || m.Kind == simulation.GossipReceived {
 				m.Body = named.replace(m.Body)
 			}
-			fmt.Fprintf(out, "%d %s %s %d %s %s %s %d %d %d %v %s\n",
+			// A hash takes all; what a file doesn't take is told by Flush.
+			_, _ = fmt.Fprintf(out, "%d %s %s %d %s %s %s %d %d %d %v %s\n",
 				m.At, m.Node, m.Kind, m.Number, m.Party, m.Method, m.Target, m.Timeout, m.Status, m.RetryAfter, m.Err, m.Body)
 		})
 	}()
--- a/internal/scenario/now_test.go
+++ b/internal/scenario/now_test.go
@@ -234,7 +234,10 @@
 			s.set.Cluster.Size = 3 + 2*w.RNG.IntN(2)
 			s.set.Cluster.Teams = []settings.Team{{Name: "team", GpusMax: 45}, {Name: "other", GpusMax: 25}}
 			w.TeamLimits["team"], w.TeamLimits["other"] = 45, 25
-			s.set.Operator.TaskBatching = []settings.TaskBatching{settings.BatchingAlways, settings.BatchingWhenScarce}[w.RNG.IntN(2)]
+			s.set.Operator.TaskBatching = []settings.TaskBatching{
+				settings.BatchingAlways,
+				settings.BatchingWhenScarce,
+			}[w.RNG.IntN(2)]
 			for i := range 20 {
 				s.host = append(s.host, w.Cloud.AddRunning("g4", []string{"a", "b"}[i%2], false))
 			}
--- a/internal/scenario/pairs_test.go
+++ b/internal/scenario/pairs_test.go
@@ -218,6 +218,7 @@
 // playPair plays one world of two troubles, drawn by chance, with the deployment and the
 // number of controllers of a seed, and what else is to go on, and judges it.
 func playPair(t *testing.T, chance uint64, seed int, packs settings.TaskBatching, a, b trouble, besides func(*script)) {
+	t.Helper()
 	w := simulation.NewSimulator(chance, slog.New(slog.DiscardHandler))
 	w.WatchTasks()
 	zone := &pairSites[seed%len(pairSites)]
--- a/internal/scenario/recorded_test.go
+++ b/internal/scenario/recorded_test.go
@@ -58,7 +58,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // only read
 	want := bufio.NewScanner(f)
 	for _, line := range strings.Split(strings.TrimSpace(out.String()), "\n") {
 		if !want.Scan() || want.Text() != line {
@@ -73,7 +73,7 @@
 	h := blake3.New(16, nil)
 	run(t, filepath.Join("testdata", name+".txt"), settings.BatchingWhenScarce, func(key string, v json.RawMessage) {
 		commits++
-		fmt.Fprintf(h, "%s %s\n", key, v)
+		_, _ = fmt.Fprintf(h, "%s %s\n", key, v) // a hash takes all
 	})
 	return hex.EncodeToString(h.Sum(nil)), commits
 }
--- a/internal/scenario/same_test.go
+++ b/internal/scenario/same_test.go
@@ -29,7 +29,8 @@
 steps:
   - {name: fetch, rank: urgent}
   - {name: score, needs: fetch, pieces: 6, loaner: true}
-  - {name: train, needs: score, shape: ensemble, pieces: 2, accelerators: 2, same_place: true, snapshot_s: 5, stash_s: 1, due_s: 900}
+  - {name: train, needs: score, shape: ensemble, pieces: 2, accelerators: 2, same_place: true,
+     snapshot_s: 5, stash_s: 1, due_s: 900}
   - {name: west, needs: train, site: a, builds: [g4], bundle: img-2}
   - {name: east, needs: train, site: b, scatter: true, bundle: img-3}
   - {name: report, needs: [west, east], rank: idle, site: a, expect_s: 9}
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -9,6 +9,7 @@
 	"bufio"
 	"encoding/json"
 	"fmt"
+	"io"
 	"log/slog"
 	"os"
 	"path/filepath"
@@ -49,6 +50,7 @@
 // packed tells whether a scenario has more machines at the start than changes a second:
 // what can be packed is, then, as it stands.
 func packed(t *testing.T, file string) bool {
+	t.Helper()
 	text, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
@@ -93,40 +95,75 @@
 // run plays a scenario. committed, if given, is told of each write of a
 // transaction.
 func run(t *testing.T, file string, packs settings.TaskBatching, committed func(key string, v json.RawMessage)) {
+	t.Helper()
 	runTelling(t, file, packs, committed, nil)
 }
 
 // runTelling is run with messages, if given, told of each message of the controllers.
 func runTelling(
-	t testing.TB,
+	tb testing.TB,
 	file string,
 	packs settings.TaskBatching,
 	committed func(key string, v json.RawMessage),
 	messages func(simulation.Message),
 ) {
+	tb.Helper()
 	f, err := os.Open(file)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
+	}
+	defer func() { _ = f.Close() }() // only read
+	s := newScript(tb, packs)
+	s.w.Store.Committed, s.w.Messages = committed, messages
+	s.playLines(f, filepath.Base(file))
+	s.uponDone()
+	if committed == nil { // what was recorded ends with the file
+		s.w.Aftermath()
+		if !s.scarce {
+			s.w.CheckServed(s.inTime)
+		}
 	}
-	defer f.Close()
+	if s.w.Store.Poisoned == 0 {
+		s.w.CheckRefused()
+	}
+	for _, b := range s.w.Broken {
+		tb.Errorf("%s: rule broken at %s", file, b)
+	}
+}
+
+// newScript is a scenario before its first line. With SCENARIO_LOG set its controllers log to
+// the standard error.
+func newScript(tb testing.TB, packs settings.TaskBatching) *script {
+	tb.Helper()
 	log := slog.New(slog.DiscardHandler)
 	if os.Getenv("SCENARIO_LOG") != "" {
 		log = slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	}
-	s := &script{t: t, size: 3, vars: map[string]string{}, applied: map[string]int{}, w: simulation.NewSimulator(7, log)}
-	s.w.Store.Committed, s.w.Messages = committed, messages
+	s := &script{
+		t:       tb,
+		size:    3,
+		vars:    map[string]string{},
+		applied: map[string]int{},
+		w:       simulation.NewSimulator(7, log),
+	}
 	s.w.WatchTasks()
 	s.set = baseSettings(s.w)
 	s.set.Operator.TaskBatching = packs
+	return s
+}
+
+// playLines takes the settings, and from the first timed line on plays the scenario.
+func (s *script) playLines(lines io.Reader, file string) {
+	s.t.Helper()
 	started := false
-	sc := bufio.NewScanner(f)
+	sc := bufio.NewScanner(lines)
 	for n := 1; sc.Scan(); n++ {
 		text, _, _ := strings.Cut(sc.Text(), "#")
 		words := strings.Fields(text)
 		if len(words) == 0 {
 			continue
 		}
-		s.line = fmt.Sprintf("%s:%d", filepath.Base(file), n)
+		s.line = fmt.Sprintf("%s:%d", file, n)
 		at, err := strconv.ParseFloat(words[0], 64)
 		if err != nil {
 			s.setting(words)
@@ -134,15 +171,7 @@
 		}
 		if !started {
 			started = true
-			if s.set.Operator.Quotas != nil {
-				s.stops = s.w.WatchQuotas(s.set.TeamMap(), nil)
-			}
-			if s.set.Operator.Lending != nil {
-				s.watchLoans()
-			}
-			s.w.Unresponsive = s.old
-			s.watchCalendar()
-			s.w.AddNodes(s.size, s.set)
+			s.start()
 		}
 		due := time.Duration(at * float64(time.Second))
 		if due < s.w.At() { // the world's clock would be set back
@@ -151,19 +180,19 @@
 		s.w.RunUntil(due)
 		s.do(words[1], words[2:])
 	}
-	s.uponDone()
-	if committed == nil { // what was recorded ends with the file
-		s.w.Aftermath()
-		if !s.scarce {
-			s.w.CheckServed(s.inTime)
-		}
-	}
-	if s.w.Store.Poisoned == 0 {
-		s.w.CheckRefused()
+}
+
+// start starts the controllers, with the rules watched that the settings call for.
+func (s *script) start() {
+	if s.set.Operator.Quotas != nil {
+		s.stops = s.w.WatchQuotas(s.set.TeamMap(), nil)
 	}
-	for _, b := range s.w.Broken {
-		t.Errorf("%s: rule broken at %s", file, b)
+	if s.set.Operator.Lending != nil {
+		s.watchLoans()
 	}
+	s.w.Unresponsive = s.old
+	s.watchCalendar()
+	s.w.AddNodes(s.size, s.set)
 }
 
 func baseSettings(w *simulation.Simulator) settings.Settings {
--- a/internal/scenario/size_test.go
+++ b/internal/scenario/size_test.go
@@ -32,7 +32,13 @@
 //
 //	go test ./internal/scenario -run '^$' -bench Size -benchtime 1x -timeout 60m
 func BenchmarkSize(b *testing.B) {
-	for _, size := range []struct{ machines, tasks int }{{1800, 30000}, {2700, 45000}, {3600, 45000}, {4000, 45000}} {
+	sizes := []struct{ machines, tasks int }{
+		{1800, 30000},
+		{2700, 45000},
+		{3600, 45000},
+		{4000, 45000},
+	}
+	for _, size := range sizes {
 		b.Run(fmt.Sprintf("machines=%d/tasks=%d", size.machines, size.tasks), func(b *testing.B) {
 			for b.Loop() {
 				measureSize(b, size.machines, size.tasks)
@@ -42,6 +48,7 @@
 }
 
 func measureSize(b *testing.B, machines, tasks int) {
+	b.Helper()
 	w := simulation.NewSimulator(5, slog.New(slog.DiscardHandler))
 	set := baseSettings(w)
 	set.Cluster.Size = 5
@@ -71,8 +78,11 @@
 			}
 			j.Body = fmt.Appendf(
 				nil,
-				`{"uid":%q,"jobclass":"c","owner":"team","shape":"sweep","rank":"standard","pieces":%d,"cores":1,"accelerators":0.25,"memory_gb":4,
-				"bundle":"img-1","pull_gb":1,"builds":null,"site":null,"same_place":false,"scatter":false,"loaner":false,"expect_s":%d,"snapshot_s":0,"stash_s":1,"due_s":null}`,
+				`{"uid":%q,"jobclass":"c","owner":"team","shape":"sweep","rank":"standard",`+
+					`"pieces":%d,"cores":1,"accelerators":0.25,"memory_gb":4,
+				"bundle":"img-1","pull_gb":1,"builds":null,"site":null,`+
+					`"same_place":false,"scatter":false,"loaner":false,`+
+					`"expect_s":%d,"snapshot_s":0,"stash_s":1,"due_s":null}`,
 				jobID,
 				sizeJobTasks,
 				sizeRunS,
@@ -91,7 +101,6 @@
 	steadyRequests, steadyWrites := w.Store.Requests-requests, w.Store.Writes-writes
 	keys, bytes := w.Store.Live()
 	expired, starts := w.Expired, totalStarts(w)
-	requests = w.Store.Requests
 	w.Store.Listed = 0
 	for _, n := range w.NodeNames {
 		w.Nodes[n].Crash()
--- a/internal/scenario/takeover_test.go
+++ b/internal/scenario/takeover_test.go
@@ -56,7 +56,8 @@
 	return &takeOvers{view: h(), release: h(), heard: h()}
 }
 
-func (m *takeOvers) play(b testing.TB, seed uint64, how string) {
+func (m *takeOvers) play(tb testing.TB, seed uint64, how string) {
+	tb.Helper()
 	w := simulation.NewSimulator(seed, slog.New(slog.DiscardHandler))
 	s := &script{w: w, vars: map[string]string{}, applied: map[string]int{}}
 	s.set = baseSettings(w)
@@ -127,7 +128,7 @@
 		w.RunUntil(at - time.Duration(w.RNG.IntN(3000))*time.Millisecond)
 		boss := w.Leader()
 		if boss == "" {
-			b.Fatal("nobody leads")
+			tb.Fatal("nobody leads")
 		}
 		s.vars["boss"] = boss
 		was := epoch
@@ -144,7 +145,7 @@
 		for epoch == was || !w.TokenShown(epoch) {
 			w.RunUntil(w.At() + 10*time.Millisecond)
 			if w.Now.Sub(from) > 30*time.Second {
-				b.Fatal("machines not heard")
+				tb.Fatal("machines not heard")
 			}
 		}
 		_ = m.heard.RecordValue(w.Now.Sub(from).Milliseconds() + 1)
@@ -154,11 +155,12 @@
 	m.changes += w.Store.Writes - writes
 	m.requests += w.Store.Requests - requests
 	for _, what := range w.Broken {
-		b.Error(what)
+		tb.Error(what)
 	}
 }
 
 func (m *takeOvers) report(b *testing.B) {
+	b.Helper()
 	for name, h := range map[string]*hdrhistogram.Histogram{"view": m.view, "release": m.release, "heard": m.heard} {
 		b.ReportMetric(float64(h.ValueAtQuantile(50)), name+"-p50-ms")
 		b.ReportMetric(float64(h.ValueAtQuantile(95)), name+"-p95-ms")
--- a/internal/scenario/verbs_machines_test.go
+++ b/internal/scenario/verbs_machines_test.go
@@ -31,7 +31,7 @@
 	"notice-on":      withName("notice-on", (*script).loanVerb),
 	"abort-on":       withName("abort-on", (*script).loanVerb),
 	"outage-on":      withName("outage-on", (*script).loanVerb),
-	"isolated-ends":  withName("isolated-ends", (*script).loanVerb),
+	"isolated-ends":  (*script).verbIsolatedEnds,
 	"mute":           withName("mute", (*script).verbMute),
 	"unmute":         withName("unmute", (*script).verbMute),
 	// hang-with FIRST COUNT SECONDS: machines with a task of these jobs; hang-for: of the start
