--- a/internal/scenario/calendar_test.go
+++ b/internal/scenario/calendar_test.go
@@ -152,23 +152,16 @@
 	}
 }
 
-// TestOpeningsAreQuick: of ten openings on two tracks, without failures, the first tasks
-// run within 15 s, on machines that were rented for them.
-func TestOpeningsAreQuick(t *testing.T) {
-	t.Parallel()
-	w := simulation.NewSimulator(13, slog.New(slog.DiscardHandler))
-	s := &script{t: t, line: "openings", w: w, vars: map[string]string{}, applied: map[string]int{}}
-	s.set = baseSettings(w)
-	s.set.Cluster.Size = 5
-	s.set.Cluster.Teams = []settings.Team{{Name: "shop", GpusMax: 200}}
-	w.TeamLimits["shop"] = 200
-	w.Cloud.Limit = 200
+// openingsEvery is how far apart a track's openings are in TestOpeningsAreQuick.
+const openingsEvery = 4 * time.Minute
+
+// openings is a calendar of five windows in a row on each of two tracks.
+func openings(begin time.Time) *calendar.Document {
 	d := &calendar.Document{Revision: 1, Zone: "UTC"}
-	const each = 4 * time.Minute
 	for n, track := range []string{"one", "two"} {
 		doc := calendar.TrackDoc{Name: track}
 		for i := range 5 {
-			start := w.Start.Add(each * time.Duration(i+1)).Add(time.Duration(n) * time.Minute)
+			start := begin.Add(openingsEvery * time.Duration(i+1)).Add(time.Duration(n) * time.Minute)
 			doc.Windows = append(doc.Windows, calendar.WindowDoc{
 				Name:    fmt.Sprint("w", i),
 				Team:    "shop",
@@ -182,6 +175,21 @@
 		}
 		d.Tracks = append(d.Tracks, doc)
 	}
+	return d
+}
+
+// TestOpeningsAreQuick: of ten openings on two tracks, without failures, the first tasks
+// run within 15 s, on machines that were rented for them.
+func TestOpeningsAreQuick(t *testing.T) {
+	t.Parallel()
+	w := simulation.NewSimulator(13, slog.New(slog.DiscardHandler))
+	s := &script{t: t, line: "openings", w: w, vars: map[string]string{}, applied: map[string]int{}}
+	s.set = baseSettings(w)
+	s.set.Cluster.Size = 5
+	s.set.Cluster.Teams = []settings.Team{{Name: "shop", GpusMax: 200}}
+	w.TeamLimits["shop"] = 200
+	w.Cloud.Limit = 200
+	d := openings(w.Start)
 	if _, faults := calendar.Build(d, calendar.Known{}, w.Start); len(faults) > 0 {
 		t.Fatal(faults)
 	}
@@ -192,19 +200,19 @@
 	for n, track := range []string{"one", "two"} {
 		for i := range 5 {
 			jobID := fmt.Sprintf("wk-%06d", 100*n+i)
-			start := each*time.Duration(i+1) + time.Duration(n)*time.Minute
+			start := openingsEvery*time.Duration(i+1) + time.Duration(n)*time.Minute
 			w.After(start-2*time.Minute, func() {
 				s.submit(
 					[]string{jobID, "sweep", "owner=shop", fmt.Sprint("class=", track, i), "pieces=8", "run=300", "snapshot=10"},
 				)
 			})
 			w.After(
-				start+each-time.Second,
+				start+openingsEvery-time.Second,
 				func() { took = append(took, w.Jobs[jobID].FirstStart.Sub(w.Start.Add(start)).Seconds()) },
 			)
 		}
 	}
-	w.RunUntil(each*6 + 2*time.Minute)
+	w.RunUntil(openingsEvery*6 + 2*time.Minute)
 	slices.Sort(took)
 	t.Logf(
 		"first tasks after the planned begin: median %.2f s, most %.2f s; %d machines rented",
--- a/internal/scenario/hour_test.go
+++ b/internal/scenario/hour_test.go
@@ -18,13 +18,30 @@
 // its lease, a new view) and an outage of 20 s of the state service included.
 const guaranteeWithin = 60 * time.Second
 
-// TestAnHourOfTenants plays an hour of mixed submissions of three levels of tenants,
-// more than there is room for, with controllers that end, outages and two lowered
-// limits. At every commit all limits hold (Store.Committed, not one task above);
-// whatever is stopped has a cause; a team that stays within its guarantee is served
-// within the bound; and in the end everything is done.
-func TestAnHourOfTenants(t *testing.T) {
-	t.Parallel()
+// hourSeconds is how long TestAnHourOfTenants plays.
+const hourSeconds = 3600
+
+// tenants are those that submit by turns and by chance.
+var tenants = []struct{ owner, class string }{
+	{"storefront", "lens"},
+	{"storefront", "tags"},
+	{"pricing", "sweep"},
+	{"pricing", "audit"},
+	{"pricing", "other"},
+	{"modelli", "train"},
+	{"modelli", "score"},
+}
+
+// hourOfTenants is TestAnHourOfTenants under way.
+type hourOfTenants struct {
+	s      *script
+	rng    *rand.Rand
+	count  int                      // of jobs submitted
+	probes map[string]time.Duration // submitted by the team that stays within its guarantee
+}
+
+func newHourOfTenants(t *testing.T) *hourOfTenants {
+	t.Helper()
 	w := simulation.NewSimulator(11, slog.New(slog.DiscardHandler))
 	s := &script{t: t, line: "hour", w: w, vars: map[string]string{}, applied: map[string]int{}}
 	w.ReportS = 8 // as on large deployments
@@ -47,126 +64,133 @@
 	}
 	s.stops = w.WatchQuotas(s.set.TeamMap(), nil)
 	w.AddNodes(3, s.set)
+	return &hourOfTenants{s: s, rng: rand.New(rand.NewPCG(1, 2)), probes: map[string]time.Duration{}}
+}
 
-	rng := rand.New(rand.NewPCG(1, 2))
-	tenants := []struct{ owner, class string }{
-		{"storefront", "lens"},
-		{"storefront", "tags"},
-		{"pricing", "sweep"},
-		{"pricing", "audit"},
-		{"pricing", "other"},
-		{"modelli", "train"},
-		{"modelli", "score"},
-	}
-	n := 0
-	submitted := map[string]time.Duration{} // probes of the team that stays within its guarantee
-	submit := func(owner, class, shape string, pieces int, run float64) string {
-		n++
-		jobID := fmt.Sprintf("wk-%06d", n)
-		s.submit(
-			[]string{
-				jobID,
-				shape,
-				"owner=" + owner,
-				"class=" + class,
-				fmt.Sprint("pieces=", pieces),
-				fmt.Sprint("run=", run),
-				"cores=1",
-				"snapshot=10",
-			},
-		)
-		return jobID
-	}
-	const hour = 3600
-	for at := 5; at < hour; at++ {
-		w.RunUntil(time.Duration(at) * time.Second)
-		// Bursts of one tenant after another, for minutes, on top of a steady mix.
-		if at < hour-900 && rng.IntN(10) == 0 {
-			x := tenants[rng.IntN(len(tenants))]
-			if at%600 > 300 {
-				x = tenants[at/600%len(tenants)]
-			}
-			shape, pieces := "sweep", 1+rng.IntN(12)
-			if rng.IntN(5) == 0 {
-				shape, pieces = "ensemble", 2
-			}
-			run := float64(10 + rng.IntN(150))
-			if x.class == "audit" { // two at a time, which is all that it may have
-				shape, pieces, run = "sweep", 1+rng.IntN(2), 20
-			}
-			submit(x.owner, x.class, shape, pieces, run)
-		}
-		if at%45 == 0 && at < hour-900 {
-			submitted[submit("stazioni", "probe", "sweep", 2, 20)] = w.At()
+// submit hands in one job and gives its id.
+func (h *hourOfTenants) submit(owner, class, shape string, pieces int, run float64) string {
+	h.count++
+	jobID := fmt.Sprintf("wk-%06d", h.count)
+	h.s.submit(
+		[]string{
+			jobID,
+			shape,
+			"owner=" + owner,
+			"class=" + class,
+			fmt.Sprint("pieces=", pieces),
+			fmt.Sprint("run=", run),
+			"cores=1",
+			"snapshot=10",
+		},
+	)
+	return jobID
+}
+
+// submitMix hands in what comes at a second: bursts of one tenant after another, for minutes,
+// on top of a steady mix.
+func (h *hourOfTenants) submitMix(at int) {
+	if at < hourSeconds-900 && h.rng.IntN(10) == 0 {
+		x := tenants[h.rng.IntN(len(tenants))]
+		if at%600 > 300 {
+			x = tenants[at/600%len(tenants)]
 		}
-		// Before a limit is lowered all that it is about to allow less of is in use.
-		if at == 940 || at == 1440 {
-			for _, x := range tenants {
-				if x.class == "sweep" || x.class == "tags" || x.class == "train" {
-					submit(x.owner, x.class, "sweep", 16, 150)
-				}
-			}
+		shape, pieces := "sweep", 1+h.rng.IntN(12)
+		if h.rng.IntN(5) == 0 {
+			shape, pieces = "ensemble", 2
 		}
-		switch at % 400 {
-		case 150:
-			w.Nodes[w.NodeNames[at/400%3]].Crash()
-		case 156:
-			w.Nodes[w.NodeNames[at/400%3]].Boot()
+		run := float64(10 + h.rng.IntN(150))
+		if x.class == "audit" { // two at a time, which is all that it may have
+			shape, pieces, run = "sweep", 1+h.rng.IntN(2), 20
 		}
-		switch at {
-		case 700, 2200:
-			w.Store.SetDown(true)
-		case 720, 2220:
-			w.Store.SetDown(false)
-		case 1000:
-			w.ApplyQuota(
-				quota.Apply{Base: 1, Quotas: *s.quotas("hour-less")},
-				func(status int, _ quota.Preview) { s.applied["less"] = status },
-			)
-		case 1500:
-			w.ApplyQuota(
-				quota.Apply{Base: 2, Quotas: *s.quotas("hour-least")},
-				func(status int, _ quota.Preview) { s.applied["least"] = status },
-			)
-		case 2100:
-			w.ApplyQuota(
-				quota.Apply{Base: 3, Quotas: *s.quotas("hour")},
-				func(status int, _ quota.Preview) { s.applied["back"] = status },
-			)
+		h.submit(x.owner, x.class, shape, pieces, run)
+	}
+	if at%45 == 0 && at < hourSeconds-900 {
+		h.probes[h.submit("stazioni", "probe", "sweep", 2, 20)] = h.s.w.At()
+	}
+	h.fillBeforeLowering(at)
+}
+
+// fillBeforeLowering has all in use that a limit is about to allow less of.
+func (h *hourOfTenants) fillBeforeLowering(at int) {
+	if at == 940 || at == 1440 {
+		for _, x := range tenants {
+			if x.class == "sweep" || x.class == "tags" || x.class == "train" {
+				h.submit(x.owner, x.class, "sweep", 16, 150)
+			}
 		}
 	}
-	w.RunUntil(hour * time.Second)
-	for _, b := range w.Broken {
-		t.Error(b)
+}
+
+// disturb ends controllers, has outages and applies other limits, each at its second.
+func (h *hourOfTenants) disturb(at int) {
+	switch at % 400 {
+	case 150:
+		h.s.w.Nodes[h.s.w.NodeNames[at/400%3]].Crash()
+	case 156:
+		h.s.w.Nodes[h.s.w.NodeNames[at/400%3]].Boot()
 	}
-	if len(s.applied) != 3 || s.applied["less"] != 200 || s.applied["least"] != 200 || s.applied["back"] != 200 {
-		t.Errorf("trees were answered %v", s.applied)
+	switch at {
+	case 700, 2200:
+		h.s.w.Store.SetDown(true)
+	case 720, 2220:
+		h.s.w.Store.SetDown(false)
+	case 1000:
+		h.s.w.ApplyQuota(
+			quota.Apply{Base: 1, Quotas: *h.s.quotas("hour-less")},
+			func(status int, _ quota.Preview) { h.s.applied["less"] = status },
+		)
+	case 1500:
+		h.s.w.ApplyQuota(
+			quota.Apply{Base: 2, Quotas: *h.s.quotas("hour-least")},
+			func(status int, _ quota.Preview) { h.s.applied["least"] = status },
+		)
+	case 2100:
+		h.s.w.ApplyQuota(
+			quota.Apply{Base: 3, Quotas: *h.s.quotas("hour")},
+			func(status int, _ quota.Preview) { h.s.applied["back"] = status },
+		)
 	}
+}
+
+// checkWaits checks how long the team that stays within its guarantee waited, and gives the
+// waits in order.
+func (h *hourOfTenants) checkWaits(t *testing.T) []time.Duration {
+	t.Helper()
 	var waits []time.Duration
-	for jobID, at := range submitted {
-		j := w.Jobs[jobID]
+	for jobID, at := range h.probes {
+		j := h.s.w.Jobs[jobID]
 		if j.FirstStart.IsZero() {
 			t.Errorf("%s of the guaranteed team never ran", jobID)
 			continue
 		}
-		waits = append(waits, j.FirstStart.Sub(w.Start)-at)
+		waits = append(waits, j.FirstStart.Sub(h.s.w.Start)-at)
 	}
 	slices.Sort(waits)
 	if longest := waits[len(waits)-1]; longest > guaranteeWithin {
 		t.Errorf("a task within its team's guarantee waited for %v", longest)
 	}
+	return waits
+}
+
+// checkAllDone checks that in the end no job is left.
+func (h *hourOfTenants) checkAllDone(t *testing.T) {
+	t.Helper()
 	open := 0
-	for _, j := range w.Jobs {
+	for _, j := range h.s.w.Jobs {
 		if j.Status != "done" {
 			t.Log(j.ID, j.Team, j.Kind, j.TaskCount, j.Status, len(j.Done))
 			open++
 		}
 	}
 	if open > 0 {
-		t.Errorf("%d of %d jobs are not done", open, len(w.Jobs))
+		t.Errorf("%d of %d jobs are not done", open, len(h.s.w.Jobs))
 	}
-	lowered, others := 0, 0
-	for why, count := range s.stops {
+}
+
+// checkStops checks that a lowered limit stopped tasks, and counts those and the others.
+func (h *hourOfTenants) checkStops(t *testing.T) (lowered, others int) {
+	t.Helper()
+	for why, count := range h.s.stops {
 		if len(why) > 8 && why[:8] == "quota of" {
 			lowered += count
 		} else {
@@ -176,6 +200,33 @@
 	if lowered == 0 {
 		t.Error("nothing was stopped for a lowered limit: the hour tests nothing")
 	}
+	return lowered, others
+}
+
+// TestAnHourOfTenants plays an hour of mixed submissions of three levels of tenants,
+// more than there is room for, with controllers that end, outages and two lowered
+// limits. At every commit all limits hold (Store.Committed, not one task above);
+// whatever is stopped has a cause; a team that stays within its guarantee is served
+// within the bound; and in the end everything is done.
+func TestAnHourOfTenants(t *testing.T) {
+	t.Parallel()
+	h := newHourOfTenants(t)
+	s, w := h.s, h.s.w
+	for at := 5; at < hourSeconds; at++ {
+		w.RunUntil(time.Duration(at) * time.Second)
+		h.submitMix(at)
+		h.disturb(at)
+	}
+	w.RunUntil(hourSeconds * time.Second)
+	for _, b := range w.Broken {
+		t.Error(b)
+	}
+	if len(s.applied) != 3 || s.applied["less"] != 200 || s.applied["least"] != 200 || s.applied["back"] != 200 {
+		t.Errorf("trees were answered %v", s.applied)
+	}
+	waits := h.checkWaits(t)
+	h.checkAllDone(t)
+	lowered, others := h.checkStops(t)
 	t.Logf(
 		"%d jobs; %d tasks stopped for a lowered limit, %d for others' guarantees or machines; "+
 			"waits within the guarantee: median %v, longest %v",
--- a/internal/scenario/same_test.go
+++ b/internal/scenario/same_test.go
@@ -104,6 +104,46 @@
 	return w, acc
 }
 
+// submitByHand hands in each step of a file as a job, as soon as what it needs is done.
+func submitByHand(w *simulation.Simulator, byHand *account, f *pipefile.File, jobID map[string]string) {
+	sent := map[string]bool{}
+	for at := 5 * time.Second; at < 150*time.Second; at += 20 * time.Millisecond {
+		for i := range f.Plan.Steps {
+			s := &f.Plan.Steps[i]
+			ready := !sent[s.Name]
+			for _, need := range f.Plan.Groups[s.Group].Needs {
+				ready = ready && byHand.Finals[jobID[f.Plan.Groups[need].Name]] != ""
+			}
+			if ready {
+				sent[s.Name] = true
+				w.Submit(jobOf(s.Spec, jobID[s.Name]))
+			}
+		}
+		w.RunUntil(at)
+	}
+}
+
+// jobOf is a step's job as a user hands it in.
+func jobOf(spec jobs.Spec, jobID string) *simulation.Job {
+	spec.ID = jobID
+	return &simulation.Job{
+		ID:           spec.ID,
+		Kind:         spec.Kind,
+		Team:         spec.Team,
+		TaskCount:    spec.TaskCount,
+		Accelerators: spec.Accelerators,
+		RunS:         spec.ExpectedDurationS,
+		PullS:        spec.ImageGB,
+		SameZone:     spec.SameZone,
+		SpreadZones:  spec.SpreadZones,
+		Spot:         spec.Spot,
+		Zone:         spec.Zone,
+		MachineTypes: spec.MachineTypes,
+		SnapshotS:    spec.CheckpointIntervalS,
+		Body:         spec.Submission(),
+	}
+}
+
 // TestBothWays hands the same work in as a pipeline file and as plain jobs over
 // the protocol, by a user who submits each as soon as what it needs is done, and
 // compares all that the scheduler wrote: descriptions, placement, what was
@@ -128,38 +168,7 @@
 
 	w, byHand := watched(t)
 	w.RunUntil(5 * time.Second)
-	sent := map[string]bool{}
-	for at := 5 * time.Second; at < 150*time.Second; at += 20 * time.Millisecond {
-		for i := range f.Plan.Steps {
-			s := &f.Plan.Steps[i]
-			ready := !sent[s.Name]
-			for _, need := range f.Plan.Groups[s.Group].Needs {
-				ready = ready && byHand.Finals[jobID[f.Plan.Groups[need].Name]] != ""
-			}
-			if ready {
-				sent[s.Name] = true
-				spec := s.Spec
-				spec.ID = jobID[s.Name]
-				w.Submit(&simulation.Job{
-					ID:           spec.ID,
-					Kind:         spec.Kind,
-					Team:         spec.Team,
-					TaskCount:    spec.TaskCount,
-					Accelerators: spec.Accelerators,
-					RunS:         spec.ExpectedDurationS,
-					PullS:        spec.ImageGB,
-					SameZone:     spec.SameZone,
-					SpreadZones:  spec.SpreadZones,
-					Spot:         spec.Spot,
-					Zone:         spec.Zone,
-					MachineTypes: spec.MachineTypes,
-					SnapshotS:    spec.CheckpointIntervalS,
-					Body:         spec.Submission(),
-				})
-			}
-		}
-		w.RunUntil(at)
-	}
+	submitByHand(w, byHand, f, jobID)
 	if len(w.Broken) > 0 {
 		t.Fatal(w.Broken)
 	}
--- a/internal/scenario/size_test.go
+++ b/internal/scenario/size_test.go
@@ -178,21 +178,7 @@
 	}
 	w.AddNodes(1, set)
 	w.RunUntil(40 * time.Second)
-	named := func() fleet.UnresponsiveSet {
-		lists := fleet.UnresponsiveLists{}
-		for number := 1; number <= tuning.MaxUnresponsiveLists; number++ {
-			value := w.Store.Value(fleet.UnresponsiveKey(w.NodeNames[0], number))
-			if value == nil {
-				continue
-			}
-			list, err := fleet.DecodeUnresponsiveList(value)
-			if err != nil {
-				t.Fatal(err)
-			}
-			lists[number] = list
-		}
-		return lists.Join(nil, w.Now)
-	}
+	named := func() fleet.UnresponsiveSet { return unresponsive(t, w) }
 	if n := len(named()); n != 0 || len(w.Agents) != machines {
 		t.Fatalf("%d of %d machines are unresponsive before anything happened", n, len(w.Agents))
 	}
@@ -224,6 +210,24 @@
 	}
 }
 
+// unresponsive is what the first controller names as unresponsive at present.
+func unresponsive(t *testing.T, w *simulation.Simulator) fleet.UnresponsiveSet {
+	t.Helper()
+	lists := fleet.UnresponsiveLists{}
+	for number := 1; number <= tuning.MaxUnresponsiveLists; number++ {
+		value := w.Store.Value(fleet.UnresponsiveKey(w.NodeNames[0], number))
+		if value == nil {
+			continue
+		}
+		list, err := fleet.DecodeUnresponsiveList(value)
+		if err != nil {
+			t.Fatal(err)
+		}
+		lists[number] = list
+	}
+	return lists.Join(nil, w.Now)
+}
+
 func totalStarts(w *simulation.Simulator) int {
 	n := 0
 	for _, j := range w.Jobs {
--- a/internal/scenario/troubles_test.go
+++ b/internal/scenario/troubles_test.go
@@ -87,36 +87,56 @@
 	n := w.Nodes[w.NodeNames[r.IntN(len(w.NodeNames))]]
 	machine := s.host[r.IntN(len(s.host))]
 	d := time.Duration(500+r.IntN(9000)) * time.Millisecond
-	toggle := func(d time.Duration, set func(on bool)) {
-		set(true)
-		w.After(d, func() { set(false) })
+	switch kind := r.IntN(15); kind {
+	case 2, 3, 4, 5, 6, 8, 9:
+		s.beginServiceTrouble(kind, n.Name, d)
+	default:
+		s.beginPartyTrouble(kind, n, machine, d)
 	}
-	switch r.IntN(15) {
-	case 0:
-		w.Flap(n.Name, 1+r.IntN(6), 900*time.Millisecond)
-	case 1:
-		for _, name := range w.NodeNames {
-			w.Flap(name, 1+r.IntN(2), 1500*time.Millisecond)
-		}
+}
+
+// toggle has something be so for a while.
+func (s *script) toggle(d time.Duration, set func(on bool)) {
+	set(true)
+	s.w.After(d, func() { set(false) })
+}
+
+// beginServiceTrouble begins one of the state service, or of requests that come late.
+func (s *script) beginServiceTrouble(kind int, name string, d time.Duration) {
+	w, r := s.w, s.w.RNG
+	switch kind {
 	case 2:
-		toggle(d, w.Store.SetDown)
+		s.toggle(d, w.Store.SetDown)
 	case 3:
 		w.Store.Slow = time.Duration(r.IntN(1500)) * time.Millisecond
 		w.After(d, func() { w.Store.Slow = 0 })
 	case 4:
-		w.Store.Lag[n.Name] = d
-		w.After(2*d, func() { w.Store.Lag[n.Name] = 0 })
+		w.Store.Lag[name] = d
+		w.After(2*d, func() { w.Store.Lag[name] = 0 })
 	case 5:
-		toggle(2*d, func(on bool) { w.Store.Refuse[n.Name] = on })
+		s.toggle(2*d, func(on bool) { w.Store.Refuse[name] = on })
 	case 6:
 		w.Store.FailPages = 2 + r.IntN(5)
 		w.After(2*d, func() { w.Store.FailPages = 0 })
-	case 7:
-		n.Freeze(d)
 	case 8:
-		w.Store.Lose[n.Name] = 1 + r.IntN(5)
+		w.Store.Lose[name] = 1 + r.IntN(5)
 	case 9:
 		w.HoldBack([]string{"beat", "cmd", "state", "rent"}[r.IntN(4)], d, 3+r.IntN(20))
+	}
+}
+
+// beginPartyTrouble begins one of controllers, of machines or of what is between them.
+func (s *script) beginPartyTrouble(kind int, n *simulation.Node, machine string, d time.Duration) {
+	w, r := s.w, s.w.RNG
+	switch kind {
+	case 0:
+		w.Flap(n.Name, 1+r.IntN(6), 900*time.Millisecond)
+	case 1:
+		for _, name := range w.NodeNames {
+			w.Flap(name, 1+r.IntN(2), 1500*time.Millisecond)
+		}
+	case 7:
+		n.Freeze(d)
 	case 10:
 		if wk := w.Agents[machine]; wk != nil {
 			wk.Restart()
@@ -127,7 +147,7 @@
 			w.After(d, wk.Resume)
 		}
 	case 12:
-		toggle(2*d, func(on bool) { w.RefusePeers(n.Name, on) })
+		s.toggle(2*d, func(on bool) { w.RefusePeers(n.Name, on) })
 	case 13:
 		n.Shutdown()
 		w.After(10*time.Second, n.Boot)
