--- a/internal/scenario/down_test.go
+++ b/internal/scenario/down_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-func (f downFleet) play(b *testing.B, down time.Duration) {
-	b.Helper()
+// world is a world of the fleet's size, before its controllers start.
+func (f downFleet) world() *script {
 	w := simulation.NewSimulator(11, slog.New(slog.DiscardHandler))
 	s := &script{w: w, vars: map[string]string{}, applied: map[string]int{}}
 	s.set = baseSettings(w)
@@ -61,15 +61,12 @@
 	for i := range f.machines {
 		w.Cloud.AddRunning("g8", []string{"a", "b"}[i%2], false)
 	}
-	var epoch uint64
-	changes, perSecond := 0, hdrhistogram.New(1, 10_000, 2)
-	w.Store.Committed = func(key string, v json.RawMessage) {
-		changes++
-		if view, ok := members.Decode(v); key == members.ViewKey && ok {
-			epoch = view.Epoch
-		}
-	}
-	w.AddNodes(f.nodes, s.set)
+	return s
+}
+
+// submitJobs hands in the jobs whose tasks fill the fleet.
+func (f downFleet) submitJobs(s *script) {
+	w := s.w
 	jobs := 0
 	submit := func(at time.Duration, words ...string) {
 		jobs++
@@ -85,39 +82,68 @@
 	for i := range f.tasks / 120 {
 		submit(time.Duration(3000+50*i)*time.Millisecond, "sweep", "pieces=120", "accel=0.42", "run=2000")
 	}
+}
+
+// killMachines has some machines with tasks die, and gives the number of their tasks.
+func killMachines(w *simulation.Simulator, dying int) int {
+	hurt := 0
+	for _, h := range w.Machines() {
+		if wk := w.Agents[h]; wk != nil && dying > 0 && !wk.Empty() {
+			hurt += wk.TaskCount()
+			dying--
+			wk.Die()
+		}
+	}
+	return hurt
+}
+
+// fill plays until nearly all of the tasks are on machines.
+func (f downFleet) fill(b *testing.B, w *simulation.Simulator) {
+	b.Helper()
 	total := 8*f.services + 4*f.gangs + f.tasks
 	w.RunUntil(time.Minute)
 	for w.OnMachines() < total*99/100 && w.At() < 10*time.Minute {
 		w.RunUntil(w.At() + time.Second)
 	}
-	before, begun := w.OnMachines(), w.TaskStarts()
-	if before < total*99/100 {
-		b.Fatalf("%d of %d tasks run", before, total)
+	if on := w.OnMachines(); on < total*99/100 {
+		b.Fatalf("%d of %d tasks run", on, total)
 	}
-	for _, n := range w.NodeNames {
-		w.Nodes[n].Crash()
+}
+
+// firstTimes is when each of some things was so first, in seconds.
+type firstTimes map[string]float64
+
+// mark notes the time if something is so for the first time.
+func (f firstTimes) mark(what string, is bool, seconds float64) {
+	if _, done := f[what]; !done && is {
+		f[what] = seconds
 	}
-	hurt := 0
-	dying := f.machines / 50
-	for _, h := range w.Machines() {
-		if wk := w.Agents[h]; wk != nil && dying > 0 && !wk.Empty() {
-			hurt += wk.TaskCount()
-			dying--
-			wk.Die()
+}
+
+func (f downFleet) play(b *testing.B, down time.Duration) {
+	b.Helper()
+	s := f.world()
+	w := s.w
+	var epoch uint64
+	changes, perSecond := 0, hdrhistogram.New(1, 10_000, 2)
+	w.Store.Committed = func(key string, v json.RawMessage) {
+		changes++
+		if view, ok := members.Decode(v); key == members.ViewKey && ok {
+			epoch = view.Epoch
 		}
 	}
+	w.AddNodes(f.nodes, s.set)
+	f.submitJobs(s)
+	f.fill(b, w)
+	before, begun := w.OnMachines(), w.TaskStarts()
+	crashAll(w)
+	hurt := killMachines(w, f.machines/50)
 	w.RunUntil(w.At() + down)
 	start, was, rented, orders := w.At(), epoch, w.Cloud.Rented, w.CommandCount()
-	for _, n := range w.NodeNames {
-		w.Nodes[n].Boot()
-	}
+	bootAll(w)
 	probe := func() float64 { return (w.At() - start).Seconds() }
-	when := map[string]float64{}
-	mark := func(what string, is bool) {
-		if _, done := when[what]; !done && is {
-			when[what] = probe()
-		}
-	}
+	when := firstTimes{}
+	mark := func(what string, is bool) { when.mark(what, is, probe()) }
 	w.ProbeUser(100*time.Millisecond, func() { mark("answer", true) })
 	s.submit([]string{"wk-999999", "sweep", "pieces=20", "accel=0.4", "run=5"})
 	changes = 0
--- a/internal/scenario/measure_test.go
+++ b/internal/scenario/measure_test.go
@@ -60,8 +60,17 @@
 	return []byte(text.String())
 }
 
-func measure(b *testing.B, kill bool) {
-	b.Helper()
+// runMeasurement is what is measured of the runs of a world.
+type runMeasurement struct {
+	w     *simulation.Simulator
+	gaps  *hdrhistogram.Histogram // between a step's end and the next one's job, in ms
+	ended map[string]time.Time    // uid to its end
+	after map[string]string       // uid to the job before it
+	kinds map[string]int          // changes by the kind of their key
+}
+
+// newRunMeasurement is a world with the controllers and machines of the measurement.
+func newRunMeasurement() *runMeasurement {
 	w := simulation.NewSimulator(5, slog.New(slog.DiscardHandler))
 	set := baseSettings(w)
 	set.Cluster.Size = 5
@@ -73,35 +82,76 @@
 	for i := range 150 {
 		w.Cloud.AddRunning("g8", []string{"a", "b"}[i%2], false)
 	}
-	f, faults := pipefile.Parse("chain", chainFile())
-	if len(faults) > 0 {
-		b.Fatal(faults)
+	m := &runMeasurement{
+		w:     w,
+		gaps:  hdrhistogram.New(1, 600_000, 3),
+		ended: map[string]time.Time{},
+		after: map[string]string{},
+		kinds: map[string]int{},
 	}
-	gaps := hdrhistogram.New(1, 600_000, 3)
-	ended := map[string]time.Time{} // uid to its end
-	after := map[string]string{}    // uid to the job before it
-	kinds := map[string]int{}
-	w.Store.Committed = func(key string, v json.RawMessage) {
-		kind, name, _ := strings.Cut(key, "/")
-		kinds[kind]++
-		switch kind + "/" {
-		case pipelines.RunPrefix:
-			if rec, err := pipelines.Decode(v); v != nil && err == nil {
-				for i := 1; i < measuredSteps; i++ {
-					jobID := func(i int) string { return pipelines.JobID(name, rec.Salt, fmt.Sprintf("s%d", i), 0) }
-					after[jobID(i)] = jobID(i - 1)
-				}
-			}
-		case jobs.FinalPrefix:
-			ended[name] = w.Now
-		case jobs.JobPrefix:
-			if at, ok := ended[after[name]]; ok && v != nil {
-				_ = gaps.RecordValue(w.Now.Sub(at).Milliseconds() + 1)
-				delete(after, name)
+	w.Store.Committed = m.committed
+	w.AddNodes(5, set)
+	return m
+}
+
+// committed notes one change.
+func (m *runMeasurement) committed(key string, v json.RawMessage) {
+	kind, name, _ := strings.Cut(key, "/")
+	m.kinds[kind]++
+	switch kind + "/" {
+	case pipelines.RunPrefix:
+		if rec, err := pipelines.Decode(v); v != nil && err == nil {
+			for i := 1; i < measuredSteps; i++ {
+				jobID := func(i int) string { return pipelines.JobID(name, rec.Salt, fmt.Sprintf("s%d", i), 0) }
+				m.after[jobID(i)] = jobID(i - 1)
 			}
 		}
+	case jobs.FinalPrefix:
+		m.ended[name] = m.w.Now
+	case jobs.JobPrefix:
+		if at, ok := m.ended[m.after[name]]; ok && v != nil {
+			_ = m.gaps.RecordValue(m.w.Now.Sub(at).Milliseconds() + 1)
+			delete(m.after, name)
+		}
 	}
-	w.AddNodes(5, set)
+}
+
+// killer has a controller end every killEvery and be back killFor later.
+type killer struct {
+	next   time.Duration
+	victim int
+}
+
+func (k *killer) step(w *simulation.Simulator, at time.Duration) {
+	if at < k.next {
+		return
+	}
+	node := w.Nodes[w.NodeNames[k.victim%len(w.NodeNames)]]
+	node.Crash()
+	w.After(killFor, node.Boot)
+	k.next += killEvery
+	k.victim++
+}
+
+// runsOver counts the runs that have ended.
+func runsOver(w *simulation.Simulator) int {
+	over := 0
+	for _, r := range w.Runs {
+		if pipelines.RunState(r.State).Over() {
+			over++
+		}
+	}
+	return over
+}
+
+func measure(b *testing.B, kill bool) {
+	b.Helper()
+	f, faults := pipefile.Parse("chain", chainFile())
+	if len(faults) > 0 {
+		b.Fatal(faults)
+	}
+	m := newRunMeasurement()
+	w := m.w
 	w.RunUntil(10 * time.Second)
 	requests, writes := w.Store.Requests, w.Store.Writes
 	for i := range measuredRuns {
@@ -110,20 +160,13 @@
 	}
 	at := 10 * time.Second
 	most, over := 0, 0
-	for next, victim := at+killEvery, 0; over < measuredRuns && at < time.Hour; at += time.Second {
-		if kill && at >= next {
-			node := w.Nodes[w.NodeNames[victim%len(w.NodeNames)]]
-			node.Crash()
-			w.After(killFor, node.Boot)
-			next, victim = next+killEvery, victim+1
+	kills := &killer{next: at + killEvery}
+	for ; over < measuredRuns && at < time.Hour; at += time.Second {
+		if kill {
+			kills.step(w, at)
 		}
 		w.RunUntil(at)
-		over = 0
-		for _, r := range w.Runs {
-			if pipelines.RunState(r.State).Over() {
-				over++
-			}
-		}
+		over = runsOver(w)
 		most = max(most, w.Store.Count(pipelines.RunPrefix))
 	}
 	if over < measuredRuns || len(w.Broken) > 0 {
@@ -131,11 +174,11 @@
 	}
 	steps := float64(measuredRuns * measuredSteps)
 	b.ReportMetric(float64(w.Store.Writes-writes)/steps, "changes/step")
-	b.ReportMetric(float64(kinds["run"]+kinds["ran"])/steps, "run-changes/step")
+	b.ReportMetric(float64(m.kinds["run"]+m.kinds["ran"])/steps, "run-changes/step")
 	b.ReportMetric(float64(w.Store.Requests-requests)/steps, "requests/step")
 	b.ReportMetric(float64(most), "live-runs")
-	b.ReportMetric(float64(gaps.ValueAtQuantile(50)), "gap-p50-ms")
-	b.ReportMetric(float64(gaps.ValueAtQuantile(99)), "gap-p99-ms")
-	b.ReportMetric(float64(gaps.Max()), "gap-max-ms")
+	b.ReportMetric(float64(m.gaps.ValueAtQuantile(50)), "gap-p50-ms")
+	b.ReportMetric(float64(m.gaps.ValueAtQuantile(99)), "gap-p99-ms")
+	b.ReportMetric(float64(m.gaps.Max()), "gap-max-ms")
 	b.ReportMetric(at.Seconds(), "simulated-s")
 }
--- a/internal/scenario/size_test.go
+++ b/internal/scenario/size_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-func measureSize(b *testing.B, machines, tasks int) {
-	b.Helper()
+// sizeWorld is a world of five controllers with so many machines and jobs of so many tasks.
+func sizeWorld(machines, tasks int) *simulation.Simulator {
 	w := simulation.NewSimulator(5, slog.New(slog.DiscardHandler))
 	set := baseSettings(w)
 	set.Cluster.Size = 5
@@ -62,6 +62,12 @@
 		w.Cloud.AddRunning("g8", []string{"a", "b"}[i%2], false)
 	}
 	w.AddNodes(5, set)
+	submitSizeJobs(w, tasks)
+	return w
+}
+
+// submitSizeJobs hands in the jobs that fill the machines, one each sizeJobEvery.
+func submitSizeJobs(w *simulation.Simulator, tasks int) {
 	count := tasks / sizeJobTasks
 	for i := range count {
 		jobID := fmt.Sprintf("wk-%06d", i)
@@ -90,55 +96,71 @@
 			w.Submit(j)
 		})
 	}
-	on := func() int { return w.TasksOn() }
-	full := 10 * time.Second
-	for ; on() < tasks && full < 20*time.Minute; full += time.Second {
-		w.RunUntil(full)
-	}
-	placed := on()
-	requests, writes := w.Store.Requests, w.Store.Writes
-	w.RunUntil(full + 60*time.Second)
-	steadyRequests, steadyWrites := w.Store.Requests-requests, w.Store.Writes-writes
-	keys, bytes := w.Store.Live()
-	expired, starts := w.Expired, totalStarts(w)
-	w.Store.Listed = 0
-	for _, n := range w.NodeNames {
-		w.Nodes[n].Crash()
-	}
-	down := w.At()
-	w.RunUntil(down + 200*time.Millisecond)
-	for _, n := range w.NodeNames {
-		w.Nodes[n].Boot()
-	}
-	var led, answered, heard time.Duration
-	var peak float64
+}
+
+// startTimes is how long the controllers took from their end on.
+type startTimes struct {
+	led, answered, heard time.Duration
+	peak                 float64 // requests to the state service in a second, at most
+}
+
+// watchStart plays the minute after the controllers' end.
+func watchStart(w *simulation.Simulator, down time.Duration) startTimes {
+	var took startTimes
 	last := w.Store.Requests
 	for at := w.At(); at < down+60*time.Second; at += 50 * time.Millisecond {
 		w.RunUntil(at)
-		if led == 0 && w.Leader() != "" {
-			led = at - down
+		if took.led == 0 && w.Leader() != "" {
+			took.led = at - down
 		}
-		if answered == 0 && w.LastAnswer().After(w.Start.Add(down+200*time.Millisecond)) {
-			answered = at - down
+		if took.answered == 0 && w.LastAnswer().After(w.Start.Add(down+200*time.Millisecond)) {
+			took.answered = at - down
 		}
 		var v struct{ Epoch uint64 }
-		if heard == 0 && led > 0 && json.Unmarshal(w.Store.Value("view"), &v) == nil && w.TokenShown(v.Epoch) {
-			heard = at - down
+		if took.heard == 0 && took.led > 0 && json.Unmarshal(w.Store.Value("view"), &v) == nil && w.TokenShown(v.Epoch) {
+			took.heard = at - down
 		}
 		if (at-down)%time.Second == 0 {
-			peak = max(peak, float64(w.Store.Requests-last))
+			took.peak = max(took.peak, float64(w.Store.Requests-last))
 			last = w.Store.Requests
 		}
 	}
-	w.RunUntil(w.At() + 30*time.Second)
-	// The memory of the controllers: what there is less without them, once the watches
-	// that they held have ended.
+	return took
+}
+
+// heldMemory is the memory that one controller holds, in bytes, and discards them all: what
+// there is less without them, once the watches that they held have ended.
+func heldMemory(w *simulation.Simulator) uint64 {
 	before := heap()
 	for _, n := range w.NodeNames {
 		w.Nodes[n].Discard()
 	}
 	w.RunUntil(w.At() + 12*time.Second)
-	held := (before - heap()) / uint64(len(w.NodeNames))
+	return (before - heap()) / uint64(len(w.NodeNames))
+}
+
+func measureSize(b *testing.B, machines, tasks int) {
+	b.Helper()
+	w := sizeWorld(machines, tasks)
+	on := func() int { return w.TasksOn() }
+	full := 10 * time.Second
+	for ; on() < tasks && full < 20*time.Minute; full += time.Second {
+		w.RunUntil(full)
+	}
+	placed := on()
+	requests, writes := w.Store.Requests, w.Store.Writes
+	w.RunUntil(full + 60*time.Second)
+	steadyRequests, steadyWrites := w.Store.Requests-requests, w.Store.Writes-writes
+	keys, bytes := w.Store.Live()
+	expired, starts := w.Expired, totalStarts(w)
+	w.Store.Listed = 0
+	crashAll(w)
+	down := w.At()
+	w.RunUntil(down + 200*time.Millisecond)
+	bootAll(w)
+	took := watchStart(w, down)
+	w.RunUntil(w.At() + 30*time.Second)
+	held := heldMemory(w)
 	b.ReportMetric(float64(placed), "tasks-on")
 	b.ReportMetric(full.Seconds(), "filled-s")
 	b.ReportMetric(float64(keys), "mirror-keys")
@@ -146,11 +168,11 @@
 	b.ReportMetric(float64(held)/1e6, "controller-MB")
 	b.ReportMetric(float64(steadyRequests)/60, "requests/s")
 	b.ReportMetric(float64(steadyWrites)/60, "changes/s")
-	b.ReportMetric(led.Seconds(), "leads-s")
-	b.ReportMetric(answered.Seconds(), "answers-s")
-	b.ReportMetric(heard.Seconds(), "all-heard-s")
+	b.ReportMetric(took.led.Seconds(), "leads-s")
+	b.ReportMetric(took.answered.Seconds(), "answers-s")
+	b.ReportMetric(took.heard.Seconds(), "all-heard-s")
 	b.ReportMetric(float64(w.Store.Listed), "pages")
-	b.ReportMetric(peak, "peak-requests/s")
+	b.ReportMetric(took.peak, "peak-requests/s")
 	b.ReportMetric(float64(w.Expired-expired), "leases-run-out")
 	b.ReportMetric(float64(totalStarts(w)-starts), "started-again")
 	if len(w.Broken) > 0 {
--- a/internal/scenario/takeover_test.go
+++ b/internal/scenario/takeover_test.go
@@ -56,8 +56,18 @@
 	return &takeOvers{view: h(), release: h(), heard: h()}
 }
 
-func (m *takeOvers) play(tb testing.TB, seed uint64, how string) {
-	tb.Helper()
+// takeOver is one world of the measurement.
+type takeOver struct {
+	m     *takeOvers
+	s     *script
+	ended time.Time // the leader, zero when another's first decision was seen
+	led   bool      // another leads by the view
+	epoch uint64
+	given map[string]bool // tasks given away or placed
+}
+
+// newTakeOver is a world of five controllers and 200 machines.
+func newTakeOver(m *takeOvers, seed uint64, how string) *takeOver {
 	w := simulation.NewSimulator(seed, slog.New(slog.DiscardHandler))
 	s := &script{w: w, vars: map[string]string{}, applied: map[string]int{}}
 	s.set = baseSettings(w)
@@ -71,49 +81,64 @@
 	for i := range 200 {
 		w.Cloud.AddRunning("g4", []string{"a", "b"}[i%2], false)
 	}
-	var ended time.Time // the leader, zero when another's first decision was seen
-	led := false
-	epoch := uint64(0)
-	given := map[string]bool{}
-	w.Store.Committed = func(key string, v json.RawMessage) {
-		if key == members.ViewKey {
-			view, ok := members.Decode(v)
-			if !ok {
-				return
-			}
-			epoch = view.Epoch
-			if !ended.IsZero() && !led && view.Leader != s.vars["boss"] {
-				led = true
-				_ = m.view.RecordValue(w.Now.Sub(ended).Milliseconds() + 1)
-			}
-			return
-		}
-		fresh := false
-		take := func(taskID string, t *jobs.Task) {
-			if (t.State == jobs.Assigned || t.State == jobs.Placed) && !given[taskID] {
-				given[taskID], fresh = true, true
-			}
+	p := &takeOver{m: m, s: s, given: map[string]bool{}}
+	w.Store.Committed = p.committed
+	w.AddNodes(5, s.set)
+	return p
+}
+
+// committed notes one change.
+func (p *takeOver) committed(key string, v json.RawMessage) {
+	if key == members.ViewKey {
+		p.viewCommitted(v)
+		return
+	}
+	if p.givesTasks(key, v) && p.led {
+		_ = p.m.release.RecordValue(p.s.w.Now.Sub(p.ended).Milliseconds() + 1)
+		p.ended, p.led = time.Time{}, false
+	}
+}
+
+// viewCommitted notes a view, and whether another leads by it.
+func (p *takeOver) viewCommitted(v json.RawMessage) {
+	view, ok := members.Decode(v)
+	if !ok {
+		return
+	}
+	p.epoch = view.Epoch
+	if !p.ended.IsZero() && !p.led && view.Leader != p.s.vars["boss"] {
+		p.led = true
+		_ = p.m.view.RecordValue(p.s.w.Now.Sub(p.ended).Milliseconds() + 1)
+	}
+}
+
+// givesTasks tells whether a change gives away or places a task that was not yet.
+func (p *takeOver) givesTasks(key string, v json.RawMessage) bool {
+	fresh := false
+	take := func(taskID string, t *jobs.Task) {
+		if (t.State == jobs.Assigned || t.State == jobs.Placed) && !p.given[taskID] {
+			p.given[taskID], fresh = true, true
 		}
-		switch {
-		case v == nil:
-		case strings.HasPrefix(key, jobs.TaskPrefix):
-			ts, _ := jobs.DecodeTaskRange(v)
-			for i := range ts {
-				take(fmt.Sprint(key, "+", i), &ts[i])
-			}
-		case strings.HasPrefix(key, taskbatch.KeyPrefix):
-			es, _ := taskbatch.Decode(v)
-			for i := range es {
-				take(jobs.TaskID(es[i].JobID, es[i].Index), &es[i].Task)
-			}
+	}
+	switch {
+	case v == nil:
+	case strings.HasPrefix(key, jobs.TaskPrefix):
+		ts, _ := jobs.DecodeTaskRange(v)
+		for i := range ts {
+			take(fmt.Sprint(key, "+", i), &ts[i])
 		}
-		if fresh && led {
-			_ = m.release.RecordValue(w.Now.Sub(ended).Milliseconds() + 1)
-			ended, led = time.Time{}, false
+	case strings.HasPrefix(key, taskbatch.KeyPrefix):
+		es, _ := taskbatch.Decode(v)
+		for i := range es {
+			take(jobs.TaskID(es[i].JobID, es[i].Index), &es[i].Task)
 		}
 	}
-	w.AddNodes(5, s.set)
-	requests, writes := w.Store.Requests, w.Store.Writes
+	return fresh
+}
+
+// load has a service and small jobs handed in.
+func (p *takeOver) load() {
+	s, w := p.s, p.s.w
 	// A service holds the machines, with room beside it for small jobs that come all the
 	// time, so that nothing but a leader is ever short.
 	w.After(2*time.Second, func() { s.submit([]string{"wk-0", "standing", "pieces=200", "accel=3"}) })
@@ -123,34 +148,48 @@
 			s.submit([]string{jobID, "sweep", "pieces=2", "run=8", "cores=1", "accel=0.25"})
 		})
 	}
-	for i := range takeOverEnds {
-		at := time.Duration(i+1) * takeOverEvery
-		w.RunUntil(at - time.Duration(w.RNG.IntN(3000))*time.Millisecond)
-		boss := w.Leader()
-		if boss == "" {
-			tb.Fatal("nobody leads")
-		}
-		s.vars["boss"] = boss
-		was := epoch
-		if how == "in order" {
-			w.Nodes[boss].Shutdown()
-			for before := epoch; epoch == before; w.RunUntil(w.At() + 5*time.Millisecond) {
-				ended = w.Now // the hand-over is what is measured
-			}
-		} else {
-			ended = w.Now
-			w.Nodes[boss].Crash()
+}
+
+// endLeader ends whoever leads, and waits until all machines have been heard under another.
+func (p *takeOver) endLeader(tb testing.TB, at time.Duration, how string) {
+	tb.Helper()
+	s, w := p.s, p.s.w
+	w.RunUntil(at - time.Duration(w.RNG.IntN(3000))*time.Millisecond)
+	boss := w.Leader()
+	if boss == "" {
+		tb.Fatal("nobody leads")
+	}
+	s.vars["boss"] = boss
+	was := p.epoch
+	if how == "in order" {
+		w.Nodes[boss].Shutdown()
+		for before := p.epoch; p.epoch == before; w.RunUntil(w.At() + 5*time.Millisecond) {
+			p.ended = w.Now // the hand-over is what is measured
 		}
-		from := w.Now
-		for epoch == was || !w.TokenShown(epoch) {
-			w.RunUntil(w.At() + 10*time.Millisecond)
-			if w.Now.Sub(from) > 30*time.Second {
-				tb.Fatal("machines not heard")
-			}
+	} else {
+		p.ended = w.Now
+		w.Nodes[boss].Crash()
+	}
+	from := w.Now
+	for p.epoch == was || !w.TokenShown(p.epoch) {
+		w.RunUntil(w.At() + 10*time.Millisecond)
+		if w.Now.Sub(from) > 30*time.Second {
+			tb.Fatal("machines not heard")
 		}
-		_ = m.heard.RecordValue(w.Now.Sub(from).Milliseconds() + 1)
-		w.RunUntil(w.At() + 2*time.Second)
-		w.Nodes[boss].Boot()
+	}
+	_ = p.m.heard.RecordValue(w.Now.Sub(from).Milliseconds() + 1)
+	w.RunUntil(w.At() + 2*time.Second)
+	w.Nodes[boss].Boot()
+}
+
+func (m *takeOvers) play(tb testing.TB, seed uint64, how string) {
+	tb.Helper()
+	p := newTakeOver(m, seed, how)
+	w := p.s.w
+	requests, writes := w.Store.Requests, w.Store.Writes
+	p.load()
+	for i := range takeOverEnds {
+		p.endLeader(tb, time.Duration(i+1)*takeOverEvery, how)
 	}
 	m.changes += w.Store.Writes - writes
 	m.requests += w.Store.Requests - requests
--- a/internal/scenario/verbs_controllers_test.go
+++ b/internal/scenario/verbs_controllers_test.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"github.com/harrierreel/harrierreel/internal/simulation"
 	"github.com/harrierreel/harrierreel/internal/standby"
 )
 
@@ -136,16 +137,12 @@
 
 // verbCrashAll: crash-all: every controller's process is killed.
 func (s *script) verbCrashAll(_ []string) {
-	for _, n := range s.w.NodeNames {
-		s.w.Nodes[n].Crash()
-	}
+	crashAll(s.w)
 }
 
 // verbBootAll: boot-all: every controller's process starts.
 func (s *script) verbBootAll(_ []string) {
-	for _, n := range s.w.NodeNames {
-		s.w.Nodes[n].Boot()
-	}
+	bootAll(s.w)
 }
 
 // verbDoor: door NODE|any: where users' requests go.
@@ -185,3 +182,17 @@
 func (s *script) verbCalm(_ []string) {
 	s.calm()
 }
+
+// crashAll ends every controller's process.
+func crashAll(w *simulation.Simulator) {
+	for _, n := range w.NodeNames {
+		w.Nodes[n].Crash()
+	}
+}
+
+// bootAll starts every controller's process.
+func bootAll(w *simulation.Simulator) {
+	for _, n := range w.NodeNames {
+		w.Nodes[n].Boot()
+	}
+}
