--- a/internal/scenario/down_test.go
+++ b/internal/scenario/down_test.go
@@ -88,10 +88,10 @@
 func killMachines(w *simulation.Simulator, dying int) int {
 	hurt := 0
 	for _, h := range w.Machines() {
-		if wk := w.Agents[h]; wk != nil && dying > 0 && !wk.Empty() {
-			hurt += wk.TaskCount()
+		if agent := w.Agents[h]; agent != nil && dying > 0 && !agent.Empty() {
+			hurt += agent.TaskCount()
 			dying--
-			wk.Die()
+			agent.Die()
 		}
 	}
 	return hurt
--- a/internal/scenario/expectations_controllers_test.go
+++ b/internal/scenario/expectations_controllers_test.go
@@ -53,9 +53,9 @@
 // expectBatons: expect batons MAX: most times that a machine of the start was shown a higher one.
 func (s *script) expectBatons(args []string) {
 	s.t.Helper()
-	for _, h := range s.host {
-		if wk := s.w.Agents[h]; wk != nil && wk.TokenChanges > int(s.number(args[1])) {
-			s.fatal("%s was shown a higher baton %d times, more than %s", h, wk.TokenChanges, args[1])
+	for _, h := range s.machines {
+		if agent := s.w.Agents[h]; agent != nil && agent.TokenChanges > int(s.number(args[1])) {
+			s.fatal("%s was shown a higher baton %d times, more than %s", h, agent.TokenChanges, args[1])
 		}
 	}
 }
--- a/internal/scenario/hung_test.go
+++ b/internal/scenario/hung_test.go
@@ -13,13 +13,13 @@
 	for i := range count {
 		var machine string
 		if verb == "hang-for" {
-			machine = s.host[first-1+i]
+			machine = s.machines[first-1+i]
 		} else if machine = s.w.MachineOf(fmt.Sprintf("wk-%06d", first+i)); machine == "" {
 			s.fatal("wk-%06d is on no machine", first+i)
 		}
-		if wk := s.w.Agents[machine]; wk != nil && !wk.Hung {
-			wk.Hung = true
-			s.w.After(long, wk.Resume)
+		if agent := s.w.Agents[machine]; agent != nil && !agent.Hung {
+			agent.Hung = true
+			s.w.After(long, agent.Resume)
 		}
 	}
 }
--- a/internal/scenario/late_pairs_test.go
+++ b/internal/scenario/late_pairs_test.go
@@ -36,8 +36,8 @@
 		a, b := pairs[seed%len(pairs)][0], pairs[seed%len(pairs)][1]
 		t.Run(fmt.Sprintf("%d %s, %s", seed, a.name, b.name), func(t *testing.T) {
 			t.Parallel()
-			packs := []settings.TaskBatching{settings.BatchingAlways, settings.BatchingWhenScarce}[seed/5%2]
-			playPair(t, uint64(seed)+777000, seed, packs, a, b, func(s *script) {
+			batching := []settings.TaskBatching{settings.BatchingAlways, settings.BatchingWhenScarce}[seed/5%2]
+			playPair(t, uint64(seed)+777000, seed, batching, a, b, func(s *script) {
 				if seed%3 == 0 {
 					s.lookAt([]string{"0", "90", "0.4", "160"})
 				}
--- a/internal/scenario/late_test.go
+++ b/internal/scenario/late_test.go
@@ -66,12 +66,12 @@
 			if j == nil || !j.Accepted {
 				return
 			}
-			door := w.EntryNode
+			entry := w.EntryNode
 			for _, w.EntryNode = range w.NodeNames {
 				w.PollJob(j)
 				w.Resubmit(j)
 			}
-			w.EntryNode = door
+			w.EntryNode = entry
 		})
 	}
 }
--- a/internal/scenario/lead_test.go
+++ b/internal/scenario/lead_test.go
@@ -22,18 +22,18 @@
 	case "end-leader":
 		left, back := int(s.number(args[1])), s.seconds(args[2])
 		w.OnEvent(args[0], func() {
-			if boss := w.Leader(); boss != "" && left > 0 {
+			if leader := w.Leader(); leader != "" && left > 0 {
 				left--
-				w.Nodes[boss].Crash()
-				w.After(back, w.Nodes[boss].Boot)
+				w.Nodes[leader].Crash()
+				w.After(back, w.Nodes[leader].Boot)
 			}
 		})
 	case "lead-changes":
 		back := s.seconds(args[3])
 		for i := range int(s.number(args[0])) {
 			w.After(time.Duration(i)*s.seconds(args[1]), func() {
-				if boss := w.Leader(); boss != "" {
-					s.endsAs(boss, args[2], back)
+				if leader := w.Leader(); leader != "" {
+					s.endsAs(leader, args[2], back)
 				}
 			})
 		}
@@ -53,11 +53,11 @@
 	if left == 0 {
 		return
 	}
-	boss := s.w.Leader()
-	if boss != "" && boss != former {
-		s.w.Nodes[boss].Crash()
+	leader := s.w.Leader()
+	if leader != "" && leader != former {
+		s.w.Nodes[leader].Crash()
 		s.endedLeads++
-		former, left = boss, left-1
+		former, left = leader, left-1
 	}
 	s.w.After(5*time.Millisecond, func() { s.endAsItLeads(former, left) })
 }
--- a/internal/scenario/lending_test.go
+++ b/internal/scenario/lending_test.go
@@ -19,7 +19,7 @@
 
 // verbIsolatedEnds: isolated-ends: the machines of the start are cut no more.
 func (s *script) verbIsolatedEnds(_ []string) {
-	for _, h := range s.host {
+	for _, h := range s.machines {
 		s.w.Heal(h, "*")
 		s.w.Heal("*", h)
 	}
--- a/internal/scenario/messages_test.go
+++ b/internal/scenario/messages_test.go
@@ -61,11 +61,11 @@
 		t.Fatal("no scenarios", err)
 	}
 	known := map[string]bool{}
-	one := func(name, file string, packs settings.TaskBatching) {
+	one := func(name, file string, batching settings.TaskBatching) {
 		known[name] = true
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			line := digest(t, name, file, packs)
+			line := digest(t, name, file, batching)
 			mu.Lock()
 			lines[name] = line
 			mu.Unlock()
@@ -136,7 +136,7 @@
 }
 
 // digest plays a scenario and gives its line "NAME MESSAGES DIGEST".
-func digest(t *testing.T, name, file string, packs settings.TaskBatching) string {
+func digest(t *testing.T, name, file string, batching settings.TaskBatching) string {
 	t.Helper()
 	h := blake3.New(16, nil)
 	var out io.Writer = h
@@ -157,7 +157,7 @@
 	played := make(chan struct{})
 	go func() { // its own, which a scenario that fails ends
 		defer close(played)
-		runTelling(&onlyLogs{t}, file, packs, nil, func(m simulation.Message) {
+		runTelling(&onlyLogs{t}, file, batching, nil, func(m simulation.Message) {
 			count++
 			if m.Kind == simulation.GossipSent || m.Kind == simulation.GossipReceived {
 				m.Body = named.replace(m.Body)
--- a/internal/scenario/mute_test.go
+++ b/internal/scenario/mute_test.go
@@ -4,7 +4,7 @@
 
 // mute has machines of the start reach no controller, or reach them again.
 func (s *script) mute(first, count int, on bool) {
-	for _, h := range s.host[first-1 : first-1+count] {
+	for _, h := range s.machines[first-1 : first-1+count] {
 		s.w.Isolate(h, on)
 	}
 }
@@ -22,8 +22,8 @@
 		s.someHosts(befall)
 		return
 	}
-	for _, h := range s.host {
-		if wk := w.Agents[h]; wk != nil && wk.Zone() == "a" {
+	for _, h := range s.machines {
+		if agent := w.Agents[h]; agent != nil && agent.Zone() == "a" {
 			befall(h)
 		}
 	}
@@ -33,7 +33,7 @@
 func (s *script) expectKept(first, count, least int) {
 	s.t.Helper()
 	kept := 0
-	for _, h := range s.host[first-1 : first-1+count] {
+	for _, h := range s.machines[first-1 : first-1+count] {
 		if s.w.Agents[h] != nil {
 			kept++
 		}
--- a/internal/scenario/now_test.go
+++ b/internal/scenario/now_test.go
@@ -56,7 +56,7 @@
 // rejoin: rejoin FIRST COUNT: what goes to and from these machines of the start arrives again.
 func (s *script) rejoin(args []string) {
 	first := int(s.number(args[0]))
-	for _, h := range s.host[first-1 : first-1+int(s.number(args[1]))] {
+	for _, h := range s.machines[first-1 : first-1+int(s.number(args[1]))] {
 		s.w.Heal(h, "*")
 		s.w.Heal("*", h)
 	}
@@ -150,9 +150,9 @@
 			w.Cut("*", h, false)
 			w.After(d, func() { w.Heal("*", h) })
 		case 3:
-			if wk := w.Agents[h]; wk != nil && !wk.Hung {
-				wk.Hung = true
-				w.After(d, wk.Resume)
+			if agent := w.Agents[h]; agent != nil && !agent.Hung {
+				agent.Hung = true
+				w.After(d, agent.Resume)
 			}
 		}
 	})
@@ -239,7 +239,7 @@
 				settings.BatchingWhenScarce,
 			}[w.RNG.IntN(2)]
 			for i := range 20 {
-				s.host = append(s.host, w.Cloud.AddRunning("g4", []string{"a", "b"}[i%2], false))
+				s.machines = append(s.machines, w.Cloud.AddRunning("g4", []string{"a", "b"}[i%2], false))
 			}
 			w.AddNodes(s.set.Cluster.Size, s.set)
 			s.drawLong()
--- a/internal/scenario/packs_test.go
+++ b/internal/scenario/packs_test.go
@@ -11,8 +11,8 @@
 	"github.com/harrierreel/harrierreel/internal/simulation"
 )
 
-// TestPacksUnderConflict has five controllers write the same packs for eight minutes:
-// controllers end and come back, so that machines pass from owner to owner and packs
+// TestPacksUnderConflict has five controllers write the same batches for eight minutes:
+// controllers end and come back, so that machines pass from owner to owner and batches
 // are taken apart, machines are taken so that the leader gives tasks away again, and the
 // state service is slow to tell of changes. After each transaction every task is in one
 // record at most, no try falls, and nothing runs twice (simulation.Simulator).
--- a/internal/scenario/pairs_test.go
+++ b/internal/scenario/pairs_test.go
@@ -110,9 +110,9 @@
 					w.After(d, func() { w.Heal(h, n+":cmd") })
 				}
 			case 2: // it stands still
-				if wk := w.Agents[h]; wk != nil {
-					wk.Hung = true
-					w.After(d, wk.Resume)
+				if agent := w.Agents[h]; agent != nil {
+					agent.Hung = true
+					w.After(d, agent.Resume)
 				}
 			}
 		})
@@ -145,9 +145,9 @@
 
 // someHosts has something befall up to a third of the machines of the start.
 func (s *script) someHosts(f func(machine string)) {
-	first, count := s.w.RNG.IntN(len(s.host)), 1+s.w.RNG.IntN(len(s.host)/3)
+	first, count := s.w.RNG.IntN(len(s.machines)), 1+s.w.RNG.IntN(len(s.machines)/3)
 	for i := range count {
-		f(s.host[(first+i)%len(s.host)])
+		f(s.machines[(first+i)%len(s.machines)])
 	}
 }
 
@@ -217,7 +217,14 @@
 
 // playPair plays one world of two troubles, drawn by chance, with the deployment and the
 // number of controllers of a seed, and what else is to go on, and judges it.
-func playPair(t *testing.T, chance uint64, seed int, packs settings.TaskBatching, a, b trouble, besides func(*script)) {
+func playPair(
+	t *testing.T,
+	chance uint64,
+	seed int,
+	batching settings.TaskBatching,
+	a, b trouble,
+	besides func(*script),
+) {
 	t.Helper()
 	w := simulation.NewSimulator(chance, slog.New(slog.DiscardHandler))
 	w.WatchTasks()
@@ -227,11 +234,11 @@
 	s.set.Cluster.Size = 3 + 2*(seed/2%2)
 	s.set.Cluster.Teams = []settings.Team{{Name: "team", GpusMax: 110}, {Name: "other", GpusMax: 50}}
 	w.TeamLimits["team"], w.TeamLimits["other"] = 110, 50
-	s.set.Operator.TaskBatching = packs
+	s.set.Operator.TaskBatching = batching
 	s.set.Cluster.State.WriteRPS = 80
 	w.Store.RPS, w.Store.WPS = 250, 80
 	for i := range 40 {
-		s.host = append(s.host, w.Cloud.AddRunning("g4", []string{"a", "b"}[i%2], false))
+		s.machines = append(s.machines, w.Cloud.AddRunning("g4", []string{"a", "b"}[i%2], false))
 	}
 	w.AddNodes(s.set.Cluster.Size, s.set)
 	s.drawJobs()
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -73,13 +73,13 @@
 
 // script is a scenario under way.
 type script struct {
-	t    testing.TB
-	line string
-	w    *simulation.Simulator
-	set  settings.Settings
-	size int
-	host []string // machines there from the start
-	vars map[string]string
+	t        testing.TB
+	line     string
+	w        *simulation.Simulator
+	set      settings.Settings
+	size     int
+	machines []string // those there from the start
+	vars     map[string]string
 
 	scarce     bool             // there is no room for half of each group
 	inTime     bool             // the largest jobs are to begin in time
@@ -94,16 +94,16 @@
 
 // run plays a scenario. committed, if given, is told of each write of a
 // transaction.
-func run(t *testing.T, file string, packs settings.TaskBatching, committed func(key string, v json.RawMessage)) {
+func run(t *testing.T, file string, batching settings.TaskBatching, committed func(key string, v json.RawMessage)) {
 	t.Helper()
-	runTelling(t, file, packs, committed, nil)
+	runTelling(t, file, batching, committed, nil)
 }
 
 // runTelling is run with messages, if given, told of each message of the controllers.
 func runTelling(
 	tb testing.TB,
 	file string,
-	packs settings.TaskBatching,
+	batching settings.TaskBatching,
 	committed func(key string, v json.RawMessage),
 	messages func(simulation.Message),
 ) {
@@ -113,7 +113,7 @@
 		tb.Fatal(err)
 	}
 	defer func() { _ = f.Close() }() // only read
-	s := newScript(tb, packs)
+	s := newScript(tb, batching)
 	s.w.Store.Committed, s.w.Messages = committed, messages
 	s.playLines(f, filepath.Base(file))
 	s.uponDone()
@@ -133,7 +133,7 @@
 
 // newScript is a scenario before its first line. With SCENARIO_LOG set its controllers log to
 // the standard error.
-func newScript(tb testing.TB, packs settings.TaskBatching) *script {
+func newScript(tb testing.TB, batching settings.TaskBatching) *script {
 	tb.Helper()
 	log := slog.New(slog.DiscardHandler)
 	if os.Getenv("SCENARIO_LOG") != "" {
@@ -148,7 +148,7 @@
 	}
 	s.w.WatchTasks()
 	s.set = baseSettings(s.w)
-	s.set.Operator.TaskBatching = packs
+	s.set.Operator.TaskBatching = batching
 	return s
 }
 
--- a/internal/scenario/settings_test.go
+++ b/internal/scenario/settings_test.go
@@ -56,13 +56,13 @@
 
 // setMachine: machine BUILD SITE [cheap].
 func (s *script) setMachine(words []string) {
-	s.host = append(s.host, s.w.Cloud.AddRunning(words[1], words[2], len(words) > 3))
+	s.machines = append(s.machines, s.w.Cloud.AddRunning(words[1], words[2], len(words) > 3))
 }
 
 // setMachines: machines COUNT BUILD SITE.
 func (s *script) setMachines(words []string) {
 	for range int(s.number(words[1])) {
-		s.host = append(s.host, s.w.Cloud.AddRunning(words[2], words[3], false))
+		s.machines = append(s.machines, s.w.Cloud.AddRunning(words[2], words[3], false))
 	}
 }
 
--- a/internal/scenario/takeover_test.go
+++ b/internal/scenario/takeover_test.go
@@ -155,20 +155,20 @@
 	tb.Helper()
 	s, w := p.s, p.s.w
 	w.RunUntil(at - time.Duration(w.RNG.IntN(3000))*time.Millisecond)
-	boss := w.Leader()
-	if boss == "" {
+	leader := w.Leader()
+	if leader == "" {
 		tb.Fatal("nobody leads")
 	}
-	s.vars["boss"] = boss
+	s.vars["boss"] = leader
 	was := p.epoch
 	if how == "in order" {
-		w.Nodes[boss].Shutdown()
+		w.Nodes[leader].Shutdown()
 		for before := p.epoch; p.epoch == before; w.RunUntil(w.At() + 5*time.Millisecond) {
 			p.ended = w.Now // the hand-over is what is measured
 		}
 	} else {
 		p.ended = w.Now
-		w.Nodes[boss].Crash()
+		w.Nodes[leader].Crash()
 	}
 	from := w.Now
 	for p.epoch == was || !w.TokenShown(p.epoch) {
@@ -179,7 +179,7 @@
 	}
 	_ = p.m.heard.RecordValue(w.Now.Sub(from).Milliseconds() + 1)
 	w.RunUntil(w.At() + 2*time.Second)
-	w.Nodes[boss].Boot()
+	w.Nodes[leader].Boot()
 }
 
 func (m *takeOvers) play(tb testing.TB, seed uint64, how string) {
--- a/internal/scenario/troubles_test.go
+++ b/internal/scenario/troubles_test.go
@@ -37,7 +37,7 @@
 			s.set.Cluster.State.WriteRPS = 80
 			w.Store.RPS, w.Store.WPS = 250, 80
 			for i := range 40 {
-				s.host = append(s.host, w.Cloud.AddRunning("g4", []string{"a", "b"}[i%2], false))
+				s.machines = append(s.machines, w.Cloud.AddRunning("g4", []string{"a", "b"}[i%2], false))
 			}
 			w.AddNodes(5, s.set)
 			s.drawJobs()
@@ -85,7 +85,7 @@
 func (s *script) drawTrouble() {
 	w, r := s.w, s.w.RNG
 	n := w.Nodes[w.NodeNames[r.IntN(len(w.NodeNames))]]
-	machine := s.host[r.IntN(len(s.host))]
+	machine := s.machines[r.IntN(len(s.machines))]
 	d := time.Duration(500+r.IntN(9000)) * time.Millisecond
 	switch kind := r.IntN(15); kind {
 	case 2, 3, 4, 5, 6, 8, 9:
@@ -138,13 +138,13 @@
 	case 7:
 		n.Freeze(d)
 	case 10:
-		if wk := w.Agents[machine]; wk != nil {
-			wk.Restart()
+		if agent := w.Agents[machine]; agent != nil {
+			agent.Restart()
 		}
 	case 11:
-		if wk := w.Agents[machine]; wk != nil {
-			wk.Hung = true
-			w.After(d, wk.Resume)
+		if agent := w.Agents[machine]; agent != nil {
+			agent.Hung = true
+			w.After(d, agent.Resume)
 		}
 	case 12:
 		s.toggle(2*d, func(on bool) { w.RefusePeers(n.Name, on) })
--- a/internal/scenario/verbs_machines_test.go
+++ b/internal/scenario/verbs_machines_test.go
@@ -44,7 +44,7 @@
 // verbDieMany: die-many FIRST COUNT: machines of the start.
 func (s *script) verbDieMany(args []string) {
 	first := int(s.number(args[0]))
-	for _, h := range s.host[first-1 : first-1+int(s.number(args[1]))] {
+	for _, h := range s.machines[first-1 : first-1+int(s.number(args[1]))] {
 		s.w.Agents[h].Die()
 	}
 }
@@ -53,9 +53,9 @@
 // tenure.
 func (s *script) verbRebirth(args []string) {
 	first := int(s.number(args[0]))
-	for _, h := range s.host[first-1 : first-1+int(s.number(args[1]))] {
-		if wk := s.w.Agents[h]; wk != nil {
-			wk.Restart()
+	for _, h := range s.machines[first-1 : first-1+int(s.number(args[1]))] {
+		if agent := s.w.Agents[h]; agent != nil {
+			agent.Restart()
 		}
 	}
 }
@@ -69,12 +69,12 @@
 // verbDieOrHangSome: die-some|hang-some empty|busy COUNT: machines of the start.
 func (s *script) verbDieOrHangSome(verb string, args []string) {
 	left := int(s.number(args[1]))
-	for _, h := range s.host {
-		if wk := s.w.Agents[h]; wk != nil && left > 0 && !wk.Hung && wk.Empty() == (args[0] == "empty") {
+	for _, h := range s.machines {
+		if agent := s.w.Agents[h]; agent != nil && left > 0 && !agent.Hung && agent.Empty() == (args[0] == "empty") {
 			if left--; verb == "die-some" {
-				wk.Die()
+				agent.Die()
 			} else {
-				wk.Hung = true
+				agent.Hung = true
 			}
 		}
 	}
@@ -88,7 +88,7 @@
 // machine by name: "cut * MACHINE", "heal * MACHINE".
 func (s *script) verbCutOrHealMany(verb string, args []string) {
 	first := int(s.number(args[0]))
-	for _, h := range s.host[first-1 : first-1+int(s.number(args[1]))] {
+	for _, h := range s.machines[first-1 : first-1+int(s.number(args[1]))] {
 		if s.w.Heal("*", h); verb == "cut-many" || verb == "deaf" {
 			s.w.Cut("*", h, false)
 		}
@@ -98,7 +98,7 @@
 // verbRentedUnheard: rented-unheard COUNT BUILD SITE: by a leader that ended before the answer.
 func (s *script) verbRentedUnheard(args []string) {
 	for range int(s.number(args[0])) {
-		s.host = append(s.host, s.w.Cloud.AddRunning(args[1], args[2], false))
+		s.machines = append(s.machines, s.w.Cloud.AddRunning(args[1], args[2], false))
 	}
 }
 
@@ -115,7 +115,7 @@
 // verbIsolate: isolate FIRST COUNT: so many of the first machines are cut from all.
 func (s *script) verbIsolate(args []string) {
 	first := int(s.number(args[0]))
-	for _, h := range s.host[first-1 : first-1+int(s.number(args[1]))] {
+	for _, h := range s.machines[first-1 : first-1+int(s.number(args[1]))] {
 		s.w.Cut(h, "*", false)
 		s.w.Cut("*", h, false)
 	}
@@ -123,7 +123,7 @@
 
 // verbBlind: blind NODE on|off: it and the machines of the start do not reach one another.
 func (s *script) verbBlind(args []string) {
-	for _, h := range s.host {
+	for _, h := range s.machines {
 		if args[1] == "on" {
 			s.w.Cut(h, s.node(args[0]), false)
 			s.w.Cut(s.node(args[0]), h, false)
@@ -141,19 +141,19 @@
 
 // verbOneMachine: die|hang|resume MACHINE, take MACHINE SECONDS of notice.
 func (s *script) verbOneMachine(verb string, args []string) {
-	wk := s.w.Agents[s.party(args[0])]
-	if wk == nil {
+	agent := s.w.Agents[s.party(args[0])]
+	if agent == nil {
 		s.fatal("no machine %s", args[0])
 	}
 	switch verb {
 	case "die":
-		wk.Die()
+		agent.Die()
 	case "hang":
-		wk.Hung = true
+		agent.Hung = true
 	case "resume":
-		wk.Resume()
+		agent.Resume()
 	case "take":
-		wk.Reclaim(s.number(args[1]))
+		agent.Reclaim(s.number(args[1]))
 	}
 }
 
