--- a/internal/tuning/agents.go
+++ b/internal/tuning/agents.go
@@ -4,7 +4,7 @@
 
 // Agents: sessions, commands, unresponsive machines.
 const (
-	// AdoptAgain: pause between two tries to reach a machine.
+	// AdoptAgain: pause between two attempts to reach a machine.
 	AdoptAgain = 1500 * time.Millisecond
 	// CommandGap: pause between two commands to a machine whose last one
 	// brought no change.
@@ -28,13 +28,13 @@
 	// MaxCommands: orders in one message, far below 64 KiB.
 	MaxCommands = 200
 	// UnresponsiveReports, reports: a machine unheard for this many report intervals
-	// is silent.
+	// is unresponsive.
 	UnresponsiveReports = 2.0
 	// ReportLate, reports: reports come up to a quarter late; a machine unheard
 	// for longer than this is asked directly.
 	ReportLate = 1.4
 	// UnresponsiveCalls: a machine that is late and has left this many direct calls
-	// in a row without answer is silent.
+	// in a row without answer is unresponsive.
 	UnresponsiveCalls = 2
 	// SweepEvery: how often an owner looks over all its machines, also those
 	// that nothing has happened to; and for how long it gathers ended tasks
--- a/internal/tuning/api.go
+++ b/internal/tuning/api.go
@@ -7,6 +7,6 @@
 	AcceptAttempts = 3
 	// FinalCache: final job states kept in memory.
 	FinalCache = 20000
-	// RetryAfter, seconds, told to users who are refused.
+	// RetryAfter, in seconds, of answers that refuse a user.
 	RetryAfter = 1
 )
--- a/internal/tuning/autoscaling.go
+++ b/internal/tuning/autoscaling.go
@@ -47,7 +47,7 @@
 	WarmEvery = 30 * time.Second
 	// CatalogEvery: how often prices are read.
 	CatalogEvery = 30 * time.Second
-	// UnresponsiveDeleteShare: share of lease_s beyond lease_s after which a silent
+	// UnresponsiveDeleteShare: share of lease_s beyond lease_s after which an unresponsive
 	// machine is given up and deleted.
 	UnresponsiveDeleteShare = 0.3
 )
--- a/internal/tuning/calendar.go
+++ b/internal/tuning/calendar.go
@@ -43,8 +43,8 @@
 	CalendarPollEvery = 250 * time.Millisecond
 	// CalendarIdle: how often all tracks are looked at when nothing is due.
 	CalendarIdle = 30 * time.Second
-	// MaxCalendarLogged: jobs and windows that are remembered as told; beyond that they are
-	// told once more.
+	// MaxCalendarLogged: jobs and windows that are remembered as logged; beyond that they are
+	// logged once more.
 	MaxCalendarLogged = 20000
 	// CalendarChanges: tracks whose records change at a look, so that fifty windows at
 	// midnight do not take a second's changes of all.
--- a/internal/tuning/call_errors.go
+++ b/internal/tuning/call_errors.go
@@ -7,7 +7,7 @@
 	// CallErrorsLogEvery: how often the log tells of calls refused; a fault that repeats at
 	// every look would otherwise fill it.
 	CallErrorsLogEvery = time.Minute
-	// MaxErrorKinds: kinds of refused calls told apart between two reports; a few dozen
+	// MaxErrorKinds: kinds of refused calls counted apart between two reports; a few dozen
 	// exist. ErrorSampleBytes, bytes: of the first answer of a kind, for the log.
 	MaxErrorKinds    = 100
 	ErrorSampleBytes = 120
--- a/internal/tuning/calls.go
+++ b/internal/tuning/calls.go
@@ -38,13 +38,13 @@
 	// ReadFresh: such a read's answer that took longer is too old to tell that a job is
 	// live; most take 10 ms.
 	ReadFresh = 30 * time.Millisecond
-	// AckDelay: what is news to a user, that a job is accepted or has ended, is told so
+	// AckDelay: a new acknowledgement, that a job is accepted or has ended, leaves so
 	// long after it was passed on; by then no answer from before it is left to be given.
 	AckDelay = ReadFresh
 	// AckYoung: nobody can hold an answer any more that a job accepted so long ago is
-	// unknown, so that it is accepted is no news.
+	// unknown, so that it is accepted is no new acknowledgement.
 	AckYoung = time.Second
-	// MaxAcks: jobs kept of which something was told last; 50 a second for 160 s.
+	// MaxAcks: jobs kept that something was acknowledged of last; 50 a second for 160 s.
 	MaxAcks = 8192
 	// PeerUnresponsiveAfter: a controller whose lines have not come for so long may be cut off; they
 	// come each GossipEvery.
@@ -55,7 +55,7 @@
 	// ReadsKept: share of a second's requests that reads for polls leave to others.
 	ReadsKept = 0.25
 	// WatchGap: least pause between two watches, so that a busy store does not
-	// cost a request per change. A peer's hint cuts it short.
+	// cost a request per change. A peer's gossip cuts it short.
 	WatchGap = 40 * time.Millisecond
 	// CloudTimeout: rents can be slow.
 	CloudTimeout = 8 * time.Second
@@ -107,7 +107,7 @@
 	// behind with its writes: after a wave of losses it may be so for long.
 	AssignLateAfter = time.Second
 	// MinBatchWrites: writes that the budget must allow for a look at the queue where
-	// changes are scarce: larger slices cost fewer writes for each task.
+	// changes are scarce: larger task ranges cost fewer writes for each task.
 	MinBatchWrites = 4
 	// LeaderShare: the leader's part of the state budget; the rest is split
 	// evenly. The leader releases, closes and scales.
--- a/internal/tuning/cancellation.go
+++ b/internal/tuning/cancellation.go
@@ -22,15 +22,15 @@
 	// WatchHoldShare: share of the time left for renewals (cancel_s - lease_s less the
 	// margin) that a watch may be held at most, where that is less than WatchHold.
 	WatchHoldShare = 0.25
-	// MaxAckLogEntries: cancellations kept that this process has told; two seconds of a swarm of
+	// MaxAckLogEntries: cancellations kept that this process has acknowledged; two seconds of a swarm of
 	// 2,000 a second. Whoever has not taken in what was dropped proves nothing by it.
 	MaxAckLogEntries = 4096
 	// MaxPeerCancellations: cancellations heard of that the mirror does not show yet, of all others.
 	MaxPeerCancellations = 16384
-	// MaxAcksPerLine: cancellations, or jobs of which something was told, in one line; at 30 to 45
+	// MaxAcksPerLine: cancellations, or acknowledged states of jobs, in one line; at 30 to 45
 	// bytes each far below MaxPeerLine.
 	MaxAcksPerLine = 500
-	// AckGatherFor: least pause between two lines that pass on what was told; of a swarm of
+	// AckGatherFor: least pause between two lines that pass acknowledgements on; of a swarm of
 	// 2,000 a second 40 go in a line.
 	AckGatherFor = 20 * time.Millisecond
 	// AckResend: what was not confirmed is passed on again.
--- a/internal/tuning/cli.go
+++ b/internal/tuning/cli.go
@@ -15,7 +15,7 @@
 	// ClientTimeout: how long one controller may take to answer; the protocol
 	// gives users 5 s.
 	ClientTimeout = 5 * time.Second
-	// ClientPause, MaxClientPause: between two rounds of tries, and the most that
+	// ClientPause, MaxClientPause: between two rounds of attempts, and the most that
 	// an answer may make it wait (protocol).
 	ClientPause    = time.Second
 	MaxClientPause = 30 * time.Second
--- a/internal/tuning/connections.go
+++ b/internal/tuning/connections.go
@@ -14,7 +14,7 @@
 	// ListenAgain: pause before a failed listener is set up again; long enough
 	// for descriptors to come free, short enough not to miss two probes.
 	ListenAgain = 100 * time.Millisecond
-	// DialTimeout: a silent host is given up after this.
+	// DialTimeout: a host that does not answer is given up after this.
 	DialTimeout = 1500 * time.Millisecond
 	// IdleConn: kept connections older than this are not used again, because
 	// the other side may have closed them.
--- a/internal/tuning/http.go
+++ b/internal/tuning/http.go
@@ -9,6 +9,6 @@
 	// MaxAnswerBody, bytes: a watch answer has no limit of its own; 16 MiB is
 	// far above 10,000 changes of the usual size and far below our memory.
 	MaxAnswerBody = 16 << 20
-	// MaxPeerLine, bytes: hints are short; a longer line is not ours.
+	// MaxPeerLine, bytes: gossip messages are short; a longer line is not ours.
 	MaxPeerLine = 64 << 10
 )
--- a/internal/tuning/lending.go
+++ b/internal/tuning/lending.go
@@ -13,7 +13,7 @@
 	MaxLoansPerRecord   = 40
 	LoanRecordFillShare = 0.8
 	// LoanRequestTimeout: a lender that has not left after this, on a machine that still counts,
-	// is waited for no longer; saving takes seconds, a silent machine is given up sooner.
+	// is waited for no longer; saving takes seconds, an unresponsive machine is given up sooner.
 	LoanRequestTimeout = 60 * time.Second
 	// LoanVacant: made room is kept so long for its replica.
 	LoanVacant = 20 * time.Second
@@ -33,8 +33,8 @@
 	// MaxLendingSearches: looks in one pass for somebody who lends. In a burst of serving some 15
 	// replicas a second wait; one looks at machines with the weights only, mostly.
 	MaxLendingSearches = 10
-	// SweepLends: share of a sweep's tasks that may be lent in that time; they do not need
-	// one another, so that a sweep is slowed by no more than this.
+	// SweepLends: share of a job array's tasks that may be lent in that time; they do not need
+	// one another, so that an array is slowed by no more than this.
 	SweepLends = 0.25
 	// LoanNearEnd: what is expected to end so soon is not stopped; LoanPast: share of
 	// its run that a task which has run past its estimate is taken to need still.
@@ -54,7 +54,7 @@
 	// fit comes within about this.
 	LoanWaste = 20 * time.Second
 	// LoanSave: steps that follow from the records are stored at most so late, several
-	// of a sheet at once. At 5 s they were 430 changes on a day of 553 loans, at 20 s 210.
+	// of a record at once. At 5 s they were 430 changes on a day of 553 loans, at 20 s 210.
 	LoanSave = 30 * time.Second
 	// LoanLogEvery: how often the log tells the counts of loans.
 	LoanLogEvery = time.Minute
--- a/internal/tuning/membership.go
+++ b/internal/tuning/membership.go
@@ -7,7 +7,7 @@
 	// MemberTTL: a dead controller's lease ends after this. Short, since its
 	// machines wait for a new owner; long enough for a slow processor share.
 	MemberTTL = 4 * time.Second
-	// MemberRenew: three tries within MemberTTL.
+	// MemberRenew: three attempts within MemberTTL.
 	MemberRenew = 1200 * time.Millisecond
 	// UnreachableOwnerAfter: workers that keep coming to others for this long although
 	// they were sent to their owner prove that they cannot reach it. Longer than
@@ -18,7 +18,7 @@
 	// HeardFresh: a machine heard by another node this recently is not given
 	// up; its owner is the one that is cut off.
 	HeardFresh = 12 * time.Second
-	// MaxUnreached: machines named in one hint, as many as a controller has sessions for; a
+	// MaxUnreached: machines named in one gossip message, as many as a controller has sessions for; a
 	// controller of the former version takes in the first 200 of them. MaxUnreachedBytes,
 	// bytes: what they take of a line; the rest of MaxPeerLine is for its marks. 4,000 names of
 	// 8 bytes take 44,000. With longer names those that come later follow: each comes again
--- a/internal/tuning/pipelines.go
+++ b/internal/tuning/pipelines.go
@@ -13,7 +13,7 @@
 	MaxNamedSteps = 20
 	// MaxRepeats: times that a step may be tried anew.
 	MaxRepeats = 20
-	// MaxFaults: faults of one file that are told.
+	// MaxFaults: faults of one file that are reported.
 	MaxFaults = 100
 	// MaxMatrixText, bytes: a value of a matrix, which becomes part of a name.
 	MaxMatrixText = 64
@@ -63,7 +63,7 @@
 	CancelAttempts = 3
 	// PlanCache: compiled plans kept of runs that this node does not move.
 	PlanCache = 64
-	// SnapshotRPS: requests a second that taking a snapshot makes unless told else.
+	// SnapshotRPS: requests a second that taking a snapshot makes unless set otherwise.
 	SnapshotRPS = 5.0
 	// SnapshotPatience: a snapshot waits so long for a state service that gives nothing.
 	SnapshotPatience = 2 * time.Minute
--- a/internal/tuning/records.go
+++ b/internal/tuning/records.go
@@ -7,26 +7,26 @@
 	// PreconditionsPerOp: conditions that the state service takes for each put or delete
 	// that it allows in a transaction (protocol).
 	PreconditionsPerOp = 4
-	// RangeTaskBytes, bytes: what a task takes of its slice's record, at most,
-	// with names of the usual length; decides how many tasks a slice holds.
+	// RangeTaskBytes, bytes: what a task takes of the record of its task range, at most,
+	// with names of the usual length; decides how many tasks a range holds.
 	RangeTaskBytes = 220
-	// ChangeBytes, bytes: what a changed task may add to a slice's record.
+	// ChangeBytes, bytes: what a changed task may add to the record of a task range.
 	ChangeBytes = 100
-	// BatchTaskBytes, bytes: what a task takes of a pack, at least; with the share of
+	// BatchTaskBytes, bytes: what a task takes of a batch record, at least; with the share of
 	// BatchFillShare it decides how many tasks are put into one.
 	BatchTaskBytes = 12
-	// BatchFillShare: share of the most bytes of a value up to which packs are filled; the
+	// BatchFillShare: share of the most bytes of a value up to which batch records are filled; the
 	// rest is for what their tasks' records grow by.
 	BatchFillShare = 0.7
-	// MaxBatchTasks: tasks in a pack; bounds what reading one takes.
+	// MaxBatchTasks: tasks in a batch record; bounds what reading one takes.
 	MaxBatchTasks = 20_000
-	// BatchEvery: the leader gives tasks away in packs, and owners write ends into
+	// BatchEvery: the leader gives tasks away in batch records, and owners write ends into
 	// them, at most this often: what one look places, and what ends meanwhile, shares
-	// packs. While changes are short it is GatherFor for ends and BatchEveryScarce for the
+	// batch records. While changes are short it is GatherFor for ends and BatchEveryScarce for the
 	// leader. The first after a pause waits for nothing.
 	BatchEvery       = 300 * time.Millisecond
 	BatchEveryScarce = 400 * time.Millisecond
-	// MaxSharedBatches: tasks given away that may be counted as one change of packs.
+	// MaxSharedBatches: tasks given away that may be counted as one change of batch records.
 	MaxSharedBatches = 6
 	// TxnBytes, bytes: up to where a transaction is filled by guess. What is sent is
 	// counted and must stay below MaxRequestBody.
--- a/internal/tuning/recovery.go
+++ b/internal/tuning/recovery.go
@@ -5,13 +5,13 @@
 // Reconciling: what a controller that starts does before it knows what its machines have.
 const (
 	// ReconcileReports, reports, and ReconcileSlack: by then every machine that runs has
-	// reported twice, the second time with our baton, and been reached directly.
+	// reported twice, the second time with our fencing token, and been reached directly.
 	ReconcileReports = 2.0
 	ReconcileSlack   = 2 * time.Second
 	// MaxReconcile: after so long what still differs is what differs on any day.
 	MaxReconcile = 60 * time.Second
-	// ReconcileOthers: an owner that has not told by then that it heard its machines is
-	// waited for no longer: it has called them twice, and told which did not answer.
+	// ReconcileOthers: an owner that has not reported by then that it heard its machines is
+	// waited for no longer: it has called them twice, and reported which did not answer.
 	ReconcileOthers = 5 * time.Second
 	// ReconcileScaleOutDelay: some looks at the queue, which then has been offered all machines; what it
 	// still lacks is rented.
--- a/internal/tuning/scheduling.go
+++ b/internal/tuning/scheduling.go
@@ -46,8 +46,8 @@
 	StarvingGap         = 30 * time.Second
 	StarvingMinAge      = 15 * time.Second
 	MaxStarvingExamined = 20
-	// GatherTasks, GatherFor: while changes are short, so few tasks of a sweep
-	// that there is room for wait so long for more, to share a slice; and ended
+	// GatherTasks, GatherFor: while changes are short, so few tasks of a job array
+	// that there is room for wait so long for more, to share a task range; and ended
 	// tasks wait so long for others. Inside the 3 s after which users expect
 	// done, with time for the job's own end.
 	GatherTasks = 8
@@ -57,7 +57,7 @@
 	// MaxHeldMachines: machines kept in one pass; each costs a look at all of them.
 	MaxHeldMachines = 16
 	// GatherElsewhere: a large gang that has gathered nothing more for this long in one
-	// zone tries another: longer than machines take to boot.
+	// zone looks in another: longer than machines take to boot.
 	GatherElsewhere = 60 * time.Second
 	// GatherAgain: pause before the busy machines kept for it are chosen anew; each
 	// choice looks at all tasks of a zone.
@@ -80,7 +80,7 @@
 	// hundreds of short tasks reports them all twice a second.
 	MaxActive = 8000
 	// MaxAssignments: tasks looked at for release in one pass; bounds the time a
-	// pass takes with very large sweeps waiting.
+	// pass takes with very large job arrays waiting.
 	MaxAssignments = 400
 	// MaxExaminedJobs: the same while there is no budget for any change, when a look
 	// only finds out what has no room.
@@ -94,15 +94,15 @@
 	AvoidAfter = 8 * time.Second
 	// DecommissionEvery: how often machines are looked over for deletion.
 	DecommissionEvery = 500 * time.Millisecond
-	// UnresponsiveRecheck: a silent machine that no controller hears is deleted after
+	// UnresponsiveRecheck: an unresponsive machine that no controller hears is deleted after
 	// this; a hanging one may come back, but its work is started sooner
 	// elsewhere.
 	UnresponsiveRecheck = 3 * time.Second
-	// MaxUnresponsiveShare: share of the machines that may be silent at once for that; if
+	// MaxUnresponsiveShare: share of the machines that may be unresponsive at once for that; if
 	// more are, the network is the likelier cause, and they are only deleted
 	// after their lease has ended.
 	MaxUnresponsiveShare = 0.34
-	// MinPartitionSample, PartitionShare: a zone with at least so many quiet machines that are
+	// MinPartitionSample, PartitionShare: a zone with at least so many unresponsive machines that are
 	// more than this share of its own is taken to be cut off; so is an owner.
 	MinPartitionSample = 4
 	PartitionShare     = 0.5
--- a/internal/tuning/times.go
+++ b/internal/tuning/times.go
@@ -8,7 +8,7 @@
 	// ReportJitter: share of report_s by which a report may come late (protocol).
 	ReportJitter = 0.25
 	// WorkerPatience, WorkerNext, WorkerRedirect: how long a worker waits for an answer, until
-	// it tries the next controller, and until it goes where it is sent, at most (protocol).
+	// it turns to the next controller, and until it goes where it is sent, at most (protocol).
 	WorkerPatience = 4 * time.Second
 	WorkerNext     = time.Second
 	WorkerRedirect = 500 * time.Millisecond
@@ -24,7 +24,7 @@
 	HeardLease = 0.75
 	// OutboundPartitionedLeaseShare, share of lease_s: a machine that sends no reports for longer takes no new
 	// tasks. A worker that looks for its controller has found it long before (MinLease);
-	// with less, machines were called mute for one change of leader.
+	// with less, machines were taken for outbound-partitioned for one change of leader.
 	OutboundPartitionedLeaseShare = 0.5
 	// CancelSpare: by how much cancel_s must exceed lease_s at least. What nobody reaches
 	// has ended by lease_s after the last answer, which may be a report's time younger than
