--- a/internal/shard/reconcile.go
+++ b/internal/shard/reconcile.go
@@ -25,7 +25,7 @@
 	decisions = append(decisions, s.reviewMachines()...)
 	decisions = append(decisions, s.placeAgain()...)
 	s.Reconciling.Advance(s.state.Now, s.view.KnownEpoch())
-	// Where the budget does not allow all, a guest's thousands of ends must not stand
+	// Where the budget does not allow all, thousands of ends of a low-priority job must not stand
 	// before those that others wait for.
 	sort.SliceStable(decisions, func(a, b int) bool {
 		orderA, orderB := s.recoveryOrder(&decisions[a]), s.recoveryOrder(&decisions[b])
