--- a/internal/scenario/hung_test.go
+++ b/internal/scenario/hung_test.go
@@ -11,15 +11,15 @@
 	first, count := int(s.number(args[0])), int(s.number(args[1]))
 	long := time.Duration(s.number(args[2]) * float64(time.Second))
 	for i := range count {
-		machine := ""
+		var machine string
 		if verb == "hang-for" {
-			machine = s.host[first-1+i]
+			machine = s.machines[first-1+i]
 		} else if machine = s.w.MachineOf(fmt.Sprintf("wk-%06d", first+i)); machine == "" {
 			s.fatal("wk-%06d is on no machine", first+i)
 		}
-		if wk := s.w.Agents[machine]; wk != nil && !wk.Hung {
-			wk.Hung = true
-			s.w.After(long, wk.Resume)
+		if agent := s.w.Agents[machine]; agent != nil && !agent.Hung {
+			agent.Hung = true
+			s.w.After(long, agent.Resume)
 		}
 	}
 }
--- a/internal/scenario/messages_test.go
+++ b/internal/scenario/messages_test.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"bytes"
 	"encoding/hex"
+	"errors"
 	"flag"
 	"fmt"
 	"io"
@@ -60,11 +61,11 @@
 		t.Fatal("no scenarios", err)
 	}
 	known := map[string]bool{}
-	one := func(name, file string, packs settings.TaskBatching) {
+	one := func(name, file string, batching settings.TaskBatching) {
 		known[name] = true
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			line := digest(t, name, file, packs)
+			line := digest(t, name, file, batching)
 			mu.Lock()
 			lines[name] = line
 			mu.Unlock()
@@ -121,7 +122,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // only read
 	lines := map[string]string{}
 	sc := bufio.NewScanner(f)
 	for sc.Scan() {
@@ -135,7 +136,7 @@
 }
 
 // digest plays a scenario and gives its line "NAME MESSAGES DIGEST".
-func digest(t *testing.T, name, file string, packs settings.TaskBatching) string {
+func digest(t *testing.T, name, file string, batching settings.TaskBatching) string {
 	t.Helper()
 	h := blake3.New(16, nil)
 	var out io.Writer = h
@@ -144,21 +145,25 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer f.Close()
 		buffered := bufio.NewWriter(f)
-		defer buffered.Flush()
+		defer func() {
+			if err := errors.Join(buffered.Flush(), f.Close()); err != nil {
+				t.Error(err)
+			}
+		}()
 		out = io.MultiWriter(h, buffered)
 	}
 	count, named := 0, numbers{}
 	played := make(chan struct{})
 	go func() { // its own, which a scenario that fails ends
 		defer close(played)
-		runTelling(&onlyLogs{t}, file, packs, nil, func(m simulation.Message) {
+		runTelling(&onlyLogs{t}, file, batching, nil, func(m simulation.Message) {
 			count++
 			if m.Kind == simulation.GossipSent || m.Kind == simulation.GossipReceived {
 				m.Body = named.replace(m.Body)
 			}
-			fmt.Fprintf(out, "%d %s %s %d %s %s %s %d %d %d %v %s\n",
+			// A hash takes all; what a file doesn't take is told by Flush.
+			_, _ = fmt.Fprintf(out, "%d %s %s %d %s %s %s %d %d %d %v %s\n",
 				m.At, m.Node, m.Kind, m.Number, m.Party, m.Method, m.Target, m.Timeout, m.Status, m.RetryAfter, m.Err, m.Body)
 		})
 	}()
