--- a/internal/parts/parts.go
+++ b/internal/sharding/parts.go
@@ -1,6 +1,6 @@
-// Package parts splits the machines among the live controllers and picks the
+// Package sharding splits the machines among the live controllers and picks the
 // machine for a task.
-package parts
+package sharding
 
 import (
 	"hash/fnv"
@@ -31,35 +31,35 @@
 	return owner
 }
 
-// Room is an amount of a machine's resources.
-type Room struct {
+// Resources is an amount of a machine's resources.
+type Resources struct {
 	Cores, Accelerators, MemoryGB float64
 }
 
-// pullTells is the difference in fetching time, in seconds, that decides
+// pullWeightS is the difference in fetching time, in seconds, that decides
 // between machines; less drowns in the fetch rate's own spread.
-const pullTells = 1.0
+const pullWeightS = 1.0
 
 const slack = 1e-6 // absorbs rounding of decimal amounts
 
 // Fits tells whether need fits into r.
-func (r Room) Fits(need Room) bool {
+func (r Resources) Fits(need Resources) bool {
 	return need.Cores <= r.Cores+slack && need.Accelerators <= r.Accelerators+slack && need.MemoryGB <= r.MemoryGB+slack
 }
 
 // Add and Sub are by component.
-func (r Room) Add(o Room) Room {
-	return Room{r.Cores + o.Cores, r.Accelerators + o.Accelerators, r.MemoryGB + o.MemoryGB}
+func (r Resources) Add(o Resources) Resources {
+	return Resources{r.Cores + o.Cores, r.Accelerators + o.Accelerators, r.MemoryGB + o.MemoryGB}
 }
 
 // Sub takes o away from r.
-func (r Room) Sub(o Room) Room {
-	return Room{r.Cores - o.Cores, r.Accelerators - o.Accelerators, r.MemoryGB - o.MemoryGB}
+func (r Resources) Sub(o Resources) Resources {
+	return Resources{r.Cores - o.Cores, r.Accelerators - o.Accelerators, r.MemoryGB - o.MemoryGB}
 }
 
-// Share is the largest share of whole that r takes: what part of a machine
+// ShareOf is the largest share of whole that r takes: what part of a machine
 // a task uses up.
-func (r Room) Share(whole Room) float64 {
+func (r Resources) ShareOf(whole Resources) float64 {
 	share := 0.0
 	for _, p := range [3][2]float64{{r.Cores, whole.Cores}, {r.Accelerators, whole.Accelerators}, {r.MemoryGB, whole.MemoryGB}} {
 		if p[0] <= 0 {
@@ -73,8 +73,8 @@
 	return share
 }
 
-// Times is how many times need fits into r.
-func (r Room) Times(need Room) int {
+// HowMany is how many times need fits into r.
+func (r Resources) HowMany(need Resources) int {
 	most := math.Inf(1)
 	for _, p := range [3][2]float64{{r.Cores, need.Cores}, {r.Accelerators, need.Accelerators}, {r.MemoryGB, need.MemoryGB}} {
 		if p[1] > 0 {
@@ -89,15 +89,15 @@
 
 // Candidate is a machine that a task is allowed on.
 type Candidate struct {
-	Host   string
-	Free   Room
-	Whole  Room
-	Loaner bool
-	Site   string
-	Part   string  // controller that the machine belongs to
-	Cached bool    // holds the task's image
-	PullS  float64 // seconds to fetch the image otherwise
-	Load   float64 // share of the machine in use
+	Machine    string
+	Free       Resources
+	Capacity   Resources
+	Spot       bool
+	Zone       string
+	Controller string  // controller that the machine belongs to
+	HasImage   bool    // holds the task's image
+	ImagePullS float64 // seconds to fetch the image otherwise
+	Load       float64 // share of the machine in use
 }
 
 // Pick returns the index of the best machine for need, or -1. For tasks that
@@ -106,59 +106,59 @@
 // fetch faster, then, for work without accelerators, where it leaves the fewest of
 // them idle, then the fullest that still fits, which keeps others empty
 // enough to be returned.
-func Pick(need Room, loaner bool, cands []Candidate) int {
-	return PickIf(need, loaner, cands, func(*Candidate) bool { return true })
+func Pick(need Resources, spot bool, cands []Candidate) int {
+	return PickIf(need, spot, cands, func(*Candidate) bool { return true })
 }
 
 // PickIf is Pick among those that ok allows.
-func PickIf(need Room, loaner bool, cands []Candidate, ok func(*Candidate) bool) int {
+func PickIf(need Resources, spot bool, cands []Candidate, ok func(*Candidate) bool) int {
 	best := -1
 	for i := range cands {
 		c := &cands[i]
 		if !c.Free.Fits(need) {
 			continue
 		}
-		if (best < 0 || better(need, c, &cands[best], loaner)) && ok(c) {
+		if (best < 0 || better(need, c, &cands[best], spot)) && ok(c) {
 			best = i
 		}
 	}
 	return best
 }
 
-// strands is how many accelerators of a machine need would leave without the cores
+// strandedShare is how many accelerators of a machine need would leave without the cores
 // and memory that they go with. Work that takes none itself and fills a machine up
 // would have its accelerators stand idle until it ends.
-func strands(need Room, c *Candidate) float64 {
-	usable := func(free Room) float64 {
-		return min(free.Accelerators, free.Cores/c.Whole.Cores*c.Whole.Accelerators, free.MemoryGB/c.Whole.MemoryGB*c.Whole.Accelerators)
+func strandedShare(need Resources, c *Candidate) float64 {
+	usable := func(free Resources) float64 {
+		return min(free.Accelerators, free.Cores/c.Capacity.Cores*c.Capacity.Accelerators, free.MemoryGB/c.Capacity.MemoryGB*c.Capacity.Accelerators)
 	}
-	if c.Whole.Accelerators <= 0 || c.Whole.Cores <= 0 || c.Whole.MemoryGB <= 0 {
+	if c.Capacity.Accelerators <= 0 || c.Capacity.Cores <= 0 || c.Capacity.MemoryGB <= 0 {
 		return 0
 	}
 	return usable(c.Free) - usable(c.Free.Sub(need))
 }
 
-// strandTells is the difference in accelerators left idle that decides between
+// strandedWeight is the difference in accelerators left idle that decides between
 // machines.
-const strandTells = 0.01
+const strandedWeight = 0.01
 
-func better(need Room, a, b *Candidate, loaner bool) bool {
-	if loaner && a.Loaner != b.Loaner {
-		return a.Loaner
+func better(need Resources, a, b *Candidate, spot bool) bool {
+	if spot && a.Spot != b.Spot {
+		return a.Spot
 	}
-	if a.Cached != b.Cached {
-		return a.Cached
+	if a.HasImage != b.HasImage {
+		return a.HasImage
 	}
-	if !a.Cached && math.Abs(a.PullS-b.PullS) >= pullTells {
-		return a.PullS < b.PullS
+	if !a.HasImage && math.Abs(a.ImagePullS-b.ImagePullS) >= pullWeightS {
+		return a.ImagePullS < b.ImagePullS
 	}
-	if need.Accelerators == 0 && (a.Whole.Accelerators > 0 || b.Whole.Accelerators > 0) {
-		if x, y := strands(need, a), strands(need, b); math.Abs(x-y) >= strandTells {
+	if need.Accelerators == 0 && (a.Capacity.Accelerators > 0 || b.Capacity.Accelerators > 0) {
+		if x, y := strandedShare(need, a), strandedShare(need, b); math.Abs(x-y) >= strandedWeight {
 			return x < y
 		}
 	}
 	if a.Load != b.Load {
 		return a.Load > b.Load
 	}
-	return a.Host < b.Host
+	return a.Machine < b.Machine
 }
--- a/internal/standin/cloud.go
+++ b/internal/simulation/cloud.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"encoding/json"
@@ -14,7 +14,7 @@
 
 // Cloud stands in for the cloud.
 type Cloud struct {
-	w       *World
+	w       *Simulator
 	Down    bool
 	BootS   float64
 	LagS    float64
@@ -68,7 +68,7 @@
 	{"name": "g8", "cores": 64, "accelerators": 8, "memory_gb": 512, "cache_gb": 100, "pull_gb_per_s": 1, "hourly": 22, "low_price": 7, "ready_s": 20, "sites": []string{"a", "b"}},
 }
 
-func newCloud(w *World) *Cloud {
+func newCloud(w *Simulator) *Cloud {
 	return &Cloud{w: w, BootS: 20, LagS: 4, Limit: 40, hosts: map[string]*cloudHost{}, hires: map[string]hired{}}
 }
 
@@ -165,10 +165,10 @@
 	return n
 }
 
-func (c *Cloud) add(build, site string, loaner bool, boot float64) string {
+func (c *Cloud) add(build, zone string, spot bool, boot float64) string {
 	c.next++
 	c.Rented++
-	h := &cloudHost{ID: fmt.Sprintf("i-%06d", c.next), Build: build, Site: site, Loaner: loaner, born: c.w.Now, status: "booting"}
+	h := &cloudHost{ID: fmt.Sprintf("i-%06d", c.next), Build: build, Site: zone, Loaner: spot, born: c.w.Now, status: "booting"}
 	c.hosts[h.ID] = h
 	if c.Never > 0 {
 		c.Never--
@@ -187,8 +187,8 @@
 }
 
 // AddRunning puts up a machine that is there from the start.
-func (c *Cloud) AddRunning(build, site string, loaner bool) string {
-	return c.add(build, site, loaner, 0)
+func (c *Cloud) AddRunning(build, zone string, spot bool) string {
+	return c.add(build, zone, spot, 0)
 }
 
 // Remove takes a machine away with all that is on it.
@@ -201,7 +201,7 @@
 }
 
 // GoneFor lists the machines that were deleted or taken so long ago.
-func (w *World) GoneFor(long time.Duration) (out []string) {
+func (w *Simulator) GoneFor(long time.Duration) (out []string) {
 	for _, id := range slices.Sorted(maps.Keys(w.Cloud.hosts)) {
 		if h := w.Cloud.hosts[id]; !h.gone.IsZero() && w.Now.Sub(h.gone) > long {
 			out = append(out, id)
--- a/internal/standin/counts.go
+++ b/internal/simulation/counts.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"sort"
@@ -8,7 +8,7 @@
 // What measurements ask of the world.
 
 // OnMachines counts the tasks on machines.
-func (w *World) OnMachines() int {
+func (w *Simulator) OnMachines() int {
 	n := 0
 	for _, wk := range w.Workers {
 		n += wk.Holds()
@@ -28,7 +28,7 @@
 }
 
 // Begun counts the starts of tasks so far, of all jobs.
-func (w *World) Begun() int {
+func (w *Simulator) Begun() int {
 	n := 0
 	for _, j := range w.Jobs {
 		n += j.Starts
@@ -37,10 +37,10 @@
 }
 
 // Orders counts the orders that workers were told so far.
-func (w *World) Orders() int { return w.orders }
+func (w *Simulator) Orders() int { return w.orders }
 
 // HeardUnder counts the machines that were shown a baton of this epoch.
-func (w *World) HeardUnder(epoch uint64) int {
+func (w *Simulator) HeardUnder(epoch uint64) int {
 	n := 0
 	for _, wk := range w.Workers {
 		if wk.baton>>20 >= epoch {
@@ -51,7 +51,7 @@
 }
 
 // Hosts lists the machines that run, by name.
-func (w *World) Hosts() []string {
+func (w *Simulator) Hosts() []string {
 	var out []string
 	for h := range w.Workers {
 		out = append(out, h)
@@ -61,7 +61,7 @@
 }
 
 // ProbeUser asks about a job every so often until an answer is not a refusal.
-func (w *World) ProbeUser(every time.Duration, answered func()) {
+func (w *Simulator) ProbeUser(every time.Duration, answered func()) {
 	w.ask("GET", "/work/wk-000001", nil, func(status int, _ []byte, err error) {
 		if err == nil && status == 200 {
 			answered()
--- a/internal/standin/late.go
+++ b/internal/simulation/late.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"encoding/json"
@@ -15,10 +15,10 @@
 
 // meets draws whether the trouble meets this one. Nothing is drawn while there is no
 // such trouble: worlds without it keep their course.
-func (w *World) meets(d drawn) bool { return w.Now.Before(d.until) && w.RNG.Float64() < d.share }
+func (w *Simulator) meets(d drawn) bool { return w.Now.Before(d.until) && w.RNG.Float64() < d.share }
 
 // between draws a time from one to another.
-func (w *World) between(from, to time.Duration) time.Duration {
+func (w *Simulator) between(from, to time.Duration) time.Duration {
 	return from + time.Duration(w.RNG.Int64N(int64(to-from)))
 }
 
@@ -34,20 +34,20 @@
 // carried out 2 to 12 s later, after newer ones of the same controller, and also when
 // the state service has come to refuse that controller meanwhile. One that comes while
 // the service is down is lost.
-func (w *World) LateWrites(share float64, long time.Duration) {
+func (w *Simulator) LateWrites(share float64, long time.Duration) {
 	w.lateWrites = drawn{share, w.Now.Add(long)}
 }
 
 // LateReports has, for so long, a copy of that share of the workers' reports arrive again
 // at the node that they were sent to, 2 s to 1.5 leases later, though the machine may be
 // gone or cut off by then. Nobody hears the answer.
-func (w *World) LateReports(share float64, long time.Duration) {
+func (w *Simulator) LateReports(share float64, long time.Duration) {
 	w.lateReports = drawn{share, w.Now.Add(long)}
 }
 
 // LostAnswers has, for so long, that share of transactions be carried out at once and get
 // no answer.
-func (w *World) LostAnswers(share float64, long time.Duration) {
+func (w *Simulator) LostAnswers(share float64, long time.Duration) {
 	w.lostAnswers = drawn{share, w.Now.Add(long)}
 }
 
@@ -66,7 +66,7 @@
 // HoldReports has, for so long, a copy of that share of the workers' reports be kept for
 // the next leader: it arrives there once that has acted, or, everywhere, at each
 // controller just as that leader begins, all within 8 s. Nobody hears the answers.
-func (w *World) HoldReports(share float64, everywhere bool, long time.Duration) {
+func (w *Simulator) HoldReports(share float64, everywhere bool, long time.Duration) {
 	h := &w.heldReports
 	h.drawn, h.everywhere = drawn{share, w.Now.Add(long)}, everywhere
 	if h.watching {
@@ -77,16 +77,16 @@
 }
 
 // viewLeader is who leads by the view in the state service.
-func (w *World) viewLeader() members.Member {
+func (w *Simulator) viewLeader() members.Member {
 	var v members.View
 	if json.Unmarshal(w.Store.Value(members.ViewKey), &v) != nil {
 		return members.Member{}
 	}
-	return members.Member{Name: v.Leader, Inc: v.Inc(v.Leader)}
+	return members.Member{Name: v.Leader, Incarnation: v.Incarnation(v.Leader)}
 }
 
 // passHeld delivers the copies that are kept once there is another leader.
-func (w *World) passHeld() {
+func (w *Simulator) passHeld() {
 	h := &w.heldReports
 	if !w.Now.Before(h.until) && len(h.bodies) == 0 {
 		h.watching = false
@@ -118,13 +118,13 @@
 }
 
 // comesAgain has a copy of a report arrive at a node.
-func (w *World) comesAgain(node string, body []byte) {
+func (w *Simulator) comesAgain(node string, body []byte) {
 	w.LateCopies++
 	w.Nodes[node].request("POST", "/agent/beat", body, func(int, []byte) {})
 }
 
 // copyLate may have a report come again.
-func (w *World) copyLate(node string, body []byte) {
+func (w *Simulator) copyLate(node string, body []byte) {
 	if w.meets(w.heldReports.drawn) {
 		w.heldReports.bodies = append(w.heldReports.bodies, body)
 	}
--- a/internal/standin/messages.go
+++ b/internal/simulation/messages.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import "time"
 
--- a/internal/standin/mute.go
+++ b/internal/simulation/mute.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"errors"
@@ -10,16 +10,16 @@
 // Mute has a machine reach no controller: its attempts to connect fail at once or find no
 // answer, as drawn for each. What is sent to it by /commands and /show arrives and is
 // answered, and none of that renews its lease.
-func (w *World) Mute(host string, on bool) {
+func (w *Simulator) Mute(machine string, on bool) {
 	if on {
-		w.mute[host] = true
+		w.mute[machine] = true
 	} else {
-		delete(w.mute, host)
+		delete(w.mute, machine)
 	}
 }
 
 // unsent is the fate of a mute machine's report: no controller hears of it.
-func (w *World) unsent(done func(int, []byte, error)) {
+func (w *Simulator) unsent(done func(int, []byte, error)) {
 	if w.RNG.IntN(2) == 0 {
 		w.After(w.latency(), func() { done(0, nil, errRefusedConnection) })
 		return
--- a/internal/standin/runs.go
+++ b/internal/simulation/runs.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"encoding/json"
@@ -7,8 +7,8 @@
 	"time"
 
 	"github.com/harrierreel/harrierreel/internal/members"
-	"github.com/harrierreel/harrierreel/internal/parts"
 	"github.com/harrierreel/harrierreel/internal/pipelines"
+	"github.com/harrierreel/harrierreel/internal/sharding"
 )
 
 // Run is what a user knows of a run.
@@ -24,7 +24,7 @@
 
 // SubmitRun hands in a run until it is accepted or refused for good, then polls
 // it until it is over.
-func (w *World) SubmitRun(r *Run) {
+func (w *Simulator) SubmitRun(r *Run) {
 	w.Runs[r.ID] = r
 	r.steps = map[string]*Job{}
 	var try func()
@@ -46,7 +46,7 @@
 }
 
 // AgainRun repeats a run's submission, perhaps with another body.
-func (w *World) AgainRun(r *Run, body []byte) {
+func (w *Simulator) AgainRun(r *Run, body []byte) {
 	w.ask("POST", "/pipelines", body, func(status int, b []byte, err error) {
 		if err != nil {
 			return
@@ -60,7 +60,7 @@
 	})
 }
 
-func (w *World) pollRun(r *Run) {
+func (w *Simulator) pollRun(r *Run) {
 	w.ask("GET", "/pipelines/"+r.ID, nil, func(status int, b []byte, err error) {
 		if err == nil && status == 404 {
 			w.Break("forgotten: %s gets 404", r.ID)
@@ -75,7 +75,7 @@
 }
 
 // AbortRun cancels a run, repeating until it is answered.
-func (w *World) AbortRun(r *Run) {
+func (w *Simulator) AbortRun(r *Run) {
 	r.AbortAsked = true
 	w.ask("POST", "/pipelines/"+r.ID+"/abort", nil, func(status int, b []byte, err error) {
 		if err != nil || status != 200 {
@@ -88,7 +88,7 @@
 
 // toldRun checks what a user is told of a run against what was told before, and
 // against what the workers did.
-func (w *World) toldRun(r *Run, body []byte) {
+func (w *Simulator) toldRun(r *Run, body []byte) {
 	var s pipelines.Status
 	for _, line := range strings.Split(string(body), "\n") {
 		if len(line) > 64<<10 {
@@ -144,7 +144,7 @@
 }
 
 // cancelledRun checks, as for jobs, that all is gone in time.
-func (w *World) cancelledRun(r *Run) {
+func (w *Simulator) cancelledRun(r *Run) {
 	for _, step := range r.Status.Steps {
 		if j := w.Jobs[step.Job]; j != nil && !j.Cancelled && step.Status == pipelines.Cancelled {
 			w.cancelled(j)
@@ -153,12 +153,12 @@
 }
 
 // OwnerOf is the controller that a run belongs to, by the view in the store.
-func (w *World) OwnerOf(id string) string {
+func (w *Simulator) OwnerOf(id string) string {
 	v, ok := members.Decode(w.Store.Value(members.ViewKey))
 	if !ok {
 		return ""
 	}
-	return parts.Owner(id, v.Names())
+	return sharding.Owner(id, v.Names())
 }
 
 // RunID is the id of a run by number.
--- a/internal/standin/store.go
+++ b/internal/simulation/store.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"encoding/json"
@@ -14,7 +14,7 @@
 
 // Store stands in for the state service.
 type Store struct {
-	w       *World
+	w       *Simulator
 	Down    bool
 	Refuse  map[string]bool // nodes that get 503
 	epoch   uint64
@@ -110,15 +110,15 @@
 	answer func(int, []byte)
 }
 
-func newStore(w *World) *Store {
+func newStore(w *Simulator) *Store {
 	s := &Store{w: w, Refuse: map[string]bool{}, items: map[string]storeItem{}, grants: map[uint64]*grant{}, Lose: map[string]int{}, carried: map[string]int{}, carriedAt: map[string]int{}, Late: map[string]time.Duration{}, Lag: map[string]time.Duration{}}
-	var tick func()
-	tick = func() {
+	var heartbeatSeq func()
+	heartbeatSeq = func() {
 		s.expire()
 		s.wake()
-		w.After(50*time.Millisecond, tick)
+		w.After(50*time.Millisecond, heartbeatSeq)
 	}
-	w.After(0, tick)
+	w.After(0, heartbeatSeq)
 	return s
 }
 
--- a/internal/snapshot/check.go
+++ b/internal/snapshot/check.go
@@ -6,15 +6,15 @@
 	"slices"
 	"strings"
 
-	"github.com/harrierreel/harrierreel/internal/book"
 	"github.com/harrierreel/harrierreel/internal/calendar"
+	"github.com/harrierreel/harrierreel/internal/clusterstate"
 	"github.com/harrierreel/harrierreel/internal/fleet"
 	"github.com/harrierreel/harrierreel/internal/jobs"
 	"github.com/harrierreel/harrierreel/internal/lending"
 	"github.com/harrierreel/harrierreel/internal/members"
 	"github.com/harrierreel/harrierreel/internal/pipelines"
 	"github.com/harrierreel/harrierreel/internal/quota"
-	"github.com/harrierreel/harrierreel/internal/records"
+	"github.com/harrierreel/harrierreel/internal/taskbatch"
 )
 
 // Finding is what is wrong with a snapshot's records.
@@ -35,7 +35,7 @@
 
 // checker is a check under way.
 type checker struct {
-	*book.Book
+	*clusterstate.State
 	s      *State
 	out    Report
 	in     map[string]string // task to the record that holds it
@@ -51,18 +51,18 @@
 func Check(s *State, teams map[string]quota.Team) Report {
 	c := &checker{s: s, in: map[string]string{}, finals: map[string]jobs.Final{}}
 	c.out = Report{Epoch: s.Epoch, Keys: map[string]int{}, Findings: []Finding{}}
-	c.Book = book.New(c.tree(teams), func(string) {})
-	keys := book.Sorted(s.Items)
+	c.State = clusterstate.New(c.tree(teams), func(string) {})
+	keys := clusterstate.SortedKeys(s.Items)
 	// As controllers do, jobs are read before their tasks.
 	for _, jobsOnly := range []bool{true, false} {
 		for _, key := range keys {
 			if strings.HasPrefix(key, jobs.JobPrefix) == jobsOnly {
-				c.record(key, s.Items[key].Value, s.Items[key].Stamp)
+				c.record(key, s.Items[key].Value, s.Items[key].Revision)
 			}
 		}
 	}
-	for _, uid := range book.Sorted(c.Jobs) {
-		c.job(uid, c.Jobs[uid])
+	for _, jobID := range clusterstate.SortedKeys(c.Jobs) {
+		c.job(jobID, c.Jobs[jobID])
 	}
 	c.calendar()
 	for _, what := range c.Audit() {
@@ -95,8 +95,8 @@
 	}
 	on := map[quota.Key]bool{}
 	for _, j := range c.Jobs {
-		if j.Rec != nil && j.On > 0 {
-			on[j.Rec.Spec.Key()] = true
+		if j.Record != nil && j.PlacedCount > 0 {
+			on[j.Record.Spec.QuotaKey()] = true
 		}
 	}
 	for _, t := range plan.Meet(on) {
@@ -125,7 +125,7 @@
 }
 
 // record takes one record in, whatever it is.
-func (c *checker) record(key string, v json.RawMessage, stamp uint64) {
+func (c *checker) record(key string, v json.RawMessage, revision uint64) {
 	first, name, _ := strings.Cut(key, "/")
 	c.out.Keys[first]++
 	var err error
@@ -135,7 +135,7 @@
 			err = fmt.Errorf("not a view")
 		}
 	case key == fleet.ClaimsKey:
-		err = c.ClaimsChanged(v)
+		err = c.ApplyClaims(v)
 	case key == quota.StoreKey:
 		_, err = quota.Decode(v)
 	case key == calendar.StoreKey:
@@ -143,20 +143,20 @@
 	default:
 		switch first + "/" {
 		case jobs.JobPrefix:
-			err = c.JobChanged(name, v)
+			err = c.ApplyJob(name, v)
 		case jobs.TaskPrefix:
-			if _, err = c.SliceChanged(key, v); err == nil {
+			if _, err = c.ApplyTaskRange(key, v); err == nil {
 				c.slice(key, v)
 			}
-		case records.Prefix:
-			if _, err = c.PackChanged(key, v, stamp); err == nil {
-				es, _ := records.Decode(v)
+		case taskbatch.KeyPrefix:
+			if _, err = c.ApplyBatch(key, v, revision); err == nil {
+				es, _ := taskbatch.Decode(v)
 				for _, e := range es {
-					c.holds(key, e.UID, e.N)
+					c.holds(key, e.JobID, e.Index)
 				}
 			}
-		case fleet.HostPrefix:
-			err = c.HostChanged(name, "", v)
+		case fleet.MachinePrefix:
+			err = c.ApplyMachine(name, "", v)
 		case jobs.FinalPrefix:
 			var f jobs.Final
 			if err = json.Unmarshal(v, &f); err == nil {
@@ -176,36 +176,36 @@
 }
 
 func (c *checker) slice(key string, v json.RawMessage) {
-	uid, from, _ := jobs.SplitPiece(strings.TrimPrefix(key, jobs.TaskPrefix))
-	tasks, _ := jobs.DecodeSlice(v)
+	jobID, from, _ := jobs.SplitTaskID(strings.TrimPrefix(key, jobs.TaskPrefix))
+	tasks, _ := jobs.DecodeTaskRange(v)
 	for i := range tasks {
-		c.holds(key, uid, from+i)
+		c.holds(key, jobID, from+i)
 	}
 }
 
 // holds notes that a record holds a task.
-func (c *checker) holds(key, uid string, n int) {
-	piece := jobs.Piece(uid, n)
-	if other := c.in[piece]; other != "" {
-		c.find(key, fmt.Sprintf("holds %s, which %s holds too", piece, other))
+func (c *checker) holds(key, jobID string, n int) {
+	taskID := jobs.TaskID(jobID, n)
+	if other := c.in[taskID]; other != "" {
+		c.find(key, fmt.Sprintf("holds %s, which %s holds too", taskID, other))
 	}
-	c.in[piece] = key
+	c.in[taskID] = key
 }
 
 // job looks at a job with its tasks.
-func (c *checker) job(uid string, j *book.Job) {
-	final, over := c.finals[uid]
-	key := jobs.JobPrefix + uid
+func (c *checker) job(jobID string, j *clusterstate.Job) {
+	final, over := c.finals[jobID]
+	key := jobs.JobPrefix + jobID
 	switch {
-	case j.Rec == nil && !over && len(j.Tasks) > 0:
+	case j.Record == nil && !over && len(j.Tasks) > 0:
 		c.find(key, "has tasks but neither a record nor a final state")
-	case j.Rec == nil:
-	case j.Rec.State == jobs.Live && over:
+	case j.Record == nil:
+	case j.Record.State == jobs.Live && over:
 		c.find(key, fmt.Sprintf("is live, and %s for ever", final.State))
-	case j.Rec.State != jobs.Live && !over:
-		c.find(key, fmt.Sprintf("is %s, but has no final state", j.Rec.State))
+	case j.Record.State != jobs.Live && !over:
+		c.find(key, fmt.Sprintf("is %s, but has no final state", j.Record.State))
 	}
-	if j.Rec != nil && j.Rec.State == jobs.Live {
+	if j.Record != nil && j.Record.State == jobs.Live {
 		c.out.Live++
 	}
 	var nums []int
@@ -216,15 +216,15 @@
 	for _, n := range nums {
 		t := j.Tasks[n]
 		c.out.Tasks++
-		if j.Rec != nil && n >= j.Rec.Spec.Pieces {
-			c.find(t.Slice.Key, fmt.Sprintf("holds %s of a job of %d tasks", t.Piece, j.Rec.Spec.Pieces))
+		if j.Record != nil && n >= j.Record.Spec.TaskCount {
+			c.find(t.Stored.Key, fmt.Sprintf("holds %s of a job of %d tasks", t.ID, j.Record.Spec.TaskCount))
 		}
-		if !t.On() {
+		if !t.OnMachine() {
 			continue
 		}
 		c.out.On++
-		if c.Machines[t.Host] == nil {
-			c.find(t.Slice.Key, fmt.Sprintf("%s is on %s, of which there is no record", t.Piece, t.Host))
+		if c.Machines[t.Machine] == nil {
+			c.find(t.Stored.Key, fmt.Sprintf("%s is on %s, of which there is no record", t.ID, t.Machine))
 		}
 	}
 }
--- a/internal/snapshot/file.go
+++ b/internal/snapshot/file.go
@@ -15,9 +15,9 @@
 
 	"lukechampine.com/blake3"
 
+	"github.com/harrierreel/harrierreel/internal/compression"
 	"github.com/harrierreel/harrierreel/internal/store"
 	"github.com/harrierreel/harrierreel/internal/tuning"
-	"github.com/harrierreel/harrierreel/internal/zcoder"
 )
 
 // magic is the first line of a file.
@@ -52,7 +52,7 @@
 // ErrDamaged: a block is not what was written.
 var ErrDamaged = errors.New("the file is damaged")
 
-var coder = zcoder.New(tuning.SnapshotBlock)
+var coder = compression.New(tuning.SnapshotBlock)
 
 // chain is the hash of all blocks so far: each block's own covers those before it, so
 // that none can be missing, doubled or moved.
@@ -178,11 +178,11 @@
 		return nil, err
 	}
 	c := &content{items: map[string]store.Item{}}
-	c.mirror = store.NewMirror(func(key string, v json.RawMessage, stamp uint64) {
+	c.mirror = store.NewMirror(func(key string, v json.RawMessage, revision uint64) {
 		if v == nil {
 			delete(c.items, key)
 		} else {
-			c.items[key] = store.Item{Key: key, Value: v, Stamp: stamp}
+			c.items[key] = store.Item{Key: key, Value: v, Revision: revision}
 		}
 	})
 	for {
@@ -232,7 +232,7 @@
 			return err
 		}
 		for _, it := range l.Rows {
-			c.mirror.Put(it.Key, it.Value, it.Stamp)
+			c.mirror.Put(it.Key, it.Value, it.Revision)
 			c.lastKey = it.Key
 		}
 		c.listed = !l.More
@@ -241,7 +241,7 @@
 		if err := json.Unmarshal(b, &e); err != nil {
 			return err
 		}
-		c.mirror.Follow(e.To, e.Events)
+		c.mirror.ApplyEvents(e.To, e.Events)
 		c.to = e.To
 	case end:
 		var f finish
--- a/internal/store/limits.go
+++ b/internal/store/limits.go
@@ -8,18 +8,18 @@
 
 // Limits are the state service's limits on one transaction (PROTOCOL, POST /multi).
 type Limits struct {
-	Ops   int // puts and deletes
-	Conds int // conditions
-	Body  int // bytes of the request
-	Value int // bytes of a value
+	Ops           int // puts and deletes
+	Preconditions int // conditions
+	BodyBytes     int // bytes of the request
+	ValueBytes    int // bytes of a value
 }
 
-// MostKey, bytes: a key's length (PROTOCOL, "Controller nodes -> state service").
-const MostKey = 200
+// MaxKeyBytes, bytes: a key's length (PROTOCOL, "Controller nodes -> state service").
+const MaxKeyBytes = 200
 
 // KeyFault tells why the state service would not take a key, "" if it would.
 func KeyFault(key string) string {
-	if key == "" || len(key) > MostKey || strings.ContainsAny(key, " \t\r\n") {
+	if key == "" || len(key) > MaxKeyBytes || strings.ContainsAny(key, " \t\r\n") {
 		return fmt.Sprintf("key %.40q of %d bytes", key, len(key))
 	}
 	return ""
@@ -31,11 +31,11 @@
 	if len(t.Writes) > l.Ops {
 		return fmt.Sprintf("%d changes of %d", len(t.Writes), l.Ops)
 	}
-	if len(t.If) > l.Conds {
-		return fmt.Sprintf("%d conditions of %d", len(t.If), l.Conds)
+	if len(t.Preconditions) > l.Preconditions {
+		return fmt.Sprintf("%d conditions of %d", len(t.Preconditions), l.Preconditions)
 	}
-	for i := range t.If {
-		if why := KeyFault(t.If[i].Key); why != "" {
+	for i := range t.Preconditions {
+		if why := KeyFault(t.Preconditions[i].Key); why != "" {
 			return why
 		}
 	}
@@ -44,23 +44,23 @@
 		if why := KeyFault(w.Put + w.Remove); why != "" {
 			return why
 		}
-		if len(w.Value) > l.Value {
-			return fmt.Sprintf("%d bytes of %d in %s", len(w.Value), l.Value, w.Put)
+		if len(w.Value) > l.ValueBytes {
+			return fmt.Sprintf("%d bytes of %d in %s", len(w.Value), l.ValueBytes, w.Put)
 		}
 	}
-	if err := t.seal(); err != nil {
+	if err := t.encodeBody(); err != nil {
 		return err.Error()
 	}
-	if len(t.body) > l.Body {
-		return fmt.Sprintf("%d bytes of %d", len(t.body), l.Body)
+	if len(t.body) > l.BodyBytes {
+		return fmt.Sprintf("%d bytes of %d", len(t.body), l.BodyBytes)
 	}
 	return ""
 }
 
-// seal makes the request's body. What is changed afterwards is not in it.
-func (t *Txn) seal() error {
-	if t.If == nil {
-		t.If = []Cond{}
+// encodeBody makes the request's body. What is changed afterwards is not in it.
+func (t *Txn) encodeBody() error {
+	if t.Preconditions == nil {
+		t.Preconditions = []Precondition{}
 	}
 	var err error
 	t.body, err = json.Marshal(t)
--- a/internal/seeded/seeded.go
+++ b/internal/testseed/seeded.go
@@ -1,6 +1,6 @@
-// Package seeded runs a package's tests with the properties' chance seeded, so that
+// Package testseed runs a package's tests with the properties' chance seeded, so that
 // every run has the same verdict. Only tests use it.
-package seeded
+package testseed
 
 import (
 	"flag"
--- a/internal/tuning/times.go
+++ b/internal/tuning/times.go
@@ -11,7 +11,7 @@
 	// it tries the next controller, and until it goes where it is sent, at most (protocol).
 	WorkerPatience = 4 * time.Second
 	WorkerNext     = time.Second
-	WorkerTurn     = 500 * time.Millisecond
+	WorkerRedirect = 500 * time.Millisecond
 	// ReportSlack: a report may be so much later than the protocol allows before its
 	// machine is asked: what a small controller lags behind when all is busy. With reports
 	// every 2 s a share of them alone left 0.3 s, and one lag had all machines asked.
@@ -22,18 +22,18 @@
 	// HeardLease: HeardFresh is at most this share of lease_s. What was heard elsewhere as
 	// long ago as a lease tells nothing of what runs now.
 	HeardLease = 0.75
-	// MuteLease, share of lease_s: a machine that sends no reports for longer takes no new
+	// OutboundPartitionedLeaseShare, share of lease_s: a machine that sends no reports for longer takes no new
 	// tasks. A worker that looks for its controller has found it long before (LeastLease);
 	// with less, machines were called mute for one change of leader.
-	MuteLease = 0.5
+	OutboundPartitionedLeaseShare = 0.5
 	// CancelSpare: by how much cancel_s must exceed lease_s at least. What nobody reaches
 	// has ended by lease_s after the last answer, which may be a report's time younger than
 	// the cancellation, and it shows in what the machine reports next.
 	CancelSpare = 5 * time.Second
 	// CloudAnswer: within so much the cloud mostly answers a delete; 120 ms are usual.
 	CloudAnswer = 2 * time.Second
-	// QuietVisit: a worker that came to another controller and that its own owner, so long
+	// UnresponsiveRetryAfter: a worker that came to another controller and that its own owner, so long
 	// after, still tells that it does not hear is out of the owner's reach. It was sent to
 	// its owner, gets there within WorkerTurn, and the owner tells so within some 100 ms.
-	QuietVisit = time.Second
+	UnresponsiveRetryAfter = time.Second
 )
