--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -63,57 +63,57 @@
 const (
 	// StateTimeout: most answers take 10 ms, a few some hundred.
 	StateTimeout = 2 * time.Second
-	// FollowHold: how long the state service holds a watch open.
-	FollowHold = 5 * time.Second
-	// FollowSlack: on top of FollowHold before a watch is given up.
-	FollowSlack = 1500 * time.Millisecond
-	// FollowShare: share of the state service's requests that all nodes'
+	// WatchHold: how long the state service holds a watch open.
+	WatchHold = 5 * time.Second
+	// WatchSlack: on top of FollowHold before a watch is given up.
+	WatchSlack = 1500 * time.Millisecond
+	// WatchShare: share of the state service's requests that all nodes'
 	// watches together may take.
-	FollowShare = 0.35
-	// PollGap: pause between two readings of the epoch for users' polls; all
+	WatchShare = 0.35
+	// QueryGap: pause between two readings of the epoch for users' polls; all
 	// polls that come meanwhile share one.
-	PollGap = 100 * time.Millisecond
-	// PollWait: polls that could not be answered by then are refused; users
+	QueryGap = 100 * time.Millisecond
+	// QueryTimeout: polls that could not be answered by then are refused; users
 	// wait 2 s.
-	PollWait = 1500 * time.Millisecond
-	// PollLate: polls whose epoch the mirror has not reached by then are answered by
+	QueryTimeout = 1500 * time.Millisecond
+	// QueryReadAfter: polls whose epoch the mirror has not reached by then are answered by
 	// reads of their own, which take some tens of milliseconds, while there is budget.
-	PollLate = 900 * time.Millisecond
-	// PollAgain: the same while the budget holds calls back, and from when on an epoch
+	QueryReadAfter = 900 * time.Millisecond
+	// QueryRetry: the same while the budget holds calls back, and from when on an epoch
 	// that was not answered is read once more.
-	PollAgain = 400 * time.Millisecond
-	// MostPolls: polls waiting before more are refused: one for each connection that users
+	QueryRetry = 400 * time.Millisecond
+	// MaxPendingQueries: polls waiting before more are refused: one for each connection that users
 	// may hold where there are some 8,000 sockets, and for a job on each of 4,000 machines.
-	MostPolls = 5000
-	// MostAsks: polls waiting for a read of their own; at 20 reads a second and node
+	MaxPendingQueries = 5000
+	// MaxPendingReads: polls waiting for a read of their own; at 20 reads a second and node
 	// more would grow older than PollWait.
-	MostAsks = 60
-	// MostSheds: jobs kept whose users were sent away last, to go first the next time.
-	MostSheds = 4000
-	// AskHurry: from then on such a read is made with whatever budget there is.
-	AskHurry = 300 * time.Millisecond
+	MaxPendingReads = 60
+	// MaxShedEntries: jobs kept whose users were sent away last, to go first the next time.
+	MaxShedEntries = 4000
+	// ReadDeadline: from then on such a read is made with whatever budget there is.
+	ReadDeadline = 300 * time.Millisecond
 	// ReadFresh: such a read's answer that took longer is too old to tell that a job is
 	// live; most take 10 ms.
 	ReadFresh = 30 * time.Millisecond
-	// ToldAhead: what is news to a user, that a job is accepted or has ended, is told so
+	// AckDelay: what is news to a user, that a job is accepted or has ended, is told so
 	// long after it was passed on; by then no answer from before it is left to be given.
-	ToldAhead = ReadFresh
-	// ToldYoung: nobody can hold an answer any more that a job accepted so long ago is
+	AckDelay = ReadFresh
+	// AckYoung: nobody can hold an answer any more that a job accepted so long ago is
 	// unknown, so that it is accepted is no news.
-	ToldYoung = time.Second
-	// MostWords: jobs kept of which something was told last; 50 a second for 160 s.
-	MostWords = 8192
-	// ToldSilent: a controller whose lines have not come for so long may be cut off; they
+	AckYoung = time.Second
+	// MaxAcks: jobs kept of which something was told last; 50 a second for 160 s.
+	MaxAcks = 8192
+	// PeerUnresponsiveAfter: a controller whose lines have not come for so long may be cut off; they
 	// come each PeerBeat.
-	ToldSilent = 1200 * time.Millisecond
-	// PollProof: from then on a question is answered from a mirror that is not known to
+	PeerUnresponsiveAfter = 1200 * time.Millisecond
+	// QueryUnprovenAfter: from then on a question is answered from a mirror that is not known to
 	// be as new as ReadFresh, but only late: users wait 2 s.
-	PollProof = 600 * time.Millisecond
+	QueryUnprovenAfter = 600 * time.Millisecond
 	// ReadsKept: share of a second's requests that reads for polls leave to others.
 	ReadsKept = 0.25
-	// FollowGap: least pause between two watches, so that a busy store does not
+	// WatchGap: least pause between two watches, so that a busy store does not
 	// cost a request per change. A peer's hint cuts it short.
-	FollowGap = 40 * time.Millisecond
+	WatchGap = 40 * time.Millisecond
 	// CloudTimeout: rents can be slow.
 	CloudTimeout = 8 * time.Second
 	// CommandTimeout: an unanswered command makes the machine doubtful.
@@ -134,9 +134,9 @@
 	// UserQueue: calls waiting before calls for users are refused, where the node's share
 	// of the requests serves as many within UserCalls; UserQueueLeast in any case. Users
 	// give up after 5 s (a poll after 2 s), and a call that is made then is made in vain.
-	UserQueue      = 60
-	UserQueueLeast = 10
-	UserCalls      = 2 * time.Second
+	UserQueue    = 60
+	MinUserQueue = 10
+	UserCalls    = 2 * time.Second
 	// Resend: times that a call beyond the limits is sent again.
 	Resend = 3
 	// StateBudget: share of the state service's limits that all nodes
@@ -163,9 +163,9 @@
 	// ReleaseLate: the queue is looked at this often even by a leader that is
 	// behind with its writes: after a wave of losses it may be so for long.
 	ReleaseLate = time.Second
-	// BatchLeast: writes that the budget must allow for a look at the queue where
+	// MinBatchWrites: writes that the budget must allow for a look at the queue where
 	// changes are scarce: larger slices cost fewer writes for each task.
-	BatchLeast = 4
+	MinBatchWrites = 4
 	// LeaderShare: the leader's part of the state budget; the rest is split
 	// evenly. The leader releases, closes and scales.
 	LeaderShare = 0.45
@@ -178,10 +178,10 @@
 	MemberTTL = 4 * time.Second
 	// MemberRenew: three tries within MemberTTL.
 	MemberRenew = 1200 * time.Millisecond
-	// SilentOwner: workers that keep coming to others for this long although
+	// UnreachableOwnerAfter: workers that keep coming to others for this long although
 	// they were sent to their owner prove that they cannot reach it. Longer than
 	// MemberTTL, so that a controller that has just ended is not meant.
-	SilentOwner = 6 * time.Second
+	UnreachableOwnerAfter = 6 * time.Second
 	// ComplaintGap: visits further apart than this do not belong together.
 	ComplaintGap = 9 * time.Second
 	// HeardFresh: a machine heard by another node this recently is not given
@@ -194,53 +194,53 @@
 	// and again while it is out of reach.
 	MaxUnreached      = 5000
 	MaxUnreachedBytes = 52 << 10
-	// SilentShare: part of an owner's machines that must complain.
-	SilentShare = 0.5
-	// OutFor: how long a member that workers cannot reach stays out.
-	OutFor = 30 * time.Second
-	// LookEvery: how often a member outside the view looks whether it reaches
+	// UnreachableShare: part of an owner's machines that must complain.
+	UnreachableShare = 0.5
+	// VotedOutFor: how long a member that workers cannot reach stays out.
+	VotedOutFor = 30 * time.Second
+	// IsolationProbeEvery: how often a member outside the view looks whether it reaches
 	// workers.
-	LookEvery = 2 * time.Second
-	// PeerBeat: how often peers tell one another how they are.
-	PeerBeat = 500 * time.Millisecond
-	// CallWait: how long a member whose connection has ended may leave a call
+	IsolationProbeEvery = 2 * time.Second
+	// GossipEvery: how often peers tell one another how they are.
+	GossipEvery = 500 * time.Millisecond
+	// ProbeTimeout: how long a member whose connection has ended may leave a call
 	// unanswered. One that lives sees it within a watch (some 60 ms) and answers with
 	// one transaction (10 ms, now and then a few hundred); a wrong alarm costs two
 	// changes of view. On a day of refused connections (simulated machines) answers
 	// took 0.03 to 0.37 s. CallWaitMany: where several connections ended together, or
 	// one ended again that had answered, which is more likely the network between.
-	CallWait     = 500 * time.Millisecond
-	CallWaitMany = 1500 * time.Millisecond
-	// CallStagger: how much longer each next one waits to act on a suspicion than the
+	ProbeTimeout     = 500 * time.Millisecond
+	ProbeTimeoutMany = 1500 * time.Millisecond
+	// ProbeStagger: how much longer each next one waits to act on a suspicion than the
 	// one before it, who may have ended as well.
-	CallStagger = 300 * time.Millisecond
-	// CallPause, CallPauseMost: a member that has answered is not called again for so
+	ProbeStagger = 300 * time.Millisecond
+	// ProbePause, CallPauseMost: a member that has answered is not called again for so
 	// long, doubled each time: what ended its connection may last.
-	CallPause     = 2 * time.Second
-	CallPauseMost = 60 * time.Second
-	// CallForget: after so long without a call what ended its connections is over.
-	CallForget = 5 * time.Minute
-	// ComeStood: an incarnation that has stood for so long was no short one. ComePause,
+	ProbePause    = 2 * time.Second
+	MaxProbePause = 60 * time.Second
+	// ProbeForgetAfter: after so long without a call what ended its connections is over.
+	ProbeForgetAfter = 5 * time.Minute
+	// RejoinStable: an incarnation that has stood for so long was no short one. ComePause,
 	// ComePauseMost: a member that has ended at least twice in a row without having
 	// stood for so long is let in after such a pause, doubled each time.
-	ComeStood     = 10 * time.Second
-	ComePause     = time.Second
-	ComePauseMost = 8 * time.Second
+	RejoinStable   = 10 * time.Second
+	RejoinPause    = time.Second
+	MaxRejoinPause = 8 * time.Second
 	// WarmStandbys: members that are ready to lead at once.
 	WarmStandbys = 2
 	// UnfitLag, UnfitFor: a leader that is so far behind for so long hands over. A
 	// single standstill is no reason, nor is a look that takes long.
 	UnfitLag = time.Second
 	UnfitFor = 3 * time.Second
-	// PassPause, PassPauseMost: before it hands over again, doubled each time.
-	PassPause     = 30 * time.Second
-	PassPauseMost = 10 * time.Minute
-	// RollQuiet: share of its machines that an owner may not hear while another
+	// HandOverPause, PassPauseMost: before it hands over again, doubled each time.
+	HandOverPause    = 30 * time.Second
+	MaxHandOverPause = 10 * time.Minute
+	// MaxRolloutUnresponsive: share of its machines that an owner may not hear while another
 	// controller is ended. RollStands: how long nothing may have stood against it.
 	// RollLook: pause between two looks of whoever waits for that.
-	RollQuiet  = 0.1
-	RollStands = 10 * time.Second
-	RollLook   = time.Second
+	MaxRolloutUnresponsive = 0.1
+	RolloutStableFor       = 10 * time.Second
+	RolloutPollEvery       = time.Second
 	// LeaveUsers: how long a controller that was asked to end still serves users while
 	// it calls itself unhealthy: two failed probes, a second apart, and some air.
 	LeaveUsers = 2500 * time.Millisecond
@@ -257,9 +257,9 @@
 	// Pulse, that means that the process stood still. Shorter ones are a busy
 	// processor's.
 	Standstill = 1500 * time.Millisecond
-	// Pulse: the loop's own clock; every decision not caused by a message is
+	// Tick: the loop's own clock; every decision not caused by a message is
 	// taken on a pulse.
-	Pulse = 100 * time.Millisecond
+	Tick = 100 * time.Millisecond
 	// ReleaseStale: a released task that its part has not placed by then is
 	// taken back and given to another part.
 	ReleaseStale = 3 * time.Second
@@ -294,9 +294,9 @@
 	// that the records still show. Reports are heard within half a second, and their
 	// changes made within two where the state service is slow.
 	CancelSettle = 3 * time.Second
-	// AcceptTries: times that a submission is tried while the view changes under it; two
+	// AcceptAttempts: times that a submission is tried while the view changes under it; two
 	// changes follow each other where a controller is replaced.
-	AcceptTries = 3
+	AcceptAttempts = 3
 	// FinalCache: final job states kept in memory.
 	FinalCache = 20000
 	// RetryAfter, seconds, told to users who are refused.
@@ -305,78 +305,78 @@
 
 // The loop.
 const (
-	// PassGap: decisions are taken at most this often; what comes in between
+	// ReconcileGap: decisions are taken at most this often; what comes in between
 	// shares a transaction.
-	PassGap = 15 * time.Millisecond
-	// LeadGapEach: on top of PassGap for each machine between two passes of the
+	ReconcileGap = 15 * time.Millisecond
+	// LeaderGapPerMachine: on top of PassGap for each machine between two passes of the
 	// leader, which look at every machine; keeps them below a tenth of a small
 	// processor share at thousands of machines.
-	LeadGapEach = 40 * time.Microsecond
-	// PumpGap: how often calls that wait for the rate budget are looked at.
-	PumpGap = 10 * time.Millisecond
+	LeaderGapPerMachine = 40 * time.Microsecond
+	// DispatchGap: how often calls that wait for the rate budget are looked at.
+	DispatchGap = 10 * time.Millisecond
 	// SyncAgain: pause before a failed listing or watch is tried again.
 	SyncAgain = 300 * time.Millisecond
-	// CondsPerOp: conditions that the state service takes for each put or delete
+	// PreconditionsPerOp: conditions that the state service takes for each put or delete
 	// that it allows in a transaction (protocol).
-	CondsPerOp = 4
-	// SliceTaskBytes, bytes: what a task takes of its slice's record, at most,
+	PreconditionsPerOp = 4
+	// RangeTaskBytes, bytes: what a task takes of its slice's record, at most,
 	// with names of the usual length; decides how many tasks a slice holds.
-	SliceTaskBytes = 220
+	RangeTaskBytes = 220
 	// ChangeBytes, bytes: what a changed task may add to a slice's record.
 	ChangeBytes = 100
-	// PackTaskBytes, bytes: what a task takes of a pack, at least; with the share of
+	// BatchTaskBytes, bytes: what a task takes of a pack, at least; with the share of
 	// PackFull it decides how many tasks are put into one.
-	PackTaskBytes = 12
-	// PackFull: share of the most bytes of a value up to which packs are filled; the
+	BatchTaskBytes = 12
+	// BatchFillShare: share of the most bytes of a value up to which packs are filled; the
 	// rest is for what their tasks' records grow by.
-	PackFull = 0.7
-	// MostPacked: tasks in a pack; bounds what reading one takes.
-	MostPacked = 20_000
-	// PackEvery: the leader gives tasks away in packs, and owners write ends into
+	BatchFillShare = 0.7
+	// MaxBatchTasks: tasks in a pack; bounds what reading one takes.
+	MaxBatchTasks = 20_000
+	// BatchEvery: the leader gives tasks away in packs, and owners write ends into
 	// them, at most this often: what one look places, and what ends meanwhile, shares
 	// packs. While changes are short it is GatherFor for ends and PackShort for the
 	// leader. The first after a pause waits for nothing.
-	PackEvery = 300 * time.Millisecond
-	PackShort = 400 * time.Millisecond
-	// PackShared: tasks given away that may be counted as one change of packs.
-	PackShared = 6
+	BatchEvery       = 300 * time.Millisecond
+	BatchEveryScarce = 400 * time.Millisecond
+	// MaxSharedBatches: tasks given away that may be counted as one change of packs.
+	MaxSharedBatches = 6
 	// TxnBytes, bytes: up to where a transaction is filled by guess. What is sent is
 	// counted and must stay below MaxRequestBody.
 	TxnBytes = 48 << 10
-	// MostAside: decisions kept that no transaction could hold or that were refused;
+	// MaxQuarantined: decisions kept that no transaction could hold or that were refused;
 	// they are faults of a program, one of which a bug may make for each machine.
-	MostAside = 5000
-	// AsideFirst, AsideMost: how long such a decision is not made again, doubled each
+	MaxQuarantined = 5000
+	// QuarantineFirst, AsideMost: how long such a decision is not made again, doubled each
 	// time: a refusal costs a request and two lines of the log, and what it waits for
 	// is a change of the state or of the service.
-	AsideFirst = 10 * time.Second
-	AsideMost  = 10 * time.Minute
-	// RefusalsEvery: how often the log tells of calls refused; a fault that repeats at
+	QuarantineFirst = 10 * time.Second
+	MaxQuarantine   = 10 * time.Minute
+	// CallErrorsLogEvery: how often the log tells of calls refused; a fault that repeats at
 	// every look would otherwise fill it.
-	RefusalsEvery = time.Minute
-	// MostRefusals: kinds of refused calls told apart between two reports; a few dozen
+	CallErrorsLogEvery = time.Minute
+	// MaxErrorKinds: kinds of refused calls told apart between two reports; a few dozen
 	// exist. RefusalBytes, bytes: of the first answer of a kind, for the log.
-	MostRefusals = 100
-	RefusalBytes = 120
+	MaxErrorKinds    = 100
+	ErrorSampleBytes = 120
 	// MaxSessions: machines that one controller keeps a session for.
 	MaxSessions = 5000
-	// MaxQuietLists: values of the state service that name an owner's unresponsive machines.
+	// MaxUnresponsiveLists: values of the state service that name an owner's unresponsive machines.
 	// At the least value_kb in service, 8, they hold 5,000 names of MaxHostName bytes; of the
 	// usual 8 to 10 bytes 4,000 take seven.
-	MaxQuietLists = 100
-	// MaxHostName, bytes: longer names cannot be keys.
-	MaxHostName = 150
-	// MaxOrders: orders in one message, far below 64 KiB.
-	MaxOrders = 200
-	// SilentReports, reports: a machine unheard for this many report intervals
+	MaxUnresponsiveLists = 100
+	// MaxMachineName, bytes: longer names cannot be keys.
+	MaxMachineName = 150
+	// MaxCommands: orders in one message, far below 64 KiB.
+	MaxCommands = 200
+	// UnresponsiveReports, reports: a machine unheard for this many report intervals
 	// is silent.
-	SilentReports = 2.0
+	UnresponsiveReports = 2.0
 	// ReportLate, reports: reports come up to a quarter late; a machine unheard
 	// for longer than this is asked directly.
 	ReportLate = 1.4
-	// SilentCalls: a machine that is late and has left this many direct calls
+	// UnresponsiveCalls: a machine that is late and has left this many direct calls
 	// in a row without answer is silent.
-	SilentCalls = 2
+	UnresponsiveCalls = 2
 	// SweepEvery: how often an owner looks over all its machines, also those
 	// that nothing has happened to; and for how long it gathers ended tasks
 	// while writes are short. Far inside the 3 s after which users expect done.
@@ -411,10 +411,10 @@
 	// share. Users give the largest jobs 240 s; a boot and the fetch of a large image take
 	// up to 100 s of them.
 	Overdue = 110 * time.Second
-	// OverdueLead: the same so long before the last of its class's aims for starting, where
+	// OverdueMargin: the same so long before the last of its class's aims for starting, where
 	// that is at least OverdueAim: about a boot and a fetch.
-	OverdueLead = 45 * time.Second
-	OverdueAim  = 75 * time.Second
+	OverdueMargin = 45 * time.Second
+	OverdueAim    = 75 * time.Second
 	// GangOverdue: the same for gangs of more than HoldEach tasks, which go whole. In an
 	// overload the old ones then go before the small ones, and fewer meet any aim: on the
 	// fleet's busy day 0.78 of fit-trainer's began within 150 s where none was overdue, 0.60
@@ -431,7 +431,7 @@
 	// HoldShare: share of the machines that may be kept for tasks that need
 	// more room than is free anywhere.
 	HoldShare = 0.25
-	// PassedAfter: a job for which there has been room for so long, kept for others, begins.
+	// StarvingAfter: a job for which there has been room for so long, kept for others, begins.
 	// Users let nobody wait for 90 s while a machine that fits has room; the rest is for the
 	// look, the changes and the owner's own time. PassedEvery: between two looks at a job.
 	// PassedWith: with it begin those that have been passed over for so long, so that what is
@@ -440,12 +440,12 @@
 	// was passed over has used it.
 	// PassedYoung: one accepted so lately is not looked at; most have begun by then.
 	// PassedLooks: in one pass; each is a look at all machines.
-	PassedAfter = 70 * time.Second
-	PassedEvery = 3 * time.Second
-	PassedWith  = 10 * time.Second
-	PassedGap   = 30 * time.Second
-	PassedYoung = 15 * time.Second
-	PassedLooks = 20
+	StarvingAfter       = 70 * time.Second
+	StarvingEvery       = 3 * time.Second
+	StarvingCapacityFor = 10 * time.Second
+	StarvingGap         = 30 * time.Second
+	StarvingMinAge      = 15 * time.Second
+	MaxStarvingExamined = 20
 	// GatherTasks, GatherFor: while changes are short, so few tasks of a sweep
 	// that there is room for wait so long for more, to share a slice; and ended
 	// tasks wait so long for others. Inside the 3 s after which users expect
@@ -454,8 +454,8 @@
 	GatherFor   = 900 * time.Millisecond
 	// WaitingEach: tasks of a waiting job that others may be stopped for.
 	WaitingEach = 12
-	// HoldMost: machines kept in one pass; each costs a look at all of them.
-	HoldMost = 16
+	// MaxHeldMachines: machines kept in one pass; each costs a look at all of them.
+	MaxHeldMachines = 16
 	// GatherElsewhere: a large gang that has gathered nothing more for this long in one
 	// zone tries another: longer than machines take to boot.
 	GatherElsewhere = 60 * time.Second
@@ -466,9 +466,9 @@
 	HoldAgain = 500 * time.Millisecond
 	// HoldEach: machines kept for one job.
 	HoldEach = 4
-	// MostSearches: looks for tasks to stop in one pass; each is a look at all
+	// MaxSearches: looks for tasks to stop in one pass; each is a look at all
 	// machines and what is on them.
-	MostSearches = 4
+	MaxSearches = 4
 	// MoveEvery, MovesShare: pace at which replicas leave draining machines:
 	// at least one, and this share of the number of machines.
 	MoveEvery  = 3 * time.Second
@@ -476,36 +476,36 @@
 	// MoveAfter: a replica younger than this is not moved; its start would have
 	// been for nothing.
 	MoveAfter = 35 * time.Second
-	// MostActive: tasks of one job released or on machines at once. A machine with
+	// MaxActive: tasks of one job released or on machines at once. A machine with
 	// hundreds of short tasks reports them all twice a second.
-	MostActive = 8000
-	// MostReleases: tasks looked at for release in one pass; bounds the time a
+	MaxActive = 8000
+	// MaxReleases: tasks looked at for release in one pass; bounds the time a
 	// pass takes with very large sweeps waiting.
-	MostReleases = 400
-	// MostLooks: the same while there is no budget for any change, when a look
+	MaxReleases = 400
+	// MaxExaminedJobs: the same while there is no budget for any change, when a look
 	// only finds out what has no room.
-	MostLooks = 100
-	// TurnFor: for so long a job that finds no room keeps what its team's limit has left
+	MaxExaminedJobs = 100
+	// RoundFor: for so long a job that finds no room keeps what its team's limit has left
 	// from the team's other jobs: longer than most machines take to boot (45 s), and
 	// shorter than the 90 s for which users let a job wait beside a machine with room.
-	TurnFor = 60 * time.Second
+	RoundFor = 60 * time.Second
 	// AvoidAfter: a machine on which a released task was not placed in time is
 	// not offered for this long.
 	AvoidAfter = 8 * time.Second
-	// CondemnEvery: how often machines are looked over for deletion.
-	CondemnEvery = 500 * time.Millisecond
-	// SilentGiveUp: a silent machine that no controller hears is deleted after
+	// DecommissionEvery: how often machines are looked over for deletion.
+	DecommissionEvery = 500 * time.Millisecond
+	// UnresponsiveRecheck: a silent machine that no controller hears is deleted after
 	// this; a hanging one may come back, but its work is started sooner
 	// elsewhere.
-	SilentGiveUp = 3 * time.Second
-	// SilentMost: share of the machines that may be silent at once for that; if
+	UnresponsiveRecheck = 3 * time.Second
+	// MaxUnresponsiveShare: share of the machines that may be silent at once for that; if
 	// more are, the network is the likelier cause, and they are only deleted
 	// after their lease has ended.
-	SilentMost = 0.34
-	// CutLeast, CutShare: a zone with at least so many quiet machines that are
+	MaxUnresponsiveShare = 0.34
+	// MinPartitionSample, CutShare: a zone with at least so many quiet machines that are
 	// more than this share of its own is taken to be cut off; so is an owner.
-	CutLeast = 4
-	CutShare = 0.5
+	MinPartitionSample = 4
+	PartitionShare     = 0.5
 	// MaxSummaryParts: values of the state service that the summary may take. 4,000 machines
 	// that drain at once and 4,000 just rented take 13 of 8 KiB, written once a step.
 	MaxSummaryParts = 100
@@ -554,10 +554,10 @@
 	// DrainSteps, ReviveSteps: length of draining, and its part with revival.
 	DrainSteps  = 3
 	ReviveSteps = 2
-	// RentMost: machines per rent request (the cloud's limit).
-	RentMost = 50
-	// DeleteMost: names per delete request (the cloud's limit).
-	DeleteMost = 100
+	// MaxRentMachines: machines per rent request (the cloud's limit).
+	MaxRentMachines = 50
+	// MaxDeleteNames: names per delete request (the cloud's limit).
+	MaxDeleteNames = 100
 	// NoCapacity: pause before a refused kind of machine is asked for again.
 	NoCapacity = 45 * time.Second
 	// BootSlack: a machine that has not come up after this many times its
@@ -566,8 +566,8 @@
 	// BootLate: boots take up to 1.5 times the boot time, seldom several times; a
 	// machine that takes longer than this many times counts as supply no more.
 	BootLate = 1.8
-	// BootSlackMin: floor for both, for machines with very short boot times.
-	BootSlackMin = 60 * time.Second
+	// MinBootSlack: floor for both, for machines with very short boot times.
+	MinBootSlack = 60 * time.Second
 	// ListSlack: on top of twice the list's lag before a machine that is not
 	// listed is taken not to exist.
 	ListSlack = 3 * time.Second
@@ -578,33 +578,33 @@
 	WarmEvery = 30 * time.Second
 	// CatalogEvery: how often prices are read.
 	CatalogEvery = 30 * time.Second
-	// SilentDelete: share of lease_s beyond lease_s after which a silent
+	// UnresponsiveDeleteShare: share of lease_s beyond lease_s after which a silent
 	// machine is given up and deleted.
-	SilentDelete = 0.3
+	UnresponsiveDeleteShare = 0.3
 )
 
 // Pipelines.
 const (
-	// MostPipelineBytes, bytes: a pipeline file; a request body may have no more.
-	MostPipelineBytes = 64 << 10
-	// MostSteps: steps of a run once its matrices are expanded; their states fit
+	// MaxPipelineBytes, bytes: a pipeline file; a request body may have no more.
+	MaxPipelineBytes = 64 << 10
+	// MaxSteps: steps of a run once its matrices are expanded; their states fit
 	// into one value of the state service beside the document.
-	MostSteps = 500
-	// MostNamedSteps: steps named in one explanation.
-	MostNamedSteps = 20
-	// MostRepeats: times that a step may be tried anew.
-	MostRepeats = 20
-	// MostFaults: faults of one file that are told.
-	MostFaults = 100
-	// MostMatrixText, bytes: a value of a matrix, which becomes part of a name.
-	MostMatrixText = 64
-	// MostWhen, bytes, and MostWhenNodes: a condition; hand-written ones have a
+	MaxSteps = 500
+	// MaxNamedSteps: steps named in one explanation.
+	MaxNamedSteps = 20
+	// MaxRepeats: times that a step may be tried anew.
+	MaxRepeats = 20
+	// MaxFaults: faults of one file that are told.
+	MaxFaults = 100
+	// MaxMatrixText, bytes: a value of a matrix, which becomes part of a name.
+	MaxMatrixText = 64
+	// MaxWhen, bytes, and MostWhenNodes: a condition; hand-written ones have a
 	// tenth of that.
-	MostWhen      = 1 << 10
-	MostWhenNodes = 200
-	// TryOutcomes: with so many steps above it, a condition is tried on all of
+	MaxWhen      = 1 << 10
+	MaxWhenNodes = 200
+	// OutcomeCombinations: with so many steps above it, a condition is tried on all of
 	// their outcomes (4 to the 5th) to see whether it can ever hold.
-	TryOutcomes = 5
+	OutcomeCombinations = 5
 	// StepDoubt: how long a step's job may fail on every machine before it is
 	// called failed, unless its file says otherwise; probing tries a machine
 	// about every ten seconds at first.
@@ -614,10 +614,10 @@
 	StepStateBytes = 20
 	// RunHeadBytes, bytes: what a run's record takes besides document and steps.
 	RunHeadBytes = 300
-	// MostRuns, MostRunSteps: runs live at once, and their steps that have not
+	// MaxRuns, MostRunSteps: runs live at once, and their steps that have not
 	// ended, before new ones are refused; 1,000 runs were measured.
-	MostRuns     = 2000
-	MostRunSteps = 20000
+	MaxRuns     = 2000
+	MaxRunSteps = 20000
 	// RunChanges: share of a node's changes a second that runs may take, after
 	// what the rules need.
 	RunChanges = 0.3
@@ -638,10 +638,10 @@
 	// CancelFirst: for so long after a user asked to cancel a run, its owner makes
 	// no other change of it; the user comes back after a second.
 	CancelFirst = 3 * time.Second
-	// AbortTries: how often a cancellation is tried on newer records of its run
+	// CancelAttempts: how often a cancellation is tried on newer records of its run
 	// before the user is sent away; the owner's change comes between at most once
 	// or twice.
-	AbortTries = 3
+	CancelAttempts = 3
 	// PlanCache: compiled plans kept of runs that this node does not move.
 	PlanCache = 64
 	// SnapshotRPS: requests a second that taking a snapshot makes unless told else.
@@ -651,16 +651,16 @@
 	// SnapshotBlock, bytes: most that a block of a snapshot unpacks to; a page of the
 	// state service is 512 KiB, what changes meanwhile may be more.
 	SnapshotBlock = 256 << 20
-	// MostUnpacked, bytes: what a packed record may grow to.
-	MostUnpacked = 1 << 20
+	// MaxUnpacked, bytes: what a packed record may grow to.
+	MaxUnpacked = 1 << 20
 )
 
 // Pipeline files and the command line.
 const (
-	// MostNodes, MostDepth: of a pipeline file once its aliases are followed; one
+	// MaxNodes, MostDepth: of a pipeline file once its aliases are followed; one
 	// of 64 KiB without aliases has at most some 30,000.
-	MostNodes = 100_000
-	MostDepth = 64
+	MaxNodes = 100_000
+	MaxDepth = 64
 )
 
 // The command line's client.
@@ -670,8 +670,8 @@
 	ClientTimeout = 5 * time.Second
 	// ClientPause, ClientMostPause: between two rounds of tries, and the most that
 	// an answer may make it wait (protocol).
-	ClientPause     = time.Second
-	ClientMostPause = 30 * time.Second
+	ClientPause    = time.Second
+	MaxClientPause = 30 * time.Second
 	// ClientPatience: how long a request is repeated unless the user says
 	// otherwise (protocol).
 	ClientPatience = 60 * time.Second
@@ -682,35 +682,35 @@
 
 // Trying it out.
 const (
-	// TryStep: how often the stand-ins' clock is set after the real one.
-	TryStep = 10 * time.Millisecond
-	// TryPort: first port of the stand-ins and controllers.
-	TryPort = 7000
-	// TryPatience: how long the demonstration may take as a whole.
-	TryPatience = time.Minute
+	// SandboxStep: how often the stand-ins' clock is set after the real one.
+	SandboxStep = 10 * time.Millisecond
+	// SandboxPort: first port of the stand-ins and controllers.
+	SandboxPort = 7000
+	// SandboxTimeout: how long the demonstration may take as a whole.
+	SandboxTimeout = time.Minute
 )
 
 // Quotas.
 const (
-	// MostQuotaDepth: levels of organisations, teams and classes.
-	MostQuotaDepth = 8
-	// MostQuotaNodes: of a tree; 1,000 leaves were measured. Its document must fit
+	// MaxQuotaDepth: levels of organisations, teams and classes.
+	MaxQuotaDepth = 8
+	// MaxQuotaNodes: of a tree; 1,000 leaves were measured. Its document must fit
 	// into one value of the state service besides.
-	MostQuotaNodes = 2000
-	// MostWeight: of a node; more would say "all" in other words.
-	MostWeight = 1e6
+	MaxQuotaNodes = 2000
+	// MaxWeight: of a node; more would say "all" in other words.
+	MaxWeight = 1e6
 	// QuotaGrace: for so long after a change of the tree, what is over a limit may
 	// end by itself before it is stopped, unless the file says otherwise.
 	QuotaGrace = 60 * time.Second
-	// MostGrace: a day.
-	MostGrace = 24 * time.Hour
+	// MaxGrace: a day.
+	MaxGrace = 24 * time.Hour
 	// ReclaimEvery: how often what is over a limit is looked at.
 	ReclaimEvery = time.Second
 	// GiveBackEach: tasks of a job for which borrowed room is asked back at a look.
 	GiveBackEach = 8
-	// ReclaimMost: tasks stopped at a look, so that a large shrink does not take
+	// MaxReclaimStops: tasks stopped at a look, so that a large shrink does not take
 	// all changes.
-	ReclaimMost = 50
+	MaxReclaimStops = 50
 )
 
 // Reconciling: what a controller that starts does before it knows what its machines have.
@@ -719,20 +719,20 @@
 	// reported twice, the second time with our baton, and been reached directly.
 	ReconcileReports = 2.0
 	ReconcileSlack   = 2 * time.Second
-	// ReconcileMost: after so long what still differs is what differs on any day.
-	ReconcileMost = 60 * time.Second
+	// MaxReconcile: after so long what still differs is what differs on any day.
+	MaxReconcile = 60 * time.Second
 	// ReconcileOthers: an owner that has not told by then that it heard its machines is
 	// waited for no longer: it has called them twice, and told which did not answer.
 	ReconcileOthers = 5 * time.Second
 	// ReconcileRent: some looks at the queue, which then has been offered all machines; what it
 	// still lacks is rented.
 	ReconcileRent = 2 * time.Second
-	// AnewMost: records that a decision to place a gang's tasks where they were may write,
+	// MaxPlaceAgainRecords: records that a decision to place a gang's tasks where they were may write,
 	// where a transaction holds as many.
-	AnewMost = 12
-	// AnewEvery: between two looks at what has vanished, each of which goes through all of
+	MaxPlaceAgainRecords = 12
+	// PlaceAgainEvery: between two looks at what has vanished, each of which goes through all of
 	// it.
-	AnewEvery = 100 * time.Millisecond
+	PlaceAgainEvery = 100 * time.Millisecond
 	// AwaitedCalls: direct calls under way to machines that have not reported to this
 	// process yet; the rest of MaxWorkerCalls is for those that have. Each machine that
 	// died holds a call for CommandTimeout, and 80 of them held all 64 for ten seconds.
@@ -743,33 +743,33 @@
 
 // Lending.
 const (
-	// LoanSheets, MostOnSheet: values of the shared state that loans stand in, and loans
+	// LoanRecords, MostOnSheet: values of the shared state that loans stand in, and loans
 	// in one; 160 bytes a loan. SheetFull: share of the most bytes of a value up to which
 	// loans begin on a sheet; the rest is for what they grow by.
-	LoanSheets  = 16
-	MostOnSheet = 40
-	SheetFull   = 0.8
-	// LoanAsked: a lender that has not left after this, on a machine that still counts,
+	LoanRecords         = 16
+	MaxLoansPerRecord   = 40
+	LoanRecordFillShare = 0.8
+	// LoanRequestTimeout: a lender that has not left after this, on a machine that still counts,
 	// is waited for no longer; saving takes seconds, a silent machine is given up sooner.
-	LoanAsked = 60 * time.Second
+	LoanRequestTimeout = 60 * time.Second
 	// LoanVacant: made room is kept so long for its replica.
 	LoanVacant = 20 * time.Second
-	// LoanKept: room that comes back is kept so long for its lender: a look at the queue
+	// LoanReturnReservation: room that comes back is kept so long for its lender: a look at the queue
 	// comes several times a second, a pause after a stop is none, so what does not come
 	// within this has found a place or cannot use it.
-	LoanKept = 15 * time.Second
-	// LoanLeast: a replica is not called back sooner; a start that is stopped within 30 s
+	LoanReturnReservation = 15 * time.Second
+	// MinLoanTime: a replica is not called back sooner; a start that is stopped within 30 s
 	// counts for nothing.
-	LoanLeast = 60 * time.Second
+	MinLoanTime = 60 * time.Second
 	// CallGap: between two replicas of a service that are called back, on top of the
 	// time that the first takes to leave.
 	CallGap = 10 * time.Second
 	// LendAgain: a job lends once in this time, so that demand that swings by the minute
 	// takes from each at most once in five swings.
 	LendAgain = 5 * time.Minute
-	// MostLends: looks in one pass for somebody who lends. In a burst of serving some 15
+	// MaxLendingSearches: looks in one pass for somebody who lends. In a burst of serving some 15
 	// replicas a second wait; one looks at machines with the weights only, mostly.
-	MostLends = 10
+	MaxLendingSearches = 10
 	// SweepLends: share of a sweep's tasks that may be lent in that time; they do not need
 	// one another, so that a sweep is slowed by no more than this.
 	SweepLends = 0.25
@@ -793,8 +793,8 @@
 	// LoanSave: steps that follow from the records are stored at most so late, several
 	// of a sheet at once. At 5 s they were 430 changes on a day of 553 loans, at 20 s 210.
 	LoanSave = 30 * time.Second
-	// LoansSaid: how often the log tells the counts of loans.
-	LoansSaid = time.Minute
+	// LoanLogEvery: how often the log tells the counts of loans.
+	LoanLogEvery = time.Minute
 )
 
 // Cancellations told (package cancellation).
@@ -805,41 +805,41 @@
 	ProofMargin = 1500 * time.Millisecond
 	// ProofDrift: share of cancel_s by which clocks may drift apart (0.05% each way).
 	ProofDrift = 0.001
-	// ProofAsk: while the state service does not answer, the other controllers are asked
+	// ProofQueryAfter: while the state service does not answer, the other controllers are asked
 	// once it has proven nothing for so long.
-	ProofAsk = time.Second
-	// ProofAskEvery: pause between two rounds of questions: one short line to each other
+	ProofQueryAfter = time.Second
+	// ProofQueryEvery: pause between two rounds of questions: one short line to each other
 	// controller, and one back.
-	ProofAskEvery = time.Second
+	ProofQueryEvery = time.Second
 	// ProofRounds: rounds whose answers are waited for; a line that took longer than so
 	// many seconds proves nothing that a later one does not.
 	ProofRounds = 8
-	// FollowWindow: share of the time left for renewals (cancel_s - lease_s less the
+	// WatchHoldShare: share of the time left for renewals (cancel_s - lease_s less the
 	// margin) that a watch may be held at most, where that is less than FollowHold.
-	FollowWindow = 0.25
-	// MostTold: cancellations kept that this process has told; two seconds of a swarm of
+	WatchHoldShare = 0.25
+	// MaxAckLogEntries: cancellations kept that this process has told; two seconds of a swarm of
 	// 2,000 a second. Whoever has not taken in what was dropped proves nothing by it.
-	MostTold = 4096
-	// MostHeard: cancellations heard of that the mirror does not show yet, of all others.
-	MostHeard = 16384
-	// ToldInLine: cancellations, or jobs of which something was told, in one line; at 30 to 45
+	MaxAckLogEntries = 4096
+	// MaxPeerCancellations: cancellations heard of that the mirror does not show yet, of all others.
+	MaxPeerCancellations = 16384
+	// MaxAcksPerLine: cancellations, or jobs of which something was told, in one line; at 30 to 45
 	// bytes each far below MaxPeerLine.
-	ToldInLine = 500
-	// ToldGather: least pause between two lines that pass on what was told; of a swarm of
+	MaxAcksPerLine = 500
+	// AckGatherFor: least pause between two lines that pass on what was told; of a swarm of
 	// 2,000 a second 40 go in a line.
-	ToldGather = 20 * time.Millisecond
-	// ToldAgain: what was not confirmed is passed on again.
-	ToldAgain = time.Second
-	// MostPeers: controllers that a line may speak of.
-	MostPeers = 64
-	// CourierAfter: an owner that has not confirmed a cancellation by then is taken to be
+	AckGatherFor = 20 * time.Millisecond
+	// AckResend: what was not confirmed is passed on again.
+	AckResend = time.Second
+	// MaxPeers: controllers that a line may speak of.
+	MaxPeers = 64
+	// StopRelayAfter: an owner that has not confirmed a cancellation by then is taken to be
 	// out of reach: confirmations come with the next line, within PeerBeat.
-	CourierAfter = 1500 * time.Millisecond
-	// CourierLook: how often is looked for such owners' machines. CourierCalls: calls to
+	StopRelayAfter = 1500 * time.Millisecond
+	// StopRelayEvery: how often is looked for such owners' machines. CourierCalls: calls to
 	// them under way at once. CourierAgain: pause before a machine is called again;
 	// CourierClean: if it held nothing that is cancelled, for a launch may still come.
-	CourierLook  = 500 * time.Millisecond
-	CourierCalls = 16
-	CourierAgain = 2 * time.Second
-	CourierClean = 5 * time.Second
+	StopRelayEvery      = 500 * time.Millisecond
+	MaxStopRelayCalls   = 16
+	StopRelayRetry      = 2 * time.Second
+	StopRelayRetryClean = 5 * time.Second
 )
