--- a/internal/membership/calls.go
+++ b/internal/membership/calls.go
@@ -57,7 +57,7 @@
 			x.Members = append(x.Members, standby.Member{Name: m.Name, Incarnation: m.Incarnation, Zone: me.ZoneOf[m.Name], AnswersProbes: f.Incarnation == m.Incarnation && f.AnswersProbes})
 		}
 	}
-	x.Lag, x.Unchecked, x.Behind = me.Lag(), me.Unchecked(), me.Mirror.Epoch < me.lastProbeEpoch
+	x.Lag, x.PendingChecks, x.WatchBehind = me.Lag(), me.Unchecked(), me.Mirror.Epoch < me.lastProbeEpoch
 	since := me.standby.Since
 	acts, changed := me.standby.Evaluate(x)
 	if changed {
--- a/internal/standby/checks.go
+++ b/internal/standby/checks.go
@@ -12,19 +12,19 @@
 const (
 	// InViewCertain: its lease is the one that the view names it by, and it is certain of it.
 	InViewCertain Check = "place in the view"
-	// WatchReachedView: the watch has come to the view's own change. What the former leader
-	// committed came before that; what it sends later fails by the view's stamp.
+	// WatchReachedView: the watch has reached the view's own change. What the former leader
+	// committed came before that; what it sends later fails by the view's revision.
 	WatchReachedView Check = "watch has reached the view"
 	// TransactionsFenced: no transaction of its own is without an answer.
 	TransactionsFenced Check = "own transactions settled"
-	// QuotasSettled: the tree of quotas that decisions are conditional on is known.
+	// QuotasSettled: the tree of quotas that decisions have as a precondition is known.
 	QuotasSettled Check = "quotas settled"
 	// MachineTypesKnown: the catalogue of machine types is known, with today's prices.
 	MachineTypesKnown Check = "machine types known"
-	// CloudListed: a list of the cloud's machines was begun after it came to lead.
+	// CloudListed: a listing of the cloud's machines was begun after it became leader.
 	CloudListed Check = "cloud's list read"
-	// FormerRents: rents of the former leader that the list may still lack are counted, by the
-	// summary, until the list must have them.
+	// FormerRents: machines that the former leader scaled out and that the listing may still lack are
+	// counted, by the summary, until the listing must have them.
 	FormerRents Check = "former rents listed or counted"
 )
 
@@ -33,68 +33,93 @@
 
 // Duties of a leader.
 const (
-	Release Duty = "release" // give tasks away, end jobs, stop, move
-	Rent    Duty = "rent"    // and plan
-	Delete  Duty = "delete"  // give machines up
+	Release Duty = "release" // place tasks, end jobs, preempt, move
+	Rent    Duty = "rent"    // scale out, and plan
+	Delete  Duty = "delete"  // decommission machines
 )
 
-// checksFor is what must be checked before each duty. Until Listed, a leader rents nothing;
-// for ten steps after, only to current demand (DESIGN).
-var checksFor = map[Duty][]Check{
-	Release: {InViewCertain, WatchReachedView, TransactionsFenced, QuotasSettled},
-	Rent:    {InViewCertain, WatchReachedView, TransactionsFenced, QuotasSettled, MachineTypesKnown, CloudListed, FormerRents},
-	Delete:  {InViewCertain, WatchReachedView, TransactionsFenced},
+// requiredChecks are those that must be done before each duty. Until CloudListed, a leader scales
+// out nothing; for ten steps after, only to current demand (DESIGN-harrierreel.md).
+var requiredChecks = map[Duty][]Check{
+	Release: {
+		InViewCertain,
+		WatchReachedView,
+		TransactionsFenced,
+		QuotasSettled,
+	},
+	Rent: {
+		InViewCertain,
+		WatchReachedView,
+		TransactionsFenced,
+		QuotasSettled,
+		MachineTypesKnown,
+		CloudListed,
+		FormerRents,
+	},
+	Delete: {
+		InViewCertain,
+		WatchReachedView,
+		TransactionsFenced,
+	},
 }
 
-// All lists the checks.
-func All() []Check {
-	return []Check{InViewCertain, WatchReachedView, TransactionsFenced, QuotasSettled, MachineTypesKnown, CloudListed, FormerRents}
+// allChecks lists the checks.
+func allChecks() []Check {
+	return []Check{
+		InViewCertain,
+		WatchReachedView,
+		TransactionsFenced,
+		QuotasSettled,
+		MachineTypesKnown,
+		CloudListed,
+		FormerRents,
+	}
 }
 
-// Checks is what a leader has checked under one epoch. None is skipped: a duty that is
-// asked for before its checks are done waits.
+// Checks is what a leader has checked under one epoch. None is skipped: a duty that is asked for
+// before its checks are done waits. The zero value permits no duty.
 type Checks struct {
-	Epoch uint64
+	Epoch uint64 // of the view
 	since time.Time
-	done  map[Check]time.Duration
+	done  map[Check]time.Duration // how long after since
 }
 
-// Begin starts the checks of a new leader.
+// Begin starts the checks of a new leader; under the same epoch it changes nothing.
 func (c *Checks) Begin(epoch uint64, now time.Time) {
 	if c.Epoch != epoch || c.done == nil {
 		*c = Checks{Epoch: epoch, since: now, done: map[Check]time.Duration{}}
 	}
 }
 
-// Record notes whether a check holds now. It tells whether it is done for the first time,
-// and how long after the view that was. What held once under an epoch is checked: later
-// every decision is fenced by itself.
+// Record takes in whether a check holds now. It returns whether it is done for the first time,
+// and how long after Begin that was. What held once under an epoch stays checked: later every
+// decision is fenced by itself.
 func (c *Checks) Record(check Check, holds bool, now time.Time) (first bool, after time.Duration) {
 	if c.done == nil {
 		return false, 0
 	}
-	after, was := c.done[check]
-	if was || !holds {
+	after, done := c.done[check]
+	if done || !holds {
 		return false, after
 	}
 	c.done[check] = now.Sub(c.since)
 	return true, c.done[check]
 }
 
-// Pending lists what has still to be checked.
+// Pending lists the checks that have still to be done.
 func (c *Checks) Pending() []Check {
-	return slices.DeleteFunc(All(), func(k Check) bool { _, done := c.done[k]; return done })
+	return slices.DeleteFunc(allChecks(), c.isDone)
 }
 
-// Done tells whether nothing is left to check.
-func (c *Checks) Done() bool { return len(c.done) == len(All()) }
+// Done reports whether no check is pending.
+func (c *Checks) Done() bool { return len(c.done) == len(allChecks()) }
 
-// Permits tells whether a duty's checks are done.
-func (c *Checks) Permits(d Duty) bool {
-	for _, k := range checksFor[d] {
-		if _, done := c.done[k]; !done {
-			return false
-		}
-	}
-	return true
+// Permits reports whether a duty's checks are done.
+func (c *Checks) Permits(duty Duty) bool {
+	return !slices.ContainsFunc(requiredChecks[duty], func(check Check) bool { return !c.isDone(check) })
+}
+
+func (c *Checks) isDone(check Check) bool {
+	_, done := c.done[check]
+	return done
 }
--- a/internal/standby/probes.go
+++ b/internal/standby/probes.go
@@ -9,86 +9,93 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// ProbePrefix is that of the keys by which members are called.
+// ProbePrefix is the prefix of the store's keys, one a member by its name, in which a member is
+// probed.
 const ProbePrefix = "call/"
 
-// Probe is the value of such a key.
+// Probe is a liveness probe: the value of a key under ProbePrefix. The probed member removes the
+// key.
 type Probe struct {
-	Incarnation uint64 `json:"inc"` // incarnation that is called
-	By          string `json:"by"`
-	// WaitMs is how long it may stand unanswered.
+	Incarnation uint64 `json:"inc"` // the incarnation that is probed
+	By          string `json:"by"`  // the prober's name
+	// WaitMs is how long it may stand unanswered, in milliseconds.
 	WaitMs int64 `json:"wait_ms"`
 }
 
-// DecodeProbe reads a call; false if it is none.
-func DecodeProbe(v json.RawMessage) (Probe, bool) {
-	var c Probe
-	ok := json.Unmarshal(v, &c) == nil && c.Incarnation != 0 && c.WaitMs > 0
-	return c, ok
+// timeout returns how long the probe may stand unanswered.
+func (p Probe) timeout() time.Duration { return time.Duration(p.WaitMs) * time.Millisecond }
+
+// DecodeProbe reads a stored probe; false if it is none.
+func DecodeProbe(value json.RawMessage) (Probe, bool) {
+	var probe Probe
+	ok := json.Unmarshal(value, &probe) == nil && probe.Incarnation != 0 && probe.WaitMs > 0
+	return probe, ok
 }
 
-// probeOrder tells when it is this controller's turn to act on a suspicion: the leader's
-// first; after a suspected leader the others' in the order in which they follow it. It
-// is -1 while it is not its turn at all. follows is its place among those.
-func (s *Standby) probeOrder(x ClusterStatus) (priority, follows int) {
-	follows = slices.Index(Successors(x, s.suspected), x.Name)
+// probeOrder returns when it is this controller's turn to act on a suspicion: the leader comes
+// first; after a suspected leader come the others in the order of succession. The priority is -1
+// while it is not its turn at all. succession is its place among the successors, -1 if it has none.
+func (s *Standby) probeOrder(status ClusterStatus) (priority, succession int) {
+	succession = slices.Index(Successors(status, s.suspected), status.Name)
 	switch {
-	case x.Leader == x.Name:
+	case status.Leader == status.Name:
 		return 0, -1
-	case s.suspected(x.Leader):
-		return follows, follows
+	case s.suspected(status.Leader):
+		return succession, succession
 	}
-	return -1, follows
+	return -1, succession
 }
 
-// delay is how long a controller leaves the first go to those before it. One that is
-// behind itself had better not be the one.
-func (x ClusterStatus) delay(priority int) time.Duration {
-	return time.Duration(priority)*tuning.ProbeStagger + min(x.Lag, tuning.ProbeStagger)
+// probeDelay returns how long a controller leaves the first go to those before it. One that is
+// behind itself had better not be the one to lead.
+func (status ClusterStatus) probeDelay(priority int) time.Duration {
+	return time.Duration(priority)*tuning.ProbeStagger + min(status.Lag, tuning.ProbeStagger)
 }
 
-// probesDue is the members that this controller is to call now. The leader's call comes
-// from its followers, everybody else's from the leader.
-func (s *Standby) probesDue(x ClusterStatus, priority int) Action {
+// probesDue returns the probes that this controller has to write now. The leader is probed by its
+// followers, everybody else by the leader.
+func (s *Standby) probesDue(status ClusterStatus, priority int) Action {
 	ended := 0
-	for _, m := range x.Members {
-		if p := s.suspects[m.Name]; p != nil && !p.connectionEndedAt.IsZero() {
+	for _, member := range status.Members {
+		if p := s.suspects[member.Name]; p != nil && !p.connectionEndedAt.IsZero() {
 			ended++
 		}
 	}
-	act := Action{Kind: ActionProbe, Wait: tuning.ProbeTimeout}
+	action := Action{Kind: ActionProbe, Wait: tuning.ProbeTimeout}
 	if ended > 1 {
-		// Several at once: more likely it is the way to them, so they are given time.
-		act.Wait = tuning.ProbeTimeoutMany
+		// Several at once: more likely it is the network's fault, so they are given time.
+		action.Wait = tuning.ProbeTimeoutMany
 	}
-	for _, m := range x.Members {
-		p := s.suspects[m.Name]
-		_, called := x.Probes[m.Name]
-		mine := x.Leader == x.Name || m.Name == x.Leader
-		if m.Name == x.Name || !m.AnswersProbes || p == nil || p.connectionEndedAt.IsZero() || called || !mine {
+	for _, member := range status.Members {
+		p := s.suspects[member.Name]
+		_, probed := status.Probes[member.Name]
+		mine := status.Leader == status.Name || member.Name == status.Leader
+		if member.Name == status.Name || !member.AnswersProbes || p == nil ||
+			p.connectionEndedAt.IsZero() || probed || !mine {
 			continue
 		}
-		if x.Now.Sub(p.connectionEndedAt) >= x.delay(priority) && !x.Now.Before(p.notProbedBefore) {
-			act.Names = append(act.Names, m.Name)
+		if status.Now.Sub(p.connectionEndedAt) >= status.probeDelay(priority) && !status.Now.Before(p.notProbedBefore) {
+			action.Names = append(action.Names, member.Name)
 			if p.pause > 0 {
-				act.Wait = tuning.ProbeTimeoutMany // it has answered before
+				action.Wait = tuning.ProbeTimeoutMany // it has answered before
 			}
 		}
 	}
-	return act
+	return action
 }
 
-// unanswered is the members whose calls have stood for too long.
-func (s *Standby) unanswered(x ClusterStatus, priority int) []string {
+// unansweredProbes lists the members whose probes have stood for too long.
+func (s *Standby) unansweredProbes(status ClusterStatus, priority int) []string {
 	var out []string
-	for _, name := range slices.Sorted(maps.Keys(x.Probes)) {
-		c := x.Probes[name]
+	for _, name := range slices.Sorted(maps.Keys(status.Probes)) {
+		probe := status.Probes[name]
 		p := s.suspects[name]
-		mine := x.Leader == x.Name || name == x.Leader
-		if name == x.Name || p == nil || p.probeObservedAt.IsZero() || p.incarnation != c.Incarnation || !mine {
+		mine := status.Leader == status.Name || name == status.Leader
+		if name == status.Name || p == nil || p.probeObservedAt.IsZero() ||
+			p.incarnation != probe.Incarnation || !mine {
 			continue
 		}
-		if x.Now.Sub(p.probeObservedAt) >= time.Duration(c.WaitMs)*time.Millisecond+x.delay(priority) {
+		if status.Now.Sub(p.probeObservedAt) >= probe.timeout()+status.probeDelay(priority) {
 			out = append(out, name)
 		}
 	}
--- a/internal/standby/succession.go
+++ b/internal/standby/succession.go
@@ -8,28 +8,32 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Successors orders the members by who should lead next: those that nobody suspects,
-// of other zones than the leader's first, then by name in turn after the leader's, so
-// that not the same one follows every leader.
-func Successors(x ClusterStatus, suspected func(string) bool) []string {
-	zone := ""
-	for _, m := range x.Members {
-		if m.Name == x.Leader {
-			zone = m.Zone
+// Successors orders the members by who should lead next: those that nobody suspects, first those
+// of other zones than the leader's, then by name in turn after the leader's, so that not the same
+// one succeeds every leader. No controller suspects itself.
+func Successors(status ClusterStatus, suspected func(string) bool) []string {
+	leaderZone := ""
+	for _, member := range status.Members {
+		if member.Name == status.Leader {
+			leaderZone = member.Zone
 		}
 	}
-	var out []Member
-	for _, m := range x.Members {
-		if m.Name != x.Leader && (m.Name == x.Name || !suspected(m.Name)) {
-			out = append(out, m)
+	var successors []Member
+	for _, member := range status.Members {
+		if member.Name != status.Leader && (member.Name == status.Name || !suspected(member.Name)) {
+			successors = append(successors, member)
 		}
 	}
-	slices.SortFunc(out, func(a, b Member) int {
-		return cmp.Or(falseFirst(a.Zone == zone, b.Zone == zone), falseFirst(a.Name < x.Leader, b.Name < x.Leader), cmp.Compare(a.Name, b.Name))
+	slices.SortFunc(successors, func(a, b Member) int {
+		return cmp.Or(
+			falseFirst(a.Zone == leaderZone, b.Zone == leaderZone),
+			falseFirst(a.Name < status.Leader, b.Name < status.Leader),
+			cmp.Compare(a.Name, b.Name),
+		)
 	})
-	names := make([]string, len(out))
-	for i, m := range out {
-		names[i] = m.Name
+	names := make([]string, len(successors))
+	for i, member := range successors {
+		names[i] = member.Name
 	}
 	return names
 }
@@ -45,21 +49,23 @@
 	return -1
 }
 
-// handOverTo is who a leader hands the lead to because it is behind, for some time, with its
-// own loop or with the watch: what it decides comes late and conflicts. None if it isn't.
-func (s *Standby) handOverTo(x ClusterStatus) string {
-	if x.Leader != x.Name || x.Lag < tuning.UnfitLag {
+// handOverTo returns the member that this controller, as a leader that is behind, hands the lead
+// to, "" if it does not. It is behind if its loop or its watch has lagged for some time: what it
+// decides comes late and conflicts.
+func (s *Standby) handOverTo(status ClusterStatus) string {
+	if status.Leader != status.Name || status.Lag < tuning.UnfitLag {
 		s.laggingSince = time.Time{}
 		return ""
 	}
 	if s.laggingSince.IsZero() {
-		s.laggingSince = x.Now
+		s.laggingSince = status.Now
 	}
-	to := Successors(x, s.suspected)
-	if x.Now.Sub(s.laggingSince) < tuning.UnfitFor || len(to) == 0 || s.suspected(to[0]) || !s.handedOverAt.IsZero() && x.Now.Sub(s.handedOverAt) < s.handOverPause {
+	successors := Successors(status, s.suspected)
+	if status.Now.Sub(s.laggingSince) < tuning.UnfitFor || len(successors) == 0 || s.suspected(successors[0]) ||
+		!s.handedOverAt.IsZero() && status.Now.Sub(s.handedOverAt) < s.handOverPause {
 		return ""
 	}
-	s.laggingSince, s.handedOverAt = time.Time{}, x.Now
+	s.laggingSince, s.handedOverAt = time.Time{}, status.Now
 	s.handOverPause = min(max(2*s.handOverPause, tuning.HandOverPause), tuning.MaxHandOverPause)
-	return to[0]
+	return successors[0]
 }
--- a/internal/standby/suspects.go
+++ b/internal/standby/suspects.go
@@ -9,38 +9,37 @@
 // suspect is what is known against one incarnation of a member.
 type suspect struct {
 	incarnation       uint64
-	connectionEndedAt time.Time // its connection ended, zero if it did not
-	// probeObservedAt is since when its call stands, as seen here.
-	probeObservedAt time.Time
-	notProbedBefore time.Time // it answered: not called again before
-	pause           time.Duration
-	// answeredProbes counts calls that went since the last look.
+	connectionEndedAt time.Time // zero if its connection has not ended
+	probeObservedAt   time.Time // since when its probe stands, as seen here; zero if none stands
+	notProbedBefore   time.Time // it has answered a probe
+	pause             time.Duration
+	// answeredProbes counts probes that were removed since the last evaluation.
 	answeredProbes int
 }
 
-// ConnectionEnded takes in that the connection to a peer has ended or was refused.
+// ConnectionEnded records that the connection to a peer has ended or was refused.
 func (s *Standby) ConnectionEnded(name string, now time.Time) {
 	if p := s.suspectFor(name); p.connectionEndedAt.IsZero() {
 		p.connectionEndedAt = now
 	}
 }
 
-// PeerAlive takes in that a peer spoke: it lives.
+// PeerAlive records that a peer's gossip arrived: it is alive.
 func (s *Standby) PeerAlive(name string) {
 	if p := s.suspects[name]; p != nil {
 		p.connectionEndedAt = time.Time{}
 	}
 }
 
-// ProbeObserved takes in that a call stands, Gone that it stands no more. Both may come
-// between two looks: an answer takes a tenth of a second.
-func (s *Standby) ProbeObserved(name string, c Probe, now time.Time) {
-	if p := s.suspectFor(name); p.probeObservedAt.IsZero() || p.incarnation != c.Incarnation {
-		p.incarnation, p.probeObservedAt = c.Incarnation, now
+// ProbeObserved records that a probe stands, as ProbeRemoved does that it stands no more. Both
+// may come between two evaluations: an answer takes a tenth of a second.
+func (s *Standby) ProbeObserved(name string, probe Probe, now time.Time) {
+	if p := s.suspectFor(name); p.probeObservedAt.IsZero() || p.incarnation != probe.Incarnation {
+		p.incarnation, p.probeObservedAt = probe.Incarnation, now
 	}
 }
 
-// ProbeRemoved takes in that a call was removed.
+// ProbeRemoved records that a probe was removed.
 func (s *Standby) ProbeRemoved(name string) {
 	if p := s.suspects[name]; p != nil && !p.probeObservedAt.IsZero() {
 		p.probeObservedAt, p.connectionEndedAt = time.Time{}, time.Time{}
@@ -48,6 +47,7 @@
 	}
 }
 
+// suspectFor returns what is known against a member, to add to it.
 func (s *Standby) suspectFor(name string) *suspect {
 	p := s.suspects[name]
 	if p == nil {
@@ -57,37 +57,39 @@
 	return p
 }
 
+// suspected reports whether a member's connection has ended or a probe of it stands.
 func (s *Standby) suspected(name string) bool {
 	p := s.suspects[name]
 	return p != nil && (!p.connectionEndedAt.IsZero() || !p.probeObservedAt.IsZero())
 }
 
-// updateSuspects brings what is known against others in step with the view and the calls.
-func (s *Standby) updateSuspects(x ClusterStatus) {
-	in := map[string]uint64{}
-	for _, m := range x.Members {
-		in[m.Name] = m.Incarnation
+// updateSuspects brings what is known against others in step with the view and the probes.
+func (s *Standby) updateSuspects(status ClusterStatus) {
+	incarnations := map[string]uint64{}
+	for _, member := range status.Members {
+		incarnations[member.Name] = member.Incarnation
 	}
 	for name, p := range s.suspects {
-		if in[name] == 0 || p.incarnation != 0 && in[name] != p.incarnation {
+		if incarnations[name] == 0 || p.incarnation != 0 && incarnations[name] != p.incarnation {
 			delete(s.suspects, name) // gone, or back as another incarnation
 		} else {
-			p.incarnation = in[name]
+			p.incarnation = incarnations[name]
 		}
 	}
-	for name, incarnation := range in {
+	for name, incarnation := range incarnations {
 		p := s.suspects[name]
-		if c, called := x.Probes[name]; called && c.Incarnation == incarnation && (p == nil || p.probeObservedAt.IsZero()) {
-			s.ProbeObserved(name, c, x.Now)
+		probe, probed := status.Probes[name]
+		if probed && probe.Incarnation == incarnation && (p == nil || p.probeObservedAt.IsZero()) {
+			s.ProbeObserved(name, probe, status.Now)
 		}
 		if p != nil && p.answeredProbes > 0 {
-			// What ended its connection may last: it is not called again and again for
+			// What ended its connection may last: it is not probed again and again for
 			// that, however often the connection ends.
 			s.FalseAlarms += p.answeredProbes
 			p.pause = min(max(2*p.pause, tuning.ProbePause), tuning.MaxProbePause)
-			p.answeredProbes, p.notProbedBefore = 0, x.Now.Add(p.pause)
+			p.answeredProbes, p.notProbedBefore = 0, status.Now.Add(p.pause)
 		}
-		if p != nil && p.pause > 0 && x.Now.Sub(p.notProbedBefore) > tuning.ProbeForgetAfter {
+		if p != nil && p.pause > 0 && status.Now.Sub(p.notProbedBefore) > tuning.ProbeForgetAfter {
 			p.pause = 0
 		}
 	}
