--- a/internal/api/answers.go
+++ b/internal/api/answers.go
@@ -16,78 +16,78 @@
 
 // heldAnswer waits until what it tells may be told.
 type heldAnswer struct {
-	at time.Time
-	do func()
+	at   time.Time
+	send func()
 }
 
 // hold does something a moment later.
-func (fr *Server) hold(wait time.Duration, do func()) {
-	fr.held = append(fr.held, heldAnswer{fr.Now.Add(wait), do})
+func (s *Server) holdAnswer(wait time.Duration, send func()) {
+	s.held = append(s.held, heldAnswer{s.Now.Add(wait), send})
 }
 
 // ReleaseHeld does what was held until now. It is called with each turn of the loop.
-func (fr *Server) ReleaseHeld() {
-	if len(fr.held) == 0 {
+func (s *Server) ReleaseHeld() {
+	if len(s.held) == 0 {
 		return
 	}
 	var due, rest []heldAnswer
-	for _, h := range fr.held {
-		if h.at.After(fr.Now) {
+	for _, h := range s.held {
+		if h.at.After(s.Now) {
 			rest = append(rest, h)
 		} else {
 			due = append(due, h)
 		}
 	}
-	fr.held = rest
+	s.held = rest
 	for _, h := range due {
-		h.do()
+		h.send()
 	}
 }
 
 // WaitForHeld tells how long the loop may sleep for what is held.
-func (fr *Server) WaitForHeld(most time.Duration) time.Duration {
-	for _, h := range fr.held {
-		most = max(0, min(most, h.at.Sub(fr.Now)))
+func (s *Server) WaitForHeld(limit time.Duration) time.Duration {
+	for _, h := range s.held {
+		limit = max(0, min(limit, h.at.Sub(s.Now)))
 	}
-	return most
+	return limit
 }
 
 // newest is what is known to have become of a job, if that is newer than what was found.
-func (fr *Server) newest(jobID string, f jobs.Final) jobs.Final {
-	if f.State != jobs.Live {
-		return f
+func (s *Server) newest(jobID string, final jobs.Final) jobs.Final {
+	if final.State != jobs.Live {
+		return final
 	}
-	if end, ok := fr.finals.Get(jobID); ok {
+	if end, ok := s.finals.Get(jobID); ok {
 		return end
 	}
-	if word, ok := fr.Acks.Latest(jobID); ok && word.State != jobs.Live {
-		return word
+	if acknowledged, ok := s.Acks.Latest(jobID); ok && acknowledged.State != jobs.Live {
+		return acknowledged
 	}
-	if fr.Cancelled(jobID) { // told elsewhere since this was read, or while the mirror lags
-		f.State = jobs.Cancelled
+	if s.Cancelled(jobID) { // told elsewhere since this was read, or while the mirror lags
+		final.State = jobs.Cancelled
 	}
-	return f
+	return final
 }
 
 // answer tells a user what was found of a job, or what is newer. An end that is news leaves
 // only once it was passed on.
-func (fr *Server) answer(jobID string, status int, f jobs.Final, counts bool, respond func(http1.Reply)) {
-	f = fr.newest(jobID, f)
-	if f.State != jobs.Live || status == 201 {
-		if wait := fr.acknowledge(jobID, f); wait > 0 {
-			fr.hold(wait, func() { fr.answer(jobID, status, f, counts, respond) })
+func (s *Server) answer(jobID string, status int, final jobs.Final, counts bool, respond func(http1.Reply)) {
+	final = s.newest(jobID, final)
+	if final.State != jobs.Live || status == 201 {
+		if wait := s.acknowledge(jobID, final); wait > 0 {
+			s.holdAnswer(wait, func() { s.answer(jobID, status, final, counts, respond) })
 			return
 		}
 	}
-	respond(http1.Reply{Status: status, Body: fr.statusOf(jobID, f, counts)})
+	respond(http1.Reply{Status: status, Body: s.statusOf(jobID, final, counts)})
 }
 
 // acknowledge notes what a user is about to be told, and gives back how long that has to wait.
-func (fr *Server) acknowledge(jobID string, f jobs.Final) time.Duration {
-	if f.State == jobs.Cancelled {
-		fr.AcknowledgeCancellation(jobID) // before the answer leaves, whoever cancelled it
+func (s *Server) acknowledge(jobID string, final jobs.Final) time.Duration {
+	if final.State == jobs.Cancelled {
+		s.AcknowledgeCancellation(jobID) // before the answer leaves, whoever cancelled it
 	}
-	return fr.Acks.Acknowledge(jobID, f, fr.Now)
+	return s.Acks.Acknowledge(jobID, final, s.Now)
 }
 
 // agedEpoch is where the mirror was a while ago.
@@ -96,7 +96,7 @@
 	at          time.Time // it was at next
 }
 
-func (a *agedEpoch) pass(epoch uint64, now time.Time) {
+func (a *agedEpoch) advance(epoch uint64, now time.Time) {
 	if now.Sub(a.at) >= tuning.AckYoung {
 		a.epoch, a.next, a.at = a.next, epoch, now
 	}
@@ -104,36 +104,36 @@
 
 // acknowledgeAccepted tells how long a live job that was found must not be told, since that it is
 // accepted is news: what was found grows old meanwhile and has to be found again.
-func (fr *Server) acknowledgeAccepted(jobID string) time.Duration {
-	if fr.Mirror.Revision(jobs.JobPrefix+jobID) <= fr.agedEpoch.epoch ||
-		fr.newest(jobID, jobs.Final{State: jobs.Live}).State != jobs.Live {
+func (s *Server) acknowledgeAccepted(jobID string) time.Duration {
+	if s.Mirror.Revision(jobs.JobPrefix+jobID) <= s.agedEpoch.epoch ||
+		s.newest(jobID, jobs.Final{State: jobs.Live}).State != jobs.Live {
 		return 0
 	}
-	return fr.acknowledge(jobID, jobs.Final{State: jobs.Live})
+	return s.acknowledge(jobID, jobs.Final{State: jobs.Live})
 }
 
 // current reads a job's state for an answer that leaves at once. That a job is live or
 // unknown is only told if the answer came at once: what came late is from before, and
 // another controller may have told the user something newer since. It is read once more,
 // if there is time.
-func (fr *Server) current(jobID string, done func(jobs.Final, error)) {
-	began := fr.Now
+func (s *Server) readCurrent(jobID string, done func(jobs.Final, error)) {
+	began := s.Now
 	var read func()
 	read = func() {
-		left := fr.Now
-		fr.read(jobID, func(f jobs.Final, err error) {
+		sentAt := s.Now
+		s.readJob(jobID, func(final jobs.Final, err error) {
 			unknown := errors.Is(err, errNoJob)
-			if err == nil && f.State != jobs.Live || err != nil && !unknown {
-				done(f, err)
+			if err == nil && final.State != jobs.Live || err != nil && !unknown {
+				done(final, err)
 				return
 			}
-			word, heard := fr.Acks.Latest(jobID)
+			acknowledged, found := s.Acks.Latest(jobID)
 			switch {
-			case heard && word.State != jobs.Live:
-				done(word, nil)
-			case fr.Now.Sub(left) <= tuning.ReadFresh && !(unknown && heard):
-				done(f, err)
-			case fr.Now.Sub(began) <= tuning.ReadDeadline && fr.Client.AllowsRead(tuning.ReadsKept):
+			case found && acknowledged.State != jobs.Live:
+				done(acknowledged, nil)
+			case s.Now.Sub(sentAt) <= tuning.ReadFresh && !(unknown && found):
+				done(final, err)
+			case s.Now.Sub(began) <= tuning.ReadDeadline && s.Client.AllowsRead(tuning.ReadsKept):
 				read()
 			default:
 				done(jobs.Final{}, store.ErrNoAnswer)
--- a/internal/api/asks.go
+++ b/internal/api/asks.go
@@ -12,7 +12,7 @@
 // pendingRead is a user's question about a job that takes a read of its own: the mirror does
 // not know the job, or did not get far enough in time.
 type pendingRead struct {
-	uid     string
+	jobID   string
 	respond func(http1.Reply)
 	at      time.Time // the question came
 }
@@ -28,35 +28,35 @@
 
 // add takes a question in, and gives back the one to send away if there are too many: of
 // those sent away least often the last that came.
-func (a *readBatcher) add(q pendingRead) (away pendingRead, full bool) {
-	a.waiting = append(a.waiting, q)
-	if len(a.waiting) <= tuning.MaxPendingReads {
+func (b *readBatcher) add(q pendingRead) (shed pendingRead, full bool) {
+	b.waiting = append(b.waiting, q)
+	if len(b.waiting) <= tuning.MaxPendingReads {
 		return pendingRead{}, false
 	}
 	i := 0
-	for k, w := range a.waiting {
-		if a.shedding.times(w.uid) <= a.shedding.times(a.waiting[i].uid) {
+	for k, other := range b.waiting {
+		if b.shedding.timesShed(other.jobID) <= b.shedding.timesShed(b.waiting[i].jobID) {
 			i = k
 		}
 	}
-	return a.take(i), true
+	return b.take(i), true
 }
 
 // first is the question to be read first: of those sent away most often the first that
 // came.
-func (a *readBatcher) first() int {
+func (b *readBatcher) first() int {
 	i := 0
-	for k, w := range a.waiting {
-		if a.shedding.times(w.uid) > a.shedding.times(a.waiting[i].uid) {
+	for k, other := range b.waiting {
+		if b.shedding.timesShed(other.jobID) > b.shedding.timesShed(b.waiting[i].jobID) {
 			i = k
 		}
 	}
 	return i
 }
 
-func (a *readBatcher) take(i int) pendingRead {
-	q := a.waiting[i]
-	a.waiting = append(a.waiting[:i], a.waiting[i+1:]...)
+func (b *readBatcher) take(i int) pendingRead {
+	q := b.waiting[i]
+	b.waiting = append(b.waiting[:i], b.waiting[i+1:]...)
 	return q
 }
 
@@ -67,81 +67,81 @@
 	order []string // as first sent away; holds jobs that were answered since
 }
 
-func (s *loadShedding) times(jobID string) int { return s.count[jobID] }
+func (l *loadShedding) timesShed(jobID string) int { return l.count[jobID] }
 
-func (s *loadShedding) shed(jobID string) {
+func (l *loadShedding) shed(jobID string) {
 	if jobID == "" {
 		return // not about a job
 	}
-	if s.count == nil {
-		s.count = map[string]int{}
+	if l.count == nil {
+		l.count = map[string]int{}
 	}
-	if s.count[jobID]++; s.count[jobID] > 1 {
+	if l.count[jobID]++; l.count[jobID] > 1 {
 		return
 	}
-	if s.order = append(s.order, jobID); len(s.order) > tuning.MaxShedEntries {
-		delete(s.count, s.order[0])
-		s.order = s.order[1:]
+	if l.order = append(l.order, jobID); len(l.order) > tuning.MaxShedEntries {
+		delete(l.count, l.order[0])
+		l.order = l.order[1:]
 	}
 }
 
-func (s *loadShedding) answered(jobID string) { delete(s.count, jobID) }
+func (l *loadShedding) reset(jobID string) { delete(l.count, jobID) }
 
 // requestRead has a job's state read for a user.
-func (fr *Server) requestRead(q pendingRead) {
-	if away, full := fr.reads.add(q); full {
-		fr.shedLoad(away.uid, away.respond)
+func (s *Server) requestRead(q pendingRead) {
+	if shed, full := s.reads.add(q); full {
+		s.shedLoad(shed.jobID, shed.respond)
 	}
-	fr.reconcileReads()
+	s.reconcileReads()
 }
 
 // shedLoad sends a user away for want of room; the next time the job goes before others.
-func (fr *Server) shedLoad(jobID string, respond func(http1.Reply)) {
-	fr.reads.shedding.shed(jobID)
+func (s *Server) shedLoad(jobID string, respond func(http1.Reply)) {
+	s.reads.shedding.shed(jobID)
 	respond(http1.Refuse("too many questions"))
 }
 
 // reconcileReads reads what there is room for. A question whose user has gone is not read: a
 // queue of those would have every answer come too late.
-func (fr *Server) reconcileReads() {
-	a := &fr.reads
-	for len(a.waiting) > 0 {
-		i := a.first()
-		q := a.waiting[i]
-		waited, kept := fr.Now.Sub(q.at), tuning.ReadsKept
-		if waited > tuning.ReadDeadline || a.shedding.times(q.uid) > 0 {
+func (s *Server) reconcileReads() {
+	b := &s.reads
+	for len(b.waiting) > 0 {
+		i := b.first()
+		q := b.waiting[i]
+		waited, kept := s.Now.Sub(q.at), tuning.ReadsKept
+		if waited > tuning.ReadDeadline || b.shedding.timesShed(q.jobID) > 0 {
 			kept = 0 // decisions can keep the budget below any share of it
 		}
 		switch {
-		case fr.Client.Unavailable():
-			a.take(i).respond(http1.Refuse("state unavailable"))
+		case s.Client.Unavailable():
+			b.take(i).respond(http1.Refuse("state unavailable"))
 		case waited > tuning.QueryTimeout:
-			a.take(i)
-			fr.shedLoad(q.uid, q.respond)
-		case !fr.Client.AllowsRead(kept):
+			b.take(i)
+			s.shedLoad(q.jobID, q.respond)
+		case !s.Client.AllowsRead(kept):
 			return
 		default:
-			a.take(i)
-			fr.current(q.uid, func(s jobs.Final, err error) { fr.answerRead(q, s, err) })
+			b.take(i)
+			s.readCurrent(q.jobID, func(final jobs.Final, err error) { s.answerRead(q, final, err) })
 		}
 	}
 }
 
-func (fr *Server) answerRead(q pendingRead, s jobs.Final, err error) {
+func (s *Server) answerRead(q pendingRead, final jobs.Final, err error) {
 	switch {
 	case errors.Is(err, errNoJob):
-		fr.reads.shedding.answered(q.uid)
+		s.reads.shedding.reset(q.jobID)
 		q.respond(http1.Reply{Status: 404, Body: http1.ErrorBody("no such job")})
 	case err != nil:
 		q.respond(http1.Refuse("state unavailable"))
 	default:
-		if s.State == jobs.Live {
-			if wait := fr.acknowledgeAccepted(q.uid); wait > 0 {
-				fr.hold(wait, func() { fr.requestRead(q) })
+		if final.State == jobs.Live {
+			if wait := s.acknowledgeAccepted(q.jobID); wait > 0 {
+				s.holdAnswer(wait, func() { s.requestRead(q) })
 				return
 			}
 		}
-		fr.reads.shedding.answered(q.uid)
-		fr.answer(q.uid, 200, s, true, q.respond)
+		s.reads.shedding.reset(q.jobID)
+		s.answer(q.jobID, 200, final, true, q.respond)
 	}
 }
--- a/internal/api/front.go
+++ b/internal/api/front.go
@@ -55,67 +55,67 @@
 	*clusterstate.State
 	Env
 
-	finals    *jobs.FinalCache
-	readers   map[string]*readWaiters
-	queries   pendingQueries
-	reads     readBatcher
-	held      []heldAnswer
-	agedEpoch agedEpoch
-	runs      *pipelines.Keeper // nil unless pipelines are turned on
-	quotas    quotas
+	finals      *jobs.FinalCache
+	sharedReads map[string]*sharedRead
+	queries     pendingQueries
+	reads       readBatcher
+	held        []heldAnswer
+	agedEpoch   agedEpoch
+	runs        *pipelines.Keeper // nil unless pipelines are turned on
+	quotas      quotas
 }
 
 // New makes a front over a book.
-func New(b *clusterstate.State, env Env) *Server {
-	fr := &Server{
-		State:   b,
-		Env:     env,
-		finals:  jobs.NewFinalCache(env.Settings.Operator.FinalCache),
-		readers: map[string]*readWaiters{},
+func New(state *clusterstate.State, env Env) *Server {
+	s := &Server{
+		State:       state,
+		Env:         env,
+		finals:      jobs.NewFinalCache(env.Settings.Operator.FinalCache),
+		sharedReads: map[string]*sharedRead{},
 	}
-	fr.quotas.teams, fr.quotas.on = env.Settings.TeamMap(), env.Settings.Operator.Quotas != nil
-	fr.newRuns()
-	return fr
+	s.quotas.teams, s.quotas.on = env.Settings.TeamMap(), env.Settings.Operator.Quotas != nil
+	s.newRuns()
+	return s
 }
 
 // Prefixes are the live keys that it needs besides those of every node. Runs come
 // last: a run that names a job must not be met before the job.
-func (fr *Server) Prefixes() []string {
-	var out []string
-	if fr.quotas.on {
-		out = append(out, quota.StoreKey)
+func (s *Server) Prefixes() []string {
+	var prefixes []string
+	if s.quotas.on {
+		prefixes = append(prefixes, quota.StoreKey)
 	}
-	if fr.runs != nil {
-		out = append(out, pipelines.RunPrefix)
+	if s.runs != nil {
+		prefixes = append(prefixes, pipelines.RunPrefix)
 	}
-	return out
+	return prefixes
 }
 
 // Preconditions are the keys that every decision is conditional on because of it.
-func (fr *Server) Preconditions() []string {
-	if fr.quotas.on {
+func (s *Server) Preconditions() []string {
+	if s.quotas.on {
 		return []string{quota.StoreKey} // whoever decides by an older tree commits nothing
 	}
 	return nil
 }
 
 // ApplyFinal takes in a job's final state.
-func (fr *Server) ApplyFinal(jobID string, value json.RawMessage) {
-	var f jobs.Final
-	if json.Unmarshal(value, &f) == nil {
-		fr.finals.Put(jobID, f)
+func (s *Server) ApplyFinal(jobID string, value json.RawMessage) {
+	var final jobs.Final
+	if json.Unmarshal(value, &final) == nil {
+		s.finals.Put(jobID, final)
 	}
 }
 
 // ApplyRun takes in a run's record.
-func (fr *Server) ApplyRun(id string, value json.RawMessage) {
-	if fr.runs == nil {
+func (s *Server) ApplyRun(id string, value json.RawMessage) {
+	if s.runs == nil {
 		return
 	}
-	if err := fr.runs.Changed(id, value); err != nil {
-		fr.Log.Error("unreadable run set aside", "run", id, "error", err)
+	if err := s.runs.Changed(id, value); err != nil {
+		s.Log.Error("run record unreadable, quarantined", "run", id, "error", err)
 	}
 }
 
 // valueBytes is the most bytes that a record may have.
-func (fr *Server) valueBytes() int { return int(fr.Settings.Cluster.State.ValueKB * 1024) }
+func (s *Server) valueBytes() int { return int(s.Settings.Cluster.State.ValueKB * 1024) }
--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -18,20 +18,20 @@
 )
 
 // Request takes a request from the front door. respond is called exactly once.
-func (fr *Server) Request(m *http1.Message, respond func(http1.Reply)) {
+func (s *Server) Request(m *http1.Message, respond func(http1.Reply)) {
 	path, _, _ := strings.Cut(m.Target, "?")
 	switch {
 	case path == "/agent/beat":
-		if method(m, "POST", respond) {
-			fr.Heartbeat(m.Body, respond)
+		if requireMethod(m, "POST", respond) {
+			s.Heartbeat(m.Body, respond)
 		}
 	case path == "/up":
-		if method(m, "GET", respond) {
-			fr.up(respond)
+		if requireMethod(m, "GET", respond) {
+			s.answerHealth(respond)
 		}
 	case path == "/work":
-		if method(m, "POST", respond) {
-			fr.submit(m.Body, respond)
+		if requireMethod(m, "POST", respond) {
+			s.submit(m.Body, respond)
 		}
 	case strings.HasPrefix(path, "/work/"):
 		jobID, abort := strings.CutSuffix(path[len("/work/"):], "/abort")
@@ -40,18 +40,18 @@
 			return
 		}
 		if abort {
-			if method(m, "POST", respond) {
-				fr.abort(jobID, respond)
+			if requireMethod(m, "POST", respond) {
+				s.cancel(jobID, respond)
 			}
 			return
 		}
-		if method(m, "GET", respond) {
-			fr.query(jobID, respond)
+		if requireMethod(m, "GET", respond) {
+			s.query(jobID, respond)
 		}
 	case path == quotaPath:
-		fr.quotaRequest(m, respond)
+		s.quotaRequest(m, respond)
 	case isPipelines(path):
-		fr.pipelineRequest(m, path, respond)
+		s.pipelineRequest(m, path, respond)
 	default:
 		respond(http1.Reply{Status: 404, Body: http1.ErrorBody("no such path")})
 	}
@@ -64,7 +64,7 @@
 		isPipelines(m.Target)
 }
 
-func method(m *http1.Message, want string, respond func(http1.Reply)) bool {
+func requireMethod(m *http1.Message, want string, respond func(http1.Reply)) bool {
 	if m.Method != want {
 		respond(http1.Reply{Status: 405, Body: http1.ErrorBody("use " + want)})
 		return false
@@ -73,8 +73,8 @@
 }
 
 // up tells the load balancer whether to send users here.
-func (fr *Server) up(respond func(http1.Reply)) {
-	if !fr.Healthy() {
+func (s *Server) answerHealth(respond func(http1.Reply)) {
+	if !s.Healthy() {
 		respond(http1.Refuse("not ready"))
 		return
 	}
@@ -91,14 +91,14 @@
 
 // statusOf is the answer about a job. The counts are for display; those of a
 // live job come from memory.
-func (fr *Server) statusOf(jobID string, f jobs.Final, counts bool) []byte {
-	out := status{JobID: jobID, Status: string(f.State)}
-	done, on := f.DoneCount, 0
-	if f.State == jobs.Live {
-		if j := fr.Jobs[jobID]; j != nil {
-			done, on = j.DoneCount, j.PlacedCount
+func (s *Server) statusOf(jobID string, final jobs.Final, counts bool) []byte {
+	out := status{JobID: jobID, Status: string(final.State)}
+	done, on := final.DoneCount, 0
+	if final.State == jobs.Live {
+		if job := s.Jobs[jobID]; job != nil {
+			done, on = job.DoneCount, job.PlacedCount
 			if counts {
-				out.Late = fr.unmet(j)
+				out.Late = s.missedDeadline(job)
 			}
 		}
 		out.Status = "pending"
@@ -113,21 +113,21 @@
 }
 
 // unmet says why a job's deadline cannot be met any more, if it can't.
-func (fr *Server) unmet(j *clusterstate.Job) string {
-	if j.Record == nil || j.Record.Spec.DeadlineS == nil {
+func (s *Server) missedDeadline(job *clusterstate.Job) string {
+	if job.Record == nil || job.Record.Spec.DeadlineS == nil {
 		return ""
 	}
-	p := jobs.Progress{Retrying: len(j.Retrying), Done: j.DoneCount}
-	if !j.TasksUnreadable { // else tasks without a record that is known may have begun
-		p.NeverRun = j.Record.Spec.TaskCount - len(j.Tasks)
+	p := jobs.Progress{Retrying: len(job.Retrying), Done: job.DoneCount}
+	if !job.TasksUnreadable { // else tasks without a record that is known may have begun
+		p.NeverRun = job.Record.Spec.TaskCount - len(job.Tasks)
 	}
-	return j.Record.DeadlineMissed(p, fr.Now)
+	return job.Record.DeadlineMissed(p, s.Now)
 }
 
-// readWaiters is a read of one job's state that has not left yet; requests that
+// sharedRead is a read of one job's state that has not left yet; requests that
 // come before it leaves share it. One that has left may be older than what
 // another node has told the user since, so nobody joins it.
-type readWaiters struct {
+type sharedRead struct {
 	waiting []func(jobs.Final, error)
 }
 
@@ -135,43 +135,43 @@
 
 // read finds a job's state in the state service. Only final states are
 // answered from memory.
-func (fr *Server) read(jobID string, done func(jobs.Final, error)) {
-	if s, ok := fr.finals.Get(jobID); ok {
-		done(s, nil)
+func (s *Server) readJob(jobID string, done func(jobs.Final, error)) {
+	if final, ok := s.finals.Get(jobID); ok {
+		done(final, nil)
 		return
 	}
-	if fr.Client.Unavailable() {
+	if s.Client.Unavailable() {
 		done(jobs.Final{}, store.ErrUnavailable)
 		return
 	}
-	if r := fr.readers[jobID]; r != nil {
-		r.waiting = append(r.waiting, done)
+	if shared := s.sharedReads[jobID]; shared != nil {
+		shared.waiting = append(shared.waiting, done)
 		return
 	}
-	r := &readWaiters{waiting: []func(jobs.Final, error){done}}
-	fr.readers[jobID] = r
+	shared := &sharedRead{waiting: []func(jobs.Final, error){done}}
+	s.sharedReads[jobID] = shared
 	left := func() {
-		if fr.readers[jobID] == r {
-			delete(fr.readers, jobID)
+		if s.sharedReads[jobID] == shared {
+			delete(s.sharedReads, jobID)
 		}
 	}
-	finish := func(s jobs.Final, err error) {
+	finish := func(final jobs.Final, err error) {
 		left()
-		for _, w := range r.waiting {
-			w(s, err)
+		for _, done := range shared.waiting {
+			done(final, err)
 		}
 	}
-	fr.Client.Get(store.PriorityUser, jobs.JobPrefix+jobID, left, func(it *store.Item, err error) {
+	s.Client.Get(store.PriorityUser, jobs.JobPrefix+jobID, left, func(item *store.Item, err error) {
 		if err != nil {
 			finish(jobs.Final{}, err)
 			return
 		}
-		if it != nil {
-			fr.Mirror.Put(it.Key, it.Value, it.Revision)
-			if rec, derr := jobs.DecodeRecord(jobID, it.Value); derr == nil {
-				f := jobs.Final{State: rec.State, DoneCount: rec.DoneCount}
-				fr.finals.Put(jobID, f)
-				finish(f, nil)
+		if item != nil {
+			s.Mirror.Put(item.Key, item.Value, item.Revision)
+			if record, err := jobs.DecodeRecord(jobID, item.Value); err == nil {
+				final := jobs.Final{State: record.State, DoneCount: record.DoneCount}
+				s.finals.Put(jobID, final)
+				finish(final, nil)
 				return
 			}
 			// Accepted, but its record cannot be read. Its final state is written in
@@ -180,27 +180,27 @@
 		}
 		// A live record leaves only after the final one has come, so reading
 		// in this order misses neither.
-		accepted := it != nil
-		fr.Client.Get(store.PriorityUser, jobs.FinalPrefix+jobID, nil, func(it *store.Item, err error) {
+		accepted := item != nil
+		s.Client.Get(store.PriorityUser, jobs.FinalPrefix+jobID, nil, func(item *store.Item, err error) {
 			if err != nil {
 				finish(jobs.Final{}, err)
 				return
 			}
-			if it == nil && accepted {
+			if item == nil && accepted {
 				finish(jobs.Final{State: jobs.Live}, nil)
 				return
 			}
-			if it == nil {
+			if item == nil {
 				finish(jobs.Final{}, errNoJob)
 				return
 			}
-			var f jobs.Final
-			if jerr := json.Unmarshal(it.Value, &f); jerr != nil {
-				finish(jobs.Final{}, jerr)
+			var final jobs.Final
+			if err := json.Unmarshal(item.Value, &final); err != nil {
+				finish(jobs.Final{}, err)
 				return
 			}
-			fr.finals.Put(jobID, f)
-			finish(f, nil)
+			s.finals.Put(jobID, final)
+			finish(final, nil)
 		})
 	})
 }
@@ -212,47 +212,47 @@
 // its watch or the service is slow, must not have every user of this node sent away for
 // as long as that lasts: what is known of one job is then read by itself (asks).
 type pendingQueries struct {
-	waiting []pendingQuery // no epoch was asked for since they came
-	asked   []pendingQuery // an epoch is being read
-	rounds  []epochRound   // the mirror is to get to an epoch
-	asking  int            // the last reading of the epoch
-	out     bool           // it is under way
-	askedAt time.Time
-	lagging bool // the last round was not reached in time
+	waiting     []pendingQuery // no epoch was asked for since they came
+	reading     []pendingQuery // an epoch is being read
+	rounds      []epochRound   // the mirror is to get to an epoch
+	lastReading int            // the last reading of the epoch
+	inFlight    bool           // it is under way
+	readAt      time.Time
+	lagging     bool // the last round was not reached in time
 }
 
 type pendingQuery struct {
 	answer  func()
 	respond func(http1.Reply) // refuses it instead
 	at      time.Time
-	uid     string // of the job that it is about, none if it is about anything else
+	jobID   string // of the job that it is about, none if it is about anything else
 	read    bool   // that job is read by itself as well
-	asking  int    // the first reading of the epoch that serves it
+	reading int    // the first reading of the epoch that serves it
 }
 
 // epochRound is the polls that one reading of the epoch serves.
 type epochRound struct {
-	polls   []pendingQuery
+	queries []pendingQuery
 	epoch   uint64
 	reached bool // by the mirror
 }
 
-func (fr *Server) query(jobID string, respond func(http1.Reply)) {
-	if f, ok := fr.finals.Get(jobID); ok {
-		fr.answer(jobID, 200, f, true, respond)
+func (s *Server) query(jobID string, respond func(http1.Reply)) {
+	if final, ok := s.finals.Get(jobID); ok {
+		s.answer(jobID, 200, final, true, respond)
 		return
 	}
-	q := pendingQuery{respond: respond, at: fr.Now, uid: jobID}
-	q.answer = func() { fr.answerQuery(q) }
-	if fr.queries.lagging {
-		fr.readToo(&q)
+	q := pendingQuery{respond: respond, at: s.Now, jobID: jobID}
+	q.answer = func() { s.answerQuery(q) }
+	if s.queries.lagging {
+		s.readSeparately(&q)
 	}
-	fr.addQuery(q)
+	s.addQuery(q)
 }
 
-// readToo has the job of a poll read by itself as well: whichever comes first is the
+// readSeparately has the job of a poll read by itself as well: whichever comes first is the
 // answer.
-func (fr *Server) readToo(q *pendingQuery) {
+func (s *Server) readSeparately(q *pendingQuery) {
 	over, respond := false, q.respond
 	once := func(r http1.Reply) {
 		if !over {
@@ -262,8 +262,8 @@
 	}
 	q.read, q.respond = true, once
 	late := *q
-	q.answer = func() { fr.answerQuery(late) }
-	fr.requestRead(pendingRead{q.uid, func(r http1.Reply) {
+	q.answer = func() { s.answerQuery(late) }
+	s.requestRead(pendingRead{q.jobID, func(r http1.Reply) {
 		if r.Status != 503 { // then the poll still waits for the mirror
 			once(r)
 		}
@@ -272,66 +272,66 @@
 
 // afterEpoch has a question answered once the mirror has got to an epoch that
 // was read after it came; otherwise it is refused.
-func (fr *Server) afterEpoch(respond func(http1.Reply), answer func()) {
-	fr.addQuery(pendingQuery{answer: answer, respond: respond, at: fr.Now})
+func (s *Server) afterEpoch(respond func(http1.Reply), answer func()) {
+	s.addQuery(pendingQuery{answer: answer, respond: respond, at: s.Now})
 }
 
-func (fr *Server) addQuery(q pendingQuery) {
-	p := &fr.queries
-	if fr.Client.Unavailable() || !fr.MirrorLive() {
+func (s *Server) addQuery(q pendingQuery) {
+	p := &s.queries
+	if s.Client.Unavailable() || !s.MirrorLive() {
 		q.respond(http1.Refuse("state unavailable"))
 		return
 	}
 	// Whoever was sent away the last time finds room that others do not.
-	if most := tuning.MaxPendingQueries + min(
-		fr.reads.shedding.times(q.uid),
+	if limit := tuning.MaxPendingQueries + min(
+		s.reads.shedding.timesShed(q.jobID),
 		1,
 	)*tuning.MaxShedEntries; len(
 		p.waiting,
-	) >= most {
-		fr.shedLoad(q.uid, q.respond)
+	) >= limit {
+		s.shedLoad(q.jobID, q.respond)
 		return
 	}
 	p.waiting = append(p.waiting, q)
-	fr.ReconcileQueries()
+	s.ReconcileQueries()
 }
 
 // ReconcileQueries reads the epoch for the polls that wait, and deals with those that
 // have waited for too long.
-func (fr *Server) ReconcileQueries() {
-	p := &fr.queries
+func (s *Server) ReconcileQueries() {
+	p := &s.queries
 	rounds := p.rounds[:0]
 	for _, r := range p.rounds {
-		if r.polls = fr.overdue(r.polls); len(r.polls) > 0 {
+		if r.queries = s.handleOverdue(r.queries); len(r.queries) > 0 {
 			rounds = append(rounds, r)
 		}
 	}
 	p.rounds = rounds
-	p.waiting, p.asked = fr.overdue(p.waiting), fr.overdue(p.asked)
-	fr.AnswerQueries(time.Time{})
-	fr.reconcileReads()
-	fr.agedEpoch.pass(fr.Mirror.Epoch, fr.Now)
+	p.waiting, p.reading = s.handleOverdue(p.waiting), s.handleOverdue(p.reading)
+	s.AnswerQueries(time.Time{})
+	s.reconcileReads()
+	s.agedEpoch.advance(s.Mirror.Epoch, s.Now)
 	// One reading serves all who wait, so it must not stand behind calls that serve one
 	// user each: while the budget holds those back it is made less often, before them.
 	gap, level := tuning.QueryGap, store.PriorityPoll
-	if fr.Client.Waiting() > 0 {
+	if s.Client.Waiting() > 0 {
 		gap, level = tuning.QueryRetry, store.PriorityUrgent
 	}
-	since := fr.Now.Sub(p.askedAt)
-	if len(p.waiting)+len(p.asked) == 0 && !p.unproven() || since < gap || p.out && since < tuning.QueryRetry {
+	since := s.Now.Sub(p.readAt)
+	if len(p.waiting)+len(p.reading) == 0 && !p.awaitsProof() || since < gap || p.inFlight && since < tuning.QueryRetry {
 		return
 	}
-	p.asking++
-	p.out, p.askedAt = true, fr.Now
+	p.lastReading++
+	p.inFlight, p.readAt = true, s.Now
 	for i := range p.waiting {
-		p.waiting[i].asking = p.asking
+		p.waiting[i].reading = p.lastReading
 	}
-	p.asked, p.waiting = append(p.asked, p.waiting...), nil
-	asking, left := p.asking, fr.Now
-	fr.Client.ReadEpoch(level, func(epoch uint64, err error) {
-		last := asking == p.asking
+	p.reading, p.waiting = append(p.reading, p.waiting...), nil
+	reading, left := p.lastReading, s.Now
+	s.Client.ReadEpoch(level, func(epoch uint64, err error) {
+		last := reading == p.lastReading
 		if last {
-			p.out = false
+			p.inFlight = false
 		}
 		if err != nil && !last {
 			return // a later reading is under way
@@ -339,58 +339,58 @@
 		// A reading serves all that came before it, also where a later one was begun
 		// because it took long: else none would ever serve while all take long.
 		n := 0
-		for n < len(p.asked) && p.asked[n].asking <= asking {
+		for n < len(p.reading) && p.reading[n].reading <= reading {
 			n++
 		}
-		asked := p.asked[:n:n]
-		p.asked = p.asked[n:]
+		served := p.reading[:n:n]
+		p.reading = p.reading[n:]
 		if err != nil {
-			fr.refuseQueries(asked)
+			s.refuseQueries(served)
 			return
 		}
-		if len(asked) > 0 {
-			p.rounds = append(p.rounds, epochRound{polls: asked, epoch: epoch})
+		if len(served) > 0 {
+			p.rounds = append(p.rounds, epochRound{queries: served, epoch: epoch})
 		}
-		if epoch > fr.Mirror.Epoch {
+		if epoch > s.Mirror.Epoch {
 			left = time.Time{} // it proves nothing of the mirror
 		}
-		fr.AnswerQueries(left)
+		s.AnswerQueries(left)
 		if len(p.rounds) > 0 {
-			fr.WatchNow()
+			s.WatchNow()
 		}
 	})
 }
 
 // overdue has the jobs read by themselves for whom the mirror is late, refuses what has
 // waited for too long, and gives back the rest.
-func (fr *Server) overdue(ps []pendingQuery) []pendingQuery {
-	if len(ps) == 0 || fr.Now.Sub(ps[0].at) <= tuning.QueryReadAfter {
-		return ps
+func (s *Server) handleOverdue(queries []pendingQuery) []pendingQuery {
+	if len(queries) == 0 || s.Now.Sub(queries[0].at) <= tuning.QueryReadAfter {
+		return queries
 	}
 	var left []pendingQuery
-	for _, q := range ps {
-		waited := fr.Now.Sub(q.at)
+	for _, q := range queries {
+		waited := s.Now.Sub(q.at)
 		if waited > tuning.QueryTimeout {
 			q.respond(http1.Refuse("state unavailable"))
 			continue
 		}
-		if q.uid != "" && !q.read && waited > tuning.QueryReadAfter {
-			fr.queries.lagging = true
-			fr.readToo(&q)
+		if q.jobID != "" && !q.read && waited > tuning.QueryReadAfter {
+			s.queries.lagging = true
+			s.readSeparately(&q)
 		}
 		left = append(left, q)
 	}
 	return left
 }
 
-func (fr *Server) refuseQueries(ps []pendingQuery) {
-	for _, p := range ps {
-		p.respond(http1.Refuse("state unavailable"))
+func (s *Server) refuseQueries(queries []pendingQuery) {
+	for _, query := range queries {
+		query.respond(http1.Refuse("state unavailable"))
 	}
 }
 
 // unproven tells whether polls wait only for proof that the mirror is new.
-func (p *pendingQueries) unproven() bool {
+func (p *pendingQueries) awaitsProof() bool {
 	return len(p.rounds) > 0 && slices.ContainsFunc(p.rounds, func(r epochRound) bool { return r.reached })
 }
 
@@ -399,163 +399,163 @@
 // ended since, and the user been told by another controller, so an answer about one job
 // waits until the mirror is known to be no older than ReadFresh. Where that takes long,
 // what the other controllers pass on has to do.
-func (fr *Server) AnswerQueries(shown time.Time) {
-	p := &fr.queries
-	fresh := !shown.IsZero() && fr.Now.Sub(shown) <= tuning.ReadFresh
+func (s *Server) AnswerQueries(shown time.Time) {
+	p := &s.queries
+	fresh := !shown.IsZero() && s.Now.Sub(shown) <= tuning.ReadFresh
 	rounds := p.rounds
 	p.rounds = nil
 	var rest []epochRound
 	for _, r := range rounds {
-		if r.epoch > fr.Mirror.Epoch {
+		if r.epoch > s.Mirror.Epoch {
 			rest = append(rest, r)
 			continue
 		}
 		r.reached, p.lagging = true, false
-		var wait []pendingQuery
-		for _, q := range r.polls {
-			if q.uid == "" || fresh || fr.unprovenDo(&q) {
+		var unproven []pendingQuery
+		for _, q := range r.queries {
+			if q.jobID == "" || fresh || s.acceptsUnproven(&q) {
 				q.answer()
 			} else {
-				wait = append(wait, q)
+				unproven = append(unproven, q)
 			}
 		}
-		if r.polls = wait; len(wait) > 0 {
+		if r.queries = unproven; len(unproven) > 0 {
 			rest = append(rest, r)
 		}
 	}
 	p.rounds = append(rest, p.rounds...)
 }
 
-// unprovenDo tells whether a poll has waited so long that a mirror which is not known to be
+// acceptsUnproven tells whether a poll has waited so long that a mirror which is not known to be
 // new enough has to do. It never does while a member is not heard: what that one tells may be
 // lost on its way. Then the job is read by itself, or the user sent away.
-func (fr *Server) unprovenDo(q *pendingQuery) bool {
-	if fr.Now.Sub(q.at) < tuning.QueryUnprovenAfter {
+func (s *Server) acceptsUnproven(q *pendingQuery) bool {
+	if s.Now.Sub(q.at) < tuning.QueryUnprovenAfter {
 		return false
 	}
-	if fr.HearsAllMembers() {
+	if s.HearsAllMembers() {
 		return true
 	}
 	if !q.read {
-		fr.readToo(q)
+		s.readSeparately(q)
 	}
 	return false
 }
 
-func (fr *Server) answerQuery(q pendingQuery) {
-	j := fr.Jobs[q.uid]
-	if j == nil || j.Record == nil {
+func (s *Server) answerQuery(q pendingQuery) {
+	job := s.Jobs[q.jobID]
+	if job == nil || job.Record == nil {
 		// Unknown here, so it has ended or was never accepted.
-		fr.requestRead(pendingRead{q.uid, q.respond, fr.Now})
+		s.requestRead(pendingRead{q.jobID, q.respond, s.Now})
 		return
 	}
-	f := jobs.Final{State: j.Record.State, DoneCount: j.Record.DoneCount}
-	if f.State == jobs.Live && fr.acknowledgeAccepted(q.uid) > 0 {
-		q.answer = func() { fr.answerQuery(q) }
-		fr.addQuery(q) // it waits for the next reading of the epoch
+	final := jobs.Final{State: job.Record.State, DoneCount: job.Record.DoneCount}
+	if final.State == jobs.Live && s.acknowledgeAccepted(q.jobID) > 0 {
+		q.answer = func() { s.answerQuery(q) }
+		s.addQuery(q) // it waits for the next reading of the epoch
 		return
 	}
-	fr.reads.shedding.answered(q.uid)
-	fr.answer(q.uid, 200, f, true, q.respond)
+	s.reads.shedding.reset(q.jobID)
+	s.answer(q.jobID, 200, final, true, q.respond)
 }
 
-func (fr *Server) submit(body []byte, respond func(http1.Reply)) {
+func (s *Server) submit(body []byte, respond func(http1.Reply)) {
 	spec, err := jobs.ParseSpec(body)
 	if err != nil {
 		respond(http1.Reply{Status: 400, Body: http1.ErrorBody(err.Error())})
 		return
 	}
-	known := func(s jobs.Final) {
-		fr.answer(spec.ID, 200, s, false, respond)
+	known := func(final jobs.Final) {
+		s.answer(spec.ID, 200, final, false, respond)
 	}
-	if s, ok := fr.finals.Get(spec.ID); ok {
-		known(s)
+	if final, ok := s.finals.Get(spec.ID); ok {
+		known(final)
 		return
 	}
-	if !fr.MayDecide() {
+	if !s.MayDecide() {
 		respond(http1.Refuse("not able to accept"))
 		return
 	}
 	// A job that is known already is answered by a read, as a question about it is; only
 	// an unknown one is judged, since what made it acceptable may have changed since.
-	if fr.Jobs[spec.ID] != nil {
-		fr.requestRead(pendingRead{spec.ID, respond, fr.Now})
+	if s.Jobs[spec.ID] != nil {
+		s.requestRead(pendingRead{spec.ID, respond, s.Now})
 		return
 	}
-	if len(fr.MachineTypes) == 0 {
+	if len(s.MachineTypes) == 0 {
 		respond(http1.Refuse("machine types not known yet"))
 		return
 	}
-	if why := jobs.CanEverRun(spec, fr.Account.Tree(), fr.MachineTypes); why != "" {
-		fr.current(spec.ID, func(s jobs.Final, err error) {
+	if reason := jobs.CanEverRun(spec, s.Account.Tree(), s.MachineTypes); reason != "" {
+		s.readCurrent(spec.ID, func(final jobs.Final, err error) {
 			switch {
 			case err == nil:
-				known(s)
+				known(final)
 			case errors.Is(err, errNoJob):
-				respond(http1.Reply{Status: 422, Body: http1.ErrorBody(why)})
+				respond(http1.Reply{Status: 422, Body: http1.ErrorBody(reason)})
 			default:
 				respond(http1.Refuse("state unavailable"))
 			}
 		})
 		return
 	}
-	fr.accept(spec, tuning.AcceptAttempts, known, respond)
+	s.accept(spec, tuning.AcceptAttempts, known, respond)
 }
 
 // acceptance is the record of a job as accepted, a user's or a step's of a run.
 // It is conditional on its own key and on the one that it returns being absent.
-func (fr *Server) acceptance(spec *jobs.Spec) (w store.Write, absent string) {
+func (s *Server) acceptanceWrite(spec *jobs.Spec) (write store.Write, absent string) {
 	return decide.Put(
 		jobs.JobPrefix+spec.ID,
-		jobs.Record{State: jobs.Live, AcceptedMs: fr.NowMs(), Spec: *spec},
+		jobs.Record{State: jobs.Live, AcceptedMs: s.NowMs(), Spec: *spec},
 	), jobs.FinalPrefix + spec.ID
 }
 
 // tooLong tells whether a job's record does not fit into a value with what its end adds
 // to it: it could never end.
-func (fr *Server) tooLong(w store.Write) bool {
-	return len(w.Value)+jobs.CompletionBytes > fr.valueBytes()
+func (s *Server) exceedsValueLimit(write store.Write) bool {
+	return len(write.Value)+jobs.CompletionBytes > s.valueBytes()
 }
 
 // accept commits a job's record. Where only the view had changed meanwhile, it is tried
 // again once the mirror shows the new one: a controller that comes or goes is no reason
 // to send users away.
-func (fr *Server) accept(spec *jobs.Spec, tries int, known func(jobs.Final), respond func(http1.Reply)) {
-	w, final := fr.acceptance(spec)
-	if fr.tooLong(w) {
+func (s *Server) accept(spec *jobs.Spec, attempts int, known func(jobs.Final), respond func(http1.Reply)) {
+	write, finalKey := s.acceptanceWrite(spec)
+	if s.exceedsValueLimit(write) {
 		respond(http1.Reply{Status: 400, Body: http1.ErrorBody("description too long")})
 		return
 	}
-	t := store.Txn{
+	txn := store.Txn{
 		Preconditions: []store.Precondition{
-			{Key: members.ViewKey, Revision: fr.Mirror.Revision(members.ViewKey)},
+			{Key: members.ViewKey, Revision: s.Mirror.Revision(members.ViewKey)},
 			{Key: jobs.JobPrefix + spec.ID, Revision: 0},
-			{Key: final, Revision: 0},
+			{Key: finalKey, Revision: 0},
 		},
-		Writes: []store.Write{w},
+		Writes: []store.Write{write},
 	}
-	left := fr.Now
-	fr.Client.Commit(store.PriorityUser, t, func(epoch uint64, failed []string, err error) {
+	left := s.Now
+	s.Client.Commit(store.PriorityUser, txn, func(epoch uint64, failed []string, err error) {
 		switch {
 		case err == nil:
-			fr.Mirror.ApplyCommit(t.Writes, epoch)
-			fr.accepted(spec.ID, left, respond)
+			s.Mirror.ApplyCommit(txn.Writes, epoch)
+			s.accepted(spec.ID, left, respond)
 		case errors.Is(err, store.ErrConflict):
-			fr.read(spec.ID, func(s jobs.Final, err error) {
+			s.readJob(spec.ID, func(final jobs.Final, err error) {
 				switch {
-				case err == nil && s.State == jobs.Live: // by a read that may have been slow
-					fr.requestRead(pendingRead{spec.ID, respond, fr.Now})
+				case err == nil && final.State == jobs.Live: // by a read that may have been slow
+					s.requestRead(pendingRead{spec.ID, respond, s.Now})
 				case err == nil:
-					known(s)
-				case !errors.Is(err, errNoJob) || tries <= 1:
+					known(final)
+				case !errors.Is(err, errNoJob) || attempts <= 1:
 					respond(http1.Refuse("try again"))
 				default:
-					fr.afterEpoch(respond, func() {
-						if !fr.MayDecide() {
+					s.afterEpoch(respond, func() {
+						if !s.MayDecide() {
 							respond(http1.Refuse("not able to accept"))
 							return
 						}
-						fr.accept(spec, tries-1, known, respond)
+						s.accept(spec, attempts-1, known, respond)
 					})
 				}
 			})
@@ -569,40 +569,40 @@
 // accepted answers a submission whose job was accepted by a transaction that left then.
 // Where its answer came late, and what the others have told since may have been lost on its
 // way, the job may be over: that is looked up, if it can be.
-func (fr *Server) accepted(jobID string, left time.Time, respond func(http1.Reply)) {
+func (s *Server) accepted(jobID string, left time.Time, respond func(http1.Reply)) {
 	live := jobs.Final{State: jobs.Live}
-	if fr.Now.Sub(left) <= tuning.ReadFresh || fr.HearsAllMembers() {
-		fr.answer(jobID, 201, live, false, respond)
+	if s.Now.Sub(left) <= tuning.ReadFresh || s.HearsAllMembers() {
+		s.answer(jobID, 201, live, false, respond)
 		return
 	}
-	fr.current(jobID, func(f jobs.Final, err error) {
+	s.readCurrent(jobID, func(final jobs.Final, err error) {
 		if err != nil {
-			f = live
+			final = live
 		}
-		fr.answer(jobID, 201, f, false, respond)
+		s.answer(jobID, 201, final, false, respond)
 	})
 }
 
 // find tells a job's state for a decision that is conditional on the job's
 // record and therefore may start from a copy that is behind.
-func (fr *Server) find(jobID string, done func(jobs.Final, error)) {
-	if j := fr.Jobs[jobID]; j != nil && j.Record != nil && j.Record.State == jobs.Live {
+func (s *Server) findJob(jobID string, done func(jobs.Final, error)) {
+	if job := s.Jobs[jobID]; job != nil && job.Record != nil && job.Record.State == jobs.Live {
 		done(jobs.Final{State: jobs.Live}, nil)
 		return
 	}
-	fr.current(jobID, done)
+	s.readCurrent(jobID, done)
 }
 
-func (fr *Server) abort(jobID string, respond func(http1.Reply)) {
-	if s, ok := fr.finals.Get(jobID); ok {
-		fr.answer(jobID, 200, s, false, respond)
+func (s *Server) cancel(jobID string, respond func(http1.Reply)) {
+	if final, ok := s.finals.Get(jobID); ok {
+		s.answer(jobID, 200, final, false, respond)
 		return
 	}
-	if !fr.MayDecide() {
+	if !s.MayDecide() {
 		respond(http1.Refuse("not able to cancel"))
 		return
 	}
-	fr.find(jobID, func(s jobs.Final, err error) {
+	s.findJob(jobID, func(final jobs.Final, err error) {
 		switch {
 		case errors.Is(err, errNoJob):
 			respond(http1.Reply{Status: 404, Body: http1.ErrorBody("no such job")})
@@ -611,43 +611,43 @@
 			respond(http1.Refuse("state unavailable"))
 			return
 		}
-		j := fr.Jobs[jobID]
-		next, ok := jobs.NextJob(s.State, jobs.UserCancels)
+		job := s.Jobs[jobID]
+		next, ok := jobs.NextJob(final.State, jobs.UserCancels)
 		if !ok {
-			fr.answer(jobID, 200, s, false, respond)
+			s.answer(jobID, 200, final, false, respond)
 			return
 		}
-		if j == nil || j.Record == nil {
+		if job == nil || job.Record == nil {
 			respond(http1.Refuse("try again"))
 			return
 		}
-		fr.Close(j, next, store.PriorityUser, func(ok bool) {
+		s.Close(job, next, store.PriorityUser, func(ok bool) {
 			if !ok {
 				respond(http1.Refuse("try again"))
 				return
 			}
-			fr.answer(jobID, 200, jobs.Final{State: next}, false, respond)
+			s.answer(jobID, 200, jobs.Final{State: next}, false, respond)
 		})
 	})
 }
 
 // Close commits a job's final state, for its tasks to act on and for users to
 // read for ever.
-func (fr *Server) Close(j *clusterstate.Job, state jobs.JobState, p store.Priority, done func(bool)) {
-	key, final := jobs.JobPrefix+j.ID, jobs.FinalPrefix+j.ID
-	t := store.Txn{
+func (s *Server) Close(job *clusterstate.Job, state jobs.JobState, priority store.Priority, done func(bool)) {
+	key, finalKey := jobs.JobPrefix+job.ID, jobs.FinalPrefix+job.ID
+	txn := store.Txn{
 		Preconditions: []store.Precondition{
-			{Key: members.ViewKey, Revision: fr.Mirror.Revision(members.ViewKey)},
-			{Key: key, Revision: fr.Mirror.Revision(key)},
-			{Key: final, Revision: 0},
+			{Key: members.ViewKey, Revision: s.Mirror.Revision(members.ViewKey)},
+			{Key: key, Revision: s.Mirror.Revision(key)},
+			{Key: finalKey, Revision: 0},
 		},
-		Writes: completion.FinalWrites(j, state, fr.NowMs()),
+		Writes: completion.FinalWrites(job, state, s.NowMs()),
 	}
-	fr.Client.Commit(p, t, func(epoch uint64, _ []string, err error) {
+	s.Client.Commit(priority, txn, func(epoch uint64, _ []string, err error) {
 		if err == nil {
-			fr.Mirror.ApplyCommit(t.Writes, epoch)
+			s.Mirror.ApplyCommit(txn.Writes, epoch)
 		}
-		fr.Wake()
+		s.Wake()
 		done(err == nil)
 	})
 }
--- a/internal/api/quotas.go
+++ b/internal/api/quotas.go
@@ -26,131 +26,131 @@
 
 // ApplyQuota takes a tree in. One that can't be read, or that doesn't fit the
 // platform's teams, is told and the old one kept as a whole.
-func (fr *Server) ApplyQuota(value json.RawMessage) {
+func (s *Server) ApplyQuota(value json.RawMessage) {
 	if value == nil {
 		return
 	}
-	s, err := quota.Decode(value)
+	stored, err := quota.Decode(value)
 	if err != nil {
-		fr.Log.Error("unreadable quotas set aside, the tree in force is kept", "error", err)
+		s.Log.Error("quota tree unreadable, kept the tree in force", "error", err)
 		return
 	}
-	tree, faults := quota.Build(&s.Doc, fr.quotas.teams, fr.Settings.Classes())
-	for _, f := range faults {
-		fr.Log.Error("quotas do not fit, the tree in force is kept", "fault", f)
+	tree, faults := quota.Build(&stored.Doc, s.quotas.teams, s.Settings.Classes())
+	for _, fault := range faults {
+		s.Log.Error("quota tree does not fit the teams, kept the tree in force", "reason", fault)
 	}
 	if len(faults) > 0 {
 		return
 	}
-	fr.quotas.stored = s
-	fr.Account.Rebase(tree)
-	fr.Log.Info("quotas in force", "number", s.Number, "nodes", len(tree.Paths()))
+	s.quotas.stored = stored
+	s.Account.Rebase(tree)
+	s.Log.Info("quota tree in force", "number", stored.Number, "nodes", len(tree.Paths()))
 }
 
 // ReconcileQuota keeps the tree: the first leader writes the operators' file, and what
 // is over a limit after a change is stopped once its grace is over.
-func (fr *Server) ReconcileQuota() {
-	q := &fr.quotas
-	if !q.on {
+func (s *Server) ReconcileQuota() {
+	quotas := &s.quotas
+	if !quotas.on {
 		return
 	}
-	if fr.Mirror.Revision(quota.StoreKey) == 0 {
-		if !fr.Busy(quota.StoreKey) {
-			fr.Commit(
+	if s.Mirror.Revision(quota.StoreKey) == 0 {
+		if !s.Busy(quota.StoreKey) {
+			s.Commit(
 				[]decide.Decision{
 					{
 						Urgent: true,
-						Writes: []store.Write{decide.Put(quota.StoreKey, quota.NewStored(1, fr.NowMs(), *fr.Settings.Operator.Quotas))},
+						Writes: []store.Write{decide.Put(quota.StoreKey, quota.NewStored(1, s.NowMs(), *s.Settings.Operator.Quotas))},
 					},
 				},
 			)
 		}
 		return
 	}
-	if q.stored == nil || fr.Now.Sub(q.checkAt) < tuning.ReclaimEvery ||
-		float64(fr.NowMs()-q.stored.AtMs) < q.stored.Doc.Grace()*1000 {
+	if quotas.stored == nil || s.Now.Sub(quotas.checkAt) < tuning.ReclaimEvery ||
+		float64(s.NowMs()-quotas.stored.AtMs) < quotas.stored.Doc.Grace()*1000 {
 		return
 	}
-	q.checkAt = fr.Now
-	var ds []decide.Decision
-	for _, s := range quotareclaim.Plan(fr.State, fr.Account, tuning.MaxReclaimStops) {
-		why := "quota of " + s.Path + " was lowered"
-		next, ok := jobs.Withdraw(s.Task.Task, why)
-		if !ok || fr.Busy(s.Task.Stored.Key) {
+	quotas.checkAt = s.Now
+	var decisions []decide.Decision
+	for _, stop := range quotareclaim.Plan(s.State, s.Account, tuning.MaxReclaimStops) {
+		reason := "quota of " + stop.Path + " was lowered"
+		next, ok := jobs.Withdraw(stop.Task.Task, reason)
+		if !ok || s.Busy(stop.Task.Stored.Key) {
 			continue
 		}
-		taskID := s.Task.ID
-		ds = append(ds, decide.Decision{Changes: decide.TransitionTask(s.Task, next), OnSettled: func(ok bool) {
+		taskID := stop.Task.ID
+		decisions = append(decisions, decide.Decision{Changes: decide.TransitionTask(stop.Task, next), OnSettled: func(ok bool) {
 			if ok {
-				fr.Log.Info("stops", "task", taskID, "why", why)
+				s.Log.Info("task stopped for its quota", "task_id", taskID, "reason", reason)
 			}
 		}})
 	}
-	fr.Commit(ds)
+	s.Commit(decisions)
 }
 
 // QuotaSettled tells whether the tree is known that the next decisions go by.
-func (fr *Server) QuotaSettled() bool {
-	return !fr.quotas.on || fr.Mirror.Revision(quota.StoreKey) != 0
+func (s *Server) QuotaSettled() bool {
+	return !s.quotas.on || s.Mirror.Revision(quota.StoreKey) != 0
 }
 
 const quotaPath = "/quota"
 
 // quotaRequest shows the tree or takes another one.
-func (fr *Server) quotaRequest(m *http1.Message, respond func(http1.Reply)) {
+func (s *Server) quotaRequest(m *http1.Message, respond func(http1.Reply)) {
 	switch {
-	case !fr.quotas.on:
+	case !s.quotas.on:
 		respond(http1.Reply{Status: 404, Body: http1.ErrorBody("no such path")})
 	case m.Method == "GET":
-		fr.afterEpoch(respond, func() {
-			respond(http1.Reply{Status: 200, Body: quota.EncodeTree(fr.quotaNumber(), fr.Account.Show(fr.waitingByLeaf()))})
+		s.afterEpoch(respond, func() {
+			respond(http1.Reply{Status: 200, Body: quota.EncodeTree(s.quotaNumber(), s.Account.Show(s.waitingByLeaf()))})
 		})
-	case method(m, "POST", respond):
-		fr.applyQuota(m.Body, respond)
+	case requireMethod(m, "POST", respond):
+		s.applyQuota(m.Body, respond)
 	}
 }
 
-func (fr *Server) quotaNumber() int {
-	if fr.quotas.stored == nil {
+func (s *Server) quotaNumber() int {
+	if s.quotas.stored == nil {
 		return 0
 	}
-	return fr.quotas.stored.Number
+	return s.quotas.stored.Number
 }
 
 // waitingByLeaf counts the tasks that wait.
-func (fr *Server) waitingByLeaf() map[int]int {
-	out := map[int]int{}
-	for _, j := range fr.Queued {
-		out[fr.QuotaLeaf(&j.Record.Spec)] += j.Record.Spec.TaskCount - j.DoneCount - len(j.Active)
+func (s *Server) waitingByLeaf() map[int]int {
+	counts := map[int]int{}
+	for _, j := range s.Queued {
+		counts[s.QuotaLeaf(&j.Record.Spec)] += j.Record.Spec.TaskCount - j.DoneCount - len(j.Active)
 	}
-	return out
+	return counts
 }
 
 // applyQuota puts another tree in force, or says what it would mean. The same
 // document sent again, because the answer was lost, is answered as the first time.
-func (fr *Server) applyQuota(body []byte, respond func(http1.Reply)) {
-	a, tree, refusal := quota.ParseApply(body, fr.quotas.teams, fr.Settings.Classes())
+func (s *Server) applyQuota(body []byte, respond func(http1.Reply)) {
+	request, tree, refusal := quota.ParseApply(body, s.quotas.teams, s.Settings.Classes())
 	if refusal != nil {
 		respond(http1.Reply{Status: 400, Body: jobs.Encode(refusal)})
 		return
 	}
-	if !fr.MayDecide() || fr.quotas.stored == nil {
+	if !s.MayDecide() || s.quotas.stored == nil {
 		respond(http1.Refuse("not able to decide"))
 		return
 	}
-	if a.DryRun {
-		account := fr.Account.On(tree)
-		out := quota.Preview{Number: fr.quotaNumber(), Over: account.Excesses()}
-		for _, s := range quotareclaim.Plan(fr.State, account, tuning.MaxFaults) {
-			out.Stops = append(out.Stops, quota.PreviewStop{Task: s.Task.ID, Path: s.Path})
+	if request.DryRun {
+		account := s.Account.On(tree)
+		preview := quota.Preview{Number: s.quotaNumber(), Over: account.Excesses()}
+		for _, stop := range quotareclaim.Plan(s.State, account, tuning.MaxFaults) {
+			preview.Stops = append(preview.Stops, quota.PreviewStop{Task: stop.Task.ID, Path: stop.Path})
 		}
-		respond(http1.Reply{Status: 200, Body: jobs.Encode(out)})
+		respond(http1.Reply{Status: 200, Body: jobs.Encode(preview)})
 		return
 	}
-	fr.afterEpoch(respond, func() {
-		stored := fr.quotas.stored
-		same := string(jobs.Encode(stored.Doc)) == string(jobs.Encode(a.Quotas))
-		if same || a.Base != stored.Number {
+	s.afterEpoch(respond, func() {
+		stored := s.quotas.stored
+		same := string(jobs.Encode(stored.Doc)) == string(jobs.Encode(request.Quotas))
+		if same || request.Base != stored.Number {
 			status := 409
 			if same {
 				status = 200
@@ -158,23 +158,23 @@
 			respond(http1.Reply{Status: status, Body: jobs.Encode(quota.Preview{Number: stored.Number})})
 			return
 		}
-		w := decide.Put(quota.StoreKey, quota.NewStored(stored.Number+1, fr.NowMs(), a.Quotas))
-		if len(w.Value) > fr.valueBytes() {
+		write := decide.Put(quota.StoreKey, quota.NewStored(stored.Number+1, s.NowMs(), request.Quotas))
+		if len(write.Value) > s.valueBytes() {
 			respond(http1.Reply{Status: 413, Body: http1.ErrorBody("the tree does not fit into one value of the state service")})
 			return
 		}
-		t := store.Txn{
+		txn := store.Txn{
 			Preconditions: []store.Precondition{
-				{Key: members.ViewKey, Revision: fr.Mirror.Revision(members.ViewKey)},
-				{Key: quota.StoreKey, Revision: fr.Mirror.Revision(quota.StoreKey)},
+				{Key: members.ViewKey, Revision: s.Mirror.Revision(members.ViewKey)},
+				{Key: quota.StoreKey, Revision: s.Mirror.Revision(quota.StoreKey)},
 			},
-			Writes: []store.Write{w},
+			Writes: []store.Write{write},
 		}
-		fr.Client.Commit(store.PriorityUser, t, func(epoch uint64, _ []string, err error) {
+		s.Client.Commit(store.PriorityUser, txn, func(epoch uint64, _ []string, err error) {
 			switch {
 			case err == nil:
-				fr.Mirror.ApplyCommit(t.Writes, epoch)
-				respond(http1.Reply{Status: 200, Body: jobs.Encode(quota.Preview{Number: fr.quotaNumber()})})
+				s.Mirror.ApplyCommit(txn.Writes, epoch)
+				respond(http1.Reply{Status: 200, Body: jobs.Encode(quota.Preview{Number: s.quotaNumber()})})
 			case errors.Is(err, store.ErrConflict):
 				respond(http1.Refuse("another change came first; try again"))
 			default:
--- a/internal/api/runs.go
+++ b/internal/api/runs.go
@@ -18,151 +18,151 @@
 )
 
 // newRuns makes the keeper of runs, nil unless the operators turned them on.
-func (fr *Server) newRuns() {
-	if p := fr.Settings.Operator.Pipelines; p != nil {
-		fr.runs = pipelines.NewKeeper(pipelines.Limits{
-			Runs: p.MaxRuns, Steps: p.MaxSteps, ValueBytes: fr.valueBytes(), TxnOps: fr.Settings.Cluster.State.TxnOps,
+func (s *Server) newRuns() {
+	if p := s.Settings.Operator.Pipelines; p != nil {
+		s.runs = pipelines.NewKeeper(pipelines.Limits{
+			Runs: p.MaxRuns, Steps: p.MaxSteps, ValueBytes: s.valueBytes(), TxnOps: s.Settings.Cluster.State.TxnOps,
 		})
 	}
 }
 
 // RunBudget gives the runs their share of this node's changes.
-func (fr *Server) RunBudget() {
-	if fr.runs == nil {
+func (s *Server) RunBudget() {
+	if s.runs == nil {
 		return
 	}
-	fr.runs.OwnersChanged()
-	size := fr.Settings.Cluster.Size
-	if !fr.OutsideView() {
-		size = len(fr.Members())
+	s.runs.OwnersChanged()
+	size := s.Settings.Cluster.Size
+	if !s.OutsideView() {
+		size = len(s.Members())
 	}
-	fr.runs.SetRate(
-		fr.Now,
-		fr.Settings.Cluster.State.WriteRPS*tuning.StateBudget*fr.Settings.Operator.Pipelines.ChangesShare/float64(
+	s.runs.SetRate(
+		s.Now,
+		s.Settings.Cluster.State.WriteRPS*tuning.StateBudget*s.Settings.Operator.Pipelines.ChangesShare/float64(
 			max(size, 1),
 		),
 	)
 }
 
 // RunJobChanged tells the runs that something became known of a job.
-func (fr *Server) RunJobChanged(jobID string) {
-	if fr.runs != nil {
-		fr.runs.JobChanged(jobID)
+func (s *Server) RunJobChanged(jobID string) {
+	if s.runs != nil {
+		s.runs.JobChanged(jobID)
 	}
 }
 
 // ReconcileRuns moves the runs that this node owns. It comes last: what rules hang on
 // has had its share of the changes.
-func (fr *Server) ReconcileRuns() {
-	if fr.runs == nil || fr.OutsideView() || fr.Client.Unavailable() || fr.Fencing() {
+func (s *Server) ReconcileRuns() {
+	if s.runs == nil || s.OutsideView() || s.Client.Unavailable() || s.Fencing() {
 		return
 	}
-	names := fr.Members()
-	owned := func(id string) bool { return sharding.Owner(id, names) == fr.Settings.NodeName }
-	busy := func(id string) bool { return fr.Busy(pipelines.RunPrefix + id) }
-	room := func(ops int) bool { return fr.Client.Allows(0, ops) }
-	changes, ask := fr.runs.Pass(fr.Now, fr.NowMs(), owned, busy, room, runResources{fr})
-	for _, jobID := range ask {
-		fr.read(jobID, func(_ jobs.Final, err error) {
+	names := s.Members()
+	owned := func(id string) bool { return sharding.Owner(id, names) == s.Settings.NodeName }
+	busy := func(id string) bool { return s.Busy(pipelines.RunPrefix + id) }
+	room := func(ops int) bool { return s.Client.Allows(0, ops) }
+	changes, missing := s.runs.Pass(s.Now, s.NowMs(), owned, busy, room, runResources{s})
+	for _, jobID := range missing {
+		s.readJob(jobID, func(_ jobs.Final, err error) {
 			if errors.Is(err, errNoJob) {
-				fr.runs.JobMissing(jobID)
+				s.runs.JobMissing(jobID)
 			} else {
-				fr.runs.JobChanged(jobID)
+				s.runs.JobChanged(jobID)
 			}
-			fr.Wake()
+			s.Wake()
 		})
 	}
-	var ds []decide.Decision
+	var decisions []decide.Decision
 	for i := range changes {
-		ds = append(ds, fr.runDecision(&changes[i], nil))
+		decisions = append(decisions, s.runDecision(&changes[i], nil))
 	}
-	fr.Commit(ds)
+	s.Commit(decisions)
 }
 
 // runDecision is a run's change as a decision: the run's record, its jobs'
 // acceptances and their ends are one transaction.
-func (fr *Server) runDecision(c *pipelines.Change, done func(bool)) decide.Decision {
-	d := decide.Decision{Urgent: c.Urgent, OnSettled: func(ok bool) {
-		fr.runs.Touch(c.ID)
+func (s *Server) runDecision(change *pipelines.Change, done func(bool)) decide.Decision {
+	decision := decide.Decision{Urgent: change.Urgent, OnSettled: func(ok bool) {
+		s.runs.Touch(change.ID)
 		if done != nil {
 			done(ok)
 		}
 	}}
-	if c.Over {
-		d.Writes = append(d.Writes, decide.Put(pipelines.RanPrefix+c.ID, c.Record), decide.Remove(pipelines.RunPrefix+c.ID))
+	if change.Over {
+		decision.Writes = append(decision.Writes, decide.Put(pipelines.RanPrefix+change.ID, change.Record), decide.Remove(pipelines.RunPrefix+change.ID))
 	} else {
-		d.Writes = append(d.Writes, decide.Put(pipelines.RunPrefix+c.ID, c.Record))
+		decision.Writes = append(decision.Writes, decide.Put(pipelines.RunPrefix+change.ID, change.Record))
 	}
-	for i := range c.Submit {
-		w, seen := fr.acceptance(&c.Submit[i])
-		d.Writes, d.ReadSet = append(d.Writes, w), append(d.ReadSet, seen)
+	for i := range change.Submit {
+		write, absent := s.acceptanceWrite(&change.Submit[i])
+		decision.Writes, decision.ReadSet = append(decision.Writes, write), append(decision.ReadSet, absent)
 	}
-	for _, jobID := range c.Cancel {
-		if j := fr.Jobs[jobID]; j != nil && j.Record != nil {
-			d.Writes = append(d.Writes, completion.FinalWrites(j, jobs.Cancelled, fr.NowMs())...)
+	for _, jobID := range change.Cancel {
+		if job := s.Jobs[jobID]; job != nil && job.Record != nil {
+			decision.Writes = append(decision.Writes, completion.FinalWrites(job, jobs.Cancelled, s.NowMs())...)
 		}
 	}
-	for _, jobID := range c.Absent {
-		d.ReadSet = append(d.ReadSet, jobs.JobPrefix+jobID, jobs.FinalPrefix+jobID)
+	for _, jobID := range change.Absent {
+		decision.ReadSet = append(decision.ReadSet, jobs.JobPrefix+jobID, jobs.FinalPrefix+jobID)
 	}
-	return d
+	return decision
 }
 
 // runResources is what the runs' keeper may ask.
-type runResources struct{ fr *Server }
+type runResources struct{ s *Server }
 
-func (w runResources) Job(jobID string) (pipelines.JobView, bool) {
-	fr := w.fr
-	j := fr.Jobs[jobID]
-	if j == nil || j.Record == nil {
+func (r runResources) Job(jobID string) (pipelines.JobView, bool) {
+	s := r.s
+	job := s.Jobs[jobID]
+	if job == nil || job.Record == nil {
 		return pipelines.JobView{}, false
 	}
 	return pipelines.JobView{
-		State:   j.Record.State,
-		Running: j.PlacedCount,
-		Done:    j.DoneCount,
-		Probing: fr.Trust(j, "") == jobs.Probing,
+		State:   job.Record.State,
+		Running: job.PlacedCount,
+		Done:    job.DoneCount,
+		Probing: s.Trust(job, "") == jobs.Probing,
 	}, true
 }
 
-func (w runResources) Why(jobID string) string {
-	j := w.fr.Jobs[jobID]
-	if j == nil || j.Record == nil {
+func (r runResources) Why(jobID string) string {
+	job := r.s.Jobs[jobID]
+	if job == nil || job.Record == nil {
 		return ""
 	}
-	why, late := w.fr.waits(j), w.fr.unmet(j)
-	if why != "" && late != "" {
-		return why + "; " + late
+	reason, late := r.s.waitReason(job), r.s.missedDeadline(job)
+	if reason != "" && late != "" {
+		return reason + "; " + late
 	}
-	return why + late
+	return reason + late
 }
 
 // waits says what a live job's tasks wait for, if they do.
-func (fr *Server) waits(j *clusterstate.Job) string {
-	spec := &j.Record.Spec
-	waits := spec.TaskCount - j.PlacedCount - j.DoneCount
-	if fr.Trust(j, "") == jobs.Probing {
+func (s *Server) waitReason(job *clusterstate.Job) string {
+	spec := &job.Record.Spec
+	waiting := spec.TaskCount - job.PlacedCount - job.DoneCount
+	if s.Trust(job, "") == jobs.Probing {
 		return "its tasks failed on several machines; one is tried at a time"
 	}
-	if waits <= 0 {
+	if waiting <= 0 {
 		return ""
 	}
-	if full := fr.Account.Full(fr.QuotaLeaf(spec), spec.Amount()); full != "" {
-		return fmt.Sprintf("%d tasks wait: %s", waits, full)
+	if full := s.Account.Full(s.QuotaLeaf(spec), spec.Amount()); full != "" {
+		return fmt.Sprintf("%d tasks wait: %s", waiting, full)
 	}
-	return fmt.Sprintf("%d tasks wait for room on a machine", waits)
+	return fmt.Sprintf("%d tasks wait for room on a machine", waiting)
 }
 
-func (w runResources) Final(jobID string) (jobs.JobState, bool) {
-	f, ok := w.fr.finals.Get(jobID)
-	return f.State, ok
+func (r runResources) Final(jobID string) (jobs.JobState, bool) {
+	final, ok := r.s.finals.Get(jobID)
+	return final.State, ok
 }
 
-func (w runResources) Judge(spec *jobs.Spec) string {
-	if why := jobs.CanEverRun(spec, w.fr.Account.Tree(), w.fr.MachineTypes); why != "" {
-		return why
+func (r runResources) Judge(spec *jobs.Spec) string {
+	if reason := jobs.CanEverRun(spec, r.s.Account.Tree(), r.s.MachineTypes); reason != "" {
+		return reason
 	}
-	if record, _ := w.fr.acceptance(spec); w.fr.tooLong(record) {
+	if record, _ := r.s.acceptanceWrite(spec); r.s.exceedsValueLimit(record) {
 		return "its description is too long"
 	}
 	return ""
@@ -176,14 +176,14 @@
 }
 
 // pipelineRequest takes a user's request about runs.
-func (fr *Server) pipelineRequest(m *http1.Message, path string, respond func(http1.Reply)) {
-	if fr.runs == nil {
+func (s *Server) pipelineRequest(m *http1.Message, path string, respond func(http1.Reply)) {
+	if s.runs == nil {
 		respond(http1.Reply{Status: 404, Body: http1.ErrorBody("no such path")})
 		return
 	}
 	if path == pipelinesPath {
-		if method(m, "POST", respond) {
-			fr.acceptRun(m.Body, respond)
+		if requireMethod(m, "POST", respond) {
+			s.acceptRun(m.Body, respond)
 		}
 		return
 	}
@@ -192,12 +192,12 @@
 	case !pipelines.ValidID(id):
 		respond(http1.Reply{Status: 404, Body: http1.ErrorBody("no such run")})
 	case verb == "" || verb == "explain":
-		if method(m, "GET", respond) {
-			fr.showRun(id, 200, verb != "", "", respond)
+		if requireMethod(m, "GET", respond) {
+			s.showRun(id, 200, verb != "", "", respond)
 		}
 	case verb == "abort":
-		if method(m, "POST", respond) {
-			fr.abortRun(id, tuning.CancelAttempts, respond)
+		if requireMethod(m, "POST", respond) {
+			s.abortRun(id, tuning.CancelAttempts, respond)
 		}
 	default:
 		respond(http1.Reply{Status: 404, Body: http1.ErrorBody("no such path")})
@@ -207,41 +207,41 @@
 // showRun answers with a run's state as it is after the request came: like
 // users' polls, it waits for the mirror to get there. sum, if given, is that of
 // the document which the run must have.
-func (fr *Server) showRun(id string, status int, explain bool, sum string, respond func(http1.Reply)) {
-	fr.afterEpoch(respond, func() {
-		if rec, aside := fr.runs.Known(id); rec != nil || aside {
-			fr.answerRun(id, rec, status, explain, sum, respond)
+func (s *Server) showRun(id string, status int, explain bool, sum string, respond func(http1.Reply)) {
+	s.afterEpoch(respond, func() {
+		if record, quarantined := s.runs.Known(id); record != nil || quarantined {
+			s.answerRun(id, record, status, explain, sum, respond)
 			return
 		}
-		fr.Client.Get(store.PriorityUser, pipelines.RanPrefix+id, nil, func(it *store.Item, err error) {
+		s.Client.Get(store.PriorityUser, pipelines.RanPrefix+id, nil, func(item *store.Item, err error) {
 			switch {
 			case err != nil:
 				respond(http1.Refuse("state unavailable"))
-			case it == nil:
+			case item == nil:
 				respond(http1.Reply{Status: 404, Body: http1.ErrorBody("no such run")})
 			default:
-				rec, _ := pipelines.Decode(it.Value)
-				fr.answerRun(id, rec, status, explain, sum, respond)
+				record, _ := pipelines.Decode(item.Value)
+				s.answerRun(id, record, status, explain, sum, respond)
 			}
 		})
 	})
 }
 
-func (fr *Server) answerRun(
+func (s *Server) answerRun(
 	id string,
-	rec *pipelines.Record,
+	record *pipelines.Record,
 	status int,
 	explain bool,
 	sum string,
 	respond func(http1.Reply),
 ) {
-	if rec != nil && sum != "" && rec.Sum != sum {
+	if record != nil && sum != "" && record.Sum != sum {
 		respond(http1.Reply{Status: 409, Body: http1.ErrorBody("another pipeline has this id")})
 		return
 	}
-	if rec != nil {
-		if s, ok := fr.runs.StatusOf(id, rec, fr.NowMs(), runResources{fr}, explain); ok {
-			respond(http1.Reply{Status: status, Body: s.Encode()})
+	if record != nil {
+		if runStatus, ok := s.runs.StatusOf(id, record, s.NowMs(), runResources{s}, explain); ok {
+			respond(http1.Reply{Status: status, Body: runStatus.Encode()})
 			return
 		}
 	}
@@ -249,38 +249,38 @@
 }
 
 // acceptRun accepts a run, with the jobs of its first steps.
-func (fr *Server) acceptRun(body []byte, respond func(http1.Reply)) {
-	q, bad := pipelines.ParseRequest(body)
-	if bad != nil {
-		respond(http1.Reply{Status: 400, Body: jobs.Encode(bad)})
+func (s *Server) acceptRun(body []byte, respond func(http1.Reply)) {
+	request, refusal := pipelines.ParseRequest(body)
+	if refusal != nil {
+		respond(http1.Reply{Status: 400, Body: jobs.Encode(refusal)})
 		return
 	}
-	if !fr.MayDecide() || len(fr.MachineTypes) == 0 {
+	if !s.MayDecide() || len(s.MachineTypes) == 0 {
 		respond(http1.Refuse("not able to accept"))
 		return
 	}
-	sum := pipelines.Sum(q.Doc)
-	known := func() { fr.showRun(q.ID, 200, false, sum, respond) }
-	if rec, aside := fr.runs.Known(q.ID); rec != nil || aside {
+	sum := pipelines.Sum(request.Doc)
+	known := func() { s.showRun(request.ID, 200, false, sum, respond) }
+	if record, quarantined := s.runs.Known(request.ID); record != nil || quarantined {
 		known()
 		return
 	}
-	c, err := fr.runs.Accept(
-		q,
-		fmt.Sprintf("%016x%016x", fr.Rand.Uint64(), fr.Rand.Uint64()),
-		fr.NowMs(),
-		runResources{fr},
+	change, err := s.runs.Accept(
+		request,
+		fmt.Sprintf("%016x%016x", s.Rand.Uint64(), s.Rand.Uint64()),
+		s.NowMs(),
+		runResources{s},
 	)
 	// Only an unknown run is judged: what made it acceptable may have changed since.
-	unknown := func(r http1.Reply) {
-		fr.Client.Get(store.PriorityUser, pipelines.RanPrefix+q.ID, nil, func(it *store.Item, gerr error) {
+	unknown := func(reply http1.Reply) {
+		s.Client.Get(store.PriorityUser, pipelines.RanPrefix+request.ID, nil, func(item *store.Item, err error) {
 			switch {
-			case gerr != nil:
+			case err != nil:
 				respond(http1.Refuse("state unavailable"))
-			case it != nil:
+			case item != nil:
 				known()
 			default:
-				respond(r)
+				respond(reply)
 			}
 		})
 	}
@@ -288,32 +288,32 @@
 		unknown(http1.Reply{Status: 413, Body: http1.ErrorBody(err.Error())})
 		return
 	}
-	if faults := q.Plan.Judge(runResources{fr}.Judge); len(faults) > 0 {
+	if faults := request.Plan.Judge(runResources{s}.Judge); len(faults) > 0 {
 		unknown(
 			http1.Reply{Status: 422, Body: jobs.Encode(pipelines.Refusal{Error: "steps that can never run", Faults: faults})},
 		)
 		return
 	}
-	if !fr.runs.Room(len(q.Plan.Steps)) {
+	if !s.runs.Room(len(request.Plan.Steps)) {
 		unknown(http1.Reply{Status: 429, Body: http1.ErrorBody("too many runs are live"), RetryAfter: tuning.RetryAfter})
 		return
 	}
-	d := fr.runDecision(c, nil)
-	t := store.Txn{Writes: d.Writes}
-	for _, k := range append(d.Keys(), d.ReadSet...) {
-		t.Preconditions = append(t.Preconditions, store.Precondition{Key: k})
+	decision := s.runDecision(change, nil)
+	txn := store.Txn{Writes: decision.Writes}
+	for _, key := range append(decision.Keys(), decision.ReadSet...) {
+		txn.Preconditions = append(txn.Preconditions, store.Precondition{Key: key})
 	}
-	t.Preconditions = append(
-		t.Preconditions,
-		store.Precondition{Key: pipelines.RanPrefix + q.ID},
-		store.Precondition{Key: members.ViewKey, Revision: fr.Mirror.Revision(members.ViewKey)},
+	txn.Preconditions = append(
+		txn.Preconditions,
+		store.Precondition{Key: pipelines.RanPrefix + request.ID},
+		store.Precondition{Key: members.ViewKey, Revision: s.Mirror.Revision(members.ViewKey)},
 	)
-	fr.Client.Commit(store.PriorityUser, t, func(epoch uint64, failed []string, err error) {
+	s.Client.Commit(store.PriorityUser, txn, func(epoch uint64, failed []string, err error) {
 		switch {
 		case err == nil:
-			fr.Mirror.ApplyCommit(t.Writes, epoch)
-			rec, _ := fr.runs.Known(q.ID)
-			fr.answerRun(q.ID, rec, 201, false, "", respond)
+			s.Mirror.ApplyCommit(txn.Writes, epoch)
+			record, _ := s.runs.Known(request.ID)
+			s.answerRun(request.ID, record, 201, false, "", respond)
 		case errors.Is(err, store.ErrConflict) && len(failed) > 0 && failed[0] != members.ViewKey:
 			known()
 		default:
@@ -325,25 +325,25 @@
 
 // abortRun cancels a run. What the run's owner changes meanwhile fails or makes
 // this fail; then it is tried again from the newer record.
-func (fr *Server) abortRun(id string, tries int, respond func(http1.Reply)) {
-	if !fr.MayDecide() {
+func (s *Server) abortRun(id string, attempts int, respond func(http1.Reply)) {
+	if !s.MayDecide() {
 		respond(http1.Refuse("not able to cancel"))
 		return
 	}
-	c := fr.runs.CancelRun(id, fr.Now, fr.NowMs(), runResources{fr})
-	if c == nil { // over, being cancelled, or unknown
-		fr.showRun(id, 200, false, "", respond)
+	change := s.runs.CancelRun(id, s.Now, s.NowMs(), runResources{s})
+	if change == nil { // over, being cancelled, or unknown
+		s.showRun(id, 200, false, "", respond)
 		return
 	}
-	fr.Commit([]decide.Decision{fr.runDecision(c, func(ok bool) {
+	s.Commit([]decide.Decision{s.runDecision(change, func(ok bool) {
 		switch {
 		case ok:
-			for _, jobID := range c.Cancel {
-				fr.AcknowledgeCancellation(jobID) // with the run
+			for _, jobID := range change.Cancel {
+				s.AcknowledgeCancellation(jobID) // with the run
 			}
-			fr.showRun(id, 200, false, "", respond)
-		case tries > 1 && !fr.Busy(pipelines.RunPrefix+id):
-			fr.abortRun(id, tries-1, respond)
+			s.showRun(id, 200, false, "", respond)
+		case attempts > 1 && !s.Busy(pipelines.RunPrefix+id):
+			s.abortRun(id, attempts-1, respond)
 		default:
 			respond(http1.Refuse("try again"))
 		}
