--- a/internal/api/answers.go
+++ b/internal/api/answers.go
@@ -22,7 +22,7 @@
 
 // hold does something a moment later.
 func (s *Server) holdAnswer(wait time.Duration, send func()) {
-	s.held = append(s.held, heldAnswer{s.Now.Add(wait), send})
+	s.held = append(s.held, heldAnswer{s.state.Now.Add(wait), send})
 }
 
 // ReleaseHeld does what was held until now. It is called with each turn of the loop.
@@ -32,7 +32,7 @@
 	}
 	var due, rest []heldAnswer
 	for _, h := range s.held {
-		if h.at.After(s.Now) {
+		if h.at.After(s.state.Now) {
 			rest = append(rest, h)
 		} else {
 			due = append(due, h)
@@ -47,7 +47,7 @@
 // WaitForHeld tells how long the loop may sleep for what is held.
 func (s *Server) WaitForHeld(limit time.Duration) time.Duration {
 	for _, h := range s.held {
-		limit = max(0, min(limit, h.at.Sub(s.Now)))
+		limit = max(0, min(limit, h.at.Sub(s.state.Now)))
 	}
 	return limit
 }
@@ -60,10 +60,10 @@
 	if end, ok := s.finals.Get(jobID); ok {
 		return end
 	}
-	if acknowledged, ok := s.Acks.Latest(jobID); ok && acknowledged.State != jobs.Live {
+	if acknowledged, ok := s.acks.Latest(jobID); ok && acknowledged.State != jobs.Live {
 		return acknowledged
 	}
-	if s.Cancelled(jobID) { // told elsewhere since this was read, or while the mirror lags
+	if s.cancellations.Cancelled(jobID) { // told elsewhere since this was read, or while the mirror lags
 		final.State = jobs.Cancelled
 	}
 	return final
@@ -85,9 +85,9 @@
 // acknowledge notes what a user is about to be told, and gives back how long that has to wait.
 func (s *Server) acknowledge(jobID string, final jobs.Final) time.Duration {
 	if final.State == jobs.Cancelled {
-		s.AcknowledgeCancellation(jobID) // before the answer leaves, whoever cancelled it
+		s.cancellations.Acknowledge(jobID) // before the answer leaves, whoever cancelled it
 	}
-	return s.Acks.Acknowledge(jobID, final, s.Now)
+	return s.acks.Acknowledge(jobID, final, s.state.Now)
 }
 
 // agedEpoch is where the mirror was a while ago.
@@ -105,7 +105,7 @@
 // acknowledgeAccepted tells how long a live job that was found must not be told, since that it is
 // accepted is news: what was found grows old meanwhile and has to be found again.
 func (s *Server) acknowledgeAccepted(jobID string) time.Duration {
-	if s.Mirror.Revision(jobs.JobPrefix+jobID) <= s.agedEpoch.epoch ||
+	if s.mirror.Revision(jobs.JobPrefix+jobID) <= s.agedEpoch.epoch ||
 		s.newest(jobID, jobs.Final{State: jobs.Live}).State != jobs.Live {
 		return 0
 	}
@@ -117,23 +117,23 @@
 // another controller may have told the user something newer since. It is read once more,
 // if there is time.
 func (s *Server) readCurrent(jobID string, done func(jobs.Final, error)) {
-	began := s.Now
+	began := s.state.Now
 	var read func()
 	read = func() {
-		sentAt := s.Now
+		sentAt := s.state.Now
 		s.readJob(jobID, func(final jobs.Final, err error) {
 			unknown := errors.Is(err, errNoJob)
 			if err == nil && final.State != jobs.Live || err != nil && !unknown {
 				done(final, err)
 				return
 			}
-			acknowledged, found := s.Acks.Latest(jobID)
+			acknowledged, found := s.acks.Latest(jobID)
 			switch {
 			case found && acknowledged.State != jobs.Live:
 				done(acknowledged, nil)
-			case s.Now.Sub(sentAt) <= tuning.ReadFresh && !(unknown && found):
+			case s.state.Now.Sub(sentAt) <= tuning.ReadFresh && !(unknown && found):
 				done(final, err)
-			case s.Now.Sub(began) <= tuning.ReadDeadline && s.Client.AllowsRead(tuning.ReadsKept):
+			case s.state.Now.Sub(began) <= tuning.ReadDeadline && s.client.AllowsRead(tuning.ReadsKept):
 				read()
 			default:
 				done(jobs.Final{}, store.ErrNoAnswer)
--- a/internal/api/asks.go
+++ b/internal/api/asks.go
@@ -108,17 +108,17 @@
 	for len(b.waiting) > 0 {
 		i := b.first()
 		q := b.waiting[i]
-		waited, kept := s.Now.Sub(q.at), tuning.ReadsKept
+		waited, kept := s.state.Now.Sub(q.at), tuning.ReadsKept
 		if waited > tuning.ReadDeadline || b.shedding.timesShed(q.jobID) > 0 {
 			kept = 0 // decisions can keep the budget below any share of it
 		}
 		switch {
-		case s.Client.Unavailable():
+		case s.client.Unavailable():
 			b.take(i).respond(http1.Refuse("state unavailable"))
 		case waited > tuning.QueryTimeout:
 			b.take(i)
 			s.shedLoad(q.jobID, q.respond)
-		case !s.Client.AllowsRead(kept):
+		case !s.client.AllowsRead(kept):
 			return
 		default:
 			b.take(i)
--- /dev/null
+++ b/internal/api/fixture_test.go
@@ -0,0 +1,152 @@
+package api
+
+import (
+	"encoding/json"
+	"log/slog"
+	"math/rand/v2"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/harrierreel/harrierreel/internal/clusterstate"
+	"github.com/harrierreel/harrierreel/internal/decide"
+	"github.com/harrierreel/harrierreel/internal/http1"
+	"github.com/harrierreel/harrierreel/internal/jobs"
+	"github.com/harrierreel/harrierreel/internal/quota"
+	"github.com/harrierreel/harrierreel/internal/readconsistency"
+	"github.com/harrierreel/harrierreel/internal/settings"
+	"github.com/harrierreel/harrierreel/internal/store"
+)
+
+// testServer is a Server whose state service and collaborators answer as the test says.
+type testServer struct {
+	*Server
+	store func(method, target, body string) (status int, answer string)
+	calls []string // to the state service
+	fake  *fakeController
+}
+
+// fakeController is all collaborators of a Server.
+type fakeController struct {
+	able               bool                    // to decide for users, and healthy
+	commit             func([]decide.Decision) // nil drops the decisions
+	cancelledElsewhere string                  // the job that another controller has told cancelled
+	acknowledged       []string                // jobs noted as about to be told cancelled
+}
+
+func (f *fakeController) MayDecide() bool             { return f.able }
+func (f *fakeController) Healthy() bool               { return f.able }
+func (f *fakeController) OutsideView() bool           { return false }
+func (f *fakeController) Members() []string           { return []string{"n0"} }
+func (f *fakeController) HearsAllMembers() bool       { return true }
+func (f *fakeController) MirrorLive() bool            { return true }
+func (f *fakeController) WatchNow()                   {}
+func (f *fakeController) Busy(string) bool            { return false }
+func (f *fakeController) Fencing() bool               { return false }
+func (f *fakeController) Wake()                       {}
+func (f *fakeController) Acknowledge(jobID string)    { f.acknowledged = append(f.acknowledged, jobID) }
+func (f *fakeController) Cancelled(jobID string) bool { return jobID == f.cancelledElsewhere }
+
+func (f *fakeController) Heartbeat(_ []byte, respond func(http1.Reply)) {
+	respond(http1.Reply{Status: 299})
+}
+
+func (f *fakeController) Commit(decisions []decide.Decision) {
+	if f.commit != nil {
+		f.commit(decisions)
+	}
+}
+
+// newTestServer makes a server with room for reads; with optional, pipelines and quotas are on.
+func newTestServer(t *testing.T, optional bool) *testServer {
+	t.Helper()
+	s := &testServer{
+		store: func(string, string, string) (int, string) { return 404, `{"epoch":7}` },
+		fake:  &fakeController{able: true},
+	}
+	set := testSettings(optional)
+	state := clusterstate.New(quota.Flat(set.TeamMap()), func(string) {})
+	state.Now = time.UnixMilli(1e12)
+	state.MachineTypes["g4"] = &jobs.MachineType{
+		Name:         "g4",
+		Cores:        8,
+		Accelerators: 4,
+		MemoryGB:     64,
+		Zones:        []string{"a"},
+	}
+	client := store.New(func(method, target string, body []byte, _ time.Duration, done func(int, []byte, error)) {
+		s.calls = append(s.calls, method+" "+target)
+		status, answer := s.store(method, target, string(body))
+		done(status, []byte(answer), nil)
+	}, nil)
+	client.SetBudget(1000, 1000, 1000)
+	client.Dispatch(state.Now)
+	state.Now = state.Now.Add(time.Second)
+	client.Dispatch(state.Now)
+	mirror := store.NewMirror(func(key string, value json.RawMessage, _ uint64) {
+		if id, ok := strings.CutPrefix(key, "run/"); ok {
+			s.ApplyRun(id, value)
+		}
+		if jobID, ok := strings.CutPrefix(key, jobs.JobPrefix); ok {
+			_ = state.ApplyJob(jobID, value)
+		}
+	})
+	mirror.Epoch = 7
+	config := Config{
+		Settings: set,
+		Client:   client,
+		Mirror:   mirror,
+		Acks:     readconsistency.NewAckLog(0),
+		Log:      slog.New(slog.DiscardHandler),
+		Random:   rand.New(rand.NewPCG(1, 1)),
+	}
+	s.Server = New(state, config, Collaborators{
+		View:          s.fake,
+		Health:        s.fake,
+		Watch:         s.fake,
+		Commits:       s.fake,
+		Loop:          s.fake,
+		Agents:        s.fake,
+		Cancellations: s.fake,
+	})
+	return s
+}
+
+func testSettings(optional bool) *settings.Settings {
+	set := &settings.Settings{
+		NodeName: "n0",
+		Operator: settings.DefaultOperator(),
+		Cluster: settings.Cluster{
+			Size:  1,
+			Teams: []settings.Team{{Name: "team", GpusMax: 4}},
+			State: settings.State{RPS: 100, WriteRPS: 100, ValueKB: 8, TxnOps: 16},
+		},
+	}
+	if optional {
+		set.Operator.Pipelines, set.Operator.Quotas = settings.DefaultPipelines(), &quota.Document{}
+	}
+	return set
+}
+
+// advance lets time pass, and the state service take more calls.
+func (s *testServer) advance(pause time.Duration) {
+	s.state.Now = s.state.Now.Add(pause)
+	s.client.Dispatch(s.state.Now)
+}
+
+// exhaustBudget leaves no room for reads of the state service.
+func (s *testServer) exhaustBudget() {
+	s.client.SetBudget(0, 0, 0)
+	s.client.Dispatch(s.state.Now)
+	for s.client.AllowsRead(0) {
+		s.client.Get(0, "x", nil, func(*store.Item, error) {})
+	}
+}
+
+// request is the answer to a request that arrives a second later; its zero if none came at once.
+func (s *testServer) request(method, target, body string) http1.Reply {
+	var reply http1.Reply
+	s.advance(time.Second)
+	s.Request(&http1.Message{Method: method, Target: target, Body: []byte(body)}, func(r http1.Reply) { reply = r })
+	return reply
+}
--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -23,7 +23,7 @@
 	switch {
 	case path == "/agent/beat":
 		if requireMethod(m, "POST", respond) {
-			s.Heartbeat(m.Body, respond)
+			s.agents.Heartbeat(m.Body, respond)
 		}
 	case path == "/up":
 		if requireMethod(m, "GET", respond) {
@@ -74,7 +74,7 @@
 
 // up tells the load balancer whether to send users here.
 func (s *Server) answerHealth(respond func(http1.Reply)) {
-	if !s.Healthy() {
+	if !s.health.Healthy() {
 		respond(http1.Refuse("not ready"))
 		return
 	}
@@ -95,7 +95,7 @@
 	out := status{JobID: jobID, Status: string(final.State)}
 	done, on := final.DoneCount, 0
 	if final.State == jobs.Live {
-		if job := s.Jobs[jobID]; job != nil {
+		if job := s.state.Jobs[jobID]; job != nil {
 			done, on = job.DoneCount, job.PlacedCount
 			if counts {
 				out.Late = s.missedDeadline(job)
@@ -121,7 +121,7 @@
 	if !job.TasksUnreadable { // else tasks without a record that is known may have begun
 		p.NeverRun = job.Record.Spec.TaskCount - len(job.Tasks)
 	}
-	return job.Record.DeadlineMissed(p, s.Now)
+	return job.Record.DeadlineMissed(p, s.state.Now)
 }
 
 // sharedRead is a read of one job's state that has not left yet; requests that
@@ -140,7 +140,7 @@
 		done(final, nil)
 		return
 	}
-	if s.Client.Unavailable() {
+	if s.client.Unavailable() {
 		done(jobs.Final{}, store.ErrUnavailable)
 		return
 	}
@@ -161,13 +161,13 @@
 			done(final, err)
 		}
 	}
-	s.Client.Get(store.PriorityUser, jobs.JobPrefix+jobID, left, func(item *store.Item, err error) {
+	s.client.Get(store.PriorityUser, jobs.JobPrefix+jobID, left, func(item *store.Item, err error) {
 		if err != nil {
 			finish(jobs.Final{}, err)
 			return
 		}
 		if item != nil {
-			s.Mirror.Put(item.Key, item.Value, item.Revision)
+			s.mirror.Put(item.Key, item.Value, item.Revision)
 			if record, err := jobs.DecodeRecord(jobID, item.Value); err == nil {
 				final := jobs.Final{State: record.State, DoneCount: record.DoneCount}
 				s.finals.Put(jobID, final)
@@ -181,7 +181,7 @@
 		// A live record leaves only after the final one has come, so reading
 		// in this order misses neither.
 		accepted := item != nil
-		s.Client.Get(store.PriorityUser, jobs.FinalPrefix+jobID, nil, func(item *store.Item, err error) {
+		s.client.Get(store.PriorityUser, jobs.FinalPrefix+jobID, nil, func(item *store.Item, err error) {
 			if err != nil {
 				finish(jobs.Final{}, err)
 				return
@@ -242,7 +242,7 @@
 		s.answer(jobID, 200, final, true, respond)
 		return
 	}
-	q := pendingQuery{respond: respond, at: s.Now, jobID: jobID}
+	q := pendingQuery{respond: respond, at: s.state.Now, jobID: jobID}
 	q.answer = func() { s.answerQuery(q) }
 	if s.queries.lagging {
 		s.readSeparately(&q)
@@ -273,12 +273,12 @@
 // afterEpoch has a question answered once the mirror has got to an epoch that
 // was read after it came; otherwise it is refused.
 func (s *Server) afterEpoch(respond func(http1.Reply), answer func()) {
-	s.addQuery(pendingQuery{answer: answer, respond: respond, at: s.Now})
+	s.addQuery(pendingQuery{answer: answer, respond: respond, at: s.state.Now})
 }
 
 func (s *Server) addQuery(q pendingQuery) {
 	p := &s.queries
-	if s.Client.Unavailable() || !s.MirrorLive() {
+	if s.client.Unavailable() || !s.watch.MirrorLive() {
 		q.respond(http1.Refuse("state unavailable"))
 		return
 	}
@@ -310,25 +310,25 @@
 	p.waiting, p.reading = s.handleOverdue(p.waiting), s.handleOverdue(p.reading)
 	s.AnswerQueries(time.Time{})
 	s.reconcileReads()
-	s.agedEpoch.advance(s.Mirror.Epoch, s.Now)
+	s.agedEpoch.advance(s.mirror.Epoch, s.state.Now)
 	// One reading serves all who wait, so it must not stand behind calls that serve one
 	// user each: while the budget holds those back it is made less often, before them.
 	gap, level := tuning.QueryGap, store.PriorityPoll
-	if s.Client.Waiting() > 0 {
+	if s.client.Waiting() > 0 {
 		gap, level = tuning.QueryRetry, store.PriorityUrgent
 	}
-	since := s.Now.Sub(p.readAt)
+	since := s.state.Now.Sub(p.readAt)
 	if len(p.waiting)+len(p.reading) == 0 && !p.awaitsProof() || since < gap || p.inFlight && since < tuning.QueryRetry {
 		return
 	}
 	p.lastReading++
-	p.inFlight, p.readAt = true, s.Now
+	p.inFlight, p.readAt = true, s.state.Now
 	for i := range p.waiting {
 		p.waiting[i].reading = p.lastReading
 	}
 	p.reading, p.waiting = append(p.reading, p.waiting...), nil
-	reading, left := p.lastReading, s.Now
-	s.Client.ReadEpoch(level, func(epoch uint64, err error) {
+	reading, left := p.lastReading, s.state.Now
+	s.client.ReadEpoch(level, func(epoch uint64, err error) {
 		last := reading == p.lastReading
 		if last {
 			p.inFlight = false
@@ -351,12 +351,12 @@
 		if len(served) > 0 {
 			p.rounds = append(p.rounds, epochRound{queries: served, epoch: epoch})
 		}
-		if epoch > s.Mirror.Epoch {
+		if epoch > s.mirror.Epoch {
 			left = time.Time{} // it proves nothing of the mirror
 		}
 		s.AnswerQueries(left)
 		if len(p.rounds) > 0 {
-			s.WatchNow()
+			s.watch.WatchNow()
 		}
 	})
 }
@@ -364,12 +364,12 @@
 // overdue has the jobs read by themselves for whom the mirror is late, refuses what has
 // waited for too long, and gives back the rest.
 func (s *Server) handleOverdue(queries []pendingQuery) []pendingQuery {
-	if len(queries) == 0 || s.Now.Sub(queries[0].at) <= tuning.QueryReadAfter {
+	if len(queries) == 0 || s.state.Now.Sub(queries[0].at) <= tuning.QueryReadAfter {
 		return queries
 	}
 	var left []pendingQuery
 	for _, q := range queries {
-		waited := s.Now.Sub(q.at)
+		waited := s.state.Now.Sub(q.at)
 		if waited > tuning.QueryTimeout {
 			q.respond(http1.Refuse("state unavailable"))
 			continue
@@ -401,12 +401,12 @@
 // what the other controllers pass on has to do.
 func (s *Server) AnswerQueries(shown time.Time) {
 	p := &s.queries
-	fresh := !shown.IsZero() && s.Now.Sub(shown) <= tuning.ReadFresh
+	fresh := !shown.IsZero() && s.state.Now.Sub(shown) <= tuning.ReadFresh
 	rounds := p.rounds
 	p.rounds = nil
 	var rest []epochRound
 	for _, r := range rounds {
-		if r.epoch > s.Mirror.Epoch {
+		if r.epoch > s.mirror.Epoch {
 			rest = append(rest, r)
 			continue
 		}
@@ -430,10 +430,10 @@
 // new enough has to do. It never does while a member is not heard: what that one tells may be
 // lost on its way. Then the job is read by itself, or the user sent away.
 func (s *Server) acceptsUnproven(q *pendingQuery) bool {
-	if s.Now.Sub(q.at) < tuning.QueryUnprovenAfter {
+	if s.state.Now.Sub(q.at) < tuning.QueryUnprovenAfter {
 		return false
 	}
-	if s.HearsAllMembers() {
+	if s.view.HearsAllMembers() {
 		return true
 	}
 	if !q.read {
@@ -443,10 +443,10 @@
 }
 
 func (s *Server) answerQuery(q pendingQuery) {
-	job := s.Jobs[q.jobID]
+	job := s.state.Jobs[q.jobID]
 	if job == nil || job.Record == nil {
 		// Unknown here, so it has ended or was never accepted.
-		s.requestRead(pendingRead{q.jobID, q.respond, s.Now})
+		s.requestRead(pendingRead{q.jobID, q.respond, s.state.Now})
 		return
 	}
 	final := jobs.Final{State: job.Record.State, DoneCount: job.Record.DoneCount}
@@ -472,21 +472,21 @@
 		known(final)
 		return
 	}
-	if !s.MayDecide() {
+	if !s.view.MayDecide() {
 		respond(http1.Refuse("not able to accept"))
 		return
 	}
 	// A job that is known already is answered by a read, as a question about it is; only
 	// an unknown one is judged, since what made it acceptable may have changed since.
-	if s.Jobs[spec.ID] != nil {
-		s.requestRead(pendingRead{spec.ID, respond, s.Now})
+	if s.state.Jobs[spec.ID] != nil {
+		s.requestRead(pendingRead{spec.ID, respond, s.state.Now})
 		return
 	}
-	if len(s.MachineTypes) == 0 {
+	if len(s.state.MachineTypes) == 0 {
 		respond(http1.Refuse("machine types not known yet"))
 		return
 	}
-	if reason := jobs.CanEverRun(spec, s.Account.Tree(), s.MachineTypes); reason != "" {
+	if reason := jobs.CanEverRun(spec, s.state.Account.Tree(), s.state.MachineTypes); reason != "" {
 		s.readCurrent(spec.ID, func(final jobs.Final, err error) {
 			switch {
 			case err == nil:
@@ -507,7 +507,7 @@
 func (s *Server) acceptanceWrite(spec *jobs.Spec) (write store.Write, absent string) {
 	return decide.Put(
 		jobs.JobPrefix+spec.ID,
-		jobs.Record{State: jobs.Live, AcceptedMs: s.NowMs(), Spec: *spec},
+		jobs.Record{State: jobs.Live, AcceptedMs: s.state.NowMs(), Spec: *spec},
 	), jobs.FinalPrefix + spec.ID
 }
 
@@ -528,30 +528,30 @@
 	}
 	txn := store.Txn{
 		Preconditions: []store.Precondition{
-			{Key: members.ViewKey, Revision: s.Mirror.Revision(members.ViewKey)},
+			{Key: members.ViewKey, Revision: s.mirror.Revision(members.ViewKey)},
 			{Key: jobs.JobPrefix + spec.ID, Revision: 0},
 			{Key: finalKey, Revision: 0},
 		},
 		Writes: []store.Write{write},
 	}
-	left := s.Now
-	s.Client.Commit(store.PriorityUser, txn, func(epoch uint64, failed []string, err error) {
+	left := s.state.Now
+	s.client.Commit(store.PriorityUser, txn, func(epoch uint64, failed []string, err error) {
 		switch {
 		case err == nil:
-			s.Mirror.ApplyCommit(txn.Writes, epoch)
+			s.mirror.ApplyCommit(txn.Writes, epoch)
 			s.accepted(spec.ID, left, respond)
 		case errors.Is(err, store.ErrConflict):
 			s.readJob(spec.ID, func(final jobs.Final, err error) {
 				switch {
 				case err == nil && final.State == jobs.Live: // by a read that may have been slow
-					s.requestRead(pendingRead{spec.ID, respond, s.Now})
+					s.requestRead(pendingRead{spec.ID, respond, s.state.Now})
 				case err == nil:
 					known(final)
 				case !errors.Is(err, errNoJob) || attempts <= 1:
 					respond(http1.Refuse("try again"))
 				default:
 					s.afterEpoch(respond, func() {
-						if !s.MayDecide() {
+						if !s.view.MayDecide() {
 							respond(http1.Refuse("not able to accept"))
 							return
 						}
@@ -571,7 +571,7 @@
 // way, the job may be over: that is looked up, if it can be.
 func (s *Server) accepted(jobID string, left time.Time, respond func(http1.Reply)) {
 	live := jobs.Final{State: jobs.Live}
-	if s.Now.Sub(left) <= tuning.ReadFresh || s.HearsAllMembers() {
+	if s.state.Now.Sub(left) <= tuning.ReadFresh || s.view.HearsAllMembers() {
 		s.answer(jobID, 201, live, false, respond)
 		return
 	}
@@ -586,7 +586,7 @@
 // find tells a job's state for a decision that is conditional on the job's
 // record and therefore may start from a copy that is behind.
 func (s *Server) findJob(jobID string, done func(jobs.Final, error)) {
-	if job := s.Jobs[jobID]; job != nil && job.Record != nil && job.Record.State == jobs.Live {
+	if job := s.state.Jobs[jobID]; job != nil && job.Record != nil && job.Record.State == jobs.Live {
 		done(jobs.Final{State: jobs.Live}, nil)
 		return
 	}
@@ -598,7 +598,7 @@
 		s.answer(jobID, 200, final, false, respond)
 		return
 	}
-	if !s.MayDecide() {
+	if !s.view.MayDecide() {
 		respond(http1.Refuse("not able to cancel"))
 		return
 	}
@@ -611,7 +611,7 @@
 			respond(http1.Refuse("state unavailable"))
 			return
 		}
-		job := s.Jobs[jobID]
+		job := s.state.Jobs[jobID]
 		next, ok := jobs.NextJob(final.State, jobs.UserCancels)
 		if !ok {
 			s.answer(jobID, 200, final, false, respond)
@@ -637,17 +637,17 @@
 	key, finalKey := jobs.JobPrefix+job.ID, jobs.FinalPrefix+job.ID
 	txn := store.Txn{
 		Preconditions: []store.Precondition{
-			{Key: members.ViewKey, Revision: s.Mirror.Revision(members.ViewKey)},
-			{Key: key, Revision: s.Mirror.Revision(key)},
+			{Key: members.ViewKey, Revision: s.mirror.Revision(members.ViewKey)},
+			{Key: key, Revision: s.mirror.Revision(key)},
 			{Key: finalKey, Revision: 0},
 		},
-		Writes: completion.FinalWrites(job, state, s.NowMs()),
+		Writes: completion.FinalWrites(job, state, s.state.NowMs()),
 	}
-	s.Client.Commit(priority, txn, func(epoch uint64, _ []string, err error) {
+	s.client.Commit(priority, txn, func(epoch uint64, _ []string, err error) {
 		if err == nil {
-			s.Mirror.ApplyCommit(txn.Writes, epoch)
+			s.mirror.ApplyCommit(txn.Writes, epoch)
 		}
-		s.Wake()
+		s.loop.Wake()
 		done(err == nil)
 	})
 }
--- a/internal/api/runs.go
+++ b/internal/api/runs.go
@@ -19,9 +19,9 @@
 
 // newRuns makes the keeper of runs, nil unless the operators turned them on.
 func (s *Server) newRuns() {
-	if p := s.Settings.Operator.Pipelines; p != nil {
+	if p := s.settings.Operator.Pipelines; p != nil {
 		s.runs = pipelines.NewKeeper(pipelines.Limits{
-			Runs: p.MaxRuns, Steps: p.MaxSteps, ValueBytes: s.valueBytes(), TxnOps: s.Settings.Cluster.State.TxnOps,
+			Runs: p.MaxRuns, Steps: p.MaxSteps, ValueBytes: s.valueBytes(), TxnOps: s.settings.Cluster.State.TxnOps,
 		})
 	}
 }
@@ -32,13 +32,13 @@
 		return
 	}
 	s.runs.OwnersChanged()
-	size := s.Settings.Cluster.Size
-	if !s.OutsideView() {
-		size = len(s.Members())
+	size := s.settings.Cluster.Size
+	if !s.view.OutsideView() {
+		size = len(s.view.Members())
 	}
 	s.runs.SetRate(
-		s.Now,
-		s.Settings.Cluster.State.WriteRPS*tuning.StateBudget*s.Settings.Operator.Pipelines.ChangesShare/float64(
+		s.state.Now,
+		s.settings.Cluster.State.WriteRPS*tuning.StateBudget*s.settings.Operator.Pipelines.ChangesShare/float64(
 			max(size, 1),
 		),
 	)
@@ -54,14 +54,14 @@
 // ReconcileRuns moves the runs that this node owns. It comes last: what rules hang on
 // has had its share of the changes.
 func (s *Server) ReconcileRuns() {
-	if s.runs == nil || s.OutsideView() || s.Client.Unavailable() || s.Fencing() {
+	if s.runs == nil || s.view.OutsideView() || s.client.Unavailable() || s.commits.Fencing() {
 		return
 	}
-	names := s.Members()
-	owned := func(id string) bool { return sharding.Owner(id, names) == s.Settings.NodeName }
-	busy := func(id string) bool { return s.Busy(pipelines.RunPrefix + id) }
-	room := func(ops int) bool { return s.Client.Allows(0, ops) }
-	changes, missing := s.runs.Pass(s.Now, s.NowMs(), owned, busy, room, runResources{s})
+	names := s.view.Members()
+	owned := func(id string) bool { return sharding.Owner(id, names) == s.settings.NodeName }
+	busy := func(id string) bool { return s.commits.Busy(pipelines.RunPrefix + id) }
+	room := func(ops int) bool { return s.client.Allows(0, ops) }
+	changes, missing := s.runs.Pass(s.state.Now, s.state.NowMs(), owned, busy, room, runResources{s})
 	for _, jobID := range missing {
 		s.readJob(jobID, func(_ jobs.Final, err error) {
 			if errors.Is(err, errNoJob) {
@@ -69,14 +69,14 @@
 			} else {
 				s.runs.JobChanged(jobID)
 			}
-			s.Wake()
+			s.loop.Wake()
 		})
 	}
 	var decisions []decide.Decision
 	for i := range changes {
 		decisions = append(decisions, s.runDecision(&changes[i], nil))
 	}
-	s.Commit(decisions)
+	s.commits.Commit(decisions)
 }
 
 // runDecision is a run's change as a decision: the run's record, its jobs'
@@ -98,8 +98,8 @@
 		decision.Writes, decision.ReadSet = append(decision.Writes, write), append(decision.ReadSet, absent)
 	}
 	for _, jobID := range change.Cancel {
-		if job := s.Jobs[jobID]; job != nil && job.Record != nil {
-			decision.Writes = append(decision.Writes, completion.FinalWrites(job, jobs.Cancelled, s.NowMs())...)
+		if job := s.state.Jobs[jobID]; job != nil && job.Record != nil {
+			decision.Writes = append(decision.Writes, completion.FinalWrites(job, jobs.Cancelled, s.state.NowMs())...)
 		}
 	}
 	for _, jobID := range change.Absent {
@@ -109,11 +109,11 @@
 }
 
 // runResources is what the runs' keeper may ask.
-type runResources struct{ s *Server }
+type runResources struct{ server *Server }
 
 func (r runResources) Job(jobID string) (pipelines.JobView, bool) {
-	s := r.s
-	job := s.Jobs[jobID]
+	s := r.server
+	job := s.state.Jobs[jobID]
 	if job == nil || job.Record == nil {
 		return pipelines.JobView{}, false
 	}
@@ -121,16 +121,16 @@
 		State:   job.Record.State,
 		Running: job.PlacedCount,
 		Done:    job.DoneCount,
-		Probing: s.Trust(job, "") == jobs.Probing,
+		Probing: s.state.Trust(job, "") == jobs.Probing,
 	}, true
 }
 
 func (r runResources) Why(jobID string) string {
-	job := r.s.Jobs[jobID]
+	job := r.server.state.Jobs[jobID]
 	if job == nil || job.Record == nil {
 		return ""
 	}
-	reason, late := r.s.waitReason(job), r.s.missedDeadline(job)
+	reason, late := r.server.waitReason(job), r.server.missedDeadline(job)
 	if reason != "" && late != "" {
 		return reason + "; " + late
 	}
@@ -141,28 +141,28 @@
 func (s *Server) waitReason(job *clusterstate.Job) string {
 	spec := &job.Record.Spec
 	waiting := spec.TaskCount - job.PlacedCount - job.DoneCount
-	if s.Trust(job, "") == jobs.Probing {
+	if s.state.Trust(job, "") == jobs.Probing {
 		return "its tasks failed on several machines; one is tried at a time"
 	}
 	if waiting <= 0 {
 		return ""
 	}
-	if full := s.Account.Full(s.QuotaLeaf(spec), spec.Amount()); full != "" {
+	if full := s.state.Account.Full(s.state.QuotaLeaf(spec), spec.Amount()); full != "" {
 		return fmt.Sprintf("%d tasks wait: %s", waiting, full)
 	}
 	return fmt.Sprintf("%d tasks wait for room on a machine", waiting)
 }
 
 func (r runResources) Final(jobID string) (jobs.JobState, bool) {
-	final, ok := r.s.finals.Get(jobID)
+	final, ok := r.server.finals.Get(jobID)
 	return final.State, ok
 }
 
 func (r runResources) Judge(spec *jobs.Spec) string {
-	if reason := jobs.CanEverRun(spec, r.s.Account.Tree(), r.s.MachineTypes); reason != "" {
+	if reason := jobs.CanEverRun(spec, r.server.state.Account.Tree(), r.server.state.MachineTypes); reason != "" {
 		return reason
 	}
-	if record, _ := r.s.acceptanceWrite(spec); r.s.exceedsValueLimit(record) {
+	if record, _ := r.server.acceptanceWrite(spec); r.server.exceedsValueLimit(record) {
 		return "its description is too long"
 	}
 	return ""
@@ -213,7 +213,7 @@
 			s.answerRun(id, record, status, explain, sum, respond)
 			return
 		}
-		s.Client.Get(store.PriorityUser, pipelines.RanPrefix+id, nil, func(item *store.Item, err error) {
+		s.client.Get(store.PriorityUser, pipelines.RanPrefix+id, nil, func(item *store.Item, err error) {
 			switch {
 			case err != nil:
 				respond(http1.Refuse("state unavailable"))
@@ -240,7 +240,7 @@
 		return
 	}
 	if record != nil {
-		if runStatus, ok := s.runs.StatusOf(id, record, s.NowMs(), runResources{s}, explain); ok {
+		if runStatus, ok := s.runs.StatusOf(id, record, s.state.NowMs(), runResources{s}, explain); ok {
 			respond(http1.Reply{Status: status, Body: runStatus.Encode()})
 			return
 		}
@@ -255,7 +255,7 @@
 		respond(http1.Reply{Status: 400, Body: jobs.Encode(refusal)})
 		return
 	}
-	if !s.MayDecide() || len(s.MachineTypes) == 0 {
+	if !s.view.MayDecide() || len(s.state.MachineTypes) == 0 {
 		respond(http1.Refuse("not able to accept"))
 		return
 	}
@@ -267,13 +267,13 @@
 	}
 	change, err := s.runs.Accept(
 		request,
-		fmt.Sprintf("%016x%016x", s.Rand.Uint64(), s.Rand.Uint64()),
-		s.NowMs(),
+		fmt.Sprintf("%016x%016x", s.random.Uint64(), s.random.Uint64()),
+		s.state.NowMs(),
 		runResources{s},
 	)
 	// Only an unknown run is judged: what made it acceptable may have changed since.
 	unknown := func(reply http1.Reply) {
-		s.Client.Get(store.PriorityUser, pipelines.RanPrefix+request.ID, nil, func(item *store.Item, err error) {
+		s.client.Get(store.PriorityUser, pipelines.RanPrefix+request.ID, nil, func(item *store.Item, err error) {
 			switch {
 			case err != nil:
 				respond(http1.Refuse("state unavailable"))
@@ -306,12 +306,12 @@
 	txn.Preconditions = append(
 		txn.Preconditions,
 		store.Precondition{Key: pipelines.RanPrefix + request.ID},
-		store.Precondition{Key: members.ViewKey, Revision: s.Mirror.Revision(members.ViewKey)},
+		store.Precondition{Key: members.ViewKey, Revision: s.mirror.Revision(members.ViewKey)},
 	)
-	s.Client.Commit(store.PriorityUser, txn, func(epoch uint64, failed []string, err error) {
+	s.client.Commit(store.PriorityUser, txn, func(epoch uint64, failed []string, err error) {
 		switch {
 		case err == nil:
-			s.Mirror.ApplyCommit(txn.Writes, epoch)
+			s.mirror.ApplyCommit(txn.Writes, epoch)
 			record, _ := s.runs.Known(request.ID)
 			s.answerRun(request.ID, record, 201, false, "", respond)
 		case errors.Is(err, store.ErrConflict) && len(failed) > 0 && failed[0] != members.ViewKey:
@@ -326,23 +326,23 @@
 // abortRun cancels a run. What the run's owner changes meanwhile fails or makes
 // this fail; then it is tried again from the newer record.
 func (s *Server) abortRun(id string, attempts int, respond func(http1.Reply)) {
-	if !s.MayDecide() {
+	if !s.view.MayDecide() {
 		respond(http1.Refuse("not able to cancel"))
 		return
 	}
-	change := s.runs.CancelRun(id, s.Now, s.NowMs(), runResources{s})
+	change := s.runs.CancelRun(id, s.state.Now, s.state.NowMs(), runResources{s})
 	if change == nil { // over, being cancelled, or unknown
 		s.showRun(id, 200, false, "", respond)
 		return
 	}
-	s.Commit([]decide.Decision{s.runDecision(change, func(ok bool) {
+	s.commits.Commit([]decide.Decision{s.runDecision(change, func(ok bool) {
 		switch {
 		case ok:
 			for _, jobID := range change.Cancel {
-				s.AcknowledgeCancellation(jobID) // with the run
+				s.cancellations.Acknowledge(jobID) // with the run
 			}
 			s.showRun(id, 200, false, "", respond)
-		case attempts > 1 && !s.Busy(pipelines.RunPrefix+id):
+		case attempts > 1 && !s.commits.Busy(pipelines.RunPrefix+id):
 			s.abortRun(id, attempts-1, respond)
 		default:
 			respond(http1.Refuse("try again"))
--- a/internal/controller/wiring_api.go
+++ b/internal/controller/wiring_api.go
@@ -6,26 +6,44 @@
 
 // newAPI makes the server of users', operators' and agents' requests.
 func (c *Controller) newAPI() *api.Server {
-	return api.New(c.State, api.Env{
-		Settings:                c.settings,
-		Client:                  c.client,
-		Mirror:                  c.mirror,
-		Log:                     c.log,
-		Rand:                    c.rand,
-		MayDecide:               c.mayDecide,
-		Healthy:                 c.healthy,
-		MirrorLive:              c.mirrorLive,
-		OutsideView:             c.outsideView,
-		Fencing:                 c.committer.Fencing,
-		Members:                 c.memberNames,
-		Busy:                    c.committer.Busy,
-		Commit:                  c.committer.Commit,
-		Wake:                    c.wake,
-		WatchNow:                c.watchNow,
-		Heartbeat:               c.shard.Heartbeat,
-		Acks:                    c.acks,
-		HearsAllMembers:         c.hearsAllMembers,
-		AcknowledgeCancellation: c.cancellations.Acknowledge,
-		Cancelled:               c.cancellations.Cancelled,
+	config := api.Config{
+		Settings: c.settings,
+		Client:   c.client,
+		Mirror:   c.mirror,
+		Acks:     c.acks,
+		Log:      c.log,
+		Random:   c.rand,
+	}
+	collaborators := apiCollaborators{controller: c}
+	return api.New(c.State, config, api.Collaborators{
+		View:          collaborators,
+		Health:        collaborators,
+		Watch:         collaborators,
+		Commits:       c.committer,
+		Loop:          collaborators,
+		Agents:        c.shard,
+		Cancellations: c.cancellations,
 	})
 }
+
+// apiCollaborators is the controller as the API server sees it: its View, Health, Watch and
+// LoopWaker.
+type apiCollaborators struct {
+	controller *Controller
+}
+
+func (a apiCollaborators) MayDecide() bool { return a.controller.mayDecide() }
+
+func (a apiCollaborators) OutsideView() bool { return a.controller.outsideView() }
+
+func (a apiCollaborators) Members() []string { return a.controller.memberNames() }
+
+func (a apiCollaborators) HearsAllMembers() bool { return a.controller.hearsAllMembers() }
+
+func (a apiCollaborators) Healthy() bool { return a.controller.healthy() }
+
+func (a apiCollaborators) MirrorLive() bool { return a.controller.mirrorLive() }
+
+func (a apiCollaborators) WatchNow() { a.controller.watchNow() }
+
+func (a apiCollaborators) Wake() { a.controller.wake() }
