--- a/internal/api/read_batcher.go
+++ b/internal/api/read_batcher.go
@@ -34,13 +34,13 @@
 	if len(b.waiting) <= tuning.MaxPendingReads {
 		return pendingRead{}, false
 	}
-	least := 0
+	fewest := 0
 	for i, other := range b.waiting {
-		if b.shedding.timesShed(other.jobID) <= b.shedding.timesShed(b.waiting[least].jobID) {
-			least = i
+		if b.shedding.timesShed(other.jobID) <= b.shedding.timesShed(b.waiting[fewest].jobID) {
+			fewest = i
 		}
 	}
-	return b.take(least), true
+	return b.take(fewest), true
 }
 
 // first is the index of the request to be read first: of those refused most often the first
