--- a/internal/simulation/mute.go
+++ b/internal/simulation/mute.go
@@ -12,14 +12,14 @@
 // answered, and none of that renews its lease.
 func (w *Simulator) Mute(machine string, on bool) {
 	if on {
-		w.mute[machine] = true
+		w.unreachable[machine] = true
 	} else {
-		delete(w.mute, machine)
+		delete(w.unreachable, machine)
 	}
 }
 
-// unsent is the fate of a mute machine's report: no controller hears of it.
-func (w *Simulator) unsent(done func(int, []byte, error)) {
+// failReport is the fate of a mute machine's report: no controller hears of it.
+func (w *Simulator) failReport(done func(int, []byte, error)) {
 	if w.RNG.IntN(2) == 0 {
 		w.After(w.latency(), func() { done(0, nil, errRefusedConnection) })
 		return
@@ -28,4 +28,4 @@
 }
 
 // Site is the machine's zone.
-func (wk *Worker) Site() string { return wk.h.Site }
+func (wk *Worker) Site() string { return wk.machine.Zone }
--- a/internal/simulation/runs.go
+++ b/internal/simulation/runs.go
@@ -29,7 +29,7 @@
 	r.steps = map[string]*Job{}
 	var try func()
 	try = func() {
-		w.ask("POST", "/pipelines", r.Body, func(status int, b []byte, err error) {
+		w.request("POST", "/pipelines", r.Body, func(status int, b []byte, err error) {
 			if err != nil || status == 429 || status == 503 {
 				w.After(time.Second, try)
 				return
@@ -37,7 +37,7 @@
 			r.Answer = status
 			if status == 200 || status == 201 {
 				r.Accepted = true
-				w.toldRun(r, b)
+				w.checkRunStatus(r, b)
 				w.pollRun(r)
 			}
 		})
@@ -47,7 +47,7 @@
 
 // AgainRun repeats a run's submission, perhaps with another body.
 func (w *Simulator) AgainRun(r *Run, body []byte) {
-	w.ask("POST", "/pipelines", body, func(status int, b []byte, err error) {
+	w.request("POST", "/pipelines", body, func(status int, b []byte, err error) {
 		if err != nil {
 			return
 		}
@@ -55,18 +55,18 @@
 			w.Break("run accepted twice: %s", r.ID)
 		}
 		if status == 200 {
-			w.toldRun(r, b)
+			w.checkRunStatus(r, b)
 		}
 	})
 }
 
 func (w *Simulator) pollRun(r *Run) {
-	w.ask("GET", "/pipelines/"+r.ID, nil, func(status int, b []byte, err error) {
+	w.request("GET", "/pipelines/"+r.ID, nil, func(status int, b []byte, err error) {
 		if err == nil && status == 404 {
 			w.Break("forgotten: %s gets 404", r.ID)
 		}
 		if err == nil && status == 200 {
-			w.toldRun(r, b)
+			w.checkRunStatus(r, b)
 		}
 		if !pipelines.RunState(r.Told).Over() {
 			w.After(2*time.Second, func() { w.pollRun(r) })
@@ -77,18 +77,18 @@
 // AbortRun cancels a run, repeating until it is answered.
 func (w *Simulator) AbortRun(r *Run) {
 	r.AbortAsked = true
-	w.ask("POST", "/pipelines/"+r.ID+"/abort", nil, func(status int, b []byte, err error) {
+	w.request("POST", "/pipelines/"+r.ID+"/abort", nil, func(status int, b []byte, err error) {
 		if err != nil || status != 200 {
 			w.After(time.Second, func() { w.AbortRun(r) })
 			return
 		}
-		w.toldRun(r, b)
+		w.checkRunStatus(r, b)
 	})
 }
 
-// toldRun checks what a user is told of a run against what was told before, and
+// checkRunStatus checks what a user is told of a run against what was told before, and
 // against what the workers did.
-func (w *Simulator) toldRun(r *Run, body []byte) {
+func (w *Simulator) checkRunStatus(r *Run, body []byte) {
 	var s pipelines.Status
 	for _, line := range strings.Split(string(body), "\n") {
 		if len(line) > 64<<10 {
@@ -139,15 +139,15 @@
 	}
 	r.Status, r.Told = s, string(s.Status)
 	if s.Status == pipelines.RunCancelled {
-		w.cancelledRun(r)
+		w.noteRunCancelled(r)
 	}
 }
 
-// cancelledRun checks, as for jobs, that all is gone in time.
-func (w *Simulator) cancelledRun(r *Run) {
+// noteRunCancelled checks, as for jobs, that all is gone in time.
+func (w *Simulator) noteRunCancelled(r *Run) {
 	for _, step := range r.Status.Steps {
 		if j := w.Jobs[step.Job]; j != nil && !j.Cancelled && step.Status == pipelines.Cancelled {
-			w.cancelled(j)
+			w.noteCancelled(j)
 		}
 	}
 }
