--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -105,7 +105,14 @@
 }
 
 func newCloud(w *Simulator) *Cloud {
-	return &Cloud{sim: w, BootS: 20, LagS: 4, Limit: 40, machines: map[string]*cloudMachine{}, rentals: map[string]rentalResult{}}
+	return &Cloud{
+		sim:      w,
+		BootS:    20,
+		LagS:     4,
+		Limit:    40,
+		machines: map[string]*cloudMachine{},
+		rentals:  map[string]rentalResult{},
+	}
 }
 
 // Call is a node's way to the cloud.
--- a/internal/simulation/simulator.go
+++ b/internal/simulation/simulator.go
@@ -55,19 +55,25 @@
 	Nodes   map[string]*Node
 	Order   []string // node names
 
+	// Times in seconds.
 	LeaseS, ReportS, CancelS, GangWaitS, GangPeerS float64
-	Max                                            map[string]float64 // accelerators by team
-	Broken                                         []string
-	answerSentAt                                   time.Time     // when the answer that is being taken left its controller
-	requestSentAt                                  time.Time     // when its question was asked
-	Sent503                                        int           // answers to submissions and cancellations
-	Breaches                                       int           // of the protocol's limits, in Broken as well
-	Real                                           *Real         // set when the parties speak over sockets
-	Door                                           string        // the node that users reach, any if empty
-	Expired                                        int           // leases that ran out with tasks on the machine
-	commandCount                                   int           // told to workers
-	StartsAfterCancel                              int           // of tasks whose user had been told that the job is cancelled
-	Odd                                            invalidCounts // odd requests that were answered
+
+	Max      map[string]float64 // accelerators by team
+	Broken   []string           // rules that were broken
+	Sent503  int                // answers to submissions and cancellations
+	Breaches int                // of the protocol's limits, in Broken as well
+	Real     *Real              // set when the parties speak over sockets
+	Door     string             // the node that users reach, any if empty
+	Expired  int                // leases that ran out with tasks on the machine
+	// StartsAfterCancel counts starts of tasks whose user had been told that the job is
+	// cancelled.
+	StartsAfterCancel int
+	Odd               invalidCounts // invalid requests that were answered
+
+	// answerSentAt is when the answer that is being taken left its controller,
+	// requestSentAt when its request was sent.
+	answerSentAt, requestSentAt time.Time
+	commandCount                int // sent to agents
 
 	account  *quota.Account // of the tree in force, where quotas are watched
 	calendar *calendarWatch // where there is one
