--- a/internal/agent/verdict.go
+++ b/internal/agent/verdict.go
@@ -5,12 +5,12 @@
 
 // Verdicts on an attempt that is recorded on the machine.
 const (
-	Unclear  Verdict = "unclear"   // wait for a heartbeat that carries the token in force
-	ToLaunch Verdict = "to launch" // its launch was never sent
-	Sent     Verdict = "sent"      // its launch is under way
-	OnIt     Verdict = "on it"     // reported, not ended
-	Over     Verdict = "over"      // reported ended
-	Missing  Verdict = "missing"   // was sent or recorded, and is not on the machine
+	Unclear     Verdict = "unclear"   // wait for a heartbeat that carries the token in force
+	ToLaunch    Verdict = "to launch" // its launch was never sent
+	Sent        Verdict = "sent"      // its launch is under way
+	OnMachine   Verdict = "on it"     // reported, not ended
+	EndReported Verdict = "over"      // reported ended
+	Missing     Verdict = "missing"   // was sent or recorded, and is not on the machine
 )
 
 // Judge tells where a recorded attempt stands. The reported status is returned with OnIt
@@ -24,9 +24,9 @@
 	}
 	if status, ok := s.reported(taskID, attempt); ok {
 		if status.Status == Ended {
-			return Over, status
+			return EndReported, status
 		}
-		return OnIt, status
+		return OnMachine, status
 	}
 	sent, ok := s.launched[taskID]
 	switch {
--- a/internal/api/cancellations.go
+++ b/internal/api/cancellations.go
@@ -19,7 +19,7 @@
 		return
 	}
 	if !s.view.MayDecide() {
-		respond(http1.Refuse("not able to cancel"))
+		respond(http1.Unavailable("not able to cancel"))
 		return
 	}
 	s.findJob(jobID, func(final jobs.Final, err error) {
@@ -43,21 +43,21 @@
 	}
 	job := s.state.Jobs[jobID]
 	if job == nil || job.Record == nil {
-		respond(http1.Refuse("try again"))
+		respond(http1.Unavailable("try again"))
 		return
 	}
-	s.Close(job, next, store.PriorityUser, func(committed bool) {
+	s.CloseJob(job, next, store.PriorityUser, func(committed bool) {
 		if !committed {
-			respond(http1.Refuse("try again"))
+			respond(http1.Unavailable("try again"))
 			return
 		}
 		s.answer(jobID, http.StatusOK, jobs.Final{State: next}, false, respond)
 	})
 }
 
-// Close commits a job's final state, for its tasks to act on and for users to read for ever.
+// CloseJob commits a job's final state, for its tasks to act on and for users to read for ever.
 // done is called once, with whether the transaction is known to be committed.
-func (s *Server) Close(job *clusterstate.Job, state jobs.JobState, priority store.Priority, done func(bool)) {
+func (s *Server) CloseJob(job *clusterstate.Job, state jobs.JobState, priority store.Priority, done func(bool)) {
 	key, finalKey := jobs.JobPrefix+job.ID, jobs.FinalPrefix+job.ID
 	txn := store.Txn{
 		Preconditions: []store.Precondition{
--- a/internal/api/load_shedding.go
+++ b/internal/api/load_shedding.go
@@ -36,5 +36,5 @@
 // shedLoad refuses a request for want of room; the next one about its job goes before others.
 func (s *Server) shedLoad(jobID string, respond func(http1.Reply)) {
 	s.reads.shedding.shed(jobID)
-	respond(http1.Refuse("too many questions"))
+	respond(http1.Unavailable("too many questions"))
 }
--- a/internal/api/quota_requests.go
+++ b/internal/api/quota_requests.go
@@ -38,7 +38,7 @@
 		return
 	}
 	if !s.view.MayDecide() || s.quotas.stored == nil {
-		respond(http1.Refuse("not able to decide"))
+		respond(http1.Unavailable("not able to decide"))
 		return
 	}
 	if request.DryRun {
@@ -50,7 +50,7 @@
 
 // previewQuota says what a tree would mean if it were in force.
 func (s *Server) previewQuota(tree *quota.Tree) quota.Preview {
-	account := s.state.Account.On(tree)
+	account := s.state.Account.RebasedOn(tree)
 	preview := quota.Preview{Number: s.quotaNumber(), Over: account.Excesses()}
 	for _, stop := range quotareclaim.Plan(s.state, account, tuning.MaxFaults) {
 		preview.Stops = append(preview.Stops, quota.PreviewStop{Task: stop.Task.ID, Path: stop.Path})
@@ -91,7 +91,7 @@
 			s.mirror.ApplyCommit(txn.Writes, epoch)
 			respond(s.quotaReply(http.StatusOK))
 		case errors.Is(err, store.ErrConflict):
-			respond(http1.Refuse("another change came first; try again"))
+			respond(http1.Unavailable("another change came first; try again"))
 		default:
 			respond(unavailable())
 		}
--- a/internal/api/quotas.go
+++ b/internal/api/quotas.go
@@ -87,7 +87,7 @@
 	for _, stop := range quotareclaim.Plan(s.state, s.state.Account, tuning.MaxReclaimStops) {
 		reason := "quota of " + stop.Path + " was lowered"
 		next, ok := jobs.Withdraw(stop.Task.Task, reason)
-		if !ok || s.commits.Busy(stop.Task.Stored.Key) {
+		if !ok || s.commits.Busy(stop.Task.StoredIn.Key) {
 			continue
 		}
 		taskID := stop.Task.ID
--- a/internal/api/routing.go
+++ b/internal/api/routing.go
@@ -90,12 +90,12 @@
 }
 
 // unavailable is the answer to whoever depends on a call to the state service that failed.
-func unavailable() http1.Reply { return http1.Refuse("state unavailable") }
+func unavailable() http1.Reply { return http1.Unavailable("state unavailable") }
 
 // answerHealth tells the load balancer whether to send users here.
 func (s *Server) answerHealth(respond func(http1.Reply)) {
 	if !s.health.Healthy() {
-		respond(http1.Refuse("not ready"))
+		respond(http1.Unavailable("not ready"))
 		return
 	}
 	respond(http1.Reply{Status: http.StatusOK, Body: []byte(`{"up":true}`)})
--- a/internal/api/run_requests.go
+++ b/internal/api/run_requests.go
@@ -59,7 +59,7 @@
 			s.answerRun(query, record, http.StatusOK, respond)
 			return
 		}
-		s.client.Get(store.PriorityUser, pipelines.RanPrefix+query.id, nil, func(item *store.Item, err error) {
+		s.client.Get(store.PriorityUser, pipelines.EndedRunPrefix+query.id, nil, func(item *store.Item, err error) {
 			switch {
 			case err != nil:
 				respond(unavailable())
@@ -75,7 +75,7 @@
 
 // answerRun answers with a run's record, nil if it can't be read.
 func (s *Server) answerRun(query runQuery, record *pipelines.Record, status int, respond func(http1.Reply)) {
-	if record != nil && query.sum != "" && record.Sum != query.sum {
+	if record != nil && query.sum != "" && record.Checksum != query.sum {
 		respond(errorReply(http.StatusConflict, "another pipeline has this id"))
 		return
 	}
@@ -86,7 +86,7 @@
 			return
 		}
 	}
-	respond(http1.Refuse("this run's record can't be read by this version"))
+	respond(http1.Unavailable("this run's record can't be read by this version"))
 }
 
 // submitRun handles a user's submission of a run. It is an idempotent request: the same run
@@ -98,10 +98,10 @@
 		return
 	}
 	if !s.view.MayDecide() || len(s.state.MachineTypes) == 0 {
-		respond(http1.Refuse("not able to accept"))
+		respond(http1.Unavailable("not able to accept"))
 		return
 	}
-	query := runQuery{id: request.ID, sum: pipelines.Sum(request.Doc)}
+	query := runQuery{id: request.ID, sum: pipelines.Checksum(request.Document)}
 	if record, quarantined := s.runs.Known(request.ID); record != nil || quarantined {
 		s.showRun(query, respond)
 		return
@@ -121,7 +121,7 @@
 
 // judgeRun is the refusal of a run that can't be accepted, nil for one that can.
 func (s *Server) judgeRun(request *pipelines.Request) *http1.Reply {
-	if faults := request.Plan.Judge(runResources{s}.Judge); len(faults) > 0 {
+	if faults := request.Plan.FeasibilityFaults(runResources{s}.Infeasible); len(faults) > 0 {
 		body := jobs.Encode(pipelines.Refusal{Error: "steps that can never run", Faults: faults})
 		return &http1.Reply{Status: http.StatusUnprocessableEntity, Body: body}
 	}
@@ -136,7 +136,7 @@
 // refuseUnlessRan refuses a run unless it was accepted and has ended: only an unknown run is
 // judged, since what made it acceptable may have changed since.
 func (s *Server) refuseUnlessRan(query runQuery, refusal http1.Reply, respond func(http1.Reply)) {
-	s.client.Get(store.PriorityUser, pipelines.RanPrefix+query.id, nil, func(item *store.Item, err error) {
+	s.client.Get(store.PriorityUser, pipelines.EndedRunPrefix+query.id, nil, func(item *store.Item, err error) {
 		switch {
 		case err != nil:
 			respond(unavailable())
@@ -158,7 +158,7 @@
 	}
 	txn.Preconditions = append(
 		txn.Preconditions,
-		store.Precondition{Key: pipelines.RanPrefix + query.id},
+		store.Precondition{Key: pipelines.EndedRunPrefix + query.id},
 		store.Precondition{Key: members.ViewKey, Revision: s.mirror.Revision(members.ViewKey)},
 	)
 	s.client.Commit(store.PriorityUser, txn, func(epoch uint64, failed []string, err error) {
@@ -171,7 +171,7 @@
 			s.showRun(query, respond)
 		default:
 			// Unknown counts as not accepted; a repeated submission finds out.
-			respond(http1.Refuse("try again"))
+			respond(http1.Unavailable("try again"))
 		}
 	})
 }
@@ -180,7 +180,7 @@
 // meanwhile fails or makes this fail, and then it is tried again from the newer record.
 func (s *Server) cancelRun(id string, attempts int, respond func(http1.Reply)) {
 	if !s.view.MayDecide() {
-		respond(http1.Refuse("not able to cancel"))
+		respond(http1.Unavailable("not able to cancel"))
 		return
 	}
 	change := s.runs.CancelRun(id, s.state.Now, s.state.NowMs(), runResources{s})
@@ -198,7 +198,7 @@
 		case attempts > 1 && !s.commits.Busy(pipelines.RunPrefix+id):
 			s.cancelRun(id, attempts-1, respond)
 		default:
-			respond(http1.Refuse("try again"))
+			respond(http1.Unavailable("try again"))
 		}
 	})})
 }
--- a/internal/api/run_resources.go
+++ b/internal/api/run_resources.go
@@ -45,8 +45,8 @@
 	return final.State, ok
 }
 
-// Judge says why a job can never run; empty if it can.
-func (r runResources) Judge(spec *jobs.Spec) string {
+// Infeasible says why a job can never run; empty if it can.
+func (r runResources) Infeasible(spec *jobs.Spec) string {
 	state := r.server.state
 	if reason := jobs.CanEverRun(spec, state.Account.Tree(), state.MachineTypes); reason != "" {
 		return reason
@@ -67,7 +67,7 @@
 	if waiting <= 0 {
 		return ""
 	}
-	if full := s.state.Account.Full(s.state.QuotaLeaf(spec), spec.Amount()); full != "" {
+	if full := s.state.Account.LimitReached(s.state.QuotaLeaf(spec), spec.Amount()); full != "" {
 		return fmt.Sprintf("%d tasks wait: %s", waiting, full)
 	}
 	return fmt.Sprintf("%d tasks wait for room on a machine", waiting)
--- a/internal/api/runs.go
+++ b/internal/api/runs.go
@@ -25,9 +25,9 @@
 	})
 }
 
-// RunBudget gives the runs their share of this controller's changes. It is called with each
+// UpdateRunBudget gives the runs their share of this controller's changes. It is called with each
 // new view.
-func (s *Server) RunBudget() {
+func (s *Server) UpdateRunBudget() {
 	if s.runs == nil {
 		return
 	}
@@ -58,7 +58,7 @@
 	owned := func(id string) bool { return sharding.Owner(id, names) == s.settings.NodeName }
 	busy := func(id string) bool { return s.commits.Busy(pipelines.RunPrefix + id) }
 	room := func(ops int) bool { return s.client.Allows(0, ops) }
-	changes, unknown := s.runs.Pass(s.state.Now, s.state.NowMs(), owned, busy, room, runResources{s})
+	changes, unknown := s.runs.Reconcile(s.state.Now, s.state.NowMs(), owned, busy, room, runResources{s})
 	for _, jobID := range unknown {
 		s.findRunJob(jobID)
 	}
@@ -90,7 +90,7 @@
 			done(committed)
 		}
 	}}
-	runKey, endedKey := pipelines.RunPrefix+change.ID, pipelines.RanPrefix+change.ID
+	runKey, endedKey := pipelines.RunPrefix+change.ID, pipelines.EndedRunPrefix+change.ID
 	if change.Over {
 		decision.Writes = append(decision.Writes, decide.Put(endedKey, change.Record), decide.Remove(runKey))
 	} else {
--- a/internal/api/submissions.go
+++ b/internal/api/submissions.go
@@ -32,7 +32,7 @@
 		return
 	}
 	if !s.view.MayDecide() {
-		respond(http1.Refuse("not able to accept"))
+		respond(http1.Unavailable("not able to accept"))
 		return
 	}
 	// A job that is known already is answered by a read, as a query about it is; only an
@@ -42,7 +42,7 @@
 		return
 	}
 	if len(s.state.MachineTypes) == 0 {
-		respond(http1.Refuse("machine types not known yet"))
+		respond(http1.Unavailable("machine types not known yet"))
 		return
 	}
 	if reason := jobs.CanEverRun(spec, s.state.Account.Tree(), s.state.MachineTypes); reason != "" {
@@ -107,11 +107,11 @@
 		case err == nil:
 			s.answer(sub.spec.ID, http.StatusOK, final, false, sub.respond)
 		case !errors.Is(err, errNoJob) || attempts <= 1:
-			sub.respond(http1.Refuse("try again"))
+			sub.respond(http1.Unavailable("try again"))
 		default:
 			s.afterEpoch(sub.respond, func() {
 				if !s.view.MayDecide() {
-					sub.respond(http1.Refuse("not able to accept"))
+					sub.respond(http1.Unavailable("not able to accept"))
 					return
 				}
 				s.accept(sub, attempts-1)
--- a/internal/calendar/cluster_view.go
+++ b/internal/calendar/cluster_view.go
@@ -61,7 +61,7 @@
 		v.unknown++ // a record that does not even say which jobs it is about
 	}
 	for taskID, reservation := range state.Reservations {
-		if !strings.HasPrefix(taskID, Kept) && reservation.Task.Job.Record != nil {
+		if !strings.HasPrefix(taskID, ReservationPrefix) && reservation.Task.Job.Record != nil {
 			v.attempts[reservation.Task.Job.Record.Spec.QuotaKey()]++
 		}
 	}
--- a/internal/calendar/guard.go
+++ b/internal/calendar/guard.go
@@ -107,5 +107,5 @@
 
 // holdsMachine tells whether a task is released or placed.
 func holdsMachine(task *jobs.Task) bool {
-	return task.State == jobs.Released || task.State == jobs.Placed
+	return task.State == jobs.Assigned || task.State == jobs.Placed
 }
--- a/internal/calendar/service.go
+++ b/internal/calendar/service.go
@@ -15,8 +15,8 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Kept begins the IDs of reservations that only keep room for a window that is about to open.
-const Kept = "kept "
+// ReservationPrefix begins the IDs of reservations that only keep room for a window that is about to open.
+const ReservationPrefix = "kept "
 
 // Config is the settings of a Service.
 type Config struct {
--- a/internal/calendar/show.go
+++ b/internal/calendar/show.go
@@ -35,8 +35,8 @@
 	Note     string    `json:"note,omitempty"`
 }
 
-// Dry lists what a plan would do in a stretch of time, with a note on what overlaps by plan.
-func (p *Plan) Dry(from, to time.Time) []Shown {
+// Preview lists what a plan would do in a stretch of time, with a note on what overlaps by plan.
+func (p *Plan) Preview(from, to time.Time) []Shown {
 	var all []Shown
 	for _, track := range p.Tracks {
 		var last Span // that ends last so far
@@ -163,9 +163,9 @@
 	Opens time.Time `json:"opens"` // zero if nothing is planned
 }
 
-// Lates lists the jobs among some records that cannot end by their deadline because of their
+// LateJobs lists the jobs among some records that cannot end by their deadline because of their
 // windows, as planned now, at a time of day in ms. Records that can't be read are left out.
-func (k *Keeper) Lates(items []store.Item, nowMs int64) []Late {
+func (k *Keeper) LateJobs(items []store.Item, nowMs int64) []Late {
 	var all []Late
 	for _, item := range items {
 		jobID := strings.TrimPrefix(item.Key, jobs.JobPrefix)
@@ -207,8 +207,8 @@
 	return opensMs, dueMs, opensMs == 0 || endsMs > dueMs
 }
 
-// Meet lists the tracks on which classes that no one window has together are on machines.
-func (p *Plan) Meet(onMachines map[quota.Key]bool) []string {
+// OverlappingTracks lists the tracks on which classes that no one window has together are on machines.
+func (p *Plan) OverlappingTracks(onMachines map[quota.Key]bool) []string {
 	var names []string
 	for _, track := range p.Tracks {
 		var classes []quota.Key
--- a/internal/calendar/stops.go
+++ b/internal/calendar/stops.go
@@ -17,8 +17,8 @@
 // every end.
 func (s *Service) stopDecisions(now Now) []decide.Decision {
 	var decisions []decide.Decision
-	for _, taskID := range clusterstate.SortedKeys(s.state.Released) {
-		task := s.state.Released[taskID]
+	for _, taskID := range clusterstate.SortedKeys(s.state.Assigned) {
+		task := s.state.Assigned[taskID]
 		if task.Job.Record == nil || len(decisions) >= tuning.CalendarStops {
 			continue
 		}
@@ -89,7 +89,7 @@
 	gang := len(tasks) > 1 && tasks[0].Job.Record.Spec.IsGang()
 	for _, task := range tasks {
 		next, ok := jobs.Withdraw(task.Task, reason)
-		if !ok || s.commits.Busy(task.Stored.Key) {
+		if !ok || s.commits.Busy(task.StoredIn.Key) {
 			if gang {
 				return nil // at the next check, as a whole
 			}
@@ -118,7 +118,7 @@
 func (s *Service) deleteUnresponsive(task *clusterstate.Task) []decide.Decision {
 	now := s.state.Now
 	machine := s.state.Machines[task.Machine]
-	if machine == nil || now.Sub(task.Since) < tuning.HoldsGiveUp || now.Sub(s.leadingSince) < tuning.HoldsGiveUp {
+	if machine == nil || now.Sub(task.StateSince) < tuning.HoldsGiveUp || now.Sub(s.leadingSince) < tuning.HoldsGiveUp {
 		return nil
 	}
 	since, unresponsive := s.machines.UnresponsiveSince(machine)
--- a/internal/callerrors/callerrors.go
+++ b/internal/callerrors/callerrors.go
@@ -17,12 +17,12 @@
 
 // The parties.
 const (
-	State   Party = "state"             // calls to the state service
-	Cloud   Party = "cloud"             // calls to the cloud
-	Worker  Party = "worker"            // calls to workers' agents
-	Workers Party = "reports"           // requests of workers' agents
-	Users   Party = "users"             // requests of users and operators
-	Peers   Party = "other controllers" // lines that other controllers sent
+	Store         Party = "state"             // calls to the state service
+	Cloud         Party = "cloud"             // calls to the cloud
+	AgentCalls    Party = "worker"            // calls to workers' agents
+	AgentRequests Party = "reports"           // requests of workers' agents
+	Users         Party = "users"             // requests of users and operators
+	Peers         Party = "other controllers" // lines that other controllers sent
 )
 
 // The answers that are no fault of the program, by party. Any other means that the request
@@ -30,21 +30,21 @@
 var (
 	// expectedStatuses say no more than what the state of things is. They are not counted.
 	expectedStatuses = map[Party][]int{
-		State:   {200, 404, 409, 410},
-		Cloud:   {200},
-		Worker:  {200, 409},
-		Workers: {200, 421},
-		Users:   {200, 201, 404},
-		Peers:   {200},
+		Store:         {200, 404, 409, 410},
+		Cloud:         {200},
+		AgentCalls:    {200, 409},
+		AgentRequests: {200, 421},
+		Users:         {200, 201, 404},
+		Peers:         {200},
 	}
 	// overloadStatuses come of load, of outages or of what others send.
 	overloadStatuses = map[Party][]int{
-		State: {429, 503},
+		Store: {429, 503},
 		Cloud: {429, 503},
 		// What users send wrong is theirs to correct.
-		Users:   {400, 405, 409, 413, 422, 429, 503},
-		Workers: {503},
-		Peers:   {400}, // whoever sends such lines is no controller of these settings
+		Users:         {400, 405, 409, 413, 422, 429, 503},
+		AgentRequests: {503},
+		Peers:         {400}, // whoever sends such lines is no controller of these settings
 	}
 )
 
@@ -98,7 +98,7 @@
 		party:      party,
 		call:       method + " " + genericTarget(target),
 		status:     status,
-		leaseEnded: party == State && status == 400 && strings.Contains(string(body), "no such lease"),
+		leaseEnded: party == Store && status == 400 && strings.Contains(string(body), "no such lease"),
 	}
 	c.Refused++
 	if refusal.unexpected() {
@@ -142,10 +142,10 @@
 	return word != "" && !strings.ContainsFunc(word, func(r rune) bool { return r < 'a' || r > 'z' })
 }
 
-// Due is the report of what was refused since the last one, once that is
+// Report is the report of what was refused since the last one, once that is
 // tuning.CallErrorsLogEvery ago: calls that should never have been made, and those refused
 // because of load or outages. Both are empty where there was nothing, or it is too early.
-func (c *Counter) Due(now time.Time) (unexpected, overload string) {
+func (c *Counter) Report(now time.Time) (unexpected, overload string) {
 	if c.lastReport.IsZero() {
 		c.lastReport = now
 	}
--- a/internal/cli/calendar.go
+++ b/internal/cli/calendar.go
@@ -137,7 +137,7 @@
 		}
 	}
 	end := begin.AddDate(0, 0, days)
-	if err := a.showOccurrences(plan.Dry(begin, end)); err != nil {
+	if err := a.showOccurrences(plan.Preview(begin, end)); err != nil {
 		return err
 	}
 	if collisions := plan.Collisions(begin, end); len(collisions) > 0 {
@@ -184,7 +184,7 @@
 	if rows, err = source.all(jobs.JobPrefix); err != nil {
 		return err
 	}
-	for _, job := range keeper.Lates(rows, time.Now().UnixMilli()) {
+	for _, job := range keeper.LateJobs(rows, time.Now().UnixMilli()) {
 		if a.json() {
 			a.line(job)
 			continue
--- a/internal/cli/pipeline_view.go
+++ b/internal/cli/pipeline_view.go
@@ -72,7 +72,7 @@
 			}{"step", status.ID, step})
 			continue
 		}
-		text := fmt.Sprintf("%7.1f s  %-10s %s", status.TookS, step.Status, step.Name)
+		text := fmt.Sprintf("%7.1f s  %-10s %s", status.DurationS, step.Status, step.Name)
 		if step.Why != "" {
 			text += ": " + string(step.Why)
 		}
@@ -136,8 +136,8 @@
 }
 
 func stepDuration(step pipelines.StepStatus) string {
-	if step.TookS > 0 {
-		return fmt.Sprintf("%.1f s", step.TookS)
+	if step.DurationS > 0 {
+		return fmt.Sprintf("%.1f s", step.DurationS)
 	}
 	return "-"
 }
@@ -147,7 +147,7 @@
 	if step.Status == pipelines.Waiting || step.Status == pipelines.Skipped {
 		return "-"
 	}
-	return step.Job
+	return step.JobID
 }
 
 func stepNote(step pipelines.StepStatus) string {
@@ -165,7 +165,7 @@
 		counts[step.Status]++
 	}
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s %s: %s after %.1f s", status.Name, status.ID, status.Status, status.TookS)
+	fmt.Fprintf(&b, "%s %s: %s after %.1f s", status.Name, status.ID, status.Status, status.DurationS)
 	for _, state := range summaryOrder {
 		if counts[state] > 0 {
 			fmt.Fprintf(&b, ", %d %s", counts[state], state)
@@ -182,10 +182,10 @@
 			"event":  "ended",
 			"run":    status.ID,
 			"status": status.Status,
-			"took_s": status.TookS,
+			"took_s": status.DurationS,
 		})
 	} else if a.height() == 0 {
-		a.printf("%s %s after %.1f s\n", status.ID, status.Status, status.TookS)
+		a.printf("%s %s after %.1f s\n", status.ID, status.Status, status.DurationS)
 	}
 	switch status.Status {
 	case pipelines.RunFailed:
--- a/internal/cli/rollout.go
+++ b/internal/cli/rollout.go
@@ -101,7 +101,7 @@
 			} else {
 				a.showRolloutPlan(plan)
 			}
-			if len(plan.NotYet) > 0 {
+			if len(plan.Obstacles) > 0 {
 				return &Exit{Code: ExitNotYet}
 			}
 			return nil
@@ -123,10 +123,10 @@
 	if len(plan.Order) == 0 && plan.Leader != "" {
 		a.printf("all are replaced\n")
 	}
-	for _, reason := range plan.NotYet {
+	for _, reason := range plan.Obstacles {
 		a.printf("not yet: %s\n", reason)
 	}
-	if len(plan.NotYet) == 0 && len(plan.Order) > 0 {
+	if len(plan.Obstacles) == 0 && len(plan.Order) > 0 {
 		a.printf("%s may be ended now\n", plan.Order[0])
 	}
 }
@@ -195,7 +195,7 @@
 		if err != nil {
 			return err
 		}
-		reasons := plan.May(w.name)
+		reasons := plan.ReasonsAgainst(w.name)
 		if text := strings.Join(reasons, "; "); text != reported {
 			if reported = text; reported != "" {
 				w.progress("not yet: " + reported)
--- a/internal/cli/state.go
+++ b/internal/cli/state.go
@@ -109,7 +109,7 @@
 	defer func() { _ = f.Close() }() // nothing was written that a failed close could lose
 	saved, err := snapshot.Read(f)
 	switch {
-	case errors.Is(err, snapshot.ErrCut):
+	case errors.Is(err, snapshot.ErrTruncated):
 		return nil, usage("%s: %v; the same dump command goes on with it if it ends in .part", file, err)
 	case err != nil:
 		return nil, usage("%s: %v", file, err)
@@ -122,10 +122,10 @@
 	a.printf(
 		"epoch %d, begun %s: %d live jobs, %d tasks, %d of them on machines\n",
 		report.Epoch,
-		time.UnixMilli(saved.AtMs).UTC().Format(time.RFC3339),
-		report.Live,
+		time.UnixMilli(saved.BegunMs).UTC().Format(time.RFC3339),
+		report.LiveJobs,
 		report.Tasks,
-		report.On,
+		report.TasksOnMachines,
 	)
 	t := table{tabwriter.NewWriter(a.out, 0, 4, 2, ' ', tabwriter.AlignRight)}
 	for _, kind := range clusterstate.SortedKeys(report.Keys) {
@@ -133,7 +133,7 @@
 	}
 	_ = t.flush() // dropped as in printf
 	for _, finding := range report.Findings {
-		a.printf("%s\n", strings.TrimPrefix(fmt.Sprintf("%s: %s", finding.Key, finding.What), ": "))
+		a.printf("%s\n", strings.TrimPrefix(fmt.Sprintf("%s: %s", finding.Key, finding.Problem), ": "))
 	}
 	if len(report.Findings) == 0 {
 		a.printf("all records agree\n")
--- a/internal/clusterstate/apply.go
+++ b/internal/clusterstate/apply.go
@@ -69,18 +69,18 @@
 	previous := record.Tasks
 	record.Tasks = make([]*Task, len(stored))
 	for i := range stored {
-		if i < len(previous) && previous[i].Same(&stored[i]) {
+		if i < len(previous) && previous[i].Equal(&stored[i]) {
 			record.Tasks[i] = previous[i]
 			continue
 		}
 		index := record.FirstIndex + i
 		t := &Task{
-			Task:   stored[i],
-			ID:     jobs.TaskID(j.ID, index),
-			Index:  index,
-			Job:    j,
-			Stored: record,
-			Since:  s.Now,
+			Task:       stored[i],
+			ID:         jobs.TaskID(j.ID, index),
+			Index:      index,
+			Job:        j,
+			StoredIn:   record,
+			StateSince: s.Now,
 		}
 		record.Tasks[i] = t
 		s.replaceTask(t)
@@ -124,7 +124,7 @@
 		s.machinesByName = nil
 	}
 	if m.State != record.State {
-		m.Since = s.Now
+		m.StateSince = s.Now
 	}
 	m.MachineRecord = *record
 	return nil
--- a/internal/clusterstate/batches.go
+++ b/internal/clusterstate/batches.go
@@ -84,13 +84,13 @@
 // a transaction that is carried out once more, after the batch record that it began was
 // removed, brings that record back with what was true then, at a later revision.
 func heldByLaterBatch(known *Task, record *TaskRecord, entry *taskbatch.Entry) bool {
-	if known.Stored == record || !known.Stored.IsBatch() {
+	if known.StoredIn == record || !known.StoredIn.IsBatch() {
 		return false
 	}
 	if isLaterAttempt(&known.Task, &entry.Task) {
 		return true
 	}
-	return !isLaterAttempt(&entry.Task, &known.Task) && known.Stored.Revision > record.Revision
+	return !isLaterAttempt(&entry.Task, &known.Task) && known.StoredIn.Revision > record.Revision
 }
 
 // taskFromBatch is the task of an entry of a batch record, nil if a later version of another
@@ -102,8 +102,8 @@
 		if heldByLaterBatch(known, record, entry) {
 			return nil
 		}
-		if known.Same(&entry.Task) {
-			known.Stored = record
+		if known.Equal(&entry.Task) {
+			known.StoredIn = record
 			return known
 		}
 		s.unindexTask(known)
@@ -111,16 +111,16 @@
 	changed[j] = true
 	taskID := jobs.TaskID(entry.JobID, entry.Index)
 	t := s.movingTasks[taskID]
-	if known == nil && t != nil && t.Job == j && t.Same(&entry.Task) {
-		t.Stored = record
+	if known == nil && t != nil && t.Job == j && t.Equal(&entry.Task) {
+		t.StoredIn = record
 	} else {
 		t = &Task{
-			Task:   entry.Task,
-			ID:     taskID,
-			Index:  entry.Index,
-			Job:    j,
-			Stored: record,
-			Since:  s.Now,
+			Task:       entry.Task,
+			ID:         taskID,
+			Index:      entry.Index,
+			Job:        j,
+			StoredIn:   record,
+			StateSince: s.Now,
 		}
 	}
 	j.Tasks[entry.Index] = t
@@ -167,5 +167,5 @@
 		!t.Job.RecordUnreadable &&
 		!record.OnMachine() &&
 		record.State != Unreadable &&
-		t.Stored.Revision <= known
+		t.StoredIn.Revision <= known
 }
--- a/internal/clusterstate/constraints.go
+++ b/internal/clusterstate/constraints.go
@@ -15,7 +15,7 @@
 	}
 	for _, t := range j.Active {
 		switch {
-		case t.State == jobs.Released:
+		case t.State == jobs.Assigned:
 			counts[t.Zone]++
 		case t.OnMachine():
 			counts[s.zoneOfPlaced(t)]++
--- a/internal/clusterstate/index.go
+++ b/internal/clusterstate/index.go
@@ -67,8 +67,8 @@
 	switch t.State {
 	case jobs.Placed, jobs.Stopping:
 		s.indexPlacedTask(t)
-	case jobs.Released:
-		s.Released[t.ID] = t
+	case jobs.Assigned:
+		s.Assigned[t.ID] = t
 		t.Job.Active[t.Index] = t
 		if t.holdsPreference() {
 			s.AllocateResources(t.PreferredMachine, t.Resources)
@@ -113,8 +113,8 @@
 		t.Job.PlacedCount--
 		s.countPriority(t, -1)
 		s.FreeResources(t.Machine, t.Resources)
-	case jobs.Released:
-		delete(s.Released, t.ID)
+	case jobs.Assigned:
+		delete(s.Assigned, t.ID)
 		if t.holdsPreference() {
 			s.FreeResources(t.PreferredMachine, t.Resources)
 		}
--- a/internal/clusterstate/records.go
+++ b/internal/clusterstate/records.go
@@ -26,9 +26,9 @@
 	TasksUnreadable bool
 	// RecordUnreadable means that its own record cannot be read, so that it may be live.
 	RecordUnreadable bool
-	// GatheringSince is since when tasks that there is capacity for wait for more of them;
+	// AccumulatingSince is since when tasks that there is capacity for wait for more of them;
 	// zero if none do.
-	GatheringSince time.Time
+	AccumulatingSince time.Time
 }
 
 // TaskRecord is a stored record of tasks, in one of two forms.
@@ -54,7 +54,7 @@
 
 // Holds tells whether a task that it lists is still stored here, and not in another batch
 // record.
-func (r *TaskRecord) Holds(t *Task) bool { return t.Stored == r && t.Job.Tasks[t.Index] == t }
+func (r *TaskRecord) Holds(t *Task) bool { return t.StoredIn == r && t.Job.Tasks[t.Index] == t }
 
 // Unreadable marks a task whose record cannot be read. It is never stored. Such a task is
 // charged and counts as active, so that it is neither placed again nor lost.
@@ -66,28 +66,28 @@
 	ID               string
 	Index            int // among its job's tasks, from 0
 	Job              *Job
-	Stored           *TaskRecord        // nil for a task that has never been released
+	StoredIn         *TaskRecord        // nil for a task that has never been released
 	Resources        sharding.Resources // as the indexes count them; zero while the job's record is unknown
-	Since            time.Time          // when this state was first seen
+	StateSince       time.Time          // when this state was first seen
 	ObservedRunning  bool               // by a heartbeat of its machine
 	PlacementTriedAt time.Time          // when its shard last looked for a machine in vain
-	// PreferenceReleased means that the resources reserved on the preferred machine are free
+	// PreferenceDropped means that the resources reserved on the preferred machine are free
 	// again, because the task's placement is under way and has reserved its own.
-	PreferenceReleased bool
+	PreferenceDropped bool
 
 	batchRead uint64 // State.batchReads when a batch record last listed it
 }
 
 // holdsPreference tells whether resources on its preferred machine are reserved for it.
 func (t *Task) holdsPreference() bool {
-	return t.State == jobs.Released && t.PreferredMachine != "" && !t.PreferenceReleased
+	return t.State == jobs.Assigned && t.PreferredMachine != "" && !t.PreferenceDropped
 }
 
 // Machine is a machine's record in memory.
 type Machine struct {
 	fleet.MachineRecord
-	Name  string
-	Owner string // the controller of its shard, under the known view
-	Usage *Usage
-	Since time.Time // when this state was first seen
+	Name       string
+	Owner      string // the controller of its shard, under the known view
+	Usage      *Usage
+	StateSince time.Time // when this state was first seen
 }
--- a/internal/clusterstate/state.go
+++ b/internal/clusterstate/state.go
@@ -27,7 +27,7 @@
 	Closed   map[string]*Job // ended, records to be cleared
 
 	TasksOnMachine   map[string]map[string]*Task // by machine, then by task ID
-	Released         map[string]*Task
+	Assigned         map[string]*Task
 	PlacedByPriority [jobs.Priorities]int // tasks on machines by their job's priority
 
 	Machines      map[string]*Machine
@@ -66,7 +66,7 @@
 		Complete:           map[string]*Job{},
 		Closed:             map[string]*Job{},
 		TasksOnMachine:     map[string]map[string]*Task{},
-		Released:           map[string]*Task{},
+		Assigned:           map[string]*Task{},
 		Machines:           map[string]*Machine{},
 		MachineTypes:       map[string]*jobs.MachineType{},
 		Usages:             map[string]*Usage{},
--- a/internal/clusterstate/trust.go
+++ b/internal/clusterstate/trust.go
@@ -23,7 +23,7 @@
 			for _, name := range t.FailedOn {
 				failedOn[name] = true
 			}
-			proven = proven || t.State == jobs.Placed && s.Now.Sub(t.Since) > s.provenAfter(t)
+			proven = proven || t.State == jobs.Placed && s.Now.Sub(t.StateSince) > s.provenAfter(t)
 		}
 	}
 	return jobs.TrustOf(len(failedOn), proven)
--- a/internal/clusterstate/usage.go
+++ b/internal/clusterstate/usage.go
@@ -80,7 +80,7 @@
 	s.Reservations[t.ID] = reservation
 	s.AllocateResources(machine, reservation.Resources)
 	if t.holdsPreference() {
-		t.PreferenceReleased = true
+		t.PreferenceDropped = true
 		s.FreeResources(t.PreferredMachine, t.Resources)
 	}
 }
@@ -93,8 +93,8 @@
 	}
 	delete(s.Reservations, taskID)
 	s.FreeResources(reservation.Machine, reservation.Resources)
-	if t := reservation.Task; t.PreferenceReleased && t.Job.Tasks[t.Index] == t {
-		t.PreferenceReleased = false // not placed: the leader's preference holds again
+	if t := reservation.Task; t.PreferenceDropped && t.Job.Tasks[t.Index] == t {
+		t.PreferenceDropped = false // not placed: the leader's preference holds again
 		s.AllocateResources(t.PreferredMachine, t.Resources)
 	}
 	if reservation.QuotaKey.Team != "" {
--- a/internal/completion/completion.go
+++ b/internal/completion/completion.go
@@ -119,7 +119,7 @@
 		return decide.Decision{}, false
 	}
 	decision = finalDecision(job, state)
-	if task.Stored.IsBatch() {
+	if task.StoredIn.IsBatch() {
 		// The batch record is not written for it: its entry of the task outlives the job's
 		// record by a moment and goes with the next ends. That nobody has given the task
 		// up and started it elsewhere is ensured by its machine's record, which changes
@@ -133,9 +133,9 @@
 func inOneRecord(task *clusterstate.Task) bool {
 	switch len(task.Job.Ranges) {
 	case 0:
-		return task.Stored.IsBatch()
+		return task.StoredIn.IsBatch()
 	case 1:
-		return len(task.Stored.Tasks) == task.Job.Record.Spec.TaskCount
+		return len(task.StoredIn.Tasks) == task.Job.Record.Spec.TaskCount
 	default:
 		return false
 	}
--- a/internal/controller/closing.go
+++ b/internal/controller/closing.go
@@ -31,7 +31,7 @@
 		return
 	}
 	c.leaderState.closing[job.ID] = true
-	c.api.Close(job, state, store.PriorityDecision, func(bool) { delete(c.leaderState.closing, job.ID) })
+	c.api.CloseJob(job, state, store.PriorityDecision, func(bool) { delete(c.leaderState.closing, job.ID) })
 }
 
 // clearClosedJobs removes the records of closed jobs. It is not urgent, so it uses spare writes
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -201,7 +201,7 @@
 
 // Request takes a request of a user, an operator or an agent. respond is called exactly once.
 func (c *Controller) Request(request *http1.Message, respond func(http1.Reply)) {
-	party := callerrors.Workers
+	party := callerrors.AgentRequests
 	if api.IsUsers(request) {
 		party = callerrors.Users
 	}
--- a/internal/controller/diagnostics.go
+++ b/internal/controller/diagnostics.go
@@ -16,7 +16,7 @@
 
 // logCallErrors logs which calls were refused, once a minute.
 func (c *Controller) logCallErrors() {
-	unexpected, load := c.callErrors.Due(c.state.Now)
+	unexpected, load := c.callErrors.Report(c.state.Now)
 	if unexpected != "" {
 		c.log.Error("calls refused that should not have been made", "calls", unexpected)
 	}
--- a/internal/controller/gossip.go
+++ b/internal/controller/gossip.go
@@ -26,7 +26,7 @@
 		c.acks.ApplyPeerAcks(*gossip.Acknowledged, c.state.Now)
 	}
 	c.reachability.ApplyGossip(gossip.From, gossip.StoreReachable, gossip.Isolated)
-	c.shard.Reconciling.OtherHeard(gossip.From, gossip.MachinesHeardEpoch, gossip.Epoch)
+	c.shard.Reconciling.OwnerHeard(gossip.From, gossip.MachinesHeardEpoch, gossip.Epoch)
 	if gossip.Epoch > c.mirror.Epoch {
 		if c.behindSince.IsZero() {
 			c.behindSince = c.state.Now
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -27,7 +27,7 @@
 
 // runLeaderDuties does what only the leader does, once its checks permit it.
 func (c *Controller) runLeaderDuties() {
-	if c.role != members.Leader || !c.checks.Permits(standby.Delete) {
+	if c.role != members.Leader || !c.checks.Permits(standby.Decommission) {
 		return
 	}
 	c.provisioner.Reconcile()
@@ -39,7 +39,7 @@
 	c.queue.DropClaims()
 	c.queue.ReconcileClaims()
 	// Where the write budget does not allow all duties, each is first in turn.
-	duties := []func(){c.closeJobs, c.provisioner.Decommission, c.queue.TakeBack, c.releaseQueued}
+	duties := []func(){c.closeJobs, c.provisioner.Decommission, c.queue.UnassignStale, c.releaseQueued}
 	for i := range duties {
 		duties[(c.leaderState.nextDuty+i)%len(duties)]()
 	}
@@ -51,7 +51,7 @@
 // releaseQueued runs a scheduling cycle, if the write budget allows one now. While no write can
 // be made, free capacity accumulates: the next cycle places in fewer and larger records.
 func (c *Controller) releaseQueued() {
-	if !c.checks.Permits(standby.Release) || !c.api.QuotaSettled() {
+	if !c.checks.Permits(standby.Schedule) || !c.api.QuotaSettled() {
 		return
 	}
 	if c.usesBatches() && !c.batchCycleDue() {
@@ -61,10 +61,10 @@
 	if c.queue.Scarce() {
 		minWrites = tuning.MinBatchWrites
 	}
-	overdue := c.state.Now.Sub(c.leaderState.releasedAt) > tuning.ReleaseLate
+	overdue := c.state.Now.Sub(c.leaderState.releasedAt) > tuning.AssignLateAfter
 	if c.client.Allows(0, minWrites) || overdue {
 		c.leaderState.releasedAt, c.leaderState.queueWasEmpty = c.state.Now, len(c.state.Queued) == 0
-		c.queue.Release()
+		c.queue.RunCycle()
 	}
 }
 
--- a/internal/controller/leader_checks.go
+++ b/internal/controller/leader_checks.go
@@ -23,9 +23,9 @@
 		{standby.WatchReachedView, c.mirror.Epoch >= c.mirror.Revision(members.ViewKey)},
 		{standby.TransactionsFenced, !c.committer.Fencing()},
 		{standby.QuotasSettled, c.api.QuotaSettled()},
-		{standby.MachineTypesKnown, c.provisioner.Priced()},
-		{standby.CloudListed, c.provisioner.Listed()},
-		{standby.FormerRents, c.provisioner.Counted()},
+		{standby.MachineTypesKnown, c.provisioner.CatalogKnown()},
+		{standby.CloudListed, c.provisioner.ListKnown()},
+		{standby.FormerScaleOutsCounted, c.provisioner.RequestsKnown()},
 	} {
 		c.recordCheck(item.check, item.holds)
 	}
--- a/internal/controller/limits.go
+++ b/internal/controller/limits.go
@@ -15,7 +15,7 @@
 	store := c.settings.Cluster.State
 	writeLimit := store.WriteRPS * tuning.StateBudget
 	c.client.SetBudget(store.RPS*requestShare*tuning.StateBudget, writeLimit*writeShare, writeLimit)
-	c.api.RunBudget()
+	c.api.UpdateRunBudget()
 }
 
 // budgetShares are this controller's parts of all requests to the store and of all writes.
@@ -49,12 +49,12 @@
 // every member can read them.
 func (c *Controller) usesBatches() bool {
 	var wanted bool
-	switch c.settings.Operator.Packs {
-	case settings.PacksAlways:
+	switch c.settings.Operator.TaskBatching {
+	case settings.BatchingAlways:
 		wanted = true
-	case settings.PacksScarce:
+	case settings.BatchingWhenScarce:
 		wanted = c.queue.Scarce()
-	case settings.PacksOff:
+	case settings.BatchingOff:
 		wanted = false
 	}
 	return wanted && c.membership.AllSupportBatches()
--- a/internal/controller/replicas.go
+++ b/internal/controller/replicas.go
@@ -23,7 +23,7 @@
 func (c *Controller) replicaMoves(limit int) []decide.Decision {
 	event := jobs.TaskEvent{Kind: jobs.Stop, Reason: "moved off a draining machine"}
 	var decisions []decide.Decision
-	for _, machine := range clusterstate.SortedKeys(c.provisioner.Summary.Drain) {
+	for _, machine := range clusterstate.SortedKeys(c.provisioner.Summary.Draining) {
 		for _, taskID := range clusterstate.SortedKeys(c.state.TasksOnMachine[machine]) {
 			if len(decisions) >= limit {
 				return decisions
@@ -49,7 +49,7 @@
 	if !task.ObservedRunning && c.ownerOf(machine) == c.settings.NodeName {
 		return false
 	}
-	return task.Job.Record.Spec.Kind == jobs.Service && c.state.Now.Sub(task.Since) >= tuning.MoveAfter
+	return task.Job.Record.Spec.Kind == jobs.Service && c.state.Now.Sub(task.StateSince) >= tuning.MoveAfter
 }
 
 // hasRoomElsewhere tells whether a machine that holds a replica's image has room for it.
--- a/internal/controller/runtime.go
+++ b/internal/controller/runtime.go
@@ -45,10 +45,10 @@
 ) Transport {
 	links := d.links(ctx, set.Peers, onDisconnect)
 	return Transport{
-		State: d.caller(set.Outside.State, tuning.StateConns),
+		Store: d.caller(set.Outside.State, tuning.StateConns),
 		Watch: d.caller(set.Outside.State, 1),
 		Cloud: d.caller(set.Outside.Cloud, tuning.CloudConns),
-		Worker: func(endpoint, method, target string, body []byte, timeout time.Duration,
+		Agent: func(endpoint, method, target string, body []byte, timeout time.Duration,
 			done func(int, []byte, error),
 		) {
 			d.caller(endpoint, 0)(method, target, body, timeout, done)
@@ -100,19 +100,19 @@
 	fdLimit := set.Cluster.Limits.FdLimit
 	maxConns := max(fdLimit-tuning.ReservedSockets, fdLimit/2)
 	return &http1.Server{
-		Front:     set.Front,
-		Peer:      set.PeerListen,
-		MaxConns:  maxConns,
-		IsGuest:   api.IsUsers,
-		MaxGuests: int(float64(maxConns) * tuning.UserConns),
+		APIAddr:       set.Front,
+		PeerAddr:      set.PeerListen,
+		MaxConns:      maxConns,
+		IsUserRequest: api.IsUsers,
+		MaxUserConns:  int(float64(maxConns) * tuning.UserConns),
 		Handle: func(request *http1.Message, respond func(http1.Reply)) {
 			select {
 			case events <- func() { c.Request(request, respond) }:
 			default:
-				respond(http1.Refuse("too busy"))
+				respond(http1.Unavailable("too busy"))
 			}
 		},
-		Line: func(line []byte) {
+		HandlePeerLine: func(line []byte) {
 			select {
 			case events <- func() { c.ReceiveGossip(line) }:
 			default: // gossip may be lost
--- a/internal/controller/transport.go
+++ b/internal/controller/transport.go
@@ -14,10 +14,10 @@
 // Transport is everything a controller can reach. Answers come back on the loop,
 // through Run.
 type Transport struct {
-	State       store.Call
+	Store       store.Call
 	Watch       store.Call // of its own, since a watch is held open and must not hold up other calls
 	Cloud       store.Call
-	Worker      AgentCall
+	Agent       AgentCall
 	Gossip      func(peer string, line []byte) // line is whole and may be dropped
 	WallClockMs func() int64                   // time of day in ms; nil: that of the loop
 }
@@ -25,16 +25,16 @@
 // countingErrors is the same transport with all answers that are refusals counted.
 func (t Transport) countingErrors(counter *callerrors.Counter) Transport {
 	counted := t
-	counted.State = countCallErrors(counter, callerrors.State, t.State)
-	counted.Watch = countCallErrors(counter, callerrors.State, t.Watch)
+	counted.Store = countCallErrors(counter, callerrors.Store, t.Store)
+	counted.Watch = countCallErrors(counter, callerrors.Store, t.Watch)
 	counted.Cloud = countCallErrors(counter, callerrors.Cloud, t.Cloud)
-	counted.Worker = func(endpoint, method, target string, body []byte, timeout time.Duration,
+	counted.Agent = func(endpoint, method, target string, body []byte, timeout time.Duration,
 		done func(int, []byte, error),
 	) {
 		call := func(method, target string, body []byte, timeout time.Duration, done func(int, []byte, error)) {
-			t.Worker(endpoint, method, target, body, timeout, done)
+			t.Agent(endpoint, method, target, body, timeout, done)
 		}
-		countCallErrors(counter, callerrors.Worker, call)(method, target, body, timeout, done)
+		countCallErrors(counter, callerrors.AgentCalls, call)(method, target, body, timeout, done)
 	}
 	return counted
 }
--- a/internal/controller/wiring_cancellation.go
+++ b/internal/controller/wiring_cancellation.go
@@ -39,7 +39,7 @@
 func (t cancellationTransport) CallAgent(endpoint, method, target string, body []byte, timeout time.Duration,
 	done func(status int, body []byte, err error),
 ) {
-	t.controller.transport.Worker(endpoint, method, target, body, timeout, done)
+	t.controller.transport.Agent(endpoint, method, target, body, timeout, done)
 }
 
 // cancellationShards implements cancellation.Shards.
--- a/internal/controller/wiring_provisioning.go
+++ b/internal/controller/wiring_provisioning.go
@@ -55,7 +55,7 @@
 // MayScaleOut tells whether the checks and the reconciliation let the leader request machines.
 func (a provisioningAdapter) MayScaleOut() bool {
 	c := a.controller
-	return c.checks.Permits(standby.Rent) && c.shard.Reconciling.MayRent(c.state.Now)
+	return c.checks.Permits(standby.ScaleOut) && c.shard.Reconciling.MayScaleOut(c.state.Now)
 }
 
 // Reconciled tells whether reconciliation is over.
@@ -68,7 +68,7 @@
 func (a provisioningAdapter) TaskLost(
 	task *clusterstate.Task, kind jobs.TaskEventKind, pause time.Duration,
 ) decide.Decision {
-	return a.controller.shard.TaskLost(task, kind, pause)
+	return a.controller.shard.EndAttempt(task, kind, pause)
 }
 
 // TransitionMachine is the decisions that an event of a machine asks for.
--- a/internal/controller/wiring_reachability.go
+++ b/internal/controller/wiring_reachability.go
@@ -25,7 +25,7 @@
 func (a reachabilityAdapter) CallAgent(endpoint, method, target string, body []byte, timeout time.Duration,
 	done func(status int, body []byte, err error),
 ) {
-	a.controller.transport.Worker(endpoint, method, target, body, timeout, done)
+	a.controller.transport.Agent(endpoint, method, target, body, timeout, done)
 }
 
 func (a reachabilityAdapter) OwnerOf(machine string) string { return a.controller.ownerOf(machine) }
--- a/internal/controller/wiring_shard.go
+++ b/internal/controller/wiring_shard.go
@@ -48,7 +48,7 @@
 	endpoint, method, target string, body []byte, timeout time.Duration,
 	done func(status int, body []byte, err error),
 ) {
-	a.controller.transport.Worker(endpoint, method, target, body, timeout, done)
+	a.controller.transport.Agent(endpoint, method, target, body, timeout, done)
 }
 
 // shardLoop wakes the controller's loop for the shard.
@@ -64,7 +64,7 @@
 }
 
 func (p shardProvisioner) Draining(machine string) bool {
-	_, draining := p.controller.provisioner.Summary.Drain[machine]
+	_, draining := p.controller.provisioner.Summary.Draining[machine]
 	return draining
 }
 
--- a/internal/controller/wiring_store.go
+++ b/internal/controller/wiring_store.go
@@ -13,7 +13,7 @@
 // newClient makes the client of the state service. Its watch is held for no longer than the
 // acknowledgement of cancellations allows.
 func (c *Controller) newClient() *store.Client {
-	client := store.New(c.transport.State, c.transport.Watch)
+	client := store.New(c.transport.Store, c.transport.Watch)
 	watchHold := time.Duration(float64(c.proofWindow()) * tuning.WatchHoldShare)
 	if watchHold > 0 {
 		client.WatchHold = min(client.WatchHold, watchHold)
@@ -32,7 +32,7 @@
 func (c *Controller) newMirror() *store.Mirror {
 	mirror := store.NewMirror(c.applyChange)
 	mirror.Transient = func(key string) bool {
-		return hasPrefix(key, jobs.FinalPrefix) || hasPrefix(key, pipelines.RanPrefix)
+		return hasPrefix(key, jobs.FinalPrefix) || hasPrefix(key, pipelines.EndedRunPrefix)
 	}
 	return mirror
 }
--- a/internal/decide/batch_records.go
+++ b/internal/decide/batch_records.go
@@ -17,7 +17,7 @@
 // conflict, and nothing else should fail with it.
 func (b *Batcher) touchesSharedBatch(decision *Decision) bool {
 	for _, change := range decision.Changes {
-		if change.Task.Stored.IsBatch() && !b.ownsBatch(change.Task.Stored) {
+		if change.Task.StoredIn.IsBatch() && !b.ownsBatch(change.Task.StoredIn) {
 			return true
 		}
 	}
@@ -27,8 +27,8 @@
 // splitsBatch tells whether writing a task moves this controller's tasks out of a batch
 // record that other controllers write too.
 func (b *Batcher) splitsBatch(task *clusterstate.Task) bool {
-	return task.OnMachine() && task.Stored.IsBatch() &&
-		!b.ownsBatch(task.Stored) && b.Context.Machines.OwnsMachine(task.Machine)
+	return task.OnMachine() && task.StoredIn.IsBatch() &&
+		!b.ownsBatch(task.StoredIn) && b.Context.Machines.OwnsMachine(task.Machine)
 }
 
 // ownsBatch tells whether no task of a batch record is on another controller's machine.
--- a/internal/decide/batcher.go
+++ b/internal/decide/batcher.go
@@ -285,8 +285,8 @@
 	if b.changed[task] || task.Job.Tasks[task.Index] != task {
 		return false
 	}
-	writer := b.writerOf[task.Stored.Key]
-	return writer == nil || writer.edits[task.Stored.Key] != nil
+	writer := b.writerOf[task.StoredIn.Key]
+	return writer == nil || writer.edits[task.StoredIn.Key] != nil
 }
 
 // hasRoom tells whether a transaction can take a decision more.
@@ -344,7 +344,7 @@
 		}
 	}
 	for _, change := range decision.Changes {
-		if key := change.Task.Stored.Key; !txn.splitBatches[key] && b.splitsBatch(change.Task) {
+		if key := change.Task.StoredIn.Key; !txn.splitBatches[key] && b.splitsBatch(change.Task) {
 			pending[key] = true
 		}
 	}
@@ -364,7 +364,7 @@
 	}
 	txn.writes = append(txn.writes, decision.Writes...)
 	for _, change := range decision.Changes {
-		key := change.Task.Stored.Key
+		key := change.Task.StoredIn.Key
 		if txn.edits[key] == nil {
 			txn.edits[key] = map[*clusterstate.Task]Change{}
 			txn.recordOrder = append(txn.recordOrder, key)
--- a/internal/decide/decide.go
+++ b/internal/decide/decide.go
@@ -84,8 +84,8 @@
 		keys = append(keys, WriteKey(write))
 	}
 	for _, change := range d.Changes {
-		if !slices.Contains(keys, change.Task.Stored.Key) {
-			keys = append(keys, change.Task.Stored.Key)
+		if !slices.Contains(keys, change.Task.StoredIn.Key) {
+			keys = append(keys, change.Task.StoredIn.Key)
 		}
 	}
 	return keys
--- a/internal/decide/transaction.go
+++ b/internal/decide/transaction.go
@@ -114,7 +114,7 @@
 // recordOf is the task record that some changed tasks are in.
 func recordOf(edits map[*clusterstate.Task]Change) *clusterstate.TaskRecord {
 	for task := range edits {
-		return task.Stored
+		return task.StoredIn
 	}
 	return nil
 }
--- a/internal/fleet/health.go
+++ b/internal/fleet/health.go
@@ -14,12 +14,12 @@
 	failures     int             // failed tasks since the last success
 }
 
-// Rest keeps new tasks from the machine until then.
-func (h *Health) Rest(until time.Time) { h.backoffUntil = until }
+// BackOffUntil keeps new tasks from the machine until then.
+func (h *Health) BackOffUntil(until time.Time) { h.backoffUntil = until }
 
-// Rests tells whether the machine takes no new task now. It may be called on nil, which
+// BackingOff tells whether the machine takes no new task now. It may be called on nil, which
 // is a machine without a failure.
-func (h *Health) Rests(now time.Time) bool { return h != nil && now.Before(h.backoffUntil) }
+func (h *Health) BackingOff(now time.Time) bool { return h != nil && now.Before(h.backoffUntil) }
 
 // Succeeded notes that a task succeeded here.
 func (h *Health) Succeeded() { h.failedJobs, h.failures = nil, 0 }
@@ -34,7 +34,7 @@
 	}
 	h.failedJobs[jobID] = true
 	h.failures++
-	h.Rest(now.Add(tuning.ErrorRest))
+	h.BackOffUntil(now.Add(tuning.ErrorRest))
 	blamelessJobs := 0
 	for failed := range h.failedJobs {
 		if blameless(failed) {
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -23,12 +23,12 @@
 
 // States of a machine.
 const (
-	Up       State = "up"       // its owner receives its heartbeats
-	Lost     State = "silent"   // its owner has received no heartbeat for some time
-	Warned   State = "warned"   // the cloud has announced that it will take it away
-	Faulty   State = "faulty"   // tasks fail on it
-	Deleting State = "deleting" // to be deleted; no task may be placed on it
-	Deleted  State = "deleted"  // the delete was answered 200: nothing runs on it any more
+	Up                 State = "up"       // its owner receives its heartbeats
+	LegacyUnresponsive State = "silent"   // its owner has received no heartbeat for some time
+	Warned             State = "warned"   // the cloud has announced that it will take it away
+	Faulty             State = "faulty"   // tasks fail on it
+	Deleting           State = "deleting" // to be deleted; no task may be placed on it
+	Deleted            State = "deleted"  // the delete was answered 200: nothing runs on it any more
 )
 
 // Event is what can happen to a machine.
@@ -36,12 +36,12 @@
 
 // Events of a machine.
 const (
-	Heard            Event = "heard"   // a heartbeat arrived
-	HeartbeatsMissed Event = "unheard" // no heartbeat arrived for some time
-	Notice           Event = "notice"  // the cloud announced that it will take the machine away
-	Unhealthy        Event = "sick"    // tasks fail on it
-	Decommission     Event = "condemn" // the leader decided to delete it
-	DeleteConfirmed  Event = "removed" // the delete was answered 200
+	HeartbeatReceived Event = "heard"   // a heartbeat arrived
+	HeartbeatsMissed  Event = "unheard" // no heartbeat arrived for some time
+	PreemptionNotice  Event = "notice"  // the cloud announced that it will take the machine away
+	Unhealthy         Event = "sick"    // tasks fail on it
+	Decommission      Event = "condemn" // the leader decided to delete it
+	DeleteConfirmed   Event = "removed" // the delete was answered 200
 )
 
 // Next is the state that follows on an event, and whether the event changes the state.
@@ -50,14 +50,14 @@
 // be gone.
 func Next(state State, event Event) (State, bool) {
 	switch event {
-	case Heard:
-		return moveFrom(state, Up, "", Lost)
+	case HeartbeatReceived:
+		return moveFrom(state, Up, "", LegacyUnresponsive)
 	case HeartbeatsMissed:
-		return moveFrom(state, Lost, Up, Warned)
-	case Notice:
-		return moveFrom(state, Warned, Up, Lost)
+		return moveFrom(state, LegacyUnresponsive, Up, Warned)
+	case PreemptionNotice:
+		return moveFrom(state, Warned, Up, LegacyUnresponsive)
 	case Unhealthy:
-		return moveFrom(state, Faulty, Up, Lost, Warned)
+		return moveFrom(state, Faulty, Up, LegacyUnresponsive, Warned)
 	case Decommission:
 		if state == Deleting || state == Deleted {
 			return state, false
@@ -104,7 +104,7 @@
 		return nil, fmt.Errorf("decode machine record: %w", err)
 	}
 	switch record.State {
-	case Up, Lost, Warned, Faulty, Deleting, Deleted:
+	case Up, LegacyUnresponsive, Warned, Faulty, Deleting, Deleted:
 		return &record, nil
 	}
 	return nil, fmt.Errorf("decode machine record: unknown state %q", record.State)
--- a/internal/fleet/unresponsive.go
+++ b/internal/fleet/unresponsive.go
@@ -46,8 +46,8 @@
 type UnresponsiveList struct {
 	// OutboundPartitioned is by machine whether it answers commands.
 	OutboundPartitioned map[string]bool
-	// Since is the epoch that ties an owner's lists to one another, 0 where there is but one.
-	Since uint64
+	// SinceEpoch is the epoch that ties an owner's lists to one another, 0 where there is but one.
+	SinceEpoch uint64
 }
 
 // UnresponsiveLists is an owner's lists by number, from 1.
@@ -93,7 +93,7 @@
 	list := UnresponsiveList{OutboundPartitioned: map[string]bool{}}
 	for _, entry := range entries {
 		if epoch, found := strings.CutPrefix(entry, continuationMark); found {
-			list.Since, _ = strconv.ParseUint(epoch, 10, 64)
+			list.SinceEpoch, _ = strconv.ParseUint(epoch, 10, 64)
 			continue
 		}
 		machine, outboundPartitioned := strings.CutPrefix(entry, outboundMark)
@@ -108,8 +108,8 @@
 	for _, machine := range slices.Sorted(maps.Keys(l.OutboundPartitioned)) {
 		entries = append(entries, UnresponsiveEntry(machine, l.OutboundPartitioned[machine]))
 	}
-	if l.Since != 0 {
-		entries = append(entries, epochEntry(l.Since))
+	if l.SinceEpoch != 0 {
+		entries = append(entries, epochEntry(l.SinceEpoch))
 	}
 	return entries
 }
@@ -119,14 +119,14 @@
 	return continuationMark + strconv.FormatUint(epoch, 10)
 }
 
-// Same tells whether two lists say the same.
-func (l UnresponsiveList) Same(other UnresponsiveList) bool {
-	return l.Since == other.Since && maps.Equal(l.OutboundPartitioned, other.OutboundPartitioned)
+// Equal tells whether two lists say the same.
+func (l UnresponsiveList) Equal(other UnresponsiveList) bool {
+	return l.SinceEpoch == other.SinceEpoch && maps.Equal(l.OutboundPartitioned, other.OutboundPartitioned)
 }
 
 // belongsToFirst tells whether a list is the first, or continues it.
 func (ls UnresponsiveLists) belongsToFirst(number int) bool {
-	return number == 1 || ls[1].Since != 0 && ls[number].Since == ls[1].Since
+	return number == 1 || ls[1].SinceEpoch != 0 && ls[number].SinceEpoch == ls[1].SinceEpoch
 }
 
 // Join is what an owner's lists say together. A machine that was unresponsive before keeps
@@ -160,7 +160,7 @@
 	if size <= limit {
 		return UnresponsiveLists{1: {OutboundPartitioned: unresponsive}}
 	}
-	division := newListDivision(unresponsive, cmp.Or(ls[1].Since, epoch), limit)
+	division := newListDivision(unresponsive, cmp.Or(ls[1].SinceEpoch, epoch), limit)
 	for number := 1; number <= tuning.MaxUnresponsiveLists; number++ {
 		if ls.belongsToFirst(number) {
 			division.keep(number, ls[number])
@@ -188,7 +188,7 @@
 		placed:       map[string]bool{},
 	}
 	for number := 1; number <= tuning.MaxUnresponsiveLists; number++ {
-		d.lists[number] = UnresponsiveList{OutboundPartitioned: map[string]bool{}, Since: epoch}
+		d.lists[number] = UnresponsiveList{OutboundPartitioned: map[string]bool{}, SinceEpoch: epoch}
 		d.freeBytes[number] = limit - len("[]") - entryBytes(epochEntry(epoch))
 	}
 	return d
--- a/internal/gangs/phase.go
+++ b/internal/gangs/phase.go
@@ -31,7 +31,7 @@
 			attempt = task.Attempt
 			onMachines++
 			stopping = stopping || task.State == jobs.Stopping
-		case task.State == jobs.Released:
+		case task.State == jobs.Assigned:
 			released++
 		}
 	}
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -22,8 +22,8 @@
 	Close      bool // close the connection afterwards
 }
 
-// Refuse returns a 503 that says why, and when to come back (tuning.RetryAfter).
-func Refuse(why string) Reply {
+// Unavailable returns a 503 that says why, and when to come back (tuning.RetryAfter).
+func Unavailable(why string) Reply {
 	return Reply{Status: statusServiceUnavailable, Body: ErrorBody(why), RetryAfter: tuning.RetryAfter}
 }
 
@@ -39,25 +39,25 @@
 // Server listens for HTTP on one address and for JSON lines on another. Its exported
 // fields are set before Run, except Down, which may be read at any time.
 type Server struct {
-	Front    string // address of the HTTP listener
-	Peer     string // address of the listener for lines; may be empty
+	APIAddr  string // address of the HTTP listener
+	PeerAddr string // address of the listener for lines; may be empty
 	MaxConns int
-	// IsGuest, if set, reports whether a request is a guest's: users come in any number,
+	// IsUserRequest, if set, reports whether a request is a guest's: users come in any number,
 	// workers do not. While more of their connections are open than the limit that follows, each of
 	// them ends with its response, so that users who keep theirs open leave room for workers. Beyond
 	// tuning.CrowdedShare of MaxConns everybody's does.
-	IsGuest   func(m *Message) bool
-	MaxGuests int
+	IsUserRequest func(m *Message) bool
+	MaxUserConns  int
 	// Handle is called on the listener's goroutine, so it must not block. It must
 	// call respond exactly once, now or later, from any goroutine.
 	Handle func(m *Message, respond func(Reply))
-	// Line is called on the listener's goroutine for every line that a peer sends.
-	Line func(line []byte)
+	// HandlePeerLine is called on the listener's goroutine for every line that a peer sends.
+	HandlePeerLine func(line []byte)
 	// Listening, if set, is called whenever the listener has been set up.
 	Listening func()
 
-	// Down counts how often the listener had to be set up again.
-	Down atomic.Int64
+	// Restarts counts how often the listener had to be set up again.
+	Restarts atomic.Int64
 
 	openConns  atomic.Int64
 	guestConns atomic.Int64 // connections that sent a guest's request
@@ -76,7 +76,7 @@
 			return
 		default:
 		}
-		s.Down.Add(1)
+		s.Restarts.Add(1)
 		slog.Error("listener ended, setting it up again", "error", err)
 		time.Sleep(tuning.ListenAgain)
 	}
@@ -108,9 +108,9 @@
 			}
 		},
 	}
-	addrs := []string{"tcp4://" + s.Front}
-	if s.Peer != "" {
-		addrs = append(addrs, "tcp4://"+s.Peer)
+	addrs := []string{"tcp4://" + s.APIAddr}
+	if s.PeerAddr != "" {
+		addrs = append(addrs, "tcp4://"+s.PeerAddr)
 	}
 	ended := make(chan struct{})
 	defer close(ended)
@@ -149,7 +149,7 @@
 
 // requestShutdown opens a connection, on which opened ends the listener.
 func (s *Server) requestShutdown() {
-	if c, err := net.DialTimeout("tcp4", s.Front, tuning.DialTimeout); err == nil {
+	if c, err := net.DialTimeout("tcp4", s.APIAddr, tuning.DialTimeout); err == nil {
 		_ = c.Close()
 	}
 }
@@ -209,7 +209,7 @@
 		return nil, evio.Close
 	}
 	if c.AddrIndex() == 1 {
-		return nil, cc.receiveLines(in, s.Line)
+		return nil, cc.receiveLines(in, s.HandlePeerLine)
 	}
 	if in == nil {
 		return cc.takeOutput()
@@ -236,11 +236,11 @@
 func (s *Server) crowded(cc *clientConn, m *Message) bool {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
-	if !cc.guest && s.IsGuest != nil && s.IsGuest(m) {
+	if !cc.guest && s.IsUserRequest != nil && s.IsUserRequest(m) {
 		cc.guest = true
 		s.guestConns.Add(1)
 	}
-	if cc.guest && int(s.guestConns.Load()) > s.MaxGuests {
+	if cc.guest && int(s.guestConns.Load()) > s.MaxUserConns {
 		return true
 	}
 	return float64(s.openConns.Load()) > float64(s.MaxConns)*tuning.CrowdedShare
--- a/internal/jobs/machine_type.go
+++ b/internal/jobs/machine_type.go
@@ -29,7 +29,7 @@
 // CanEverRun explains to the user why a job can never run, or returns "". A job array needs
 // room for one task at a time, gangs and services for all of theirs at once.
 func CanEverRun(spec *Spec, tree *quota.Tree, machineTypes map[string]*MachineType) string {
-	if !tree.Knows(spec.Team) {
+	if !tree.HasTeam(spec.Team) {
 		return "unknown team"
 	}
 	if !fitsSomeMachineType(spec, machineTypes) {
@@ -39,7 +39,7 @@
 	if spec.Kind == JobArray {
 		atOnce = 1
 	}
-	if !tree.Ever(tree.Leaf(spec.QuotaKey()), spec.Amount(), atOnce) {
+	if !tree.EverAllows(tree.Leaf(spec.QuotaKey()), spec.Amount(), atOnce) {
 		return "needs more than the team's limit"
 	}
 	return ""
--- a/internal/jobs/task.go
+++ b/internal/jobs/task.go
@@ -13,7 +13,7 @@
 // States of a task. A task in no task range is pending and has never run.
 const (
 	Pending  TaskState = "pending"  // waits; attempts up to Attempt are used up
-	Released TaskState = "released" // charged to its team and given to a controller to place
+	Assigned TaskState = "released" // charged to its team and given to a controller to place
 	Placed   TaskState = "placed"   // committed to a machine and attempt
 	Stopping TaskState = "stopping" // placed, and to be stopped
 	Finished TaskState = "done"     // completed
@@ -48,7 +48,7 @@
 // Check tells what is wrong with a task's record.
 func (t *Task) Check() error {
 	switch t.State {
-	case Pending, Released, Finished:
+	case Pending, Assigned, Finished:
 		return nil
 	case Placed, Stopping:
 		if t.Machine == "" || t.Attempt == 0 {
@@ -59,8 +59,8 @@
 	return fmt.Errorf("unknown task state %q", t.State)
 }
 
-// Same tells whether two records say the same.
-func (t *Task) Same(other *Task) bool {
+// Equal tells whether two records say the same.
+func (t *Task) Equal(other *Task) bool {
 	return t.State == other.State &&
 		t.Controller == other.Controller &&
 		t.Zone == other.Zone &&
@@ -77,7 +77,7 @@
 func (t *Task) OnMachine() bool { return t.State == Placed || t.State == Stopping }
 
 // Charged tells whether the task counts against its team's quota.
-func (t *Task) Charged() bool { return t.OnMachine() || t.State == Released }
+func (t *Task) Charged() bool { return t.OnMachine() || t.State == Assigned }
 
 // isPending tells whether the task waits; the zero Task does.
 func (t *Task) isPending() bool { return t.State == Pending || t.State == "" }
--- a/internal/jobs/task_transition.go
+++ b/internal/jobs/task_transition.go
@@ -20,11 +20,11 @@
 
 // Kinds of task events, with the fields of TaskEvent that they read.
 const (
-	// Release: the leader charges the task and names the controller that places it
+	// Assign: the leader charges the task and names the controller that places it
 	// (Controller, Zone, PreferredMachine).
-	Release TaskEventKind = "release"
-	// TakeBack: the controller did not place it.
-	TakeBack TaskEventKind = "take back"
+	Assign TaskEventKind = "release"
+	// Unassign: the controller did not place it.
+	Unassign TaskEventKind = "take back"
 	// Place: machine and attempt are chosen (Machine, Zone, Attempt).
 	Place TaskEventKind = "place"
 	// PlaceAgain: lost by its machine and placed there once more (Attempt).
@@ -47,9 +47,9 @@
 // false if the event is not possible in its state.
 func NextTask(t Task, e TaskEvent) (Task, bool) {
 	switch e.Kind {
-	case Release:
+	case Assign:
 		return releaseTask(t, e)
-	case TakeBack:
+	case Unassign:
 		return takeTaskBack(t)
 	case Place:
 		return placeTask(t, e)
@@ -71,7 +71,7 @@
 	if !t.isPending() {
 		return t, false
 	}
-	t.State = Released
+	t.State = Assigned
 	t.Controller = e.Controller
 	t.Zone = e.Zone
 	t.PreferredMachine = e.PreferredMachine
@@ -79,7 +79,7 @@
 }
 
 func takeTaskBack(t Task) (Task, bool) {
-	if t.State != Released {
+	if t.State != Assigned {
 		return t, false
 	}
 	t.State = Pending
@@ -92,7 +92,7 @@
 // placeTask refuses an attempt that is not above every earlier one: an attempt number is
 // never reused.
 func placeTask(t Task, e TaskEvent) (Task, bool) {
-	if (t.State != Released && !t.isPending()) || e.Attempt <= t.Attempt {
+	if (t.State != Assigned && !t.isPending()) || e.Attempt <= t.Attempt {
 		return t, false
 	}
 	t.State = Placed
@@ -171,8 +171,8 @@
 // Withdraw is the transition of a task that has to be preempted or stopped: one that is
 // released but on no machine is taken back, one that is on a machine is to be stopped.
 func Withdraw(t Task, reason string) (Task, bool) {
-	if t.State == Released {
-		return NextTask(t, TaskEvent{Kind: TakeBack})
+	if t.State == Assigned {
+		return NextTask(t, TaskEvent{Kind: Unassign})
 	}
 	return NextTask(t, TaskEvent{Kind: Stop, Reason: reason})
 }
--- a/internal/lending/callback.go
+++ b/internal/lending/callback.go
@@ -132,7 +132,7 @@
 		return nil
 	}
 	task := job.Active[loan.TaskIndex]
-	if task == nil || task.State != jobs.Placed || l.locks.Busy(task.Stored.Key) {
+	if task == nil || task.State != jobs.Placed || l.locks.Busy(task.StoredIn.Key) {
 		return nil
 	}
 	return task
--- a/internal/lending/choose.go
+++ b/internal/lending/choose.go
@@ -25,8 +25,8 @@
 	Zones   map[string]int // tasks of its job by zone
 	// OnlyWithImage: only on machines that have its image.
 	OnlyWithImage bool
-	// InS is the longest delay until the replica runs, in seconds; 0 for any.
-	InS float64
+	// MaxStartDelayS is the longest delay until the replica runs, in seconds; 0 for any.
+	MaxStartDelayS float64
 	// Open tells whether the replica may go on a machine at all.
 	Open func(machine *clusterstate.Machine) bool
 	// Stopping are the tasks that this pass stops already.
@@ -68,7 +68,7 @@
 			return Plan{Machine: machine.Name}, false
 		}
 		plan, ok := search.planFor(state, machine, machineType, free)
-		if !ok || search.InS > 0 && plan.StartDelayS > search.InS {
+		if !ok || search.MaxStartDelayS > 0 && plan.StartDelayS > search.MaxStartDelayS {
 			continue
 		}
 		if cost := search.cost(&plan); !found || cost < bestCost {
@@ -223,14 +223,14 @@
 	leaf := state.QuotaLeaf(spec)
 	amount := quota.Amount{}.Add(spec.Amount(), len(unit.tasks))
 	if spec.PriorityOrder() > s.Priority {
-		return account.Spares(state.QuotaLeaf(s.spec()), leaf, amount)
+		return account.CanSpare(state.QuotaLeaf(s.spec()), leaf, amount)
 	}
 	return account.Yields(s.Entitled, leaf, amount)
 }
 
-// Leaving is a copy of an account without what is on its way out: what is stopped for one loan
+// AccountWithoutLeaving is a copy of an account without what is on its way out: what is stopped for one loan
 // is not there for the next.
-func Leaving(
+func AccountWithoutLeaving(
 	state *clusterstate.State,
 	account *quota.Account,
 	stopping map[*clusterstate.Task]bool,
--- a/internal/lending/facts.go
+++ b/internal/lending/facts.go
@@ -39,7 +39,7 @@
 		return
 	}
 	facts.ReplicaOnMachine = replica.OnMachine() && replica.Machine == loan.Machine
-	if replica.State == jobs.Released && replica.PreferredMachine == loan.Machine {
+	if replica.State == jobs.Assigned && replica.PreferredMachine == loan.Machine {
 		facts.ReplicaReleased = true
 	}
 }
@@ -56,7 +56,7 @@
 		if task.State == jobs.Stopping {
 			facts.LenderLeaving = true
 		}
-		if task.State == jobs.Placed && loan.FreeMs > 0 && task.Since.UnixMilli() >= loan.FreeMs {
+		if task.State == jobs.Placed && loan.FreeMs > 0 && task.StateSince.UnixMilli() >= loan.FreeMs {
 			facts.LenderBack = true
 		}
 	}
--- a/internal/lending/image_pull.go
+++ b/internal/lending/image_pull.go
@@ -27,7 +27,7 @@
 		other := &task.Job.Record.Spec
 		left := 0.0 // a task that runs has its image
 		if !task.ObservedRunning {
-			left = max(other.ImageGB-now.Sub(task.Since).Seconds()*machineType.ImageGBPerS, 0)
+			left = max(other.ImageGB-now.Sub(task.StateSince).Seconds()*machineType.ImageGBPerS, 0)
 		}
 		// The oldest task of an image began the pull.
 		if known, pulling := leftGB[other.Image]; !pulling || left < known {
--- a/internal/lending/ledger.go
+++ b/internal/lending/ledger.go
@@ -245,7 +245,7 @@
 		return
 	}
 	switch loan.State {
-	case Asked:
+	case Requested:
 		l.counts.Requested++
 		l.counts.AcceleratorsTaken += loan.GPUs
 	case Lent:
--- a/internal/lending/loan.go
+++ b/internal/lending/loan.go
@@ -14,7 +14,7 @@
 // States of a loan.
 const (
 	Wanted     State = "wanted"      // a replica waits, nothing is taken
-	Asked      State = "asked"       // the lender's tasks are to stop, by the same transaction
+	Requested  State = "asked"       // the lender's tasks are to stop, by the same transaction
 	Vacated    State = "vacated"     // they are gone, the room is reserved for the replica
 	Lent       State = "lent"        // the replica is on the machine
 	CalledBack State = "called back" // the replica is stopping or gone, the room is the lender's for a while
@@ -28,7 +28,7 @@
 // stored tells whether a state is one that records may hold.
 func (s State) stored() bool {
 	switch s {
-	case Asked, Vacated, Lent, CalledBack, Returned, BrokenOff:
+	case Requested, Vacated, Lent, CalledBack, Returned, BrokenOff:
 		return true
 	case Wanted:
 		return false
@@ -100,7 +100,7 @@
 	case Request:
 		if loan.State == Wanted || loan.State == "" {
 			loan.BeganMs = facts.NowMs
-			return loan.to(Asked, "", facts)
+			return loan.to(Requested, "", facts)
 		}
 	// Only a replica that is on the machine can be called back.
 	case CallBack:
@@ -129,7 +129,7 @@
 		return l.to(BrokenOff, "the machine is gone", facts)
 	}
 	switch l.State {
-	case Asked, Vacated:
+	case Requested, Vacated:
 		return l.observeReserved(facts)
 	case Lent:
 		if !facts.ReplicaOnMachine && !facts.ReplicaReleased {
@@ -154,9 +154,9 @@
 		return l.to(BrokenOff, "the machine will be taken", facts)
 	case !facts.ReplicaWaits:
 		return l.to(CalledBack, "the replica no longer waits", facts)
-	case l.State == Asked && !facts.LenderLeaving:
+	case l.State == Requested && !facts.LenderLeaving:
 		return l.to(Vacated, "", facts)
-	case l.State == Asked && ageMs > tuning.LoanRequestTimeout.Milliseconds():
+	case l.State == Requested && ageMs > tuning.LoanRequestTimeout.Milliseconds():
 		return l.to(CalledBack, "the lender did not leave in time", facts)
 	case l.State == Vacated && ageMs > tuning.LoanVacant.Milliseconds():
 		return l.to(CalledBack, "the replica did not come in time", facts)
@@ -185,7 +185,7 @@
 }
 
 // ForBorrower tells whether a loan's room is reserved for its replica.
-func (l *Loan) ForBorrower() bool { return l.State == Asked || l.State == Vacated }
+func (l *Loan) ForBorrower() bool { return l.State == Requested || l.State == Vacated }
 
 // ForLender tells whether a loan's room is reserved for the jobs that lent it.
 func (l *Loan) ForLender() bool { return l.State == CalledBack && l.FreeMs > 0 }
--- a/internal/lending/request.go
+++ b/internal/lending/request.go
@@ -12,8 +12,8 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// For is the loan that makes room for a replica, if there is one.
-func (l *Ledger) For(jobID string, taskIndex int) (Loan, bool) {
+// LoanFor is the loan that makes room for a replica, if there is one.
+func (l *Ledger) LoanFor(jobID string, taskIndex int) (Loan, bool) {
 	for _, loan := range l.Loans() {
 		if loan.Job == jobID && loan.TaskIndex == taskIndex && loan.ForBorrower() {
 			return loan, true
@@ -22,9 +22,9 @@
 	return Loan{}, false
 }
 
-// Ask is the decision that begins a loan: its record and the stops of all tasks that make room,
+// Request is the decision that begins a loan: its record and the stops of all tasks that make room,
 // gangs whole, in one transaction. False if nobody can lend, or no record has room.
-func (l *Ledger) Ask(search *Search) (decide.Decision, Plan, bool) {
+func (l *Ledger) Request(search *Search) (decide.Decision, Plan, bool) {
 	number, ok := l.openRecord()
 	if !ok {
 		return decide.Decision{}, Plan{}, false
--- a/internal/lending/stop_unit.go
+++ b/internal/lending/stop_unit.go
@@ -88,10 +88,10 @@
 	spec := unit.spec()
 	ranS := 0.0
 	for _, task := range unit.tasks {
-		if task.State != jobs.Placed || s.Stopping[task] || s.busy(task.Stored.Key) {
+		if task.State != jobs.Placed || s.Stopping[task] || s.busy(task.StoredIn.Key) {
 			return false
 		}
-		ranS = max(ranS, s.now.Sub(task.Since).Seconds())
+		ranS = max(ranS, s.now.Sub(task.StateSince).Seconds())
 		if task.Machine == machine.Name {
 			unit.freed = unit.freed.Add(spec.Resources())
 		}
--- a/internal/pipelines/encoding.go
+++ b/internal/pipelines/encoding.go
@@ -15,7 +15,7 @@
 
 // causes numbers the causes in records; new ones are added at the end, and none is
 // moved: stored records hold the numbers.
-var causes = []Why{
+var causes = []Cause{
 	NoCause,
 	WhenFalse,
 	WhenBroken,
@@ -95,12 +95,12 @@
 func packSteps(steps []StepRun, atMs int64) string {
 	var b []byte
 	for _, s := range steps {
-		start := max(s.AtMs, atMs)
-		b = append(b, byte(slices.Index(stepStates, s.State)), byte(slices.Index(causes, s.Why)))
+		start := max(s.AcceptedMs, atMs)
+		b = append(b, byte(slices.Index(stepStates, s.State)), byte(slices.Index(causes, s.Cause)))
 		b = binary.AppendUvarint(b, uint64(s.Repeat))
-		b = binary.AppendUvarint(b, packTime(s.AtMs, atMs))
+		b = binary.AppendUvarint(b, packTime(s.AcceptedMs, atMs))
 		b = binary.AppendUvarint(b, packTime(s.EndMs, start))
-		b = binary.AppendUvarint(b, packTime(s.DoubtMs, start))
+		b = binary.AppendUvarint(b, packTime(s.DoubtedSinceMs, start))
 	}
 	encoder, _ := coder()
 	return base64.StdEncoding.EncodeToString(encoder.EncodeAll(b, nil))
@@ -149,7 +149,7 @@
 	if len(b) < 2 || int(b[0]) >= len(stepStates) || int(b[1]) >= len(causes) {
 		return StepRun{}, nil, errSteps
 	}
-	s := StepRun{State: stepStates[b[0]], Why: causes[b[1]]}
+	s := StepRun{State: stepStates[b[0]], Cause: causes[b[1]]}
 	b = b[2:]
 	var numbers [4]uint64
 	for i := range numbers {
@@ -161,10 +161,10 @@
 		b = b[size:]
 	}
 	s.Repeat = int(numbers[0])
-	s.AtMs = unpackTime(numbers[1], atMs)
-	start := max(s.AtMs, atMs)
+	s.AcceptedMs = unpackTime(numbers[1], atMs)
+	start := max(s.AcceptedMs, atMs)
 	s.EndMs = unpackTime(numbers[2], start)
-	s.DoubtMs = unpackTime(numbers[3], start)
+	s.DoubtedSinceMs = unpackTime(numbers[3], start)
 	return s, b, nil
 }
 
@@ -175,17 +175,17 @@
 // Encode writes a run's record.
 func (r *Record) Encode() json.RawMessage {
 	if r.packedDoc == nil {
-		r.packedDoc = pack(r.Doc)
+		r.packedDoc = pack(r.Document)
 	}
 	return jobs.Encode(stored{
 		Version: recordVersion,
 		State:   r.State,
-		AtMs:    r.AtMs,
+		AtMs:    r.AcceptedMs,
 		EndMs:   r.EndMs,
-		Sum:     r.Sum,
+		Sum:     r.Checksum,
 		Salt:    r.Salt,
 		Doc:     r.packedDoc,
-		Steps:   packSteps(r.Steps, r.AtMs),
+		Steps:   packSteps(r.Steps, r.AcceptedMs),
 	})
 }
 
@@ -218,13 +218,13 @@
 		return nil, err
 	}
 	return &Record{
-		State:     s.State,
-		AtMs:      s.AtMs,
-		EndMs:     s.EndMs,
-		Sum:       s.Sum,
-		Salt:      s.Salt,
-		Doc:       doc,
-		Steps:     steps,
-		packedDoc: packedDoc,
+		State:      s.State,
+		AcceptedMs: s.AtMs,
+		EndMs:      s.EndMs,
+		Checksum:   s.Sum,
+		Salt:       s.Salt,
+		Document:   doc,
+		Steps:      steps,
+		packedDoc:  packedDoc,
 	}, nil
 }
--- a/internal/pipelines/explain.go
+++ b/internal/pipelines/explain.go
@@ -20,18 +20,18 @@
 	case Submitted, Running:
 		parts = explainLive(run, step, status, waitsFor)
 	case Succeeded:
-		parts = append(parts, fmt.Sprintf("job %s is done", status.Job))
+		parts = append(parts, fmt.Sprintf("job %s is done", status.JobID))
 	case Failed:
-		parts = append(parts, fmt.Sprintf("job %s failed: %s", status.Job, run.Why))
+		parts = append(parts, fmt.Sprintf("job %s failed: %s", status.JobID, run.Cause))
 		if step.AllowFailure {
 			parts = append(parts, "the run goes on (allow_failure)")
 		}
 	case Skipped:
-		parts = append(parts, fmt.Sprintf("%s: %s", run.Why, step.condition()))
+		parts = append(parts, fmt.Sprintf("%s: %s", run.Cause, step.condition()))
 	case Cancelling:
-		parts = append(parts, fmt.Sprintf("job %s is being cancelled", status.Job))
+		parts = append(parts, fmt.Sprintf("job %s is being cancelled", status.JobID))
 	case Cancelled:
-		parts = append(parts, string(run.Why))
+		parts = append(parts, string(run.Cause))
 	}
 	if run.Repeat > 0 {
 		parts = append(parts, fmt.Sprintf("repeat %d of at most %d", run.Repeat, step.Repeats))
@@ -69,7 +69,7 @@
 func explainLive(run StepRun, step *Step, status *StepStatus, waitsFor string) []string {
 	parts := []string{fmt.Sprintf(
 		"job %s: %d of %d tasks on machines, %d done",
-		status.Job,
+		status.JobID,
 		status.Running,
 		status.Tasks,
 		status.Done,
@@ -77,7 +77,7 @@
 	if waitsFor != "" {
 		parts = append(parts, waitsFor)
 	}
-	if run.DoubtMs != 0 {
+	if run.DoubtedSinceMs != 0 {
 		parts = append(parts, fmt.Sprintf("failing everywhere; called failed after %g s of that", step.DoubtS))
 	}
 	if step.TimeoutS > 0 {
--- a/internal/pipelines/keeper.go
+++ b/internal/pipelines/keeper.go
@@ -28,8 +28,8 @@
 	Why(jobID string) string
 	// Final is a job's final state, if it is in memory.
 	Final(jobID string) (jobs.JobState, bool)
-	// Judge explains why a job can never run, or returns "".
-	Judge(spec *jobs.Spec) string
+	// Infeasible explains why a job can never run, or returns "".
+	Infeasible(spec *jobs.Spec) string
 }
 
 // Limits bound what the controllers take on.
@@ -111,7 +111,7 @@
 		return err
 	}
 	r := newRun(id, record)
-	if old != nil && old.record.Sum == record.Sum {
+	if old != nil && old.record.Checksum == record.Checksum {
 		r.takeFrom(old)
 	}
 	k.runs[id] = r
@@ -144,7 +144,7 @@
 		if t, ok := old.jobClocks[i]; ok {
 			r.jobClocks[i] = t
 		}
-		if t, ok := old.doubtClocks[i]; ok && step.DoubtMs != 0 {
+		if t, ok := old.doubtClocks[i]; ok && step.DoubtedSinceMs != 0 {
 			r.doubtClocks[i] = t
 		}
 	}
@@ -155,8 +155,8 @@
 func decodeReusing(value json.RawMessage, old *run) (*Record, error) {
 	if old != nil {
 		var s stored
-		if json.Unmarshal(value, &s) == nil && s.Sum == old.record.Sum && s.Salt == old.record.Salt {
-			return s.record(old.record.Doc, old.record.packedDoc)
+		if json.Unmarshal(value, &s) == nil && s.Sum == old.record.Checksum && s.Salt == old.record.Salt {
+			return s.record(old.record.Document, old.record.packedDoc)
 		}
 	}
 	return Decode(value)
@@ -239,15 +239,15 @@
 // planOf is the plan of a record's document, from a small cache; nil if the document
 // is refused.
 func (k *Keeper) planOf(record *Record) *Plan {
-	if p, ok := k.plans[record.Sum]; ok {
+	if p, ok := k.plans[record.Checksum]; ok {
 		return p
 	}
-	p, _ := CompileJSON(record.Doc)
+	p, _ := CompileJSON(record.Document)
 	if len(k.planOrder) >= tuning.PlanCache {
 		delete(k.plans, k.planOrder[0])
 		k.planOrder = k.planOrder[1:]
 	}
-	k.plans[record.Sum] = p
-	k.planOrder = append(k.planOrder, record.Sum)
+	k.plans[record.Checksum] = p
+	k.planOrder = append(k.planOrder, record.Checksum)
 	return p
 }
--- a/internal/pipelines/progress.go
+++ b/internal/pipelines/progress.go
@@ -61,9 +61,9 @@
 		return false
 	}
 	f.matrix = step.Matrix
-	e := StepEvent{Kind: NeedsUnmet, Why: WhenFalse, NowMs: nowMs}
+	e := StepEvent{Kind: NeedsUnmet, Cause: WhenFalse, NowMs: nowMs}
 	if ok, err := step.When.holds(f); err != nil {
-		e.Why = WhenBroken
+		e.Cause = WhenBroken
 	} else if ok {
 		e.Kind = NeedsMet
 	}
--- a/internal/pipelines/reconcile.go
+++ b/internal/pipelines/reconcile.go
@@ -9,11 +9,11 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Pass decides what can be decided about the runs that are owned and not busy, that
+// Reconcile decides what can be decided about the runs that are owned and not busy, that
 // is under a transaction. room tells whether so many changes can be made now; a run
 // that finds none is looked at again. reads lists the IDs of jobs that the cluster
 // does not know, to be read from the state service.
-func (k *Keeper) Pass(
+func (k *Keeper) Reconcile(
 	now time.Time,
 	nowMs int64,
 	owned, busy func(id string) bool,
@@ -145,7 +145,7 @@
 		// being in none.
 		d.change.Absent = append(d.change.Absent, d.run.jobIDs[i])
 		d.moved = d.apply(i, StepEvent{Kind: Closed}) ||
-			d.apply(i, StepEvent{Kind: GiveUp, Why: JobForgotten}) ||
+			d.apply(i, StepEvent{Kind: GiveUp, Cause: JobForgotten}) ||
 			d.moved
 		return false
 	}
@@ -173,13 +173,13 @@
 		d.apply(i, StepEvent{Kind: Trust})
 	}
 	step := &d.run.plan.Steps[i]
-	ran := d.measure(d.run.jobClocks, i, d.steps[i].AtMs, now)
-	doubted := d.measure(d.run.doubtClocks, i, d.steps[i].DoubtMs, now)
+	ran := d.measure(d.run.jobClocks, i, d.steps[i].AcceptedMs, now)
+	doubted := d.measure(d.run.doubtClocks, i, d.steps[i].DoubtedSinceMs, now)
 	switch {
 	case step.TimeoutS > 0 && ran.Seconds() > step.TimeoutS:
-		k.cancel(d, i, StepEvent{Kind: GiveUp, Why: TimedOut})
-	case d.steps[i].DoubtMs != 0 && doubted.Seconds() > step.DoubtS:
-		k.cancel(d, i, StepEvent{Kind: GiveUp, Why: InDoubt})
+		k.cancel(d, i, StepEvent{Kind: GiveUp, Cause: TimedOut})
+	case d.steps[i].DoubtedSinceMs != 0 && doubted.Seconds() > step.DoubtS:
+		k.cancel(d, i, StepEvent{Kind: GiveUp, Cause: InDoubt})
 	}
 }
 
@@ -221,14 +221,14 @@
 		if !d.fits(k.limits, 1, size) {
 			return
 		}
-		if cluster.Judge(&spec) != "" {
-			d.move(i, StepEvent{Kind: Refuse, Why: NeverRuns})
+		if cluster.Infeasible(&spec) != "" {
+			d.move(i, StepEvent{Kind: Refuse, Cause: NeverRuns})
 			continue
 		}
 		_, live := cluster.Job(spec.ID)
 		_, final := cluster.Final(spec.ID)
 		if live || final {
-			d.move(i, StepEvent{Kind: Refuse, Why: JobIDTaken})
+			d.move(i, StepEvent{Kind: Refuse, Cause: JobIDTaken})
 			continue
 		}
 		if d.apply(i, StepEvent{Kind: Submit}) {
--- a/internal/pipelines/record.go
+++ b/internal/pipelines/record.go
@@ -15,8 +15,8 @@
 // Key prefixes in the state service. A run's record moves from the first to the
 // second when it ends, so that a start reads only what lives.
 const (
-	RunPrefix = "run/"
-	RanPrefix = "ran/"
+	RunPrefix      = "run/"
+	EndedRunPrefix = "ran/"
 )
 
 // ValidID tells whether an ID has the form of runs' IDs: run- and 1 to 40 lower
@@ -37,20 +37,20 @@
 // Record is a run as stored, once under RunPrefix or RanPrefix. Its steps are as many,
 // and in the same order, as those of its document's plan.
 type Record struct {
-	State RunState
-	AtMs  int64  // acceptance, time of day
-	EndMs int64  // 0 while it lives
-	Sum   string // of the document: a repeated submission must have the same
-	Salt  string // random; enters the IDs of its jobs, so that nobody takes one before
-	Doc   []byte // the document's JSON
-	Steps []StepRun
+	State      RunState
+	AcceptedMs int64  // acceptance, time of day
+	EndMs      int64  // 0 while it lives
+	Checksum   string // of the document: a repeated submission must have the same
+	Salt       string // random; enters the IDs of its jobs, so that nobody takes one before
+	Document   []byte // the document's JSON
+	Steps      []StepRun
 
 	packedDoc json.RawMessage // the document as stored; it never changes
 }
 
-// Sum is what tells one document from another: BLAKE3 of its JSON, whose fields
+// Checksum is what tells one document from another: BLAKE3 of its JSON, whose fields
 // encoding/json has put in order.
-func Sum(doc []byte) string {
+func Checksum(doc []byte) string {
 	sum := blake3.Sum256(doc)
 	return hex.EncodeToString(sum[:16])
 }
@@ -72,12 +72,12 @@
 // NewRecord is the record of a run as accepted.
 func NewRecord(p *Plan, doc []byte, salt string, nowMs int64) *Record {
 	r := &Record{
-		State: RunLive,
-		AtMs:  nowMs,
-		Sum:   Sum(doc),
-		Salt:  salt,
-		Doc:   doc,
-		Steps: make([]StepRun, len(p.Steps)),
+		State:      RunLive,
+		AcceptedMs: nowMs,
+		Checksum:   Checksum(doc),
+		Salt:       salt,
+		Document:   doc,
+		Steps:      make([]StepRun, len(p.Steps)),
 	}
 	for i := range r.Steps {
 		r.Steps[i].State = Waiting
@@ -88,7 +88,7 @@
 // MaxBytes is the most that a run's record may come to take.
 func (r *Record) MaxBytes() int {
 	if r.packedDoc == nil {
-		r.packedDoc = pack(r.Doc)
+		r.packedDoc = pack(r.Document)
 	}
 	return len(r.packedDoc) + len(r.Steps)*tuning.StepStateBytes + tuning.RunHeadBytes
 }
--- a/internal/pipelines/request.go
+++ b/internal/pipelines/request.go
@@ -11,9 +11,9 @@
 
 // Request is a submission of a run.
 type Request struct {
-	ID   string
-	Doc  []byte // the document's JSON, its fields in order
-	Plan *Plan
+	ID       string
+	Document []byte // the document's JSON, its fields in order
+	Plan     *Plan
 }
 
 // Refusal is the body of an answer that refuses a submission.
@@ -38,12 +38,12 @@
 	if len(faults) > 0 {
 		return nil, &Refusal{Error: fmt.Sprintf("%d faults in the pipeline", len(faults)), Faults: faults}
 	}
-	return &Request{ID: r.ID, Doc: jobs.Encode(r.Pipeline), Plan: p}, nil
+	return &Request{ID: r.ID, Document: jobs.Encode(r.Pipeline), Plan: p}, nil
 }
 
-// Judge names the steps that can never run, each by its place in the document; judge
+// FeasibilityFaults names the steps that can never run, each by its place in the document; judge
 // explains why a job can never run, or returns "".
-func (p *Plan) Judge(judge func(*jobs.Spec) string) []Fault {
+func (p *Plan) FeasibilityFaults(judge func(*jobs.Spec) string) []Fault {
 	var out []Fault
 	for i := range p.Steps {
 		step := &p.Steps[i]
@@ -63,7 +63,7 @@
 // it, as many as one transaction holds. A record that could become too long for the
 // state service is an error.
 func (k *Keeper) Accept(q *Request, salt string, nowMs int64, cluster Cluster) (*Change, error) {
-	record := NewRecord(q.Plan, q.Doc, salt, nowMs)
+	record := NewRecord(q.Plan, q.Document, salt, nowMs)
 	if size := record.MaxBytes(); size > k.limits.ValueBytes {
 		return nil, fmt.Errorf(
 			"the run would take up to %d bytes of the state service's %d: fewer steps or shorter fields are needed",
--- a/internal/pipelines/status.go
+++ b/internal/pipelines/status.go
@@ -8,27 +8,27 @@
 
 // Status is what users get of a run. Fields are only ever added.
 type Status struct {
-	ID     string       `json:"id"`
-	Name   string       `json:"name"`
-	Owner  string       `json:"owner"`
-	Status RunState     `json:"status"`
-	TookS  float64      `json:"took_s"` // seconds from its acceptance until now or its end
-	Steps  []StepStatus `json:"steps"`
+	ID        string       `json:"id"`
+	Name      string       `json:"name"`
+	Team      string       `json:"owner"`
+	Status    RunState     `json:"status"`
+	DurationS float64      `json:"took_s"` // seconds from its acceptance until now or its end
+	Steps     []StepStatus `json:"steps"`
 }
 
 // StepStatus is what users get of a step.
 type StepStatus struct {
 	Name         string    `json:"name"`
 	Status       StepState `json:"status"`
-	Job          string    `json:"job"`    // ID of its present job, or of the one it will have
+	JobID        string    `json:"job"`    // ID of its present job, or of the one it will have
 	Repeat       int       `json:"repeat"` // counted from 0
-	Why          Why       `json:"why,omitempty"`
+	Why          Cause     `json:"why,omitempty"`
 	AllowFailure bool      `json:"allow_failure,omitempty"`
 	Needs        []string  `json:"needs,omitempty"`
 	Tasks        int       `json:"pieces"`
 	Done         int       `json:"done"`
 	Running      int       `json:"running"`
-	TookS        float64   `json:"took_s"` // seconds from its job's acceptance until now or its end
+	DurationS    float64   `json:"took_s"` // seconds from its job's acceptance until now or its end
 	Explain      string    `json:"explain,omitempty"`
 }
 
@@ -58,16 +58,16 @@
 		return Status{}, false
 	}
 	out := Status{
-		ID:     id,
-		Name:   p.Name,
-		Owner:  p.Owner,
-		Status: record.State,
-		TookS:  elapsedSeconds(record.AtMs, record.EndMs, nowMs),
+		ID:        id,
+		Name:      p.Name,
+		Team:      p.Owner,
+		Status:    record.State,
+		DurationS: elapsedSeconds(record.AcceptedMs, record.EndMs, nowMs),
 	}
 	for i := range record.Steps {
 		status := p.stepStatus(i, id, record, nowMs, cluster)
 		if explain {
-			status.Explain = p.explain(i, record, &status, cluster.Why(status.Job))
+			status.Explain = p.explain(i, record, &status, cluster.Why(status.JobID))
 		}
 		out.Steps = append(out.Steps, status)
 	}
@@ -80,12 +80,12 @@
 	out := StepStatus{
 		Name:         step.Name,
 		Status:       run.State,
-		Job:          JobID(id, record.Salt, step.Name, run.Repeat),
+		JobID:        JobID(id, record.Salt, step.Name, run.Repeat),
 		Repeat:       run.Repeat,
-		Why:          run.Why,
+		Why:          run.Cause,
 		AllowFailure: step.AllowFailure,
 		Tasks:        step.Spec.TaskCount,
-		TookS:        elapsedSeconds(run.AtMs, run.EndMs, nowMs),
+		DurationS:    elapsedSeconds(run.AcceptedMs, run.EndMs, nowMs),
 	}
 	for _, need := range p.Groups[step.Group].Needs {
 		out.Needs = append(out.Needs, p.Groups[need].Name)
@@ -94,7 +94,7 @@
 	case run.State == Succeeded:
 		out.Done = out.Tasks
 	case run.State.HasJob():
-		job, _ := cluster.Job(out.Job)
+		job, _ := cluster.Job(out.JobID)
 		out.Done = job.Done
 		out.Running = job.Running
 		if run.State == Submitted && job.Running > 0 {
--- a/internal/pipelines/step.go
+++ b/internal/pipelines/step.go
@@ -24,38 +24,38 @@
 // HasJob tells whether a job of the step may be live.
 func (s StepState) HasJob() bool { return s == Submitted || s == Running || s == Cancelling }
 
-// Why is the cause of a step's present state, or of its last repeat.
-type Why string
+// Cause is the cause of a step's present state, or of its last repeat.
+type Cause string
 
 // Causes, in the words that users get; records hold their numbers.
 const (
-	NoCause      Why = ""
-	WhenFalse    Why = "its condition did not hold"
-	WhenBroken   Why = "its condition could not be evaluated"
-	TimedOut     Why = "not done within timeout_s"
-	InDoubt      Why = "failed on every machine for doubt_s"
-	JobAborted   Why = "its job was cancelled by itself"
-	RunAborted   Why = "the run was cancelled"
-	NeverRuns    Why = "its job can never run under the present limits"
-	JobIDTaken   Why = "another job has its job's uid"
-	JobForgotten Why = "its job is in no record"
+	NoCause      Cause = ""
+	WhenFalse    Cause = "its condition did not hold"
+	WhenBroken   Cause = "its condition could not be evaluated"
+	TimedOut     Cause = "not done within timeout_s"
+	InDoubt      Cause = "failed on every machine for doubt_s"
+	JobAborted   Cause = "its job was cancelled by itself"
+	RunAborted   Cause = "the run was cancelled"
+	NeverRuns    Cause = "its job can never run under the present limits"
+	JobIDTaken   Cause = "another job has its job's uid"
+	JobForgotten Cause = "its job is in no record"
 )
 
 // StepRun is a step's part of a run's record.
 type StepRun struct {
 	State  StepState
 	Repeat int // job under way, or the last one, counted from 0
-	Why    Why
+	Cause  Cause
 	// Times of day in ms, 0 for not yet.
-	AtMs    int64 // when its present job was accepted
-	EndMs   int64 // when it ended
-	DoubtMs int64 // since when its job fails everywhere
+	AcceptedMs     int64 // when its present job was accepted
+	EndMs          int64 // when it ended
+	DoubtedSinceMs int64 // since when its job fails everywhere
 }
 
 // StepEvent is what can happen to a step.
 type StepEvent struct {
 	Kind    StepEventKind
-	Why     Why
+	Cause   Cause
 	NowMs   int64
 	Repeats int // times that it may be retried
 }
@@ -104,11 +104,11 @@
 func (s StepRun) jobLive() bool { return s.State == Submitted || s.State == Running }
 
 // ended is the step as it ends now.
-func (s StepRun) ended(state StepState, why Why, e StepEvent) (StepRun, bool) {
+func (s StepRun) ended(state StepState, why Cause, e StepEvent) (StepRun, bool) {
 	s.State = state
-	s.Why = why
+	s.Cause = why
 	s.EndMs = e.NowMs
-	s.DoubtMs = 0
+	s.DoubtedSinceMs = 0
 	return s, true
 }
 
@@ -118,7 +118,7 @@
 		return s, false
 	}
 	if e.Kind == NeedsUnmet {
-		return s.ended(Skipped, e.Why, e)
+		return s.ended(Skipped, e.Cause, e)
 	}
 	s.State = Ready
 	return s, true
@@ -130,11 +130,11 @@
 		return s, false
 	}
 	if e.Kind == Refuse {
-		return s.ended(Failed, e.Why, e)
+		return s.ended(Failed, e.Cause, e)
 	}
 	s.State = Submitted
-	s.AtMs = e.NowMs
-	s.DoubtMs = 0
+	s.AcceptedMs = e.NowMs
+	s.DoubtedSinceMs = 0
 	return s, true
 }
 
@@ -143,10 +143,10 @@
 	switch {
 	case e.Kind == Start && s.State == Submitted:
 		s.State = Running
-	case e.Kind == Doubt && s.jobLive() && s.DoubtMs == 0:
-		s.DoubtMs = e.NowMs
-	case e.Kind == Trust && s.jobLive() && s.DoubtMs != 0:
-		s.DoubtMs = 0
+	case e.Kind == Doubt && s.jobLive() && s.DoubtedSinceMs == 0:
+		s.DoubtedSinceMs = e.NowMs
+	case e.Kind == Trust && s.jobLive() && s.DoubtedSinceMs != 0:
+		s.DoubtedSinceMs = 0
 	default:
 		return s, false
 	}
@@ -174,13 +174,13 @@
 		return s, false
 	}
 	if s.Repeat >= e.Repeats {
-		return s.ended(Failed, e.Why, e)
+		return s.ended(Failed, e.Cause, e)
 	}
 	s.State = Ready
 	s.Repeat++
-	s.Why = e.Why
-	s.AtMs = 0
-	s.DoubtMs = 0
+	s.Cause = e.Cause
+	s.AcceptedMs = 0
+	s.DoubtedSinceMs = 0
 	return s, true
 }
 
@@ -191,7 +191,7 @@
 		return s.ended(Cancelled, RunAborted, e)
 	case s.jobLive():
 		s.State = Cancelling
-		s.Why = RunAborted
+		s.Cause = RunAborted
 		return s, true
 	}
 	return s, false
--- a/internal/preempt/preempt.go
+++ b/internal/preempt/preempt.go
@@ -26,11 +26,11 @@
 	Zones map[string]int
 	// OnlyWithImage leaves out machines that don't have its image.
 	OnlyWithImage bool
-	// Open tells whether the task may be placed on a machine at all.
-	Open func(m *clusterstate.Machine) bool
-	// Busy tells whether a transaction on the record of a key is under way. Tasks of such
+	// CanPlaceOn tells whether the task may be placed on a machine at all.
+	CanPlaceOn func(m *clusterstate.Machine) bool
+	// InTransaction tells whether a transaction on the record of a key is under way. Tasks of such
 	// a record can't be stopped now.
-	Busy func(key string) bool
+	InTransaction func(key string) bool
 	// Stopping are the tasks that the same scheduling cycle stops already.
 	Stopping map[*clusterstate.Task]bool
 }
@@ -87,7 +87,7 @@
 // mayUse tells whether the waiting task may be placed on a machine, if it had free capacity.
 func (s *Search) mayUse(m *clusterstate.Machine) bool {
 	return m.State == fleet.Up &&
-		s.Open(m) &&
+		s.CanPlaceOn(m) &&
 		clusterstate.ZoneAllowed(&s.Task.Job.Record.Spec, s.Zones, m.Zone)
 }
 
@@ -117,7 +117,7 @@
 	var yielding []*clusterstate.Task
 	for _, t := range state.TasksOnMachine[machine] {
 		switch {
-		case t.Job.Record == nil || s.Busy(t.Stored.Key) || s.Stopping[t]:
+		case t.Job.Record == nil || s.InTransaction(t.StoredIn.Key) || s.Stopping[t]:
 		case t.State == jobs.Stopping:
 			free = free.Add(t.Job.Record.Spec.Resources())
 		case s.yields(state, t):
@@ -125,8 +125,8 @@
 		}
 	}
 	sort.Slice(yielding, func(a, b int) bool {
-		if !yielding[a].Since.Equal(yielding[b].Since) {
-			return yielding[a].Since.After(yielding[b].Since)
+		if !yielding[a].StateSince.Equal(yielding[b].StateSince) {
+			return yielding[a].StateSince.After(yielding[b].StateSince)
 		}
 		return yielding[a].ID < yielding[b].ID
 	})
--- a/internal/provisioning/decommission.go
+++ b/internal/provisioning/decommission.go
@@ -36,7 +36,7 @@
 func (p *Provisioner) decommissionRecorded() (decisions []decide.Decision, toDelete []string) {
 	c := &p.cloud
 	// Tasks on many machines are freed together: those of one task range share a write.
-	free := p.collaborators.Budget.Allows(0, 1) || p.state.Now.Sub(c.freedAt) > tuning.ReleaseLate
+	free := p.collaborators.Budget.Allows(0, 1) || p.state.Now.Sub(c.freedAt) > tuning.AssignLateAfter
 	if free {
 		c.freedAt = p.state.Now
 	}
@@ -219,7 +219,7 @@
 	// Nor is one whose time has come meanwhile, while its owner, which hears it, may be about
 	// to write what it heard, unless that is all the time that a delete has left
 	// (docs/incidents/deleted-on-return.md).
-	lastMs := cluster.CancelLast().Milliseconds()
+	lastMs := cluster.LatestCancelDelete().Milliseconds()
 	return writable < tuning.CancelSettle && (ageMs < lastMs || ageMs > overMs), true
 }
 
--- a/internal/provisioning/packing.go
+++ b/internal/provisioning/packing.go
@@ -66,10 +66,10 @@
 // addUpMachines adds the machines in use that do not drain, with their free capacity.
 func (k *packing) addUpMachines() {
 	p := k.provisioner
-	accumulated := p.collaborators.Queue.Gathered()
+	accumulated := p.collaborators.Queue.AccumulatedCapacity()
 	for _, machine := range p.state.MachinesByName() {
 		machineType := p.cloud.catalog[machine.MachineType]
-		_, draining := p.Summary.Drain[machine.Name]
+		_, draining := p.Summary.Draining[machine.Name]
 		if machineType == nil || draining || !p.collaborators.Machines.InUse(machine) {
 			continue
 		}
--- a/internal/provisioning/plan.go
+++ b/internal/provisioning/plan.go
@@ -37,9 +37,9 @@
 		demand:      map[fleet.Group]float64{},
 		candidates:  map[fleet.Group][]fleet.DrainCandidate{},
 		summary: Summary{
-			Step:    p.Summary.Step + 1,
-			History: map[string][]float64{},
-			Drain:   fleet.Draining{},
+			Step:     p.Summary.Step + 1,
+			History:  map[string][]float64{},
+			Draining: fleet.Draining{},
 		},
 	}
 	p.logQueue()
@@ -67,7 +67,7 @@
 	p.config.Log.Debug("queue counted",
 		"waiting", fmt.Sprint(tasksByClass),
 		"jobs", len(p.state.Queued),
-		"released", len(p.state.Released),
+		"released", len(p.state.Assigned),
 		"under_way", len(p.state.Reservations),
 		"calls_held", p.collaborators.Budget.Waiting(),
 		"spare", p.collaborators.Budget.HasSpareWrites())
@@ -89,7 +89,7 @@
 // What accumulates for gangs counts as used.
 func (s *planStep) countDemand() {
 	p := s.provisioner
-	accumulated := p.collaborators.Queue.Gathered()
+	accumulated := p.collaborators.Queue.AccumulatedCapacity()
 	for _, name := range clusterstate.SortedKeys(p.state.Machines) {
 		machine := p.state.Machines[name]
 		machineType := p.state.MachineTypes[machine.MachineType]
@@ -98,7 +98,7 @@
 		}
 		group := groupOf(machine)
 		share := p.state.UsedResources(name).Add(accumulated[name]).ShareOf(machineType.Capacity())
-		if _, draining := p.Summary.Drain[name]; !draining {
+		if _, draining := p.Summary.Draining[name]; !draining {
 			s.demand[group] += share
 		}
 		s.candidates[group] = append(s.candidates[group], fleet.DrainCandidate{
@@ -127,7 +127,7 @@
 		s.draining(group), s.candidates[group], surplus,
 		p.config.Operator.DrainSteps, p.config.Operator.ReviveSteps)
 	for name, stage := range next {
-		s.summary.Drain[name] = stage
+		s.summary.Draining[name] = stage
 	}
 	s.emptied = append(s.emptied, emptied...)
 	wanted := max(action.ScaleOut, s.packing.needed[group]) - len(revived)
@@ -176,7 +176,7 @@
 func (s *planStep) draining(group fleet.Group) fleet.Draining {
 	draining := fleet.Draining{}
 	for _, candidate := range s.candidates[group] {
-		if stage, drains := s.provisioner.Summary.Drain[candidate.Machine]; drains {
+		if stage, drains := s.provisioner.Summary.Draining[candidate.Machine]; drains {
 			draining[candidate.Machine] = stage
 		}
 	}
@@ -194,7 +194,7 @@
 	sum := 0.0
 	for _, entry := range s.waiting {
 		spec := &entry.Task.Job.Record.Spec
-		if entry.Gathers || !spec.AllowsMachineType(group.MachineType) || group.Spot && !spec.Spot {
+		if entry.Accumulates || !spec.AllowsMachineType(group.MachineType) || group.Spot && !spec.Spot {
 			continue
 		}
 		if share := spec.Resources().ShareOf(machineType.Capacity()); share <= 1+roundingError {
--- a/internal/provisioning/provisioner.go
+++ b/internal/provisioning/provisioner.go
@@ -166,15 +166,15 @@
 	p.useFollowedCloud()
 }
 
-// Priced tells whether the catalogue of machine types is known, with its prices.
-func (p *Provisioner) Priced() bool { return p.cloud.catalog != nil }
+// CatalogKnown tells whether the catalogue of machine types is known, with its prices.
+func (p *Provisioner) CatalogKnown() bool { return p.cloud.catalog != nil }
 
-// Listed tells whether the cloud's list was read since this controller came to lead.
-func (p *Provisioner) Listed() bool { return !p.cloud.listedAt.IsZero() }
+// ListKnown tells whether the cloud's list was read since this controller came to lead.
+func (p *Provisioner) ListKnown() bool { return !p.cloud.listedAt.IsZero() }
 
-// Counted tells whether the machines that the former leader requested are counted, by the
+// RequestsKnown tells whether the machines that the former leader requested are counted, by the
 // summary, where the list lacks them.
-func (p *Provisioner) Counted() bool { return p.cloud.requestsKnown }
+func (p *Provisioner) RequestsKnown() bool { return p.cloud.requestsKnown }
 
 // GivenUp tells whether a machine is given up, or deleted already.
 func (p *Provisioner) GivenUp(machine string) bool {
--- a/internal/provisioning/scale_out.go
+++ b/internal/provisioning/scale_out.go
@@ -74,8 +74,8 @@
 	}
 	var scaleOuts []scaleOut
 	for _, candidate := range pools {
-		for left := requested[candidate]; left > 0; left -= tuning.MaxRentMachines {
-			scaleOuts = append(scaleOuts, scaleOut{candidate, min(left, tuning.MaxRentMachines)})
+		for left := requested[candidate]; left > 0; left -= tuning.MaxLaunchMachines {
+			scaleOuts = append(scaleOuts, scaleOut{candidate, min(left, tuning.MaxLaunchMachines)})
 		}
 	}
 	return scaleOuts
@@ -100,7 +100,7 @@
 // withinRate cuts the scale-outs to what the cloud's rate allows in a step, the rest being
 // for the list and for deletes. The largest go first.
 func (p *Provisioner) withinRate(scaleOuts []scaleOut) []scaleOut {
-	share := p.config.Cluster.Cloud.RPS * tuning.CloudBudget * tuning.RentShare
+	share := p.config.Cluster.Cloud.RPS * tuning.CloudBudget * tuning.LaunchShare
 	limit := max(1, int(share*p.config.Operator.StepS))
 	sort.SliceStable(scaleOuts, func(i, j int) bool { return scaleOuts[i].count > scaleOuts[j].count })
 	return scaleOuts[:min(limit, len(scaleOuts))]
@@ -134,7 +134,7 @@
 	c := &p.cloud
 	c.openRequests--
 	c.shortfall = c.shortfall || fellShort
-	if c.openRequests > 0 || !c.shortfall || c.round >= tuning.RentRounds {
+	if c.openRequests > 0 || !c.shortfall || c.round >= tuning.MaxLaunchRounds {
 		return
 	}
 	c.round++
@@ -184,7 +184,7 @@
 			p.refuse(request.pool())
 		}
 		p.requestEnded(noCapacity)
-	case retries < tuning.RentRetries && !errors.Is(err, errLeaderChanged) &&
+	case retries < tuning.MaxLaunchRetries && !errors.Is(err, errLeaderChanged) &&
 		(err != nil || status == http.StatusTooManyRequests):
 		p.sendLaunchRequest(request, retries+1)
 	case status == http.StatusBadRequest:
--- a/internal/provisioning/summary.go
+++ b/internal/provisioning/summary.go
@@ -18,9 +18,9 @@
 // Summary is what the autoscaler stores once a step: enough for owners to know what drains
 // and for a new leader to continue.
 type Summary struct {
-	Step    uint64               `json:"step"`
-	History map[string][]float64 `json:"history,omitempty"` // demand in machines, by group
-	Drain   fleet.Draining       `json:"drain,omitempty"`
+	Step     uint64               `json:"step"`
+	History  map[string][]float64 `json:"history,omitempty"` // demand in machines, by group
+	Draining fleet.Draining       `json:"drain,omitempty"`
 	// Requests is the launch requests whose machines may not be listed yet, the oldest first.
 	Requests []launchRequest `json:"asked,omitempty"`
 }
@@ -81,7 +81,7 @@
 		return s
 	}
 	draining, known := fleet.Draining{}, map[string]bool{}
-	maps.Copy(draining, s.Drain)
+	maps.Copy(draining, s.Draining)
 	s.Requests = slices.Clone(s.Requests)
 	for _, request := range s.Requests {
 		known[request.LaunchRequestID] = true
@@ -91,7 +91,7 @@
 		if number == 1 || part.Step+1 < s.Step || part.Step > s.Step+1 {
 			continue
 		}
-		for machine, stage := range part.Drain {
+		for machine, stage := range part.Draining {
 			if _, found := draining[machine]; !found {
 				draining[machine] = stage
 			}
@@ -103,7 +103,7 @@
 			}
 		}
 	}
-	s.Drain = draining
+	s.Draining = draining
 	slices.SortStableFunc(s.Requests, func(a, b launchRequest) int { return cmp.Compare(a.AtMs, b.AtMs) })
 	return s
 }
@@ -134,14 +134,14 @@
 		return []Summary{s}
 	}
 	division := summaryDivision{limit: limit}
-	division.addPart(Summary{Step: s.Step, History: s.History, Drain: fleet.Draining{}})
-	machines := slices.SortedFunc(maps.Keys(s.Drain), func(a, b string) int {
-		return cmp.Or(cmp.Compare(s.Drain[b], s.Drain[a]), cmp.Compare(a, b))
+	division.addPart(Summary{Step: s.Step, History: s.History, Draining: fleet.Draining{}})
+	machines := slices.SortedFunc(maps.Keys(s.Draining), func(a, b string) int {
+		return cmp.Or(cmp.Compare(s.Draining[b], s.Draining[a]), cmp.Compare(a, b))
 	})
 	for _, machine := range machines {
-		entryBytes := len(jobs.Encode(machine)) + len(":,") + len(strconv.Itoa(s.Drain[machine]))
+		entryBytes := len(jobs.Encode(machine)) + len(":,") + len(strconv.Itoa(s.Draining[machine]))
 		if part := division.partWithRoom(entryBytes); part != nil {
-			part.Drain[machine] = s.Drain[machine]
+			part.Draining[machine] = s.Draining[machine]
 		}
 	}
 	for _, request := range slices.Backward(s.Requests) {
@@ -174,7 +174,7 @@
 // nil if there may be no more parts.
 func (d *summaryDivision) partWithRoom(bytes int) *Summary {
 	if bytes > d.freeBytes && len(d.parts) < tuning.MaxSummaryParts {
-		d.addPart(Summary{Step: d.parts[0].Step, Drain: fleet.Draining{}})
+		d.addPart(Summary{Step: d.parts[0].Step, Draining: fleet.Draining{}})
 	}
 	if bytes > d.freeBytes {
 		return nil
--- a/internal/provisioning/supply.go
+++ b/internal/provisioning/supply.go
@@ -37,7 +37,7 @@
 	counted := supply{all: map[pool]int{}, booting: map[pool]int{}}
 	for name, machine := range p.state.Machines {
 		if p.collaborators.Machines.InUse(machine) {
-			if _, draining := p.Summary.Drain[name]; !draining {
+			if _, draining := p.Summary.Draining[name]; !draining {
 				counted.all[poolOf(machine)]++
 			}
 		}
--- a/internal/provisioning/unresponsive.go
+++ b/internal/provisioning/unresponsive.go
@@ -63,7 +63,7 @@
 	for _, machine := range p.state.MachinesByName() {
 		state, unresponsive := p.collaborators.Machines.UnresponsivenessOf(machine)
 		lastHeard := p.collaborators.Machines.LastHeard(machine.Name)
-		if !unresponsive || p.state.Now.Sub(lastHeard) < workers.HeardFresh() {
+		if !unresponsive || p.state.Now.Sub(lastHeard) < workers.PeerHeardWithin() {
 			continue
 		}
 		if reason := p.reasonToGiveUp(machine, state, counts); reason != "" {
@@ -95,14 +95,14 @@
 		// delete: it is given up once all of them have ended with its lease, and only where
 		// few machines are outbound-partitioned and have been for a while: of many that come
 		// back, the last were deleted (docs/incidents/mute-machines.md).
-		if few && unresponsiveFor > workers.GoneBy() && now.Sub(p.partitionedAt) > workers.UnresponsiveAfter() {
+		if few && unresponsiveFor > workers.LeaseOverAfter() && now.Sub(p.partitionedAt) > workers.UnresponsiveAfter() {
 			return "reaches no controller"
 		}
 	case p.vanished(machine.Name) && unresponsiveFor > tuning.DecommissionEvery:
 		return "silent and no longer listed"
 	case few && unresponsiveFor > tuning.UnresponsiveRecheck:
 		return "silent"
-	case !zonePartitioned && unresponsiveFor > workers.GoneBy():
+	case !zonePartitioned && unresponsiveFor > workers.LeaseOverAfter():
 		return "silent beyond its lease"
 	}
 	return ""
--- a/internal/queue/accumulation.go
+++ b/internal/queue/accumulation.go
@@ -232,7 +232,7 @@
 			continue
 		}
 		ends = append(ends, taskEnd{
-			atMs:      task.Since.UnixMilli() + int64(task.Job.Record.Spec.ExpectedDurationS*1000),
+			atMs:      task.StateSince.UnixMilli() + int64(task.Job.Record.Spec.ExpectedDurationS*1000),
 			resources: task.Resources,
 		})
 	}
@@ -248,9 +248,9 @@
 	return atMs, free.Fits(need)
 }
 
-// Gathered returns the free capacity that is kept for large gangs, by machine. Such a machine is in
+// AccumulatedCapacity returns the free capacity that is kept for large gangs, by machine. Such a machine is in
 // demand although nothing is reserved on it, so it must not be given back to the cloud.
-func (q *Queue) Gathered() map[string]sharding.Resources {
+func (q *Queue) AccumulatedCapacity() map[string]sharding.Resources {
 	out := map[string]sharding.Resources{}
 	for jobID, accumulation := range q.accumulations {
 		job := q.state.Queued[jobID]
--- a/internal/queue/calendar.go
+++ b/internal/queue/calendar.go
@@ -82,7 +82,7 @@
 		chosen := q.pickCandidate(task, candidates, zones)
 		if chosen < 0 {
 			entitled := cycle.account.Entitled(leaf, spec.Amount(), 1)
-			count := cycle.account.More(leaf, spec.Amount(), q.startableCount(job)-i)
+			count := cycle.account.CountAllowed(leaf, spec.Amount(), q.startableCount(job)-i)
 			q.addWaitingForWindow(task, entitled, count, cycle)
 			return i + 1
 		}
@@ -114,7 +114,12 @@
 // reserveUntilNextCycle reserves capacity for a task until the next cycle, under an ID of its own,
 // since the task itself is under no transaction.
 func (q *Queue) reserveUntilNextCycle(task *clusterstate.Task, machineName string) {
-	reservation := &clusterstate.Task{Task: task.Task, ID: calendar.Kept + task.ID, Index: task.Index, Job: task.Job}
+	reservation := &clusterstate.Task{
+		Task:  task.Task,
+		ID:    calendar.ReservationPrefix + task.ID,
+		Index: task.Index,
+		Job:   task.Job,
+	}
 	q.state.Reserve(reservation, machineName, q.state.Machines[machineName].Zone)
 	q.windowReservations = append(q.windowReservations, reservation.ID)
 }
--- a/internal/queue/decisions.go
+++ b/internal/queue/decisions.go
@@ -21,11 +21,11 @@
 	batched := q.cluster.UsesBatches() && job.Record.Spec.Kind == jobs.JobArray
 	for _, o := range placements {
 		switch {
-		case batched && (o.task.Stored == nil || o.task.Stored.IsBatch()):
+		case batched && (o.task.StoredIn == nil || o.task.StoredIn.IsBatch()):
 			if decision, ok := q.batchDecision(o); ok {
 				decisions = append(decisions, decision)
 			}
-		case o.task.Stored != nil:
+		case o.task.StoredIn != nil:
 			if decision, ok := q.releaseRecorded(o); ok {
 				decisions = append(decisions, decision)
 			}
@@ -67,7 +67,7 @@
 	if !ok {
 		return decision, false
 	}
-	if o.task.Stored != nil {
+	if o.task.StoredIn != nil {
 		decision.Changes = []decide.Change{{Task: o.task, Next: next, LeavesBatch: true}}
 	}
 	decision.BatchEntries = []decide.BatchEntry{
@@ -83,7 +83,7 @@
 func (q *Queue) releasedTask(task *clusterstate.Task, m *clusterstate.Machine) (jobs.Task, bool) {
 	next, ok := jobs.NextTask(
 		task.Task,
-		jobs.TaskEvent{Kind: jobs.Release, Controller: m.Owner, Zone: m.Zone, PreferredMachine: m.Name},
+		jobs.TaskEvent{Kind: jobs.Assign, Controller: m.Owner, Zone: m.Zone, PreferredMachine: m.Name},
 	)
 	if ok {
 		q.state.Reserve(task, m.Name, m.Zone)
--- a/internal/queue/gangs.go
+++ b/internal/queue/gangs.go
@@ -34,7 +34,7 @@
 	}
 	leaf := q.state.QuotaLeaf(spec)
 	if !cycle.account.Allows(leaf, spec.Amount(), spec.TaskCount) {
-		if q.Overdue(job) && cycle.account.Tree().Ever(leaf, spec.Amount(), spec.TaskCount) {
+		if q.Overdue(job) && cycle.account.Tree().EverAllows(leaf, spec.Amount(), spec.TaskCount) {
 			// As with single tasks: what its team has left is kept for it.
 			cycle.leavesAtLimit[leaf] = true
 		}
@@ -69,7 +69,7 @@
 func (q *Queue) backsOff(tasks []*clusterstate.Task, attempt uint64) bool {
 	pause := jobs.Backoff(int(min(attempt, 10)))
 	return slices.ContainsFunc(tasks, func(task *clusterstate.Task) bool {
-		return q.state.Now.Sub(task.Since) < pause
+		return q.state.Now.Sub(task.StateSince) < pause
 	})
 }
 
@@ -90,7 +90,7 @@
 		kept, zone := q.accumulate(first, cycle)
 		waiting.Count -= kept
 		waiting.Zone = zone
-		waiting.Gathers = true
+		waiting.Accumulates = true
 		q.Waiting = append(q.Waiting, waiting)
 		return
 	}
@@ -189,7 +189,7 @@
 	var newTasks []*clusterstate.Task
 	var machines []string
 	for _, o := range placements {
-		if o.task.Stored == nil {
+		if o.task.StoredIn == nil {
 			newTasks, machines = append(newTasks, o.task), append(machines, o.machine)
 			continue
 		}
@@ -368,7 +368,7 @@
 		if recorded := job.Tasks[task.Index]; recorded != nil {
 			task = recorded
 		}
-		if task.Stored == nil {
+		if task.StoredIn == nil {
 			newTasks, newTaskMachines = append(newTasks, task), append(newTaskMachines, machines[i])
 			continue
 		}
--- a/internal/queue/lending.go
+++ b/internal/queue/lending.go
@@ -218,16 +218,16 @@
 	}
 	// What the cycle has charged is only considered: who is beyond a guarantee is counted from what
 	// really runs.
-	decision, plan, ok := q.loans.Ask(&lending.Search{
-		Task:          task,
-		Priority:      waiting.Priority,
-		Entitled:      waiting.Entitled,
-		Account:       lending.Leaving(q.state, q.state.Account, cycle.stopping),
-		Zones:         zones,
-		OnlyWithImage: onlyCached,
-		InS:           withinS,
-		Open:          func(m *clusterstate.Machine) bool { return q.canPropose(task, m) },
-		Stopping:      cycle.stopping,
+	decision, plan, ok := q.loans.Request(&lending.Search{
+		Task:           task,
+		Priority:       waiting.Priority,
+		Entitled:       waiting.Entitled,
+		Account:        lending.AccountWithoutLeaving(q.state, q.state.Account, cycle.stopping),
+		Zones:          zones,
+		OnlyWithImage:  onlyCached,
+		MaxStartDelayS: withinS,
+		Open:           func(m *clusterstate.Machine) bool { return q.canPropose(task, m) },
+		Stopping:       cycle.stopping,
 	})
 	if !ok {
 		return false
--- a/internal/queue/not_examined.go
+++ b/internal/queue/not_examined.go
@@ -30,7 +30,7 @@
 		}
 		tasks := slices.DeleteFunc(q.pendingTasks(job, q.startableCount(job)), q.capacityPending)
 		leaf := q.state.QuotaLeaf(spec)
-		count := account.More(leaf, spec.Amount(), len(tasks))
+		count := account.CountAllowed(leaf, spec.Amount(), len(tasks))
 		if spec.IsGang() && (len(tasks) < spec.TaskCount || count < len(tasks)) || count == 0 {
 			continue
 		}
@@ -50,7 +50,7 @@
 // capacityPending reports whether room is being made for a task, by preemption or by a loan.
 func (q *Queue) capacityPending(task *clusterstate.Task) bool {
 	if q.loans != nil {
-		if _, lent := q.loans.For(task.Job.ID, task.Index); lent {
+		if _, lent := q.loans.LoanFor(task.Job.ID, task.Index); lent {
 			return true
 		}
 	}
--- a/internal/queue/order.go
+++ b/internal/queue/order.go
@@ -23,7 +23,7 @@
 		fairShareOrder := account.Tree().FairShareOrder(entitled, leaf)
 		startByMs := q.StartBy(job.Record, fairShareOrder == 0)
 		if _, known := fairSharePaths[leaf]; fairShareOrder > 0 && !known {
-			fairSharePaths[leaf] = account.Way(leaf)
+			fairSharePaths[leaf] = account.FairShares(leaf)
 		}
 		entries = append(entries, queueEntry{
 			job:            job,
@@ -63,8 +63,8 @@
 		return e.priority < other.priority
 	case e.fairShareOrder != other.fairShareOrder:
 		return e.fairShareOrder < other.fairShareOrder
-	case e.fairShareOrder > 0 && quota.CompareWays(e.fairSharePath, other.fairSharePath) != 0:
-		return quota.CompareWays(e.fairSharePath, other.fairSharePath) < 0
+	case e.fairShareOrder > 0 && quota.CompareFairShares(e.fairSharePath, other.fairSharePath) != 0:
+		return quota.CompareFairShares(e.fairSharePath, other.fairSharePath) < 0
 	case e.overdue != other.overdue:
 		return e.overdue
 	case e.overdue && e.job.Record.AcceptedMs != other.job.Record.AcceptedMs:
@@ -169,7 +169,7 @@
 func (q *Queue) pendingTasks(job *clusterstate.Job, limit int) []*clusterstate.Task {
 	var out []*clusterstate.Task
 	for _, task := range job.Retrying {
-		if task.NotBeforeMs <= q.state.NowMs() && !q.commits.Busy(task.Stored.Key) {
+		if task.NotBeforeMs <= q.state.NowMs() && !q.commits.Busy(task.StoredIn.Key) {
 			out = append(out, task)
 		}
 	}
@@ -204,7 +204,7 @@
 	}
 	var mostFailed *clusterstate.Task
 	for _, task := range job.Retrying {
-		if q.commits.Busy(task.Stored.Key) {
+		if q.commits.Busy(task.StoredIn.Key) {
 			return nil
 		}
 		if mostFailed == nil || task.Failures > mostFailed.Failures ||
--- a/internal/queue/place.go
+++ b/internal/queue/place.go
@@ -30,9 +30,9 @@
 // releasedHere lists the tasks that are released to this shard and may be placed now, by job.
 func (q *Queue) releasedHere() []*clusterstate.Task {
 	var released []*clusterstate.Task
-	for _, task := range q.state.Released {
+	for _, task := range q.state.Assigned {
 		if task.Controller == q.config.Name && task.Job.Record != nil && task.Job.Record.State == jobs.Live &&
-			!q.commits.Busy(task.Stored.Key) &&
+			!q.commits.Busy(task.StoredIn.Key) &&
 			q.state.Now.Sub(task.PlacementTriedAt) >= tuning.PlaceAgain {
 			released = append(released, task)
 		}
@@ -79,7 +79,7 @@
 	spec := &task.Job.Record.Spec
 	if m := q.state.Machines[task.PreferredMachine]; m != nil && q.machines.CanPlace(task, m) {
 		free := q.freeCapacity(m)
-		if !task.PreferenceReleased {
+		if !task.PreferenceDropped {
 			free = free.Add(task.Resources) // its own reservation is for it
 		}
 		if free.Fits(spec.Resources()) {
@@ -189,21 +189,21 @@
 	return out
 }
 
-// TakeBack withdraws released tasks that their shard did not place, at once if its controller has
+// UnassignStale withdraws released tasks that their shard did not place, at once if its controller has
 // left the view. The leader calls it.
-func (q *Queue) TakeBack() {
+func (q *Queue) UnassignStale() {
 	var decisions []decide.Decision
-	for _, taskID := range clusterstate.SortedKeys(q.state.Released) {
-		task := q.state.Released[taskID]
+	for _, taskID := range clusterstate.SortedKeys(q.state.Assigned) {
+		task := q.state.Assigned[taskID]
 		gone := q.cluster.HasLeftView(task.Controller)
-		if !gone && q.state.Now.Sub(task.Since) < tuning.ReleaseStale {
+		if !gone && q.state.Now.Sub(task.StateSince) < tuning.AssignmentStaleAfter {
 			continue
 		}
 		if !gone && task.PreferredMachine != "" {
 			q.Avoid(task.PreferredMachine, q.state.Now.Add(tuning.AvoidAfter))
 		}
-		next, ok := jobs.NextTask(task.Task, jobs.TaskEvent{Kind: jobs.TakeBack})
-		if ok && !q.commits.Busy(task.Stored.Key) {
+		next, ok := jobs.NextTask(task.Task, jobs.TaskEvent{Kind: jobs.Unassign})
+		if ok && !q.commits.Busy(task.StoredIn.Key) {
 			decisions = append(decisions, decide.Decision{Changes: decide.TransitionTask(task, next)})
 		}
 	}
--- a/internal/queue/preempt.go
+++ b/internal/queue/preempt.go
@@ -74,8 +74,8 @@
 		Account:       cycle.account,
 		Zones:         q.state.TasksByZone(task.Job),
 		OnlyWithImage: onlyCached,
-		Open:          func(m *clusterstate.Machine) bool { return q.canPropose(task, m) },
-		Busy:          q.commits.Busy,
+		CanPlaceOn:    func(m *clusterstate.Machine) bool { return q.canPropose(task, m) },
+		InTransaction: q.commits.Busy,
 		Stopping:      cycle.stopping,
 	})
 	stop := jobs.TaskEvent{Kind: jobs.Stop, Reason: "makes room for " + task.ID}
@@ -133,7 +133,7 @@
 	spec := &job.Record.Spec
 	leaf := q.state.QuotaLeaf(spec)
 	entitled := cycle.account.Entitled(leaf, spec.Amount(), 1)
-	if entitled < 0 || !cycle.account.Tree().Shaped() || q.state.Now.Before(q.preemptions[job.ID].until) {
+	if entitled < 0 || !cycle.account.Tree().Nested() || q.state.Now.Before(q.preemptions[job.ID].until) {
 		return
 	}
 	count := 0
@@ -143,9 +143,9 @@
 		trial.Charge(spec.QuotaKey(), spec.Amount(), 1)
 		count++
 	}
-	for _, s := range quotareclaim.For(q.state, cycle.account, entitled, spec, count) {
+	for _, s := range quotareclaim.PlanForGuarantee(q.state, cycle.account, entitled, spec, count) {
 		next, ok := jobs.Withdraw(s.Task.Task, "gives back of "+s.Path+" what "+job.ID+" is guaranteed")
-		if !ok || cycle.stopping[s.Task] || q.commits.Busy(s.Task.Stored.Key) {
+		if !ok || cycle.stopping[s.Task] || q.commits.Busy(s.Task.StoredIn.Key) {
 			continue
 		}
 		cycle.decisions = append(cycle.decisions, decide.Decision{Changes: decide.TransitionTask(s.Task, next)})
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -161,8 +161,8 @@
 	Entitled int
 	// Zone is the zone in which a large gang accumulates capacity, if it must be in one.
 	Zone string
-	// Gathers is set for a large gang, for which capacity is kept as it comes free.
-	Gathers bool
+	// Accumulates is set for a large gang, for which capacity is kept as it comes free.
+	Accumulates bool
 	// NotExamined is set if the last cycle did not examine it, so that there may be room for it.
 	NotExamined bool
 	// WindowOpensSoon is set if the job may not begin before a window of the calendar opens.
--- a/internal/queue/release.go
+++ b/internal/queue/release.go
@@ -12,12 +12,12 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Release is the leader's scheduling cycle: it releases tasks to shards, within each team's limit.
+// RunCycle is the leader's scheduling cycle: it releases tasks to shards, within each team's limit.
 // Once its decisions have used up the write budget it examines no further jobs: what it would
 // decide could not be committed, and with a thousand jobs of one task waiting for writes, looking
 // for a place for each of them in every cycle took all of a controller's processor time
 // (docs/incidents/ops-swarm.md).
-func (q *Queue) Release() {
+func (q *Queue) RunCycle() {
 	q.releaseWindowReservations()
 	cycle := q.newCycle()
 	q.reconcileLoans(cycle)
@@ -25,7 +25,7 @@
 	maps.DeleteFunc(q.noCapacitySince, func(jobID string, _ time.Time) bool { return q.state.Queued[jobID] == nil })
 	q.Waiting = nil
 	q.dropAccumulations()
-	budget, limit := q.budget.Allows(0, 1), tuning.MaxReleases
+	budget, limit := q.budget.Allows(0, 1), tuning.MaxAssignments
 	if !budget {
 		limit = tuning.MaxExaminedJobs
 	}
@@ -174,7 +174,7 @@
 		return
 	}
 	expired := q.lacksCapacity(job)
-	count := cycle.account.More(q.state.QuotaLeaf(spec), spec.Amount(), q.startableCount(job))
+	count := cycle.account.CountAllowed(q.state.QuotaLeaf(spec), spec.Amount(), q.startableCount(job))
 	if count == 0 {
 		return
 	}
@@ -202,15 +202,15 @@
 	savesWrites := q.Scarce() && !q.budget.HasSpareWrites() && !q.cluster.UsesBatches() &&
 		job.Record.Spec.Kind == jobs.JobArray
 	if !savesWrites || placementCount == 0 || placementCount >= wanted || placementCount < freePlaces {
-		job.GatheringSince = time.Time{}
+		job.AccumulatingSince = time.Time{}
 		return false
 	}
-	if job.GatheringSince.IsZero() {
-		job.GatheringSince = q.state.Now
+	if job.AccumulatingSince.IsZero() {
+		job.AccumulatingSince = q.state.Now
 	}
-	if q.state.Now.Sub(job.GatheringSince) < tuning.GatherFor {
+	if q.state.Now.Sub(job.AccumulatingSince) < tuning.GatherFor {
 		return true
 	}
-	job.GatheringSince = time.Time{}
+	job.AccumulatingSince = time.Time{}
 	return false
 }
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -60,8 +60,8 @@
 	return &Account{tree: a.tree, used: slices.Clone(a.used)}
 }
 
-// On is a copy of the account on another tree. It needs an account that is no copy itself.
-func (a *Account) On(tree *Tree) *Account {
+// RebasedOn is a copy of the account on another tree. It needs an account that is no copy itself.
+func (a *Account) RebasedOn(tree *Tree) *Account {
 	rebased := &Account{charged: a.charged}
 	rebased.Rebase(tree)
 	rebased.charged = nil
--- a/internal/quota/fair_share.go
+++ b/internal/quota/fair_share.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// Way is, for each node from the top down to a leaf, what it uses of the spare capacity for
+// FairShares is, for each node from the top down to a leaf, what it uses of the spare capacity for
 // its weight; nil in a tree that has only the platform's teams. What a node with children
 // runs itself counts as one more child, of weight 1: while lists ended at such a node, their
 // order was not transitive, and the order of three jobs depended on which two were compared.
-func (a *Account) Way(leaf int) []float64 {
+func (a *Account) FairShares(leaf int) []float64 {
 	if !a.tree.nested {
 		return nil
 	}
@@ -28,9 +28,9 @@
 	return shares
 }
 
-// CompareWays orders two leaves by what Way gives for them: who has had less goes first. It
+// CompareFairShares orders two leaves by what Way gives for them: who has had less goes first. It
 // is progressive filling: each task goes to the side that is behind.
-func CompareWays(a, b []float64) int { return slices.Compare(a, b) }
+func CompareFairShares(a, b []float64) int { return slices.Compare(a, b) }
 
 // fairShareOf is what a node uses beyond its guarantee for its weight, by the resource
 // of which it uses the largest share of what its parent has in use.
--- a/internal/quota/guarantee.go
+++ b/internal/quota/guarantee.go
@@ -52,10 +52,10 @@
 	return yields
 }
 
-// Spares tells whether all nodes on a leaf's side still have what they are guaranteed
+// CanSpare tells whether all nodes on a leaf's side still have what they are guaranteed
 // without an amount of its use, up to where its side and that of the leaf which needs the
 // amount meet: what shares a guarantee has no claim against its own side.
-func (a *Account) Spares(needs, leaf int, amount Amount) bool {
+func (a *Account) CanSpare(needs, leaf int, amount Amount) bool {
 	spares := true
 	a.tree.walkUp(leaf, func(i int, node *Node) bool {
 		if a.tree.Under(needs, i) {
--- a/internal/quota/limits.go
+++ b/internal/quota/limits.go
@@ -8,11 +8,11 @@
 // Allows tells whether count more tasks, of amount each, are within the limits of a leaf
 // and of all nodes above it.
 func (a *Account) Allows(leaf int, each Amount, count int) bool {
-	return a.FullAt(leaf, each, count) < 0
+	return a.LimitingNode(leaf, each, count) < 0
 }
 
-// More is how many more tasks of amount each, up to count, a leaf may have.
-func (a *Account) More(leaf int, each Amount, count int) int {
+// CountAllowed is how many more tasks of amount each, up to count, a leaf may have.
+func (a *Account) CountAllowed(leaf int, each Amount, count int) int {
 	below := noNode
 	a.tree.walkUp(leaf, func(i int, node *Node) bool {
 		count = countFitting(a.used[i], each, a.limitThrough(below, node), count)
@@ -22,10 +22,10 @@
 	return count
 }
 
-// Full names the lowest node whose limit keeps a leaf from one more task of an amount, and
+// LimitReached names the lowest node whose limit keeps a leaf from one more task of an amount, and
 // what it uses of its limit; "" if no limit does.
-func (a *Account) Full(leaf int, amount Amount) string {
-	node := a.FullAt(leaf, amount, 1)
+func (a *Account) LimitReached(leaf int, amount Amount) string {
+	node := a.LimitingNode(leaf, amount, 1)
 	if node < 0 {
 		return ""
 	}
@@ -36,9 +36,9 @@
 	return fmt.Sprintf("%s uses %s of %s", path, a.used[node], a.tree.nodes[node].effectiveLimit())
 }
 
-// FullAt is the lowest node, from a leaf upward, whose limit count more tasks of amount each
+// LimitingNode is the lowest node, from a leaf upward, whose limit count more tasks of amount each
 // would pass; -1 if there is none.
-func (a *Account) FullAt(leaf int, each Amount, count int) int {
+func (a *Account) LimitingNode(leaf int, each Amount, count int) int {
 	full, below := noNode, noNode
 	a.tree.walkUp(leaf, func(i int, node *Node) bool {
 		if !a.used[i].Add(each, count).within(a.limitThrough(below, node)) {
--- a/internal/quota/tree.go
+++ b/internal/quota/tree.go
@@ -124,14 +124,14 @@
 	return 0
 }
 
-// Knows tells whether the platform names a team.
-func (t *Tree) Knows(team string) bool {
+// HasTeam tells whether the platform names a team.
+func (t *Tree) HasTeam(team string) bool {
 	_, ok := t.teams[team]
 	return ok
 }
 
-// Shaped tells whether there is more to the tree than the platform's teams.
-func (t *Tree) Shaped() bool { return t.nested }
+// Nested tells whether there is more to the tree than the platform's teams.
+func (t *Tree) Nested() bool { return t.nested }
 
 // Path names a node after those above it, separated by slashes; "" for the root.
 func (t *Tree) Path(node int) string {
@@ -171,9 +171,9 @@
 	return found
 }
 
-// Ever tells whether count tasks, of amount each, would be within all limits of a leaf and of
+// EverAllows tells whether count tasks, of amount each, would be within all limits of a leaf and of
 // the nodes above it if nothing else ran.
-func (t *Tree) Ever(leaf int, each Amount, count int) bool {
+func (t *Tree) EverAllows(leaf int, each Amount, count int) bool {
 	allowed := true
 	t.walkUp(leaf, func(_ int, node *Node) bool {
 		allowed = (Amount{}).Add(each, count).within(node.effectiveLimit())
--- a/internal/quotareclaim/reclaim.go
+++ b/internal/quotareclaim/reclaim.go
@@ -54,18 +54,24 @@
 	return stops
 }
 
-// For lists the tasks whose end lets count more tasks of a job, which are within the
+// PlanForGuarantee lists the tasks whose end lets count more tasks of a job, which are within the
 // guarantee of node entitled, into limits that others have filled with what they borrowed:
 // as few as are needed, the youngest first, with what is stopping counted already. Gangs and
 // services are left alone. Nil if that can't be had, or if what is stopping is enough.
-func For(state *clusterstate.State, account *quota.Account, entitled int, spec *jobs.Spec, count int) []Stop {
+func PlanForGuarantee(
+	state *clusterstate.State,
+	account *quota.Account,
+	entitled int,
+	spec *jobs.Spec,
+	count int,
+) []Stop {
 	leaf := state.QuotaLeaf(spec)
 	tasks := candidates(state)
 	account = withoutStopping(account, tasks)
 	tree := account.Tree()
 	var stops []Stop
 	for _, t := range tasks {
-		full := account.FullAt(leaf, spec.Amount(), count)
+		full := account.LimitingNode(leaf, spec.Amount(), count)
 		if full < 0 {
 			return stops
 		}
@@ -78,7 +84,7 @@
 		account.Charge(other.QuotaKey(), other.Amount(), -1)
 		stops = append(stops, Stop{Task: t, Path: tree.Path(full)})
 	}
-	if account.FullAt(leaf, spec.Amount(), count) >= 0 {
+	if account.LimitingNode(leaf, spec.Amount(), count) >= 0 {
 		return nil
 	}
 	return stops
@@ -114,7 +120,7 @@
 // stopped: released ones, then those of the least priority, then the youngest.
 func candidates(state *clusterstate.State) []*clusterstate.Task {
 	var tasks []*clusterstate.Task
-	for _, t := range state.Released {
+	for _, t := range state.Assigned {
 		tasks = append(tasks, t)
 	}
 	for _, onMachine := range state.TasksOnMachine {
@@ -129,15 +135,15 @@
 
 // stopsBefore is the order of candidates; it is total, so that every leader chooses alike.
 func stopsBefore(a, b *clusterstate.Task) bool {
-	if (a.State == jobs.Released) != (b.State == jobs.Released) {
-		return a.State == jobs.Released
+	if (a.State == jobs.Assigned) != (b.State == jobs.Assigned) {
+		return a.State == jobs.Assigned
 	}
 	orderA, orderB := a.Job.Record.Spec.PriorityOrder(), b.Job.Record.Spec.PriorityOrder()
 	if orderA != orderB {
 		return orderA > orderB
 	}
-	if !a.Since.Equal(b.Since) {
-		return a.Since.After(b.Since)
+	if !a.StateSince.Equal(b.StateSince) {
+		return a.StateSince.After(b.StateSince)
 	}
 	return a.ID < b.ID
 }
--- a/internal/reconcile/difference.go
+++ b/internal/reconcile/difference.go
@@ -39,11 +39,11 @@
 
 // Recorded is an attempt that a record places on a machine.
 type Recorded struct {
-	Verdict  agent.Verdict // of the machine's session
-	Over     bool          // its job is not live
-	Stopping bool          // it is to be stopped
-	Leaving  bool          // its machine is deleted or about to be
-	Save     bool          // it should checkpoint now, since its machine will be reclaimed
+	Verdict    agent.Verdict // of the machine's session
+	Over       bool          // its job is not live
+	Stopping   bool          // it is to be stopped
+	Leaving    bool          // its machine is deleted or about to be
+	Checkpoint bool          // it should checkpoint now, since its machine will be reclaimed
 }
 
 // OfRecorded names how a recorded attempt compares with its machine's heartbeats, and what is done about it.
@@ -58,15 +58,15 @@
 			return NoMachine, Free
 		}
 		return Unsent, Launch
-	case agent.OnIt:
+	case agent.OnMachine:
 		switch {
 		case over:
 			return RunsOver, Stop
-		case r.Save:
+		case r.Checkpoint:
 			return RunsReclaimed, Stop
 		}
 		return Alike, Continue
-	case agent.Over:
+	case agent.EndReported:
 		return EndedHere, End
 	case agent.Missing:
 		return Vanished, Free
--- a/internal/reconcile/machine_state.go
+++ b/internal/reconcile/machine_state.go
@@ -17,24 +17,24 @@
 
 // The events of a machine.
 const (
-	Shows        Event = "heartbeat under this view's fencing token"
-	Agrees       Event = "compared, nothing differs"
-	Departs      Event = "compared, something differs"
-	Silent       Event = "call unanswered, or decommissioned"
-	TokenChanged Event = "fencing token changed" // what it reported before no longer counts
+	HeartbeatReceived Event = "heartbeat under this view's fencing token"
+	RecordsMatch      Event = "compared, nothing differs"
+	RecordsDiffer     Event = "compared, something differs"
+	CallUnanswered    Event = "call unanswered, or decommissioned"
+	TokenChanged      Event = "fencing token changed" // what it reported before no longer counts
 )
 
 // Next returns a machine's state after an event, and whether the event changes it. A machine's state changes nowhere
 // else.
 func Next(state MachineState, event Event) (next MachineState, changed bool) {
 	switch event {
-	case Shows:
+	case HeartbeatReceived:
 		return transition(state, MachineRegistered, MachineUnregistered, MachineDecommissioned)
-	case Agrees:
+	case RecordsMatch:
 		return transition(state, MachineReconciled, MachineRegistered, MachineDiffers)
-	case Departs:
+	case RecordsDiffer:
 		return transition(state, MachineDiffers, MachineRegistered, MachineReconciled)
-	case Silent:
+	case CallUnanswered:
 		return transition(state, MachineDecommissioned, MachineUnregistered)
 	case TokenChanged:
 		return transition(state, MachineUnregistered, MachineRegistered, MachineDiffers, MachineReconciled)
