--- a/internal/snapshot/check.go
+++ b/internal/snapshot/check.go
@@ -22,18 +22,18 @@
 
 // Finding is one fault of a snapshot's records.
 type Finding struct {
-	Key  string `json:"key"` // may be empty
-	What string `json:"what"`
+	Key     string `json:"key"` // may be empty
+	Problem string `json:"what"`
 }
 
 // Report is the result of Check.
 type Report struct {
-	Epoch    uint64         `json:"epoch"`
-	Keys     map[string]int `json:"keys"` // count by the first part of the key
-	Live     int            `json:"live_jobs"`
-	Tasks    int            `json:"tasks"`
-	On       int            `json:"tasks_on_machines"`
-	Findings []Finding      `json:"findings"`
+	Epoch           uint64         `json:"epoch"`
+	Keys            map[string]int `json:"keys"` // count by the first part of the key
+	LiveJobs        int            `json:"live_jobs"`
+	Tasks           int            `json:"tasks"`
+	TasksOnMachines int            `json:"tasks_on_machines"`
+	Findings        []Finding      `json:"findings"`
 }
 
 // checker is a check in progress.
@@ -76,7 +76,7 @@
 }
 
 func (c *checker) add(key, fault string) {
-	c.report.Findings = append(c.report.Findings, Finding{Key: key, What: fault})
+	c.report.Findings = append(c.report.Findings, Finding{Key: key, Problem: fault})
 }
 
 // applyRecords applies all records. As controllers do, it reads jobs before their tasks.
@@ -190,7 +190,7 @@
 	}
 	live := job.Record.State == jobs.Live
 	if live {
-		c.report.Live++
+		c.report.LiveJobs++
 	}
 	switch {
 	case live && over:
@@ -206,14 +206,14 @@
 		task := job.Tasks[index]
 		c.report.Tasks++
 		if job.Record != nil && index >= job.Record.Spec.TaskCount {
-			c.add(task.Stored.Key, fmt.Sprintf("holds %s of a job of %d tasks", task.ID, job.Record.Spec.TaskCount))
+			c.add(task.StoredIn.Key, fmt.Sprintf("holds %s of a job of %d tasks", task.ID, job.Record.Spec.TaskCount))
 		}
 		if !task.OnMachine() {
 			continue
 		}
-		c.report.On++
+		c.report.TasksOnMachines++
 		if c.state.Machines[task.Machine] == nil {
-			c.add(task.Stored.Key, fmt.Sprintf("%s is on %s, of which there is no record", task.ID, task.Machine))
+			c.add(task.StoredIn.Key, fmt.Sprintf("%s is on %s, of which there is no record", task.ID, task.Machine))
 		}
 	}
 }
@@ -239,7 +239,7 @@
 			onMachines[job.Record.Spec.QuotaKey()] = true
 		}
 	}
-	for _, track := range plan.Meet(onMachines) {
+	for _, track := range plan.OverlappingTracks(onMachines) {
 		c.add(
 			calendar.TrackKey(track),
 			"work of two of its windows is on machines, unless it was there before the calendar",
--- a/internal/snapshot/content.go
+++ b/internal/snapshot/content.go
@@ -11,9 +11,9 @@
 
 // State is all keys as of one epoch.
 type State struct {
-	Epoch uint64
-	AtMs  int64 // when the snapshot was begun, in Unix milliseconds
-	Items map[string]store.Item
+	Epoch   uint64
+	BegunMs int64 // when the snapshot was begun, in Unix milliseconds
+	Items   map[string]store.Item
 }
 
 // Read reads a complete snapshot. Its errors say whether the file is truncated or damaged
@@ -23,7 +23,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &State{Epoch: c.epoch, AtMs: c.header.AtMs, Items: c.items}, nil
+	return &State{Epoch: c.epoch, BegunMs: c.header.AtMs, Items: c.items}, nil
 }
 
 // content is what was read of a file, complete or not.
--- a/internal/standby/checks.go
+++ b/internal/standby/checks.go
@@ -23,9 +23,9 @@
 	MachineTypesKnown Check = "machine types known"
 	// CloudListed: a listing of the cloud's machines was begun after it became leader.
 	CloudListed Check = "cloud's list read"
-	// FormerRents: machines that the former leader scaled out and that the listing may still lack are
+	// FormerScaleOutsCounted: machines that the former leader scaled out and that the listing may still lack are
 	// counted, by the summary, until the listing must have them.
-	FormerRents Check = "former rents listed or counted"
+	FormerScaleOutsCounted Check = "former rents listed or counted"
 )
 
 // Duty is what a leader does with what it knows.
@@ -33,30 +33,30 @@
 
 // Duties of a leader.
 const (
-	Release Duty = "release" // place tasks, end jobs, preempt, move
-	Rent    Duty = "rent"    // scale out, and plan
-	Delete  Duty = "delete"  // decommission machines
+	Schedule     Duty = "release" // place tasks, end jobs, preempt, move
+	ScaleOut     Duty = "rent"    // scale out, and plan
+	Decommission Duty = "delete"  // decommission machines
 )
 
 // requiredChecks are those that must be done before each duty. Until CloudListed, a leader scales
 // out nothing; for ten steps after, only to current demand (DESIGN-harrierreel.md).
 var requiredChecks = map[Duty][]Check{
-	Release: {
+	Schedule: {
 		InViewCertain,
 		WatchReachedView,
 		TransactionsFenced,
 		QuotasSettled,
 	},
-	Rent: {
+	ScaleOut: {
 		InViewCertain,
 		WatchReachedView,
 		TransactionsFenced,
 		QuotasSettled,
 		MachineTypesKnown,
 		CloudListed,
-		FormerRents,
+		FormerScaleOutsCounted,
 	},
-	Delete: {
+	Decommission: {
 		InViewCertain,
 		WatchReachedView,
 		TransactionsFenced,
@@ -72,7 +72,7 @@
 		QuotasSettled,
 		MachineTypesKnown,
 		CloudListed,
-		FormerRents,
+		FormerScaleOutsCounted,
 	}
 }
 
--- a/internal/store/budget.go
+++ b/internal/store/budget.go
@@ -36,14 +36,14 @@
 // adaptWriteShare adapts the share of writes once a second: a little more while it is wanted
 // and none was refused, less as soon as one was.
 func (c *Client) adaptWriteShare() {
-	if c.now.Sub(c.shareAdaptedAt) < tuning.WidenEvery {
+	if c.now.Sub(c.shareAdaptedAt) < tuning.WriteShareAdaptInterval {
 		return
 	}
 	switch {
 	case c.rateLimited:
-		c.shareFactor = max(1, c.shareFactor*tuning.WidenBack)
+		c.shareFactor = max(1, c.shareFactor*tuning.WriteShareBackoff)
 	case c.writesLacking:
-		c.shareFactor = min(c.shareFactor+tuning.WidenBy, c.maxWriteRate/max(c.writeShare, minWriteShare))
+		c.shareFactor = min(c.shareFactor+tuning.WriteShareIncrease, c.maxWriteRate/max(c.writeShare, minWriteShare))
 	}
 	c.shareAdaptedAt = c.now
 	c.rateLimited = false
--- a/internal/store/queue.go
+++ b/internal/store/queue.go
@@ -71,7 +71,7 @@
 		call.sent()
 	}
 	done := func(status int, body []byte, err error) {
-		if err == nil && status == http.StatusTooManyRequests && call.retries < tuning.Resend {
+		if err == nil && status == http.StatusTooManyRequests && call.retries < tuning.MaxRateLimitRetries {
 			c.requeue(priority, call)
 			return
 		}
--- a/internal/taskbatch/batch.go
+++ b/internal/taskbatch/batch.go
@@ -90,7 +90,7 @@
 )
 
 // states numbers the states of tasks in batch records; new ones are added at the end.
-var states = []jobs.TaskState{jobs.Pending, jobs.Released, jobs.Placed, jobs.Stopping, jobs.Finished}
+var states = []jobs.TaskState{jobs.Pending, jobs.Assigned, jobs.Placed, jobs.Stopping, jobs.Finished}
 
 // zstdCodec is the compressor and decompressor of all batch records.
 var zstdCodec = compression.New(
--- a/internal/tuning/agents.go
+++ b/internal/tuning/agents.go
@@ -20,7 +20,7 @@
 	// MaxSessions: machines that one controller keeps a session for.
 	MaxSessions = 5000
 	// MaxUnresponsiveLists: values of the state service that name an owner's unresponsive machines.
-	// At the least value_kb in service, 8, they hold 5,000 names of MaxHostName bytes; of the
+	// At the least value_kb in service, 8, they hold 5,000 names of MaxMachineName bytes; of the
 	// usual 8 to 10 bytes 4,000 take seven.
 	MaxUnresponsiveLists = 100
 	// MaxMachineName, bytes: longer names cannot be keys.
--- a/internal/tuning/autoscaling.go
+++ b/internal/tuning/autoscaling.go
@@ -23,8 +23,8 @@
 	// DrainSteps, ReviveSteps: length of draining, and its part with revival.
 	DrainSteps  = 3
 	ReviveSteps = 2
-	// MaxRentMachines: machines per rent request (the cloud's limit).
-	MaxRentMachines = 50
+	// MaxLaunchMachines: machines per rent request (the cloud's limit).
+	MaxLaunchMachines = 50
 	// MaxDeleteNames: names per delete request (the cloud's limit).
 	MaxDeleteNames = 100
 	// NoCapacity: pause before a refused kind of machine is asked for again.
--- a/internal/tuning/calendar.go
+++ b/internal/tuning/calendar.go
@@ -28,7 +28,7 @@
 	// MaxEndedOccurrences: occurrences of a track that are kept to be shown after their end.
 	MaxEndedOccurrences = 4
 	// MaxPlannedOccurrences: occurrences of a track that stand in the state service ahead of
-	// their time; PlannedLeast: as soon as there are fewer, they are filled up by a
+	// their time; MinPlannedOccurrences: as soon as there are fewer, they are filled up by a
 	// change of their own.
 	MaxPlannedOccurrences = 6
 	MinPlannedOccurrences = 2
--- a/internal/tuning/call_errors.go
+++ b/internal/tuning/call_errors.go
@@ -8,7 +8,7 @@
 	// every look would otherwise fill it.
 	CallErrorsLogEvery = time.Minute
 	// MaxErrorKinds: kinds of refused calls told apart between two reports; a few dozen
-	// exist. RefusalBytes, bytes: of the first answer of a kind, for the log.
+	// exist. ErrorSampleBytes, bytes: of the first answer of a kind, for the log.
 	MaxErrorKinds    = 100
 	ErrorSampleBytes = 120
 )
--- a/internal/tuning/calls.go
+++ b/internal/tuning/calls.go
@@ -8,7 +8,7 @@
 	StateTimeout = 2 * time.Second
 	// WatchHold: how long the state service holds a watch open.
 	WatchHold = 5 * time.Second
-	// WatchSlack: on top of FollowHold before a watch is given up.
+	// WatchSlack: on top of WatchHold before a watch is given up.
 	WatchSlack = 1500 * time.Millisecond
 	// WatchShare: share of the state service's requests that all nodes'
 	// watches together may take.
@@ -29,7 +29,7 @@
 	// may hold where there are some 8,000 sockets, and for a job on each of 4,000 machines.
 	MaxPendingQueries = 5000
 	// MaxPendingReads: polls waiting for a read of their own; at 20 reads a second and node
-	// more would grow older than PollWait.
+	// more would grow older than QueryTimeout.
 	MaxPendingReads = 60
 	// MaxShedEntries: jobs kept whose users were sent away last, to go first the next time.
 	MaxShedEntries = 4000
@@ -47,7 +47,7 @@
 	// MaxAcks: jobs kept of which something was told last; 50 a second for 160 s.
 	MaxAcks = 8192
 	// PeerUnresponsiveAfter: a controller whose lines have not come for so long may be cut off; they
-	// come each PeerBeat.
+	// come each GossipEvery.
 	PeerUnresponsiveAfter = 1200 * time.Millisecond
 	// QueryUnprovenAfter: from then on a question is answered from a mirror that is not known to
 	// be as new as ReadFresh, but only late: users wait 2 s.
@@ -70,18 +70,18 @@
 	ListShare = 0.25
 	// DeleteShare: share of them for deletes that are not full.
 	DeleteShare = 0.2
-	// RentShare: share of them that one step's batch may take.
-	RentShare = 0.6
+	// LaunchShare: share of them that one step's batch may take.
+	LaunchShare = 0.6
 	// StateQueue: calls waiting for the rate budget before users are refused.
 	StateQueue = 400
 	// UserQueue: calls waiting before calls for users are refused, where the node's share
-	// of the requests serves as many within UserCalls; UserQueueLeast in any case. Users
+	// of the requests serves as many within UserCalls; MinUserQueue in any case. Users
 	// give up after 5 s (a poll after 2 s), and a call that is made then is made in vain.
 	UserQueue    = 60
 	MinUserQueue = 10
 	UserCalls    = 2 * time.Second
-	// Resend: times that a call beyond the limits is sent again.
-	Resend = 3
+	// MaxRateLimitRetries: times that a call beyond the limits is sent again.
+	MaxRateLimitRetries = 3
 	// StateBudget: share of the state service's limits that all nodes
 	// together plan to use; the rest covers clock and burst differences.
 	StateBudget = 0.9
@@ -93,19 +93,19 @@
 	// refused and repeated, at no risk.
 	WriteOvercommit  = 1.5
 	LeaderOvercommit = 1.3
-	// WidenEvery, WidenBy, WidenBack: a node that wants more changes than its share
+	// WriteShareAdaptInterval, WidenBy, WidenBack: a node that wants more changes than its share
 	// takes so much more of it each time, and goes back by this factor when the
 	// service refuses one. The leader's share was used up on days on which half
 	// of the limit was left.
-	WidenEvery = time.Second
-	WidenBy    = 0.15
-	WidenBack  = 0.75
+	WriteShareAdaptInterval = time.Second
+	WriteShareIncrease      = 0.15
+	WriteShareBackoff       = 0.75
 	// RecordLate: the record of a machine that is gone is removed with budget to
 	// spare, or at least after this.
 	RecordLate = 10 * time.Second
-	// ReleaseLate: the queue is looked at this often even by a leader that is
+	// AssignLateAfter: the queue is looked at this often even by a leader that is
 	// behind with its writes: after a wave of losses it may be so for long.
-	ReleaseLate = time.Second
+	AssignLateAfter = time.Second
 	// MinBatchWrites: writes that the budget must allow for a look at the queue where
 	// changes are scarce: larger slices cost fewer writes for each task.
 	MinBatchWrites = 4
--- a/internal/tuning/cancellation.go
+++ b/internal/tuning/cancellation.go
@@ -20,7 +20,7 @@
 	// many seconds proves nothing that a later one does not.
 	ProofRounds = 8
 	// WatchHoldShare: share of the time left for renewals (cancel_s - lease_s less the
-	// margin) that a watch may be held at most, where that is less than FollowHold.
+	// margin) that a watch may be held at most, where that is less than WatchHold.
 	WatchHoldShare = 0.25
 	// MaxAckLogEntries: cancellations kept that this process has told; two seconds of a swarm of
 	// 2,000 a second. Whoever has not taken in what was dropped proves nothing by it.
@@ -38,11 +38,11 @@
 	// MaxPeers: controllers that a line may speak of.
 	MaxPeers = 64
 	// StopRelayAfter: an owner that has not confirmed a cancellation by then is taken to be
-	// out of reach: confirmations come with the next line, within PeerBeat.
+	// out of reach: confirmations come with the next line, within GossipEvery.
 	StopRelayAfter = 1500 * time.Millisecond
-	// StopRelayEvery: how often is looked for such owners' machines. CourierCalls: calls to
-	// them under way at once. CourierAgain: pause before a machine is called again;
-	// CourierClean: if it held nothing that is cancelled, for a launch may still come.
+	// StopRelayEvery: how often is looked for such owners' machines. MaxStopRelayCalls: calls to
+	// them under way at once. StopRelayRetry: pause before a machine is called again;
+	// StopRelayRetryClean: if it held nothing that is cancelled, for a launch may still come.
 	StopRelayEvery      = 500 * time.Millisecond
 	MaxStopRelayCalls   = 16
 	StopRelayRetry      = 2 * time.Second
--- a/internal/tuning/cli.go
+++ b/internal/tuning/cli.go
@@ -4,7 +4,7 @@
 
 // Pipeline files and the command line.
 const (
-	// MaxNodes, MostDepth: of a pipeline file once its aliases are followed; one
+	// MaxNodes, MaxDepth: of a pipeline file once its aliases are followed; one
 	// of 64 KiB without aliases has at most some 30,000.
 	MaxNodes = 100_000
 	MaxDepth = 64
@@ -15,7 +15,7 @@
 	// ClientTimeout: how long one controller may take to answer; the protocol
 	// gives users 5 s.
 	ClientTimeout = 5 * time.Second
-	// ClientPause, ClientMostPause: between two rounds of tries, and the most that
+	// ClientPause, MaxClientPause: between two rounds of tries, and the most that
 	// an answer may make it wait (protocol).
 	ClientPause    = time.Second
 	MaxClientPause = 30 * time.Second
--- a/internal/tuning/loop.go
+++ b/internal/tuning/loop.go
@@ -14,7 +14,7 @@
 	// ReconcileGap: decisions are taken at most this often; what comes in between
 	// shares a transaction.
 	ReconcileGap = 15 * time.Millisecond
-	// LeaderGapPerMachine: on top of PassGap for each machine between two passes of the
+	// LeaderGapPerMachine: on top of ReconcileGap for each machine between two passes of the
 	// leader, which look at every machine; keeps them below a tenth of a small
 	// processor share at thousands of machines.
 	LeaderGapPerMachine = 40 * time.Microsecond
--- a/internal/tuning/membership.go
+++ b/internal/tuning/membership.go
@@ -38,21 +38,21 @@
 	// unanswered. One that lives sees it within a watch (some 60 ms) and answers with
 	// one transaction (10 ms, now and then a few hundred); a wrong alarm costs two
 	// changes of view. On a day of refused connections (simulated machines) answers
-	// took 0.03 to 0.37 s. CallWaitMany: where several connections ended together, or
+	// took 0.03 to 0.37 s. ProbeTimeoutMany: where several connections ended together, or
 	// one ended again that had answered, which is more likely the network between.
 	ProbeTimeout     = 500 * time.Millisecond
 	ProbeTimeoutMany = 1500 * time.Millisecond
 	// ProbeStagger: how much longer each next one waits to act on a suspicion than the
 	// one before it, who may have ended as well.
 	ProbeStagger = 300 * time.Millisecond
-	// ProbePause, CallPauseMost: a member that has answered is not called again for so
+	// ProbePause, MaxProbePause: a member that has answered is not called again for so
 	// long, doubled each time: what ended its connection may last.
 	ProbePause    = 2 * time.Second
 	MaxProbePause = 60 * time.Second
 	// ProbeForgetAfter: after so long without a call what ended its connections is over.
 	ProbeForgetAfter = 5 * time.Minute
-	// RejoinStable: an incarnation that has stood for so long was no short one. ComePause,
-	// ComePauseMost: a member that has ended at least twice in a row without having
+	// RejoinStable: an incarnation that has stood for so long was no short one. RejoinPause,
+	// MaxRejoinPause: a member that has ended at least twice in a row without having
 	// stood for so long is let in after such a pause, doubled each time.
 	RejoinStable   = 10 * time.Second
 	RejoinPause    = time.Second
@@ -63,12 +63,12 @@
 	// single standstill is no reason, nor is a look that takes long.
 	UnfitLag = time.Second
 	UnfitFor = 3 * time.Second
-	// HandOverPause, PassPauseMost: before it hands over again, doubled each time.
+	// HandOverPause, MaxHandOverPause: before it hands over again, doubled each time.
 	HandOverPause    = 30 * time.Second
 	MaxHandOverPause = 10 * time.Minute
 	// MaxRolloutUnresponsive: share of its machines that an owner may not hear while another
-	// controller is ended. RollStands: how long nothing may have stood against it.
-	// RollLook: pause between two looks of whoever waits for that.
+	// controller is ended. RolloutStableFor: how long nothing may have stood against it.
+	// RolloutPollEvery: pause between two looks of whoever waits for that.
 	MaxRolloutUnresponsive = 0.1
 	RolloutStableFor       = 10 * time.Second
 	RolloutPollEvery       = time.Second
--- a/internal/tuning/pipelines.go
+++ b/internal/tuning/pipelines.go
@@ -17,7 +17,7 @@
 	MaxFaults = 100
 	// MaxMatrixText, bytes: a value of a matrix, which becomes part of a name.
 	MaxMatrixText = 64
-	// MaxWhen, bytes, and MostWhenNodes: a condition; hand-written ones have a
+	// MaxWhen, bytes, and MaxWhenNodes: a condition; hand-written ones have a
 	// tenth of that.
 	MaxWhen      = 1 << 10
 	MaxWhenNodes = 200
@@ -33,7 +33,7 @@
 	StepStateBytes = 20
 	// RunHeadBytes, bytes: what a run's record takes besides document and steps.
 	RunHeadBytes = 300
-	// MaxRuns, MostRunSteps: runs live at once, and their steps that have not
+	// MaxRuns, MaxRunSteps: runs live at once, and their steps that have not
 	// ended, before new ones are refused; 1,000 runs were measured.
 	MaxRuns     = 2000
 	MaxRunSteps = 20000
--- a/internal/tuning/records.go
+++ b/internal/tuning/records.go
@@ -13,7 +13,7 @@
 	// ChangeBytes, bytes: what a changed task may add to a slice's record.
 	ChangeBytes = 100
 	// BatchTaskBytes, bytes: what a task takes of a pack, at least; with the share of
-	// PackFull it decides how many tasks are put into one.
+	// BatchFillShare it decides how many tasks are put into one.
 	BatchTaskBytes = 12
 	// BatchFillShare: share of the most bytes of a value up to which packs are filled; the
 	// rest is for what their tasks' records grow by.
@@ -22,7 +22,7 @@
 	MaxBatchTasks = 20_000
 	// BatchEvery: the leader gives tasks away in packs, and owners write ends into
 	// them, at most this often: what one look places, and what ends meanwhile, shares
-	// packs. While changes are short it is GatherFor for ends and PackShort for the
+	// packs. While changes are short it is GatherFor for ends and BatchEveryScarce for the
 	// leader. The first after a pause waits for nothing.
 	BatchEvery       = 300 * time.Millisecond
 	BatchEveryScarce = 400 * time.Millisecond
@@ -38,7 +38,7 @@
 	// MaxQuarantined: decisions kept that no transaction could hold or that were refused;
 	// they are faults of a program, one of which a bug may make for each machine.
 	MaxQuarantined = 5000
-	// QuarantineFirst, AsideMost: how long such a decision is not made again, doubled each
+	// QuarantineFirst, MaxQuarantine: how long such a decision is not made again, doubled each
 	// time: a refusal costs a request and two lines of the log, and what it waits for
 	// is a change of the state or of the service.
 	QuarantineFirst = 10 * time.Second
--- a/internal/tuning/recovery.go
+++ b/internal/tuning/recovery.go
@@ -13,9 +13,9 @@
 	// ReconcileOthers: an owner that has not told by then that it heard its machines is
 	// waited for no longer: it has called them twice, and told which did not answer.
 	ReconcileOthers = 5 * time.Second
-	// ReconcileRent: some looks at the queue, which then has been offered all machines; what it
+	// ReconcileScaleOutDelay: some looks at the queue, which then has been offered all machines; what it
 	// still lacks is rented.
-	ReconcileRent = 2 * time.Second
+	ReconcileScaleOutDelay = 2 * time.Second
 	// MaxPlaceAgainRecords: records that a decision to place a gang's tasks where they were may write,
 	// where a transaction holds as many.
 	MaxPlaceAgainRecords = 12
--- a/internal/tuning/scheduling.go
+++ b/internal/tuning/scheduling.go
@@ -33,13 +33,13 @@
 	HoldShare = 0.25
 	// StarvingAfter: a job for which there has been room for so long, kept for others, begins.
 	// Users let nobody wait for 90 s while a machine that fits has room; the rest is for the
-	// look, the changes and the owner's own time. PassedEvery: between two looks at a job.
-	// PassedWith: with it begin those that have been passed over for so long, so that what is
+	// look, the changes and the owner's own time. StarvingEvery: between two looks at a job.
+	// StarvingCapacityFor: with it begin those that have been passed over for so long, so that what is
 	// kept for a large gang is whole for a minute in between and not used up one by one.
-	// PassedGap: none left for so long, and the job waits for room again. In less another that
+	// StarvingGap: none left for so long, and the job waits for room again. In less another that
 	// was passed over has used it.
-	// PassedYoung: one accepted so lately is not looked at; most have begun by then.
-	// PassedLooks: in one pass; each is a look at all machines.
+	// StarvingMinAge: one accepted so lately is not looked at; most have begun by then.
+	// MaxStarvingExamined: in one pass; each is a look at all machines.
 	StarvingAfter       = 70 * time.Second
 	StarvingEvery       = 3 * time.Second
 	StarvingCapacityFor = 10 * time.Second
@@ -79,9 +79,9 @@
 	// MaxActive: tasks of one job released or on machines at once. A machine with
 	// hundreds of short tasks reports them all twice a second.
 	MaxActive = 8000
-	// MaxReleases: tasks looked at for release in one pass; bounds the time a
+	// MaxAssignments: tasks looked at for release in one pass; bounds the time a
 	// pass takes with very large sweeps waiting.
-	MaxReleases = 400
+	MaxAssignments = 400
 	// MaxExaminedJobs: the same while there is no budget for any change, when a look
 	// only finds out what has no room.
 	MaxExaminedJobs = 100
@@ -102,7 +102,7 @@
 	// more are, the network is the likelier cause, and they are only deleted
 	// after their lease has ended.
 	MaxUnresponsiveShare = 0.34
-	// MinPartitionSample, CutShare: a zone with at least so many quiet machines that are
+	// MinPartitionSample, PartitionShare: a zone with at least so many quiet machines that are
 	// more than this share of its own is taken to be cut off; so is an owner.
 	MinPartitionSample = 4
 	PartitionShare     = 0.5
@@ -114,8 +114,8 @@
 	// PatientPrice: work that can still wait is not given machines dearer than
 	// this many times the cheapest it allows.
 	PatientPrice = 1.5
-	// RentRounds: further rounds of one step's batch after refusals.
-	RentRounds = 4
+	// MaxLaunchRounds: further rounds of one step's batch after refusals.
+	MaxLaunchRounds = 4
 	// CloudQueue: calls waiting for the cloud's rate.
 	CloudQueue = 60
 	// CatalogAgain: pause after a failed read of the catalogue.
@@ -124,8 +124,8 @@
 	ForgetGone = 10 * time.Minute
 	// DeleteAgain: pause before an unanswered delete is repeated.
 	DeleteAgain = 9 * time.Second
-	// RentRetries: repeats of an unanswered rent under its name.
-	RentRetries = 3
+	// MaxLaunchRetries: repeats of an unanswered rent under its name.
+	MaxLaunchRetries = 3
 	// ClearWait: how long a task waits for the room made for it on a machine
 	// that holds its image.
 	ClearWait = 1500 * time.Millisecond
--- a/internal/tuning/tasks.go
+++ b/internal/tuning/tasks.go
@@ -4,9 +4,9 @@
 
 // Retries of tasks, and whether a job or a machine is to blame for failures.
 const (
-	// ReleaseStale: a released task that its part has not placed by then is
+	// AssignmentStaleAfter: a released task that its part has not placed by then is
 	// taken back and given to another part.
-	ReleaseStale = 3 * time.Second
+	AssignmentStaleAfter = 3 * time.Second
 	// Backoff, BackoffMax: pause after a failed try, doubled each time. A job
 	// that fails everywhere thus costs little.
 	Backoff    = 500 * time.Millisecond
--- a/internal/tuning/times.go
+++ b/internal/tuning/times.go
@@ -7,7 +7,7 @@
 const (
 	// ReportJitter: share of report_s by which a report may come late (protocol).
 	ReportJitter = 0.25
-	// WorkerPatience, WorkerNext, WorkerTurn: how long a worker waits for an answer, until
+	// WorkerPatience, WorkerNext, WorkerRedirect: how long a worker waits for an answer, until
 	// it tries the next controller, and until it goes where it is sent, at most (protocol).
 	WorkerPatience = 4 * time.Second
 	WorkerNext     = time.Second
@@ -23,7 +23,7 @@
 	// long ago as a lease tells nothing of what runs now.
 	HeardLease = 0.75
 	// OutboundPartitionedLeaseShare, share of lease_s: a machine that sends no reports for longer takes no new
-	// tasks. A worker that looks for its controller has found it long before (LeastLease);
+	// tasks. A worker that looks for its controller has found it long before (MinLease);
 	// with less, machines were called mute for one change of leader.
 	OutboundPartitionedLeaseShare = 0.5
 	// CancelSpare: by how much cancel_s must exceed lease_s at least. What nobody reaches
@@ -34,6 +34,6 @@
 	CloudAnswer = 2 * time.Second
 	// UnresponsiveRetryAfter: a worker that came to another controller and that its own owner, so long
 	// after, still tells that it does not hear is out of the owner's reach. It was sent to
-	// its owner, gets there within WorkerTurn, and the owner tells so within some 100 ms.
+	// its owner, gets there within WorkerRedirect, and the owner tells so within some 100 ms.
 	UnresponsiveRetryAfter = time.Second
 )
