--- a/internal/controller/leader_checks.go
+++ b/internal/controller/leader_checks.go
@@ -11,7 +11,7 @@
 	if c.role != members.Leader {
 		return
 	}
-	c.checks.Begin(c.roleEpoch, c.Now)
+	c.checks.Begin(c.roleEpoch, c.state.Now)
 	if c.checks.Done() {
 		return
 	}
@@ -23,9 +23,9 @@
 		{standby.WatchReachedView, c.mirror.Epoch >= c.mirror.Revision(members.ViewKey)},
 		{standby.TransactionsFenced, !c.committer.Fencing()},
 		{standby.QuotasSettled, c.api.QuotaSettled()},
-		{standby.MachineTypesKnown, c.provisioner.Priced()},
-		{standby.CloudListed, c.provisioner.Listed()},
-		{standby.FormerRents, c.provisioner.Counted()},
+		{standby.MachineTypesKnown, c.provisioner.CatalogKnown()},
+		{standby.CloudListed, c.provisioner.ListKnown()},
+		{standby.FormerScaleOutsCounted, c.provisioner.RequestsKnown()},
 	} {
 		c.recordCheck(item.check, item.holds)
 	}
@@ -33,7 +33,7 @@
 
 // recordCheck notes whether a check holds, and logs it the first time that it does.
 func (c *Controller) recordCheck(check standby.Check, holds bool) {
-	first, after := c.checks.Record(check, holds, c.Now)
+	first, after := c.checks.Record(check, holds, c.state.Now)
 	if !first {
 		return
 	}
--- a/internal/controller/wiring_reachability.go
+++ b/internal/controller/wiring_reachability.go
@@ -9,7 +9,7 @@
 // newReachability makes the tracker of who reaches whom.
 func (c *Controller) newReachability() *reachability.Tracker {
 	collaborators := reachabilityAdapter{controller: c}
-	return reachability.New(c.State, reachability.Config{
+	return reachability.New(c.state, reachability.Config{
 		Log:        c.log,
 		Rand:       c.rand,
 		Agents:     collaborators,
@@ -25,7 +25,7 @@
 func (a reachabilityAdapter) CallAgent(endpoint, method, target string, body []byte, timeout time.Duration,
 	done func(status int, body []byte, err error),
 ) {
-	a.controller.transport.Worker(endpoint, method, target, body, timeout, done)
+	a.controller.transport.Agent(endpoint, method, target, body, timeout, done)
 }
 
 func (a reachabilityAdapter) OwnerOf(machine string) string { return a.controller.ownerOf(machine) }
--- a/internal/controller/wiring_shard.go
+++ b/internal/controller/wiring_shard.go
@@ -7,23 +7,23 @@
 )
 
 // newShard makes what this controller does for the machines of its shard.
-func (n *Controller) newShard() *shard.Shard {
+func (c *Controller) newShard() *shard.Shard {
 	config := shard.Config{
-		Name:       n.settings.NodeName,
-		Cluster:    n.settings.Cluster,
-		ValueBytes: n.valueBytes(),
-		Log:        n.log,
+		Name:       c.settings.NodeName,
+		Cluster:    c.settings.Cluster,
+		ValueBytes: c.valueBytes(),
+		Log:        c.log,
 	}
-	return shard.New(n.State, config, shard.Collaborators{
-		View:          shardView{n},
-		Agents:        shardAgents{n},
-		Loop:          shardLoop{n},
-		Scheduler:     n.queue,
-		Provisioner:   shardProvisioner{n},
-		Commits:       n.committer,
-		Budget:        shardBudget{n},
-		Cancellations: shardCancellations{n},
-		Complaints:    n.reachability,
+	return shard.New(c.state, config, shard.Collaborators{
+		View:          shardView{c},
+		Agents:        shardAgents{c},
+		Loop:          shardLoop{c},
+		Scheduler:     c.queue,
+		Provisioner:   shardProvisioner{c},
+		Commits:       c.committer,
+		Budget:        shardBudget{c},
+		Cancellations: shardCancellations{c},
+		Complaints:    c.reachability,
 	})
 }
 
@@ -37,8 +37,8 @@
 func (v shardView) OwnerOf(machine string) string { return v.controller.ownerOf(machine) }
 
 func (v shardView) MayAnswerAgents() bool {
-	n := v.controller
-	return !n.outsideView() && n.caughtUp() && !n.membership.Uncertain()
+	c := v.controller
+	return !c.outsideView() && c.caughtUp() && !c.membership.Uncertain()
 }
 
 // shardAgents sends the shard's requests to workers' agents.
@@ -48,7 +48,7 @@
 	endpoint, method, target string, body []byte, timeout time.Duration,
 	done func(status int, body []byte, err error),
 ) {
-	a.controller.transport.Worker(endpoint, method, target, body, timeout, done)
+	a.controller.transport.Agent(endpoint, method, target, body, timeout, done)
 }
 
 // shardLoop wakes the controller's loop for the shard.
@@ -64,7 +64,7 @@
 }
 
 func (p shardProvisioner) Draining(machine string) bool {
-	_, draining := p.controller.provisioner.Summary.Drain[machine]
+	_, draining := p.controller.provisioner.Summary.Draining[machine]
 	return draining
 }
 
@@ -83,11 +83,11 @@
 }
 
 func (c shardCancellations) MayRenewLeases() bool {
-	return c.controller.cancellations.MayRenewLeases(c.controller.Now)
+	return c.controller.cancellations.MayRenewLeases(c.controller.state.Now)
 }
 
 func (c shardCancellations) MayLaunch() bool {
-	return c.controller.cancellations.MayLaunch(c.controller.Now)
+	return c.controller.cancellations.MayLaunch(c.controller.state.Now)
 }
 
 func (c shardCancellations) LeaseWithheld() { c.controller.cancellations.LeasesWithheld++ }
--- /dev/null
+++ b/internal/pipelines/explain.go
@@ -0,0 +1,87 @@
+package pipelines
+
+import (
+	"fmt"
+	"strings"
+
+	"github.com/harrierreel/harrierreel/internal/tuning"
+)
+
+// explain says in words why a step is where it is; waitsFor is what its job waits for,
+// "" for nothing.
+func (p *Plan) explain(i int, record *Record, status *StepStatus, waitsFor string) string {
+	run, step := record.Steps[i], &p.Steps[i]
+	var parts []string
+	switch status.Status {
+	case Waiting:
+		parts = append(parts, p.explainWaiting(step, record))
+	case Ready:
+		parts = append(parts, "may start; its job is submitted as soon as the controllers' changes allow")
+	case Submitted, Running:
+		parts = explainLive(run, step, status, waitsFor)
+	case Succeeded:
+		parts = append(parts, fmt.Sprintf("job %s is done", status.JobID))
+	case Failed:
+		parts = append(parts, fmt.Sprintf("job %s failed: %s", status.JobID, run.Cause))
+		if step.AllowFailure {
+			parts = append(parts, "the run goes on (allow_failure)")
+		}
+	case Skipped:
+		parts = append(parts, fmt.Sprintf("%s: %s", run.Cause, step.condition()))
+	case Cancelling:
+		parts = append(parts, fmt.Sprintf("job %s is being cancelled", status.JobID))
+	case Cancelled:
+		parts = append(parts, string(run.Cause))
+	}
+	if run.Repeat > 0 {
+		parts = append(parts, fmt.Sprintf("repeat %d of at most %d", run.Repeat, step.Repeats))
+	}
+	return strings.Join(parts, "; ")
+}
+
+// condition is the step's condition as its file writes it.
+func (s *Step) condition() string {
+	if s.When == nil {
+		return "success()"
+	}
+	return s.When.Text
+}
+
+// explainWaiting names the steps that have not ended and that a step needs.
+func (p *Plan) explainWaiting(step *Step, record *Record) string {
+	var open []string
+	for _, need := range p.Groups[step.Group].Needs {
+		if _, over := groupOutcome(p, need, record.Steps); !over {
+			open = append(open, p.Groups[need].Name)
+		}
+	}
+	if more := len(open) - tuning.MaxNamedSteps; more > 0 {
+		// A status has a line for each step, and no line may be above 64 KiB.
+		open = append(open[:tuning.MaxNamedSteps], fmt.Sprintf("%d more", more))
+	}
+	if len(open) == 0 {
+		return fmt.Sprintf("all it needs has ended; its condition %s is looked at next", step.condition())
+	}
+	return fmt.Sprintf("waits for %s to end; runs then when %s", strings.Join(open, ", "), step.condition())
+}
+
+// explainLive says how far a live job is and what may end it.
+func explainLive(run StepRun, step *Step, status *StepStatus, waitsFor string) []string {
+	parts := []string{fmt.Sprintf(
+		"job %s: %d of %d tasks on machines, %d done",
+		status.JobID,
+		status.Running,
+		status.Tasks,
+		status.Done,
+	)}
+	if waitsFor != "" {
+		parts = append(parts, waitsFor)
+	}
+	if run.DoubtedSinceMs != 0 {
+		parts = append(parts, fmt.Sprintf("failing everywhere; called failed after %g s of that", step.DoubtS))
+	}
+	if step.TimeoutS > 0 {
+		parts = append(parts, fmt.Sprintf("called failed %g s after its acceptance", step.TimeoutS))
+	}
+	return parts
+}
--- /dev/null
+++ b/internal/pipelines/progress.go
@@ -0,0 +1,88 @@
+package pipelines
+
+// groupOutcome sums up the steps of a group; false while one has not ended.
+// A failure that the file allows counts as success.
+func groupOutcome(p *Plan, group int, steps []StepRun) (outcome, bool) {
+	out, skippedSteps := succeeded, 0
+	for _, i := range p.Groups[group].Steps {
+		switch s := steps[i]; {
+		case !s.State.Over():
+			return "", false
+		case s.State == Failed && !p.Steps[i].AllowFailure:
+			out = failed
+		case s.State == Cancelled && out != failed:
+			out = cancelled
+		case s.State == Skipped:
+			skippedSteps++
+		}
+	}
+	if out == succeeded && skippedSteps > 0 && skippedSteps == len(p.Groups[group].Steps) {
+		out = skipped
+	}
+	return out, true
+}
+
+// unfold moves the steps on as far as what has ended allows: those whose needs
+// have all ended become ready or are skipped. Groups stand in an order in which none
+// needs a later one, so that one pass settles whole chains of skipped steps.
+func unfold(p *Plan, steps []StepRun, nowMs int64) (changed bool) {
+	outcomes := make([]outcome, len(p.Groups)) // "" for a group that has not ended
+	for g := range p.Groups {
+		if f, met := factsOf(p, g, outcomes); met {
+			for _, i := range p.Groups[g].Steps {
+				changed = settle(&p.Steps[i], &steps[i], f, nowMs) || changed
+			}
+		}
+		outcomes[g], _ = groupOutcome(p, g, steps)
+	}
+	return changed
+}
+
+// factsOf is what the conditions of a group may depend on; false while a group that
+// it needs has not ended.
+func factsOf(p *Plan, group int, outcomes []outcome) (facts, bool) {
+	f := facts{success: true, outcomes: map[string]outcome{}}
+	for _, need := range p.Groups[group].Needs {
+		if outcomes[need] == "" {
+			return facts{}, false
+		}
+		f.success = f.success && outcomes[need] == succeeded
+	}
+	for _, ancestor := range p.Groups[group].Ancestors {
+		f.outcomes[p.Groups[ancestor].Name] = outcomes[ancestor]
+		f.failure = f.failure || outcomes[ancestor] == failed
+	}
+	return f, true
+}
+
+// settle makes a waiting step ready or skips it, as its condition says.
+func settle(step *Step, run *StepRun, f facts, nowMs int64) (changed bool) {
+	if run.State != Waiting {
+		return false
+	}
+	f.matrix = step.Matrix
+	e := StepEvent{Kind: NeedsUnmet, Cause: WhenFalse, NowMs: nowMs}
+	if ok, err := step.When.holds(f); err != nil {
+		e.Cause = WhenBroken
+	} else if ok {
+		e.Kind = NeedsMet
+	}
+	next, changed := NextStep(*run, e)
+	*run = next
+	return changed
+}
+
+// conclude is a run's state once its steps have ended; until then it stays.
+func conclude(p *Plan, state RunState, steps []StepRun) RunState {
+	event := AllEnded
+	for i, s := range steps {
+		if !s.State.Over() {
+			return state
+		}
+		if s.State == Cancelled || s.State == Failed && !p.Steps[i].AllowFailure {
+			event = AllEndedBad
+		}
+	}
+	next, _ := NextRun(state, event)
+	return next
+}
