--- a/internal/commit/fence.go
+++ b/internal/commit/fence.go
@@ -22,7 +22,8 @@
 	epoch uint64
 }
 
-// Fencing tells whether decisions must wait for the fence, and raises it if needed.
+// Fencing tells whether decisions must wait for the fence, and sends the write that raises it if that is
+// needed and not under way.
 func (c *Committer) Fencing() bool {
 	if c.fence.needed && !c.fence.raising && !c.client.Unavailable() {
 		c.raiseFence()
--- a/internal/controller/leader_checks.go
+++ b/internal/controller/leader_checks.go
@@ -6,7 +6,8 @@
 )
 
 // updateChecks notes what this controller has checked as a leader. The store is asked for
-// nothing: each check is of what the controller knows or waits for anyway.
+// nothing: each check is of what the controller knows or waits for anyway. Those of the view
+// always hold here, since reconcile returns before it where they don't.
 func (c *Controller) updateChecks() {
 	if c.role != members.Leader {
 		return
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -23,12 +23,16 @@
 
 // States of a machine.
 const (
-	Up                 State = "up"       // its owner receives its heartbeats
-	LegacyUnresponsive State = "silent"   // its owner has received no heartbeat for some time
+	Up State = "up" // its owner receives its heartbeats
+	// LegacyUnresponsive: its owner has received no heartbeat for some time. Earlier versions wrote it;
+	// this one lists such machines under UnresponsivePrefix and only reads it.
+	LegacyUnresponsive State = "silent"
 	Warned             State = "warned"   // the cloud has announced that it will take it away
 	Faulty             State = "faulty"   // tasks fail on it
 	Deleting           State = "deleting" // to be deleted; no task may be placed on it
-	Deleted            State = "deleted"  // the delete was answered 200: nothing runs on it any more
+	// Deleted: the delete was answered 200, nothing runs on it any more. Earlier versions wrote it; this
+	// one keeps the record Deleting until it removes it, and only reads it.
+	Deleted State = "deleted"
 )
 
 // Event is what can happen to a machine.
@@ -37,11 +41,11 @@
 // Events of a machine.
 const (
 	HeartbeatReceived Event = "heard"   // a heartbeat arrived
-	HeartbeatsMissed  Event = "unheard" // no heartbeat arrived for some time
+	HeartbeatsMissed  Event = "unheard" // no heartbeat arrived for some time; of earlier versions
 	PreemptionNotice  Event = "notice"  // the cloud announced that it will take the machine away
 	Unhealthy         Event = "sick"    // tasks fail on it
 	Decommission      Event = "condemn" // the leader decided to delete it
-	DeleteConfirmed   Event = "removed" // the delete was answered 200
+	DeleteConfirmed   Event = "removed" // the delete was answered 200; of earlier versions
 )
 
 // Next is the state that follows on an event, and whether the event changes the state.
--- a/internal/standby/checks.go
+++ b/internal/standby/checks.go
@@ -5,7 +5,10 @@
 	"time"
 )
 
-// Check is one thing that a new leader must know before it decides.
+// Check is one thing that a new leader must know before it decides. A check that held once stays done for
+// the leader's epoch. What may change later is asked again where it matters: the loop decides nothing
+// while the controller is not certain of its place in the view or its watch is behind the view
+// (Controller.reconcile), and nothing is committed while the fence is raised (Committer.Fencing).
 type Check string
 
 // The checks, in the order in which they are usually done.
@@ -21,10 +24,12 @@
 	QuotasSettled Check = "quotas settled"
 	// MachineTypesKnown: the catalogue of machine types is known, with today's prices.
 	MachineTypesKnown Check = "machine types known"
-	// CloudListed: a listing of the cloud's machines was begun after it became leader.
+	// CloudListed: a listing of the cloud's machines was begun after it became leader, or shortly before
+	// by a successor that follows the cloud (standby { follow_cloud }).
 	CloudListed Check = "cloud's list read"
 	// FormerScaleOutsCounted: machines that the former leader scaled out and that the listing may still lack are
-	// counted, by the summary, until the listing must have them.
+	// counted, by the summary, until the listing must have them. A new leader's provisioner starts from the
+	// summary, so this holds from the first; it stands here to name what scaling out rests on.
 	FormerScaleOutsCounted Check = "former rents listed or counted"
 )
 
@@ -33,13 +38,17 @@
 
 // Duties of a leader.
 const (
-	Schedule     Duty = "release" // place tasks, end jobs, preempt, move
-	ScaleOut     Duty = "rent"    // scale out, and plan
-	Decommission Duty = "delete"  // decommission machines
+	// Schedule is to assign and place waiting tasks, and to preempt for them.
+	Schedule Duty = "release"
+	// ScaleOut is to scale out, and to plan.
+	ScaleOut Duty = "rent"
+	// Decommission is to delete machines. All other work of a leader waits for what it needs, too: ending
+	// jobs, evictions for quota, moving replicas, machine claims.
+	Decommission Duty = "delete"
 )
 
 // requiredChecks are those that must be done before each duty. Until CloudListed, a leader scales
-// out nothing; for ten steps after, only to current demand (DESIGN-harrierreel.md).
+// out nothing; for ten steps after, only to current demand (docs/design.md).
 var requiredChecks = map[Duty][]Check{
 	Schedule: {
 		InViewCertain,
