--- a/internal/decide/batch_records.go
+++ b/internal/decide/batch_records.go
@@ -12,9 +12,9 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// touchesSharedBatch tells whether a decision writes a batch record with tasks on other
-// controllers' machines. Their owners write it all the time, so the transaction may well
-// conflict, and nothing else should fail with it.
+// touchesSharedBatch reports whether a decision writes a batch record that also has tasks on
+// other controllers' machines. Those controllers write the record often, so the transaction is
+// likely to conflict, and no other decision should fail with it.
 func (b *Batcher) touchesSharedBatch(decision *Decision) bool {
 	for _, change := range decision.Changes {
 		if change.Task.StoredIn.IsBatch() && !b.ownsBatch(change.Task.StoredIn) {
@@ -24,14 +24,15 @@
 	return false
 }
 
-// splitsBatch tells whether writing a task moves this controller's tasks out of a batch
-// record that other controllers write too.
+// splitsBatch reports whether writing a task moves this controller's tasks out of a batch
+// record that other controllers also write.
 func (b *Batcher) splitsBatch(task *clusterstate.Task) bool {
 	return task.OnMachine() && task.StoredIn.IsBatch() &&
 		!b.ownsBatch(task.StoredIn) && b.Context.Machines.OwnsMachine(task.Machine)
 }
 
-// ownsBatch tells whether no task of a batch record is on another controller's machine.
+// ownsBatch reports whether no task of a batch record is on another controller's machine. The
+// result is cached.
 func (b *Batcher) ownsBatch(record *clusterstate.TaskRecord) bool {
 	owned, known := b.ownedBatches[record]
 	if !known {
@@ -44,6 +45,7 @@
 	return owned
 }
 
+// ownsAllTasks reports whether no task of a batch record is on another controller's machine.
 func ownsAllTasks(record *clusterstate.TaskRecord, machines MachineOwner) bool {
 	for _, task := range record.Tasks {
 		if task.OnMachine() && record.Holds(task) && !machines.OwnsMachine(task.Machine) {
@@ -53,16 +55,16 @@
 	return true
 }
 
-// pendingBatch is a batch record as it is to be written.
+// pendingBatch is a batch record that is about to be written.
 type pendingBatch struct {
-	key     string // empty for a new one
+	key     string // empty for a new batch record
 	entries []taskbatch.Entry
-	owned   bool            // by this controller alone
-	value   json.RawMessage // encoded, where it was merged
+	owned   bool            // all its tasks belong to this controller
+	value   json.RawMessage // encoded entries, set only if batches were merged into this one
 }
 
-// batchWrites are the writes of the batch records that the transaction changes and of
-// those that it creates, in the order new, changed, removed.
+// batchWrites returns the writes of the batch records that the transaction creates, changes
+// and removes, in this order.
 func (t *Transaction) batchWrites(context TxnContext) []store.Write {
 	var created, updated, removed []store.Write
 	for _, batch := range t.pendingBatches(context) {
@@ -87,9 +89,9 @@
 	return slices.Concat(created, updated, removed)
 }
 
-// pendingBatches are the batch records that the transaction changes and those that it
-// creates. Those of this controller alone are merged where they fit together: it is one
-// put and one removal instead of two puts, and from then on one change instead of two.
+// pendingBatches returns the batch records that the transaction changes or creates. Batch
+// records that only this controller writes are merged if they fit together: that takes one put
+// and one removal instead of two puts, and later one write instead of two.
 func (t *Transaction) pendingBatches(context TxnContext) []pendingBatch {
 	var batches []pendingBatch
 	for _, key := range t.recordOrder {
@@ -105,15 +107,16 @@
 		own, others := splitOwned(record, t.edits[key], entries, context.Machines)
 		batches = append(batches, pendingBatch{key: key, entries: others}, pendingBatch{entries: own, owned: true})
 	}
-	mergeSmall(batches, context.Limits.ValueBytes)
+	mergeSmallBatches(batches, context.Limits.ValueBytes)
 	for _, controller := range clusterstate.SortedKeys(t.newBatches) {
 		batches = append(batches, pendingBatch{entries: t.newBatches[controller]})
 	}
 	return batches
 }
 
-// remainingEntries are a batch record's entries with some of its tasks changed, without
-// those that leave it and those of jobs that are over, as known up to an epoch.
+// remainingEntries returns a batch record's entries after some of its tasks have changed. Tasks
+// that leave the record are left out, as are obsolete tasks of jobs that have ended, given the
+// epoch up to which all changes are known.
 func remainingEntries(
 	record *clusterstate.TaskRecord,
 	edits map[*clusterstate.Task]Change,
@@ -133,10 +136,10 @@
 	return entries
 }
 
-// splitOwned takes the tasks on this controller's machines out of a batch record that
-// other controllers write as well, when it writes one of them: after a change of view every
-// batch record has tasks of all owners, and while they write the same records most of
-// their transactions conflict.
+// splitOwned separates the tasks on this controller's machines from the other tasks of a batch
+// record that other controllers also write. It does so only if the transaction writes one of
+// its own tasks. After a view change every batch record has tasks of all owners, and as long as
+// they write the same records most of their transactions conflict.
 func splitOwned(
 	record *clusterstate.TaskRecord,
 	edits map[*clusterstate.Task]Change,
@@ -148,9 +151,9 @@
 	for _, task := range record.Tasks {
 		if task.OnMachine() && record.Holds(task) && machines.OwnsMachine(task.Machine) {
 			ownTasks[task.ID] = true
-			// A task that only gets another attempt is written where it is: after all
-			// controllers were down those are all tasks of a batch record, and it costs
-			// one change instead of three.
+			// A task that only gets a new attempt stays in its record: after an outage of
+			// all controllers this applies to every task of a batch record, and it takes
+			// one write instead of three.
 			change, edited := edits[task]
 			writesOwn = writesOwn || edited && change.Next.State != jobs.Placed
 		}
@@ -168,9 +171,9 @@
 	return own, others
 }
 
-// mergeSmall moves the entries of small batch records into larger ones of the same
-// controller. valueLimit is the bytes of a value.
-func mergeSmall(batches []pendingBatch, valueLimit int) {
+// mergeSmallBatches moves the entries of small batch records into larger ones of the same controller.
+// valueLimit is the maximum size of a value in bytes.
+func mergeSmallBatches(batches []pendingBatch, valueLimit int) {
 	var own []*pendingBatch
 	for i := range batches {
 		if batches[i].owned && len(batches[i].entries) > 0 {
--- a/internal/decide/batch_records_test.go
+++ b/internal/decide/batch_records_test.go
@@ -21,14 +21,14 @@
 
 func TestMain(m *testing.M) { os.Exit(testseed.Main(m)) }
 
-// fakeStore is a state service of a few keys, with its log.
+// fakeStore is an in-memory state service with a log of its events.
 type fakeStore struct {
 	epoch uint64
 	items map[string]store.Item
 	log   []store.Event
 }
 
-// Revision and Get make it the Records of a Batcher; all records count as 100 bytes.
+// Revision and Get implement Records. Every record is reported with a size of 100 bytes.
 func (s *fakeStore) Revision(key string) uint64 { return s.items[key].Revision }
 
 func (s *fakeStore) Get(string) json.RawMessage { return make(json.RawMessage, 100) }
@@ -46,11 +46,11 @@
 	}
 }
 
-// replica is a controller's copy of the fakeStore.
+// replica is a controller's copy of a fakeStore.
 type replica struct {
-	state  *clusterstate.State
-	mirror *store.Mirror
-	at     int // of the log
+	state    *clusterstate.State
+	mirror   *store.Mirror
+	position int // in the log
 }
 
 func newReplica() *replica {
@@ -66,23 +66,23 @@
 	return r
 }
 
-// follow reads the next k events of the log, or all.
-func (r *replica) follow(s *fakeStore, k int) {
+// follow applies the next count events of the log, or all remaining events if count is negative.
+func (r *replica) follow(s *fakeStore, count int) {
 	end := len(s.log)
-	if k >= 0 {
-		end = min(end, r.at+k)
+	if count >= 0 {
+		end = min(end, r.position+count)
 		for end < len(s.log) && end > 0 && s.log[end].Revision == s.log[end-1].Revision {
-			end++ // a watch gives whole transactions
+			end++ // a watch delivers whole transactions
 		}
 	}
-	if end > r.at {
-		r.mirror.ApplyEvents(s.log[end-1].Revision, slices.Clone(s.log[r.at:end]))
-		r.at = end
+	if end > r.position {
+		r.mirror.ApplyEvents(s.log[end-1].Revision, slices.Clone(s.log[r.position:end]))
+		r.position = end
 	}
 }
 
-// describe lists all tasks with their records.
-func describe(state *clusterstate.State) string {
+// describeTasks lists all tasks of a state with the keys of their records.
+func describeTasks(state *clusterstate.State) string {
 	var lines []string
 	for jobID, job := range state.Jobs {
 		for index, task := range job.Tasks {
@@ -93,7 +93,7 @@
 	return fmt.Sprint(lines)
 }
 
-// liveJob is the record of a live job array of 100 tasks.
+// liveJob returns the record of a live job array of 100 tasks.
 func liveJob(jobID string) jobs.Record {
 	return jobs.Record{
 		State:      jobs.Live,
@@ -112,9 +112,9 @@
 	}
 }
 
-// historyTrial is a drawn history of batch records that one controller writes and another
-// lists and follows.
-type historyTrial struct {
+// historyFixture is a random history of batch records that one controller writes and another one
+// lists and watches.
+type historyFixture struct {
 	*rapid.T
 	store   *fakeStore
 	writer  *replica
@@ -122,8 +122,8 @@
 	context TxnContext
 }
 
-func newHistoryTrial(t *rapid.T) *historyTrial {
-	trial := &historyTrial{
+func newHistoryFixture(t *rapid.T) *historyFixture {
+	fixture := &historyFixture{
 		T:       t,
 		store:   &fakeStore{items: map[string]store.Item{}},
 		writer:  newReplica(),
@@ -131,21 +131,21 @@
 		context: testContext(16),
 	}
 	for i := range 4 {
-		trial.store.commit([]store.Write{Put(fmt.Sprint("job/wk-", i), liveJob(fmt.Sprint("wk-", i)))})
+		fixture.store.commit([]store.Write{Put(fmt.Sprint("job/wk-", i), liveJob(fmt.Sprint("wk-", i)))})
 	}
 	keys := 0
-	trial.context.Limits.ValueBytes = rapid.SampledFrom([]int{250, 600, 8192}).Draw(t, "limit")
-	trial.context.Machines = ownerFunc(func(machine string) bool { return machine != "i-2" })
-	trial.context.Records = trial.store
-	trial.context.BatchKeys = batchKeyFunc(func() string {
+	fixture.context.Limits.ValueBytes = rapid.SampledFrom([]int{250, 600, 8192}).Draw(t, "limit")
+	fixture.context.Machines = ownerFunc(func(machine string) bool { return machine != "i-2" })
+	fixture.context.Records = fixture.store
+	fixture.context.BatchKeys = batchKeyFunc(func() string {
 		keys++
-		return fmt.Sprintf("pack/%d", (keys*7)%100000) // in no order
+		return fmt.Sprintf("pack/%d", (keys*7)%100000) // not in ascending order
 	})
-	return trial
+	return fixture
 }
 
-// place draws the placement of a task's next attempt.
-func (h *historyTrial) place(from jobs.Task) jobs.Task {
+// place returns the task after the placement of its next attempt on a random machine.
+func (h *historyFixture) place(from jobs.Task) jobs.Task {
 	next, ok := jobs.NextTask(from, jobs.TaskEvent{
 		Kind:    jobs.Place,
 		Machine: rapid.SampledFrom([]string{"i-1", "i-2", "i-3"}).Draw(h.T, "machine"),
@@ -153,14 +153,15 @@
 		Attempt: from.Attempt + 1,
 	})
 	if !ok {
-		h.Fatal("not placed")
+		h.Fatal("task cannot be placed")
 	}
 	return next
 }
 
-// drawDecision draws a task, and decides what comes next for it: a first placement, another
-// one, or an end. Nothing is decided about a task that another of the decisions places first.
-func (h *historyTrial) drawDecision(decisions []Decision) []Decision {
+// drawDecision draws a task and appends a decision about it: a first placement, another
+// placement, or an end. It appends nothing if an earlier decision already places the task for
+// the first time.
+func (h *historyFixture) drawDecision(decisions []Decision) []Decision {
 	jobID := fmt.Sprint("wk-", rapid.IntRange(0, 3).Draw(h.T, "job"))
 	index := rapid.IntRange(0, 20).Draw(h.T, "index")
 	job := h.writer.state.Jobs[jobID]
@@ -192,14 +193,14 @@
 	return decisions
 }
 
-// placesFirst tells whether a decision puts a task into a new batch record.
+// placesFirst reports whether a decision adds the task to a new batch record.
 func placesFirst(decision Decision, jobID string, index int) bool {
 	return len(decision.BatchEntries) > 0 &&
 		decision.BatchEntries[0].Entry.JobID == jobID && decision.BatchEntries[0].Entry.Index == index
 }
 
-// step has the writer commit some drawn decisions, and now and then end a job.
-func (h *historyTrial) step() {
+// step lets the writer commit some random decisions and occasionally removes a job.
+func (h *historyFixture) step() {
 	h.writer.follow(h.store, -1)
 	h.context.KnownEpoch = h.writer.mirror.Epoch
 	var decisions []Decision
@@ -220,9 +221,10 @@
 	}
 }
 
-// listPrefix has the reader list the keys with a prefix, while changes come between the pages.
-func (h *historyTrial) listPrefix(prefix string) {
-	began := h.store.epoch
+// listPrefix lets the reader list the keys with a prefix while the writer commits changes
+// between the pages.
+func (h *historyFixture) listPrefix(prefix string) {
+	startEpoch := h.store.epoch
 	var rows []store.Item
 	for i, key := range slices.Sorted(maps.Keys(h.store.items)) {
 		if i%3 == 2 {
@@ -232,11 +234,11 @@
 			rows = append(rows, item)
 		}
 	}
-	h.reader.mirror.ApplyListing(prefix, rows, began)
+	h.reader.mirror.ApplyListing(prefix, rows, startEpoch)
 }
 
-// checkOneBatchPerTask fails where a batch record is too large or a task is in two.
-func (h *historyTrial) checkOneBatchPerTask() {
+// checkOneBatchPerTask fails if a batch record is too large or a task is in two of them.
+func (h *historyFixture) checkOneBatchPerTask() {
 	recordOfTask := map[string]string{}
 	for key, item := range h.store.items {
 		if !strings.HasPrefix(key, taskbatch.KeyPrefix) {
@@ -256,42 +258,43 @@
 	}
 }
 
-// TestReplicasAgreeOnBatchRecords draws histories of batch records that are created,
-// changed, merged, split and left, and a second controller that lists the keys one prefix
-// and one page after the other while that goes on, then follows. In the end it knows what
-// the first one does, each task is in one batch record, and every count is what counting
-// gives.
+// TestReplicasAgreeOnBatchRecords generates histories in which batch records are created,
+// changed, merged, split and removed. Meanwhile a second controller lists the keys, prefix by
+// prefix and page by page, and then follows the watch. In the end both controllers must know the
+// same tasks, each task must be in one batch record only, and the audit of both states must
+// find no difference.
 func TestReplicasAgreeOnBatchRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		trial := newHistoryTrial(t)
+		fixture := newHistoryFixture(t)
 		for range rapid.IntRange(1, 8).Draw(t, "before") {
-			trial.step()
+			fixture.step()
 		}
-		// The reader lists, with changes between the pages, and follows from before.
-		trial.reader.at = len(trial.store.log)
-		since := trial.store.epoch
-		trial.listPrefix("job/")
-		trial.listPrefix("pack/")
-		trial.reader.mirror.Epoch = max(trial.reader.mirror.Epoch, since)
+		// The reader lists, with changes between the pages, and follows the log from the
+		// position before the listing.
+		fixture.reader.position = len(fixture.store.log)
+		since := fixture.store.epoch
+		fixture.listPrefix("job/")
+		fixture.listPrefix("pack/")
+		fixture.reader.mirror.Epoch = max(fixture.reader.mirror.Epoch, since)
 		for range rapid.IntRange(0, 5).Draw(t, "after") {
-			trial.step()
-			trial.reader.follow(trial.store, rapid.IntRange(0, 4).Draw(t, "events"))
+			fixture.step()
+			fixture.reader.follow(fixture.store, rapid.IntRange(0, 4).Draw(t, "events"))
 		}
-		trial.writer.follow(trial.store, -1)
-		trial.reader.follow(trial.store, -1)
-		if want, got := describe(trial.writer.state), describe(trial.reader.state); want != got {
-			t.Fatalf("the writer knows\n%s\nthe reader\n%s", want, got)
+		fixture.writer.follow(fixture.store, -1)
+		fixture.reader.follow(fixture.store, -1)
+		if want, got := describeTasks(fixture.writer.state), describeTasks(fixture.reader.state); want != got {
+			t.Fatalf("tasks known to the writer:\n%s\ntasks known to the reader:\n%s", want, got)
 		}
-		for _, r := range []*replica{trial.writer, trial.reader} {
+		for _, r := range []*replica{fixture.writer, fixture.reader} {
 			if audit := r.state.Audit(); len(audit) > 0 {
 				t.Fatal(audit)
 			}
 		}
-		trial.checkOneBatchPerTask()
+		fixture.checkOneBatchPerTask()
 	})
 }
 
-// placedEntry is a task of wk-0 on a machine.
+// placedEntry returns the entry of a task of wk-0 that is placed on a machine.
 func placedEntry(index int, machine string) taskbatch.Entry {
 	return taskbatch.Entry{
 		JobID: "wk-0",
@@ -300,8 +303,8 @@
 	}
 }
 
-// batchRecords is a state with the job wk-0, whose tasks are in these batch records at
-// revision 1, and the context of a controller that owns all machines but i-2.
+// batchRecords returns a state with the job wk-0, whose tasks are in the given batch records at
+// revision 1, and the context of a controller that owns all machines except i-2.
 func batchRecords(t *testing.T, records map[string][]taskbatch.Entry) (*clusterstate.State, TxnContext) {
 	t.Helper()
 	state := newReplica().state
@@ -323,7 +326,8 @@
 	return state, context
 }
 
-// fourBatchRecords has two tasks a record: the first two on an own machine, the others not.
+// fourBatchRecords returns four batch records of two tasks each. The tasks of the first two
+// records are on a machine of this controller, the others on a machine of another one.
 func fourBatchRecords() map[string][]taskbatch.Entry {
 	records := map[string][]taskbatch.Entry{}
 	for i, machine := range []string{"i-1", "i-1", "i-2", "i-2"} {
@@ -347,64 +351,64 @@
 	return entries
 }
 
-// Ends in several batch records of one controller are one put and removals; a record that
-// others write goes in a transaction of its own.
+// Changes to several batch records of one controller become one put and removals of the rest. A
+// batch record that other controllers also write gets a transaction of its own.
 func TestBatchesOfOneControllerAreMerged(t *testing.T) {
 	state, context := batchRecords(t, fourBatchRecords())
 	tasks := state.Jobs["wk-0"].Tasks
 	built := buildIn(context, complete(tasks[0]), complete(tasks[2]), complete(tasks[4]), complete(tasks[6]))
 	if len(built) != 3 {
-		t.Fatalf("%d transactions", len(built))
+		t.Fatalf("got %d transactions, want 3", len(built))
 	}
 	own := built[0].Txn.Writes
 	if len(own) != 2 || own[0].Put == "" || own[1].Remove == "" {
-		t.Fatalf("%+v", own)
+		t.Fatalf("own batch records: got writes %+v, want one put and one removal", own)
 	}
 	entries := decodeBatch(t, own[0])
 	if len(entries) != 4 || entries[0].Task.State != jobs.Finished || entries[1].Task.State != jobs.Placed {
-		t.Errorf("%+v", entries)
+		t.Errorf("merged batch record has entries %+v", entries)
 	}
 	for _, txn := range built[1:] {
 		if writes := txn.Txn.Writes; len(writes) != 1 || writes[0].Put == "" {
-			t.Errorf("%+v", writes)
+			t.Errorf("shared batch record: got writes %+v, want one put", writes)
 		}
 	}
 }
 
-// Tasks on this controller's machines leave a batch record that others write too, when one
-// of them is written.
+// When a controller writes one of its tasks in a batch record that other controllers also
+// write, all its tasks move to a new batch record.
 func TestOwnTasksLeaveSharedBatch(t *testing.T) {
 	state, context := batchRecords(t, map[string][]taskbatch.Entry{
 		"pack/mixed": {placedEntry(10, "i-1"), placedEntry(11, "i-2"), placedEntry(12, "i-1")},
 	})
 	writes := buildIn(context, complete(state.Jobs["wk-0"].Tasks[10]))[0].Txn.Writes
 	if len(writes) != 2 || writes[1].Put != "pack/mixed" {
-		t.Fatalf("%+v", writes)
+		t.Fatalf("got writes %+v, want a new batch record and pack/mixed", writes)
 	}
-	own, left := decodeBatch(t, writes[0]), decodeBatch(t, writes[1])
-	if len(left) != 1 || left[0].Index != 11 || len(own) != 2 {
-		t.Errorf("%+v and %+v", left, own)
+	own, remaining := decodeBatch(t, writes[0]), decodeBatch(t, writes[1])
+	if len(remaining) != 1 || remaining[0].Index != 11 || len(own) != 2 {
+		t.Errorf("pack/mixed has entries %+v, the new batch record %+v", remaining, own)
 	}
 }
 
-// Tasks of a job that is over are left out only where all is known up to the batch record's
-// revision.
+// Tasks of a job that has ended are left out only if all changes up to the batch record's
+// revision are known.
 func TestObsoleteTasksAreLeftOutOnceEpochIsKnown(t *testing.T) {
 	state, context := batchRecords(t, fourBatchRecords())
 	task := state.Jobs["wk-0"].Tasks[0]
 	if err := state.ApplyJob("wk-0", nil); err != nil {
 		t.Fatal(err)
 	}
-	given := Decision{Changes: TransitionTask(task, jobs.Task{State: jobs.Pending, Attempt: 1})}
+	decision := Decision{Changes: TransitionTask(task, jobs.Task{State: jobs.Pending, Attempt: 1})}
 	for knownEpoch, want := range []int{2, 1} {
 		context.KnownEpoch = uint64(knownEpoch)
-		if entries := decodeBatch(t, buildIn(context, given)[0].Txn.Writes[0]); len(entries) != want {
-			t.Errorf("with epoch %d known: %+v", knownEpoch, entries)
+		if entries := decodeBatch(t, buildIn(context, decision)[0].Txn.Writes[0]); len(entries) != want {
+			t.Errorf("with known epoch %d: got entries %+v", knownEpoch, entries)
 		}
 	}
 }
 
-// A refused transaction on a batch record is split by a batcher that has built nothing.
+// A batcher on which Build was never called can split a refused transaction on batch records.
 func TestSplitOfBatchRecordsWithoutBuild(t *testing.T) {
 	state, context := batchRecords(t, map[string][]taskbatch.Entry{
 		"pack/1": {placedEntry(0, "i-1"), placedEntry(1, "i-1")},
@@ -413,12 +417,12 @@
 	tasks := state.Jobs["wk-0"].Tasks
 	refused := buildIn(context, complete(tasks[0]), complete(tasks[2]))
 	if len(refused) != 1 {
-		t.Fatalf("%d transactions", len(refused))
+		t.Fatalf("got %d transactions, want 1", len(refused))
 	}
 	batcher := testBatcher(16, 100)
 	batcher.Context = context
 	halves := batcher.Split(refused[0])
 	if len(halves) != 2 || halves[0].Txn.Writes[0].Put != "pack/1" || halves[1].Txn.Writes[0].Put != "pack/2" {
-		t.Errorf("%+v", halves)
+		t.Errorf("got halves %+v, want one for pack/1 and one for pack/2", halves)
 	}
 }
--- a/internal/decide/batcher.go
+++ b/internal/decide/batcher.go
@@ -7,55 +7,59 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// What a record adds to a request besides its value and its key, in bytes: as an estimate,
-// with its precondition.
+// Constants for estimating the size of a request.
 const (
-	writeOverheadBytes        = 120
+	// writeOverheadBytes is what a written record adds to a request besides its key and value,
+	// including its precondition.
+	writeOverheadBytes = 120
+	// preconditionOverheadBytes is what a precondition adds to a request besides its key.
 	preconditionOverheadBytes = 40
-	// keyMentions: a written record's key stands in its write, in its precondition and in
-	// an entry of its value.
+	// keyMentions is how often a written record's key occurs in a request: in the write, in the
+	// precondition and in an entry of the value.
 	keyMentions = 3
 )
 
-// InFlight knows which records are under a transaction that is not settled yet.
+// InFlight knows which records are part of a transaction that is not settled yet.
 type InFlight interface {
+	// Busy reports whether a record is part of an unsettled transaction.
 	Busy(key string) bool
 }
 
-// Budget is the writes that the state service allows. *store.Client is one.
+// Budget limits the rate of writes to the state service. *store.Client implements it.
 type Budget interface {
-	// Allows tells whether so many writes may leave now, after those planned already.
+	// Allows reports whether the given number of writes may be sent now, in addition to those
+	// already planned.
 	Allows(planned, writes int) bool
 }
 
-// Quarantiner takes the decisions that no transaction can hold.
+// Quarantiner receives the decisions that no transaction can hold.
 type Quarantiner interface {
-	// QuarantineDecision is given the reason, a *LimitError from a Batcher.
+	// QuarantineDecision quarantines a decision for a reason. A Batcher passes a *LimitError.
 	QuarantineDecision(decision *Decision, reason error)
 }
 
 // LimitError is the reason why a decision fits into no transaction.
 type LimitError struct {
-	// Exceeded names the limit, with the count and what is allowed.
+	// Exceeded describes the limit, with the actual count and the maximum.
 	Exceeded string
 }
 
-// Error names the limit.
+// Error describes the exceeded limit.
 func (e *LimitError) Error() string {
 	return "transaction of one decision exceeds a limit: " + e.Exceeded
 }
 
-// Batcher batches decisions into transactions within the state service's limits.
-// Decisions about the same task record share a transaction, and one write of it. It is
-// made for one Build or one Split.
+// Batcher batches decisions into transactions within the state service's limits. Decisions
+// about the same task record share a transaction and a single write of the record. A Batcher is
+// used for one Build or one Split.
 //
-// What a decision will add is estimated when it is taken in. What is sent is counted
-// when it is built: new batch records, split ones and their preconditions are known only
-// then. A transaction beyond a limit is refused whole, and everything in it with it
-// (docs/incidents/refused-transactions.md).
+// The size of a decision is estimated when the decision is added to a transaction. The exact
+// size is checked when the transaction is built, because new batch records, split batch records
+// and their preconditions are known only then. The state service refuses a transaction that
+// exceeds a limit, and all decisions in it fail (docs/incidents/refused-transactions.md).
 type Batcher struct {
 	Context TxnContext
-	// CompletionWrites counts the writes of completed jobs that are in flight. Build and
+	// CompletionWrites counts the writes in flight that record the end of a job. Build and
 	// Split update it.
 	CompletionWrites int
 	InFlight         InFlight
@@ -63,21 +67,21 @@
 	Quarantine       Quarantiner
 
 	transactions []*Transaction
-	// open is the transaction that takes whatever comes next.
+	// open is the transaction that further decisions are added to by default.
 	open *Transaction
-	// writerOf maps a record to the transaction that writes it.
+	// writerOf maps a record's key to the transaction that writes the record.
 	writerOf map[string]*Transaction
-	changed  map[*clusterstate.Task]bool
-	// ownedBatches caches, by batch record, whether no task of it is on another
-	// controller's machine.
+	// changed holds the tasks that a decision has already changed.
+	changed map[*clusterstate.Task]bool
+	// ownedBatches caches the results of ownsBatch.
 	ownedBatches map[*clusterstate.TaskRecord]bool
 	// plannedWrites counts the records that the transactions write.
 	plannedWrites int
 }
 
-// Build makes transactions of decisions. Decisions that touch a record in flight are
-// dropped, to be made again later, and so are those, but for urgent ones, that the budget
-// does not allow at once.
+// Build batches decisions into transactions. It drops decisions that write a record in flight,
+// and non-urgent decisions that the budget does not allow now. Dropped decisions are expected
+// to be made again in a later scheduling cycle.
 func (b *Batcher) Build(decisions []Decision) []*Transaction {
 	b.writerOf = map[string]*Transaction{}
 	b.changed = map[*clusterstate.Task]bool{}
@@ -85,18 +89,19 @@
 		if keys := decisions[i].Keys(); len(keys) > 0 || len(decisions[i].BatchEntries) > 0 {
 			b.addDecision(&decisions[i], keys)
 		} else {
-			decisions[i].Drop() // it decides nothing
+			decisions[i].Drop() // it has no effect
 		}
 	}
 	var built []*Transaction
 	for _, txn := range b.transactions {
-		built = append(built, b.finish(txn)...)
+		built = append(built, b.buildWithinLimits(txn)...)
 	}
 	return built
 }
 
-// finish builds a transaction, or those of its halves if it exceeds a limit.
-func (b *Batcher) finish(txn *Transaction) []*Transaction {
+// buildWithinLimits builds a transaction. If it exceeds a limit, it is split in half until every
+// part fits; a single decision that does not fit is quarantined.
+func (b *Batcher) buildWithinLimits(txn *Transaction) []*Transaction {
 	if len(txn.Decisions) == 0 {
 		return nil
 	}
@@ -107,29 +112,30 @@
 	}
 	if len(txn.Decisions) == 1 {
 		b.Quarantine.QuarantineDecision(&txn.Decisions[0], &LimitError{Exceeded: exceeded})
-		b.dropTaken(&txn.Decisions[0])
+		b.dropAdded(&txn.Decisions[0])
 		return nil
 	}
-	return b.finishHalves(txn)
+	return b.buildHalves(txn)
 }
 
-func (b *Batcher) finishHalves(txn *Transaction) []*Transaction {
+// buildHalves splits a transaction in two and builds both.
+func (b *Batcher) buildHalves(txn *Transaction) []*Transaction {
 	first, second := b.halves(txn)
-	return append(b.finish(first), b.finish(second)...)
+	return append(b.buildWithinLimits(first), b.buildWithinLimits(second)...)
 }
 
-// Split makes two transactions of one that was refused, at the same revisions that it was
-// built from: they conflict where a record has changed since.
+// Split splits a refused transaction in two. The new transactions use the record revisions of
+// the original as preconditions, so they conflict if a record has changed in the meantime.
 func (b *Batcher) Split(txn *Transaction) []*Transaction {
 	pinned := pinnedRecords{Records: b.Context.Records, revisions: map[string]uint64{}}
 	for _, precondition := range txn.Txn.Preconditions {
 		pinned.revisions[precondition.Key] = precondition.Revision
 	}
 	b.Context.Records = pinned
-	return b.finishHalves(txn)
+	return b.buildHalves(txn)
 }
 
-// pinnedRecords are records of which some are taken at a revision from before.
+// pinnedRecords wraps Records and overrides the revisions of some keys with earlier ones.
 type pinnedRecords struct {
 	Records
 	revisions map[string]uint64
@@ -142,8 +148,9 @@
 	return p.Records.Revision(key)
 }
 
-// halves divides a transaction's decisions between two. Those of the second half that
-// write what the first does are dropped, to be made again once its outcome is known.
+// halves divides a transaction's decisions between two new transactions. Decisions of the second
+// half that write a record of the first are dropped; they are made again once the outcome of the
+// first half is known.
 func (b *Batcher) halves(txn *Transaction) (first, second *Transaction) {
 	first, second = newTransaction(b.Context.Preconditions), newTransaction(b.Context.Preconditions)
 	written := map[string]bool{}
@@ -157,7 +164,7 @@
 			}
 			b.add(first, decision, keys)
 		case slices.ContainsFunc(keys, func(key string) bool { return written[key] }):
-			b.dropTaken(decision)
+			b.dropAdded(decision)
 		default:
 			b.add(second, decision, keys)
 		}
@@ -165,15 +172,15 @@
 	return first, second
 }
 
-// dropTaken drops a decision that was taken in.
-func (b *Batcher) dropTaken(decision *Decision) {
+// dropAdded drops a decision that had already been added to a transaction.
+func (b *Batcher) dropAdded(decision *Decision) {
 	if decision.CompletesJob {
 		b.CompletionWrites -= len(decision.Writes)
 	}
 	decision.Drop()
 }
 
-// addDecision puts a decision into a transaction, or drops it.
+// addDecision adds a decision to a transaction, or drops it.
 func (b *Batcher) addDecision(decision *Decision, keys []string) {
 	newWrites := b.countNewWrites(decision, keys)
 	writer, ok := b.admit(decision, keys, newWrites)
@@ -199,9 +206,9 @@
 	}
 }
 
-// transactionFor is the transaction that takes a decision: the writer of one of its
-// records where there is one, else the open one, else a new one. It is nil where the
-// writer has no room.
+// transactionFor returns the transaction that a decision is added to: the one that already
+// writes one of its records, else the open one, else a new one. It returns nil if a transaction
+// already writes one of the records but has no room.
 func (b *Batcher) transactionFor(decision *Decision, keys []string, writer *Transaction) *Transaction {
 	alone := b.touchesSharedBatch(decision)
 	candidate := writer
@@ -222,7 +229,8 @@
 	return txn
 }
 
-// countNewWrites counts the records that a decision writes and no transaction does yet.
+// countNewWrites returns the number of records that a decision writes and that no transaction
+// writes yet.
 func (b *Batcher) countNewWrites(decision *Decision, keys []string) int {
 	count := 0
 	for _, key := range keys {
@@ -238,8 +246,8 @@
 	return count
 }
 
-// admit tells whether a decision may be taken now, with the transaction that it must
-// share because of a task record, if any.
+// admit reports whether a decision may be added now. writer is the transaction that it must
+// join because both write the same task record, or nil.
 func (b *Batcher) admit(decision *Decision, keys []string, newWrites int) (writer *Transaction, ok bool) {
 	if !decision.Urgent && newWrites > 0 && !b.Budget.Allows(b.plannedWrites, newWrites) {
 		return nil, false
@@ -263,8 +271,8 @@
 	return b.soleWriter(keys)
 }
 
-// soleWriter is the transaction that writes some of these records, nil where none does;
-// not ok where two do.
+// soleWriter returns the transaction that writes any of the given records, or nil if there is
+// none. ok is false if more than one transaction does.
 func (b *Batcher) soleWriter(keys []string) (writer *Transaction, ok bool) {
 	for _, key := range keys {
 		other := b.writerOf[key]
@@ -279,8 +287,8 @@
 	return writer, true
 }
 
-// mayChange tells whether a task may be changed: it is current, no decision has changed it
-// yet, and its record is not written whole by another decision.
+// mayChange reports whether a task may be changed: it is current, no decision has changed it
+// yet, and no other decision writes its record as a whole.
 func (b *Batcher) mayChange(task *clusterstate.Task) bool {
 	if b.changed[task] || task.Job.Tasks[task.Index] != task {
 		return false
@@ -289,7 +297,7 @@
 	return writer == nil || writer.edits[task.StoredIn.Key] != nil
 }
 
-// hasRoom tells whether a transaction can take a decision more.
+// hasRoom reports whether a transaction can hold one more decision, as an estimate.
 func (b *Batcher) hasRoom(txn *Transaction, decision *Decision, keys []string) bool {
 	added := b.costOf(txn, decision, keys)
 	writes := len(txn.writes) + len(txn.recordOrder) + txn.pendingKeys() + added.writes
@@ -299,13 +307,14 @@
 		txn.estimatedBytes+added.bytes <= tuning.TxnBytes
 }
 
-// cost is what a decision adds to a transaction, as an estimate.
+// cost is an estimate of what a decision adds to a transaction.
 type cost struct {
 	writes        int
 	preconditions int
 	bytes         int
 }
 
+// costOf estimates what a decision adds to a transaction.
 func (b *Batcher) costOf(txn *Transaction, decision *Decision, keys []string) cost {
 	newKeys := b.pendingKeysOf(txn, decision)
 	total := cost{
@@ -334,8 +343,8 @@
 	return total
 }
 
-// pendingKeysOf counts the batch records that a decision adds to a transaction under keys
-// which are known only when it is built: new ones, and ones that split from others.
+// pendingKeysOf returns the number of batch records that a decision adds to a transaction and
+// whose keys are generated only when the transaction is built: new records and split-off ones.
 func (b *Batcher) pendingKeysOf(txn *Transaction, decision *Decision) int {
 	pending := map[string]bool{}
 	for _, entry := range decision.BatchEntries {
@@ -351,7 +360,7 @@
 	return len(pending)
 }
 
-// add puts a decision into a transaction that has room for it.
+// add adds a decision to a transaction that has room for it.
 func (b *Batcher) add(txn *Transaction, decision *Decision, keys []string) {
 	txn.estimatedBytes += b.costOf(txn, decision, keys).bytes
 	txn.Decisions = append(txn.Decisions, *decision)
--- a/internal/decide/batcher_test.go
+++ b/internal/decide/batcher_test.go
@@ -11,7 +11,8 @@
 	"github.com/harrierreel/harrierreel/internal/store"
 )
 
-// placedTasks are the tasks of so many jobs: three a job, in one task range, on a machine.
+// placedTasks returns the tasks of jobCount jobs. Each job has three tasks in one task range, all
+// placed on the same machine.
 func placedTasks(t *testing.T, jobCount int) []*clusterstate.Task {
 	t.Helper()
 	state := clusterstate.New(quota.Flat(nil), func(string) {})
@@ -48,41 +49,41 @@
 	return decisions
 }
 
-// All that is decided about a task range is one write.
+// All decisions about the same task range share one write of it.
 func TestDecisionsOnOneTaskRangeShareOneWrite(t *testing.T) {
 	tasks := placedTasks(t, 4)
 	decisions := completeAll(tasks)
 	built := testBatcher(16, 100).Build(decisions)
 	if len(built) != 1 || len(built[0].Txn.Writes) != 4 || len(built[0].Decisions) != 12 {
-		t.Fatalf("%d transactions", len(built))
+		t.Fatalf("got %d transactions, want one with 4 writes and 12 decisions", len(built))
 	}
 	write := built[0].Txn.Writes[0]
 	records, err := jobs.DecodeTaskRange(write.Value)
 	if err != nil || records[0].State != jobs.Finished || records[2].State != jobs.Finished {
-		t.Errorf("%s %v", write.Value, err)
+		t.Errorf("task range %s, error %v: first and last task are not finished", write.Value, err)
 	}
 }
 
-func TestTaskIsChangedOnce(t *testing.T) {
+func TestSecondChangeOfTaskIsDropped(t *testing.T) {
 	tasks := placedTasks(t, 4)
 	built := testBatcher(16, 100).Build([]Decision{complete(tasks[0]), complete(tasks[0])})
 	if len(built[0].Decisions) != 1 {
-		t.Error("one task was changed by two decisions")
+		t.Error("two decisions changed the same task")
 	}
 }
 
-// The task range of a job that is over is removed once no task of it is on a machine.
+// The task range of a job that has ended is removed once none of its tasks is on a machine.
 func TestTaskRangeOfFinishedJobIsRemoved(t *testing.T) {
 	tasks := placedTasks(t, 4)
 	decisions := completeAll(tasks)
 	tasks[0].Job.Record.State = jobs.Cancelled
 	writes := testBatcher(16, 100).Build(decisions[:3])[0].Txn.Writes
 	if len(writes) != 1 || writes[0].Remove == "" {
-		t.Errorf("%+v", writes)
+		t.Errorf("got writes %+v, want one removal", writes)
 	}
 }
 
-// No transaction exceeds a limit of the state service, whatever is in it.
+// No transaction exceeds a limit of the state service, whatever decisions it holds.
 func TestTransactionsKeepStoreLimits(t *testing.T) {
 	var decisions []Decision
 	for i, task := range placedTasks(t, 40) {
@@ -92,7 +93,7 @@
 		}
 		decisions = append(decisions, decision)
 	}
-	decisions = append(decisions, Decision{Writes: nil}) // decides nothing
+	decisions = append(decisions, Decision{Writes: nil}) // has no effect
 	for i := range 30 {
 		decisions = append(decisions, Decision{Writes: []store.Write{
 			Put(fmt.Sprint("host/x", i), strings.Repeat("x", 3000)),
@@ -100,19 +101,19 @@
 		}})
 	}
 	batcher := testBatcher(8, 1000)
-	taken := 0
+	sent := 0
 	for _, txn := range batcher.Build(decisions) {
-		taken += len(txn.Decisions)
+		sent += len(txn.Decisions)
 		if exceeded := batcher.Context.Limits.Fault(&txn.Txn); exceeded != "" {
 			t.Error(exceeded)
 		}
 	}
-	if taken < 120 {
-		t.Errorf("%d of %d decisions were taken", taken, len(decisions))
+	if sent < 120 {
+		t.Errorf("%d of %d decisions are in transactions, want at least 120", sent, len(decisions))
 	}
 }
 
-// writeOf is a decision that writes the key k/N, and counts when it is dropped.
+// writeOf returns a decision that writes the key k/N and increments dropped if it is dropped.
 func writeOf(n int, dropped *int) Decision {
 	return Decision{
 		Writes: []store.Write{Put(fmt.Sprint("k/", n), 1)},
@@ -124,7 +125,7 @@
 	}
 }
 
-// What the budget does not allow is dropped at once, to be made again later.
+// Decisions beyond the budget are dropped at once, unless they are urgent.
 func TestBudgetDropsAllButUrgentDecisions(t *testing.T) {
 	dropped := 0
 	var decisions []Decision
@@ -135,11 +136,11 @@
 	}
 	testBatcher(16, 6).Build(decisions)
 	if dropped != 9 {
-		t.Errorf("%d of 15 were dropped with a budget of 6", dropped)
+		t.Errorf("%d of 15 non-urgent decisions were dropped with a budget of 6, want 9", dropped)
 	}
 }
 
-// Of the urgent ends of jobs only as many go as about one transaction holds.
+// Job completions are urgent, but their writes in flight are limited to about one transaction.
 func TestCompletionsInFlightAreBounded(t *testing.T) {
 	dropped := 0
 	var decisions []Decision
@@ -152,11 +153,11 @@
 	batcher.CompletionWrites = 4
 	batcher.Build(decisions)
 	if batcher.CompletionWrites != 16 || dropped != 28 {
-		t.Errorf("%d completion writes, %d dropped", batcher.CompletionWrites, dropped)
+		t.Errorf("%d completion writes and %d dropped decisions, want 16 and 28", batcher.CompletionWrites, dropped)
 	}
 }
 
-func TestRecordsInFlightAndWrittenTwiceAreDropped(t *testing.T) {
+func TestWritesOfRecordsInFlightOrAlreadyWrittenAreDropped(t *testing.T) {
 	dropped := 0
 	batcher := testBatcher(16, 100)
 	batcher.InFlight = busyFunc(func(key string) bool { return key == "k/3" })
@@ -164,6 +165,6 @@
 	inFlight.Urgent = true
 	batcher.Build([]Decision{inFlight, writeOf(4, &dropped), writeOf(4, &dropped)})
 	if dropped != 2 {
-		t.Errorf("%d dropped: one in flight, one written already", dropped)
+		t.Errorf("%d decisions dropped, want 2: one on a record in flight, one on a record already written", dropped)
 	}
 }
--- a/internal/decide/decide.go
+++ b/internal/decide/decide.go
@@ -1,6 +1,6 @@
-// Package decide turns decisions into transactions: what a decision is, how many of them
-// share a transaction of the state service within its limits, and which are quarantined
-// because no transaction can hold them. It has no IO and no clock.
+// Package decide defines scheduling decisions and batches them into transactions of the state
+// service. Every transaction stays within the service's limits; a decision that no transaction
+// can hold is quarantined. The package does no IO and reads no clock.
 package decide
 
 import (
@@ -14,53 +14,54 @@
 	"github.com/harrierreel/harrierreel/internal/taskbatch"
 )
 
-// Decision is one step that must be committed whole. Its transaction is conditional on the
-// view, on every record that it writes and on the keys in ReadSet.
+// Decision is a set of changes that is committed atomically. Its transaction is conditional on
+// the view, on every record that it writes and on the keys in ReadSet.
 type Decision struct {
-	// Changes are the tasks of existing records that it changes.
+	// Changes lists the changes to tasks of existing records.
 	Changes []Change
-	// Writes are the records that it writes whole.
+	// Writes lists the records that are written as a whole.
 	Writes []store.Write
-	// BatchEntries are the tasks that it puts into new batch records.
+	// BatchEntries lists the tasks that are added to new batch records.
 	BatchEntries []BatchEntry
-	// ReadSet is the keys that it was made from without writing them.
+	// ReadSet lists the keys that the decision depends on but does not write.
 	ReadSet []string
-	// OnSettled, if set, is called once: with true when the decision is committed, with false
-	// when it is not, or was dropped.
+	// OnSettled, if set, is called exactly once: with true when the decision is committed, with
+	// false when it fails or is dropped.
 	OnSettled func(ok bool)
-	// Urgent: a rule of the protocol depends on it, so it goes before all else that waits.
+	// Urgent is set if a rule of the protocol depends on the decision. Urgent decisions are sent
+	// before all others that are waiting.
 	Urgent bool
-	// CompletesJob: it writes the end of a job. Such decisions are urgent, but no more of
-	// their writes than about one transaction holds are in flight at once: many small jobs
-	// that end together would hold up all else (docs/incidents/ops-swarm.md).
+	// CompletesJob is set if the decision records the end of a job. Such decisions are urgent,
+	// but their writes in flight are limited to about one transaction: otherwise many small jobs
+	// that end together would delay everything else (docs/incidents/ops-swarm.md).
 	CompletesJob bool
 }
 
-// Change is the next state of a task that a record holds already.
+// Change is the transition of a task in an existing record to its next state.
 type Change struct {
 	Task *clusterstate.Task
 	Next jobs.Task
-	// LeavesBatch: the task moves from its batch record to a new one. The decision has it in
-	// BatchEntries as well.
+	// LeavesBatch is set if the task moves from its batch record to a new one. The decision also
+	// lists the task in BatchEntries.
 	LeavesBatch bool
 }
 
-// BatchEntry is a task that goes into a new batch record, together with what else the same
-// transaction places on machines of the same controller.
+// BatchEntry is a task that is added to a new batch record. All entries of a transaction with
+// the same controller share one new batch record.
 type BatchEntry struct {
 	Controller string
 	Entry      taskbatch.Entry
 }
 
-// Put is the write of a record.
+// Put returns the write that stores a record.
 func Put(key string, value any) store.Write {
 	return store.Write{Put: key, Value: jobs.Encode(value)}
 }
 
-// Remove is the removal of a record.
+// Remove returns the write that removes a record.
 func Remove(key string) store.Write { return store.Write{Remove: key} }
 
-// WriteKey is the key that a write puts or removes.
+// WriteKey returns the key that a write puts or removes.
 func WriteKey(write store.Write) string {
 	if write.Put != "" {
 		return write.Put
@@ -68,8 +69,8 @@
 	return write.Remove
 }
 
-// Priority is the priority order of the job whose tasks a decision changes, 0 (the first)
-// for decisions about anything else.
+// Priority returns the priority order of the job whose tasks the decision changes, or 0 (the
+// highest priority) if it changes none.
 func (d *Decision) Priority() int {
 	if len(d.Changes) == 0 || d.Changes[0].Task.Job.Record == nil {
 		return 0
@@ -77,7 +78,8 @@
 	return d.Changes[0].Task.Job.Record.Spec.PriorityOrder()
 }
 
-// Keys lists the existing records that a decision writes, each once.
+// Keys returns the keys of the records that the decision writes, each once. New batch records
+// are not included.
 func (d *Decision) Keys() []string {
 	keys := make([]string, 0, len(d.Writes)+1)
 	for _, write := range d.Writes {
@@ -91,10 +93,10 @@
 	return keys
 }
 
-// maxSubjects bounds the tasks and records that a log line names.
+// maxSubjects is the maximum number of tasks and records that String names.
 const maxSubjects = 4
 
-// String names the tasks and records of a decision, for the log.
+// String lists the tasks and records that the decision changes, for log messages.
 func (d *Decision) String() string {
 	var subjects []string
 	for _, change := range d.Changes {
@@ -113,15 +115,15 @@
 	return strings.Join(subjects, ", ")
 }
 
-// Drop settles a decision that is not committed. Whoever takes a decision and does not send
-// it must call this once.
+// Drop settles the decision as not committed. Code that accepts a decision and does not send it
+// must call Drop exactly once.
 func (d *Decision) Drop() {
 	if d.OnSettled != nil {
 		d.OnSettled(false)
 	}
 }
 
-// TransitionTask is the change of one task to its next state.
+// TransitionTask returns the change of one task to its next state.
 func TransitionTask(task *clusterstate.Task, next jobs.Task) []Change {
 	return []Change{{Task: task, Next: next}}
 }
--- a/internal/decide/fakes_test.go
+++ b/internal/decide/fakes_test.go
@@ -7,13 +7,13 @@
 	"github.com/harrierreel/harrierreel/internal/store"
 )
 
-// fakeRecords are records at revision 1, of so many bytes each.
+// fakeRecords implements Records: every record has revision 1 and the given size in bytes.
 type fakeRecords int
 
 func (f fakeRecords) Revision(string) uint64     { return 1 }
 func (f fakeRecords) Get(string) json.RawMessage { return make(json.RawMessage, f) }
 
-// fakeBudget allows so many writes in all.
+// fakeBudget allows the given number of writes in total.
 type fakeBudget int
 
 func (f fakeBudget) Allows(planned, writes int) bool { return planned+writes <= int(f) }
@@ -22,7 +22,7 @@
 	busyFunc     func(key string) bool
 	ownerFunc    func(machine string) bool
 	batchKeyFunc func() string
-	// quarantineFunc is given the limit that the decision exceeds.
+	// quarantineFunc receives a quarantined decision and the limit that it exceeds.
 	quarantineFunc func(decision *Decision, exceeded string)
 )
 
@@ -38,8 +38,8 @@
 	f(decision, limit.Exceeded)
 }
 
-// testBatcher is a batcher for transactions of so many writes, with a budget. It must
-// quarantine nothing.
+// testBatcher returns a batcher for transactions of up to ops writes, with a write budget. It
+// panics if a decision is quarantined.
 func testBatcher(ops, budget int) *Batcher {
 	return &Batcher{
 		Context:  testContext(ops),
@@ -51,7 +51,8 @@
 	}
 }
 
-// testContext has the limits of a state service that takes so many writes at once.
+// testContext returns a context with the limits of a state service that accepts up to ops writes
+// per transaction.
 func testContext(ops int) TxnContext {
 	return TxnContext{
 		Limits:        store.Limits{Ops: ops, Preconditions: 4 * ops, BodyBytes: 64 << 10, ValueBytes: 8192},
--- a/internal/decide/limits_test.go
+++ b/internal/decide/limits_test.go
@@ -13,29 +13,31 @@
 	"github.com/harrierreel/harrierreel/internal/taskbatch"
 )
 
-// limitsTrial is drawn decisions over drawn records, and what becomes of them.
-type limitsTrial struct {
+// limitsFixture holds random decisions about random records and tracks what happens to them.
+type limitsFixture struct {
 	*rapid.T
 	replica   *replica
 	limits    store.Limits
 	decisions []Decision
-	// drops counts, by decision, how often it was settled as not committed.
-	drops   map[int]int
-	taken   int
+	// drops counts, by the index of a decision, how often it was settled as not committed.
+	drops map[int]int
+	// sent counts the decisions in transactions that were not refused.
+	sent int
+	// written holds the keys that these transactions write.
 	written map[string]bool
 }
 
-func newLimitsTrial(t *rapid.T) *limitsTrial {
-	trial := &limitsTrial{T: t, replica: newReplica(), drops: map[int]int{}, written: map[string]bool{}}
-	trial.limits.Ops = rapid.IntRange(1, 24).Draw(t, "ops")
-	trial.limits.Preconditions = 4 * trial.limits.Ops
-	trial.limits.ValueBytes = rapid.SampledFrom([]int{300, 1000, 8192}).Draw(t, "value bytes")
-	trial.limits.BodyBytes = rapid.SampledFrom([]int{1500, 9000, 64 << 10}).Draw(t, "body bytes")
-	return trial
+func newLimitsFixture(t *rapid.T) *limitsFixture {
+	fixture := &limitsFixture{T: t, replica: newReplica(), drops: map[int]int{}, written: map[string]bool{}}
+	fixture.limits.Ops = rapid.IntRange(1, 24).Draw(t, "ops")
+	fixture.limits.Preconditions = 4 * fixture.limits.Ops
+	fixture.limits.ValueBytes = rapid.SampledFrom([]int{300, 1000, 8192}).Draw(t, "value bytes")
+	fixture.limits.BodyBytes = rapid.SampledFrom([]int{1500, 9000, 64 << 10}).Draw(t, "body bytes")
+	return fixture
 }
 
-// drawTasks draws so many tasks on machines.
-func (l *limitsTrial) drawTasks(count int) []jobs.Task {
+// drawTasks draws count tasks that are placed on machines.
+func (l *limitsFixture) drawTasks(count int) []jobs.Task {
 	machine := rapid.SampledFrom([]string{"i-1", "i-2", "i-3", "i-4"})
 	var tasks []jobs.Task
 	for range count {
@@ -44,8 +46,8 @@
 	return tasks
 }
 
-// drawRecords draws three jobs with task ranges, and three with batch records.
-func (l *limitsTrial) drawRecords() {
+// drawRecords draws three jobs with task ranges and three with batch records.
+func (l *limitsFixture) drawRecords() {
 	state := l.replica.state
 	for i := range 6 {
 		jobID := fmt.Sprint("wk-", i)
@@ -66,12 +68,12 @@
 	}
 }
 
-// add takes a drawn decision, with a drawn read set and urgency.
-func (l *limitsTrial) add(decision Decision) {
+// add adds a decision with a random read set and urgency.
+func (l *limitsFixture) add(decision Decision) {
 	i := len(l.decisions)
 	decision.OnSettled = func(ok bool) {
 		if ok {
-			l.Fatal("nothing was committed")
+			l.Fatal("decision settled as committed, but nothing was committed")
 		}
 		l.drops[i]++
 	}
@@ -83,8 +85,8 @@
 	l.decisions = append(l.decisions, decision)
 }
 
-// drawDecision draws a decision: a large record, a new task, or the end of one.
-func (l *limitsTrial) drawDecision() {
+// drawDecision draws a decision: the write of a large record, a new task, or the end of a task.
+func (l *limitsFixture) drawDecision() {
 	job := l.replica.state.Jobs[fmt.Sprint("wk-", rapid.IntRange(0, 5).Draw(l.T, "job"))]
 	index := rapid.IntRange(0, 119).Draw(l.T, "index")
 	task := job.Tasks[index]
@@ -108,15 +110,16 @@
 	return rapid.SampledFrom([]string{"n0", "n1"}).Draw(t, "controller")
 }
 
-// drawEnd draws the end of a task's attempt.
+// drawEnd draws a decision that ends a task's attempt.
 func drawEnd(t *rapid.T, task *clusterstate.Task) Decision {
 	kind := rapid.SampledFrom([]jobs.TaskEventKind{jobs.Complete, jobs.Lost, jobs.Fail}).Draw(t, "end")
 	next, _ := jobs.NextTask(task.Task, jobs.TaskEvent{Kind: kind})
 	return Decision{Changes: TransitionTask(task, next)}
 }
 
-// batcher is a batcher with these limits, a drawn budget and a machine of another owner.
-func (l *limitsTrial) batcher() *Batcher {
+// batcher returns a batcher with the fixture's limits and a random budget. Machine i-4 belongs to
+// another controller.
+func (l *limitsFixture) batcher() *Batcher {
 	batcher := testBatcher(l.limits.Ops, rapid.IntRange(0, 60).Draw(l.T, "budget"))
 	batcher.Context.Limits = l.limits
 	batcher.Context.Machines = ownerFunc(func(machine string) bool { return machine != "i-4" })
@@ -129,76 +132,80 @@
 	return batcher
 }
 
-// take counts transactions in, and fails where one exceeds a limit or writes what another does.
-func (l *limitsTrial) take(transactions []*Transaction) {
+// recordSent counts transactions as sent. It fails if one exceeds a limit or if two write the
+// same key.
+func (l *limitsFixture) recordSent(transactions []*Transaction) {
 	for _, txn := range transactions {
 		if exceeded := l.limits.Fault(&txn.Txn); exceeded != "" {
 			l.Fatal(exceeded)
 		}
-		l.taken += len(txn.Decisions)
+		l.sent += len(txn.Decisions)
 		for _, write := range txn.Txn.Writes {
 			if l.written[WriteKey(write)] {
-				l.Fatalf("%s is written twice", WriteKey(write))
+				l.Fatalf("two transactions write %s", WriteKey(write))
 			}
 			l.written[WriteKey(write)] = true
 		}
 	}
 }
 
-// untake takes a transaction back that was refused.
-func (l *limitsTrial) untake(txn *Transaction) {
-	l.taken -= len(txn.Decisions)
+// recordRefused undoes recordSent for a transaction that was refused.
+func (l *limitsFixture) recordRefused(txn *Transaction) {
+	l.sent -= len(txn.Decisions)
 	for _, write := range txn.Txn.Writes {
 		delete(l.written, WriteKey(write))
 	}
 }
 
-// checkAccounted fails unless every decision is in one transaction or was dropped once.
-func (l *limitsTrial) checkAccounted() {
+// checkAccounted fails unless every decision is in exactly one transaction or was dropped exactly
+// once.
+func (l *limitsFixture) checkAccounted() {
 	for i, times := range l.drops {
 		if times != 1 {
 			l.Fatalf("decision %d was dropped %d times", i, times)
 		}
 	}
-	if l.taken+len(l.drops) != len(l.decisions) {
-		l.Fatalf("%d decisions: %d taken, %d dropped", len(l.decisions), l.taken, len(l.drops))
+	if l.sent+len(l.drops) != len(l.decisions) {
+		l.Fatalf("%d decisions, but %d sent and %d dropped", len(l.decisions), l.sent, len(l.drops))
 	}
 }
 
-// TestAnyDecisionsKeepAnyLimits draws limits, records and decisions: every transaction is
-// within all limits as it is sent, no record is written by two, and every decision is in
-// one transaction or dropped, once. Before what is sent was counted, a new batch record's
-// own precondition was not: transactions of 65 preconditions were refused, and made again
-// alike (docs/incidents/refused-transactions.md).
-func TestAnyDecisionsKeepAnyLimits(t *testing.T) {
+// TestTransactionsOfRandomDecisionsKeepLimits draws limits, records and decisions. Every
+// transaction must stay within all limits as it is sent, no two transactions may write the same
+// record, and every decision must be in exactly one transaction or dropped exactly once. It
+// guards against limits that are checked on an estimate only: the estimate did not count the
+// precondition of a new batch record, so transactions with 65 preconditions were refused and
+// built again unchanged (docs/incidents/refused-transactions.md).
+func TestTransactionsOfRandomDecisionsKeepLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		trial := newLimitsTrial(t)
-		trial.drawRecords()
+		fixture := newLimitsFixture(t)
+		fixture.drawRecords()
 		for range rapid.IntRange(0, 60).Draw(t, "decisions") {
-			trial.drawDecision()
+			fixture.drawDecision()
 		}
-		batcher := trial.batcher()
-		waiting := batcher.Build(trial.decisions)
-		trial.take(waiting)
-		trial.checkAccounted()
-		// What is refused all the same is halved, down to single decisions.
-		for len(waiting) > 0 {
-			txn := waiting[0]
-			waiting = waiting[1:]
-			trial.untake(txn)
+		batcher := fixture.batcher()
+		pending := batcher.Build(fixture.decisions)
+		fixture.recordSent(pending)
+		fixture.checkAccounted()
+		// Every transaction is refused and split in half, down to single decisions.
+		for len(pending) > 0 {
+			txn := pending[0]
+			pending = pending[1:]
+			fixture.recordRefused(txn)
 			if len(txn.Decisions) == 1 {
 				txn.Decisions[0].Drop()
 			} else {
 				halves := batcher.Split(txn)
-				trial.take(halves)
-				waiting = append(waiting, halves...)
+				fixture.recordSent(halves)
+				pending = append(pending, halves...)
 			}
-			trial.checkAccounted()
+			fixture.checkAccounted()
 		}
 	})
 }
 
-// A decision that no transaction holds is quarantined alone; what was with it is sent.
+// A decision that fits into no transaction is quarantined; the other decisions of its transaction
+// are sent.
 func TestOversizedDecisionIsQuarantinedAlone(t *testing.T) {
 	batcher := testBatcher(4, 100)
 	var quarantined []string
@@ -216,12 +223,12 @@
 		{Writes: []store.Write{Put("host/2", 2)}},
 		{Writes: []store.Write{Put("host/two words", 2)}},
 	})
-	taken := 0
+	sent := 0
 	for _, txn := range built {
-		taken += len(txn.Decisions)
+		sent += len(txn.Decisions)
 	}
-	if taken != 2 || len(quarantined) != 3 ||
+	if sent != 2 || len(quarantined) != 3 ||
 		!strings.Contains(fmt.Sprint(quarantined), "host/many: 43 conditions of 16") {
-		t.Errorf("%d taken, %q", taken, quarantined)
+		t.Errorf("%d decisions sent and %q quarantined, want 2 and 3", sent, quarantined)
 	}
 }
--- a/internal/decide/quarantine.go
+++ b/internal/decide/quarantine.go
@@ -9,45 +9,47 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Quarantine is the decisions that no transaction can hold, or that the state service
-// refused by themselves. The same decision is not made again before a pause that doubles:
-// made in every cycle, it would take the place of others for ever. The zero value is empty
-// and ready for use.
+// Quarantine holds the decisions that fit into no transaction, or that the state service
+// refused in a transaction of their own. Each one is held back for a period that doubles every
+// time it is added: retried in every scheduling cycle, it would permanently take the place of
+// other decisions. The zero value is an empty quarantine ready to use.
 type Quarantine struct {
-	// Total counts the additions since the start, repeated ones among them.
+	// Total counts the calls of Add since the start, including repeated decisions.
 	Total int
 
-	entries map[uint64]quarantined
+	entries map[uint64]quarantineEntry
 }
 
-// quarantined is one such decision.
-type quarantined struct {
-	until time.Time
-	pause time.Duration
+// quarantineEntry is a quarantined decision.
+type quarantineEntry struct {
+	until   time.Time
+	backoff time.Duration
 }
 
-// Add quarantines a decision, and tells whether it is a new one, which is to be logged.
+// Add quarantines a decision and reports whether it was not quarantined before, so that the
+// caller logs it only once.
 func (q *Quarantine) Add(decision *Decision, now time.Time) bool {
 	q.Total++
 	if q.entries == nil {
-		q.entries = map[uint64]quarantined{}
+		q.entries = map[uint64]quarantineEntry{}
 	}
 	fingerprint := decision.fingerprint()
 	previous, known := q.entries[fingerprint]
 	if !known && len(q.entries) >= tuning.MaxQuarantined {
 		q.evict(now)
 	}
-	pause := min(max(2*previous.pause, tuning.QuarantineFirst), tuning.MaxQuarantine)
-	q.entries[fingerprint] = quarantined{until: now.Add(pause), pause: pause}
+	backoff := min(max(2*previous.backoff, tuning.QuarantineFirst), tuning.MaxQuarantine)
+	q.entries[fingerprint] = quarantineEntry{until: now.Add(backoff), backoff: backoff}
 	return !known
 }
 
-// Contains tells whether a decision like this one is in quarantine now.
+// Contains reports whether a decision with the same fingerprint is in quarantine now.
 func (q *Quarantine) Contains(decision *Decision, now time.Time) bool {
 	return len(q.entries) > 0 && now.Before(q.entries[decision.fingerprint()].until)
 }
 
-// evict makes room: entries whose pause is over go, or all, where there are none such.
+// evict makes room for a new entry: it removes the expired entries, or all entries if none has
+// expired.
 func (q *Quarantine) evict(now time.Time) {
 	for fingerprint, entry := range q.entries {
 		if !now.Before(entry.until) {
@@ -59,11 +61,10 @@
 	}
 }
 
-// fingerprint identifies a decision by the states that its tasks take and the records that
-// it writes. Another machine, and times and counts in the records, do not make it another
-// one.
+// fingerprint returns a hash of the next states of the decision's tasks and of the keys that it
+// writes. The chosen machine and the contents of the records do not affect it.
 func (d *Decision) fingerprint() uint64 {
-	hash := xxhash.New() // whose Write returns no error
+	hash := xxhash.New() // its Write never returns an error
 	for _, change := range d.Changes {
 		_, _ = fmt.Fprintln(hash, change.Task.ID, change.Next.State, change.Next.Attempt)
 	}
--- a/internal/decide/quarantine_test.go
+++ b/internal/decide/quarantine_test.go
@@ -9,45 +9,46 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// A quarantined decision is not made again before its pause is over, which doubles.
-func TestQuarantinePauseDoubles(t *testing.T) {
+// A decision stays quarantined for its backoff, which doubles each time it is added.
+func TestQuarantineBackoffDoubles(t *testing.T) {
 	tasks := placedTasks(t, 2)
 	decision, other := complete(tasks[0]), complete(tasks[1])
 	now := time.Unix(0, 0)
 	var q Quarantine
 	if q.Contains(&decision, now) || !q.Add(&decision, now) || !q.Contains(&decision, now) || q.Contains(&other, now) {
-		t.Error("not just this one is quarantined")
+		t.Error("want only the added decision to be quarantined, and to be reported as new")
 	}
-	for pause := tuning.QuarantineFirst; pause < tuning.MaxQuarantine; pause *= 2 {
-		if !q.Contains(&decision, now.Add(pause-1)) || q.Contains(&decision, now.Add(pause)) {
-			t.Fatalf("not quarantined for %v", pause)
+	for backoff := tuning.QuarantineFirst; backoff < tuning.MaxQuarantine; backoff *= 2 {
+		if !q.Contains(&decision, now.Add(backoff-1)) || q.Contains(&decision, now.Add(backoff)) {
+			t.Fatalf("not quarantined for exactly %v", backoff)
 		}
-		now = now.Add(pause)
+		now = now.Add(backoff)
 		if q.Add(&decision, now) {
-			t.Error("reported as new twice")
+			t.Error("decision reported as new twice")
 		}
 	}
 	for i := range 2 * tuning.MaxQuarantined {
 		q.Add(&Decision{Writes: []store.Write{Remove(fmt.Sprint("host/", i))}}, now)
 	}
 	if len(q.entries) > tuning.MaxQuarantined {
-		t.Errorf("%d are kept", len(q.entries))
+		t.Errorf("%d entries exceed the maximum", len(q.entries))
 	}
 }
 
-// A fault that concerns each of 4,000 machines keeps none of them from being quarantined.
+// A fault that affects each of 4,000 machines leaves all their decisions quarantined: none is
+// evicted for lack of space.
 func TestQuarantineHolds4000Machines(t *testing.T) {
 	now := time.Unix(0, 0)
-	about := func(i int) *Decision {
+	decisionAbout := func(i int) *Decision {
 		return &Decision{Writes: []store.Write{Put(fmt.Sprintf("host/i-%06d", i), i)}}
 	}
 	var q Quarantine
 	for i := range 4000 {
-		q.Add(about(i), now)
+		q.Add(decisionAbout(i), now)
 	}
 	for i := range 4000 {
-		if !q.Contains(about(i), now.Add(tuning.QuarantineFirst/2)) {
-			t.Fatalf("the decision about machine %d is made again", i)
+		if !q.Contains(decisionAbout(i), now.Add(tuning.QuarantineFirst/2)) {
+			t.Fatalf("the decision about machine %d is no longer quarantined", i)
 		}
 	}
 }
--- a/internal/decide/transaction.go
+++ b/internal/decide/transaction.go
@@ -11,31 +11,34 @@
 	"github.com/harrierreel/harrierreel/internal/taskbatch"
 )
 
-// Records is what is known of the state service's records. *store.Mirror is one.
+// Records gives access to the last known contents of the state service. *store.Mirror
+// implements it.
 type Records interface {
-	// Revision is the last known revision of a key, 0 for one that is absent.
+	// Revision returns the last known revision of a key, or 0 if the key is absent.
 	Revision(key string) uint64
-	// Get is the last known value of a key, nil for one that is absent.
+	// Get returns the last known value of a key, or nil if the key is absent.
 	Get(key string) json.RawMessage
 }
 
 // MachineOwner knows which machines belong to this controller's shard.
 type MachineOwner interface {
+	// OwnsMachine reports whether a machine belongs to this controller's shard.
 	OwnsMachine(machine string) bool
 }
 
-// BatchKeys names new batch records.
+// BatchKeys generates the keys of new batch records.
 type BatchKeys interface {
-	// NewBatchKey is a key that was never used before, by any controller.
+	// NewBatchKey returns a key that no controller has ever used before.
 	NewBatchKey() string
 }
 
-// TxnContext is what transactions depend on besides their decisions.
+// TxnContext holds what transactions depend on besides their decisions.
 type TxnContext struct {
 	Limits store.Limits
-	// Preconditions are the keys that every transaction is conditional on.
+	// Preconditions lists the keys that every transaction is conditional on.
 	Preconditions []string
-	// KnownEpoch is the epoch of the state service up to which all changes are known.
+	// KnownEpoch is the epoch of the state service up to which all changes have been applied
+	// locally.
 	KnownEpoch uint64
 	Records    Records
 	Machines   MachineOwner
@@ -45,28 +48,30 @@
 // Transaction is a transaction of the state service with the decisions that it commits.
 type Transaction struct {
 	Decisions []Decision
-	// Urgent is set where one of the decisions is urgent.
+	// Urgent is set if at least one of the decisions is urgent.
 	Urgent bool
-	// Txn is what is sent. It is counted against the limits as it is: a change made to it
-	// afterwards would go out unchecked.
+	// Txn is the request that is sent. It has been checked against the limits and must not be
+	// changed afterwards, because a later change would not be checked.
 	Txn store.Txn
 
-	// preconditions are the keys that it is conditional on, without those of new batch records.
+	// preconditions holds the keys that the transaction is conditional on, without those of new
+	// batch records.
 	preconditions map[string]bool
 	writes        []store.Write
-	// edits maps the key of a task record to what becomes of its tasks; recordOrder is its
-	// keys in the order in which they came.
+	// edits maps the key of a task record to the changes of its tasks. recordOrder lists the
+	// keys of edits in the order in which they were added.
 	edits       map[string]map[*clusterstate.Task]Change
 	recordOrder []string
 	// newBatches maps a controller to the entries of its new batch record.
 	newBatches map[string][]taskbatch.Entry
-	// splitBatches are the batch records from which this controller's tasks move to a new one.
+	// splitBatches holds the keys of the batch records from which this controller's tasks move
+	// to a new one.
 	splitBatches map[string]bool
 	// estimatedBytes is the size of the request as estimated before it is built.
 	estimatedBytes int
 }
 
-// newTransaction makes a transaction without decisions.
+// newTransaction returns a transaction without decisions.
 func newTransaction(preconditions []string) *Transaction {
 	txn := &Transaction{
 		edits:         map[string]map[*clusterstate.Task]Change{},
@@ -80,11 +85,12 @@
 	return txn
 }
 
-// pendingKeys counts the records that are written under keys which are known only when
-// the transaction is built.
+// pendingKeys returns the number of records whose keys are generated only when the transaction
+// is built.
 func (t *Transaction) pendingKeys() int { return len(t.newBatches) + len(t.splitBatches) }
 
-// buildWrites makes the writes. What is put comes before what is removed.
+// buildWrites returns the writes of the transaction. Puts of batch records come before removals
+// of batch records.
 func (t *Transaction) buildWrites(context TxnContext) []store.Write {
 	writes := slices.Clone(t.writes)
 	for _, key := range t.recordOrder {
@@ -95,7 +101,7 @@
 	return append(writes, t.batchWrites(context)...)
 }
 
-// build makes Txn, whole as it is sent.
+// build sets Txn to the complete request.
 func (t *Transaction) build(context TxnContext) {
 	txn := store.Txn{Writes: t.buildWrites(context)}
 	keys := maps.Clone(t.preconditions)
@@ -111,7 +117,7 @@
 	t.Txn = txn
 }
 
-// recordOf is the task record that some changed tasks are in.
+// recordOf returns the task record that the changed tasks are stored in.
 func recordOf(edits map[*clusterstate.Task]Change) *clusterstate.TaskRecord {
 	for task := range edits {
 		return task.StoredIn
@@ -119,10 +125,10 @@
 	return nil
 }
 
-// taskRangeWrite writes a task range with some of its tasks changed. The range of a job
-// that is over is removed once none of its tasks may be on a machine. That of a job whose
-// record cannot be read is kept: the job may be live, and its attempts' numbers must not
-// be used again.
+// taskRangeWrite returns the write of a task range with some of its tasks changed. The range of
+// a job that has ended is removed once none of its tasks may be on a machine. The range of a job
+// whose record cannot be read is kept: the job may be live, and its attempt numbers must not be
+// reused.
 func taskRangeWrite(
 	record *clusterstate.TaskRecord,
 	edits map[*clusterstate.Task]Change,
@@ -138,8 +144,8 @@
 		onMachine = onMachine || tasks[i].OnMachine()
 	}
 	job := record.Job
-	over := !job.RecordUnreadable && (job.Record == nil || job.Record.State != jobs.Live)
-	if over && !onMachine {
+	jobEnded := !job.RecordUnreadable && (job.Record == nil || job.Record.State != jobs.Live)
+	if jobEnded && !onMachine {
 		return Remove(record.Key)
 	}
 	return store.Write{Put: record.Key, Value: jobs.EncodeTaskRange(tasks, valueLimit)}
