--- a/internal/commit/commit.go
+++ b/internal/commit/commit.go
@@ -1,7 +1,8 @@
-// Package commit writes decisions to the state service: it batches them into transactions,
-// sends them, settles what was refused, conflicted or left unanswered (settlement.go), and
-// keeps the fence (fence.go). Requests go out by the store client that it is given; it has
-// no IO and no clock of its own.
+// Package commit writes decisions to the state service. It batches them into transactions,
+// sends these, and settles each by its outcome: committed, conflicted, refused or unanswered
+// (settlement.go). It also maintains the fence that invalidates unanswered transactions
+// (fence.go). All requests go through the store client that it is given; the package does no
+// other IO and reads no clock.
 package commit
 
 import (
@@ -18,43 +19,43 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Membership is this controller's place in the view.
+// Membership gives this controller's place in the view.
 type Membership interface {
-	// HasView tells whether any view is known.
+	// HasView reports whether any view is known.
 	HasView() bool
-	// Epoch is the view's epoch in which this controller has its role.
+	// Epoch returns the epoch of the view in which this controller has its role.
 	Epoch() uint64
-	// OwnsMachine tells whether a machine belongs to this controller's shard.
+	// OwnsMachine reports whether a machine belongs to this controller's shard.
 	OwnsMachine(machine string) bool
 }
 
-// Guard restricts what may be decided.
+// Guard restricts which decisions may be committed.
 type Guard interface {
-	// Preconditions are the keys that every decision is conditional on besides the view and
-	// the fence: the quota tree and the calendar, where these are on.
+	// Preconditions returns the keys that every decision is conditional on besides the view and
+	// the fence: those of the quota tree and the calendar, if these are enabled.
 	Preconditions() []string
 	// ApplyCalendar drops the decisions that the calendar forbids, and makes the others
-	// conditional on its allowing them.
+	// conditional on the calendar still allowing them.
 	ApplyCalendar(decisions []decide.Decision) []decide.Decision
 }
 
 // Loop is the controller's event loop.
 type Loop interface {
-	// ReviewMachineOf has the machine of a task reviewed.
+	// ReviewMachineOf schedules a review of the machine that a task is on.
 	ReviewMachineOf(task *clusterstate.Task)
-	// Wake has the loop look for decisions to make.
+	// Wake makes the loop look for new decisions.
 	Wake()
-	// WatchNow opens the watch of the state service at once.
+	// WatchNow opens the watch of the state service without delay.
 	WatchNow()
 }
 
-// Config is what a Committer is made of.
+// Config holds the settings and dependencies of a Committer.
 type Config struct {
-	// Name is this controller's.
+	// Name is the name of this controller.
 	Name string
-	// StoreLimits are the limits of a transaction.
+	// StoreLimits holds the state service's limits on a transaction.
 	StoreLimits settings.State
-	// ValueBytes is the limit of a record's value.
+	// ValueBytes is the maximum size of a record's value.
 	ValueBytes int
 	Log        *slog.Logger
 	Client     *store.Client
@@ -64,8 +65,8 @@
 	Loop       Loop
 }
 
-// Committer writes decisions to the state service. A record is under at most one
-// transaction of a Committer at a time. Only the controller's event loop may call it.
+// Committer writes decisions to the state service. At most one unsettled transaction of a
+// Committer writes a given record. Only the controller's event loop may call its methods.
 type Committer struct {
 	state  *clusterstate.State
 	config Config
@@ -74,18 +75,18 @@
 	log    *slog.Logger
 
 	fence fence
-	// inFlight are the keys under a transaction that is not settled.
+	// inFlight holds the keys that unsettled transactions write.
 	inFlight map[string]bool
-	// batchRecords counts the batch records that this process has named.
-	batchRecords uint64
-	// awaitingWatch are the conflicts that the watch settles.
-	awaitingWatch []awaitingEpoch
-	// completionWrites counts the writes of completed jobs in flight.
+	// batchKeys counts the batch record keys that this process has generated.
+	batchKeys uint64
+	// pendingConflicts lists the conflicted transactions that wait for the watch to catch up.
+	pendingConflicts []pendingConflict
+	// completionWrites counts the writes in flight that record the end of a job.
 	completionWrites int
 	quarantine       decide.Quarantine
 }
 
-// New makes a committer over a state.
+// New returns a committer that works on a state.
 func New(state *clusterstate.State, config Config) *Committer {
 	return &Committer{
 		state:    state,
@@ -98,16 +99,17 @@
 	}
 }
 
-// Busy tells whether a record is under a transaction.
+// Busy reports whether an unsettled transaction writes a record.
 func (c *Committer) Busy(key string) bool { return c.inFlight[key] }
 
-// Quarantined counts the decisions quarantined so far. A correct program never makes one.
+// Quarantined returns how often a decision was quarantined since the start. Without faults in
+// the program or the state service it stays 0.
 func (c *Committer) Quarantined() int { return c.quarantine.Total }
 
-// Commit sends decisions in transactions within the state service's limits. Decisions that
-// touch a record in flight are dropped, to be made again in a later cycle, and so are those,
-// but for urgent ones, that the budget does not allow at once. All are dropped while the
-// state service is unavailable, before a view is known and while the fence is being raised.
+// Commit sends decisions in transactions within the state service's limits. It drops decisions
+// that write a record in flight, and non-urgent decisions that the write budget does not allow
+// now; they are made again in a later scheduling cycle. It drops all decisions while the state
+// service is unavailable, no view is known, or the fence is being raised.
 func (c *Committer) Commit(decisions []decide.Decision) {
 	if c.client.Unavailable() || !c.config.Membership.HasView() || c.Fencing() {
 		for i := range decisions {
@@ -124,7 +126,7 @@
 	}
 }
 
-// dropQuarantined drops a decision that is in quarantine, and tells whether it was.
+// dropQuarantined drops a decision if it is in quarantine, and reports whether it was.
 func (c *Committer) dropQuarantined(decision decide.Decision) bool {
 	if !c.quarantine.Contains(&decision, c.state.Now) {
 		return false
@@ -133,7 +135,7 @@
 	return true
 }
 
-// newBatcher makes a batcher of what is known now.
+// newBatcher returns a batcher that works on the current state.
 func (c *Committer) newBatcher() *decide.Batcher {
 	preconditions := []string{members.ViewKey, c.fence.key}
 	return &decide.Batcher{
@@ -157,23 +159,23 @@
 	}
 }
 
-// QuarantineDecision keeps a decision that cannot be committed from being made again at
-// once, and logs it the first time. The Batcher calls it.
+// QuarantineDecision quarantines a decision that cannot be committed, so that it is not retried
+// at once, and logs it the first time. It implements decide.Quarantiner.
 func (c *Committer) QuarantineDecision(decision *decide.Decision, reason error) {
 	if c.quarantine.Add(decision, c.state.Now) {
 		c.log.Error("decision quarantined", "reason", reason, "decision", decision.String())
 	}
 }
 
-// NewBatchKey is the key of a new batch record: every incarnation of a controller has its
-// own epoch, so none is ever used twice. The Batcher calls it.
+// NewBatchKey returns the key of a new batch record. Every incarnation of a controller has its
+// own epoch, so no key is ever used twice. It implements decide.BatchKeys.
 func (c *Committer) NewBatchKey() string {
-	c.batchRecords++
+	c.batchKeys++
 	return fmt.Sprintf("%s%d-%s-%d",
-		taskbatch.KeyPrefix, c.config.Membership.Epoch(), c.config.Name, c.batchRecords)
+		taskbatch.KeyPrefix, c.config.Membership.Epoch(), c.config.Name, c.batchKeys)
 }
 
-// send sends a transaction. Its records are in flight until it is settled.
+// send sends a transaction. The records that it writes are in flight until it is settled.
 func (c *Committer) send(txn *decide.Transaction) {
 	for _, write := range txn.Txn.Writes {
 		c.inFlight[decide.WriteKey(write)] = true
--- a/internal/commit/commit_test.go
+++ b/internal/commit/commit_test.go
@@ -18,14 +18,15 @@
 	"github.com/harrierreel/harrierreel/internal/taskbatch"
 )
 
-// request is one at the state service that is not answered yet.
+// request is a request to the state service that has not been answered yet.
 type request struct {
 	target string
 	body   string
 	answer func(status int, body []byte, err error)
 }
 
-// fakeController is the rest of a controller with a view, a quota tree and all machines.
+// fakeController stands for the other parts of a controller that has a view and a quota tree and
+// owns all machines.
 type fakeController struct{}
 
 func (fakeController) HasView() bool                      { return true }
@@ -38,7 +39,8 @@
 
 func (fakeController) ApplyCalendar(decisions []decide.Decision) []decide.Decision { return decisions }
 
-// newTestCommitter is a committer with a wide budget, and the requests that it has sent.
+// newTestCommitter returns a committer with an ample write budget, and the list of the requests
+// that it sends.
 func newTestCommitter() (*Committer, *[]request) {
 	requests := &[]request{}
 	send := func(_, target string, body []byte, _ time.Duration, done func(int, []byte, error)) {
@@ -63,7 +65,7 @@
 	return c, requests
 }
 
-// writeOf is an urgent decision that writes one key, and notes how it was settled.
+// writeOf returns an urgent decision that writes one key. The outcome is appended to settled.
 func writeOf(key string, settled *[]bool) decide.Decision {
 	return decide.Decision{
 		Urgent:    true,
@@ -72,8 +74,8 @@
 	}
 }
 
-// After a transaction without an answer nothing is decided before the fence is raised
-// and the watch has come to it.
+// After a transaction without an answer, no decision is committed until the fence is raised and
+// the watch has reached the epoch of the fence.
 func TestTransactionWithoutAnswerRaisesFence(t *testing.T) {
 	c, requests := newTestCommitter()
 	var settled []bool
@@ -86,30 +88,31 @@
 	}
 	(*requests)[0].answer(0, nil, errors.New("cut"))
 	if len(*requests) != 2 || (*requests)[1].target != "/store/a/1" || !c.Busy("a/1") {
-		t.Fatalf("not read again: %+v", *requests)
+		t.Fatalf("record of the unanswered transaction was not read again: %+v", *requests)
 	}
 	(*requests)[1].answer(404, []byte(`{"epoch":3}`), nil)
 	if c.Busy("a/1") || !slices.Equal(settled, []bool{false}) {
-		t.Fatal("not settled")
+		t.Fatal("unanswered transaction was not settled after its record was read")
 	}
 	commit("a/2")
 	if len(*requests) != 3 || strings.Contains((*requests)[2].body, "a/2") ||
 		!strings.Contains((*requests)[2].body, `"write":"fence/n0"`) {
-		t.Fatalf("no fence: %+v", (*requests)[2:])
+		t.Fatalf("got requests %+v, want only the one that raises the fence", (*requests)[2:])
 	}
 	(*requests)[2].answer(200, []byte(`{"epoch":9}`), nil)
 	commit("a/3")
 	if len(*requests) != 3 || !c.Fencing() {
-		t.Fatal("decided before the watch came to the fence")
+		t.Fatal("decision committed before the watch reached the epoch of the fence")
 	}
 	c.mirror.Epoch = 9
 	commit("a/4")
 	if len(*requests) != 4 || !strings.Contains((*requests)[3].body, `{"key":"fence/n0","stamp":9}`) {
-		t.Fatalf("after the fence: %+v", (*requests)[3:])
+		t.Fatalf("got requests %+v, want one that is conditional on the raised fence", (*requests)[3:])
 	}
 }
 
-// A conflict over a batch record is settled by the watch alone.
+// A conflict over a batch record is settled only by the watch: the record is not read
+// individually.
 func TestBatchConflictWaitsForWatch(t *testing.T) {
 	c, requests := newTestCommitter()
 	var settled []bool
@@ -119,16 +122,16 @@
 	c.mirror.Epoch = 4
 	c.SettleWatched()
 	if len(*requests) != 1 || !c.Busy(key) || len(settled) != 0 {
-		t.Fatal("a batch record was read by itself, or settled early")
+		t.Fatal("batch record was read individually, or the conflict was settled too early")
 	}
 	c.mirror.Epoch = 5
 	c.SettleWatched()
 	if c.Busy(key) || !slices.Equal(settled, []bool{false}) {
-		t.Fatal("not settled")
+		t.Fatal("conflict was not settled when the watch reached its epoch")
 	}
 }
 
-// Of a refused transaction only the one decision that is to blame is quarantined.
+// Only the decision that causes a transaction to be refused is quarantined.
 func TestRefusedTransactionQuarantinesOneDecision(t *testing.T) {
 	c, requests := newTestCommitter()
 	var settled []bool
@@ -137,7 +140,7 @@
 		decisions = append(decisions, writeOf(key, &settled))
 	}
 	c.Commit(decisions)
-	// An answer may have more sent, so what is left is looked at anew each time.
+	// An answer may cause further requests, so the list is read again each time.
 	for len(*requests) > 0 {
 		request := (*requests)[0]
 		*requests = (*requests)[1:]
@@ -148,11 +151,11 @@
 		}
 	}
 	if c.Quarantined() != 1 || len(settled) != 4 || c.Busy("a/bad") {
-		t.Fatalf("%d quarantined, %v", c.Quarantined(), settled)
+		t.Fatalf("%d decisions quarantined, outcomes %v; want 1 and 4 outcomes", c.Quarantined(), settled)
 	}
 	before := len(*requests)
 	c.Commit(decisions[2:3])
 	if len(*requests) != before {
-		t.Error("made again at once")
+		t.Error("quarantined decision was sent again at once")
 	}
 }
--- a/internal/commit/fence.go
+++ b/internal/commit/fence.go
@@ -7,23 +7,23 @@
 	"github.com/harrierreel/harrierreel/internal/store"
 )
 
-// FencePrefix begins the keys of all controllers' fences in the state service.
+// FencePrefix is the prefix of the keys of the controllers' fences in the state service.
 const FencePrefix = "fence/"
 
-// fence is a key of this controller that each of its decisions is conditional on. Changing
-// it makes every transaction still in flight fail.
+// fence is a key of this controller that each of its decisions is conditional on. Raising the
+// fence, that is writing the key, makes every transaction still in flight fail.
 type fence struct {
 	key string
-	// needed: a transaction had no answer, and the fence is not raised since.
+	// needed is set if a transaction got no answer and the fence has not been raised since.
 	needed bool
-	// raising: a request that raises it is in flight.
+	// raising is set while the request that raises the fence is in flight.
 	raising bool
-	// epoch is where the watch must come to before anything is decided.
+	// epoch is the epoch that the watch must reach before any decision is made.
 	epoch uint64
 }
 
-// Fencing tells whether decisions must wait for the fence, and sends the write that raises it if that is
-// needed and not under way.
+// Fencing reports whether decisions must wait for the fence. It also sends the write that raises
+// the fence if that is needed and not yet in flight.
 func (c *Committer) Fencing() bool {
 	if c.fence.needed && !c.fence.raising && !c.client.Unavailable() {
 		c.raiseFence()
@@ -31,6 +31,7 @@
 	return c.fence.needed || c.mirror.Epoch < c.fence.epoch
 }
 
+// raiseFence writes the fence key.
 func (c *Committer) raiseFence() {
 	f := &c.fence
 	f.raising = true
@@ -46,7 +47,8 @@
 			c.mirror.ApplyCommit(txn.Writes, epoch)
 			f.needed, f.epoch = false, epoch
 		case errors.Is(err, store.ErrConflict):
-			// An earlier attempt took effect without an answer: the record shows it.
+			// An earlier attempt took effect without an answer: read the record to learn its
+			// revision.
 			c.client.Get(store.PriorityMembership, f.key, nil, c.mirrorItem)
 		}
 	})
--- a/internal/commit/golden_test.go
+++ b/internal/commit/golden_test.go
@@ -6,12 +6,13 @@
 	"github.com/harrierreel/harrierreel/internal/goldentest"
 )
 
-// TestGoldenFence holds the transaction that raises the fence, whose value is a time of day.
+// TestGoldenFence compares the request that raises the fence with its golden file. The value of
+// the fence is a timestamp.
 func TestGoldenFence(t *testing.T) {
 	c, requests := newTestCommitter()
 	c.fence.needed = true
 	if !c.Fencing() || len(*requests) != 1 {
-		t.Fatalf("sent %+v", *requests)
+		t.Fatalf("got requests %+v, want one that raises the fence", *requests)
 	}
 	goldentest.Bytes(t, "fence.json", []byte((*requests)[0].body))
 }
--- a/internal/commit/settlement.go
+++ b/internal/commit/settlement.go
@@ -12,8 +12,8 @@
 	"github.com/harrierreel/harrierreel/internal/taskbatch"
 )
 
-// settle acts on the outcome of a transaction. epoch is that of the state service, failed
-// are the keys of the preconditions that did not hold, where it says so.
+// settle handles the outcome of a transaction. epoch is the epoch of the state service; failed
+// lists the keys of the preconditions that did not hold, if the service reports them.
 func (c *Committer) settle(txn *decide.Transaction, epoch uint64, failed []string, err error) {
 	writes := txn.Txn.Writes
 	switch {
@@ -22,7 +22,7 @@
 		c.finish(writes, txn.Decisions, true)
 	case errors.Is(err, store.ErrConflict):
 		c.log.Debug("transaction conflict", "keys", fmt.Sprint(failed))
-		// The mirror is behind: what it lacks is already in the store.
+		// The mirror lags behind the store, which already has the newer records.
 		if slices.ContainsFunc(failed, isBatchKey) || slices.ContainsFunc(writeKeys(writes), isBatchKey) {
 			c.settleAtEpoch(epoch, txn)
 			return
@@ -32,10 +32,10 @@
 		}
 		c.settleByReading(failed, txn)
 	case errors.Is(err, store.ErrNoAnswer):
-		// The transaction may have been executed, or may be yet. Nothing is decided before
-		// it is known which: the fence makes it impossible from now on, and the watch shows
-		// whether it was in time. Without the fence a late release would exceed a team's
-		// limit.
+		// The transaction may have been executed, or may still be. No decision is made before
+		// the outcome is known: raising the fence makes a later execution fail, and the watch
+		// then shows whether the transaction was executed before. Without the fence, a task
+		// release that is executed late could exceed a team's limit.
 		c.fence.needed = true
 		c.log.Info("transaction without answer", "writes", len(writes), "error", err)
 		c.settleByReading(writeKeys(writes), txn)
@@ -46,10 +46,11 @@
 	}
 }
 
-// splitRefused goes on after a transaction that the state service calls malformed. It was
-// counted before it was sent, so this is a fault of the program or of the service. Made
-// again alike it would be refused again: its halves are sent, down to the one decision that
-// is to blame, which is quarantined.
+// splitRefused handles a transaction that the state service refused as malformed. The
+// transaction was checked against the limits before it was sent, so this is a fault of the
+// program or of the service, and the same transaction would be refused again. splitRefused
+// therefore sends its two halves. Repeated splitting isolates the decision at fault, which is
+// quarantined.
 func (c *Committer) splitRefused(txn *decide.Transaction, refusal error) {
 	c.finish(txn.Txn.Writes, nil, false)
 	if len(txn.Decisions) == 1 {
@@ -69,41 +70,41 @@
 	}
 }
 
-// awaitingEpoch is a transaction that conflicted over a batch record, which is settled once
-// the watch has come to an epoch.
-type awaitingEpoch struct {
+// pendingConflict is a transaction that conflicted over a batch record. It is settled once the
+// watch has reached an epoch.
+type pendingConflict struct {
 	epoch uint64
 	txn   *decide.Transaction
 }
 
-// settleAtEpoch settles a transaction when the watch has come to the epoch at which it
-// conflicted. A batch record is never read by itself: of two between which a task has
-// moved, the one alone shows the task nowhere, and the task would be placed once more while
-// it runs (docs/incidents/packs-ran-twice.md).
+// settleAtEpoch settles a transaction once the watch has reached the epoch at which the
+// transaction conflicted. A batch record is never read individually: if a task has moved from
+// one batch record to another, reading only the former makes the task disappear, and it would
+// be placed again while it is running (docs/incidents/packs-ran-twice.md).
 func (c *Committer) settleAtEpoch(epoch uint64, txn *decide.Transaction) {
-	c.awaitingWatch = append(c.awaitingWatch, awaitingEpoch{epoch: epoch, txn: txn})
+	c.pendingConflicts = append(c.pendingConflicts, pendingConflict{epoch: epoch, txn: txn})
 	c.SettleWatched()
 	c.config.Loop.WatchNow()
 }
 
-// SettleWatched settles the conflicts that the watch has come to by now. It is called after
-// every step of the watch.
+// SettleWatched settles the conflicts whose epoch the watch has reached. It must be called after
+// every update from the watch.
 func (c *Committer) SettleWatched() {
-	var left []awaitingEpoch
-	for _, conflict := range c.awaitingWatch {
+	var remaining []pendingConflict
+	for _, conflict := range c.pendingConflicts {
 		if c.mirror.Epoch >= conflict.epoch {
 			c.finish(conflict.txn.Txn.Writes, conflict.txn.Decisions, false)
 		} else {
-			left = append(left, conflict)
+			remaining = append(remaining, conflict)
 		}
 	}
-	c.awaitingWatch = left
+	c.pendingConflicts = remaining
 }
 
-// isBatchKey tells whether a key is a batch record's.
+// isBatchKey reports whether a key is that of a batch record.
 func isBatchKey(key string) bool { return strings.HasPrefix(key, taskbatch.KeyPrefix) }
 
-// writeKeys are the keys of some writes.
+// writeKeys returns the keys that writes put or remove.
 func writeKeys(writes []store.Write) []string {
 	var keys []string
 	for _, write := range writes {
@@ -112,9 +113,9 @@
 	return keys
 }
 
-// settleByReading settles a transaction once these records are read again, before which
-// nothing may be decided on them. Batch records are left to the watch, see settleAtEpoch;
-// after a transaction without an answer all wait for the fence anyway.
+// settleByReading reads records again and then settles a transaction. Until then, no decision may
+// be made about these records. Batch records are not read but left to the watch, see
+// settleAtEpoch; after a transaction without an answer, all decisions wait for the fence anyway.
 func (c *Committer) settleByReading(keys []string, txn *decide.Transaction) {
 	unread := map[string]bool{}
 	for _, key := range keys {
@@ -122,30 +123,30 @@
 			unread[key] = true
 		}
 	}
-	left := len(unread)
-	if left == 0 {
+	remaining := len(unread)
+	if remaining == 0 {
 		c.finish(txn.Txn.Writes, txn.Decisions, false)
 		return
 	}
 	for _, key := range clusterstate.SortedKeys(unread) {
 		c.client.Get(store.PriorityUrgent, key, nil, func(item *store.Item, err error) {
 			c.mirrorItem(item, err)
-			if left--; left == 0 {
+			if remaining--; remaining == 0 {
 				c.finish(txn.Txn.Writes, txn.Decisions, false)
 			}
 		})
 	}
 }
 
-// mirrorItem takes a record that was read into the mirror. One that could not be read, or
-// is absent, is left to the watch.
+// mirrorItem enters a record that was read into the mirror. If the record could not be read or
+// is absent, the update is left to the watch.
 func (c *Committer) mirrorItem(item *store.Item, err error) {
 	if err == nil && item != nil {
 		c.mirror.Put(item.Key, item.Value, item.Revision)
 	}
 }
 
-// finish settles decisions and takes the records of their writes out of flight.
+// finish settles decisions, and marks the records of their writes as no longer in flight.
 func (c *Committer) finish(writes []store.Write, decisions []decide.Decision, ok bool) {
 	for _, write := range writes {
 		delete(c.inFlight, decide.WriteKey(write))
