--- a/internal/clusterstate/apply.go
+++ b/internal/clusterstate/apply.go
@@ -8,8 +8,8 @@
 	"github.com/harrierreel/harrierreel/internal/jobs"
 )
 
-// ApplyJob takes in a job's record, nil for one that is gone. One that can't be read counts as
-// gone, and the error says why.
+// ApplyJob applies the record of a job; a nil value means that the record was removed. An
+// unreadable record counts as removed, and ApplyJob returns an error.
 func (s *State) ApplyJob(jobID string, value json.RawMessage) error {
 	j := s.ensureJob(jobID)
 	var record *jobs.Record
@@ -19,7 +19,7 @@
 			record = nil
 		}
 	}
-	// What its tasks take and are charged is known from the record only.
+	// The resources and quota charges of its tasks depend on the record.
 	for _, t := range j.Tasks {
 		s.unindexTask(t)
 	}
@@ -33,9 +33,10 @@
 	return err
 }
 
-// ApplyTaskRange takes in the record of a task range, nil for one that is gone. Tasks of which
-// it says nothing new stay as they are. A record that can't be read stands for one unreadable
-// task, and the error says why. It returns the job's ID; key must begin with jobs.TaskPrefix.
+// ApplyTaskRange applies the record of a task range; a nil value means that the record was
+// removed. Tasks whose records are unchanged keep their Task values. An unreadable record is
+// treated as a single unreadable task, and ApplyTaskRange returns an error. It also returns the
+// job's ID. key must begin with jobs.TaskPrefix.
 func (s *State) ApplyTaskRange(key string, value json.RawMessage) (jobID string, err error) {
 	jobID, firstIndex, ok := jobs.SplitTaskID(key[len(jobs.TaskPrefix):])
 	if !ok {
@@ -63,7 +64,7 @@
 	return jobID, err
 }
 
-// replaceRangeTasks makes a task range hold what is stored of it.
+// replaceRangeTasks replaces the tasks of a task range by the stored ones.
 func (s *State) replaceRangeTasks(record *TaskRecord, stored []jobs.Task) {
 	j := record.Job
 	previous := record.Tasks
@@ -92,7 +93,7 @@
 	}
 }
 
-// replaceTask enters a task of a task range in the place of what was known of it.
+// replaceTask enters a task of a task range and replaces the previously known task.
 func (s *State) replaceTask(t *Task) {
 	previous := t.Job.Tasks[t.Index]
 	if previous != nil {
@@ -105,9 +106,9 @@
 	}
 }
 
-// ApplyMachine takes in the record of a machine, nil for one that is gone. owner is the
-// controller that it belongs to. A record that can't be read is an error, and the machine stays
-// as it was.
+// ApplyMachine applies the record of a machine; a nil value means that the record was removed.
+// owner is the controller that the machine belongs to. If the record is unreadable, ApplyMachine
+// returns an error and leaves the machine unchanged.
 func (s *State) ApplyMachine(name, owner string, value json.RawMessage) error {
 	if value == nil {
 		s.removeMachine(name)
@@ -130,7 +131,7 @@
 	return nil
 }
 
-// removeMachine drops a machine. Its usage stays while something is allocated on it.
+// removeMachine removes a machine. Its usage is kept while resources are allocated on it.
 func (s *State) removeMachine(name string) {
 	delete(s.Machines, name)
 	s.machinesByName = nil
@@ -140,8 +141,8 @@
 	delete(s.Images, name)
 }
 
-// ApplyClaims takes in which machines are claimed. Of a value that cannot be read nothing
-// counts: the leader writes it anew.
+// ApplyClaims applies the record of the claimed machines. An unreadable record counts as empty,
+// because the leader writes it again, and ApplyClaims returns an error.
 func (s *State) ApplyClaims(value json.RawMessage) error {
 	claims, err := fleet.DecodeClaims(value)
 	s.MachineClaims = claims
--- a/internal/clusterstate/audit.go
+++ b/internal/clusterstate/audit.go
@@ -10,9 +10,9 @@
 	"github.com/harrierreel/harrierreel/internal/sharding"
 )
 
-// Audit counts again, from the records alone, what is kept up with each change, and reports
-// what differs. The scenarios and the check of snapshots run it, no live controller does, since
-// it looks at everything.
+// Audit recomputes all incrementally maintained indexes and counts from the records and returns a
+// description of each difference. Scenarios and the snapshot check run it; live controllers do
+// not, because it visits the whole state.
 func (s *State) Audit() []string {
 	a := audit{
 		state:   s,
@@ -33,7 +33,7 @@
 	return a.findings
 }
 
-// audit is what was counted so far.
+// audit is the state of a running Audit.
 type audit struct {
 	state            *State
 	findings         []string
@@ -50,7 +50,7 @@
 	a.used[machine] = a.used[machine].Add(need)
 }
 
-// checkTaskRanges checks that each task of a range is known under its index.
+// checkTaskRanges checks that each task of the job's task ranges is listed under its index.
 func (a *audit) checkTaskRanges(j *Job) {
 	for _, record := range j.Ranges {
 		for i, t := range record.Tasks {
@@ -62,7 +62,8 @@
 	}
 }
 
-// checkTasks checks that each task is in the record that it is stored in, and counts it.
+// checkTasks checks that the record of each task lists it, and compares the job's counts with its
+// tasks.
 func (a *audit) checkTasks(j *Job) {
 	doneCount, placedCount, activeCount := 0, 0, 0
 	for index, t := range j.Tasks {
@@ -94,13 +95,14 @@
 	}
 }
 
-// isStored tells whether a task's record lists it and, if that is a batch record, is known.
+// isStored reports whether a task's record lists the task and, if it is a batch record, is in
+// State.Batches.
 func (a *audit) isStored(t *Task) bool {
 	record := t.StoredIn
 	return slices.Contains(record.Tasks, t) && (!record.IsBatch() || a.state.Batches[record.Key] == record)
 }
 
-// checkJob checks that a job is among the closed ones exactly if it has ended.
+// checkJob checks that a job is in State.Closed if and only if it has ended.
 func (a *audit) checkJob(j *Job) {
 	if j.Record == nil {
 		return
@@ -111,6 +113,7 @@
 	}
 }
 
+// countReservations adds the resources and quota charges of the reservations.
 func (a *audit) countReservations() {
 	for _, r := range a.state.Reservations {
 		a.allocate(r.Machine, r.Resources)
@@ -120,9 +123,10 @@
 	}
 }
 
+// checkUsages compares the usages of the machines.
 func (a *audit) checkUsages() {
 	for machine, usage := range a.state.Usages {
-		if !near(a.used[machine], usage.Resources) {
+		if !approxEqual(a.used[machine], usage.Resources) {
 			a.report("%s: %v used, kept %v", machine, a.used[machine], usage.Resources)
 		}
 		delete(a.used, machine)
@@ -134,6 +138,7 @@
 	}
 }
 
+// checkAccount compares the charges of the quota tree's nodes.
 func (a *audit) checkAccount() {
 	kept := a.state.Account
 	for i, path := range kept.Tree().Paths() {
@@ -143,8 +148,8 @@
 	}
 }
 
-// near tells whether resources are the same but for rounding errors.
-func near(a, b sharding.Resources) bool {
+// approxEqual reports whether two amounts of resources are equal up to rounding errors.
+func approxEqual(a, b sharding.Resources) bool {
 	const tolerance = 1e-6
 	return math.Abs(a.Cores-b.Cores) < tolerance &&
 		math.Abs(a.Accelerators-b.Accelerators) < tolerance &&
--- a/internal/clusterstate/batches.go
+++ b/internal/clusterstate/batches.go
@@ -8,10 +8,11 @@
 	"github.com/harrierreel/harrierreel/internal/taskbatch"
 )
 
-// ApplyBatch takes in a batch record at its revision, nil for one that is gone. Tasks of which
-// it says nothing new stay as they are, also when they come from another batch record. Of one
-// that can't be read every task that it held, or may hold, is quarantined, and the error says
-// why. It returns the jobs with changed tasks, sorted.
+// ApplyBatch applies a batch record at its revision; a nil value means that the record was
+// removed. Tasks whose records are unchanged keep their Task values, even if they move from
+// another batch record. If the record is unreadable, every task that it held or may hold is
+// quarantined, and ApplyBatch returns an error. It also returns the sorted IDs of the jobs whose
+// tasks changed.
 func (s *State) ApplyBatch(key string, value json.RawMessage, revision uint64) (jobIDs []string, err error) {
 	record := s.Batches[key]
 	if record == nil {
@@ -42,21 +43,21 @@
 	return jobIDs, err
 }
 
-// replaceBatchTasks makes a batch record hold the tasks of entries and returns the jobs whose
-// tasks changed.
+// replaceBatchTasks replaces the tasks of a batch record by those of entries and returns the jobs
+// whose tasks changed.
 func (s *State) replaceBatchTasks(record *TaskRecord, entries []taskbatch.Entry) map[*Job]bool {
 	changed := map[*Job]bool{}
 	previous := record.Tasks
 	record.Tasks = make([]*Task, 0, len(entries))
-	s.batchReads++
+	s.batchGeneration++
 	for i := range entries {
 		if t := s.taskFromBatch(record, &entries[i], changed); t != nil {
-			t.batchRead = s.batchReads
+			t.batchGeneration = s.batchGeneration
 			record.Tasks = append(record.Tasks, t)
 		}
 	}
 	for _, t := range previous {
-		if t.batchRead != s.batchReads && record.Holds(t) {
+		if t.batchGeneration != s.batchGeneration && record.Holds(t) {
 			s.unindexTask(t)
 			delete(t.Job.Tasks, t.Index)
 			s.movingTasks[t.ID] = t
@@ -67,7 +68,7 @@
 	return changed
 }
 
-// isLaterAttempt tells whether of two records of a task a must be the later one.
+// isLaterAttempt reports whether a is certainly a later record of the same task than b.
 func isLaterAttempt(a, b *jobs.Task) bool {
 	if finished := a.State == jobs.Finished; finished != (b.State == jobs.Finished) {
 		return finished
@@ -75,14 +76,15 @@
 	return a.Attempt > b.Attempt
 }
 
-// heldByLaterBatch tells whether an entry of a batch record is outdated: the task is known from
-// another batch record that is later.
+// heldByLaterBatch reports whether an entry of a batch record is outdated because a later batch
+// record holds the task.
 //
-// Where batch records are read one after the other, a task that moved meanwhile is in an old
-// version of the one and in the new version of the other: the transaction that moved it is at
-// least as late as the one and later than the other. Attempts come first, since they only grow:
-// a transaction that is carried out once more, after the batch record that it began was
-// removed, brings that record back with what was true then, at a later revision.
+// When batch records are read one after the other, a task that moves in the meantime can appear
+// both in an old version of its former record and in the new version of its new record. The new
+// record then has the higher revision, because the transaction that moved the task wrote it after
+// the old version. Attempt numbers take precedence over revisions because they only increase: if
+// a transaction is executed again after the batch record that it created was removed, that record
+// comes back with outdated contents at a higher revision.
 func heldByLaterBatch(known *Task, record *TaskRecord, entry *taskbatch.Entry) bool {
 	if known.StoredIn == record || !known.StoredIn.IsBatch() {
 		return false
@@ -93,8 +95,8 @@
 	return !isLaterAttempt(&entry.Task, &known.Task) && known.StoredIn.Revision > record.Revision
 }
 
-// taskFromBatch is the task of an entry of a batch record, nil if a later version of another
-// batch record is known to hold it. It enters the job in changed if the task changed.
+// taskFromBatch returns the task of an entry of a batch record, or nil if a later version of
+// another batch record is known to hold the task. If the task changed, it adds the job to changed.
 func (s *State) taskFromBatch(record *TaskRecord, entry *taskbatch.Entry, changed map[*Job]bool) *Task {
 	j := s.ensureJob(entry.JobID)
 	known := j.Tasks[entry.Index]
@@ -128,8 +130,8 @@
 	return t
 }
 
-// quarantineBatch notes that a batch record can't be read. It returns what it held before as
-// unreadable tasks: never placed again, never lost.
+// quarantineBatch marks a batch record as unreadable. It returns entries that replace the tasks it
+// held by unreadable ones, so that they are neither placed again nor lost.
 func (s *State) quarantineBatch(record *TaskRecord, value json.RawMessage) []taskbatch.Entry {
 	jobIDs, _ := taskbatch.JobIDs(value)
 	s.quarantinedBatches[record.Key] = jobIDs
@@ -143,8 +145,8 @@
 	return entries
 }
 
-// MayBeQuarantined tells whether a batch record that can't be read may hold tasks of a job:
-// nobody knows which, so none may be begun that has no record.
+// MayBeQuarantined reports whether an unreadable batch record may hold tasks of a job. It is
+// unknown which tasks these are, so no task of the job that has no record may be released.
 func (s *State) MayBeQuarantined(jobID string) bool {
 	for _, jobIDs := range s.quarantinedBatches {
 		if jobIDs == nil || slices.Contains(jobIDs, jobID) {
@@ -154,18 +156,19 @@
 	return false
 }
 
-// Obsolete tells whether a task's present record in a batch record is of no more use; known is
-// as for ObsoleteAs.
-func (t *Task) Obsolete(known uint64) bool { return t.ObsoleteAs(&t.Task, known) }
+// Obsolete reports whether the task's current record in its batch record is no longer needed.
+// knownRevision is the same as for ObsoleteAs.
+func (t *Task) Obsolete(knownRevision uint64) bool { return t.ObsoleteAs(&t.Task, knownRevision) }
 
-// ObsoleteAs tells whether a record of a task in its batch record would be of no more use: its
-// job's record is gone and it is on no machine. known is the revision up to which all records
-// are known: that a job is unknown proves that it is over only if known has reached the batch
-// record's revision, for the job's record came before.
-func (t *Task) ObsoleteAs(record *jobs.Task, known uint64) bool {
+// ObsoleteAs reports whether a record of the task in its batch record would no longer be needed:
+// the job's record has been removed and the task is on no machine. knownRevision is the revision
+// up to which all records are known. A missing job record proves that the job has ended only if
+// knownRevision has reached the batch record's revision, because the job's record was written
+// before the batch record.
+func (t *Task) ObsoleteAs(record *jobs.Task, knownRevision uint64) bool {
 	return t.Job.Record == nil &&
 		!t.Job.RecordUnreadable &&
 		!record.OnMachine() &&
 		record.State != Unreadable &&
-		t.StoredIn.Revision <= known
+		t.StoredIn.Revision <= knownRevision
 }
--- a/internal/clusterstate/batches_test.go
+++ b/internal/clusterstate/batches_test.go
@@ -10,6 +10,7 @@
 	"github.com/harrierreel/harrierreel/internal/taskbatch"
 )
 
+// encodeArray returns the encoded record of a live job array of nine tasks.
 func encodeArray(jobID string) []byte {
 	return jobs.Encode(jobs.Record{
 		State:      jobs.Live,
@@ -28,7 +29,7 @@
 	})
 }
 
-// stateOfArrays is a state of live job arrays without tasks.
+// stateOfArrays returns a state with live job arrays that have no task records.
 func stateOfArrays(t *testing.T, jobIDs ...string) *State {
 	t.Helper()
 	s := New(quota.Flat(nil), func(string) {})
@@ -48,7 +49,7 @@
 	return jobs.Task{State: jobs.Placed, Machine: machine, Attempt: attempt}
 }
 
-// applyBatch applies a batch record of entries, or its removal if there are none.
+// applyBatch applies a batch record with the given entries, or its removal if there are none.
 func applyBatch(t *testing.T, s *State, key string, revision uint64, entries ...taskbatch.Entry) {
 	t.Helper()
 	var value json.RawMessage
@@ -60,14 +61,16 @@
 	}
 }
 
-func auditClean(t *testing.T, s *State) {
+// checkAudit fails the test for each finding of Audit.
+func checkAudit(t *testing.T, s *State) {
 	t.Helper()
 	for _, finding := range s.Audit() {
 		t.Error(finding)
 	}
 }
 
-// quarantinedState is a state whose batch record pack/1 of wk-1 and wk-2 was readable first.
+// quarantinedState returns a state in which the batch record pack/1, with tasks of wk-1 and wk-2,
+// was readable at first and then became unreadable. It also returns the readable value.
 func quarantinedState(t *testing.T) (*State, json.RawMessage) {
 	t.Helper()
 	s := stateOfArrays(t, "wk-1", "wk-2", "wk-3")
@@ -79,22 +82,22 @@
 		t.Fatal(jobIDs, err)
 	}
 	if _, err := s.ApplyBatch("pack/1", []byte(`{"v":9,"jobs":"wk-1 wk-2","z":"?"}`), 6); err == nil {
-		t.Fatal("an unreadable batch record was read")
+		t.Fatal("an unreadable batch record was accepted")
 	}
 	return s, readable
 }
 
-// Of a batch record that can't be read only its tasks are quarantined: those that it held are
-// neither placed again nor lost, and their jobs begin no task of which nobody knows whether
-// that record has it. Other jobs go on.
+// An unreadable batch record quarantines only its own tasks and jobs. The tasks that it held are
+// neither placed again nor lost, and no further task of their jobs is released, because the record
+// may hold it. Other jobs are not affected.
 func TestUnreadableBatchIsQuarantined(t *testing.T) {
 	s, _ := quarantinedState(t)
 	task := s.Jobs["wk-2"].Tasks[4]
 	if task.State != Unreadable || len(s.Jobs["wk-2"].Active) != 1 || task.Obsolete(9) {
-		t.Errorf("%+v", task)
+		t.Errorf("got task %+v, want one that is unreadable, active and not obsolete", task)
 	}
 	if !s.MayBeQuarantined("wk-1") || s.MayBeQuarantined("wk-3") {
-		t.Error("not the jobs that the record holds are quarantined")
+		t.Error("want exactly the jobs of the unreadable record to be quarantined")
 	}
 	for _, kind := range []jobs.TaskEventKind{
 		jobs.Assign,
@@ -106,90 +109,90 @@
 		jobs.Fail,
 	} {
 		if _, ok := jobs.NextTask(task.Task, jobs.TaskEvent{Kind: kind, Machine: "i-2", Attempt: 9}); ok {
-			t.Error("decided on:", kind)
+			t.Error("an unreadable task accepts the event", kind)
 		}
 	}
 }
 
-// The jobs of a batch record that was never readable are known; if not even they are, any job's
-// tasks may be in it. Readable again, or gone, all is as it was.
+// A batch record that was never readable quarantines the jobs that it names, or every job if it
+// names none. The quarantine ends when the record becomes readable or is removed.
 func TestQuarantineOfBatchNeverRead(t *testing.T) {
 	s, readable := quarantinedState(t)
 	_, _ = s.ApplyBatch("pack/2", []byte(`{"v":9,"jobs":"wk-3"}`), 7)
 	if !s.MayBeQuarantined("wk-3") {
-		t.Error("a job's batch record that was never read")
+		t.Error("the job named by an unreadable batch record is not quarantined")
 	}
 	_ = s.ApplyJob("wk-4", encodeArray("wk-4"))
 	if _, _ = s.ApplyBatch("pack/3", []byte(`[]`), 8); !s.MayBeQuarantined("wk-4") {
-		t.Error("a batch record that names no jobs")
+		t.Error("an unreadable batch record that names no jobs does not quarantine every job")
 	}
 	_, _ = s.ApplyBatch("pack/1", readable, 9)
 	_, _ = s.ApplyBatch("pack/2", nil, 10)
 	_, _ = s.ApplyBatch("pack/3", nil, 11)
 	if s.MayBeQuarantined("wk-1") || s.MayBeQuarantined("wk-3") || len(s.Batches) != 1 {
-		t.Error("still quarantined")
+		t.Error("jobs are still quarantined after the records became readable or were removed")
 	}
 	if state := s.Jobs["wk-1"].Tasks[0].State; state != jobs.Placed {
 		t.Error(state)
 	}
-	auditClean(t, s)
+	checkAudit(t, s)
 }
 
-// A job whose own record can't be read may be live: what batch records say of it stays.
+// A job whose record is unreadable may be live, so its tasks in batch records are not obsolete.
 func TestTaskOfUnreadableJobIsNotObsolete(t *testing.T) {
 	s, _ := quarantinedState(t)
 	applyBatch(t, s, "pack/1", 12, entry("wk-1", 0, jobs.Task{State: jobs.Pending, Attempt: 2}))
 	_ = s.ApplyJob("wk-1", []byte(`{`))
 	if s.Jobs["wk-1"].Tasks[0].Obsolete(99) {
-		t.Error("of a job that may be live")
+		t.Error("a task of a job that may be live is obsolete")
 	}
 	_ = s.ApplyJob("wk-1", nil)
 	if !s.Jobs["wk-1"].Tasks[0].Obsolete(12) || s.Jobs["wk-1"].Tasks[0].Obsolete(11) {
-		t.Error("over exactly once all is known up to its batch record")
+		t.Error("want the task to be obsolete only if all records up to its batch record's revision are known")
 	}
 }
 
-// A task that moves to another batch record keeps what is known of it besides its record.
+// A task that moves to another batch record keeps the state that is not part of its record.
 func TestMovedTaskKeepsObservations(t *testing.T) {
 	s := stateOfArrays(t, "wk-1")
 	moving := entry("wk-1", 0, placed("i-1", 1))
-	rest := entry("wk-1", 1, jobs.Task{State: jobs.Pending, Attempt: 1})
+	staying := entry("wk-1", 1, jobs.Task{State: jobs.Pending, Attempt: 1})
 	applyBatch(t, s, "pack/a", 1, moving)
 	task := s.Jobs["wk-1"].Tasks[0]
 	task.ObservedRunning = true
 	checkKept := func(key string) {
 		t.Helper()
 		if now := s.Jobs["wk-1"].Tasks[0]; now != task || !now.ObservedRunning || now.StoredIn.Key != key {
-			t.Errorf("forgotten on the way to %s", key)
+			t.Errorf("observations were lost when the task moved to %s", key)
 		}
-		auditClean(t, s)
+		checkAudit(t, s)
 	}
 	applyBatch(t, s, "pack/b", 2, moving)
 	applyBatch(t, s, "pack/a", 2)
 	checkKept("pack/b")
 
-	// Also when the batch record that it leaves is read first.
-	applyBatch(t, s, "pack/b", 3, moving, rest)
-	applyBatch(t, s, "pack/b", 4, rest)
+	// The state is also kept if the batch record that the task leaves is read first.
+	applyBatch(t, s, "pack/b", 3, moving, staying)
+	applyBatch(t, s, "pack/b", 4, staying)
 	applyBatch(t, s, "pack/c", 4, moving)
 	checkKept("pack/c")
 
-	// But not by a later transaction: then it was gone.
+	// It is not kept if a later transaction adds the task: in between, the task was removed.
 	applyBatch(t, s, "pack/c", 5)
 	applyBatch(t, s, "pack/b", 6, moving)
 	if now := s.Jobs["wk-1"].Tasks[0]; now == task || now.ObservedRunning {
-		t.Error("kept although it was gone")
+		t.Error("observations were kept although the task was removed in between")
 	}
-	// An old version of the batch record that it left, read late, does not take it back.
+	// An old version of the task's former batch record that is read late does not take it back.
 	applyBatch(t, s, "pack/a", 1, moving)
 	if now := s.Jobs["wk-1"].Tasks[0]; now.StoredIn.Key != "pack/b" {
-		t.Error("taken back by an outdated record")
+		t.Error("an outdated batch record took the task back")
 	}
 }
 
-// A batch record that is back after it was removed, since the transaction that began it was
-// carried out once more, takes no task back to an earlier attempt, and none that is done,
-// whichever of the records is read first.
+// If the transaction that created a batch record is executed again after the record was removed,
+// the record reappears with outdated contents. It must not revert a task to an earlier attempt or
+// from finished, whichever record is read first.
 func TestRepeatedTransactionDoesNotRevertTasks(t *testing.T) {
 	outdated := []taskbatch.Entry{entry("wk-1", 0, placed("i-1", 1)), entry("wk-1", 1, placed("i-1", 1))}
 	current := []taskbatch.Entry{
@@ -224,16 +227,16 @@
 			if task := j.Tasks[1]; task.State != jobs.Finished || j.DoneCount != 1 {
 				t.Errorf("finished task reverted: %+v, %d done", task.Task, j.DoneCount)
 			}
-			if on := s.TasksOnMachine["i-1"]; len(on) != 0 {
-				t.Errorf("%d tasks on the former machine", len(on))
+			if tasks := s.TasksOnMachine["i-1"]; len(tasks) != 0 {
+				t.Errorf("%d tasks are still on the former machine", len(tasks))
 			}
 		})
 	}
 }
 
-// BenchmarkRebuild is what a controller that starts takes to read 30,000 live tasks of 4,000
-// jobs, besides what the state service takes to send them; sent/op is the bytes that it sends
-// of tasks.
+// BenchmarkRebuild measures how long a starting controller takes to apply the records of 30,000
+// live tasks of 4,000 jobs, without the time that the state service needs to send them. sent/op
+// is the size of the task records in bytes.
 func BenchmarkRebuild(b *testing.B) {
 	const jobCount, taskCount = 4000, 30000
 	jobID := func(i int) string { return fmt.Sprintf("wk-%06d", i) }
--- a/internal/clusterstate/constraints.go
+++ b/internal/clusterstate/constraints.go
@@ -6,8 +6,9 @@
 	"github.com/harrierreel/harrierreel/internal/jobs"
 )
 
-// TasksByZone counts the job's tasks by zone: released ones, every attempt that is still on a
-// machine, and releases under way. Only jobs whose zones matter are counted.
+// TasksByZone returns the number of the job's tasks in each zone. It counts released tasks, every
+// attempt that is still on a machine, and reservations. It counts nothing for jobs without zone
+// constraints.
 func (s *State) TasksByZone(j *Job) map[string]int {
 	counts := map[string]int{}
 	if j.Record == nil || !j.Record.Spec.SameZone && !j.Record.Spec.SpreadZones {
@@ -29,8 +30,8 @@
 	return counts
 }
 
-// zoneOfPlaced is the zone of a task on a machine: the machine's, or, while that is unknown, the
-// one that the task was released to.
+// zoneOfPlaced returns the zone of a task on a machine: the zone of the machine or, if that is
+// unknown, the zone that the task was released to.
 func (s *State) zoneOfPlaced(t *Task) string {
 	if m := s.Machines[t.Machine]; m != nil && m.Zone != "" {
 		return m.Zone
@@ -38,8 +39,8 @@
 	return t.Zone
 }
 
-// ZoneAllowed tells whether one more task of the job may go into a zone, given the job's tasks
-// by zone.
+// ZoneAllowed reports whether one more task of the job may be placed in a zone, given the number
+// of the job's tasks in each zone.
 func ZoneAllowed(spec *jobs.Spec, tasksByZone map[string]int, zone string) bool {
 	if spec.SameZone {
 		for other, count := range tasksByZone {
@@ -51,14 +52,15 @@
 	return !spec.SpreadZones || tasksByZone[zone] < spec.MaxPerZone()
 }
 
-// WithoutPreference is the task without its own record of machines and zones, for questions
-// about the whole job.
+// WithoutPreference returns a copy of the task without its own machines and zones, for checks that
+// concern the whole job.
 func (t *Task) WithoutPreference() *Task {
 	return &Task{Task: jobs.Task{State: t.State}, ID: t.ID, Index: t.Index, Job: t.Job}
 }
 
-// FitsTask tells whether a task may be on a machine by its kind, and after what failed for the
-// task there. It says nothing of free resources.
+// FitsTask reports whether a machine satisfies the task's constraints on machine type, zone and
+// spot machines, and is not one on which the task failed before. It does not check free
+// resources.
 func FitsTask(t *Task, m *Machine) bool {
 	return t.Job.Record.Spec.Allows(m.MachineType, m.Zone, m.Spot) &&
 		(t.Zone == "" || t.Zone == m.Zone) &&
--- a/internal/clusterstate/images.go
+++ b/internal/clusterstate/images.go
@@ -5,11 +5,11 @@
 	"github.com/harrierreel/harrierreel/internal/jobs"
 )
 
-// HasImage tells whether a machine probably holds an image.
+// HasImage reports whether a machine probably has an image in its cache.
 func (s *State) HasImage(machine, image string) bool { return s.Images.Has(machine, image) }
 
-// noteImage notes that a task's image is on its machine, or is being pulled to it.
-func (s *State) noteImage(t *Task) {
+// addImage records that a task's image is on its machine or is being pulled to it.
+func (s *State) addImage(t *Task) {
 	m := s.Machines[t.Machine]
 	if t.Job.Record == nil || m == nil {
 		return
@@ -27,7 +27,7 @@
 	}, cacheGB)
 }
 
-// pullSeconds is how long a machine takes to pull an image, 0 if its rate is unknown.
+// pullSeconds returns how long a machine takes to pull an image, or 0 if its pull rate is unknown.
 func (s *State) pullSeconds(imageGB float64, m *Machine) float64 {
 	machineType := s.MachineTypes[m.MachineType]
 	if machineType == nil || machineType.ImageGBPerS <= 0 {
@@ -36,7 +36,8 @@
 	return imageGB / machineType.ImageGBPerS
 }
 
-// releaseImage notes that a task that is not done has left its machine.
+// releaseImage tells Images that a task left its machine without finishing, so that an unfinished
+// pull of its image counts as aborted, unless another task on the machine uses the same image.
 func (s *State) releaseImage(t *Task) {
 	if t.Job.Record == nil || !t.OnMachine() {
 		return
--- a/internal/clusterstate/index.go
+++ b/internal/clusterstate/index.go
@@ -5,8 +5,8 @@
 	"github.com/harrierreel/harrierreel/internal/sharding"
 )
 
-// ensureJob is the job with an ID, begun if need be; updateJobIndexes drops it again if nothing
-// is known of it.
+// ensureJob returns the job with an ID and creates it if necessary. updateJobIndexes removes it
+// again if it has no record and no tasks.
 func (s *State) ensureJob(jobID string) *Job {
 	j := s.Jobs[jobID]
 	if j == nil {
@@ -22,7 +22,8 @@
 	return j
 }
 
-// updateJobIndexes enters a job in the lists that scheduling cycles go by.
+// updateJobIndexes updates the job's membership in Queued, Complete and Closed, and removes the job
+// if nothing is known about it.
 func (s *State) updateJobIndexes(j *Job) {
 	live := j.Record != nil && j.Record.State == jobs.Live
 	complete := live && j.allTasksDone()
@@ -35,8 +36,8 @@
 	}
 }
 
-// allTasksDone tells whether a job whose record is known has nothing left to do. A gang
-// completes together: one task done means that every one is.
+// allTasksDone reports whether a job whose record is known has no work left. The tasks of a gang
+// finish together: if one is finished, all are.
 func (j *Job) allTasksDone() bool {
 	spec := &j.Record.Spec
 	switch spec.Kind {
@@ -49,6 +50,7 @@
 	}
 }
 
+// setMember adds a job to a set or removes it.
 func setMember(set map[string]*Job, j *Job, member bool) {
 	if member {
 		set[j.ID] = j
@@ -57,8 +59,9 @@
 	}
 }
 
-// indexTask enters a task in the indexes by state, allocates its resources and charges it.
-// unindexTask undoes it; between the two neither the task's record nor its job's may change.
+// indexTask adds a task to the indexes by state, allocates its resources and charges its quota.
+// unindexTask undoes this; between the two calls neither the task's record nor its job's record
+// may change.
 func (s *State) indexTask(t *Task) {
 	t.Resources = sharding.Resources{}
 	if t.Job.Record != nil {
@@ -83,6 +86,7 @@
 	s.charge(t, 1)
 }
 
+// indexPlacedTask does the part of indexTask that is specific to tasks on machines.
 func (s *State) indexPlacedTask(t *Task) {
 	tasks := s.TasksOnMachine[t.Machine]
 	if tasks == nil {
@@ -91,10 +95,10 @@
 	}
 	tasks[t.ID] = t
 	t.Job.PlacedCount++
-	s.countPriority(t, 1)
+	s.countByPriority(t, 1)
 	t.Job.Active[t.Index] = t
 	s.AllocateResources(t.Machine, t.Resources)
-	s.noteImage(t)
+	s.addImage(t)
 	s.notifyMachineOf(t)
 }
 
@@ -111,7 +115,7 @@
 			delete(s.TasksOnMachine, t.Machine)
 		}
 		t.Job.PlacedCount--
-		s.countPriority(t, -1)
+		s.countByPriority(t, -1)
 		s.FreeResources(t.Machine, t.Resources)
 	case jobs.Assigned:
 		delete(s.Assigned, t.ID)
@@ -121,11 +125,11 @@
 	case jobs.Finished:
 		t.Job.DoneCount--
 	case jobs.Pending, Unreadable:
-		// In no other index.
+		// These are in no other index.
 	}
 }
 
-// notifyMachineOf tells that something changed on a task's machine.
+// notifyMachineOf calls machineChanged for the task's machine, if it has one.
 func (s *State) notifyMachineOf(t *Task) {
 	if t.Machine != "" {
 		s.machineChanged(t.Machine)
--- a/internal/clusterstate/records.go
+++ b/internal/clusterstate/records.go
@@ -8,86 +8,86 @@
 	"github.com/harrierreel/harrierreel/internal/sharding"
 )
 
-// Job is a job in memory with its tasks' records.
+// Job is a job with its tasks.
 type Job struct {
 	ID     string
-	Record *jobs.Record        // nil while only tasks of it are known
-	Ranges map[int]*TaskRecord // its task ranges, by their first index
+	Record *jobs.Record        // nil if only tasks of the job are known, or it is unreadable
+	Ranges map[int]*TaskRecord // the job's task ranges, by their first index
 	Tasks  map[int]*Task
-	// Active, Retrying and the counts index Tasks by state, so that no scheduling cycle need
-	// look at those of a large job that are done.
+	// Active, Retrying and the counts index Tasks by state, so that a scheduling cycle need not
+	// visit the finished tasks of a large job.
 	Active          map[int]*Task // released, on a machine, or unreadable
 	Retrying        map[int]*Task // pending, with a record of earlier attempts
-	DoneCount       int           // tasks finished
-	PlacedCount     int           // tasks on machines
+	DoneCount       int           // number of finished tasks
+	PlacedCount     int           // number of tasks on machines
 	FirstUnrecorded int           // every task below this index has a record
-	// TasksUnreadable means that a task range of it cannot be read. Nobody knows which tasks
-	// that one holds, so no new range is begun.
+	// TasksUnreadable is set if a task range of the job cannot be read. It is unknown which
+	// tasks that range holds, so no new range is created.
 	TasksUnreadable bool
-	// RecordUnreadable means that its own record cannot be read, so that it may be live.
+	// RecordUnreadable is set if the job's record cannot be read. The job may be live.
 	RecordUnreadable bool
-	// AccumulatingSince is since when tasks that there is capacity for wait for more of them;
-	// zero if none do.
+	// AccumulatingSince is the time since which tasks that fit into the available capacity have
+	// been waiting for more tasks to be released with them; zero if none are.
 	AccumulatingSince time.Time
 }
 
 // TaskRecord is a stored record of tasks, in one of two forms.
 //
-// A task range holds consecutive tasks of one job. The leader begins it when it releases the
-// tasks to one shard; from then on mostly the owner of that shard writes it. Whoever writes it
-// makes the record's own revision a precondition, so that writers never undo one another.
+// A task range holds consecutive tasks of one job. The leader creates it when it releases the
+// tasks to one shard; from then on mostly the owner of that shard writes it. Every write is
+// conditional on the revision of the record, so that writers never undo each other's changes.
 //
-// A batch record holds tasks of many jobs (package taskbatch). While writes are scarce the
-// leader begins one for each shard, and the shard's owner merges those that it writes. So a
-// task may move from one batch record to another; it is in one only.
+// A batch record holds tasks of many jobs (package taskbatch). While the write budget is short,
+// the leader creates one for each shard, and the shard's owner merges those that it writes. A
+// task may therefore move from one batch record to another, but it is in only one at a time.
 type TaskRecord struct {
 	Key        string
-	FirstIndex int  // of a task range
+	FirstIndex int  // index of the first task of a task range
 	Job        *Job // nil for a batch record
 	Tasks      []*Task
-	// Revision is the revision of a batch record that is known; not kept for a task range.
+	// Revision is the last known revision of a batch record. It is not set for a task range.
 	Revision uint64
 }
 
-// IsBatch tells whether it is a batch record.
+// IsBatch reports whether the record is a batch record.
 func (r *TaskRecord) IsBatch() bool { return r.Job == nil }
 
-// Holds tells whether a task that it lists is still stored here, and not in another batch
-// record.
+// Holds reports whether a task that the record lists is still stored in it, and not in another
+// batch record.
 func (r *TaskRecord) Holds(t *Task) bool { return t.StoredIn == r && t.Job.Tasks[t.Index] == t }
 
-// Unreadable marks a task whose record cannot be read. It is never stored. Such a task is
-// charged and counts as active, so that it is neither placed again nor lost.
+// Unreadable is the state of a task whose record cannot be read. It is never stored. Such a task
+// is charged and counts as active, so that it is neither placed again nor lost.
 const Unreadable jobs.TaskState = "unreadable"
 
-// Task is a task's record in memory.
+// Task is a task's record with the state derived from it.
 type Task struct {
 	jobs.Task
 	ID               string
-	Index            int // among its job's tasks, from 0
+	Index            int // zero-based index among the job's tasks
 	Job              *Job
 	StoredIn         *TaskRecord        // nil for a task that has never been released
-	Resources        sharding.Resources // as the indexes count them; zero while the job's record is unknown
-	StateSince       time.Time          // when this state was first seen
-	ObservedRunning  bool               // by a heartbeat of its machine
-	PlacementTriedAt time.Time          // when its shard last looked for a machine in vain
-	// PreferenceDropped means that the resources reserved on the preferred machine are free
-	// again, because the task's placement is under way and has reserved its own.
+	Resources        sharding.Resources // as counted in the indexes; zero while the job's record is unknown
+	StateSince       time.Time          // when this state was first observed
+	ObservedRunning  bool               // a heartbeat of the machine reported the task as running
+	PlacementTriedAt time.Time          // when its shard last failed to find a machine
+	// PreferenceDropped is set if the resources reserved on the preferred machine have been
+	// freed because the task is being placed and the placement has a reservation of its own.
 	PreferenceDropped bool
 
-	batchRead uint64 // State.batchReads when a batch record last listed it
+	batchGeneration uint64 // State.batchGeneration when a batch record last listed the task
 }
 
-// holdsPreference tells whether resources on its preferred machine are reserved for it.
+// holdsPreference reports whether resources on its preferred machine are reserved for the task.
 func (t *Task) holdsPreference() bool {
 	return t.State == jobs.Assigned && t.PreferredMachine != "" && !t.PreferenceDropped
 }
 
-// Machine is a machine's record in memory.
+// Machine is a machine's record with the state derived from it.
 type Machine struct {
 	fleet.MachineRecord
 	Name       string
-	Owner      string // the controller of its shard, under the known view
+	Owner      string // the controller of the machine's shard in the last known view
 	Usage      *Usage
-	StateSince time.Time // when this state was first seen
+	StateSince time.Time // when this state was first observed
 }
--- a/internal/clusterstate/state.go
+++ b/internal/clusterstate/state.go
@@ -1,8 +1,9 @@
-// Package clusterstate holds what one controller knows from the records in the state service:
-// jobs, their tasks and machines, and what follows from them, kept up with each change:
-// resources taken, what teams are charged, which jobs wait. Only changes of the mirror and
-// reservations write it; others read it. It has no IO and no clock, and belongs to the
-// controller's event loop: nothing is safe for concurrent use.
+// Package clusterstate holds one controller's view of the cluster, built from the records in the
+// state service: jobs, tasks and machines, and the values derived from them, such as allocated
+// resources, the teams' quota usage and the queued jobs. Derived values are updated with each
+// change. Only changes of the mirror and reservations modify the state; all other code reads it.
+// The package does no IO and reads no clock. It belongs to the controller's event loop: nothing
+// in it is safe for concurrent use.
 package clusterstate
 
 import (
@@ -16,15 +17,15 @@
 	"github.com/harrierreel/harrierreel/internal/quota"
 )
 
-// State is what one controller knows from the records. The maps are indexes: only this package
-// may change them, and Audit recounts them.
+// State is one controller's view of the cluster. The maps are indexes: only this package may
+// change them, and Audit verifies them against the records.
 type State struct {
-	Now  time.Time // of the event under way; whoever hands the event in sets it
+	Now  time.Time // time of the current event, set by the code that delivers the event
 	Jobs map[string]*Job
 	// Queued, Complete and Closed are disjoint parts of Jobs.
-	Queued   map[string]*Job // live, with tasks that wait
-	Complete map[string]*Job // live, with all tasks done
-	Closed   map[string]*Job // ended, records to be cleared
+	Queued   map[string]*Job // live, with waiting tasks
+	Complete map[string]*Job // live, with all tasks finished
+	Closed   map[string]*Job // ended, with records still to be removed
 
 	TasksOnMachine   map[string]map[string]*Task // by machine, then by task ID
 	Assigned         map[string]*Task
@@ -32,32 +33,33 @@
 
 	Machines      map[string]*Machine
 	MachineTypes  map[string]*jobs.MachineType
-	Usages        map[string]*Usage // by machine, also of machines that are not known
+	Usages        map[string]*Usage // by machine, including unknown machines
 	Images        fleet.Images
 	MachineClaims fleet.Claims      // machines claimed for gangs, by job
-	ClaimedBy     map[string]string // the same by machine
-	// Unresponsive is by controller the machines that it gets no heartbeats from.
+	ClaimedBy     map[string]string // the job that claims a machine, by machine
+	// Unresponsive maps a controller to the machines that it receives no heartbeats from.
 	Unresponsive map[string]fleet.UnresponsiveSet
 
-	Account      *quota.Account         // what is charged: records and decisions under way
+	Account      *quota.Account         // quota charged for records and uncommitted decisions
 	Reservations map[string]Reservation // by task ID
 
 	Batches map[string]*TaskRecord // by key
-	// quarantinedBatches is by key the batch records that cannot be read, with the jobs whose
-	// tasks they hold; no jobs if not even those are known.
+	// quarantinedBatches maps the key of each unreadable batch record to the IDs of the jobs
+	// whose tasks it holds, or to nil if the jobs are unknown too.
 	quarantinedBatches map[string][]string
-	batchReads         uint64 // batch records applied so far
-	// movingTasks is the tasks that batch records of one transaction no longer hold: another
-	// record of the same transaction, applied after them, may hold them.
+	// batchGeneration counts the batch records applied so far.
+	batchGeneration uint64
+	// movingTasks maps task IDs to the tasks that batch records written by one transaction no
+	// longer hold. A record of the same transaction that is applied later may hold them.
 	movingTasks    map[string]*Task
-	movingRevision uint64 // of that transaction
+	movingRevision uint64 // revision of that transaction
 
-	machinesByName []*Machine // sorted, nil when it must be sorted anew
+	machinesByName []*Machine // sorted; nil if it must be rebuilt
 	// machineChanged is called for each machine on which something changed.
 	machineChanged func(machine string)
 }
 
-// New makes an empty state. machineChanged is called for each machine on which something
+// New returns an empty state. machineChanged is called for each machine on which something
 // changed.
 func New(tree *quota.Tree, machineChanged func(machine string)) *State {
 	return &State{
@@ -81,17 +83,17 @@
 	}
 }
 
-// SortedKeys lists a map's keys in order: no decision may depend on the order that a map
-// happens to have.
+// SortedKeys returns the keys of a map in ascending order. It keeps decisions independent of the
+// random iteration order of maps.
 func SortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
-// NowMs is the time of day of the event under way, in ms since 1970.
+// NowMs returns the time of the current event in milliseconds since the Unix epoch.
 func (s *State) NowMs() int64 { return s.Now.UnixMilli() }
 
-// QuotaLeaf is the node of the quota tree that a job's tasks are charged to.
+// QuotaLeaf returns the node of the quota tree that a job's tasks are charged to.
 func (s *State) QuotaLeaf(spec *jobs.Spec) int { return s.Account.Tree().Leaf(spec.QuotaKey()) }
 
-// MachinesByName lists the machines in order. Callers must not change the list.
+// MachinesByName returns the machines sorted by name. Callers must not modify the slice.
 func (s *State) MachinesByName() []*Machine {
 	if s.machinesByName == nil {
 		s.machinesByName = make([]*Machine, 0, len(s.Machines))
--- a/internal/clusterstate/state_test.go
+++ b/internal/clusterstate/state_test.go
@@ -21,7 +21,7 @@
 
 var tree = quota.Flat(map[string]quota.Team{"t": {Name: "t"}})
 
-// encodeJob makes the record of a job of three tasks.
+// encodeJob returns the encoded record of a job of three tasks.
 func encodeJob(jobID string, state jobs.JobState, kind string) []byte {
 	return jobs.Encode(jobs.Record{
 		State:      state,
@@ -85,11 +85,12 @@
 	return encodeJob(jobID, state, rapid.SampledFrom(kinds).Draw(t, "kind"))
 }
 
-// reserveLastTask reserves resources for a task of a job, if the job's record is known.
+// reserveLastTask reserves resources for the last task of a random job, if the job's record is
+// known.
 func reserveLastTask(t *rapid.T, s *State) {
 	j := s.Jobs[drawJobID(t)]
 	if j == nil || j.Record == nil {
-		t.Skip("no such job")
+		t.Skip("job record not known")
 	}
 	task := j.Tasks[2]
 	if task == nil {
@@ -98,10 +99,10 @@
 	s.Reserve(task, drawMachine(t), "a")
 }
 
-// TestAuditFindsNothingAfterAnyChanges enters records in any order, also of jobs, task ranges
-// and machines that are not known yet or gone already, with reservations between, and counts
-// everything again after each.
-func TestAuditFindsNothingAfterAnyChanges(t *testing.T) {
+// TestAuditFindsNothingAfterRandomChanges applies records in random order, with reservations in
+// between, and audits the state after each step. Records may arrive for jobs, task ranges and
+// machines that are still unknown or already removed.
+func TestAuditFindsNothingAfterRandomChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New(tree, func(string) {})
 		rangeKey := func(t *rapid.T) string { return jobs.TaskRangeKey(drawJobID(t), 0) }
@@ -121,45 +122,45 @@
 				jobID := drawJobID(t)
 				check(t, s.ApplyJob(jobID, drawJob(t, jobID)))
 			},
-			"job gone": func(t *rapid.T) { check(t, s.ApplyJob(drawJobID(t), nil)) },
+			"job removed": func(t *rapid.T) { check(t, s.ApplyJob(drawJobID(t), nil)) },
 			"task range": func(t *rapid.T) {
 				_, err := s.ApplyTaskRange(rangeKey(t), drawTaskRange(t))
 				check(t, err)
 			},
-			"task range gone":       func(t *rapid.T) { _, _ = s.ApplyTaskRange(rangeKey(t), nil) },
+			"task range removed":    func(t *rapid.T) { _, _ = s.ApplyTaskRange(rangeKey(t), nil) },
 			"task range unreadable": func(t *rapid.T) { _, _ = s.ApplyTaskRange(rangeKey(t), []byte(`{"v":9}`)) },
 			"machine":               func(t *rapid.T) { check(t, s.ApplyMachine(drawMachine(t), "n0", encodeMachine("a"))) },
-			"machine gone":          func(t *rapid.T) { _ = s.ApplyMachine(drawMachine(t), "n0", nil) },
+			"machine removed":       func(t *rapid.T) { _ = s.ApplyMachine(drawMachine(t), "n0", nil) },
 			"reserve":               func(t *rapid.T) { reserveLastTask(t, s) },
 			"unreserve":             func(t *rapid.T) { s.Unreserve(jobs.TaskID(drawJobID(t), 2)) },
 		})
 	})
 }
 
-// What can't be read is reported, and nothing is decided from it.
+// Unreadable records are reported as errors and do not count as known.
 func TestUnreadableRecordsAreErrors(t *testing.T) {
 	s := New(tree, func(string) {})
 	if err := s.ApplyJob("wk-1", []byte(`{}`)); err == nil || s.Jobs["wk-1"] != nil && s.Jobs["wk-1"].Record != nil {
-		t.Error("a job without a specification was read")
+		t.Error("a job without a specification was accepted")
 	}
 	if _, err := s.ApplyTaskRange("task/odd", nil); err == nil {
-		t.Error("a task range with a malformed key was read")
+		t.Error("a task range with a malformed key was accepted")
 	}
 	if err := s.ApplyMachine("i-1", "", []byte(`7`)); err == nil || len(s.Machines) > 0 {
-		t.Error("a malformed machine was read")
+		t.Error("a malformed machine was accepted")
 	}
 	if err := s.ApplyJob("wk-2", encodeJob("wk-2", jobs.Live, jobs.JobArray)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := s.ApplyTaskRange("task/wk-2/0", []byte(`[]`)); err == nil || !s.Jobs["wk-2"].TasksUnreadable {
-		t.Errorf("an unreadable task range was read: %v %+v", err, s.Jobs["wk-2"])
+		t.Errorf("an unreadable task range was accepted: error %v, job %+v", err, s.Jobs["wk-2"])
 	}
 	if used := s.Account.Used(tree.Leaf(quota.Key{Team: "t"})); used != quota.Of(1.5, 1, 4) {
-		t.Errorf("an unreadable task range is charged %s, not one task", used)
+		t.Errorf("an unreadable task range is charged %s, want the charge of one task", used)
 	}
 }
 
-// Zones count what is released, what is on machines in any attempt, and what is under way.
+// TasksByZone counts released tasks, tasks on machines in any attempt, and reservations.
 func TestTasksByZoneCountsEveryAttempt(t *testing.T) {
 	var changedMachines []string
 	s := New(tree, func(machine string) { changedMachines = append(changedMachines, machine) })
@@ -176,9 +177,9 @@
 		t.Error(got)
 	}
 	if !slices.Contains(changedMachines, "i-1") {
-		t.Error("a task on a machine was no change of the machine")
+		t.Error("machineChanged was not called for the machine of a placed task")
 	}
 	if ZoneAllowed(&j.Record.Spec, s.TasksByZone(j), "b") || !ZoneAllowed(&j.Record.Spec, s.TasksByZone(j), "a") {
-		t.Error("zone limit of two among three tasks not kept")
+		t.Error("zone limit of two of three tasks is not enforced")
 	}
 }
--- a/internal/clusterstate/trust.go
+++ b/internal/clusterstate/trust.go
@@ -7,8 +7,8 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Trust tells how far to trust a job by its tasks' records, and by a failure on one more
-// machine that is not recorded yet ("" for none).
+// Trust returns the trust level of a job, derived from its tasks' records and from a failure on
+// one more machine that is not recorded yet. machine is empty if there is no such failure.
 func (s *State) Trust(j *Job, machine string) jobs.Trust {
 	if j.DoneCount > 0 || len(j.Retrying) == 0 && machine == "" {
 		return jobs.Trusted
@@ -29,8 +29,8 @@
 	return jobs.TrustOf(len(failedOn), proven)
 }
 
-// provenAfter is how long a task must have been on its machine to speak for its job: broken
-// ones fail soon after their image has come.
+// provenAfter returns how long a task must have been on its machine to prove that its job can
+// run: tasks of broken jobs fail soon after their image has been pulled.
 func (s *State) provenAfter(t *Task) time.Duration {
 	pull := 0.0
 	if m := s.Machines[t.Machine]; m != nil {
--- a/internal/clusterstate/usage.go
+++ b/internal/clusterstate/usage.go
@@ -5,25 +5,25 @@
 	"github.com/harrierreel/harrierreel/internal/sharding"
 )
 
-// Usage is what is taken of a machine: by tasks on it, by released tasks that prefer it, and by
-// decisions under way.
+// Usage is the resources allocated on a machine: to tasks on it, to released tasks that prefer it,
+// and to reservations.
 type Usage struct {
 	Resources   sharding.Resources
-	Allocations int // how many of those there are
+	Allocations int // number of allocations that make up Resources
 }
 
-// Reservation is a release or placement whose transaction runs: it takes resources on its
-// machine, counts for its zone and is charged to its team already.
+// Reservation is a release or placement whose transaction is not settled yet. It already occupies
+// resources on its machine, counts towards its zone and is charged to its team.
 type Reservation struct {
 	Task      *Task
 	Machine   string
 	Zone      string
 	Resources sharding.Resources
-	QuotaKey  quota.Key // charged by this reservation; no team if the task is charged already
+	QuotaKey  quota.Key // charged by this reservation; no team if the task is already charged
 	Amount    quota.Amount
 }
 
-// usageOf is a machine's usage, begun if need be.
+// usageOf returns the usage of a machine and creates it if necessary.
 func (s *State) usageOf(machine string) *Usage {
 	usage := s.Usages[machine]
 	if usage == nil {
@@ -33,7 +33,7 @@
 	return usage
 }
 
-// AllocateResources counts resources as taken on a machine until FreeResources with the same
+// AllocateResources allocates resources on a machine until FreeResources is called with the same
 // amount.
 func (s *State) AllocateResources(machine string, need sharding.Resources) {
 	usage := s.usageOf(machine)
@@ -41,8 +41,8 @@
 	usage.Allocations++
 }
 
-// FreeResources undoes one AllocateResources. A machine without allocations starts from zero
-// again, so that rounding errors do not add up.
+// FreeResources undoes one AllocateResources. Without remaining allocations the usage is reset to
+// zero, so that rounding errors do not accumulate.
 func (s *State) FreeResources(machine string, need sharding.Resources) {
 	usage := s.usageOf(machine)
 	usage.Resources = usage.Resources.Sub(need)
@@ -56,7 +56,7 @@
 	}
 }
 
-// UsedResources is what is taken of a machine.
+// UsedResources returns the resources allocated on a machine.
 func (s *State) UsedResources(machine string) sharding.Resources {
 	if usage := s.Usages[machine]; usage != nil {
 		return usage.Resources
@@ -64,14 +64,14 @@
 	return sharding.Resources{}
 }
 
-// Reserve counts what a decision under way will take. It replaces an earlier reservation for
-// the task; Unreserve ends it.
+// Reserve reserves the resources and the quota that a task needs, until its decision is settled.
+// It replaces an earlier reservation of the task. Unreserve ends the reservation.
 func (s *State) Reserve(t *Task, machine, zone string) {
 	s.Unreserve(t.ID)
 	spec := &t.Job.Record.Spec
 	reservation := Reservation{Task: t, Machine: machine, Zone: zone, Resources: spec.Resources()}
-	// A release under way is not among its job's active tasks yet; left out here, the next
-	// scheduling cycle would give its share away a second time.
+	// A task whose release is not settled yet is not among its job's active tasks. Unless it is
+	// charged here, the next scheduling cycle would assign its quota a second time.
 	if t.Job.Active[t.Index] == nil {
 		reservation.QuotaKey = spec.QuotaKey()
 		reservation.Amount = spec.Amount()
@@ -85,7 +85,8 @@
 	}
 }
 
-// Unreserve ends the reservation for a task, if there is one, once its transaction is answered.
+// Unreserve ends the reservation of a task, if there is one. It is called when the transaction is
+// settled.
 func (s *State) Unreserve(taskID string) {
 	reservation, ok := s.Reservations[taskID]
 	if !ok {
@@ -94,7 +95,7 @@
 	delete(s.Reservations, taskID)
 	s.FreeResources(reservation.Machine, reservation.Resources)
 	if t := reservation.Task; t.PreferenceDropped && t.Job.Tasks[t.Index] == t {
-		t.PreferenceDropped = false // not placed: the leader's preference holds again
+		t.PreferenceDropped = false // not placed: reserve the preferred machine again
 		s.AllocateResources(t.PreferredMachine, t.Resources)
 	}
 	if reservation.QuotaKey.Team != "" {
@@ -102,20 +103,21 @@
 	}
 }
 
-// countsAsActive tells whether a task is charged to its team: it is released, may be on a
+// countsAsActive reports whether a task is charged to its team: it is released, may be on a
 // machine, or cannot be read.
 func (t *Task) countsAsActive() bool { return t.Charged() || t.State == Unreadable }
 
-// charge adds (times = 1) or takes back (times = -1) what a task is charged.
-func (s *State) charge(t *Task, times int) {
+// charge charges a task's quota (sign is 1) or refunds it (sign is -1).
+func (s *State) charge(t *Task, sign int) {
 	if t.Job.Record != nil && t.countsAsActive() {
-		s.Account.Charge(t.Job.Record.Spec.QuotaKey(), t.Job.Record.Spec.Amount(), times)
+		s.Account.Charge(t.Job.Record.Spec.QuotaKey(), t.Job.Record.Spec.Amount(), sign)
 	}
 }
 
-// countPriority counts tasks on machines by the priority of their job.
-func (s *State) countPriority(t *Task, times int) {
+// countByPriority adds a task on a machine to PlacedByPriority (sign is 1) or removes it (sign is
+// -1).
+func (s *State) countByPriority(t *Task, sign int) {
 	if t.Job.Record != nil {
-		s.PlacedByPriority[t.Job.Record.Spec.PriorityOrder()] += times
+		s.PlacedByPriority[t.Job.Record.Spec.PriorityOrder()] += sign
 	}
 }
