--- a/internal/clusterstate/audit.go
+++ b/internal/clusterstate/audit.go
@@ -140,10 +140,10 @@
 
 // checkAccount compares the charges of the quota tree's nodes.
 func (a *audit) checkAccount() {
-	kept := a.state.Account
-	for i, path := range kept.Tree().Paths() {
-		if a.account.Used(i) != kept.Used(i) {
-			a.report("node %q: %s charged, kept %s", path, a.account.Used(i), kept.Used(i))
+	maintained := a.state.Account
+	for i, path := range maintained.Tree().Paths() {
+		if a.account.Used(i) != maintained.Used(i) {
+			a.report("node %q: %s charged, kept %s", path, a.account.Used(i), maintained.Used(i))
 		}
 	}
 }
--- a/internal/decide/batch_records.go
+++ b/internal/decide/batch_records.go
@@ -137,9 +137,9 @@
 }
 
 // splitOwned separates the tasks on this controller's machines from the other tasks of a batch
-// record that other controllers also write. It does so only if the transaction writes one of
-// its own tasks. After a view change every batch record has tasks of all owners, and as long as
-// they write the same records most of their transactions conflict.
+// record that other controllers also write, if the transaction writes one of this controller's
+// tasks. After a view change every batch record has tasks of all owners, and as long as they
+// write the same records most of their transactions conflict.
 func splitOwned(
 	record *clusterstate.TaskRecord,
 	edits map[*clusterstate.Task]Change,
@@ -171,8 +171,8 @@
 	return own, others
 }
 
-// mergeSmallBatches moves the entries of small batch records into larger ones of the same controller.
-// valueLimit is the maximum size of a value in bytes.
+// mergeSmallBatches moves the entries of small batch records into larger ones of the same
+// controller. valueLimit is the maximum size of a value in bytes.
 func mergeSmallBatches(batches []pendingBatch, valueLimit int) {
 	var own []*pendingBatch
 	for i := range batches {
--- a/internal/decide/decide.go
+++ b/internal/decide/decide.go
@@ -70,7 +70,7 @@
 }
 
 // Priority returns the priority order of the job whose tasks the decision changes, or 0 (the
-// highest priority) if it changes none.
+// highest priority) if it changes none or the job's record is unknown.
 func (d *Decision) Priority() int {
 	if len(d.Changes) == 0 || d.Changes[0].Task.Job.Record == nil {
 		return 0
