--- a/internal/clusterstate/audit.go
+++ b/internal/clusterstate/audit.go
@@ -10,7 +10,7 @@
 	"github.com/harrierreel/harrierreel/internal/sharding"
 )
 
-// Audit recomputes all incrementally maintained indexes and counts from the records and returns a
+// Audit recomputes incrementally maintained indexes and counts from the records and returns a
 // description of each difference. Scenarios and the snapshot check run it; live controllers do
 // not, because it visits the whole state.
 func (s *State) Audit() []string {
