--- a/internal/queue/accumulation.go
+++ b/internal/queue/accumulation.go
@@ -12,25 +12,26 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// capacityAccumulation is the capacity kept for a large gang until all of its tasks fit: in one
-// zone if the gang must be in one, place by place as machines boot and other tasks end. Only the
-// leader knows it, from cycle to cycle; another leader begins anew in the order of the accepted
-// times, which is the same.
+// capacityAccumulation is the capacity held for a large gang until all of its tasks fit. It grows
+// task by task as machines boot and other tasks end, and is limited to one zone if the gang must
+// run in one. It is kept in the leader's memory only. A new leader starts over and examines the
+// gangs in the same order, by the time they were accepted.
 type capacityAccumulation struct {
 	zone         string
-	progressAt   time.Time      // when more than ever before was kept, or the accumulation began
-	maxKept      int            // most places kept at once, so far
-	freePlaces   map[string]int // free places kept, by machine
-	busyMachines []string       // machines kept for what comes free on them
-	busyChosenAt time.Time      // when busyMachines were chosen
+	progressAt   time.Time      // when maxKept last increased, or the accumulation started
+	maxKept      int            // largest number of tasks for which free capacity was held at once
+	freePlaces   map[string]int // number of tasks for which free capacity is held, by machine
+	busyMachines []string       // machines held for capacity that becomes free on them
+	busyChosenAt time.Time      // when busyMachines was last chosen
 }
 
-// isLargeGang reports whether a gang needs more machines than are held for a small job.
+// isLargeGang reports whether a gang has more tasks than the number of machines that are held for a
+// small job.
 func isLargeGang(spec *jobs.Spec) bool { return spec.IsGang() && spec.TaskCount > tuning.HoldEach }
 
-// accumulate keeps capacity for a large gang that does not fit now, and returns for how many of its
-// tasks, and the zone. What is kept for all large gangs together stays below a share of the
-// machines, since those stand idle meanwhile.
+// accumulate holds capacity for a large gang that does not fit now. It returns the number of tasks
+// for which free capacity is held, and the zone. The capacity held for all large gangs together is
+// limited to a share of the machines, because those are idle meanwhile.
 func (q *Queue) accumulate(task *clusterstate.Task, cycle *schedulingCycle) (int, string) {
 	spec := &task.Job.Record.Spec
 	candidates := cycle.candidates(q, task.WithoutPreference())
@@ -54,8 +55,8 @@
 	return kept, accumulation.zone
 }
 
-// accumulationFor returns a gang's accumulation. One that made no progress for long begins anew in
-// another zone.
+// accumulationFor returns the accumulation of a gang. One that made no progress for
+// tuning.GatherElsewhere is started over in another zone.
 func (q *Queue) accumulationFor(
 	job *clusterstate.Job,
 	candidates []sharding.Candidate,
@@ -77,8 +78,8 @@
 	return accumulation
 }
 
-// takeFree keeps the free places of the zone for a gang, and returns how many of its tasks lack
-// one.
+// takeFree holds the free capacity of the zone for a gang, and returns the number of tasks that
+// still lack capacity.
 func (a *capacityAccumulation) takeFree(
 	q *Queue,
 	cycle *schedulingCycle,
@@ -88,7 +89,7 @@
 ) int {
 	a.freePlaces = map[string]int{}
 	left := spec.TaskCount
-	// The machines with the most places first: the gang starts on as few as hold it.
+	// Machines that fit the most tasks come first, so that the gang starts on as few machines as possible.
 	sort.SliceStable(candidates, func(a, b int) bool {
 		x, y := candidates[a].Free.HowMany(spec.Resources()), candidates[b].Free.HowMany(spec.Resources())
 		return x > y || x == y && candidates[a].Load > candidates[b].Load
@@ -109,8 +110,8 @@
 	return left
 }
 
-// allowAccumulation counts capacity kept for large gangs, as a share of a machine. It returns
-// false, and counts nothing, if that would be more than tuning.HoldShare of all machines.
+// allowAccumulation counts capacity held for large gangs, as a share of a machine. It returns
+// false, and counts nothing, if the total would exceed tuning.HoldShare of all machines.
 func (c *schedulingCycle) allowAccumulation(q *Queue, capacity, need sharding.Resources, places int) bool {
 	share := need.ShareOf(capacity) * float64(places)
 	if c.accumulatedShare+share > tuning.HoldShare*float64(len(q.state.Machines)) {
@@ -120,9 +121,9 @@
 	return true
 }
 
-// accumulationZone returns the zone where a gang accumulates capacity: the one with most of it free
-// now, another than the previous one if the gang did not come together there. It is "" if the gang
-// may spread over zones.
+// accumulationZone returns the zone in which a gang accumulates capacity: the one with the most
+// free capacity now, other than previousZone if the gang could not be completed there. It returns
+// "" if the gang may be spread over zones.
 func (q *Queue) accumulationZone(
 	spec *jobs.Spec,
 	candidates []sharding.Candidate,
@@ -160,8 +161,8 @@
 	return best
 }
 
-// takeBusy keeps the chosen busy machines, whole: smaller work takes each place as it comes free
-// otherwise, for as long as there is any.
+// takeBusy holds all of the chosen busy machines. Otherwise smaller tasks would take capacity on
+// them as it becomes free, for as long as such tasks keep arriving.
 func (a *capacityAccumulation) takeBusy(q *Queue, cycle *schedulingCycle, spec *jobs.Spec) {
 	for _, machineName := range a.busyMachines {
 		m := q.state.Machines[machineName]
@@ -180,8 +181,8 @@
 	}
 }
 
-// soonestFree chooses the busy machines to keep for a gang that lacks places: first those where the
-// next of its tasks is expected to find room soonest.
+// soonestFree chooses the busy machines to hold for a gang that lacks capacity for left tasks:
+// those that are expected to have capacity for one of its tasks soonest.
 func (q *Queue) soonestFree(
 	accumulation *capacityAccumulation,
 	task *clusterstate.Task,
@@ -218,9 +219,9 @@
 	return machines
 }
 
-// expectedFreeMs returns when, in Unix milliseconds, a machine is expected to have room for need,
-// by the expected durations of its tasks. It is false if only replicas, which never end, are in the
-// way.
+// expectedFreeMs returns the time, in Unix milliseconds, at which a machine is expected to have
+// capacity for need, by the expected durations of its tasks. It returns false if only replicas,
+// which never end, occupy that capacity.
 func (q *Queue) expectedFreeMs(m *clusterstate.Machine, need sharding.Resources) (int64, bool) {
 	type taskEnd struct {
 		atMs      int64
@@ -248,8 +249,8 @@
 	return atMs, free.Fits(need)
 }
 
-// AccumulatedCapacity returns the free capacity that is kept for large gangs, by machine. Such a machine is in
-// demand although nothing is reserved on it, so it must not be given back to the cloud.
+// AccumulatedCapacity returns the free capacity held for large gangs, by machine. Such a machine is
+// in demand although nothing is reserved on it, so it must not be given back to the cloud.
 func (q *Queue) AccumulatedCapacity() map[string]sharding.Resources {
 	out := map[string]sharding.Resources{}
 	for jobID, accumulation := range q.accumulations {
@@ -266,7 +267,7 @@
 	return out
 }
 
-// dropAccumulations forgets what was accumulated for gangs that no longer wait.
+// dropAccumulations removes the accumulations of gangs that no longer wait.
 func (q *Queue) dropAccumulations() {
 	for jobID := range q.accumulations {
 		if q.state.Queued[jobID] == nil {
--- a/internal/queue/calendar.go
+++ b/internal/queue/calendar.go
@@ -6,7 +6,7 @@
 	"github.com/harrierreel/harrierreel/internal/jobs"
 )
 
-// gate returns whether a job's work may begin by the calendar.
+// gate returns whether the calendar allows a job to start.
 func (q *Queue) gate(spec *jobs.Spec) calendar.Verdict {
 	if q.calendar == nil {
 		return calendar.Free
@@ -14,14 +14,14 @@
 	return q.calendar.Gate(spec)
 }
 
-// MayBegin reports whether a job's work may begin now by the calendar.
+// MayBegin reports whether the calendar allows a job to start now.
 func (q *Queue) MayBegin(spec *jobs.Spec) bool {
 	v := q.gate(spec)
 	return v == calendar.Free || v == calendar.Allowed
 }
 
-// releaseWindowReservations gives back the capacity reserved for windows that are about to open:
-// each cycle reserves it anew.
+// releaseWindowReservations frees the capacity reserved for windows that are about to open. Each
+// cycle reserves it again.
 func (q *Queue) releaseWindowReservations() {
 	for _, taskID := range q.windowReservations {
 		q.state.Unreserve(taskID)
@@ -29,9 +29,9 @@
 	q.windowReservations = nil
 }
 
-// reserveForWindow reserves capacity for a job whose window is about to open, and counts what finds
-// none as waiting, so that machines are provisioned for it. Nothing is preempted for it yet. It
-// returns how many tasks it examined.
+// reserveForWindow reserves capacity for a job whose window is about to open, and adds tasks
+// without capacity to the waiting ones, so that machines are provisioned for them. Nothing is
+// preempted for them yet. It returns the number of tasks that it examined.
 func (q *Queue) reserveForWindow(job *clusterstate.Job, cycle *schedulingCycle, limit int) int {
 	if job.Record.Spec.IsGang() {
 		q.reserveGangForWindow(job, cycle)
@@ -44,7 +44,7 @@
 	return q.reserveTasksForWindow(job, tasks, cycle)
 }
 
-// reserveGangForWindow reserves capacity for a whole gang.
+// reserveGangForWindow reserves capacity for all tasks of a gang or for none.
 func (q *Queue) reserveGangForWindow(job *clusterstate.Job, cycle *schedulingCycle) {
 	spec := &job.Record.Spec
 	leaf := q.state.QuotaLeaf(spec)
@@ -64,8 +64,8 @@
 	}
 }
 
-// reserveTasksForWindow reserves capacity for tasks one by one until one is beyond the team's limit
-// or finds none, and returns how many it examined.
+// reserveTasksForWindow reserves capacity for one task after another until one exceeds the team's
+// limit or finds no capacity, and returns the number of tasks that it examined.
 func (q *Queue) reserveTasksForWindow(
 	job *clusterstate.Job,
 	tasks []*clusterstate.Task,
@@ -95,7 +95,7 @@
 	return len(tasks)
 }
 
-// addWaitingForWindow notes tasks that found no capacity ahead of their window.
+// addWaitingForWindow records tasks that found no capacity before their window opens.
 func (q *Queue) addWaitingForWindow(first *clusterstate.Task, entitled, count int, cycle *schedulingCycle) {
 	if count <= 0 {
 		return
@@ -111,8 +111,8 @@
 	})
 }
 
-// reserveUntilNextCycle reserves capacity for a task until the next cycle, under an ID of its own,
-// since the task itself is under no transaction.
+// reserveUntilNextCycle reserves capacity for a task until the next cycle. The reservation has its
+// own ID because no transaction on the task itself is in flight.
 func (q *Queue) reserveUntilNextCycle(task *clusterstate.Task, machineName string) {
 	reservation := &clusterstate.Task{
 		Task:  task.Task,
--- a/internal/queue/candidates.go
+++ b/internal/queue/candidates.go
@@ -9,16 +9,17 @@
 	"github.com/harrierreel/harrierreel/internal/sharding"
 )
 
-// Scarce reports whether the store takes few writes for the number of machines. Tasks of a job then
-// go to few shards, several at a time, and the leader names their machines in the write that
-// releases them: each task range and each transition of it costs a write of its own otherwise.
+// Scarce reports whether the store's write rate is low for the number of machines. Each task range
+// and each transition of one costs a write, so the tasks of a job then go to few shards, several at
+// a time, and the leader names their machines in the write that releases them.
 func (q *Queue) Scarce() bool {
 	return float64(len(q.state.Machines)) > q.config.MaxWritesPerS
 }
 
-// concentrate keeps, while writes are scarce, the candidates of as few shards as hold the tasks:
-// those with the most capacity, machines with the image counted double. Spot instances come first:
-// on-demand ones of one shard must not be taken while spot instances of another have room.
+// concentrate limits the candidates, while writes are scarce, to as few shards as can hold the
+// tasks. Shards with the most capacity come first, and machines that have the image cached count
+// double. Spot instances are selected before on-demand ones: on-demand instances of one shard must
+// not be used while spot instances of another have capacity.
 func (q *Queue) concentrate(spec *jobs.Spec, candidates []sharding.Candidate, tasks int) []sharding.Candidate {
 	if !q.Scarce() || spec.Kind != jobs.JobArray || tasks == 1 {
 		return candidates
@@ -39,8 +40,8 @@
 	return out
 }
 
-// fewestControllers keeps the candidates of as few shards as hold the tasks, and returns how many
-// tasks are left over.
+// fewestControllers limits the candidates to as few shards as can hold the tasks, and returns the
+// number of tasks that do not fit.
 func fewestControllers(spec *jobs.Spec, candidates []sharding.Candidate, tasks int) ([]sharding.Candidate, int) {
 	places, cachedPlaces := map[string]int{}, map[string]int{}
 	for i := range candidates {
@@ -67,7 +68,7 @@
 	return slices.DeleteFunc(candidates, func(c sharding.Candidate) bool { return !used[c.Controller] }), left
 }
 
-// pickCandidate returns the index of the best candidate for one of a job's tasks, or -1.
+// pickCandidate returns the index of the best candidate for a task, or -1 if there is none.
 func (q *Queue) pickCandidate(task *clusterstate.Task, candidates []sharding.Candidate, zones map[string]int) int {
 	spec := &task.Job.Record.Spec
 	return sharding.PickIf(spec.Resources(), spec.Spot, candidates, func(candidate *sharding.Candidate) bool {
@@ -89,7 +90,7 @@
 	return q.mayPropose(m) && clusterstate.FitsTask(task, m)
 }
 
-// FindMachine picks the machine to propose for a task, "" if none has room.
+// FindMachine returns the machine to propose for a task, "" if none has capacity.
 func (q *Queue) FindMachine(task *clusterstate.Task, zones map[string]int) string {
 	candidates := q.appendCandidates(
 		nil,
@@ -103,7 +104,8 @@
 	return ""
 }
 
-// freeCapacity returns what a machine of a known type has left; what is reserved counts as used.
+// freeCapacity returns the unused capacity of a machine of a known type. Reserved capacity counts
+// as used.
 func (q *Queue) freeCapacity(m *clusterstate.Machine) sharding.Resources {
 	return q.state.MachineTypes[m.MachineType].Capacity().Sub(q.state.UsedResources(m.Name))
 }
--- a/internal/queue/claims.go
+++ b/internal/queue/claims.go
@@ -12,27 +12,27 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// claim is the machines of one gang while the leader places it: pending until the store holds the
-// claim, then held until the records of the gang's tasks are settled.
+// claim is the set of machines claimed for one gang while the leader places it. It is pending until
+// the store holds the claim, and then held until the records of the gang's tasks are settled.
 type claim struct {
 	machines     []string
 	onSettled    func(ok bool) // called once it is known whether the store holds the claim
-	writePending bool          // a write of the claim is under way
+	writePending bool          // a write of the claim is in flight
 	held         bool
 }
 
-// Claiming reports whether this leader is claiming machines for a gang.
+// Claiming reports whether this leader is claiming or holding machines for a gang.
 func (q *Queue) Claiming(jobID string) bool { return q.claims[jobID] != nil }
 
-// claimMachines claims machines for a gang. Nothing else is released to them from now on. onSettled
+// claimMachines claims machines for a gang. From now on nothing else is released to them. onSettled
 // is called at most once, possibly before claimMachines returns.
 func (q *Queue) claimMachines(jobID string, machines []string, onSettled func(ok bool)) {
 	q.claims[jobID] = &claim{machines: machines, onSettled: onSettled}
 	q.ReconcileClaims()
 }
 
-// claimPending reports whether a machine belongs to a gang that this leader claims machines for; the
-// store may not hold the claim yet.
+// claimPending reports whether this leader is claiming a machine for a gang. The store may not hold
+// the claim yet.
 func (q *Queue) claimPending(machineName string) bool {
 	for _, c := range q.claims {
 		if slices.Contains(c.machines, machineName) {
@@ -42,8 +42,8 @@
 	return false
 }
 
-// ReconcileClaims makes the store hold what this leader claims and nothing else: what an earlier
-// leader left goes with the first write. There is one write at a time.
+// ReconcileClaims writes the claims of this leader to the store. The first write also removes the
+// claims that an earlier leader left. Only one write is in flight at a time.
 func (q *Queue) ReconcileClaims() {
 	want := fleet.Claims{}
 	for jobID, c := range q.claims {
@@ -53,12 +53,13 @@
 		return
 	}
 	if maps.EqualFunc(want, q.state.MachineClaims, slices.Equal[[]string]) {
-		q.settleClaims(true, func(c *claim) bool { return !c.held }) // as an earlier leader left it
+		q.settleClaims(true, func(c *claim) bool { return !c.held }) // the store holds them already, from an earlier leader
 		return
 	}
 	writes := q.claimWrites(want)
 	if writes == nil {
-		// Too much for one transaction: the gangs whose claims are not held yet are examined anew.
+		// The claims do not fit in one transaction. Those that are not held yet are dropped, and
+		// their gangs are examined again.
 		q.settleClaims(false, func(c *claim) bool { return !c.held && !c.writePending })
 		return
 	}
@@ -70,8 +71,8 @@
 	}}})
 }
 
-// claimWrites returns the writes that make the store hold these claims, nil if one transaction
-// cannot hold them.
+// claimWrites returns the writes that replace the claims in the store with want, nil if they do not
+// fit in one transaction.
 func (q *Queue) claimWrites(want fleet.Claims) []store.Write {
 	var writes []store.Write
 	values := want.Divide(q.config.MaxValueBytes)
@@ -89,8 +90,8 @@
 	if len(writes) > q.config.MaxTxnWrites || len(writes) > 1 && bytes > tuning.MaxClaimBytes {
 		return nil
 	}
-	// Values that are not needed any more are removed with it, as far as the transaction has room:
-	// without the first value they count for nothing.
+	// Values that are no longer needed are removed in the same transaction as far as they fit. Those
+	// left over are ignored, because the first value does not refer to them.
 	for _, number := range slices.Sorted(maps.Keys(q.claimValues)) {
 		if number > len(values) && len(writes) < q.config.MaxTxnWrites {
 			writes = append(writes, decide.Remove(fleet.ClaimsKeyOf(number)))
@@ -99,8 +100,8 @@
 	return writes
 }
 
-// ApplyClaims takes in one of the values that hold the claims; nil removes it. It returns an error
-// for a value that cannot be read, of which nothing counts: the leader writes it anew.
+// ApplyClaims applies one of the values that hold the claims; nil removes it. It returns an error
+// for a value that cannot be decoded. Such a value is ignored entirely, and the leader rewrites it.
 func (q *Queue) ApplyClaims(key string, value json.RawMessage) error {
 	claims, err := fleet.DecodeClaims(value)
 	if value == nil {
@@ -113,7 +114,7 @@
 	return err
 }
 
-// settleClaims tells gangs whether their claims are held.
+// settleClaims tells the gangs of the claims selected by which whether their claims are held.
 func (q *Queue) settleClaims(ok bool, which func(*claim) bool) {
 	for _, jobID := range clusterstate.SortedKeys(q.claims) {
 		c := q.claims[jobID]
@@ -129,8 +130,8 @@
 	}
 }
 
-// ClaimedFor returns the job that a machine is claimed for, "" for none. Earlier versions kept it
-// in the machine's own record.
+// ClaimedFor returns the ID of the job that a machine is claimed for, "" for none. Earlier versions
+// kept the claim in the machine record.
 func (q *Queue) ClaimedFor(m *clusterstate.Machine) string {
 	if m.Claim != "" {
 		return m.Claim
@@ -138,7 +139,7 @@
 	return q.state.ClaimedBy[m.Name]
 }
 
-// DropClaims clears claims that a leader of an earlier version left in machine records.
+// DropClaims removes claims that a leader of an earlier version left in machine records.
 func (q *Queue) DropClaims() {
 	var decisions []decide.Decision
 	for _, m := range q.state.MachinesByName() {
--- a/internal/queue/cycle.go
+++ b/internal/queue/cycle.go
@@ -12,41 +12,41 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// schedulingCycle is the state of one scheduling cycle of the leader: what it considers is charged
-// to its own copy of the quota account, and capacity is held for tasks that wait. Everything that
-// it holds is given back when it ends.
+// schedulingCycle is the state of one scheduling cycle of the leader. Tasks are charged to a copy
+// of the quota account, and capacity is held for tasks that wait. All holds are released when the
+// cycle ends.
 type schedulingCycle struct {
 	account          *quota.Account
 	heldMachines     map[string]bool              // machines held for tasks that fit nowhere
-	heldResources    []sharding.Resources         // capacity held, given back when the cycle ends
-	heldOn           []string                     // the machine of each of heldResources
-	leavesAtLimit    map[int]bool                 // quota leaves whose next task does not fit their limits
-	unplaceable      map[string][]unplaceableNeed // what found no room, by placementScope
-	victimSearches   int                          // searches for tasks to preempt
+	heldResources    []sharding.Resources         // resources held until the cycle ends
+	heldOn           []string                     // machine of each entry in heldResources
+	leavesAtLimit    map[int]bool                 // leaf nodes of the quota tree whose next task exceeds a limit
+	unplaceable      map[string][]unplaceableNeed // resource requests that no machine can satisfy, by placementScope
+	victimSearches   int                          // searches for preemption victims so far
 	stopping         map[*clusterstate.Task]bool  // tasks that this cycle stops
 	newlyHeldCount   int                          // machines newly chosen to be held
-	accumulatedShare float64                      // capacity kept for large gangs, in machines
-	loans            cycleLoans                   // capacity kept for loans
+	accumulatedShare float64                      // capacity held for large gangs, in machines
+	loans            cycleLoans                   // capacity reserved for loans
 	decisions        []decide.Decision
 	rounds           schedulingRounds
 	openMachineCache []*clusterstate.Machine // machines that the leader may propose, nil if not listed yet
-	candidateBuffer  []sharding.Candidate    // memory for the candidates of one job after another
+	candidateBuffer  []sharding.Candidate    // reused for the candidates of each job
 }
 
-// unplaceableNeed is what found no room in this cycle: the resources of a task, for so many tasks
-// at once.
+// unplaceableNeed is a resource request that could not be satisfied in this cycle: the resources of
+// one task, and the number of tasks to place together.
 type unplaceableNeed struct {
 	resources sharding.Resources
 	taskCount int
 }
 
-// placement is a task with the machine that the leader proposes for it.
+// placement is a task and the machine that the leader proposes for it.
 type placement struct {
 	task    *clusterstate.Task
 	machine string
 }
 
-// candidates lists the machines with room for a task. The list is valid until the next call.
+// candidates lists the machines with capacity for a task. The result is valid until the next call.
 func (c *schedulingCycle) candidates(q *Queue, task *clusterstate.Task) []sharding.Candidate {
 	c.candidateBuffer = q.appendCandidates(
 		c.candidateBuffer,
@@ -57,8 +57,9 @@
 	return c.candidateBuffer
 }
 
-// openMachines lists the machines that the leader may propose. The list is the same for every job
-// of a cycle, and checking a machine's standing costs more than checking its capacity.
+// openMachines lists the machines that the leader may propose. The list is cached because it is the
+// same for every job of a cycle, and checking the status of a machine costs more than checking its
+// capacity.
 func (c *schedulingCycle) openMachines(q *Queue) []*clusterstate.Machine {
 	if c.openMachineCache == nil {
 		for _, m := range q.state.MachinesByName() {
@@ -70,7 +71,8 @@
 	return c.openMachineCache
 }
 
-// writeCount returns how many records the cycle's decisions write, at most.
+// writeCount returns an upper bound for the number of records that the decisions of the cycle
+// write.
 func (c *schedulingCycle) writeCount() int {
 	sum, batchEntries := 0, 0
 	for i := range c.decisions {
@@ -80,7 +82,7 @@
 	return sum + batchEntries/tuning.MaxSharedBatches
 }
 
-// newCycle begins a scheduling cycle.
+// newCycle starts a scheduling cycle.
 func (q *Queue) newCycle() *schedulingCycle {
 	cycle := &schedulingCycle{
 		account:       q.state.Account.Clone(),
@@ -89,8 +91,8 @@
 		unplaceable:   map[string][]unplaceableNeed{},
 		stopping:      map[*clusterstate.Task]bool{},
 	}
-	// A gang whose machines are being claimed has its share already: given away once more,
-	// it would be lacking for the gang or beyond its team's limit.
+	// A gang whose machines are being claimed has been granted its quota already. If other tasks
+	// used it, the gang would lack it or exceed its team's limit.
 	for jobID := range q.claims {
 		if job := q.state.Jobs[jobID]; job != nil && job.Record != nil {
 			cycle.account.Charge(job.Record.Spec.QuotaKey(), job.Record.Spec.Amount(), q.unchargedTasks(job))
@@ -99,8 +101,8 @@
 	return cycle
 }
 
-// unchargedTasks returns how many tasks of a job are neither released nor reserved, so that the
-// quota account does not count them yet.
+// unchargedTasks returns the number of tasks of a job that are neither released nor reserved, so
+// that the quota account does not include them yet.
 func (q *Queue) unchargedTasks(job *clusterstate.Job) int {
 	n := job.Record.Spec.TaskCount - len(job.Active)
 	for _, r := range q.state.Reservations {
@@ -111,13 +113,14 @@
 	return n
 }
 
-// hold takes capacity on a machine until the cycle ends.
+// hold allocates resources on a machine until the cycle ends.
 func (c *schedulingCycle) hold(q *Queue, machineName string, need sharding.Resources) {
 	q.state.AllocateResources(machineName, need)
 	c.heldOn, c.heldResources = append(c.heldOn, machineName), append(c.heldResources, need)
 }
 
-// releaseHolds gives back what the cycle has held so far, and forgets what found no room beside it.
+// releaseHolds frees the resources held so far, and clears the requests that could not be satisfied
+// beside them.
 func (c *schedulingCycle) releaseHolds(q *Queue) {
 	for i, machineName := range c.heldOn {
 		q.state.FreeResources(machineName, c.heldResources[i])
@@ -126,7 +129,7 @@
 	clear(c.unplaceable)
 }
 
-// end gives back all that the cycle holds.
+// end frees all resources that the cycle holds.
 func (c *schedulingCycle) end(q *Queue) {
 	for _, rooms := range c.loans.reservations {
 		for _, r := range rooms {
@@ -136,8 +139,8 @@
 	c.releaseHolds(q)
 }
 
-// placementScope returns a key for where a job may go at all: a need that found no room tells
-// something only of needs with the same key.
+// placementScope returns a key for the set of machines that a job may run on. That a request cannot
+// be satisfied says something only about requests with the same key.
 func placementScope(s *jobs.Spec, taskCount int) string {
 	key := s.Zone + "/" + strings.Join(s.MachineTypes, ",")
 	if s.Spot {
@@ -149,10 +152,11 @@
 	return key
 }
 
-// knownUnplaceable reports whether the same or less found no room in this cycle already.
+// knownUnplaceable reports whether an equal or smaller request could not be satisfied earlier in
+// this cycle.
 func (c *schedulingCycle) knownUnplaceable(s *jobs.Spec, taskCount int) bool {
 	if c.loans.reservations[s.ID] != nil {
-		return false // capacity is kept for it
+		return false // capacity is reserved for the job
 	}
 	for _, r := range c.unplaceable[placementScope(s, taskCount)] {
 		if r.taskCount <= taskCount && s.Resources().Fits(r.resources) {
@@ -162,7 +166,8 @@
 	return false
 }
 
-// noteUnplaceable notes that so many tasks of a job find no room in this cycle.
+// noteUnplaceable records that there is no capacity in this cycle for the given number of tasks of
+// a job.
 func (c *schedulingCycle) noteUnplaceable(s *jobs.Spec, taskCount int) {
 	key := placementScope(s, taskCount)
 	c.unplaceable[key] = append(c.unplaceable[key], unplaceableNeed{s.Resources(), taskCount})
--- a/internal/queue/decisions.go
+++ b/internal/queue/decisions.go
@@ -11,9 +11,9 @@
 	"github.com/harrierreel/harrierreel/internal/taskbatch"
 )
 
-// releaseDecisions returns the decisions that release tasks to the shards of the proposed machines;
-// those of the leader's own shard are placed at once. New tasks of a shard make a task range: it
-// does not matter which of a job's tasks goes where, so each shard gets consecutive ones.
+// releaseDecisions returns the decisions that release tasks to the shards of the proposed machines.
+// Tasks for the leader's own shard are placed at once. The new tasks of a shard share a task range:
+// which of a job's tasks goes to which shard does not matter, so each shard gets consecutive ones.
 func (q *Queue) releaseDecisions(job *clusterstate.Job, placements []placement) []decide.Decision {
 	var decisions []decide.Decision
 	machinesByController := map[string][]string{}
@@ -50,9 +50,10 @@
 	return decisions
 }
 
-// batchDecision returns the decision that releases a task to a shard in a new batch record, with
-// all else that goes to that shard in the same transaction. A task that was attempted before leaves
-// its batch for that: the owner of its new machine writes it next.
+// batchDecision returns the decision that releases a task to a shard in a new batch record,
+// together with the other tasks for that shard in the same transaction. A task that was attempted
+// before is removed from its old batch, because the owner of its new machine writes its record from
+// now on.
 func (q *Queue) batchDecision(o placement) (decide.Decision, bool) {
 	m := q.state.Machines[o.machine]
 	decision := decide.Decision{ReadSet: []string{jobs.JobPrefix + o.task.Job.ID}}
@@ -78,8 +79,8 @@
 	return decision, true
 }
 
-// releasedTask returns a task's record released to the shard of the proposed machine, and reserves
-// the place. It is false if the task may not be released.
+// releasedTask returns the record of a task released to the shard of the proposed machine, and
+// reserves the capacity. It returns false if the task may not be released.
 func (q *Queue) releasedTask(task *clusterstate.Task, m *clusterstate.Machine) (jobs.Task, bool) {
 	next, ok := jobs.NextTask(
 		task.Task,
@@ -91,7 +92,7 @@
 	return next, ok
 }
 
-// releaseRecorded releases or places a task that has a record already.
+// releaseRecorded returns the decision that releases or places a task that already has a record.
 func (q *Queue) releaseRecorded(o placement) (decide.Decision, bool) {
 	m := q.state.Machines[o.machine]
 	if q.placesDirectly(o.task, m) {
@@ -110,8 +111,8 @@
 }
 
 // beginTaskRange returns the decision that writes a new range of consecutive tasks that were never
-// released. Its key must not exist yet. Tasks that placesDirectly allows are placed at once, the
-// others are released to the machine's shard.
+// released. Its key must not exist yet. Tasks for which placesDirectly returns true are placed at
+// once; the others are released to the shard of their machine.
 func (q *Queue) beginTaskRange(
 	job *clusterstate.Job,
 	tasks []*clusterstate.Task,
@@ -143,8 +144,8 @@
 	return decision
 }
 
-// placesDirectly reports whether the leader may place a task itself: in its own shard, and while
-// writes are scarce in every shard, by the machine's record.
+// placesDirectly reports whether the leader may place a task itself. It may do so in its own shard
+// and, while writes are scarce, in every shard if the machine's record allows it.
 func (q *Queue) placesDirectly(task *clusterstate.Task, m *clusterstate.Machine) bool {
 	if m.Owner != q.config.Name {
 		return q.Scarce() && q.canPropose(task, m)
@@ -152,16 +153,16 @@
 	return q.machines.CanPlace(task, m)
 }
 
-// placeRule reports whether the leader places a task on a machine itself rather than release it to
-// the machine's shard.
+// placeRule reports whether the leader places a task on a machine itself rather than releases it to
+// the shard of the machine.
 type placeRule func(*clusterstate.Task, *clusterstate.Machine) bool
 
 func always(*clusterstate.Task, *clusterstate.Machine) bool { return true }
 
 func never(*clusterstate.Task, *clusterstate.Machine) bool { return false }
 
-// consecutiveCount returns how many of the first new tasks, up to limit, are consecutive and fit
-// one task range.
+// consecutiveCount returns how many of the first new tasks, up to limit, have consecutive indexes
+// and fit in one task range.
 func (q *Queue) consecutiveCount(newTasks []*clusterstate.Task, limit int) int {
 	limit = min(limit, len(newTasks), q.config.MaxRangeTasks)
 	count := 1
--- a/internal/queue/gangs.go
+++ b/internal/queue/gangs.go
@@ -13,8 +13,8 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// releaseGang releases a gang of which nothing runs: to a shard that can hold it whole, or across
-// shards. A broken one is withdrawn.
+// releaseGang releases a gang that has no active tasks, to a single shard if one can hold all of
+// it, otherwise across shards. A gang that is only partly active is withdrawn.
 func (q *Queue) releaseGang(job *clusterstate.Job, cycle *schedulingCycle) {
 	spec := &job.Record.Spec
 	if q.Claiming(job.ID) {
@@ -35,7 +35,7 @@
 	leaf := q.state.QuotaLeaf(spec)
 	if !cycle.account.Allows(leaf, spec.Amount(), spec.TaskCount) {
 		if q.Overdue(job) && cycle.account.Tree().EverAllows(leaf, spec.Amount(), spec.TaskCount) {
-			// As with single tasks: what its team has left is kept for it.
+			// As for single tasks, the rest of the team's quota is kept free for it.
 			cycle.leavesAtLimit[leaf] = true
 		}
 		cycle.rounds.overLimit = append(cycle.rounds.overLimit, job)
@@ -55,7 +55,8 @@
 	}
 }
 
-// withdrawGang withdraws a gang of which only some tasks run: they are of no use alone.
+// withdrawGang unassigns or stops the tasks of a gang of which only some are active: part of a gang
+// cannot make progress.
 func withdrawGang(job *clusterstate.Job, cycle *schedulingCycle) {
 	for _, index := range slices.Sorted(maps.Keys(job.Tasks)) {
 		task := job.Tasks[index]
@@ -65,7 +66,7 @@
 	}
 }
 
-// backsOff reports whether a gang in doubt still waits before its next attempt.
+// backsOff reports whether a gang that is being probed is still in backoff before its next attempt.
 func (q *Queue) backsOff(tasks []*clusterstate.Task, attempt uint64) bool {
 	pause := jobs.Backoff(int(min(attempt, 10)))
 	return slices.ContainsFunc(tasks, func(task *clusterstate.Task) bool {
@@ -73,8 +74,8 @@
 	})
 }
 
-// addWaitingGang notes a gang that found no room: it keeps its place in the queue, and capacity is
-// held for it, for a large gang as it comes free.
+// addWaitingGang records a gang that found no capacity. The gang keeps its position in the queue,
+// and machines are held for it. For a large gang, capacity is accumulated as it becomes free.
 func (q *Queue) addWaitingGang(job *clusterstate.Job, first *clusterstate.Task, entitled int, cycle *schedulingCycle) {
 	spec := &job.Record.Spec
 	if q.lacksCapacity(job) {
@@ -99,7 +100,7 @@
 	q.holdMachines(first.WithoutPreference(), held, q.state.TasksByZone(job), cycle)
 }
 
-// taskRecords lists the records of a job's tasks.
+// taskRecords returns the records of a job's tasks.
 func taskRecords(job *clusterstate.Job) []*jobs.Task {
 	out := make([]*jobs.Task, 0, len(job.Tasks))
 	for _, task := range job.Tasks {
@@ -108,8 +109,8 @@
 	return out
 }
 
-// restingTasks returns all tasks of a gang of which nothing runs, and its next attempt; nil if
-// something runs, or some of its tasks back off or are under a transaction.
+// restingTasks returns all tasks of a gang that has no active tasks, and the number of its next
+// attempt. It returns nil if a task is active, in backoff, or has a transaction in flight.
 func (q *Queue) restingTasks(job *clusterstate.Job) ([]*clusterstate.Task, uint64) {
 	spec := &job.Record.Spec
 	records := taskRecords(job)
@@ -123,8 +124,8 @@
 	return tasks, gangs.NextAttempt(records)
 }
 
-// beginGang gives a gang the machines that hold it: in one transaction if that is possible, and
-// otherwise they are claimed first.
+// beginGang releases or places a gang on the selected machines: in one transaction if possible,
+// otherwise the machines are claimed first.
 func (q *Queue) beginGang(
 	job *clusterstate.Job,
 	tasks []*clusterstate.Task,
@@ -134,8 +135,7 @@
 	cycle *schedulingCycle,
 ) {
 	spec := &job.Record.Spec
-	// Where the leader places the tasks itself, machines of several shards are taken in one
-	// transaction as well.
+	// If the leader places the tasks itself, one transaction can cover machines of several shards.
 	if (sameController || q.placesAllDirectly(placements)) && q.fitsOneTxn(spec, placements) {
 		if decision, ok := q.releaseGangWhole(job, placements); ok {
 			cycle.decisions = append(cycle.decisions, decision)
@@ -151,31 +151,31 @@
 }
 
 // fitsOneTxn reports whether one transaction can place a gang, with a precondition for each machine
-// and the records of all its tasks. The shard that the gang is released to places it in one
-// decision; a larger gang is placed on claimed machines, in several.
+// and the records of all tasks. The shard to which a gang is released places it in one decision; a
+// larger gang is placed on claimed machines, in several decisions.
 func (q *Queue) fitsOneTxn(spec *jobs.Spec, placements []placement) bool {
 	machines := map[string]bool{}
 	for _, o := range placements {
 		machines[o.machine] = true
 	}
-	// View, fencing token, quotas and claims, the job, and a task range that the first task does not
-	// begin.
+	// The view, the fencing token, the quotas, the claims, the job, and a task range that does not
+	// start with the first task.
 	others := 6 + q.config.ExtraPreconditions
 	taskRanges := spec.TaskCount/q.config.MaxRangeTasks + 1
 	return len(machines)+taskRanges+others <= q.config.MaxTxnWrites*tuning.PreconditionsPerOp &&
 		spec.TaskCount*tuning.RangeTaskBytes <= tuning.TxnBytes
 }
 
-// placesAllDirectly reports whether the leader may place all of a gang itself.
+// placesAllDirectly reports whether the leader may place all tasks of a gang itself.
 func (q *Queue) placesAllDirectly(placements []placement) bool {
 	return !slices.ContainsFunc(placements, func(o placement) bool {
 		return !q.placesDirectly(o.task, q.state.Machines[o.machine])
 	})
 }
 
-// releaseGangWhole returns the one decision that releases a whole gang to the shard of all its
-// machines; where the leader may place all of it, it is placed at once. It is false, and nothing is
-// reserved, if one transaction cannot hold it.
+// releaseGangWhole returns the single decision that releases all tasks of a gang to the shard of
+// their machines, or places them at once if the leader may place all of them. It returns false, and
+// reserves nothing, if one transaction cannot hold the decision.
 func (q *Queue) releaseGangWhole(job *clusterstate.Job, placements []placement) (decide.Decision, bool) {
 	joined := joinedDecision{readSet: []string{jobs.JobPrefix + job.ID}}
 	placesDirectly := placeRule(always)
@@ -213,8 +213,8 @@
 	return decision, true
 }
 
-// gangTaskDecision returns the decision for a gang's task that has a record already: it is placed
-// at once, or released to the machine's shard.
+// gangTaskDecision returns the decision for a gang's task that already has a record: it is placed
+// at once, or released to the shard of the machine.
 func (q *Queue) gangTaskDecision(o placement, placesDirectly placeRule, attempt uint64) (decide.Decision, bool) {
 	m := q.state.Machines[o.machine]
 	if placesDirectly(o.task, m) {
@@ -231,8 +231,8 @@
 	}, true
 }
 
-// joinedDecision makes one decision of several, so that one transaction commits all of them or
-// none.
+// joinedDecision combines several decisions into one, so that one transaction commits all of them
+// or none.
 type joinedDecision struct {
 	changes []decide.Change
 	writes  []store.Write
@@ -240,7 +240,7 @@
 	settled []func(bool)
 }
 
-// add takes one more decision in; a key stands in the read set once.
+// add adds a decision. Each key is in the combined read set only once.
 func (d *joinedDecision) add(part decide.Decision) {
 	var unread []string
 	for _, key := range part.ReadSet {
@@ -252,8 +252,8 @@
 	d.addWithReads(part)
 }
 
-// addWithReads is add with all of the decision's read set, also keys that stand there already: each
-// counts among a transaction's estimated preconditions.
+// addWithReads adds a decision with all of its read set, including keys that are there already:
+// each of them counts toward the estimated preconditions of a transaction.
 func (d *joinedDecision) addWithReads(part decide.Decision) {
 	d.changes = append(d.changes, part.Changes...)
 	d.writes = append(d.writes, part.Writes...)
@@ -261,19 +261,19 @@
 	d.settled = append(d.settled, part.OnSettled)
 }
 
-// settle tells all of them whether they were committed.
+// settle tells the combined decisions whether they were committed.
 func (d *joinedDecision) settle(ok bool) {
 	for _, settled := range d.settled {
 		settled(ok)
 	}
 }
 
-// decision returns all of them as one.
+// decision returns the combined decision.
 func (d *joinedDecision) decision() decide.Decision {
 	return decide.Decision{Changes: d.changes, Writes: d.writes, ReadSet: d.readSet, OnSettled: d.settle}
 }
 
-// fitGang finds a machine for every task of a gang; placements is nil if it does not fit.
+// fitGang selects a machine for every task of a gang; placements is nil if the gang does not fit.
 // sameController reports whether all the machines belong to one shard.
 func (q *Queue) fitGang(
 	tasks []*clusterstate.Task,
@@ -308,9 +308,9 @@
 	return placements, sameController
 }
 
-// claimGang places a gang that one transaction cannot hold: its machines are claimed in the store
-// first, so that no shard places anything else on them, then the tasks are placed, then the claims
-// are dropped.
+// claimGang places a gang that does not fit in one transaction. Its machines are claimed in the
+// store first, so that no shard places other tasks on them; then the tasks are placed; then the
+// claims are dropped.
 func (q *Queue) claimGang(job *clusterstate.Job, tasks []*clusterstate.Task, machines []string, attempt uint64) {
 	unique := slices.Clone(machines)
 	slices.Sort(unique)
@@ -332,16 +332,17 @@
 					delete(q.claims, job.ID)
 				}
 			}
-			// A gang of which part is placed and part is put off for want of writes would be broken,
-			// and withdrawn.
+			// If only some of the decisions were deferred for lack of write budget, the gang would
+			// be partly placed, and would be withdrawn.
 			decisions[i].Urgent = true
 		}
 		q.commits.Commit(decisions)
 	})
 }
 
-// placeClaimed returns the decisions that place a gang on the machines claimed for it; false if the
-// claims or the capacity are not there. The caller then settles the decisions returned.
+// placeClaimed returns the decisions that place a gang on the machines claimed for it. It returns
+// false if the claims, the quota or the capacity are missing; the caller then settles the decisions
+// returned.
 func (q *Queue) placeClaimed(
 	job *clusterstate.Job,
 	tasks []*clusterstate.Task,
@@ -352,7 +353,7 @@
 	if !claimed || job.Record == nil {
 		return nil, false
 	}
-	// The claim may have waited for a while, and others were charged meanwhile
+	// Other jobs may have been charged while the claim was being written
 	// (docs/incidents/claimed-gangs.md).
 	spec := &job.Record.Spec
 	if !q.state.Account.Allows(q.state.QuotaLeaf(spec), spec.Amount(), spec.TaskCount) {
@@ -386,8 +387,8 @@
 	return decisions, true
 }
 
-// claimHasCapacity reports whether the machines are claimed for a gang and have room for its tasks.
-// machines has one entry for each task.
+// claimHasCapacity reports whether the machines are claimed for a gang and have capacity for its
+// tasks. machines has one entry per task.
 func (q *Queue) claimHasCapacity(job *clusterstate.Job, machines []string) bool {
 	resources := job.Record.Spec.Resources()
 	claimed := map[string]sharding.Resources{}
@@ -404,7 +405,7 @@
 	return true
 }
 
-// placeReleasedGang places a gang that was released to this shard, whole or not at all.
+// placeReleasedGang places a gang that was released to this shard, all tasks or none.
 func (q *Queue) placeReleasedGang(job *clusterstate.Job, tasks []*clusterstate.Task) []decide.Decision {
 	if len(tasks) != job.Record.Spec.TaskCount {
 		return nil
@@ -418,7 +419,7 @@
 			for _, task := range tasks {
 				task.PlacementTriedAt = q.state.Now
 			}
-			return nil // the leader takes it back
+			return nil // the leader takes the gang back
 		}
 		joined.addWithReads(part)
 	}
--- a/internal/queue/holds.go
+++ b/internal/queue/holds.go
@@ -8,18 +8,18 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// heldCapacity is the machines held for a job.
+// heldCapacity lists the machines held for a job.
 type heldCapacity struct {
 	machines []string
 	chosenAt time.Time
 }
 
-// holdMachines holds machines for a task that needs more room than is free anywhere: those that
-// lack least. Without it, smaller tasks further back in the queue would take every place that comes
-// free, one by one, for as long as there are any.
+// holdMachines holds machines for a task that needs more capacity than is free on any machine: the
+// machines that lack the least. Otherwise smaller tasks further back in the queue would take
+// capacity as it becomes free, for as long as such tasks keep arriving.
 //
-// The machines held for a job are chosen anew only from time to time: choosing one means examining
-// every machine.
+// The machines held for a job are chosen again only every tuning.HoldAgain, because choosing one
+// requires examining every machine.
 func (q *Queue) holdMachines(task *clusterstate.Task, count int, zones map[string]int, cycle *schedulingCycle) {
 	held := q.holds[task.Job.ID]
 	if q.state.Now.Sub(held.chosenAt) > tuning.HoldAgain {
@@ -34,8 +34,8 @@
 	}
 }
 
-// chooseHolds chooses up to count machines to hold, within the share of all that may be held and
-// the number that one cycle may choose. It counts them in zones.
+// chooseHolds chooses up to count machines to hold, limited by the share of all machines that may
+// be held and by the number that one cycle may choose. It counts the machines in zones.
 func (q *Queue) chooseHolds(
 	task *clusterstate.Task,
 	count int,
@@ -60,7 +60,8 @@
 	return machines
 }
 
-// nearestFit returns the machine that lacks least for a task, nil if none could hold it.
+// nearestFit returns the machine that lacks the least capacity for a task, nil if no machine could
+// ever hold the task.
 func (q *Queue) nearestFit(
 	task *clusterstate.Task,
 	zones map[string]int,
@@ -77,7 +78,7 @@
 		if !capacity.Fits(spec.Resources()) {
 			continue
 		}
-		// By the share of the task that would fit.
+		// Machines are compared by the share of the task that would fit in their free capacity.
 		free := capacity.Sub(m.Usage.Resources)
 		if share := 1 / max(spec.Resources().ShareOf(free), 1e-9); share > bestShare {
 			best, bestShare = m, share
--- a/internal/queue/lending.go
+++ b/internal/queue/lending.go
@@ -11,7 +11,7 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// newLedger returns the ledger of loans, nil where the operators have not turned lending on.
+// newLedger returns the ledger of loans, nil if the operators have not enabled lending.
 func (q *Queue) newLedger(config *settings.Lending) *lending.Ledger {
 	if config == nil {
 		return nil
@@ -28,21 +28,21 @@
 	)
 }
 
-// lendingAdapter is the queue as the ledger of loans sees it.
+// lendingAdapter implements the interfaces that the ledger of loans needs from the queue.
 type lendingAdapter struct{ queue *Queue }
 
-// Busy tells whether a record is under a transaction.
+// Busy reports whether a transaction on the record of key is in flight.
 func (a lendingAdapter) Busy(key string) bool { return a.queue.commits.Busy(key) }
 
-// MayBegin tells whether a job's tasks may start now by the release calendar.
+// MayBegin reports whether the calendar allows a job's tasks to start now.
 func (a lendingAdapter) MayBegin(spec *jobs.Spec) bool { return a.queue.MayBegin(spec) }
 
-// Ready tells whether a machine takes new tasks.
+// Ready reports whether a machine accepts new tasks.
 func (a lendingAdapter) Ready(machine *clusterstate.Machine) bool {
 	return a.queue.machines.Ready(machine)
 }
 
-// FitsElsewhere tells whether a replica finds room on another machine that has its image.
+// FitsElsewhere reports whether a replica fits on another machine that has its image cached.
 func (a lendingAdapter) FitsElsewhere(replica *clusterstate.Task) bool {
 	zones := a.queue.state.TasksByZone(replica.Job)
 	zones[replica.Zone]--
@@ -53,7 +53,7 @@
 	return a.queue.state.HasImage(machine, replica.Job.Record.Spec.Image)
 }
 
-// Prefixes returns the store prefixes of loan records, nil if nothing is lent.
+// Prefixes returns the key prefixes of loan records in the store, nil if lending is off.
 func (q *Queue) Prefixes() []string {
 	if q.loans == nil {
 		return nil
@@ -61,29 +61,29 @@
 	return []string{lending.Prefix}
 }
 
-// ApplyLoans takes in a record of loans; nil removes it.
+// ApplyLoans applies a record of loans; nil removes it.
 func (q *Queue) ApplyLoans(key string, value json.RawMessage) {
 	if q.loans != nil {
 		q.loans.ApplyRecord(key, value)
 	}
 }
 
-// cycleLoans is what a scheduling cycle keeps of loans: capacity reserved for one job only, and the
-// machine on which room is made for a replica.
+// cycleLoans is the state of loans in a scheduling cycle: capacity that is reserved for one job
+// only, and the loan requested for each replica.
 type cycleLoans struct {
 	reservations map[string][]*loanReservation // by job
 	byTask       map[string]lending.Loan
-	requestCount int // searches for a lender
+	requestCount int // searches for lenders so far
 }
 
-// loanReservation is capacity kept for a loan. It is blocked while the cycle counts it as used.
+// loanReservation is capacity reserved for a loan. It is blocked while the cycle counts it as used.
 type loanReservation struct {
 	lending.KeptRoom
 	blocked bool
 }
 
-// reconcileLoans reconciles the loans with what runs, and blocks their reservations for all but the
-// jobs that they are for.
+// reconcileLoans reconciles the loans with the running tasks, and blocks their reservations for all
+// jobs except those that they are for.
 func (q *Queue) reconcileLoans(cycle *schedulingCycle) {
 	if q.loans == nil {
 		return
@@ -106,11 +106,11 @@
 	for _, room := range q.loans.Rooms() {
 		r := &loanReservation{KeptRoom: room}
 		cycle.loans.reservations[room.Job] = append(cycle.loans.reservations[room.Job], r)
-		cycle.heldMachines[room.Machine] = true // and not held for another job
+		cycle.heldMachines[room.Machine] = true // so that it is not held for another job
 		q.block(r)
 	}
-	// Before anything else is examined: what this cycle holds for others would be in the way on a
-	// machine where room was made for a borrower.
+	// Borrowers are placed before any other job is examined, because capacity that the cycle holds for
+	// other jobs could block a machine on which capacity was freed for a borrower.
 	for _, jobID := range clusterstate.SortedKeys(cycle.loans.reservations) {
 		if job := q.state.Queued[jobID]; job != nil && q.budget.Allows(cycle.writeCount(), 1) {
 			q.placeBorrowers(job, cycle)
@@ -118,8 +118,8 @@
 	}
 }
 
-// block keeps reserved capacity from others: for a replica as long as it has no place, for a lender
-// where there is room.
+// block makes reserved capacity unavailable to other jobs. Capacity for a replica is blocked until
+// the replica has a reservation of its own, and capacity for a lender only while it is free.
 func (q *Queue) block(r *loanReservation) {
 	if r.TaskID != "" {
 		_, booked := q.state.Reservations[r.TaskID]
@@ -133,7 +133,7 @@
 	}
 }
 
-// unblock ends block for a moment.
+// unblock makes blocked capacity available again.
 func (q *Queue) unblock(r *loanReservation) {
 	if r.blocked {
 		r.blocked = false
@@ -141,7 +141,7 @@
 	}
 }
 
-// unblockLent lets a job use the capacity that it lent and that is its own again.
+// unblockLent lets a job use capacity that it lent and that has been returned to it.
 func (q *Queue) unblockLent(jobID string, cycle *schedulingCycle) {
 	for _, r := range cycle.loans.reservations[jobID] {
 		if r.TaskID == "" {
@@ -150,7 +150,7 @@
 	}
 }
 
-// blockLent keeps what is left of it after the job was examined.
+// blockLent blocks what remains of the returned capacity after the job was examined.
 func (q *Queue) blockLent(jobID string, cycle *schedulingCycle) {
 	for _, r := range cycle.loans.reservations[jobID] {
 		if !r.blocked {
@@ -159,8 +159,8 @@
 	}
 }
 
-// placeBorrowers places replicas where room was made for them, each by itself: it matters here
-// which of a job's tasks goes where.
+// placeBorrowers places replicas on the machines where capacity was freed for them. Each is
+// released by its own decision, because here it matters which of a job's tasks goes where.
 func (q *Queue) placeBorrowers(job *clusterstate.Job, cycle *schedulingCycle) {
 	spec := &job.Record.Spec
 	for _, r := range cycle.loans.reservations[job.ID] {
@@ -183,7 +183,8 @@
 	}
 }
 
-// waitingTask returns a task of a job by its ID, nil unless it waits and may be released now.
+// waitingTask returns the task of a job with the given ID, nil if it does not wait or may not be
+// released now.
 func (q *Queue) waitingTask(job *clusterstate.Job, taskID string) *clusterstate.Task {
 	for _, task := range q.pendingTasks(job, job.Record.Spec.TaskCount) {
 		if task.ID == taskID {
@@ -193,9 +194,9 @@
 	return nil
 }
 
-// withoutBorrowers leaves out the tasks that room is being made for: if they took what is free
-// elsewhere, others would have been preempted in vain. This ends after tuning.LoanSooner, since a
-// lender may hang.
+// withoutBorrowers removes the tasks for which capacity is being freed: if they used free capacity
+// elsewhere, other tasks would have been preempted in vain. A borrower is included again after
+// tuning.LoanSooner, because a lender may hang.
 func (q *Queue) withoutBorrowers(tasks []*clusterstate.Task, cycle *schedulingCycle) []*clusterstate.Task {
 	return slices.DeleteFunc(tasks, func(task *clusterstate.Task) bool {
 		loan, requested := cycle.loans.byTask[task.ID]
@@ -203,8 +204,9 @@
 	})
 }
 
-// requestLoan makes others lend capacity to a replica, on a machine with its image if onlyCached,
-// within withinS seconds if that is not 0. It reports whether one does.
+// requestLoan requests that other tasks lend capacity to a replica: on a machine with its image
+// cached if onlyCached is set, and within withinS seconds if that is not 0. It reports whether a
+// loan was requested, now or earlier.
 func (q *Queue) requestLoan(waiting *Waiting, onlyCached bool, withinS float64, cycle *schedulingCycle) bool {
 	task := waiting.Task
 	_, requested := cycle.loans.byTask[task.ID]
@@ -216,8 +218,8 @@
 	if zones == nil {
 		zones = q.zonesWithLoans(task.Job, cycle)
 	}
-	// What the cycle has charged is only considered: who is beyond a guarantee is counted from what
-	// really runs.
+	// The charges of this cycle are only proposals. Which teams exceed their guarantee is determined by
+	// the tasks that actually run.
 	decision, plan, ok := q.loans.Request(&lending.Search{
 		Task:           task,
 		Priority:       waiting.Priority,
@@ -242,14 +244,14 @@
 		BeganMs:   q.state.NowMs(),
 	}
 	q.preemptions[task.ID] = pendingPreemption{q.state.Now.Add(tuning.PreemptAgain), onlyCached}
-	zones[q.state.Machines[plan.Machine].Zone]++                  // for the tasks that the cycle places next
-	cycle.hold(q, plan.Machine, task.Job.Record.Spec.Resources()) // no other task gets this capacity
+	zones[q.state.Machines[plan.Machine].Zone]++                  // so that tasks placed later in the cycle see it
+	cycle.hold(q, plan.Machine, task.Job.Record.Spec.Resources()) // no other task may use this capacity
 	cycle.decisions = append(cycle.decisions, decision)
 	return true
 }
 
-// zonesWithLoans counts a job's tasks by zone, with those that room is being made for and that look
-// nowhere else: another task that took their zone meanwhile would leave them none.
+// zonesWithLoans counts a job's tasks by zone. The count includes borrowers that wait for their
+// loan only: if another task took their zone meanwhile, the zone rules might exclude the borrower.
 func (q *Queue) zonesWithLoans(job *clusterstate.Job, cycle *schedulingCycle) map[string]int {
 	zones := q.state.TasksByZone(job)
 	for _, loan := range cycle.loans.byTask {
@@ -261,13 +263,14 @@
 	return zones
 }
 
-// waitsForLoan reports whether a loan is so recent that its borrower looks for no other place.
+// waitsForLoan reports whether a loan is so recent that its borrower does not look for capacity
+// elsewhere.
 func (q *Queue) waitsForLoan(loan lending.Loan) bool {
 	return q.state.NowMs()-loan.BeganMs < tuning.LoanSooner.Milliseconds()
 }
 
-// imagePullSeconds returns how long a machine would pull a job's image. Where loans are used, a
-// replica's pull takes longer on a machine that pulls other images.
+// imagePullSeconds returns the time that a machine needs to pull a job's image. With lending
+// enabled, the estimate for a replica takes into account other pulls on the machine.
 func (q *Queue) imagePullSeconds(m *clusterstate.Machine, machineType *jobs.MachineType, spec *jobs.Spec) float64 {
 	if q.loans != nil && spec.Kind == jobs.Service {
 		return lending.ImagePullS(q.state, q.state.Now, m, machineType, spec)
@@ -275,8 +278,8 @@
 	return spec.ImageGB / machineType.ImageGBPerS
 }
 
-// awaitCachedLoan reports whether a replica should wait until a machine that holds its image is
-// vacated, rather than pull the image on one that is free: when that is sooner by more than
+// awaitCachedLoan reports whether a replica should wait for a loan on a machine that has its image
+// cached instead of pulling the image on a machine that is free: if that is faster by more than
 // tuning.LoanSooner. It requests the loan.
 func (q *Queue) awaitCachedLoan(waiting *Waiting, machineName string, cycle *schedulingCycle) bool {
 	task := waiting.Task
--- a/internal/queue/not_examined.go
+++ b/internal/queue/not_examined.go
@@ -7,13 +7,15 @@
 	"github.com/harrierreel/harrierreel/internal/jobs"
 )
 
-// NotExamined lists the jobs that wait and that the last cycle did not examine, so that it is
-// unknown whether there is room for them: a cycle ends with the writes that it may make. Where
-// those are few and hundreds of jobs come at once, that takes half a minute in which the queue
-// looks empty, machines are given back and none is provisioned (docs/incidents/kikoi-f98c.md). What
-// it lists is within the limit of its team, together with all that found no room. As in a cycle,
-// jobs that are in doubt, back off or may not begin yet are left out, and so are tasks that room is
-// made or lent for.
+// NotExamined lists the waiting jobs that the last cycle did not examine, so that it is unknown
+// whether there is capacity for them: a cycle ends when its write budget is used up. With a low
+// write rate and hundreds of jobs arriving at once, examining all of them takes half a minute.
+// Without this list the queue looked empty meanwhile, so machines were given back and none was
+// provisioned (docs/incidents/kikoi-f98c.md).
+//
+// The listed tasks, together with all that found no capacity, are within their team's limit. As in
+// a cycle, jobs that are being probed, back off or may not start yet are left out, and so are tasks
+// for which capacity is being freed by preemption or by a loan.
 func (q *Queue) NotExamined() []*Waiting {
 	account := q.state.Account.Clone()
 	known := map[*clusterstate.Job]bool{}
@@ -47,7 +49,7 @@
 	return out
 }
 
-// capacityPending reports whether room is being made for a task, by preemption or by a loan.
+// capacityPending reports whether capacity for a task is being freed, by preemption or by a loan.
 func (q *Queue) capacityPending(task *clusterstate.Task) bool {
 	if q.loans != nil {
 		if _, lent := q.loans.LoanFor(task.Job.ID, task.Index); lent {
--- a/internal/queue/order.go
+++ b/internal/queue/order.go
@@ -10,9 +10,11 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// order lists the live jobs that wait: by priority, then what lies within a guarantee, then by its
-// team's share beyond that, then what is overdue to begin, the oldest first, then by the time by
-// which it must start to meet its service-level objective.
+// order lists the waiting live jobs in queue order. Jobs are sorted by priority; then jobs covered
+// by a guarantee come first; then jobs are sorted by their team's fair share beyond its guarantee;
+// then overdue jobs come first, the oldest of them first; then jobs that can still meet a
+// service-level objective come first, those with the fewest accelerators first; then jobs are
+// sorted by the time by which they must start to meet an objective.
 func (q *Queue) order(account *quota.Account) []*clusterstate.Job {
 	fairSharePaths := map[int][]float64{}
 	entries := make([]queueEntry, 0, len(q.state.Queued))
@@ -44,19 +46,19 @@
 	return out
 }
 
-// queueEntry is a waiting job with what its place in the queue depends on.
+// queueEntry is a waiting job with the values that determine its position in the queue.
 type queueEntry struct {
 	job            *clusterstate.Job
 	priority       int
-	fairShareOrder int       // 0: within its team's guarantee
-	fairSharePath  []float64 // shares along its quota leaf's path, for what lies beyond the guarantee
-	overdue        bool      // it has waited too long to begin
-	late           bool      // no objective for its start can be met any more
-	accelerators   float64   // of all its tasks that are not done
+	fairShareOrder int       // 0: covered by the team's guarantee
+	fairSharePath  []float64 // shares along the path of its quota leaf, for a job beyond the guarantee
+	overdue        bool      // see Overdue
+	late           bool      // it can no longer meet any objective for its start
+	accelerators   float64   // of all its unfinished tasks
 	startByMs      int64
 }
 
-// before reports whether e goes before other.
+// before reports whether e precedes other in the queue.
 func (e *queueEntry) before(other *queueEntry) bool {
 	switch {
 	case e.priority != other.priority:
@@ -79,12 +81,15 @@
 	return e.job.ID < other.job.ID
 }
 
-// Overdue reports whether a job has waited so long to begin that it goes before all others of its
-// priority and its team's share. Within a class smaller jobs go first, so without it the largest
-// begin last, and never while smaller ones keep coming (docs/incidents/largest-last.md). It depends
-// on the accepted time alone, so no restart makes anyone wait again. Of gangs only large ones can
-// be overdue; they begin whole. Any other job begins with its first task, and what is left of it
-// then waits in its ordinary place.
+// Overdue reports whether a job has waited so long to start that it precedes all others of the same
+// priority and fair share. Within a class smaller jobs go first, so without this rule the largest
+// jobs start last, and never start while smaller ones keep arriving
+// (docs/incidents/largest-last.md). The result depends only on the time at which the job was
+// accepted, so that a restart of the controller does not reset the wait.
+//
+// Among gangs, only large ones can be overdue, and all of their tasks start together. Any other job
+// stops being overdue once its first task has started, and its remaining tasks then wait in their
+// regular position.
 func (q *Queue) Overdue(job *clusterstate.Job) bool {
 	waited := time.Duration(q.state.NowMs()-job.Record.AcceptedMs) * time.Millisecond
 	if job.Record.Spec.IsGang() {
@@ -93,9 +98,10 @@
 	return waited >= q.overdueAfter(job.Record.Spec.Class) && len(job.Active)+len(job.Retrying)+job.DoneCount == 0
 }
 
-// overdueAfter returns the wait after which job arrays and services of a class are overdue: while
-// the last of the class's objectives for starting can still be met, or, where all of those are
-// shorter than making room takes, in time for the bound that users were promised.
+// overdueAfter returns the wait after which job arrays and services of a class are overdue. It is
+// chosen so that the last of the class's objectives for starting can still be met, or, if those are
+// all shorter than it takes to free capacity, so that the maximum wait promised to users can be
+// met.
 func (q *Queue) overdueAfter(class string) time.Duration {
 	lastObjective := q.lastStartObjective(class)
 	if lastObjective < tuning.OverdueAim {
@@ -104,9 +110,9 @@
 	return min(tuning.Overdue, lastObjective-tuning.OverdueMargin)
 }
 
-// gangOverdueAfter returns the wait after which a class's large gangs are overdue: once the last of
-// the class's objectives for starting has been missed, so that they take no capacity from jobs that
-// can still meet one, and in any case in time for the bound that users were promised.
+// gangOverdueAfter returns the wait after which large gangs of a class are overdue: once the last
+// of the class's objectives for starting has been missed, so that they take no capacity from jobs
+// that can still meet one, but early enough to meet the maximum wait promised to users.
 func (q *Queue) gangOverdueAfter(class string) time.Duration {
 	lastObjective := q.lastStartObjective(class)
 	if lastObjective < tuning.OverdueAim {
@@ -115,7 +121,7 @@
 	return min(tuning.GangOverdue, lastObjective+tuning.GangAimPast)
 }
 
-// lastStartObjective returns the last of a class's objectives for starting, 0 if it has none.
+// lastStartObjective returns the longest of a class's objectives for starting, 0 if it has none.
 func (q *Queue) lastStartObjective(class string) time.Duration {
 	lastObjective := time.Duration(0)
 	for _, objective := range q.config.Objectives {
@@ -126,9 +132,9 @@
 	return lastObjective
 }
 
-// StartBy returns the time, in Unix milliseconds, by which a job must start to meet the next of its
-// class's objectives that it still can. A job that has missed them all comes after those that have
-// not, until it has waited for tuning.QueueHorizon.
+// StartBy returns the time, in Unix milliseconds, by which a job must start to meet the earliest of
+// its class's objectives that it can still meet. A job that has missed them all gets the time at
+// which it has waited for tuning.QueueHorizon, so that it comes after the jobs that have not.
 func (q *Queue) StartBy(r *jobs.Record, entitled bool) int64 {
 	late := r.AcceptedMs + tuning.QueueHorizon.Milliseconds()
 	best := late
@@ -151,8 +157,8 @@
 	return best
 }
 
-// nextStartObjective returns the next time, in Unix milliseconds, by which a class's tasks should
-// have started, 0 if there is none.
+// nextStartObjective returns the next time, in Unix milliseconds, by which a job should have
+// started, 0 if there is none.
 func (q *Queue) nextStartObjective(r *jobs.Record, entitled bool) int64 {
 	var best int64
 	for _, objective := range q.config.Objectives {
@@ -165,7 +171,8 @@
 	return best
 }
 
-// pendingTasks lists up to limit tasks of a job that wait, those that were attempted before first.
+// pendingTasks lists up to limit waiting tasks of a job. Tasks to be retried come before tasks that
+// were never attempted.
 func (q *Queue) pendingTasks(job *clusterstate.Job, limit int) []*clusterstate.Task {
 	var out []*clusterstate.Task
 	for _, task := range job.Retrying {
@@ -177,7 +184,7 @@
 	for job.FirstUnrecorded < job.Record.Spec.TaskCount && job.Tasks[job.FirstUnrecorded] != nil {
 		job.FirstUnrecorded++
 	}
-	// Where a task range cannot be read, nobody knows which tasks it holds.
+	// While a task range is unreadable, it is unknown which tasks it holds.
 	if job.TasksUnreadable || q.state.MayBeQuarantined(job.ID) {
 		return out[:min(len(out), limit)]
 	}
@@ -196,8 +203,8 @@
 	return out
 }
 
-// probeTask returns the one task that a job in doubt may try next, if any: the one that failed most
-// often, which backs off longest.
+// probeTask returns the one task that a job in probing state may start next, if any. It is the task
+// with the most failures, which has the longest backoff.
 func (q *Queue) probeTask(job *clusterstate.Job) []*clusterstate.Task {
 	if len(job.Active) > 0 {
 		return nil
@@ -218,9 +225,9 @@
 	return []*clusterstate.Task{mostFailed}
 }
 
-// startableCount returns how many more tasks of a job may start by now. Only tuning.MaxActive of a
-// very large job are under way at once: with all of 100,000 tasks of some seconds on machines,
-// their heartbeats took all of the controllers' processor time.
+// startableCount returns how many more tasks of a job may start now. At most tuning.MaxActive tasks
+// of a job are active at once: with all of 100,000 tasks of a few seconds on machines, their
+// heartbeats took all of the controllers' CPU time.
 func (q *Queue) startableCount(job *clusterstate.Job) int {
 	return max(0, min(job.Record.Spec.TaskCount-job.DoneCount, tuning.MaxActive)-len(job.Active))
 }
--- a/internal/queue/place.go
+++ b/internal/queue/place.go
@@ -11,7 +11,7 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Place places the tasks that were released to this controller's shard.
+// Place returns the decisions that place the tasks released to this controller's shard.
 func (q *Queue) Place() []decide.Decision {
 	released := q.releasedHere()
 	var out []decide.Decision
@@ -27,7 +27,8 @@
 	return out
 }
 
-// releasedHere lists the tasks that are released to this shard and may be placed now, by job.
+// releasedHere lists the tasks that are released to this shard and may be placed now, grouped by
+// job.
 func (q *Queue) releasedHere() []*clusterstate.Task {
 	var released []*clusterstate.Task
 	for _, task := range q.state.Assigned {
@@ -46,7 +47,7 @@
 	return released
 }
 
-// placeReleased places released tasks of one job: a gang whole, others each by itself.
+// placeReleased places released tasks of one job: a gang all or nothing, other tasks independently.
 func (q *Queue) placeReleased(job *clusterstate.Job, tasks []*clusterstate.Task) []decide.Decision {
 	if job.Record.Spec.IsGang() {
 		return q.placeReleasedGang(job, tasks)
@@ -62,25 +63,25 @@
 	return out
 }
 
-// placeOne picks a machine of this shard for a task and returns the decision that places it.
+// placeOne selects a machine of this shard for a task and returns the decision that places it.
 func (q *Queue) placeOne(task *clusterstate.Task, attempt uint64) (decide.Decision, bool) {
 	machineName := q.pickOwnMachine(task)
 	if machineName == "" {
 		return decide.Decision{}, false
 	}
 	decision, ok := q.placeDecision(task, machineName, task.Zone, attempt)
-	decision.ReadSet = append(decision.ReadSet, fleet.ClaimsKey) // not on a machine that was claimed meanwhile
+	decision.ReadSet = append(decision.ReadSet, fleet.ClaimsKey) // fails if the machine was claimed meanwhile
 	return decision, ok
 }
 
-// pickOwnMachine picks a machine of this shard for a task, the proposed one if it still has room;
-// "" if there is none.
+// pickOwnMachine selects a machine of this shard for a task: the proposed one if it still has
+// capacity, "" if there is none.
 func (q *Queue) pickOwnMachine(task *clusterstate.Task) string {
 	spec := &task.Job.Record.Spec
 	if m := q.state.Machines[task.PreferredMachine]; m != nil && q.machines.CanPlace(task, m) {
 		free := q.freeCapacity(m)
 		if !task.PreferenceDropped {
-			free = free.Add(task.Resources) // its own reservation is for it
+			free = free.Add(task.Resources) // the capacity reserved on it is for this task
 		}
 		if free.Fits(spec.Resources()) {
 			return task.PreferredMachine
@@ -99,7 +100,7 @@
 }
 
 // placeDecision returns the decision that places a task on a machine. The machine's record is among
-// its preconditions: a machine that is decommissioned meanwhile takes no task.
+// its preconditions, so that no task is placed on a machine that is decommissioned meanwhile.
 func (q *Queue) placeDecision(
 	task *clusterstate.Task,
 	machineName, zone string,
@@ -117,8 +118,8 @@
 	}, true
 }
 
-// placedTask returns a task's record placed on a machine, and reserves the place. It is false if
-// the task may not be placed.
+// placedTask returns the record of a task placed on a machine, and reserves the capacity. It
+// returns false if the task may not be placed.
 func (q *Queue) placedTask(task *clusterstate.Task, machineName, zone string, attempt uint64) (jobs.Task, bool) {
 	next, ok := jobs.NextTask(task.Task, jobs.TaskEvent{
 		Kind:    jobs.Place,
@@ -145,8 +146,8 @@
 	return next, true
 }
 
-// appendCandidates lists those of the machines that have room for a task of a job and that accepts
-// allows. It reuses the memory of out.
+// appendCandidates lists the machines that have capacity for a task of a job and for which accepts
+// returns true. It reuses the memory of out.
 func (q *Queue) appendCandidates(
 	out []sharding.Candidate,
 	machines []*clusterstate.Machine,
@@ -161,7 +162,7 @@
 		if m.State != fleet.Up {
 			continue
 		}
-		if machineType == nil || machineType.Name != m.MachineType { // neighbours mostly share a type
+		if machineType == nil || machineType.Name != m.MachineType { // consecutive machines often share a type
 			if machineType = q.state.MachineTypes[m.MachineType]; machineType == nil {
 				continue
 			}
@@ -189,8 +190,8 @@
 	return out
 }
 
-// UnassignStale withdraws released tasks that their shard did not place, at once if its controller has
-// left the view. The leader calls it.
+// UnassignStale takes back released tasks that their shard did not place in time, or at once if the
+// shard's controller has left the view. The leader calls it.
 func (q *Queue) UnassignStale() {
 	var decisions []decide.Decision
 	for _, taskID := range clusterstate.SortedKeys(q.state.Assigned) {
--- a/internal/queue/preempt.go
+++ b/internal/queue/preempt.go
@@ -12,13 +12,13 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// pendingPreemption is room being made for a task by preempting others.
+// pendingPreemption is a preemption in progress that frees capacity for a task.
 type pendingPreemption struct {
-	until         time.Time // no other preemption for the task before
-	onCachedImage bool      // on a machine that holds its image
+	until         time.Time // no other preemption for the task before this time
+	onCachedImage bool      // it frees a machine that has the task's image cached
 }
 
-// hasPlacedBelow reports whether any task of a lower priority is on a machine.
+// hasPlacedBelow reports whether a task of a lower priority is placed on any machine.
 func (q *Queue) hasPlacedBelow(priority int) bool {
 	for _, count := range q.state.PlacedByPriority[priority+1:] {
 		if count > 0 {
@@ -28,9 +28,10 @@
 	return false
 }
 
-// preempt makes room for waiting tasks by preempting tasks of lower priority, and for those within
-// their team's guarantee also what other teams run beyond theirs. One machine at a time is cleared
-// for a task, and not again for a while.
+// preempt frees capacity for waiting tasks by preempting tasks of lower priority and, for tasks
+// covered by their team's guarantee, also tasks that other teams run beyond theirs. Tasks are
+// preempted on one machine at a time for a waiting task, and not again until tuning.PreemptAgain
+// has passed.
 func (q *Queue) preempt(cycle *schedulingCycle) {
 	for _, waiting := range q.Waiting {
 		mayPreempt := waiting.isEntitled() || q.hasPlacedBelow(waiting.Priority)
@@ -51,8 +52,8 @@
 	})
 }
 
-// preemptFor preempts tasks, or requests a loan, to make room for a waiting one. It reports whether
-// it did.
+// preemptFor preempts tasks or requests a loan to free capacity for a waiting task, and reports
+// whether it did.
 func (q *Queue) preemptFor(waiting *Waiting, onlyCached bool, cycle *schedulingCycle) bool {
 	task := waiting.Task
 	if q.loans != nil && task.Job.Record.Spec.Kind == jobs.Service {
@@ -93,10 +94,10 @@
 	return stopped
 }
 
-// awaitCachedMachine reports whether a task should wait a moment for room on a machine that holds
-// its image rather than go to one that would have to pull it: when the pull would take it past its
-// objective, and it may preempt others there. The machine that would have to pull is held
-// meanwhile.
+// awaitCachedMachine reports whether a task should wait a moment for capacity on a machine that has
+// its image cached instead of starting on one that must pull the image first. That is the case if
+// the pull would make the task miss its objective and tasks can be preempted on a machine with the
+// image. The machine without the image is held meanwhile.
 func (q *Queue) awaitCachedMachine(waiting *Waiting, machineName string, cycle *schedulingCycle) bool {
 	spec := &waiting.Task.Job.Record.Spec
 	awaits := q.loans != nil && spec.Kind == jobs.Service && q.awaitCachedLoan(waiting, machineName, cycle) ||
@@ -107,7 +108,7 @@
 	return awaits
 }
 
-// awaitCachedByPreemption is awaitCachedMachine without loans.
+// awaitCachedByPreemption implements awaitCachedMachine for preemption, without loans.
 func (q *Queue) awaitCachedByPreemption(waiting *Waiting, machineName string, cycle *schedulingCycle) bool {
 	record := waiting.Task.Job.Record
 	if (waiting.Priority > 1 && !waiting.isEntitled()) || q.state.HasImage(machineName, record.Spec.Image) {
@@ -120,15 +121,16 @@
 		return false
 	}
 	if pending := q.preemptions[waiting.Task.ID]; q.state.Now.Before(pending.until) {
-		// Room is being made; if it does not come at once, go elsewhere. The machine that was found
-		// already is held meanwhile: others would take it.
+		// Capacity is being freed. If that takes longer than tuning.ClearWait, the task starts elsewhere.
+		// Until then the machine already found is held, because other tasks would take it.
 		return pending.onCachedImage && pending.until.Sub(q.state.Now) >= tuning.PreemptAgain-tuning.ClearWait
 	}
 	return q.preemptFor(waiting, true, cycle)
 }
 
-// reclaimQuota preempts what others borrowed, where that alone keeps a job from what it is
-// guaranteed: in a tree of quotas the limit that it meets may be one that it shares.
+// reclaimQuota preempts tasks that run on borrowed quota if only those keep a job from using its
+// guarantee: in a nested quota tree, the job may have reached a limit that it shares with other
+// teams.
 func (q *Queue) reclaimQuota(job *clusterstate.Job, cycle *schedulingCycle) {
 	spec := &job.Record.Spec
 	leaf := q.state.QuotaLeaf(spec)
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -1,8 +1,8 @@
-// Package queue schedules the tasks that wait: the order of the queue (order.go), the leader's
-// scheduling cycle (release.go, cycle.go, rounds.go), the choice of machines (candidates.go), gangs
-// (gangs.go, claims.go, accumulation.go), preemption (preempt.go), loans (lending.go), the starvation
-// guard (starvation.go), and what the owner of a shard places in it (place.go). It returns and commits
-// decisions; it has no IO and no clock.
+// Package queue schedules waiting tasks. It holds the queue order (order.go), the leader's
+// scheduling cycle (release.go, cycle.go, rounds.go), machine selection (candidates.go), gang
+// scheduling (gangs.go, claims.go, accumulation.go), preemption (preempt.go), capacity loans
+// (lending.go), the starvation guard (starvation.go), and the placement of tasks by the owner of a
+// shard (place.go). It makes and commits decisions, and has no I/O and no clock.
 package queue
 
 import (
@@ -18,77 +18,80 @@
 	"github.com/harrierreel/harrierreel/internal/settings"
 )
 
-// Config is what the queue is told once: names, limits and the operators' settings.
+// Config holds the names, limits and operator settings of a queue. It does not change after New.
 type Config struct {
-	// Name is this controller's.
+	// Name is the name of this controller.
 	Name string
 	// Objectives are the service-level objectives of the cluster.
 	Objectives []settings.Objective
-	// MaxTxnWrites is how many puts and deletes a transaction may have.
+	// MaxTxnWrites is the maximum number of puts and deletes in a transaction.
 	MaxTxnWrites int
-	// MaxValueBytes is the length that no value in the store may exceed.
+	// MaxValueBytes is the maximum length of a value in the store.
 	MaxValueBytes int
-	// MaxRangeTasks is how many tasks a task range may hold.
+	// MaxRangeTasks is the maximum number of tasks in a task range.
 	MaxRangeTasks int
-	// MaxWritesPerS is how many writes the store takes a second, of all controllers together.
+	// MaxWritesPerS is the number of writes per second that the store accepts from all controllers
+	// together.
 	MaxWritesPerS float64
-	// ExtraPreconditions is how many preconditions more a decision may have because of the calendar.
+	// ExtraPreconditions is the maximum number of additional preconditions that the calendar adds
+	// to a decision.
 	ExtraPreconditions int
-	// Lending says how GPUs are lent to services, nil for not at all.
+	// Lending configures the lending of GPUs to services. It is nil if lending is off.
 	Lending *settings.Lending
 	Log     *slog.Logger
 }
 
-// WriteBudget is the share of the store's writes that this controller may use.
+// WriteBudget is the share of the store's write rate that this controller may use.
 type WriteBudget interface {
-	// Allows reports whether so many writes may be made now, after those spent.
+	// Allows reports whether the given number of writes may be made now, in addition to those
+	// already spent.
 	Allows(spent, writes int) bool
 	// HasSpareWrites reports whether there is budget left for writes that are not urgent.
 	HasSpareWrites() bool
 }
 
-// CommitQueue takes decisions and writes them in transactions.
+// CommitQueue commits decisions to the store in transactions.
 type CommitQueue interface {
-	// Busy reports whether a transaction that writes the record is under way.
+	// Busy reports whether a transaction that writes the record of key is in flight.
 	Busy(key string) bool
-	// Commit takes decisions; each is told by its OnSettled whether it was committed.
+	// Commit enqueues decisions. The OnSettled function of each is told whether it was committed.
 	Commit(decisions []decide.Decision)
 }
 
-// MachineAdmission says where tasks may go by what is known of the machines themselves.
+// MachineAdmission decides which machines accept tasks, by the state of the machines.
 type MachineAdmission interface {
-	// Ready reports whether a machine takes new tasks at all, by its record.
+	// Ready reports whether a machine accepts new tasks at all, by its record.
 	Ready(m *clusterstate.Machine) bool
-	// CanPlace reports whether a task may go on a machine of this controller's shard now.
+	// CanPlace reports whether a task may be placed on a machine of this controller's shard now.
 	CanPlace(task *clusterstate.Task, m *clusterstate.Machine) bool
 }
 
-// ClusterView is what the controllers agree on.
+// ClusterView is the view of the cluster that the controllers have agreed on.
 type ClusterView interface {
-	// HasLeftView reports whether a controller is not in the view.
+	// HasLeftView reports whether a controller is not a member of the view.
 	HasLeftView(controller string) bool
-	// UsesBatches reports whether every controller reads batch records, so that tasks may be released
-	// in them.
+	// UsesBatches reports whether every controller reads batch records, so that tasks may be
+	// released in them.
 	UsesBatches() bool
 }
 
-// Calendar says when work may begin.
+// Calendar decides when a job may start.
 type Calendar interface {
-	// Gate returns whether a job's work may begin now, soon or not yet.
+	// Gate returns whether a job may start now, soon or not yet.
 	Gate(spec *jobs.Spec) calendar.Verdict
 }
 
-// Collaborators are what the queue calls.
+// Collaborators are the components that the queue calls.
 type Collaborators struct {
 	Budget   WriteBudget
 	Commits  CommitQueue
 	Machines MachineAdmission
 	Cluster  ClusterView
-	Calendar Calendar // nil if there is none: all work may begin at any time
+	Calendar Calendar // nil if there is none: every job may start at any time
 }
 
-// Queue is the jobs that wait, and what the leader and the owner of a shard do about them. It is
-// used by the controller's loop alone.
+// Queue holds the waiting jobs and schedules them, for the leader and for the owner of a shard.
+// Only the controller's event loop may use it.
 type Queue struct {
 	state    *clusterstate.State
 	config   Config
@@ -98,24 +101,24 @@
 	cluster  ClusterView
 	calendar Calendar
 
-	// Waiting is what found no room in the last scheduling cycle.
+	// Waiting lists the tasks for which the last scheduling cycle found no capacity.
 	Waiting []*Waiting
 
-	examined           map[*clusterstate.Job]bool       // by the last cycle with writes to spend
-	avoidUntil         map[string]time.Time             // machines that are not proposed before
+	examined           map[*clusterstate.Job]bool       // by the last cycle that had write budget
+	avoidUntil         map[string]time.Time             // by machine, which is not proposed before that time
 	noCapacitySince    map[string]time.Time             // by job
-	preemptions        map[string]pendingPreemption     // by task, and by job where quota is reclaimed
+	preemptions        map[string]pendingPreemption     // by task ID, or by job ID where quota is reclaimed
 	holds              map[string]heldCapacity          // by job
-	claimValues        map[int]fleet.Claims             // what the store holds, by number of the value
-	claims             map[string]*claim                // of gangs that are being placed, by job
+	claimValues        map[int]fleet.Claims             // claims in the store, by number of the value
+	claims             map[string]*claim                // claims for gangs that are being placed, by job
 	accumulations      map[string]*capacityAccumulation // by job
 	starving           map[string]starvation            // by job
-	startStarvingUntil time.Time                        // until then jobs that starve for a shorter time start along
-	loans              *lending.Ledger                  // nil if nothing is lent
-	windowReservations []string                         // task IDs, of windows that are about to open
+	startStarvingUntil time.Time // until then, jobs start after starving for a shorter time
+	loans              *lending.Ledger                  // nil if lending is off
+	windowReservations []string                         // reserved task IDs, for calendar windows that are about to open
 }
 
-// New makes an empty queue over the cluster's state.
+// New returns an empty queue over the cluster state.
 func New(state *clusterstate.State, config Config, collaborators Collaborators) *Queue {
 	q := &Queue{
 		state:       state,
@@ -132,7 +135,8 @@
 	return q
 }
 
-// Reset forgets what only a leader keeps: a new leader starts from the records.
+// Reset discards the state that only a leader keeps. A new leader starts from the records in the
+// store.
 func (q *Queue) Reset() {
 	q.releaseWindowReservations()
 	q.Waiting = nil
@@ -146,36 +150,39 @@
 	q.starving = map[string]starvation{}
 }
 
-// Waiting is queued tasks of one job that may run by their limits but have found no room.
+// Waiting describes queued tasks of one job that may run within their quota but have found no
+// capacity.
 type Waiting struct {
 	// Task is the first of the tasks.
 	Task *clusterstate.Task
-	// Tasks are the first few, for which others may be preempted.
+	// Tasks are the first few tasks, for which others may be preempted.
 	Tasks []*clusterstate.Task
-	// Count is how many tasks lack room; of a large gang, for how many no capacity is kept
-	// yet.
+	// Count is the number of tasks that lack capacity. For a large gang it excludes the tasks for
+	// which capacity is already held.
 	Count int
-	// Priority is the job's, 0 for the highest.
+	// Priority is the priority of the job; 0 is the highest.
 	Priority int
-	// Entitled is the node of the quota tree within whose guarantee it lies, below 0 for none.
+	// Entitled is the node of the quota tree whose guarantee covers the tasks, negative if there is
+	// none.
 	Entitled int
-	// Zone is the zone in which a large gang accumulates capacity, if it must be in one.
+	// Zone is the zone in which a large gang accumulates capacity, if it must run in a single zone.
 	Zone string
-	// Accumulates is set for a large gang, for which capacity is kept as it comes free.
+	// Accumulates is set for a large gang, for which capacity is held as it becomes free.
 	Accumulates bool
-	// NotExamined is set if the last cycle did not examine it, so that there may be room for it.
+	// NotExamined is set if the last cycle did not examine the tasks, so that there may be capacity
+	// for them.
 	NotExamined bool
-	// WindowOpensSoon is set if the job may not begin before a window of the calendar opens.
+	// WindowOpensSoon is set if the job may not start before a calendar window opens.
 	WindowOpensSoon bool
 
-	zones map[string]int // its job's tasks by zone in the cycle under way, nil if they are to be counted
+	zones map[string]int // the job's tasks by zone in the current cycle, nil if not counted yet
 }
 
-// isEntitled reports whether it lies within a guarantee.
+// isEntitled reports whether a guarantee covers the tasks.
 func (w *Waiting) isEntitled() bool { return w.Entitled >= 0 }
 
-// Avoid proposes a machine for no task until then.
+// Avoid excludes a machine from being proposed until the given time.
 func (q *Queue) Avoid(machineName string, until time.Time) { q.avoidUntil[machineName] = until }
 
-// UsesBatches reports whether tasks are released in batch records of many jobs.
+// UsesBatches reports whether tasks are released in batch records that hold tasks of many jobs.
 func (q *Queue) UsesBatches() bool { return q.cluster.UsesBatches() }
--- a/internal/queue/release.go
+++ b/internal/queue/release.go
@@ -12,10 +12,10 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// RunCycle is the leader's scheduling cycle: it releases tasks to shards, within each team's limit.
-// Once its decisions have used up the write budget it examines no further jobs: what it would
-// decide could not be committed, and with a thousand jobs of one task waiting for writes, looking
-// for a place for each of them in every cycle took all of a controller's processor time
+// RunCycle runs a scheduling cycle of the leader, which releases tasks to shards within each team's
+// limit. Once its decisions have used up the write budget, the cycle examines no further jobs,
+// because further decisions could not be committed: with a thousand one-task jobs waiting for
+// writes, searching a machine for each of them in every cycle took all of a controller's CPU time
 // (docs/incidents/ops-swarm.md).
 func (q *Queue) RunCycle() {
 	q.releaseWindowReservations()
@@ -42,7 +42,7 @@
 		q.runRounds(cycle, limit-examinedCount)
 	}
 	q.preempt(cycle)
-	// What was not examined waits as it did; there may be room for it by now.
+	// Jobs that were not examined keep waiting. There may be capacity for them by now.
 	for _, waiting := range stillWaiting {
 		if !examined[waiting.Task.Job] {
 			waiting.NotExamined = true
@@ -50,14 +50,14 @@
 		}
 	}
 	if budget {
-		q.examined = examined // without budget, a job that fits could not be released
+		q.examined = examined // without write budget, even a job that fits is not released
 	}
 	q.serveStarving(cycle, examined)
 	cycle.end(q)
 	q.commits.Commit(cycle.decisions)
 }
 
-// examine looks for room for a job, and returns how many tasks it examined.
+// examine searches capacity for a job, and returns the number of tasks that it examined.
 func (q *Queue) examine(job *clusterstate.Job, cycle *schedulingCycle, limit int) int {
 	spec := &job.Record.Spec
 	if cycle.leavesAtLimit[q.state.QuotaLeaf(spec)] {
@@ -83,7 +83,8 @@
 	return q.releaseTasks(job, cycle, limit)
 }
 
-// StillWaiting lists what found no room when it was last examined and whose job still waits.
+// StillWaiting lists the tasks that found no capacity when they were last examined and whose job
+// still waits.
 func (q *Queue) StillWaiting() []*Waiting {
 	return slices.DeleteFunc(
 		slices.Clone(q.Waiting),
@@ -91,8 +92,8 @@
 	)
 }
 
-// releaseTasks releases what waits of a job of independent tasks or replicas, and returns how many
-// tasks it examined.
+// releaseTasks releases the waiting tasks of a job of independent tasks or replicas, and returns
+// the number of tasks that it examined.
 func (q *Queue) releaseTasks(job *clusterstate.Job, cycle *schedulingCycle, limit int) int {
 	spec := &job.Record.Spec
 	candidates, freePlaces := q.taskCandidates(job, cycle)
@@ -128,8 +129,8 @@
 	return examinedCount
 }
 
-// taskCandidates lists the machines with room for a task of a job, and counts the tasks that they
-// have room for, up to somewhat more than the job has left.
+// taskCandidates lists the machines with capacity for a task of a job, and counts the tasks that
+// fit on them. It stops counting once the count exceeds the number of tasks that the job has left.
 func (q *Queue) taskCandidates(job *clusterstate.Job, cycle *schedulingCycle) ([]sharding.Candidate, int) {
 	spec := &job.Record.Spec
 	if cycle.knownUnplaceable(spec, 1) {
@@ -147,21 +148,21 @@
 	return candidates, freePlaces
 }
 
-// tasksToExamine lists the tasks of a job that a cycle looks for room for.
+// tasksToExamine lists the tasks of a job that a cycle tries to place.
 func (q *Queue) tasksToExamine(
 	job *clusterstate.Job,
 	cycle *schedulingCycle,
 	limit, freePlaces int,
 ) []*clusterstate.Task {
 	if q.Overdue(job) {
-		limit = min(limit, 1+job.Record.Spec.TaskCount/tuning.BeginShare) // jobs behind it are overdue, too
+		limit = min(limit, 1+job.Record.Spec.TaskCount/tuning.BeginShare) // leaves capacity for the overdue jobs behind it
 	}
 	limit = min(limit, freePlaces+tuning.WaitingEach, q.startableCount(job))
 	return q.withoutBorrowers(q.pendingTasks(job, limit), cycle)
 }
 
-// addWaiting notes tasks that found no room: they keep their place in the queue, and machines are
-// held for the first of them.
+// addWaiting records tasks that found no capacity. They keep their position in the queue, and
+// machines are held for the first of them.
 func (q *Queue) addWaiting(
 	job *clusterstate.Job,
 	tasks []*clusterstate.Task,
@@ -195,8 +196,8 @@
 	q.holdMachines(tasks[0], min(count, tuning.HoldEach), zones, cycle)
 }
 
-// awaitsMoreCapacity reports whether the few tasks of a job array that there is room for should
-// wait a moment for more of them, to share a task range. Their places are held.
+// awaitsMoreCapacity reports whether the few tasks of a job array that fit now should wait a moment
+// until more of them fit, so that they share a task range. The capacity for them is held.
 func (q *Queue) awaitsMoreCapacity(job *clusterstate.Job, placementCount, freePlaces int) bool {
 	wanted := min(tuning.GatherTasks, job.Record.Spec.TaskCount-job.DoneCount-len(job.Active))
 	savesWrites := q.Scarce() && !q.budget.HasSpareWrites() && !q.cluster.UsesBatches() &&
--- a/internal/queue/rounds.go
+++ b/internal/queue/rounds.go
@@ -5,27 +5,29 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// schedulingRounds is what the second round of a cycle needs to know of the first.
+// schedulingRounds is the state that the first round of a cycle passes to the second.
 //
-// A job that finds no room is charged to its team's limit all the same, so that later work does not
-// take what it is about to use. Where its zone has no room for long, that left the team's other
-// jobs waiting beside free machines (scenario meet-place-turn, docs/incidents/turn-kept.md): once a
-// job has found no room for tuning.RoundFor, what has room now goes first. The job loses nothing by
-// that but the limit, and is first in the queue for the capacity that comes free.
+// A job that finds no capacity is still charged to its team's limit, so that jobs further back in
+// the queue do not use the quota that it is about to need. When a zone had no capacity for a long
+// time, these charges kept the team's other jobs waiting next to free machines (scenario
+// meet-place-turn, docs/incidents/turn-kept.md). So once a job has found no capacity for
+// tuning.RoundFor, the second round examines jobs that were over the limit without its charge. The
+// waiting job loses only its claim on the quota, and is still first in the queue for capacity that
+// becomes free.
 type schedulingRounds struct {
-	expired   []round             // charges that stood for longer than tuning.RoundFor
-	overLimit []*clusterstate.Job // jobs that did not fit their team's limit
-	second    bool                // the second round is under way: overLimit is examined once more
+	expired   []round             // charges that have stood for longer than tuning.RoundFor
+	overLimit []*clusterstate.Job // jobs that exceeded their team's limit
+	second    bool                // the second round is running: overLimit is examined again
 }
 
-// round is the charge of a job that found no room, for so many tasks.
+// round is the quota charge of a job that found no capacity, for the given number of tasks.
 type round struct {
 	job       *clusterstate.Job
 	taskCount int
 }
 
-// lacksCapacity notes that a job finds no room, and reports whether it has found none for longer
-// than tuning.RoundFor.
+// lacksCapacity records that a job finds no capacity, and reports whether it has found none for
+// longer than tuning.RoundFor.
 func (q *Queue) lacksCapacity(job *clusterstate.Job) bool {
 	since, known := q.noCapacitySince[job.ID]
 	if !known {
@@ -35,9 +37,9 @@
 	return q.state.Now.Sub(since) > tuning.RoundFor
 }
 
-// runRounds examines once more the jobs that did not fit their team's limit beside charges that
-// have stood for too long. What finds no room in this second round charges nothing and asks for no
-// machine.
+// runRounds examines the jobs that exceeded their team's limit again, without the charges that have
+// stood for too long. A job that finds no capacity in this second round is not charged, and no
+// machine is requested for it.
 func (q *Queue) runRounds(cycle *schedulingCycle, limit int) {
 	t := &cycle.rounds
 	if len(t.expired) == 0 || len(t.overLimit) == 0 {
--- a/internal/queue/starvation.go
+++ b/internal/queue/starvation.go
@@ -10,24 +10,26 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// starvation is what the starvation guard knows of a job none of whose tasks is under way: since
-// when each check found room for it, with its team under its limit, while both were kept for
-// others.
+// starvation is what the starvation guard records of a job that has no active tasks. A job starves
+// while there is free capacity for it and its team is under its limit, but the capacity or the
+// quota is kept for other jobs.
 type starvation struct {
-	starvingSince    time.Time // zero if there was no free capacity for it lately
+	starvingSince    time.Time // zero if there was no free capacity for it recently
 	hadCapacitySince time.Time // when there last was free capacity for it
 	examinedAt       time.Time
 }
 
-// serveStarving is the starvation guard: it gives room to jobs that have waited for too long
-// although capacity is free. What a cycle holds, it holds for as long as those wait that it is held
-// for: a machine for a task that fits nowhere, capacity for a large gang, what a team has left for
-// a job that needs more, and the charge of tasks that have no room themselves. Some of those never
-// come, as only replicas are in their way. So whatever capacity is held for, no job waits for
-// longer than tuning.StarvingAfter for capacity that stands free (docs/incidents/passed-over.md).
+// serveStarving is the starvation guard: it starts jobs that have waited too long although there is
+// free capacity for them. A cycle holds capacity and quota until the job that they are held for can
+// start: a machine for a task that fits nowhere, capacity for a large gang, the remaining quota of
+// a team for a job that needs more, and the charges of tasks that found no capacity. Some of those
+// jobs never start, because only replicas occupy the capacity they need. Therefore no job waits
+// longer than tuning.StarvingAfter for free capacity, whatever that capacity is held for
+// (docs/incidents/passed-over.md).
 //
-// It comes last in a cycle: what has just come free has gone to those whose turn it is, and what is
-// still free is held. Jobs that the cycle did not examine still have their turn.
+// It runs last in a cycle, when capacity that has become free has been given to jobs in queue
+// order, and what is still free is held. Jobs that the cycle did not examine are not considered,
+// because their turn is yet to come.
 func (q *Queue) serveStarving(cycle *schedulingCycle, examined map[*clusterstate.Job]bool) {
 	for jobID := range q.starving {
 		if job := q.state.Queued[jobID]; job == nil || len(job.Active) > 0 {
@@ -41,8 +43,8 @@
 	}
 }
 
-// serveIfStarving checks whether there is room for a job, notes since when, and starts it if there
-// has been for too long.
+// serveIfStarving checks whether there is capacity for a job, records since when, and starts the
+// job if there has been for too long.
 func (q *Queue) serveIfStarving(job *clusterstate.Job, cycle *schedulingCycle) {
 	now := q.state.Now
 	starving := q.starving[job.ID]
@@ -73,8 +75,8 @@
 	q.starving[job.ID] = starving
 }
 
-// starvationCandidates lists the jobs that wait, have nothing under way and were not checked
-// lately, those that starve longest first.
+// starvationCandidates lists the examined jobs that wait, have no active tasks and are due for a
+// check. Jobs that have starved the longest come first.
 func (q *Queue) starvationCandidates(examined map[*clusterstate.Job]bool) []*clusterstate.Job {
 	reserved := map[*clusterstate.Job]bool{}
 	for _, r := range q.state.Reservations {
@@ -97,7 +99,7 @@
 }
 
 // starvationCheckDue reports whether a job has waited long enough to be checked, was not checked
-// lately, and may begin.
+// recently, and may start.
 func (q *Queue) starvationCheckDue(job *clusterstate.Job) bool {
 	waited := time.Duration(q.state.NowMs()-job.Record.AcceptedMs) * time.Millisecond
 	return waited >= tuning.StarvingMinAge &&
@@ -107,7 +109,8 @@
 		q.state.Trust(job, "") != jobs.Probing
 }
 
-// compare orders by since when a job starves, those that do not last, and then by the last check.
+// compare orders by starvingSince, with jobs that do not starve last, and then by the time of the
+// last check.
 func (s starvation) compare(other starvation) int {
 	if s.starvingSince.IsZero() != other.starvingSince.IsZero() {
 		if s.starvingSince.IsZero() {
@@ -121,8 +124,8 @@
 	)
 }
 
-// startOf returns what starts a job now: a gang whole, anything else with one task. It is nil if
-// there is no room for that, or its limits do not allow it.
+// startOf returns a function that starts a job now: all tasks of a gang, or one task of any other
+// job. It returns nil if there is no capacity or not enough quota for that.
 func (q *Queue) startOf(job *clusterstate.Job, cycle *schedulingCycle) func() {
 	if job.Record.Spec.IsGang() {
 		return q.startOfGang(job, cycle)
@@ -147,7 +150,7 @@
 	}
 }
 
-// startOfGang is startOf for a gang.
+// startOfGang implements startOf for a gang.
 func (q *Queue) startOfGang(job *clusterstate.Job, cycle *schedulingCycle) func() {
 	spec := &job.Record.Spec
 	tasks, attempt := q.restingTasks(job)
--- a/internal/queue/task_placer.go
+++ b/internal/queue/task_placer.go
@@ -5,20 +5,20 @@
 	"github.com/harrierreel/harrierreel/internal/sharding"
 )
 
-// taskPlacer places the tasks of one job of independent tasks or replicas in one cycle.
+// taskPlacer places independent tasks or replicas of one job in one cycle.
 type taskPlacer struct {
 	queue      *Queue
 	cycle      *schedulingCycle
 	job        *clusterstate.Job
 	tasks      []*clusterstate.Task
-	probing    bool // the job is in doubt: no machine is provisioned, held or cleared for it
+	probing    bool // the job is being probed: nothing is provisioned, held or preempted for it
 	zones      map[string]int
 	candidates []sharding.Candidate
 	placements []placement
 }
 
-// placeAll places tasks until one is beyond the team's limit or finds no room, and returns how many
-// it examined.
+// placeAll places tasks until one exceeds the team's limit or finds no capacity, and returns the
+// number of tasks that it examined.
 func (p *taskPlacer) placeAll() int {
 	for i := range p.tasks {
 		if !p.place(i) {
@@ -28,14 +28,14 @@
 	return len(p.tasks)
 }
 
-// place finds room for one task and reports whether the next may be tried.
+// place selects a machine for one task and reports whether to go on with the next.
 func (p *taskPlacer) place(i int) bool {
 	q, cycle, task := p.queue, p.cycle, p.tasks[i]
 	spec := &p.job.Record.Spec
 	leaf := q.state.QuotaLeaf(spec)
 	if !cycle.account.Allows(leaf, spec.Amount(), 1) {
-		// What the team has left is kept until this task fits; smaller ones behind it would take it
-		// away for ever.
+		// The rest of the team's quota is kept free until this task fits. Otherwise smaller tasks
+		// further back in the queue could use it up forever.
 		cycle.leavesAtLimit[leaf] = true
 		cycle.rounds.overLimit = append(cycle.rounds.overLimit, p.job)
 		q.reclaimQuota(p.job, cycle)
@@ -60,12 +60,12 @@
 	candidate.Load = candidate.Capacity.Sub(candidate.Free).ShareOf(candidate.Capacity)
 	p.zones[candidate.Zone]++
 	if !candidate.HasImage && spec.ImageGB > 0 {
-		candidate.HasImage = true // for the next of the tasks
+		candidate.HasImage = true // the next tasks share the pull
 	}
 	return true
 }
 
-// noteNoCandidate notes that a task, and with it those behind it, found no room.
+// noteNoCandidate records that a task, and with it all tasks after it, found no capacity.
 func (p *taskPlacer) noteNoCandidate(i, entitled int) {
 	q, cycle, task := p.queue, p.cycle, p.tasks[i]
 	spec := &p.job.Record.Spec
@@ -76,7 +76,7 @@
 		return
 	}
 	if i > 0 {
-		delete(q.noCapacitySince, p.job.ID) // some of its tasks found room
+		delete(q.noCapacitySince, p.job.ID) // some of its tasks found capacity
 	}
 	q.addWaiting(p.job, p.tasks[i:], entitled, p.zones, cycle)
 }
