--- a/internal/queue/accumulation.go
+++ b/internal/queue/accumulation.go
@@ -20,7 +20,7 @@
 	zone         string
 	progressAt   time.Time      // when maxKept last increased, or the accumulation started
 	maxKept      int            // largest number of tasks for which free capacity was held at once
-	freePlaces   map[string]int // number of tasks for which free capacity is held, by machine
+	freeSlots    map[string]int // number of tasks for which free capacity is held, by machine
 	busyMachines []string       // machines held for capacity that becomes free on them
 	busyChosenAt time.Time      // when busyMachines was last chosen
 }
@@ -40,7 +40,7 @@
 	inZone := func(zone string) bool {
 		return (accumulation.zone == "" || zone == accumulation.zone) && clusterstate.ZoneAllowed(spec, zones, zone)
 	}
-	left := accumulation.takeFree(q, cycle, spec, candidates, inZone)
+	left := accumulation.holdFreeCapacity(q, cycle, spec, candidates, inZone)
 	kept := spec.TaskCount - left
 	if kept > accumulation.maxKept {
 		accumulation.maxKept, accumulation.progressAt = kept, q.state.Now
@@ -48,9 +48,9 @@
 	if left > 0 && q.Overdue(task.Job) {
 		if q.state.Now.Sub(accumulation.busyChosenAt) > tuning.GatherAgain {
 			accumulation.busyChosenAt = q.state.Now
-			accumulation.busyMachines = q.soonestFree(accumulation, task, left, inZone, cycle)
+			accumulation.busyMachines = q.chooseBusyMachines(accumulation, task, left, inZone, cycle)
 		}
-		accumulation.takeBusy(q, cycle, spec)
+		accumulation.holdBusyMachines(q, cycle, spec)
 	}
 	return kept, accumulation.zone
 }
@@ -78,42 +78,43 @@
 	return accumulation
 }
 
-// takeFree holds the free capacity of the zone for a gang, and returns the number of tasks that
-// still lack capacity.
-func (a *capacityAccumulation) takeFree(
+// holdFreeCapacity holds the free capacity of the zone for a gang, and returns the number of tasks
+// that still lack capacity.
+func (a *capacityAccumulation) holdFreeCapacity(
 	q *Queue,
 	cycle *schedulingCycle,
 	spec *jobs.Spec,
 	candidates []sharding.Candidate,
 	inZone func(string) bool,
 ) int {
-	a.freePlaces = map[string]int{}
+	a.freeSlots = map[string]int{}
 	left := spec.TaskCount
-	// Machines that fit the most tasks come first, so that the gang starts on as few machines as possible.
+	// Machines that fit the most tasks come first, so that the gang starts on as few machines as
+	// possible.
 	sort.SliceStable(candidates, func(a, b int) bool {
 		x, y := candidates[a].Free.HowMany(spec.Resources()), candidates[b].Free.HowMany(spec.Resources())
 		return x > y || x == y && candidates[a].Load > candidates[b].Load
 	})
 	for i := range candidates {
 		candidate := &candidates[i]
-		places := min(left, candidate.Free.HowMany(spec.Resources()))
-		if places <= 0 || !inZone(candidate.Zone) ||
-			!cycle.allowAccumulation(q, candidate.Capacity, spec.Resources(), places) {
+		slots := min(left, candidate.Free.HowMany(spec.Resources()))
+		if slots <= 0 || !inZone(candidate.Zone) ||
+			!cycle.tryAddAccumulatedShare(q, candidate.Capacity, spec.Resources(), slots) {
 			continue
 		}
-		for range places {
+		for range slots {
 			cycle.hold(q, candidate.Machine, spec.Resources())
 		}
-		a.freePlaces[candidate.Machine] = places
-		left -= places
+		a.freeSlots[candidate.Machine] = slots
+		left -= slots
 	}
 	return left
 }
 
-// allowAccumulation counts capacity held for large gangs, as a share of a machine. It returns
+// tryAddAccumulatedShare counts capacity held for large gangs, as a share of a machine. It returns
 // false, and counts nothing, if the total would exceed tuning.HoldShare of all machines.
-func (c *schedulingCycle) allowAccumulation(q *Queue, capacity, need sharding.Resources, places int) bool {
-	share := need.ShareOf(capacity) * float64(places)
+func (c *schedulingCycle) tryAddAccumulatedShare(q *Queue, capacity, need sharding.Resources, slots int) bool {
+	share := need.ShareOf(capacity) * float64(slots)
 	if c.accumulatedShare+share > tuning.HoldShare*float64(len(q.state.Machines)) {
 		return false
 	}
@@ -161,29 +162,29 @@
 	return best
 }
 
-// takeBusy holds all of the chosen busy machines. Otherwise smaller tasks would take capacity on
-// them as it becomes free, for as long as such tasks keep arriving.
-func (a *capacityAccumulation) takeBusy(q *Queue, cycle *schedulingCycle, spec *jobs.Spec) {
+// holdBusyMachines holds all of the chosen busy machines. Otherwise smaller tasks would take
+// capacity on them as it becomes free, for as long as such tasks keep arriving.
+func (a *capacityAccumulation) holdBusyMachines(q *Queue, cycle *schedulingCycle, spec *jobs.Spec) {
 	for _, machineName := range a.busyMachines {
 		m := q.state.Machines[machineName]
 		if m == nil || q.state.MachineTypes[m.MachineType] == nil || cycle.heldMachines[machineName] {
 			continue
 		}
 		capacity := q.state.MachineTypes[m.MachineType].Capacity()
-		places := capacity.HowMany(spec.Resources())
-		if places == 0 || !cycle.allowAccumulation(q, capacity, spec.Resources(), places) {
+		slots := capacity.HowMany(spec.Resources())
+		if slots == 0 || !cycle.tryAddAccumulatedShare(q, capacity, spec.Resources(), slots) {
 			continue
 		}
 		cycle.heldMachines[machineName] = true
-		for range places {
+		for range slots {
 			cycle.hold(q, machineName, spec.Resources())
 		}
 	}
 }
 
-// soonestFree chooses the busy machines to hold for a gang that lacks capacity for left tasks:
-// those that are expected to have capacity for one of its tasks soonest.
-func (q *Queue) soonestFree(
+// chooseBusyMachines chooses the busy machines to hold for a gang that lacks capacity for left
+// tasks: those that are expected to have capacity for one of its tasks soonest.
+func (q *Queue) chooseBusyMachines(
 	accumulation *capacityAccumulation,
 	task *clusterstate.Task,
 	left int,
@@ -193,13 +194,13 @@
 	type expectedFree struct {
 		machine string
 		atMs    int64
-		places  int
+		slots   int
 	}
 	resources := task.Job.Record.Spec.Resources()
 	var found []expectedFree
-	for _, m := range cycle.openMachines(q) {
+	for _, m := range cycle.schedulableMachines(q) {
 		capacity := q.state.MachineTypes[m.MachineType].Capacity()
-		if cycle.heldMachines[m.Name] || accumulation.freePlaces[m.Name] > 0 || !inZone(m.Zone) ||
+		if cycle.heldMachines[m.Name] || accumulation.freeSlots[m.Name] > 0 || !inZone(m.Zone) ||
 			!clusterstate.FitsTask(task.WithoutPreference(), m) || !capacity.Fits(resources) {
 			continue
 		}
@@ -214,7 +215,7 @@
 			break
 		}
 		machines = append(machines, f.machine)
-		left -= f.places
+		left -= f.slots
 	}
 	return machines
 }
@@ -258,8 +259,8 @@
 		if job == nil {
 			continue
 		}
-		for machineName, places := range accumulation.freePlaces {
-			for range places {
+		for machineName, slots := range accumulation.freeSlots {
+			for range slots {
 				out[machineName] = out[machineName].Add(job.Record.Spec.Resources())
 			}
 		}
--- a/internal/queue/calendar.go
+++ b/internal/queue/calendar.go
@@ -59,8 +59,8 @@
 		return
 	}
 	cycle.account.Charge(spec.QuotaKey(), spec.Amount(), spec.TaskCount)
-	for _, o := range placements {
-		q.reserveUntilNextCycle(o.task, o.machine)
+	for _, p := range placements {
+		q.reserveUntilNextCycle(p.task, p.machine)
 	}
 }
 
--- a/internal/queue/candidates.go
+++ b/internal/queue/candidates.go
@@ -16,11 +16,11 @@
 	return float64(len(q.state.Machines)) > q.config.MaxWritesPerS
 }
 
-// concentrate limits the candidates, while writes are scarce, to as few shards as can hold the
+// limitShards limits the candidates, while writes are scarce, to as few shards as can hold the
 // tasks. Shards with the most capacity come first, and machines that have the image cached count
 // double. Spot instances are selected before on-demand ones: on-demand instances of one shard must
 // not be used while spot instances of another have capacity.
-func (q *Queue) concentrate(spec *jobs.Spec, candidates []sharding.Candidate, tasks int) []sharding.Candidate {
+func (q *Queue) limitShards(spec *jobs.Spec, candidates []sharding.Candidate, tasks int) []sharding.Candidate {
 	if !q.Scarce() || spec.Kind != jobs.JobArray || tasks == 1 {
 		return candidates
 	}
@@ -33,27 +33,27 @@
 			}
 		}
 		if tasks > 0 {
-			ofKind, tasks = fewestControllers(spec, ofKind, tasks)
+			ofKind, tasks = fewestShards(spec, ofKind, tasks)
 			out = append(out, ofKind...)
 		}
 	}
 	return out
 }
 
-// fewestControllers limits the candidates to as few shards as can hold the tasks, and returns the
+// fewestShards limits the candidates to as few shards as can hold the tasks, and returns the
 // number of tasks that do not fit.
-func fewestControllers(spec *jobs.Spec, candidates []sharding.Candidate, tasks int) ([]sharding.Candidate, int) {
-	places, cachedPlaces := map[string]int{}, map[string]int{}
+func fewestShards(spec *jobs.Spec, candidates []sharding.Candidate, tasks int) ([]sharding.Candidate, int) {
+	slotsByController, cachedSlotsByController := map[string]int{}, map[string]int{}
 	for i := range candidates {
-		chosen := candidates[i].Free.HowMany(spec.Resources())
-		places[candidates[i].Controller] += chosen
+		slots := candidates[i].Free.HowMany(spec.Resources())
+		slotsByController[candidates[i].Controller] += slots
 		if candidates[i].HasImage {
-			cachedPlaces[candidates[i].Controller] += chosen
+			cachedSlotsByController[candidates[i].Controller] += slots
 		}
 	}
-	order := clusterstate.SortedKeys(places)
+	order := clusterstate.SortedKeys(slotsByController)
 	score := func(controller string) int {
-		return min(places[controller], tasks) + min(cachedPlaces[controller], tasks)
+		return min(slotsByController[controller], tasks) + min(cachedSlotsByController[controller], tasks)
 	}
 	sort.SliceStable(order, func(a, b int) bool { return score(order[a]) > score(order[b]) })
 	used := map[string]bool{}
@@ -63,7 +63,7 @@
 			break
 		}
 		used[controller] = true
-		left -= places[controller]
+		left -= slotsByController[controller]
 	}
 	return slices.DeleteFunc(candidates, func(c sharding.Candidate) bool { return !used[c.Controller] }), left
 }
@@ -77,17 +77,17 @@
 	})
 }
 
-// mayPropose reports whether the leader may propose a machine for any task at all.
-func (q *Queue) mayPropose(m *clusterstate.Machine) bool {
+// isSchedulable reports whether the leader may propose a machine for any task at all.
+func (q *Queue) isSchedulable(m *clusterstate.Machine) bool {
 	return q.ClaimedFor(m) == "" &&
 		!q.claimPending(m.Name) &&
 		!q.state.Now.Before(q.avoidUntil[m.Name]) &&
 		q.machines.Ready(m)
 }
 
-// canPropose reports whether the leader may propose a machine for a task.
-func (q *Queue) canPropose(task *clusterstate.Task, m *clusterstate.Machine) bool {
-	return q.mayPropose(m) && clusterstate.FitsTask(task, m)
+// canSchedule reports whether the leader may propose a machine for a task.
+func (q *Queue) canSchedule(task *clusterstate.Task, m *clusterstate.Machine) bool {
+	return q.isSchedulable(m) && clusterstate.FitsTask(task, m)
 }
 
 // FindMachine returns the machine to propose for a task, "" if none has capacity.
@@ -95,7 +95,7 @@
 	candidates := q.appendCandidates(
 		nil,
 		q.state.MachinesByName(),
-		func(m *clusterstate.Machine) bool { return q.canPropose(task, m) },
+		func(m *clusterstate.Machine) bool { return q.canSchedule(task, m) },
 		&task.Job.Record.Spec,
 	)
 	if i := q.pickCandidate(task, candidates, zones); i >= 0 {
--- a/internal/queue/claims.go
+++ b/internal/queue/claims.go
@@ -53,7 +53,7 @@
 		return
 	}
 	if maps.EqualFunc(want, q.state.MachineClaims, slices.Equal[[]string]) {
-		q.settleClaims(true, func(c *claim) bool { return !c.held }) // the store holds them already, from an earlier leader
+		q.settleClaims(true, func(c *claim) bool { return !c.held }) // left by an earlier leader
 		return
 	}
 	writes := q.claimWrites(want)
@@ -90,8 +90,8 @@
 	if len(writes) > q.config.MaxTxnWrites || len(writes) > 1 && bytes > tuning.MaxClaimBytes {
 		return nil
 	}
-	// Values that are no longer needed are removed in the same transaction as far as they fit. Those
-	// left over are ignored, because the first value does not refer to them.
+	// Values that are no longer needed are removed in the same transaction as far as they fit.
+	// Those left over are ignored, because the first value does not refer to them.
 	for _, number := range slices.Sorted(maps.Keys(q.claimValues)) {
 		if number > len(values) && len(writes) < q.config.MaxTxnWrites {
 			writes = append(writes, decide.Remove(fleet.ClaimsKeyOf(number)))
@@ -114,11 +114,12 @@
 	return err
 }
 
-// settleClaims tells the gangs of the claims selected by which whether their claims are held.
-func (q *Queue) settleClaims(ok bool, which func(*claim) bool) {
+// settleClaims tells the gangs of all claims for which matches returns true whether their claims
+// are held.
+func (q *Queue) settleClaims(ok bool, matches func(*claim) bool) {
 	for _, jobID := range clusterstate.SortedKeys(q.claims) {
 		c := q.claims[jobID]
-		if c == nil || !which(c) {
+		if c == nil || !matches(c) {
 			continue
 		}
 		if c.writePending = false; ok {
--- a/internal/queue/cycle.go
+++ b/internal/queue/cycle.go
@@ -16,26 +16,26 @@
 // of the quota account, and capacity is held for tasks that wait. All holds are released when the
 // cycle ends.
 type schedulingCycle struct {
-	account          *quota.Account
-	heldMachines     map[string]bool              // machines held for tasks that fit nowhere
-	heldResources    []sharding.Resources         // resources held until the cycle ends
-	heldOn           []string                     // machine of each entry in heldResources
-	leavesAtLimit    map[int]bool                 // leaf nodes of the quota tree whose next task exceeds a limit
-	unplaceable      map[string][]unplaceableNeed // resource requests that no machine can satisfy, by placementScope
-	victimSearches   int                          // searches for preemption victims so far
-	stopping         map[*clusterstate.Task]bool  // tasks that this cycle stops
-	newlyHeldCount   int                          // machines newly chosen to be held
-	accumulatedShare float64                      // capacity held for large gangs, in machines
-	loans            cycleLoans                   // capacity reserved for loans
-	decisions        []decide.Decision
-	rounds           schedulingRounds
-	openMachineCache []*clusterstate.Machine // machines that the leader may propose, nil if not listed yet
-	candidateBuffer  []sharding.Candidate    // reused for the candidates of each job
+	account                 *quota.Account
+	heldMachines            map[string]bool                 // machines held for tasks that fit nowhere
+	heldResources           []sharding.Resources            // resources held until the cycle ends
+	heldOn                  []string                        // machine of each entry in heldResources
+	quotaLeavesAtLimit      map[int]bool                    // leaf nodes of the quota tree whose next task exceeds a limit
+	unplaceable             map[string][]unplaceableRequest // requests that no machine can satisfy, by placementScope
+	victimSearches          int                             // searches for preemption victims so far
+	stopping                map[*clusterstate.Task]bool     // tasks that this cycle stops
+	newlyHeldCount          int                             // machines newly chosen to be held
+	accumulatedShare        float64                         // capacity held for large gangs, in machines
+	loans                   cycleLoans                      // capacity reserved for loans
+	decisions               []decide.Decision
+	rounds                  schedulingRounds
+	schedulableMachineCache []*clusterstate.Machine // machines that the leader may propose, nil if not listed yet
+	candidateBuffer         []sharding.Candidate    // reused for the candidates of each job
 }
 
-// unplaceableNeed is a resource request that could not be satisfied in this cycle: the resources of
-// one task, and the number of tasks to place together.
-type unplaceableNeed struct {
+// unplaceableRequest is a resource request that could not be satisfied in this cycle: the resources
+// of one task, and the number of tasks to place together.
+type unplaceableRequest struct {
 	resources sharding.Resources
 	taskCount int
 }
@@ -50,25 +50,25 @@
 func (c *schedulingCycle) candidates(q *Queue, task *clusterstate.Task) []sharding.Candidate {
 	c.candidateBuffer = q.appendCandidates(
 		c.candidateBuffer,
-		c.openMachines(q),
+		c.schedulableMachines(q),
 		func(m *clusterstate.Machine) bool { return clusterstate.FitsTask(task, m) },
 		&task.Job.Record.Spec,
 	)
 	return c.candidateBuffer
 }
 
-// openMachines lists the machines that the leader may propose. The list is cached because it is the
-// same for every job of a cycle, and checking the status of a machine costs more than checking its
-// capacity.
-func (c *schedulingCycle) openMachines(q *Queue) []*clusterstate.Machine {
-	if c.openMachineCache == nil {
+// schedulableMachines lists the machines that the leader may propose. The list is cached because it
+// is the same for every job of a cycle, and checking the status of a machine costs more than
+// checking its capacity.
+func (c *schedulingCycle) schedulableMachines(q *Queue) []*clusterstate.Machine {
+	if c.schedulableMachineCache == nil {
 		for _, m := range q.state.MachinesByName() {
-			if m.State == fleet.Up && q.mayPropose(m) {
-				c.openMachineCache = append(c.openMachineCache, m)
+			if m.State == fleet.Up && q.isSchedulable(m) {
+				c.schedulableMachineCache = append(c.schedulableMachineCache, m)
 			}
 		}
 	}
-	return c.openMachineCache
+	return c.schedulableMachineCache
 }
 
 // writeCount returns an upper bound for the number of records that the decisions of the cycle
@@ -85,11 +85,11 @@
 // newCycle starts a scheduling cycle.
 func (q *Queue) newCycle() *schedulingCycle {
 	cycle := &schedulingCycle{
-		account:       q.state.Account.Clone(),
-		heldMachines:  map[string]bool{},
-		leavesAtLimit: map[int]bool{},
-		unplaceable:   map[string][]unplaceableNeed{},
-		stopping:      map[*clusterstate.Task]bool{},
+		account:            q.state.Account.Clone(),
+		heldMachines:       map[string]bool{},
+		quotaLeavesAtLimit: map[int]bool{},
+		unplaceable:        map[string][]unplaceableRequest{},
+		stopping:           map[*clusterstate.Task]bool{},
 	}
 	// A gang whose machines are being claimed has been granted its quota already. If other tasks
 	// used it, the gang would lack it or exceed its team's limit.
@@ -125,14 +125,14 @@
 	for i, machineName := range c.heldOn {
 		q.state.FreeResources(machineName, c.heldResources[i])
 	}
-	c.heldOn, c.heldResources, c.openMachineCache = nil, nil, nil
+	c.heldOn, c.heldResources, c.schedulableMachineCache = nil, nil, nil
 	clear(c.unplaceable)
 }
 
 // end frees all resources that the cycle holds.
 func (c *schedulingCycle) end(q *Queue) {
-	for _, rooms := range c.loans.reservations {
-		for _, r := range rooms {
+	for _, reservations := range c.loans.reservations {
+		for _, r := range reservations {
 			q.unblock(r)
 		}
 	}
@@ -170,5 +170,5 @@
 // a job.
 func (c *schedulingCycle) noteUnplaceable(s *jobs.Spec, taskCount int) {
 	key := placementScope(s, taskCount)
-	c.unplaceable[key] = append(c.unplaceable[key], unplaceableNeed{s.Resources(), taskCount})
+	c.unplaceable[key] = append(c.unplaceable[key], unplaceableRequest{s.Resources(), taskCount})
 }
--- a/internal/queue/decisions.go
+++ b/internal/queue/decisions.go
@@ -19,20 +19,20 @@
 	machinesByController := map[string][]string{}
 	var newTasks []*clusterstate.Task
 	batched := q.cluster.UsesBatches() && job.Record.Spec.Kind == jobs.JobArray
-	for _, o := range placements {
+	for _, p := range placements {
 		switch {
-		case batched && (o.task.StoredIn == nil || o.task.StoredIn.IsBatch()):
-			if decision, ok := q.batchDecision(o); ok {
+		case batched && (p.task.StoredIn == nil || p.task.StoredIn.IsBatch()):
+			if decision, ok := q.batchDecision(p); ok {
 				decisions = append(decisions, decision)
 			}
-		case o.task.StoredIn != nil:
-			if decision, ok := q.releaseRecorded(o); ok {
+		case p.task.StoredIn != nil:
+			if decision, ok := q.releaseRecordedTask(p); ok {
 				decisions = append(decisions, decision)
 			}
 		default:
-			newTasks = append(newTasks, o.task)
-			controller := q.state.Machines[o.machine].Owner
-			machinesByController[controller] = append(machinesByController[controller], o.machine)
+			newTasks = append(newTasks, p.task)
+			controller := q.state.Machines[p.machine].Owner
+			machinesByController[controller] = append(machinesByController[controller], p.machine)
 		}
 	}
 	slices.SortFunc(newTasks, func(a, b *clusterstate.Task) int { return a.Index - b.Index })
@@ -42,7 +42,7 @@
 			count := q.consecutiveCount(newTasks, len(machines))
 			decisions = append(
 				decisions,
-				q.beginTaskRange(job, newTasks[:count], machines[:count], q.placesDirectly, 1),
+				q.newTaskRangeDecision(job, newTasks[:count], machines[:count], q.placesDirectly, 1),
 			)
 			newTasks, machines = newTasks[count:], machines[count:]
 		}
@@ -54,27 +54,27 @@
 // together with the other tasks for that shard in the same transaction. A task that was attempted
 // before is removed from its old batch, because the owner of its new machine writes its record from
 // now on.
-func (q *Queue) batchDecision(o placement) (decide.Decision, bool) {
-	m := q.state.Machines[o.machine]
-	decision := decide.Decision{ReadSet: []string{jobs.JobPrefix + o.task.Job.ID}}
+func (q *Queue) batchDecision(p placement) (decide.Decision, bool) {
+	m := q.state.Machines[p.machine]
+	decision := decide.Decision{ReadSet: []string{jobs.JobPrefix + p.task.Job.ID}}
 	var next jobs.Task
 	var ok bool
-	if q.placesDirectly(o.task, m) {
-		decision.ReadSet = append(decision.ReadSet, fleet.MachinePrefix+o.machine)
-		next, ok = q.placedTask(o.task, o.machine, m.Zone, o.task.Attempt+1)
+	if q.placesDirectly(p.task, m) {
+		decision.ReadSet = append(decision.ReadSet, fleet.MachinePrefix+p.machine)
+		next, ok = q.placedTask(p.task, p.machine, m.Zone, p.task.Attempt+1)
 	} else {
-		next, ok = q.releasedTask(o.task, m)
+		next, ok = q.releasedTask(p.task, m)
 	}
 	if !ok {
 		return decision, false
 	}
-	if o.task.StoredIn != nil {
-		decision.Changes = []decide.Change{{Task: o.task, Next: next, LeavesBatch: true}}
+	if p.task.StoredIn != nil {
+		decision.Changes = []decide.Change{{Task: p.task, Next: next, LeavesBatch: true}}
 	}
 	decision.BatchEntries = []decide.BatchEntry{
-		{Controller: m.Owner, Entry: taskbatch.Entry{JobID: o.task.Job.ID, Index: o.task.Index, Task: next}},
+		{Controller: m.Owner, Entry: taskbatch.Entry{JobID: p.task.Job.ID, Index: p.task.Index, Task: next}},
 	}
-	taskID := o.task.ID
+	taskID := p.task.ID
 	decision.OnSettled = func(bool) { q.state.Unreserve(taskID) }
 	return decision, true
 }
@@ -92,28 +92,29 @@
 	return next, ok
 }
 
-// releaseRecorded returns the decision that releases or places a task that already has a record.
-func (q *Queue) releaseRecorded(o placement) (decide.Decision, bool) {
-	m := q.state.Machines[o.machine]
-	if q.placesDirectly(o.task, m) {
-		return q.placeDecision(o.task, o.machine, m.Zone, o.task.Attempt+1)
+// releaseRecordedTask returns the decision that releases or places a task that already has a
+// record.
+func (q *Queue) releaseRecordedTask(p placement) (decide.Decision, bool) {
+	m := q.state.Machines[p.machine]
+	if q.placesDirectly(p.task, m) {
+		return q.placeDecision(p.task, p.machine, m.Zone, p.task.Attempt+1)
 	}
-	next, ok := q.releasedTask(o.task, m)
+	next, ok := q.releasedTask(p.task, m)
 	if !ok {
 		return decide.Decision{}, false
 	}
-	taskID := o.task.ID
+	taskID := p.task.ID
 	return decide.Decision{
-		Changes:   decide.TransitionTask(o.task, next),
-		ReadSet:   []string{jobs.JobPrefix + o.task.Job.ID},
+		Changes:   decide.TransitionTask(p.task, next),
+		ReadSet:   []string{jobs.JobPrefix + p.task.Job.ID},
 		OnSettled: func(bool) { q.state.Unreserve(taskID) },
 	}, true
 }
 
-// beginTaskRange returns the decision that writes a new range of consecutive tasks that were never
-// released. Its key must not exist yet. Tasks for which placesDirectly returns true are placed at
-// once; the others are released to the shard of their machine.
-func (q *Queue) beginTaskRange(
+// newTaskRangeDecision returns the decision that writes a new range of consecutive tasks that were
+// never released. Its key must not exist yet. Tasks for which placesDirectly returns true are
+// placed at once; the others are released to the shard of their machine.
+func (q *Queue) newTaskRangeDecision(
 	job *clusterstate.Job,
 	tasks []*clusterstate.Task,
 	machines []string,
@@ -148,7 +149,7 @@
 // and, while writes are scarce, in every shard if the machine's record allows it.
 func (q *Queue) placesDirectly(task *clusterstate.Task, m *clusterstate.Machine) bool {
 	if m.Owner != q.config.Name {
-		return q.Scarce() && q.canPropose(task, m)
+		return q.Scarce() && q.canSchedule(task, m)
 	}
 	return q.machines.CanPlace(task, m)
 }
--- a/internal/queue/gangs.go
+++ b/internal/queue/gangs.go
@@ -24,31 +24,31 @@
 		withdrawGang(job, cycle)
 		return
 	}
-	tasks, attempt := q.restingTasks(job)
+	tasks, attempt := q.startableGangTasks(job)
 	if tasks == nil {
 		return
 	}
 	probing := q.state.Trust(job, "") == jobs.Probing
-	if probing && q.backsOff(tasks, attempt) {
+	if probing && q.inBackoff(tasks, attempt) {
 		return
 	}
 	leaf := q.state.QuotaLeaf(spec)
 	if !cycle.account.Allows(leaf, spec.Amount(), spec.TaskCount) {
 		if q.Overdue(job) && cycle.account.Tree().EverAllows(leaf, spec.Amount(), spec.TaskCount) {
 			// As for single tasks, the rest of the team's quota is kept free for it.
-			cycle.leavesAtLimit[leaf] = true
+			cycle.quotaLeavesAtLimit[leaf] = true
 		}
 		cycle.rounds.overLimit = append(cycle.rounds.overLimit, job)
 		return
 	}
 	entitled := cycle.account.Entitled(leaf, spec.Amount(), spec.TaskCount)
 	cycle.account.Charge(spec.QuotaKey(), spec.Amount(), spec.TaskCount)
-	placements, sameController := q.fitGang(tasks, cycle)
+	placements, oneShard := q.fitGang(tasks, cycle)
 	switch {
 	case placements != nil:
 		delete(q.noCapacitySince, job.ID)
-		q.beginGang(job, tasks, placements, sameController, attempt, cycle)
-	case cycle.rounds.second:
+		q.startGang(job, tasks, placements, oneShard, attempt, cycle)
+	case cycle.rounds.inSecondRound:
 		cycle.account.Charge(spec.QuotaKey(), spec.Amount(), -spec.TaskCount)
 	case !probing:
 		q.addWaitingGang(job, tasks[0], entitled, cycle)
@@ -66,11 +66,12 @@
 	}
 }
 
-// backsOff reports whether a gang that is being probed is still in backoff before its next attempt.
-func (q *Queue) backsOff(tasks []*clusterstate.Task, attempt uint64) bool {
-	pause := jobs.Backoff(int(min(attempt, 10)))
+// inBackoff reports whether a gang that is being probed is still in backoff before its next
+// attempt.
+func (q *Queue) inBackoff(tasks []*clusterstate.Task, attempt uint64) bool {
+	backoff := jobs.Backoff(int(min(attempt, 10)))
 	return slices.ContainsFunc(tasks, func(task *clusterstate.Task) bool {
-		return q.state.Now.Sub(task.StateSince) < pause
+		return q.state.Now.Sub(task.StateSince) < backoff
 	})
 }
 
@@ -78,8 +79,8 @@
 // and machines are held for it. For a large gang, capacity is accumulated as it becomes free.
 func (q *Queue) addWaitingGang(job *clusterstate.Job, first *clusterstate.Task, entitled int, cycle *schedulingCycle) {
 	spec := &job.Record.Spec
-	if q.lacksCapacity(job) {
-		cycle.rounds.expired = append(cycle.rounds.expired, round{job, spec.TaskCount})
+	if q.noteNoCapacity(job) {
+		cycle.rounds.expired = append(cycle.rounds.expired, unplacedCharge{job, spec.TaskCount})
 	}
 	waiting := &Waiting{
 		Task:     first,
@@ -109,9 +110,9 @@
 	return out
 }
 
-// restingTasks returns all tasks of a gang that has no active tasks, and the number of its next
-// attempt. It returns nil if a task is active, in backoff, or has a transaction in flight.
-func (q *Queue) restingTasks(job *clusterstate.Job) ([]*clusterstate.Task, uint64) {
+// startableGangTasks returns all tasks of a gang that has no active tasks, and the number of its
+// next attempt. It returns nil if a task is active, in backoff, or has a transaction in flight.
+func (q *Queue) startableGangTasks(job *clusterstate.Job) ([]*clusterstate.Task, uint64) {
 	spec := &job.Record.Spec
 	records := taskRecords(job)
 	if gangs.PhaseOf(spec.TaskCount, records) != gangs.Resting {
@@ -124,28 +125,28 @@
 	return tasks, gangs.NextAttempt(records)
 }
 
-// beginGang releases or places a gang on the selected machines: in one transaction if possible,
+// startGang releases or places a gang on the selected machines: in one transaction if possible,
 // otherwise the machines are claimed first.
-func (q *Queue) beginGang(
+func (q *Queue) startGang(
 	job *clusterstate.Job,
 	tasks []*clusterstate.Task,
 	placements []placement,
-	sameController bool,
+	oneShard bool,
 	attempt uint64,
 	cycle *schedulingCycle,
 ) {
 	spec := &job.Record.Spec
 	// If the leader places the tasks itself, one transaction can cover machines of several shards.
-	if (sameController || q.placesAllDirectly(placements)) && q.fitsOneTxn(spec, placements) {
-		if decision, ok := q.releaseGangWhole(job, placements); ok {
+	if (oneShard || q.placesAllDirectly(placements)) && q.fitsOneTxn(spec, placements) {
+		if decision, ok := q.releaseGangDecision(job, placements); ok {
 			cycle.decisions = append(cycle.decisions, decision)
 			return
 		}
 	}
 	machines := make([]string, len(placements))
-	for i, o := range placements {
-		machines[i] = o.machine
-		cycle.hold(q, o.machine, spec.Resources())
+	for i, p := range placements {
+		machines[i] = p.machine
+		cycle.hold(q, p.machine, spec.Resources())
 	}
 	q.claimGang(job, tasks, machines, attempt)
 }
@@ -155,8 +156,8 @@
 // larger gang is placed on claimed machines, in several decisions.
 func (q *Queue) fitsOneTxn(spec *jobs.Spec, placements []placement) bool {
 	machines := map[string]bool{}
-	for _, o := range placements {
-		machines[o.machine] = true
+	for _, p := range placements {
+		machines[p.machine] = true
 	}
 	// The view, the fencing token, the quotas, the claims, the job, and a task range that does not
 	// start with the first task.
@@ -168,46 +169,46 @@
 
 // placesAllDirectly reports whether the leader may place all tasks of a gang itself.
 func (q *Queue) placesAllDirectly(placements []placement) bool {
-	return !slices.ContainsFunc(placements, func(o placement) bool {
-		return !q.placesDirectly(o.task, q.state.Machines[o.machine])
+	return !slices.ContainsFunc(placements, func(p placement) bool {
+		return !q.placesDirectly(p.task, q.state.Machines[p.machine])
 	})
 }
 
-// releaseGangWhole returns the single decision that releases all tasks of a gang to the shard of
+// releaseGangDecision returns the single decision that releases all tasks of a gang to the shard of
 // their machines, or places them at once if the leader may place all of them. It returns false, and
 // reserves nothing, if one transaction cannot hold the decision.
-func (q *Queue) releaseGangWhole(job *clusterstate.Job, placements []placement) (decide.Decision, bool) {
-	joined := joinedDecision{readSet: []string{jobs.JobPrefix + job.ID}}
+func (q *Queue) releaseGangDecision(job *clusterstate.Job, placements []placement) (decide.Decision, bool) {
+	combined := combinedDecision{readSet: []string{jobs.JobPrefix + job.ID}}
 	placesDirectly := placeRule(always)
 	if !q.placesAllDirectly(placements) {
 		placesDirectly = never
 	}
 	var lastAttempt uint64
-	for _, o := range placements {
-		lastAttempt = max(lastAttempt, o.task.Attempt)
+	for _, p := range placements {
+		lastAttempt = max(lastAttempt, p.task.Attempt)
 	}
 	var newTasks []*clusterstate.Task
 	var machines []string
-	for _, o := range placements {
-		if o.task.StoredIn == nil {
-			newTasks, machines = append(newTasks, o.task), append(machines, o.machine)
+	for _, p := range placements {
+		if p.task.StoredIn == nil {
+			newTasks, machines = append(newTasks, p.task), append(machines, p.machine)
 			continue
 		}
-		part, ok := q.gangTaskDecision(o, placesDirectly, lastAttempt+1)
+		part, ok := q.gangTaskDecision(p, placesDirectly, lastAttempt+1)
 		if !ok {
-			joined.settle(false)
-			return joined.decision(), false
+			combined.settle(false)
+			return combined.decision(), false
 		}
-		joined.add(part)
+		combined.add(part)
 	}
 	for len(newTasks) > 0 {
 		count := q.consecutiveCount(newTasks, len(newTasks))
-		joined.add(q.beginTaskRange(job, newTasks[:count], machines[:count], placesDirectly, lastAttempt+1))
+		combined.add(q.newTaskRangeDecision(job, newTasks[:count], machines[:count], placesDirectly, lastAttempt+1))
 		newTasks, machines = newTasks[count:], machines[count:]
 	}
-	decision := joined.decision()
+	decision := combined.decision()
 	if len(decision.Keys()) > q.config.MaxTxnWrites {
-		joined.settle(false)
+		combined.settle(false)
 		return decision, false
 	}
 	return decision, true
@@ -215,70 +216,70 @@
 
 // gangTaskDecision returns the decision for a gang's task that already has a record: it is placed
 // at once, or released to the shard of the machine.
-func (q *Queue) gangTaskDecision(o placement, placesDirectly placeRule, attempt uint64) (decide.Decision, bool) {
-	m := q.state.Machines[o.machine]
-	if placesDirectly(o.task, m) {
-		return q.placeDecision(o.task, o.machine, m.Zone, attempt)
+func (q *Queue) gangTaskDecision(p placement, placesDirectly placeRule, attempt uint64) (decide.Decision, bool) {
+	m := q.state.Machines[p.machine]
+	if placesDirectly(p.task, m) {
+		return q.placeDecision(p.task, p.machine, m.Zone, attempt)
 	}
-	next, ok := q.releasedTask(o.task, m)
+	next, ok := q.releasedTask(p.task, m)
 	if !ok {
 		return decide.Decision{}, false
 	}
-	taskID := o.task.ID
+	taskID := p.task.ID
 	return decide.Decision{
-		Changes:   decide.TransitionTask(o.task, next),
+		Changes:   decide.TransitionTask(p.task, next),
 		OnSettled: func(bool) { q.state.Unreserve(taskID) },
 	}, true
 }
 
-// joinedDecision combines several decisions into one, so that one transaction commits all of them
+// combinedDecision combines several decisions into one, so that one transaction commits all of them
 // or none.
-type joinedDecision struct {
-	changes []decide.Change
-	writes  []store.Write
-	readSet []string
-	settled []func(bool)
+type combinedDecision struct {
+	changes   []decide.Change
+	writes    []store.Write
+	readSet   []string
+	onSettled []func(bool)
 }
 
 // add adds a decision. Each key is in the combined read set only once.
-func (d *joinedDecision) add(part decide.Decision) {
-	var unread []string
+func (d *combinedDecision) add(part decide.Decision) {
+	var newKeys []string
 	for _, key := range part.ReadSet {
-		if !slices.Contains(d.readSet, key) && !slices.Contains(unread, key) {
-			unread = append(unread, key)
+		if !slices.Contains(d.readSet, key) && !slices.Contains(newKeys, key) {
+			newKeys = append(newKeys, key)
 		}
 	}
-	part.ReadSet = unread
+	part.ReadSet = newKeys
 	d.addWithReads(part)
 }
 
 // addWithReads adds a decision with all of its read set, including keys that are there already:
 // each of them counts toward the estimated preconditions of a transaction.
-func (d *joinedDecision) addWithReads(part decide.Decision) {
+func (d *combinedDecision) addWithReads(part decide.Decision) {
 	d.changes = append(d.changes, part.Changes...)
 	d.writes = append(d.writes, part.Writes...)
 	d.readSet = append(d.readSet, part.ReadSet...)
-	d.settled = append(d.settled, part.OnSettled)
+	d.onSettled = append(d.onSettled, part.OnSettled)
 }
 
 // settle tells the combined decisions whether they were committed.
-func (d *joinedDecision) settle(ok bool) {
-	for _, settled := range d.settled {
-		settled(ok)
+func (d *combinedDecision) settle(ok bool) {
+	for _, onSettled := range d.onSettled {
+		onSettled(ok)
 	}
 }
 
 // decision returns the combined decision.
-func (d *joinedDecision) decision() decide.Decision {
+func (d *combinedDecision) decision() decide.Decision {
 	return decide.Decision{Changes: d.changes, Writes: d.writes, ReadSet: d.readSet, OnSettled: d.settle}
 }
 
 // fitGang selects a machine for every task of a gang; placements is nil if the gang does not fit.
-// sameController reports whether all the machines belong to one shard.
+// oneShard reports whether all the machines belong to one shard.
 func (q *Queue) fitGang(
 	tasks []*clusterstate.Task,
 	cycle *schedulingCycle,
-) (placements []placement, sameController bool) {
+) (placements []placement, oneShard bool) {
 	task := tasks[0]
 	spec := &task.Job.Record.Spec
 	if cycle.knownUnplaceable(spec, spec.TaskCount) {
@@ -291,7 +292,7 @@
 		return nil, false
 	}
 	zones := q.state.TasksByZone(task.Job)
-	machines, sameController, fits := gangs.Fit(
+	machines, oneShard, fits := gangs.Fit(
 		spec,
 		candidates,
 		zones,
@@ -305,7 +306,7 @@
 	for i, machineName := range machines {
 		placements = append(placements, placement{tasks[i], machineName})
 	}
-	return placements, sameController
+	return placements, oneShard
 }
 
 // claimGang places a gang that does not fit in one transaction. Its machines are claimed in the
@@ -381,7 +382,7 @@
 	}
 	for len(newTasks) > 0 {
 		count := q.consecutiveCount(newTasks, len(newTasks))
-		decisions = append(decisions, q.beginTaskRange(job, newTasks[:count], newTaskMachines[:count], always, attempt))
+		decisions = append(decisions, q.newTaskRangeDecision(job, newTasks[:count], newTaskMachines[:count], always, attempt))
 		newTasks, newTaskMachines = newTasks[count:], newTaskMachines[count:]
 	}
 	return decisions, true
@@ -411,17 +412,17 @@
 		return nil
 	}
 	attempt := gangs.NextAttempt(taskRecords(job))
-	joined := joinedDecision{}
+	combined := combinedDecision{}
 	for _, task := range tasks {
 		part, ok := q.placeOne(task, attempt)
 		if !ok {
-			joined.settle(false)
+			combined.settle(false)
 			for _, task := range tasks {
 				task.PlacementTriedAt = q.state.Now
 			}
 			return nil // the leader takes the gang back
 		}
-		joined.addWithReads(part)
+		combined.addWithReads(part)
 	}
-	return []decide.Decision{joined.decision()}
+	return []decide.Decision{combined.decision()}
 }
--- a/internal/queue/holds.go
+++ b/internal/queue/holds.go
@@ -70,7 +70,7 @@
 	spec := &task.Job.Record.Spec
 	var best *clusterstate.Machine
 	bestShare := -1.0
-	for _, m := range cycle.openMachines(q) {
+	for _, m := range cycle.schedulableMachines(q) {
 		if cycle.heldMachines[m.Name] || !clusterstate.FitsTask(task, m) || !clusterstate.ZoneAllowed(spec, zones, m.Zone) {
 			continue
 		}
--- a/internal/queue/lending.go
+++ b/internal/queue/lending.go
@@ -88,11 +88,11 @@
 	if q.loans == nil {
 		return
 	}
-	waits := map[string]bool{}
+	waitingJobs := map[string]bool{}
 	for _, waiting := range q.Waiting {
-		waits[waiting.Task.Job.ID] = true
+		waitingJobs[waiting.Task.Job.ID] = true
 	}
-	settled := q.loans.Reconcile(cycle.account, func(jobID string) bool { return waits[jobID] })
+	settled := q.loans.Reconcile(cycle.account, func(jobID string) bool { return waitingJobs[jobID] })
 	cycle.decisions = append(cycle.decisions, settled...)
 	cycle.loans = cycleLoans{
 		reservations: map[string][]*loanReservation{},
@@ -103,14 +103,14 @@
 			cycle.loans.byTask[jobs.TaskID(loan.Job, loan.TaskIndex)] = loan
 		}
 	}
-	for _, room := range q.loans.Rooms() {
-		r := &loanReservation{KeptRoom: room}
-		cycle.loans.reservations[room.Job] = append(cycle.loans.reservations[room.Job], r)
-		cycle.heldMachines[room.Machine] = true // so that it is not held for another job
+	for _, reserved := range q.loans.Rooms() {
+		r := &loanReservation{KeptRoom: reserved}
+		cycle.loans.reservations[reserved.Job] = append(cycle.loans.reservations[reserved.Job], r)
+		cycle.heldMachines[reserved.Machine] = true // so that it is not held for another job
 		q.block(r)
 	}
-	// Borrowers are placed before any other job is examined, because capacity that the cycle holds for
-	// other jobs could block a machine on which capacity was freed for a borrower.
+	// Borrowers are placed before any other job is examined, because capacity that the cycle holds
+	// for other jobs could block a machine on which capacity was freed for a borrower.
 	for _, jobID := range clusterstate.SortedKeys(cycle.loans.reservations) {
 		if job := q.state.Queued[jobID]; job != nil && q.budget.Allows(cycle.writeCount(), 1) {
 			q.placeBorrowers(job, cycle)
@@ -122,8 +122,8 @@
 // the replica has a reservation of its own, and capacity for a lender only while it is free.
 func (q *Queue) block(r *loanReservation) {
 	if r.TaskID != "" {
-		_, booked := q.state.Reservations[r.TaskID]
-		r.blocked = !booked
+		_, reserved := q.state.Reservations[r.TaskID]
+		r.blocked = !reserved
 	} else {
 		m := q.state.Machines[r.Machine]
 		r.blocked = m != nil && q.state.MachineTypes[m.MachineType] != nil && q.freeCapacity(m).Fits(r.Resources)
@@ -141,8 +141,8 @@
 	}
 }
 
-// unblockLent lets a job use capacity that it lent and that has been returned to it.
-func (q *Queue) unblockLent(jobID string, cycle *schedulingCycle) {
+// unblockReturned lets a job use capacity that it lent and that has been returned to it.
+func (q *Queue) unblockReturned(jobID string, cycle *schedulingCycle) {
 	for _, r := range cycle.loans.reservations[jobID] {
 		if r.TaskID == "" {
 			q.unblock(r)
@@ -150,8 +150,8 @@
 	}
 }
 
-// blockLent blocks what remains of the returned capacity after the job was examined.
-func (q *Queue) blockLent(jobID string, cycle *schedulingCycle) {
+// blockReturned blocks what remains of the returned capacity after the job was examined.
+func (q *Queue) blockReturned(jobID string, cycle *schedulingCycle) {
 	for _, r := range cycle.loans.reservations[jobID] {
 		if !r.blocked {
 			q.block(r)
@@ -169,7 +169,7 @@
 			continue
 		}
 		task := q.waitingTask(job, r.TaskID)
-		if task == nil || !q.canPropose(task, m) ||
+		if task == nil || !q.canSchedule(task, m) ||
 			!clusterstate.ZoneAllowed(spec, q.state.TasksByZone(job), m.Zone) ||
 			!cycle.account.Allows(q.state.QuotaLeaf(spec), spec.Amount(), 1) {
 			continue
@@ -205,9 +205,9 @@
 }
 
 // requestLoan requests that other tasks lend capacity to a replica: on a machine with its image
-// cached if onlyCached is set, and within withinS seconds if that is not 0. It reports whether a
-// loan was requested, now or earlier.
-func (q *Queue) requestLoan(waiting *Waiting, onlyCached bool, withinS float64, cycle *schedulingCycle) bool {
+// cached if onlyCached is set, and within maxStartDelayS seconds if that is not 0. It reports
+// whether a loan was requested, now or earlier.
+func (q *Queue) requestLoan(waiting *Waiting, onlyCached bool, maxStartDelayS float64, cycle *schedulingCycle) bool {
 	task := waiting.Task
 	_, requested := cycle.loans.byTask[task.ID]
 	if requested || cycle.loans.requestCount >= tuning.MaxLendingSearches {
@@ -218,8 +218,8 @@
 	if zones == nil {
 		zones = q.zonesWithLoans(task.Job, cycle)
 	}
-	// The charges of this cycle are only proposals. Which teams exceed their guarantee is determined by
-	// the tasks that actually run.
+	// The charges of this cycle are only proposals. Which teams exceed their guarantee is
+	// determined by the tasks that actually run.
 	decision, plan, ok := q.loans.Request(&lending.Search{
 		Task:           task,
 		Priority:       waiting.Priority,
@@ -227,8 +227,8 @@
 		Account:        lending.AccountWithoutLeaving(q.state, q.state.Account, cycle.stopping),
 		Zones:          zones,
 		OnlyWithImage:  onlyCached,
-		MaxStartDelayS: withinS,
-		Open:           func(m *clusterstate.Machine) bool { return q.canPropose(task, m) },
+		MaxStartDelayS: maxStartDelayS,
+		Open:           func(m *clusterstate.Machine) bool { return q.canSchedule(task, m) },
 		Stopping:       cycle.stopping,
 	})
 	if !ok {
@@ -289,13 +289,13 @@
 	if q.state.HasImage(machineName, spec.Image) || machineType.ImageGBPerS <= 0 {
 		return false
 	}
-	soonerThanS := q.imagePullSeconds(m, machineType, spec) - tuning.LoanSooner.Seconds()
+	maxStartDelayS := q.imagePullSeconds(m, machineType, spec) - tuning.LoanSooner.Seconds()
 	if loan, requested := cycle.loans.byTask[task.ID]; requested {
 		waitedMs := float64(q.state.NowMs() - loan.BeganMs)
-		return q.state.HasImage(loan.Machine, spec.Image) && waitedMs < soonerThanS*1000
+		return q.state.HasImage(loan.Machine, spec.Image) && waitedMs < maxStartDelayS*1000
 	}
-	if soonerThanS <= 0 || q.state.Now.Before(q.preemptions[task.ID].until) {
+	if maxStartDelayS <= 0 || q.state.Now.Before(q.preemptions[task.ID].until) {
 		return false
 	}
-	return q.requestLoan(waiting, true, soonerThanS, cycle)
+	return q.requestLoan(waiting, true, maxStartDelayS, cycle)
 }
--- a/internal/queue/order.go
+++ b/internal/queue/order.go
@@ -193,7 +193,7 @@
 			continue
 		}
 		taskID := jobs.TaskID(job.ID, i)
-		if _, booked := q.state.Reservations[taskID]; !booked {
+		if _, reserved := q.state.Reservations[taskID]; !reserved {
 			out = append(out, &clusterstate.Task{Task: jobs.Task{State: jobs.Pending}, ID: taskID, Index: i, Job: job})
 		}
 	}
--- a/internal/queue/preempt.go
+++ b/internal/queue/preempt.go
@@ -18,8 +18,8 @@
 	onCachedImage bool      // it frees a machine that has the task's image cached
 }
 
-// hasPlacedBelow reports whether a task of a lower priority is placed on any machine.
-func (q *Queue) hasPlacedBelow(priority int) bool {
+// hasPlacedBelowPriority reports whether a task of a lower priority is placed on any machine.
+func (q *Queue) hasPlacedBelowPriority(priority int) bool {
 	for _, count := range q.state.PlacedByPriority[priority+1:] {
 		if count > 0 {
 			return true
@@ -34,7 +34,7 @@
 // has passed.
 func (q *Queue) preempt(cycle *schedulingCycle) {
 	for _, waiting := range q.Waiting {
-		mayPreempt := waiting.isEntitled() || q.hasPlacedBelow(waiting.Priority)
+		mayPreempt := waiting.isEntitled() || q.hasPlacedBelowPriority(waiting.Priority)
 		if !mayPreempt || waiting.Task.Job.Record.Spec.IsGang() || waiting.WindowOpensSoon {
 			continue
 		}
@@ -75,7 +75,7 @@
 		Account:       cycle.account,
 		Zones:         q.state.TasksByZone(task.Job),
 		OnlyWithImage: onlyCached,
-		CanPlaceOn:    func(m *clusterstate.Machine) bool { return q.canPropose(task, m) },
+		CanPlaceOn:    func(m *clusterstate.Machine) bool { return q.canSchedule(task, m) },
 		InTransaction: q.commits.Busy,
 		Stopping:      cycle.stopping,
 	})
@@ -121,8 +121,9 @@
 		return false
 	}
 	if pending := q.preemptions[waiting.Task.ID]; q.state.Now.Before(pending.until) {
-		// Capacity is being freed. If that takes longer than tuning.ClearWait, the task starts elsewhere.
-		// Until then the machine already found is held, because other tasks would take it.
+		// Capacity is being freed. If that takes longer than tuning.ClearWait, the task starts
+		// elsewhere. Until then the machine already found is held, because other tasks would take
+		// it.
 		return pending.onCachedImage && pending.until.Sub(q.state.Now) >= tuning.PreemptAgain-tuning.ClearWait
 	}
 	return q.preemptFor(waiting, true, cycle)
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -113,7 +113,7 @@
 	claims             map[string]*claim                // claims for gangs that are being placed, by job
 	accumulations      map[string]*capacityAccumulation // by job
 	starving           map[string]starvation            // by job
-	startStarvingUntil time.Time // until then, jobs start after starving for a shorter time
+	startStarvingUntil time.Time                        // until then, jobs start after starving for a shorter time
 	loans              *lending.Ledger                  // nil if lending is off
 	windowReservations []string                         // reserved task IDs, for calendar windows that are about to open
 }
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -19,7 +19,8 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// testQueue is a queue over a cluster state, which commits what it decides at once.
+// testQueue is a queue over its own cluster state. It implements the collaborators of the queue and
+// commits decisions at once.
 type testQueue struct {
 	*Queue
 	t             *testing.T
@@ -31,7 +32,7 @@
 
 func newTestQueue(t *testing.T, teams map[string]quota.Team) *testQueue {
 	t.Helper()
-	d := &testQueue{t: t, writeBudget: 1000}
+	q := &testQueue{t: t, writeBudget: 1000}
 	state := clusterstate.New(quota.Flat(teams), func(string) {})
 	state.Now = time.UnixMilli(1e12)
 	state.MachineTypes["g4"] = &jobs.MachineType{
@@ -43,7 +44,7 @@
 		ImageGBPerS:  1,
 		Zones:        []string{"a", "b"},
 	}
-	d.Queue = New(state,
+	q.Queue = New(state,
 		Config{
 			Name:          "n0",
 			MaxTxnWrites:  16,
@@ -52,45 +53,46 @@
 			MaxWritesPerS: 1000,
 			Log:           slog.New(slog.DiscardHandler),
 		},
-		Collaborators{Budget: d, Commits: d, Machines: d, Cluster: d},
+		Collaborators{Budget: q, Commits: q, Machines: q, Cluster: q},
 	)
-	return d
+	return q
 }
 
-func (d *testQueue) Busy(string) bool                   { return false }
-func (d *testQueue) Allows(spent, writes int) bool      { return spent+writes <= d.writeBudget }
-func (d *testQueue) HasSpareWrites() bool               { return true }
-func (d *testQueue) Ready(m *clusterstate.Machine) bool { return m.State == fleet.Up }
-func (d *testQueue) UsesBatches() bool                  { return d.usesBatches }
-func (d *testQueue) HasLeftView(string) bool            { return false }
+func (q *testQueue) Busy(string) bool                   { return false }
+func (q *testQueue) Allows(spent, writes int) bool      { return spent+writes <= q.writeBudget }
+func (q *testQueue) HasSpareWrites() bool               { return true }
+func (q *testQueue) Ready(m *clusterstate.Machine) bool { return m.State == fleet.Up }
+func (q *testQueue) UsesBatches() bool                  { return q.usesBatches }
+func (q *testQueue) HasLeftView(string) bool            { return false }
 
-func (d *testQueue) CanPlace(task *clusterstate.Task, m *clusterstate.Machine) bool {
+func (q *testQueue) CanPlace(task *clusterstate.Task, m *clusterstate.Machine) bool {
 	return clusterstate.FitsTask(task, m)
 }
 
-// batcherSide is what a batcher asks of the queue under test: every record is known at revision 1, and
-// the budget allows all.
-type batcherSide struct{ queue *testQueue }
+// batcherDeps implements what a batcher needs for the queue under test: every record is
+// known at revision 1, and the budget allows every write.
+type batcherDeps struct{ queue *testQueue }
 
-func (batcherSide) Revision(string) uint64         { return 1 }
-func (batcherSide) Get(string) json.RawMessage     { return nil }
-func (batcherSide) Allows(_, _ int) bool           { return true }
-func (b batcherSide) Busy(key string) bool         { return b.queue.Busy(key) }
-func (b batcherSide) OwnsMachine(name string) bool { return b.queue.state.Machines[name].Owner == "n0" }
+func (batcherDeps) Revision(string) uint64         { return 1 }
+func (batcherDeps) Get(string) json.RawMessage     { return nil }
+func (batcherDeps) Allows(_, _ int) bool           { return true }
+func (b batcherDeps) Busy(key string) bool         { return b.queue.Busy(key) }
+func (b batcherDeps) OwnsMachine(name string) bool { return b.queue.state.Machines[name].Owner == "n0" }
 
-func (b batcherSide) NewBatchKey() string {
+func (b batcherDeps) NewBatchKey() string {
 	b.queue.batchKeyCount++
 	return fmt.Sprint(taskbatch.KeyPrefix, b.queue.batchKeyCount)
 }
 
-func (b batcherSide) QuarantineDecision(decision *decide.Decision, reason error) {
+func (b batcherDeps) QuarantineDecision(decision *decide.Decision, reason error) {
 	b.queue.t.Error(decision, reason)
 }
 
-// Commit builds transactions of the decisions, applies what they write, and settles them.
-func (d *testQueue) Commit(decisions []decide.Decision) {
-	d.committed = append(d.committed, decisions...)
-	side := batcherSide{d}
+// Commit builds transactions from the decisions, applies their writes to the cluster state, and
+// settles the decisions.
+func (q *testQueue) Commit(decisions []decide.Decision) {
+	q.committed = append(q.committed, decisions...)
+	deps := batcherDeps{q}
 	batcher := decide.Batcher{
 		Context: decide.TxnContext{
 			Limits: store.Limits{
@@ -99,29 +101,29 @@
 				BodyBytes:     64 << 10,
 				ValueBytes:    8192,
 			},
-			Records:   side,
-			Machines:  side,
-			BatchKeys: side,
+			Records:   deps,
+			Machines:  deps,
+			BatchKeys: deps,
 		},
-		InFlight:   side,
-		Budget:     side,
-		Quarantine: side,
+		InFlight:   deps,
+		Budget:     deps,
+		Quarantine: deps,
 	}
 	for _, b := range batcher.Build(decisions) {
 		for _, w := range b.Txn.Writes {
 			if strings.HasPrefix(decide.WriteKey(w), taskbatch.KeyPrefix) {
-				if _, err := d.state.ApplyBatch(decide.WriteKey(w), w.Value, uint64(d.batchKeyCount)); err != nil {
-					d.t.Error(err)
+				if _, err := q.state.ApplyBatch(decide.WriteKey(w), w.Value, uint64(q.batchKeyCount)); err != nil {
+					q.t.Error(err)
 				}
 			}
 			if fleet.ClaimsNumber(decide.WriteKey(w)) > 0 {
-				if err := d.ApplyClaims(decide.WriteKey(w), w.Value); err != nil {
-					d.t.Error(err)
+				if err := q.ApplyClaims(decide.WriteKey(w), w.Value); err != nil {
+					q.t.Error(err)
 				}
 			}
 			if strings.HasPrefix(decide.WriteKey(w), jobs.TaskPrefix) {
-				if _, err := d.state.ApplyTaskRange(decide.WriteKey(w), w.Value); err != nil {
-					d.t.Error(err)
+				if _, err := q.state.ApplyTaskRange(decide.WriteKey(w), w.Value); err != nil {
+					q.t.Error(err)
 				}
 			}
 		}
@@ -131,22 +133,22 @@
 			}
 		}
 	}
-	for _, bad := range d.state.Audit() {
-		d.t.Error(bad)
+	for _, inconsistency := range q.state.Audit() {
+		q.t.Error(inconsistency)
 	}
 }
 
-func (d *testQueue) machine(name, owner, zone string) {
-	if err := d.state.ApplyMachine(
+func (q *testQueue) addMachine(name, owner, zone string) {
+	if err := q.state.ApplyMachine(
 		name,
 		owner,
 		jobs.Encode(fleet.MachineRecord{State: fleet.Up, MachineType: "g4", Zone: zone}),
 	); err != nil {
-		d.t.Fatal(err)
+		q.t.Fatal(err)
 	}
 }
 
-func (d *testQueue) job(jobID, team, priority string, taskCount int, change func(*jobs.Spec)) {
+func (q *testQueue) addJob(jobID, team, priority string, taskCount int, change func(*jobs.Spec)) {
 	spec := jobs.Spec{
 		ID:           jobID,
 		Class:        "c",
@@ -162,18 +164,19 @@
 	if change != nil {
 		change(&spec)
 	}
-	if err := d.state.ApplyJob(
+	if err := q.state.ApplyJob(
 		jobID,
-		jobs.Encode(jobs.Record{State: jobs.Live, AcceptedMs: d.state.NowMs(), Spec: spec}),
+		jobs.Encode(jobs.Record{State: jobs.Live, AcceptedMs: q.state.NowMs(), Spec: spec}),
 	); err != nil {
-		d.t.Fatal(err)
+		q.t.Fatal(err)
 	}
 }
 
-// where lists on which machines a job's tasks are, or are to be.
-func (d *testQueue) where(jobID string) string {
+// machinesOf returns the machines on which a job's tasks are placed or proposed, one entry per
+// task.
+func (q *testQueue) machinesOf(jobID string) string {
 	var out []string
-	for _, task := range d.state.Jobs[jobID].Tasks {
+	for _, task := range q.state.Jobs[jobID].Tasks {
 		out = append(out, task.Machine+task.PreferredMachine)
 	}
 	slices.Sort(out)
@@ -185,59 +188,59 @@
 	"b": {Name: "b"},
 }
 
-// What one cycle releases to one shard is one batch record, whatever jobs it is of; gangs and
-// services keep task ranges of their own, and a task that failed leaves its batch for one of the shard
-// that it goes to.
+// A cycle releases all tasks for one shard in one batch record, whichever jobs they belong to.
+// Gangs and services have task ranges of their own. A task that failed moves from its batch to a
+// batch of the shard to which it is released next.
 func TestReleaseWritesOneBatchPerShard(t *testing.T) {
-	d := newTestQueue(t, map[string]quota.Team{"b": {Name: "b"}})
-	d.usesBatches = true
-	d.machine("i-1", "n0", "a")
-	d.machine("i-2", "n1", "a")
+	q := newTestQueue(t, map[string]quota.Team{"b": {Name: "b"}})
+	q.usesBatches = true
+	q.addMachine("i-1", "n0", "a")
+	q.addMachine("i-2", "n1", "a")
 	for i := range 4 {
-		d.job(fmt.Sprint("wk-", i), "b", "standard", 1, nil)
+		q.addJob(fmt.Sprint("wk-", i), "b", "standard", 1, nil)
 	}
-	d.job("wk-9", "b", "urgent", 2, func(s *jobs.Spec) { s.Kind = jobs.Service })
-	d.RunCycle()
-	if len(d.state.Batches) != 2 || len(d.state.Jobs["wk-9"].Ranges) == 0 {
-		t.Fatalf("%d batches, %d task ranges of a service", len(d.state.Batches), len(d.state.Jobs["wk-9"].Ranges))
+	q.addJob("wk-9", "b", "urgent", 2, func(s *jobs.Spec) { s.Kind = jobs.Service })
+	q.RunCycle()
+	if len(q.state.Batches) != 2 || len(q.state.Jobs["wk-9"].Ranges) == 0 {
+		t.Fatalf("%d batches, %d task ranges of the service", len(q.state.Batches), len(q.state.Jobs["wk-9"].Ranges))
 	}
-	placed := d.batchedTaskOn("i-1", "wk-9")
+	placed := q.batchedTaskOn("i-1", "wk-9")
 	if placed == nil {
-		t.Fatal("none placed by the leader in its own shard")
+		t.Fatal("no task placed by the leader in its own shard")
 	}
 	jobID, index, key := placed.Job.ID, placed.Index, placed.StoredIn.Key
 	failed, _ := jobs.NextTask(placed.Task, jobs.TaskEvent{Kind: jobs.Fail})
-	d.Commit([]decide.Decision{{Changes: decide.TransitionTask(placed, failed)}})
-	d.state.Now = d.state.Now.Add(time.Hour)
-	d.RunCycle()
-	again := d.state.Jobs[jobID].Tasks[index]
+	q.Commit([]decide.Decision{{Changes: decide.TransitionTask(placed, failed)}})
+	q.state.Now = q.state.Now.Add(time.Hour)
+	q.RunCycle()
+	again := q.state.Jobs[jobID].Tasks[index]
 	if again.StoredIn.Key == key || again.Machine+again.PreferredMachine != "i-2" ||
 		again.State == jobs.Placed && again.Attempt != 2 {
-		t.Errorf("%+v in %s", again.Task, again.StoredIn.Key)
+		t.Errorf("task after retry: %+v in %s", again.Task, again.StoredIn.Key)
 	}
-	// A batch that can't be read may hold any task of its jobs.
-	d.job("wk-8", "b", "prod", 1, nil)
-	_, _ = d.state.ApplyBatch("pack/odd", []byte(`{"v":9,"jobs":"wk-8"}`), 99)
-	d.machine("i-3", "n0", "a")
-	d.RunCycle()
-	if got := len(d.state.Jobs["wk-8"].Tasks); got != 0 {
-		t.Errorf("%d tasks begun that an unreadable batch may hold", got)
+	// An unreadable batch may hold any task of its jobs.
+	q.addJob("wk-8", "b", "prod", 1, nil)
+	_, _ = q.state.ApplyBatch("pack/odd", []byte(`{"v":9,"jobs":"wk-8"}`), 99)
+	q.addMachine("i-3", "n0", "a")
+	q.RunCycle()
+	if got := len(q.state.Jobs["wk-8"].Tasks); got != 0 {
+		t.Errorf("%d tasks released that an unreadable batch may hold", got)
 	}
 }
 
-// batchedTaskOn returns a task that a batch record has on a machine. It fails the test if a batch
-// holds tasks of two shards, or any of unbatchedJob.
-func (d *testQueue) batchedTaskOn(machineName, unbatchedJob string) *clusterstate.Task {
-	d.t.Helper()
+// batchedTaskOn returns a task that is placed on a machine by a batch record. It fails the test if
+// a batch holds tasks of two shards or a task of unbatchedJob.
+func (q *testQueue) batchedTaskOn(machineName, unbatchedJob string) *clusterstate.Task {
+	q.t.Helper()
 	controller := func(task *clusterstate.Task) string {
-		return d.state.Machines[task.Machine+task.PreferredMachine].Owner
+		return q.state.Machines[task.Machine+task.PreferredMachine].Owner
 	}
 	var found *clusterstate.Task
-	for _, batch := range d.state.Batches {
+	for _, batch := range q.state.Batches {
 		first := batch.Tasks[0]
 		for _, task := range batch.Tasks {
 			if task.Job.ID == unbatchedJob || controller(task) != controller(first) {
-				d.t.Errorf("%s in a batch with %s", task.ID, first.ID)
+				q.t.Errorf("task %s is in a batch with %s", task.ID, first.ID)
 			}
 			if task.OnMachine() && task.Machine == machineName {
 				found = task
@@ -247,75 +250,76 @@
 	return found
 }
 
-// Urgent work goes first, then what is within a guarantee, then others up to their limits; what
-// finds no room waits.
+// Urgent jobs are released first, then jobs covered by a guarantee, then others up to their limits.
+// Tasks without capacity wait.
 func TestReleaseByPriorityGuaranteeAndLimit(t *testing.T) {
-	d := newTestQueue(t, teams)
-	d.machine("i-1", "n0", "a")
-	d.machine("i-2", "n1", "b")
-	d.job("wk-1", "b", "standard", 2, nil)
-	d.job("wk-2", "a", "standard", 9, nil)
-	d.job("wk-3", "b", "urgent", 1, func(s *jobs.Spec) { s.Zone = "b" })
-	d.job("wk-4", "b", "idle", 5, nil)
-	d.RunCycle()
-	// Urgent first; then a's guarantee of 2, a's next up to its limit of 6, then b.
-	if got := d.where("wk-3"); got != "i-2" {
-		t.Errorf("urgent: %s", got)
+	q := newTestQueue(t, teams)
+	q.addMachine("i-1", "n0", "a")
+	q.addMachine("i-2", "n1", "b")
+	q.addJob("wk-1", "b", "standard", 2, nil)
+	q.addJob("wk-2", "a", "standard", 9, nil)
+	q.addJob("wk-3", "b", "urgent", 1, func(s *jobs.Spec) { s.Zone = "b" })
+	q.addJob("wk-4", "b", "idle", 5, nil)
+	q.RunCycle()
+	// Urgent first; then the 2 tasks covered by team a's guarantee and its next tasks up to its
+	// limit of 6; then team b.
+	if got := q.machinesOf("wk-3"); got != "i-2" {
+		t.Errorf("urgent job is on %q", got)
 	}
-	if got := len(d.state.Jobs["wk-2"].Tasks); got != 6 {
-		t.Errorf("a has %d of its 6", got)
+	if got := len(q.state.Jobs["wk-2"].Tasks); got != 6 {
+		t.Errorf("team a has %d tasks released, want 6", got)
 	}
-	if got := len(d.state.Jobs["wk-4"].Tasks); got != 0 {
-		t.Errorf("idle work took %d places before others", got)
+	if got := len(q.state.Jobs["wk-4"].Tasks); got != 0 {
+		t.Errorf("%d tasks of the idle job were released before others", got)
 	}
-	if placed := d.state.Jobs["wk-2"].PlacedCount; placed == 0 || placed == 6 {
-		t.Errorf("%d placed at once; those of the other shard are only released", placed)
+	if placed := q.state.Jobs["wk-2"].PlacedCount; placed == 0 || placed == 6 {
+		t.Errorf("%d of 6 tasks placed at once, want only those of the leader's own shard", placed)
 	}
-	// What the owner of the other shard does with what was released to it.
-	d.config.Name = "n1"
-	d.Commit(d.Place())
-	if got := d.state.Jobs["wk-2"].PlacedCount; got != 6 {
-		t.Errorf("%d on machines", got)
+	// The owner of the other shard places the tasks released to it.
+	q.config.Name = "n1"
+	q.Commit(q.Place())
+	if got := q.state.Jobs["wk-2"].PlacedCount; got != 6 {
+		t.Errorf("%d tasks placed, want 6", got)
 	}
-	if len(d.Waiting) == 0 || d.Waiting[0].Task.Job.ID == "wk-2" {
-		t.Errorf("what waits: %+v", d.Waiting)
+	if len(q.Waiting) == 0 || q.Waiting[0].Task.Job.ID == "wk-2" {
+		t.Errorf("waiting tasks: %+v", q.Waiting)
 	}
 }
 
-func TestReleaseKeepsZoneRulesAndGangsWhole(t *testing.T) {
-	d := newTestQueue(t, teams)
-	d.machine("i-1", "n0", "a")
-	d.machine("i-2", "n0", "b")
-	d.job("wk-1", "b", "standard", 3, func(s *jobs.Spec) { s.SpreadZones = true })
-	d.job("wk-2", "b", "standard", 2, func(s *jobs.Spec) { s.Kind, s.SameZone = jobs.Gang, true })
-	d.job("wk-3", "b", "standard", 4, func(s *jobs.Spec) { s.Kind = jobs.Gang })
-	d.RunCycle()
-	zones := d.state.TasksByZone(d.state.Jobs["wk-1"])
+func TestReleaseFollowsZoneRulesAndPlacesGangsAllOrNothing(t *testing.T) {
+	q := newTestQueue(t, teams)
+	q.addMachine("i-1", "n0", "a")
+	q.addMachine("i-2", "n0", "b")
+	q.addJob("wk-1", "b", "standard", 3, func(s *jobs.Spec) { s.SpreadZones = true })
+	q.addJob("wk-2", "b", "standard", 2, func(s *jobs.Spec) { s.Kind, s.SameZone = jobs.Gang, true })
+	q.addJob("wk-3", "b", "standard", 4, func(s *jobs.Spec) { s.Kind = jobs.Gang })
+	q.RunCycle()
+	zones := q.state.TasksByZone(q.state.Jobs["wk-1"])
 	if zones["a"] > 2 || zones["b"] > 2 || zones["a"]+zones["b"] != 3 {
-		t.Errorf("scattered over %v", zones)
+		t.Errorf("spread job: tasks by zone %v", zones)
 	}
-	if got := d.where("wk-2"); got != "i-1 i-1" && got != "i-2 i-2" {
-		t.Errorf("same place: %s", got)
+	if got := q.machinesOf("wk-2"); got != "i-1 i-1" && got != "i-2 i-2" {
+		t.Errorf("same-zone gang is on %q", got)
 	}
-	if got := d.where("wk-3"); got != "" {
-		t.Errorf("a gang of four with three places: %s", got)
+	if got := q.machinesOf("wk-3"); got != "" {
+		t.Errorf("gang of 4 tasks with capacity for 3 was released to %q", got)
 	}
 }
 
-// An urgent task preempts idle work, the youngest first, and no more than it needs.
+// An urgent task preempts tasks of idle priority, the youngest first, and no more than it needs.
 func TestUrgentTaskPreemptsYoungestIdleTaskOnce(t *testing.T) {
-	d := newTestQueue(t, teams)
-	d.machine("i-1", "n0", "a")
-	d.job("wk-1", "b", "idle", 2, nil)
-	d.RunCycle()
-	d.state.Now = d.state.Now.Add(time.Minute)
-	d.job("wk-2", "b", "idle", 2, nil)
-	d.RunCycle()
-	d.state.Now = d.state.Now.Add(time.Minute)
-	d.job("wk-3", "b", "urgent", 1, nil)
-	d.RunCycle()
+	q := newTestQueue(t, teams)
+	q.addMachine("i-1", "n0", "a")
+	q.addJob("wk-1", "b", "idle", 2, nil)
+	q.RunCycle()
+	q.state.Now = q.state.Now.Add(time.Minute)
+	q.addJob("wk-2", "b", "idle", 2, nil)
+	q.RunCycle()
+	q.state.Now = q.state.Now.Add(time.Minute)
+	q.addJob("wk-3", "b", "urgent", 1, nil)
+	q.RunCycle()
 	stopping := func() (out []string) {
-		for jobID, job := range d.state.Jobs {
+		for jobID, job := range q.state.Jobs {
 			for _, task := range job.Tasks {
 				if task.State == jobs.Stopping {
 					out = append(out, jobID)
@@ -325,25 +329,25 @@
 		return out
 	}
 	if got := fmt.Sprint(stopping()); got != "[wk-2]" {
-		t.Errorf("stopped: %s", got)
+		t.Errorf("stopped tasks are of jobs %s", got)
 	}
-	d.RunCycle()
+	q.RunCycle()
 	if got := len(stopping()); got != 1 {
-		t.Errorf("%d stopped for one", got)
+		t.Errorf("%d tasks stopped for one urgent task", got)
 	}
 }
 
-// Without a write budget only the first few jobs are examined: what would be decided could not be
+// Without write budget only the first few jobs are examined, because decisions could not be
 // committed.
 func TestWithoutWriteBudgetFewJobsAreExamined(t *testing.T) {
-	d := newTestQueue(t, teams)
-	d.machine("i-1", "n0", "a")
-	d.writeBudget = 0
+	q := newTestQueue(t, teams)
+	q.addMachine("i-1", "n0", "a")
+	q.writeBudget = 0
 	for i := range 2 * tuning.MaxExaminedJobs {
-		d.job(fmt.Sprintf("wk-%d", i), "b", "standard", 1, nil)
+		q.addJob(fmt.Sprintf("wk-%d", i), "b", "standard", 1, nil)
 	}
-	d.RunCycle()
-	if len(d.committed) == 0 || len(d.committed)+len(d.Waiting) > tuning.MaxExaminedJobs {
-		t.Errorf("%d decisions, %d jobs that wait, of %d examined", len(d.committed), len(d.Waiting), tuning.MaxExaminedJobs)
+	q.RunCycle()
+	if len(q.committed) == 0 || len(q.committed)+len(q.Waiting) > tuning.MaxExaminedJobs {
+		t.Errorf("%d decisions, %d waiting jobs, want at most %d", len(q.committed), len(q.Waiting), tuning.MaxExaminedJobs)
 	}
 }
--- a/internal/queue/release.go
+++ b/internal/queue/release.go
@@ -25,20 +25,20 @@
 	maps.DeleteFunc(q.noCapacitySince, func(jobID string, _ time.Time) bool { return q.state.Queued[jobID] == nil })
 	q.Waiting = nil
 	q.dropAccumulations()
-	budget, limit := q.budget.Allows(0, 1), tuning.MaxAssignments
-	if !budget {
+	hasBudget, limit := q.budget.Allows(0, 1), tuning.MaxAssignments
+	if !hasBudget {
 		limit = tuning.MaxExaminedJobs
 	}
 	examined := map[*clusterstate.Job]bool{}
 	examinedCount := 0
 	for _, job := range q.order(cycle.account) {
-		if examinedCount >= limit || budget && !q.budget.Allows(cycle.writeCount(), 1) {
+		if examinedCount >= limit || hasBudget && !q.budget.Allows(cycle.writeCount(), 1) {
 			break
 		}
 		examined[job] = true
 		examinedCount += q.examine(job, cycle, limit-examinedCount)
 	}
-	if budget {
+	if hasBudget {
 		q.runRounds(cycle, limit-examinedCount)
 	}
 	q.preempt(cycle)
@@ -49,10 +49,10 @@
 			q.Waiting = append(q.Waiting, waiting)
 		}
 	}
-	if budget {
+	if hasBudget {
 		q.examined = examined // without write budget, even a job that fits is not released
 	}
-	q.serveStarving(cycle, examined)
+	q.startStarvingJobs(cycle, examined)
 	cycle.end(q)
 	q.commits.Commit(cycle.decisions)
 }
@@ -60,7 +60,7 @@
 // examine searches capacity for a job, and returns the number of tasks that it examined.
 func (q *Queue) examine(job *clusterstate.Job, cycle *schedulingCycle, limit int) int {
 	spec := &job.Record.Spec
-	if cycle.leavesAtLimit[q.state.QuotaLeaf(spec)] {
+	if cycle.quotaLeavesAtLimit[q.state.QuotaLeaf(spec)] {
 		cycle.rounds.overLimit = append(cycle.rounds.overLimit, job)
 		return 0
 	}
@@ -68,14 +68,14 @@
 	case calendar.Shut:
 		return 0
 	case calendar.Soon:
-		if cycle.rounds.second {
+		if cycle.rounds.inSecondRound {
 			return 0
 		}
 		return q.reserveForWindow(job, cycle, limit)
 	case calendar.Free, calendar.Allowed:
 	}
-	q.unblockLent(job.ID, cycle)
-	defer q.blockLent(job.ID, cycle)
+	q.unblockReturned(job.ID, cycle)
+	defer q.blockReturned(job.ID, cycle)
 	if spec.IsGang() {
 		q.releaseGang(job, cycle)
 		return 1
@@ -96,9 +96,9 @@
 // the number of tasks that it examined.
 func (q *Queue) releaseTasks(job *clusterstate.Job, cycle *schedulingCycle, limit int) int {
 	spec := &job.Record.Spec
-	candidates, freePlaces := q.taskCandidates(job, cycle)
+	candidates, freeSlots := q.taskCandidates(job, cycle)
 	probing := q.state.Trust(job, "") == jobs.Probing
-	tasks := q.tasksToExamine(job, cycle, limit, freePlaces)
+	tasks := q.tasksToExamine(job, cycle, limit, freeSlots)
 	if probing {
 		tasks = q.probeTask(job)
 	}
@@ -112,16 +112,16 @@
 		tasks:      tasks,
 		probing:    probing,
 		zones:      q.zonesWithLoans(job, cycle),
-		candidates: q.concentrate(spec, candidates, len(tasks)),
+		candidates: q.limitShards(spec, candidates, len(tasks)),
 	}
 	examinedCount := placer.placeAll()
 	placements := placer.placements
 	if len(placements) == len(tasks) {
 		delete(q.noCapacitySince, job.ID)
 	}
-	if q.awaitsMoreCapacity(job, len(placements), freePlaces) {
-		for _, o := range placements {
-			cycle.hold(q, o.machine, spec.Resources())
+	if q.awaitsMoreCapacity(job, len(placements), freeSlots) {
+		for _, p := range placements {
+			cycle.hold(q, p.machine, spec.Resources())
 		}
 		return examinedCount
 	}
@@ -140,24 +140,24 @@
 	if len(candidates) == 0 {
 		cycle.noteUnplaceable(spec, 1)
 	}
-	freePlaces := 0
+	freeSlots := 0
 	wanted := spec.TaskCount - job.DoneCount - len(job.Active)
-	for i := 0; i < len(candidates) && freePlaces <= wanted; i++ {
-		freePlaces += candidates[i].Free.HowMany(spec.Resources())
+	for i := 0; i < len(candidates) && freeSlots <= wanted; i++ {
+		freeSlots += candidates[i].Free.HowMany(spec.Resources())
 	}
-	return candidates, freePlaces
+	return candidates, freeSlots
 }
 
 // tasksToExamine lists the tasks of a job that a cycle tries to place.
 func (q *Queue) tasksToExamine(
 	job *clusterstate.Job,
 	cycle *schedulingCycle,
-	limit, freePlaces int,
+	limit, freeSlots int,
 ) []*clusterstate.Task {
 	if q.Overdue(job) {
 		limit = min(limit, 1+job.Record.Spec.TaskCount/tuning.BeginShare) // leaves capacity for the overdue jobs behind it
 	}
-	limit = min(limit, freePlaces+tuning.WaitingEach, q.startableCount(job))
+	limit = min(limit, freeSlots+tuning.WaitingEach, q.startableCount(job))
 	return q.withoutBorrowers(q.pendingTasks(job, limit), cycle)
 }
 
@@ -171,17 +171,17 @@
 	cycle *schedulingCycle,
 ) {
 	spec := &job.Record.Spec
-	if cycle.rounds.second {
+	if cycle.rounds.inSecondRound {
 		return
 	}
-	expired := q.lacksCapacity(job)
+	expired := q.noteNoCapacity(job)
 	count := cycle.account.CountAllowed(q.state.QuotaLeaf(spec), spec.Amount(), q.startableCount(job))
 	if count == 0 {
 		return
 	}
 	cycle.account.Charge(spec.QuotaKey(), spec.Amount(), count)
 	if expired {
-		cycle.rounds.expired = append(cycle.rounds.expired, round{job, count})
+		cycle.rounds.expired = append(cycle.rounds.expired, unplacedCharge{job, count})
 	}
 	q.Waiting = append(
 		q.Waiting,
@@ -198,11 +198,11 @@
 
 // awaitsMoreCapacity reports whether the few tasks of a job array that fit now should wait a moment
 // until more of them fit, so that they share a task range. The capacity for them is held.
-func (q *Queue) awaitsMoreCapacity(job *clusterstate.Job, placementCount, freePlaces int) bool {
+func (q *Queue) awaitsMoreCapacity(job *clusterstate.Job, placementCount, freeSlots int) bool {
 	wanted := min(tuning.GatherTasks, job.Record.Spec.TaskCount-job.DoneCount-len(job.Active))
 	savesWrites := q.Scarce() && !q.budget.HasSpareWrites() && !q.cluster.UsesBatches() &&
 		job.Record.Spec.Kind == jobs.JobArray
-	if !savesWrites || placementCount == 0 || placementCount >= wanted || placementCount < freePlaces {
+	if !savesWrites || placementCount == 0 || placementCount >= wanted || placementCount < freeSlots {
 		job.AccumulatingSince = time.Time{}
 		return false
 	}
--- a/internal/queue/rounds.go
+++ b/internal/queue/rounds.go
@@ -15,20 +15,21 @@
 // waiting job loses only its claim on the quota, and is still first in the queue for capacity that
 // becomes free.
 type schedulingRounds struct {
-	expired   []round             // charges that have stood for longer than tuning.RoundFor
-	overLimit []*clusterstate.Job // jobs that exceeded their team's limit
-	second    bool                // the second round is running: overLimit is examined again
+	expired       []unplacedCharge    // charges that have stood for longer than tuning.RoundFor
+	overLimit     []*clusterstate.Job // jobs that exceeded their team's limit
+	inSecondRound bool                // the second round is running: overLimit is examined again
 }
 
-// round is the quota charge of a job that found no capacity, for the given number of tasks.
-type round struct {
+// unplacedCharge is the quota charge of a job that found no capacity, for the given number of
+// tasks.
+type unplacedCharge struct {
 	job       *clusterstate.Job
 	taskCount int
 }
 
-// lacksCapacity records that a job finds no capacity, and reports whether it has found none for
+// noteNoCapacity records that a job finds no capacity, and reports whether it has found none for
 // longer than tuning.RoundFor.
-func (q *Queue) lacksCapacity(job *clusterstate.Job) bool {
+func (q *Queue) noteNoCapacity(job *clusterstate.Job) bool {
 	since, known := q.noCapacitySince[job.ID]
 	if !known {
 		since = q.state.Now
@@ -41,19 +42,19 @@
 // stood for too long. A job that finds no capacity in this second round is not charged, and no
 // machine is requested for it.
 func (q *Queue) runRounds(cycle *schedulingCycle, limit int) {
-	t := &cycle.rounds
-	if len(t.expired) == 0 || len(t.overLimit) == 0 {
+	rounds := &cycle.rounds
+	if len(rounds.expired) == 0 || len(rounds.overLimit) == 0 {
 		return
 	}
 	charge := func(sign int) {
-		for _, l := range t.expired {
-			cycle.account.Charge(l.job.Record.Spec.QuotaKey(), l.job.Record.Spec.Amount(), sign*l.taskCount)
+		for _, unplaced := range rounds.expired {
+			cycle.account.Charge(unplaced.job.Record.Spec.QuotaKey(), unplaced.job.Record.Spec.Amount(), sign*unplaced.taskCount)
 		}
 	}
 	charge(-1)
-	clear(cycle.leavesAtLimit)
-	t.second = true
-	for _, job := range t.overLimit {
+	clear(cycle.quotaLeavesAtLimit)
+	rounds.inSecondRound = true
+	for _, job := range rounds.overLimit {
 		if limit <= 0 || !q.budget.Allows(cycle.writeCount(), 1) {
 			break
 		}
--- a/internal/queue/starvation.go
+++ b/internal/queue/starvation.go
@@ -19,18 +19,18 @@
 	examinedAt       time.Time
 }
 
-// serveStarving is the starvation guard: it starts jobs that have waited too long although there is
-// free capacity for them. A cycle holds capacity and quota until the job that they are held for can
-// start: a machine for a task that fits nowhere, capacity for a large gang, the remaining quota of
-// a team for a job that needs more, and the charges of tasks that found no capacity. Some of those
-// jobs never start, because only replicas occupy the capacity they need. Therefore no job waits
-// longer than tuning.StarvingAfter for free capacity, whatever that capacity is held for
-// (docs/incidents/passed-over.md).
+// startStarvingJobs is the starvation guard: it starts jobs that have waited too long although
+// there is free capacity for them. A cycle holds capacity and quota until the job that they are
+// held for can start: a machine for a task that fits nowhere, capacity for a large gang, the
+// remaining quota of a team for a job that needs more, and the charges of tasks that found no
+// capacity. Some of those jobs never start, because only replicas occupy the capacity they need.
+// Therefore no job waits longer than tuning.StarvingAfter for free capacity, whatever that capacity
+// is held for (docs/incidents/passed-over.md).
 //
 // It runs last in a cycle, when capacity that has become free has been given to jobs in queue
 // order, and what is still free is held. Jobs that the cycle did not examine are not considered,
 // because their turn is yet to come.
-func (q *Queue) serveStarving(cycle *schedulingCycle, examined map[*clusterstate.Job]bool) {
+func (q *Queue) startStarvingJobs(cycle *schedulingCycle, examined map[*clusterstate.Job]bool) {
 	for jobID := range q.starving {
 		if job := q.state.Queued[jobID]; job == nil || len(job.Active) > 0 {
 			delete(q.starving, jobID)
@@ -39,38 +39,38 @@
 	cycle.releaseHolds(q)
 	due := q.starvationCandidates(examined)
 	for _, job := range due[:min(len(due), tuning.MaxStarvingExamined)] {
-		q.serveIfStarving(job, cycle)
+		q.startIfStarving(job, cycle)
 	}
 }
 
-// serveIfStarving checks whether there is capacity for a job, records since when, and starts the
+// startIfStarving checks whether there is capacity for a job, records since when, and starts the
 // job if there has been for too long.
-func (q *Queue) serveIfStarving(job *clusterstate.Job, cycle *schedulingCycle) {
+func (q *Queue) startIfStarving(job *clusterstate.Job, cycle *schedulingCycle) {
 	now := q.state.Now
 	starving := q.starving[job.ID]
 	starving.examinedAt = now
-	begin := q.startOf(job, cycle)
-	if begin != nil {
+	start := q.prepareStart(job, cycle)
+	if start != nil {
 		starving.hadCapacitySince = now
 	}
-	waits := now.Sub(starving.starvingSince)
-	long := waits >= tuning.StarvingAfter
-	due := long || waits >= tuning.StarvingCapacityFor && now.Before(q.startStarvingUntil)
+	starvingFor := now.Sub(starving.starvingSince)
+	starvedTooLong := starvingFor >= tuning.StarvingAfter
+	due := starvedTooLong || starvingFor >= tuning.StarvingCapacityFor && now.Before(q.startStarvingUntil)
 	switch {
 	case now.Sub(starving.hadCapacitySince) > tuning.StarvingGap:
 		starving.starvingSince = time.Time{}
 	case starving.starvingSince.IsZero():
 		starving.starvingSince = now
-	case begin != nil && due && q.budget.Allows(cycle.writeCount(), 1):
-		if long {
+	case start != nil && due && q.budget.Allows(cycle.writeCount(), 1):
+		if starvedTooLong {
 			q.startStarvingUntil = now.Add(tuning.StarvingEvery)
 		}
 		q.config.Log.Debug("starving job started",
 			"job_id", job.ID,
 			"class", job.Record.Spec.Class,
-			"duration_ms", waits.Milliseconds(),
+			"duration_ms", starvingFor.Milliseconds(),
 		)
-		begin()
+		start()
 	}
 	q.starving[job.ID] = starving
 }
@@ -124,11 +124,11 @@
 	)
 }
 
-// startOf returns a function that starts a job now: all tasks of a gang, or one task of any other
-// job. It returns nil if there is no capacity or not enough quota for that.
-func (q *Queue) startOf(job *clusterstate.Job, cycle *schedulingCycle) func() {
+// prepareStart returns a function that starts a job now: all tasks of a gang, or one task of any
+// other job. It returns nil if there is no capacity or not enough quota for that.
+func (q *Queue) prepareStart(job *clusterstate.Job, cycle *schedulingCycle) func() {
 	if job.Record.Spec.IsGang() {
-		return q.startOfGang(job, cycle)
+		return q.prepareGangStart(job, cycle)
 	}
 	spec := &job.Record.Spec
 	tasks := q.pendingTasks(job, 1)
@@ -150,16 +150,16 @@
 	}
 }
 
-// startOfGang implements startOf for a gang.
-func (q *Queue) startOfGang(job *clusterstate.Job, cycle *schedulingCycle) func() {
+// prepareGangStart implements prepareStart for a gang.
+func (q *Queue) prepareGangStart(job *clusterstate.Job, cycle *schedulingCycle) func() {
 	spec := &job.Record.Spec
-	tasks, attempt := q.restingTasks(job)
+	tasks, attempt := q.startableGangTasks(job)
 	if tasks == nil || !q.state.Account.Allows(q.state.QuotaLeaf(spec), spec.Amount(), spec.TaskCount) {
 		return nil
 	}
-	placements, sameController := q.fitGang(tasks, cycle)
+	placements, oneShard := q.fitGang(tasks, cycle)
 	if placements == nil {
 		return nil
 	}
-	return func() { q.beginGang(job, tasks, placements, sameController, attempt, cycle) }
+	return func() { q.startGang(job, tasks, placements, oneShard, attempt, cycle) }
 }
--- a/internal/queue/task_placer.go
+++ b/internal/queue/task_placer.go
@@ -36,7 +36,7 @@
 	if !cycle.account.Allows(leaf, spec.Amount(), 1) {
 		// The rest of the team's quota is kept free until this task fits. Otherwise smaller tasks
 		// further back in the queue could use it up forever.
-		cycle.leavesAtLimit[leaf] = true
+		cycle.quotaLeavesAtLimit[leaf] = true
 		cycle.rounds.overLimit = append(cycle.rounds.overLimit, p.job)
 		q.reclaimQuota(p.job, cycle)
 		return false
