--- a/internal/gangs/doc.go
+++ b/internal/gangs/doc.go
@@ -1,3 +1,4 @@
-// Package gangs decides for gangs, jobs of more than one task whose tasks start together under one attempt: where a
-// gang stands, which machines hold it, and when its tasks are launched. It has no IO and no clock.
+// Package gangs holds the rules for gangs: jobs of several tasks that start together and share one
+// attempt number. It derives the phase of a gang, selects its machines, and determines when its
+// tasks are launched. It has no I/O and no clock.
 package gangs
--- a/internal/gangs/fit.go
+++ b/internal/gangs/fit.go
@@ -10,20 +10,21 @@
 	"github.com/harrierreel/harrierreel/internal/sharding"
 )
 
-// Picker returns the index of the candidate for a task, which is given by its index, or -1 if none fits. zones counts
-// the gang's tasks by zone. It may not keep what it is given.
+// Picker returns the index of the candidate for the task with the given index, or -1 if none fits.
+// zones counts the gang's tasks by zone. A Picker must not retain its arguments.
 type Picker func(task int, candidates []sharding.Candidate, zones map[string]int) int
 
-// Fit finds a machine for each of a gang's tasks, in one shard if one holds it, else across shards. machines is nil
-// where the gang does not fit. oneShard tells that all machines are of one shard, enoughCapacity that by count alone
-// the gang would fit somewhere. Neither candidates nor zones are changed.
+// Fit selects a machine for each task of a gang, in one shard if possible, otherwise across shards.
+// machines is nil if the gang does not fit. oneShard reports whether all machines belong to one
+// shard, and enoughCapacity whether some group of machines has enough capacity by count alone. Fit
+// does not modify candidates or zones.
 func Fit(
 	spec *jobs.Spec,
 	candidates []sharding.Candidate,
 	zones map[string]int,
 	pick Picker,
 ) (machines []string, oneShard, enoughCapacity bool) {
-	groups := groupsOf(spec, candidates, zones)
+	groups := groupsThatFit(spec, candidates, zones)
 	for _, g := range groups {
 		var members []sharding.Candidate
 		for _, c := range candidates {
@@ -31,31 +32,32 @@
 				members = append(members, c)
 			}
 		}
-		if machines := fitInto(spec, members, maps.Clone(zones), pick); machines != nil {
+		if machines := fitGroup(spec, members, maps.Clone(zones), pick); machines != nil {
 			return machines, g.controller != "", true
 		}
 	}
 	return nil, false, len(groups) > 0
 }
 
-// group is machines that may hold a gang together: of one shard or of all ("" for the controller), in one zone or in
-// any ("").
-type group struct{ zone, controller string }
+// machineGroup is a set of machines that may run a gang together. An empty zone or controller
+// stands for any zone or shard.
+type machineGroup struct{ zone, controller string }
 
-// capacity is how many of a gang's tasks a group's machines hold.
-type capacity struct {
+// groupCapacity counts the tasks of a gang that fit on the machines of a group.
+type groupCapacity struct {
 	tasks    int
-	hasImage int // of them on machines that have the image
+	hasImage int // number of those tasks that fit on machines with the image cached
 }
 
-// groupsOf lists the groups that hold a gang, in the order in which they are tried: single shards first, then by how
-// many tasks find their image, then the tightest.
-func groupsOf(spec *jobs.Spec, candidates []sharding.Candidate, zones map[string]int) []group {
-	capacities := map[group]*capacity{}
-	add := func(g group, c *sharding.Candidate) {
+// groupsThatFit lists the groups with enough capacity for a gang, in the order in which Fit tries
+// them: single shards first, then groups with more tasks on machines that have the image cached,
+// then groups with less capacity.
+func groupsThatFit(spec *jobs.Spec, candidates []sharding.Candidate, zones map[string]int) []machineGroup {
+	capacities := map[machineGroup]*groupCapacity{}
+	add := func(g machineGroup, c *sharding.Candidate) {
 		total := capacities[g]
 		if total == nil {
-			total = &capacity{}
+			total = &groupCapacity{}
 			capacities[g] = total
 		}
 		tasks := c.Free.HowMany(spec.Resources())
@@ -73,26 +75,26 @@
 		if spec.SameZone {
 			zone = c.Zone
 		}
-		add(group{zone, c.Controller}, c)
-		add(group{zone, ""}, c)
+		add(machineGroup{zone, c.Controller}, c)
+		add(machineGroup{zone, ""}, c)
 	}
-	var groups []group
+	var groups []machineGroup
 	for g, total := range capacities {
 		if total.tasks >= spec.TaskCount {
 			groups = append(groups, g)
 		}
 	}
-	slices.SortFunc(groups, func(a, b group) int {
+	slices.SortFunc(groups, func(a, b machineGroup) int {
 		if (a.controller != "") != (b.controller != "") {
 			if a.controller != "" {
 				return -1
 			}
 			return 1
 		}
-		of, other := capacities[a], capacities[b]
+		capacityA, capacityB := capacities[a], capacities[b]
 		return cmp.Or(
-			cmp.Compare(min(other.hasImage, spec.TaskCount), min(of.hasImage, spec.TaskCount)),
-			cmp.Compare(of.tasks, other.tasks),
+			cmp.Compare(min(capacityB.hasImage, spec.TaskCount), min(capacityA.hasImage, spec.TaskCount)),
+			cmp.Compare(capacityA.tasks, capacityB.tasks),
 			cmp.Compare(a.zone, b.zone),
 			cmp.Compare(a.controller, b.controller),
 		)
@@ -100,9 +102,9 @@
 	return groups
 }
 
-// fitInto finds a machine for every task of a gang among the candidates, nil if there is none for one. It changes the
-// candidates and the zones' counts as it goes.
-func fitInto(spec *jobs.Spec, candidates []sharding.Candidate, zones map[string]int, pick Picker) []string {
+// fitGroup selects a machine among the candidates for every task of a gang, nil if one of the tasks
+// does not fit. It modifies candidates and zones.
+func fitGroup(spec *jobs.Spec, candidates []sharding.Candidate, zones map[string]int, pick Picker) []string {
 	machines := make([]string, spec.TaskCount)
 	for task := range machines {
 		picked := pick(task, candidates, zones)
--- a/internal/gangs/fit_test.go
+++ b/internal/gangs/fit_test.go
@@ -9,7 +9,7 @@
 	"github.com/harrierreel/harrierreel/internal/sharding"
 )
 
-// candidate is a machine of 4 accelerators, of which some are free.
+// candidate returns a machine with a capacity of 4 accelerators and the given number of free ones.
 func candidate(machine, zone, controller string, free float64, hasImage bool) sharding.Candidate {
 	return sharding.Candidate{
 		Machine:    machine,
@@ -21,7 +21,7 @@
 	}
 }
 
-// fit fits a gang of four tasks with one accelerator each.
+// fit calls Fit for a gang of four tasks with one accelerator each.
 func fit(sameZone bool, candidates []sharding.Candidate) (machines string, oneShard, enoughCapacity bool) {
 	spec := jobs.Spec{
 		Kind:         jobs.Gang,
@@ -40,7 +40,7 @@
 	return strings.Join(fitted, " "), oneShard, enoughCapacity
 }
 
-func TestFitPrefersOneShardThenImagesThenTheTightest(t *testing.T) {
+func TestFitPrefersOneShardThenCachedImagesThenLeastCapacity(t *testing.T) {
 	for name, c := range map[string]struct {
 		sameZone       bool
 		candidates     []sharding.Candidate
@@ -48,35 +48,35 @@
 		oneShard       bool
 		enoughCapacity bool
 	}{
-		"in one shard": {
+		"fits in one shard": {
 			candidates: []sharding.Candidate{
 				candidate("i-1", "a", "n0", 3, false),
 				candidate("i-2", "b", "n1", 4, false),
 			},
 			machines: "i-2 i-2 i-2 i-2", oneShard: true, enoughCapacity: true,
 		},
-		"across shards": {
+		"fits only across shards": {
 			candidates: []sharding.Candidate{
 				candidate("i-1", "a", "n0", 3, false),
 				candidate("i-2", "b", "n1", 1, false),
 			},
 			machines: "i-1 i-1 i-1 i-2", enoughCapacity: true,
 		},
-		"images first": {
+		"prefers machines with the image cached": {
 			candidates: []sharding.Candidate{
 				candidate("i-1", "a", "n0", 4, false),
 				candidate("i-2", "b", "n1", 4, true),
 			},
 			machines: "i-2 i-2 i-2 i-2", oneShard: true, enoughCapacity: true,
 		},
-		"the tightest": {
+		"prefers the shard with less capacity": {
 			candidates: []sharding.Candidate{
 				candidate("i-1", "a", "n0", 8, false),
 				candidate("i-2", "b", "n1", 4, false),
 			},
 			machines: "i-2 i-2 i-2 i-2", oneShard: true, enoughCapacity: true,
 		},
-		"in one zone": {
+		"fits in one zone across shards": {
 			sameZone: true,
 			candidates: []sharding.Candidate{
 				candidate("i-1", "a", "n0", 3, false),
@@ -85,19 +85,19 @@
 			},
 			machines: "i-2 i-2 i-2 i-3", enoughCapacity: true,
 		},
-		"no zone holds it": {
+		"fits in no single zone": {
 			sameZone: true,
 			candidates: []sharding.Candidate{
 				candidate("i-1", "a", "n0", 3, false),
 				candidate("i-2", "b", "n0", 3, false),
 			},
 		},
-		"too little": {candidates: []sharding.Candidate{candidate("i-1", "a", "n0", 3, false)}},
+		"not enough capacity": {candidates: []sharding.Candidate{candidate("i-1", "a", "n0", 3, false)}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			machines, oneShard, enoughCapacity := fit(c.sameZone, c.candidates)
 			if machines != c.machines || oneShard != c.oneShard || enoughCapacity != c.enoughCapacity {
-				t.Errorf("%q, one shard %v, enough capacity %v", machines, oneShard, enoughCapacity)
+				t.Errorf("machines %q, oneShard = %v, enoughCapacity = %v", machines, oneShard, enoughCapacity)
 			}
 		})
 	}
--- a/internal/gangs/launch.go
+++ b/internal/gangs/launch.go
@@ -2,12 +2,14 @@
 
 import "time"
 
-// LaunchAt is when a task of a gang should be launched, so that it does not wait in vain, the zero time for at once. A
-// task gives up when the gang is not whole within wait of its own image being there; so where one machine has the image
-// and another fetches it for longer than that, every attempt failed (docs/incidents/largest-last.md).
+// LaunchAt returns the time at which a task of a gang should be launched, the zero time for at
+// once. A task gives up if the gang is not complete within wait after the task's image is ready.
+// Without a delay, if one machine had the image cached and another needed longer than wait to pull
+// it, every attempt failed (docs/incidents/largest-last.md).
 //
-// imageReady is when this task's machine should have the image, allReady when each of the gang's machines should. Half
-// of wait is left for fetches that take longer.
+// imageReady is the time at which this task's machine is expected to have the image, and allReady
+// lists that time for each machine of the gang. Half of wait is left as a margin for pulls that
+// take longer than expected.
 func LaunchAt(imageReady time.Time, allReady []time.Time, wait time.Duration) time.Time {
 	last := imageReady
 	for _, ready := range allReady {
@@ -17,7 +19,7 @@
 	}
 	launchAt := last.Add(-wait / 2)
 	if !imageReady.Before(launchAt) {
-		return time.Time{} // its own fetch takes as long
+		return time.Time{} // its own pull takes until then
 	}
 	return launchAt
 }
--- a/internal/gangs/phase.go
+++ b/internal/gangs/phase.go
@@ -2,20 +2,20 @@
 
 import "github.com/harrierreel/harrierreel/internal/jobs"
 
-// Phase is where a gang stands as a whole.
+// Phase is the state of a gang as a whole.
 type Phase string
 
 // The phases of a gang.
 const (
-	Resting  Phase = "resting"  // no task released or on a machine: it may be placed
-	Released Phase = "released" // released to a shard, no task placed yet
-	Whole    Phase = "whole"    // every task on a machine under one attempt
-	Broken   Phase = "broken"   // some tasks on machines, others not: those must be stopped
-	Complete Phase = "complete" // a task is done, so every task is
+	Resting  Phase = "resting"  // no task is released or on a machine: the gang may be placed
+	Released Phase = "released" // tasks are released to a shard, none is on a machine yet
+	Whole    Phase = "whole"    // every task is on a machine, with the same attempt number
+	Broken   Phase = "broken"   // some tasks are on machines, but not all in one attempt: they must be stopped
+	Complete Phase = "complete" // a task is finished, so the gang has finished
 )
 
-// PhaseOf derives the phase of a gang of taskCount tasks from the records of its tasks. Earlier attempts that are still
-// on a machine count until they are certainly gone.
+// PhaseOf returns the phase of a gang of taskCount tasks, derived from the records of its tasks. A
+// task of an earlier attempt counts as on a machine until it is known to have ended.
 func PhaseOf(taskCount int, tasks []*jobs.Task) Phase {
 	onMachines, released := 0, 0
 	var attempt uint64
@@ -46,7 +46,8 @@
 	return Broken
 }
 
-// NextAttempt is the number of a gang's next attempt: above that of each of its tasks, since all its tasks share it.
+// NextAttempt returns the number of a gang's next attempt. It is greater than the attempt of each
+// of its tasks, because all tasks of the next attempt share it.
 func NextAttempt(tasks []*jobs.Task) uint64 {
 	var highest uint64
 	for _, task := range tasks {
--- a/internal/gangs/phase_test.go
+++ b/internal/gangs/phase_test.go
@@ -6,7 +6,7 @@
 	"github.com/harrierreel/harrierreel/internal/jobs"
 )
 
-func onMachine(attempt uint64) *jobs.Task {
+func placedTask(attempt uint64) *jobs.Task {
 	return &jobs.Task{State: jobs.Placed, Machine: "h", Attempt: attempt}
 }
 
@@ -15,28 +15,28 @@
 		tasks []*jobs.Task
 		want  Phase
 	}{
-		"no records":          {nil, Resting},
-		"all waiting again":   {[]*jobs.Task{{State: jobs.Pending, Attempt: 3}}, Resting},
-		"released":            {[]*jobs.Task{{State: jobs.Assigned}, {State: jobs.Assigned}}, Released},
-		"whole":               {[]*jobs.Task{onMachine(2), onMachine(2)}, Whole},
-		"one missing":         {[]*jobs.Task{onMachine(2)}, Broken},
-		"old attempt remains": {[]*jobs.Task{onMachine(2), onMachine(1)}, Broken},
-		"being stopped": {
-			[]*jobs.Task{onMachine(2), {State: jobs.Stopping, Machine: "h", Attempt: 2}},
+		"no records":                         {nil, Resting},
+		"all pending again":                  {[]*jobs.Task{{State: jobs.Pending, Attempt: 3}}, Resting},
+		"released":                           {[]*jobs.Task{{State: jobs.Assigned}, {State: jobs.Assigned}}, Released},
+		"whole":                              {[]*jobs.Task{placedTask(2), placedTask(2)}, Whole},
+		"one task missing":                   {[]*jobs.Task{placedTask(2)}, Broken},
+		"task of an earlier attempt remains": {[]*jobs.Task{placedTask(2), placedTask(1)}, Broken},
+		"one task stopping": {
+			[]*jobs.Task{placedTask(2), {State: jobs.Stopping, Machine: "h", Attempt: 2}},
 			Broken,
 		},
-		"one done": {[]*jobs.Task{onMachine(2), {State: jobs.Finished}}, Complete},
+		"one task finished": {[]*jobs.Task{placedTask(2), {State: jobs.Finished}}, Complete},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := PhaseOf(2, c.tasks); got != c.want {
-				t.Errorf("%s, not %s", got, c.want)
+				t.Errorf("got phase %s, want %s", got, c.want)
 			}
 		})
 	}
 }
 
-func TestNextAttemptIsAboveAllTasks(t *testing.T) {
-	if NextAttempt([]*jobs.Task{onMachine(2), onMachine(7)}) != 8 || NextAttempt(nil) != 1 {
-		t.Error("the next attempt is not above all")
+func TestNextAttemptExceedsAllTasks(t *testing.T) {
+	if NextAttempt([]*jobs.Task{placedTask(2), placedTask(7)}) != 8 || NextAttempt(nil) != 1 {
+		t.Error("next attempt is not one above the highest attempt")
 	}
 }
--- a/internal/preempt/preempt.go
+++ b/internal/preempt/preempt.go
@@ -1,5 +1,5 @@
-// Package preempt decides who is preempted for whom: which tasks on one machine are stopped
-// so that a waiting one fits there. No IO, no clock.
+// Package preempt selects the tasks to preempt on one machine so that a waiting task fits there. It
+// has no I/O and no clock.
 package preempt
 
 import (
@@ -13,53 +13,56 @@
 	"github.com/harrierreel/harrierreel/internal/sharding"
 )
 
-// Search is a waiting task that others may be preempted for, with what limits the choice.
+// Search describes a waiting task for which other tasks may be preempted, and the constraints on
+// the selection.
 type Search struct {
 	Task *clusterstate.Task
-	// Priority is the waiting task's, as jobs.Spec.PriorityOrder gives it: 0 the most urgent.
+	// Priority is the priority of the waiting task as returned by jobs.Spec.PriorityOrder; 0 is the
+	// highest.
 	Priority int
-	// Entitled is the node of the quota tree within whose guarantee the task lies, below 0
-	// for none.
+	// Entitled is the node of the quota tree whose guarantee covers the task, negative if there is
+	// none.
 	Entitled int
 	Account  *quota.Account
-	// Zones counts the tasks of its job by zone.
+	// Zones counts the tasks of the waiting task's job by zone.
 	Zones map[string]int
-	// OnlyWithImage leaves out machines that don't have its image.
+	// OnlyWithImage excludes machines that do not have the task's image cached.
 	OnlyWithImage bool
-	// CanPlaceOn tells whether the task may be placed on a machine at all.
+	// CanPlaceOn reports whether the task may be placed on a machine at all.
 	CanPlaceOn func(m *clusterstate.Machine) bool
-	// InTransaction tells whether a transaction on the record of a key is under way. Tasks of such
-	// a record can't be stopped now.
+	// InTransaction reports whether a transaction on the record of key is in flight. Tasks of such
+	// a record cannot be stopped now.
 	InTransaction func(key string) bool
-	// Stopping are the tasks that the same scheduling cycle stops already.
+	// Stopping are the tasks that the current scheduling cycle stops already.
 	Stopping map[*clusterstate.Task]bool
 }
 
-// choice is a machine's tasks that would be preempted.
-type choice struct {
+// option is a set of tasks on one machine that could be preempted.
+type option struct {
 	victims  []*clusterstate.Task
-	hasImage bool // the machine has the waiting task's image
+	hasImage bool // the machine has the waiting task's image cached
 }
 
-// betterThan prefers a machine with the image, then the fewest tasks. Of equals the earlier
-// one stays. Any choice is better than none.
-func (c choice) betterThan(other choice) bool {
+// betterThan reports whether o is preferable to other: a machine with the image cached comes first,
+// then the one with the fewest victims. If both are equal, it returns false. Any option is better
+// than none.
+func (o option) betterThan(other option) bool {
 	if other.victims == nil {
 		return true
 	}
-	if c.hasImage != other.hasImage {
-		return c.hasImage
+	if o.hasImage != other.hasImage {
+		return o.hasImage
 	}
-	return len(c.victims) < len(other.victims)
+	return len(o.victims) < len(other.victims)
 }
 
-// Victims finds the machine where stopping the fewest tasks frees enough capacity, one with
-// the image if there is any, and lists those tasks. Nil if there is none, or if enough will be
-// free somewhere once the tasks that are stopping are gone.
+// Victims selects the machine on which stopping the fewest tasks frees enough capacity, preferring
+// machines with the image cached, and returns those tasks. It returns nil if there is no such
+// machine, or if a machine will have enough free capacity once its stopping tasks have ended.
 func Victims(state *clusterstate.State, search Search) []*clusterstate.Task {
 	spec := &search.Task.Job.Record.Spec
 	need := spec.Resources()
-	var best choice
+	var best option
 	for _, m := range state.MachinesByName() {
 		if !search.mayUse(m) {
 			continue
@@ -72,29 +75,30 @@
 		if !capacity.Fits(need) {
 			continue
 		}
-		free, yielding := search.onMachine(state, m.Name, capacity.Sub(m.Usage.Resources))
+		free, preemptible := search.freeAndPreemptible(state, m.Name, capacity.Sub(m.Usage.Resources))
 		if free.Fits(need) {
 			return nil
 		}
-		victims, ok := fewestVictims(need, free, yielding)
-		if next := (choice{victims, hasImage}); ok && next.betterThan(best) {
+		victims, ok := fewestVictims(need, free, preemptible)
+		if next := (option{victims, hasImage}); ok && next.betterThan(best) {
 			best = next
 		}
 	}
 	return best.victims
 }
 
-// mayUse tells whether the waiting task may be placed on a machine, if it had free capacity.
+// mayUse reports whether the waiting task may be placed on a machine, regardless of free capacity.
 func (s *Search) mayUse(m *clusterstate.Machine) bool {
 	return m.State == fleet.Up &&
 		s.CanPlaceOn(m) &&
 		clusterstate.ZoneAllowed(&s.Task.Job.Record.Spec, s.Zones, m.Zone)
 }
 
-// yields tells whether a running task has to be preempted for the waiting one: its priority is
-// lower, or it is beyond a guarantee that the waiting one is within. Gangs of several tasks
-// never are: losing one task would stop them all.
-func (s *Search) yields(state *clusterstate.State, t *clusterstate.Task) bool {
+// isPreemptible reports whether a running task may be preempted for the waiting task: its priority
+// is lower or, unless it is a replica of a service, it exceeds a guarantee while the waiting task
+// is covered by one. Tasks of gangs are never preempted, because losing one task would stop the
+// whole gang.
+func (s *Search) isPreemptible(state *clusterstate.State, t *clusterstate.Task) bool {
 	spec := &t.Job.Record.Spec
 	switch {
 	case spec.IsGang():
@@ -107,37 +111,39 @@
 	return s.Account.Yields(s.Entitled, state.QuotaLeaf(spec), spec.Amount())
 }
 
-// onMachine returns the capacity that is free on a machine once the tasks that are stopping
-// are gone, and the tasks that yield, the youngest first: they lose the least.
-func (s *Search) onMachine(
+// freeAndPreemptible returns the capacity that will be free on a machine once its stopping tasks
+// have ended, and the preemptible tasks on it. The youngest come first, because they lose the least
+// work.
+func (s *Search) freeAndPreemptible(
 	state *clusterstate.State,
 	machine string,
 	free sharding.Resources,
 ) (sharding.Resources, []*clusterstate.Task) {
-	var yielding []*clusterstate.Task
+	var preemptible []*clusterstate.Task
 	for _, t := range state.TasksOnMachine[machine] {
 		switch {
 		case t.Job.Record == nil || s.InTransaction(t.StoredIn.Key) || s.Stopping[t]:
 		case t.State == jobs.Stopping:
 			free = free.Add(t.Job.Record.Spec.Resources())
-		case s.yields(state, t):
-			yielding = append(yielding, t)
+		case s.isPreemptible(state, t):
+			preemptible = append(preemptible, t)
 		}
 	}
-	sort.Slice(yielding, func(a, b int) bool {
-		if !yielding[a].StateSince.Equal(yielding[b].StateSince) {
-			return yielding[a].StateSince.After(yielding[b].StateSince)
+	sort.Slice(preemptible, func(a, b int) bool {
+		if !preemptible[a].StateSince.Equal(preemptible[b].StateSince) {
+			return preemptible[a].StateSince.After(preemptible[b].StateSince)
 		}
-		return yielding[a].ID < yielding[b].ID
+		return preemptible[a].ID < preemptible[b].ID
 	})
-	return free, yielding
+	return free, preemptible
 }
 
-// fewestVictims takes tasks until need fits into what is free; false if it never does.
-func fewestVictims(need, free sharding.Resources, yielding []*clusterstate.Task) ([]*clusterstate.Task, bool) {
-	for i, t := range yielding {
+// fewestVictims returns the first preemptible tasks, as many as must be stopped until need fits. It
+// returns false if need does not fit even without all of them.
+func fewestVictims(need, free sharding.Resources, preemptible []*clusterstate.Task) ([]*clusterstate.Task, bool) {
+	for i, t := range preemptible {
 		if free = free.Add(t.Job.Record.Spec.Resources()); free.Fits(need) {
-			return slices.Clone(yielding[:i+1]), true
+			return slices.Clone(preemptible[:i+1]), true
 		}
 	}
 	return nil, false
--- a/internal/preempt/preempt_test.go
+++ b/internal/preempt/preempt_test.go
@@ -13,7 +13,7 @@
 	"github.com/harrierreel/harrierreel/internal/quota"
 )
 
-// fullCluster has two machines of four accelerators each, all in use.
+// fullCluster returns a cluster with two machines of four accelerators each, all in use.
 func fullCluster(t *testing.T) *clusterstate.State {
 	t.Helper()
 	state := clusterstate.New(
@@ -38,12 +38,12 @@
 		{id: "wk-5", priority: "standard", kind: jobs.JobArray, machine: "i-2", image: "z", taskCount: 2},
 	} {
 		state.Now = time.Unix(int64(10*(i+1)), 0)
-		job.enter(t, state)
+		job.addTo(t, state)
 	}
 	return state
 }
 
-// runningJob is a job of team b whose tasks all run on one machine.
+// runningJob is a job of team b whose tasks all run on the same machine.
 type runningJob struct {
 	id        string
 	priority  string
@@ -53,8 +53,8 @@
 	taskCount int
 }
 
-// enter puts the job and its tasks into the state, as running since its present time.
-func (j *runningJob) enter(t *testing.T, state *clusterstate.State) {
+// addTo adds the job and its tasks to the state. The tasks have been running since state.Now.
+func (j *runningJob) addTo(t *testing.T, state *clusterstate.State) {
 	t.Helper()
 	spec := jobs.Spec{
 		ID:           j.id,
@@ -80,8 +80,7 @@
 	_, _ = state.ApplyTaskRange(jobs.TaskRangeKey(j.id, 0), jobs.EncodeTaskRange(records, 8192))
 }
 
-// newSearch is a waiting task of a team that any machine may take, within whatever guarantee it
-// lies.
+// newSearch returns a search for a waiting task of a team that may be placed on any machine.
 func newSearch(state *clusterstate.State, team, priority string, accelerators float64) Search {
 	spec := jobs.Spec{
 		ID:           "wk-9",
@@ -107,8 +106,8 @@
 	}
 }
 
-// withinNoGuarantee is a search for a task beyond all guarantees.
-func withinNoGuarantee(search Search) Search {
+// withoutGuarantee returns the search for a task that no guarantee covers.
+func withoutGuarantee(search Search) Search {
 	search.Entitled = -1
 	return search
 }
@@ -128,63 +127,63 @@
 		search Search
 		want   string
 	}{
-		"the lower priority yields, where the image is": {
+		"lower priority is preempted where the image is cached": {
 			search: newSearch(state, "b", "prod", 1),
 			want:   "wk-5/0",
 		},
-		"what is beyond a guarantee yields, where the image is": {
+		"task beyond its guarantee is preempted where the image is cached": {
 			search: newSearch(state, "a", "standard", 1),
 			want:   "wk-5/0",
 		},
-		"within no guarantee nothing of the same priority": {
-			search: withinNoGuarantee(newSearch(state, "b", "standard", 1)),
+		"without a guarantee only lower priority is preempted": {
+			search: withoutGuarantee(newSearch(state, "b", "standard", 1)),
 			want:   "wk-2/0",
 		},
-		"idle work within no guarantee stops nobody": {
-			search: withinNoGuarantee(newSearch(state, "b", "idle", 1)),
+		"idle task without a guarantee preempts nothing": {
+			search: withoutGuarantee(newSearch(state, "b", "idle", 1)),
 		},
-		"a whole machine without a gang": {
+		"whole machine: the one without a gang is cleared": {
 			search: newSearch(state, "b", "prod", 4),
 			want:   "wk-1/0 wk-1/1 wk-2/0 wk-3/0",
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := taskIDs(Victims(state, c.search)); got != c.want {
-				t.Errorf("%q, not %q", got, c.want)
+				t.Errorf("got victims %q, want %q", got, c.want)
 			}
 		})
 	}
 	checkAudit(t, state)
 }
 
-// A task that is stopping will free its capacity: nobody else is stopped for it.
+// No task is preempted if a stopping task will free enough capacity.
 func TestNoVictimsWhereCapacityWillBeFree(t *testing.T) {
 	state := fullCluster(t)
 	search := newSearch(state, "a", "standard", 1)
 	records := []jobs.Task{{State: jobs.Stopping, Machine: "i-1", Attempt: 1}}
 	_, _ = state.ApplyTaskRange(jobs.TaskRangeKey("wk-2", 0), jobs.EncodeTaskRange(records, 8192))
 	if got := taskIDs(Victims(state, search)); got != "" {
-		t.Errorf("stopped %q though capacity will be free", got)
+		t.Errorf("preempts %q although capacity will become free", got)
 	}
 }
 
-// A task whose record is under a transaction can't be stopped, and a machine without the image
-// is no choice where the image is asked for.
+// A task is not preempted while a transaction on its record is in flight, and a machine without the
+// image cached is not considered if OnlyWithImage is set.
 func TestNoVictimsOfBusyRecordsOrWithoutImage(t *testing.T) {
 	state := fullCluster(t)
-	search := withinNoGuarantee(newSearch(state, "b", "standard", 1))
+	search := withoutGuarantee(newSearch(state, "b", "standard", 1))
 	search.InTransaction = func(key string) bool { return key == jobs.TaskRangeKey("wk-2", 0) }
 	if got := taskIDs(Victims(state, search)); got != "" {
-		t.Errorf("stopped %q", got)
+		t.Errorf("preempts %q, whose record has a transaction in flight", got)
 	}
 	search.OnlyWithImage = true
 	if got := taskIDs(Victims(state, search)); got != "" {
-		t.Errorf("stopped %q where its image is not", got)
+		t.Errorf("preempts %q on a machine without the image", got)
 	}
 	checkAudit(t, state)
 }
 
-// checkAudit fails if what the state derives from its records doesn't agree with them.
+// checkAudit fails the test if derived fields of the state are inconsistent with its records.
 func checkAudit(t *testing.T, state *clusterstate.State) {
 	t.Helper()
 	if fmt.Sprint(state.Audit()) != "[]" {
