--- a/internal/gangs/launch_test.go
+++ b/internal/gangs/launch_test.go
@@ -17,7 +17,7 @@
 		"image cached: half of wait before the last": {0, []float64{0, 45}, 30},
 		"short pull: would give up too early":        {28, []float64{28, 45}, 30},
 		"pull takes almost as long as the longest":   {31, []float64{31, 45}, 0},
-		"longest pull": {45, []float64{0, 45}, 0},
+		"own pull takes the longest":                 {45, []float64{0, 45}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var allReady []time.Time
--- a/internal/queue/accumulation.go
+++ b/internal/queue/accumulation.go
@@ -162,8 +162,8 @@
 	return best
 }
 
-// holdBusyMachines holds all of the chosen busy machines. Otherwise smaller tasks would take
-// capacity on them as it becomes free, for as long as such tasks keep arriving.
+// holdBusyMachines holds the full capacity of the chosen busy machines. Otherwise smaller tasks
+// would take capacity on them as it becomes free, for as long as such tasks keep arriving.
 func (a *capacityAccumulation) holdBusyMachines(q *Queue, cycle *schedulingCycle, spec *jobs.Spec) {
 	for _, machineName := range a.busyMachines {
 		m := q.state.Machines[machineName]
@@ -182,8 +182,8 @@
 	}
 }
 
-// chooseBusyMachines chooses the busy machines to hold for a gang that lacks capacity for left
-// tasks: those that are expected to have capacity for one of its tasks soonest.
+// chooseBusyMachines chooses the busy machines to hold for a gang of which left tasks lack
+// capacity: those that are expected to have capacity for one of its tasks soonest.
 func (q *Queue) chooseBusyMachines(
 	accumulation *capacityAccumulation,
 	task *clusterstate.Task,
--- a/internal/queue/calendar.go
+++ b/internal/queue/calendar.go
@@ -6,7 +6,7 @@
 	"github.com/harrierreel/harrierreel/internal/jobs"
 )
 
-// gate returns whether the calendar allows a job to start.
+// gate returns the calendar's verdict on whether a job may start.
 func (q *Queue) gate(spec *jobs.Spec) calendar.Verdict {
 	if q.calendar == nil {
 		return calendar.Free
--- a/internal/queue/decisions.go
+++ b/internal/queue/decisions.go
@@ -154,8 +154,8 @@
 	return q.machines.CanPlace(task, m)
 }
 
-// placeRule reports whether the leader places a task on a machine itself rather than releases it to
-// the shard of the machine.
+// placeRule is a function that reports whether the leader places a task on a machine itself instead
+// of releasing it to the shard of the machine.
 type placeRule func(*clusterstate.Task, *clusterstate.Machine) bool
 
 func always(*clusterstate.Task, *clusterstate.Machine) bool { return true }
--- a/internal/queue/gangs.go
+++ b/internal/queue/gangs.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// withdrawGang unassigns or stops the tasks of a gang of which only some are active: part of a gang
-// cannot make progress.
+// withdrawGang unassigns or stops the tasks of a gang of which only some are active, because part
+// of a gang cannot make progress.
 func withdrawGang(job *clusterstate.Job, cycle *schedulingCycle) {
 	for _, index := range slices.Sorted(maps.Keys(job.Tasks)) {
 		task := job.Tasks[index]
--- a/internal/queue/lending.go
+++ b/internal/queue/lending.go
@@ -250,8 +250,8 @@
 	return true
 }
 
-// zonesWithLoans counts a job's tasks by zone. The count includes borrowers that wait for their
-// loan only: if another task took their zone meanwhile, the zone rules might exclude the borrower.
+// zonesWithLoans counts a job's tasks by zone. The count includes borrowers that wait only for
+// their loan: if another task took their zone meanwhile, the zone rules might exclude the borrower.
 func (q *Queue) zonesWithLoans(job *clusterstate.Job, cycle *schedulingCycle) map[string]int {
 	zones := q.state.TasksByZone(job)
 	for _, loan := range cycle.loans.byTask {
--- a/internal/queue/order.go
+++ b/internal/queue/order.go
@@ -11,10 +11,11 @@
 )
 
 // order lists the waiting live jobs in queue order. Jobs are sorted by priority; then jobs covered
-// by a guarantee come first; then jobs are sorted by their team's fair share beyond its guarantee;
-// then overdue jobs come first, the oldest of them first; then jobs that can still meet a
-// service-level objective come first, those with the fewest accelerators first; then jobs are
-// sorted by the time by which they must start to meet an objective.
+// by a guarantee come first, their team's before one further up the quota tree; then jobs beyond
+// their team's guarantee are sorted by fair share; then overdue jobs come first, the oldest of them
+// first; then jobs that can still meet a service-level objective come first, those with the fewest
+// accelerators first; then jobs are sorted by the time by which they must start to meet an
+// objective.
 func (q *Queue) order(account *quota.Account) []*clusterstate.Job {
 	fairSharePaths := map[int][]float64{}
 	entries := make([]queueEntry, 0, len(q.state.Queued))
--- a/internal/queue/order_test.go
+++ b/internal/queue/order_test.go
@@ -9,7 +9,7 @@
 	"github.com/harrierreel/harrierreel/internal/settings"
 )
 
-// A large gang is overdue shortly after the last of its class's objectives for starting has passed,
+// A large gang is overdue tuning.GangAimPast after the last of its class's objectives for starting,
 // and after tuning.GangOverdue at the latest. Smaller gangs are never overdue.
 func TestLargeGangIsOverdueAfterItsLastObjective(t *testing.T) {
 	q := newTestQueue(t, map[string]quota.Team{"b": {Name: "b"}})
--- a/internal/queue/release.go
+++ b/internal/queue/release.go
@@ -15,8 +15,8 @@
 // RunCycle runs a scheduling cycle of the leader, which releases tasks to shards within each team's
 // limit. Once its decisions have used up the write budget, the cycle examines no further jobs,
 // because further decisions could not be committed: with a thousand one-task jobs waiting for
-// writes, searching a machine for each of them in every cycle took all of a controller's CPU time
-// (docs/incidents/ops-swarm.md).
+// writes, searching for a machine for each of them in every cycle took all of a controller's CPU
+// time (docs/incidents/ops-swarm.md).
 func (q *Queue) RunCycle() {
 	q.releaseWindowReservations()
 	cycle := q.newCycle()
@@ -39,7 +39,7 @@
 		examinedCount += q.examine(job, cycle, limit-examinedCount)
 	}
 	if hasBudget {
-		q.runRounds(cycle, limit-examinedCount)
+		q.runSecondRound(cycle, limit-examinedCount)
 	}
 	q.preempt(cycle)
 	// Jobs that were not examined keep waiting. There may be capacity for them by now.
@@ -57,7 +57,7 @@
 	q.commits.Commit(cycle.decisions)
 }
 
-// examine searches capacity for a job, and returns the number of tasks that it examined.
+// examine looks for capacity for a job, and returns the number of tasks that it examined.
 func (q *Queue) examine(job *clusterstate.Job, cycle *schedulingCycle, limit int) int {
 	spec := &job.Record.Spec
 	if cycle.quotaLeavesAtLimit[q.state.QuotaLeaf(spec)] {
--- a/internal/queue/rounds.go
+++ b/internal/queue/rounds.go
@@ -11,12 +11,12 @@
 // the queue do not use the quota that it is about to need. When a zone had no capacity for a long
 // time, these charges kept the team's other jobs waiting next to free machines (scenario
 // meet-place-turn, docs/incidents/turn-kept.md). So once a job has found no capacity for
-// tuning.RoundFor, the second round examines jobs that were over the limit without its charge. The
-// waiting job loses only its claim on the quota, and is still first in the queue for capacity that
-// becomes free.
+// tuning.RoundFor, the second round examines the jobs that were over the limit again, without its
+// charge. The waiting job loses only its claim on the quota, and is still first in the queue for
+// capacity that becomes free.
 type schedulingRounds struct {
 	expired       []unplacedCharge    // charges that have stood for longer than tuning.RoundFor
-	overLimit     []*clusterstate.Job // jobs that exceeded their team's limit
+	overLimit     []*clusterstate.Job // jobs that would have exceeded their team's limit
 	inSecondRound bool                // the second round is running: overLimit is examined again
 }
 
@@ -38,10 +38,10 @@
 	return q.state.Now.Sub(since) > tuning.RoundFor
 }
 
-// runRounds examines the jobs that exceeded their team's limit again, without the charges that have
-// stood for too long. A job that finds no capacity in this second round is not charged, and no
-// machine is requested for it.
-func (q *Queue) runRounds(cycle *schedulingCycle, limit int) {
+// runSecondRound examines the jobs that would have exceeded their team's limit again, without the
+// charges that have stood for too long. A job that finds no capacity in this second round is not
+// charged, and no machine is requested for it.
+func (q *Queue) runSecondRound(cycle *schedulingCycle, limit int) {
 	rounds := &cycle.rounds
 	if len(rounds.expired) == 0 || len(rounds.overLimit) == 0 {
 		return
--- a/internal/queue/starvation.go
+++ b/internal/queue/starvation.go
@@ -14,9 +14,9 @@
 // while there is free capacity for it and its team is under its limit, but the capacity or the
 // quota is kept for other jobs.
 type starvation struct {
-	starvingSince    time.Time // zero if there was no free capacity for it recently
-	hadCapacitySince time.Time // when there last was free capacity for it
-	examinedAt       time.Time
+	starvingSince time.Time // zero if there was no free capacity for it recently
+	hadCapacityAt time.Time // when there last was free capacity for it
+	examinedAt    time.Time
 }
 
 // startStarvingJobs is the starvation guard: it starts jobs that have waited too long although
@@ -51,13 +51,13 @@
 	starving.examinedAt = now
 	start := q.prepareStart(job, cycle)
 	if start != nil {
-		starving.hadCapacitySince = now
+		starving.hadCapacityAt = now
 	}
 	starvingFor := now.Sub(starving.starvingSince)
 	starvedTooLong := starvingFor >= tuning.StarvingAfter
 	due := starvedTooLong || starvingFor >= tuning.StarvingCapacityFor && now.Before(q.startStarvingUntil)
 	switch {
-	case now.Sub(starving.hadCapacitySince) > tuning.StarvingGap:
+	case now.Sub(starving.hadCapacityAt) > tuning.StarvingGap:
 		starving.starvingSince = time.Time{}
 	case starving.starvingSince.IsZero():
 		starving.starvingSince = now
