--- a/internal/queue/release.go
+++ b/internal/queue/release.go
@@ -12,11 +12,11 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// RunCycle is the leader's scheduling cycle: it releases tasks to shards, within each team's limit.
-// Once its decisions have used up the write budget it examines no further jobs: what it would
-// decide could not be committed, and with a thousand jobs of one task waiting for writes, looking
-// for a place for each of them in every cycle took all of a controller's processor time
-// (docs/incidents/ops-swarm.md).
+// RunCycle runs a scheduling cycle of the leader, which releases tasks to shards within each team's
+// limit. Once its decisions have used up the write budget, the cycle examines no further jobs,
+// because further decisions could not be committed: with a thousand one-task jobs waiting for
+// writes, searching for a machine for each of them in every cycle took all of a controller's CPU
+// time (docs/incidents/ops-swarm.md).
 func (q *Queue) RunCycle() {
 	q.releaseWindowReservations()
 	cycle := q.newCycle()
@@ -25,42 +25,42 @@
 	maps.DeleteFunc(q.noCapacitySince, func(jobID string, _ time.Time) bool { return q.state.Queued[jobID] == nil })
 	q.Waiting = nil
 	q.dropAccumulations()
-	budget, limit := q.budget.Allows(0, 1), tuning.MaxAssignments
-	if !budget {
+	hasBudget, limit := q.budget.Allows(0, 1), tuning.MaxAssignments
+	if !hasBudget {
 		limit = tuning.MaxExaminedJobs
 	}
 	examined := map[*clusterstate.Job]bool{}
 	examinedCount := 0
 	for _, job := range q.order(cycle.account) {
-		if examinedCount >= limit || budget && !q.budget.Allows(cycle.writeCount(), 1) {
+		if examinedCount >= limit || hasBudget && !q.budget.Allows(cycle.writeCount(), 1) {
 			break
 		}
 		examined[job] = true
 		examinedCount += q.examine(job, cycle, limit-examinedCount)
 	}
-	if budget {
-		q.runRounds(cycle, limit-examinedCount)
+	if hasBudget {
+		q.runSecondRound(cycle, limit-examinedCount)
 	}
 	q.preempt(cycle)
-	// What was not examined waits as it did; there may be room for it by now.
+	// Jobs that were not examined keep waiting. There may be capacity for them by now.
 	for _, waiting := range stillWaiting {
 		if !examined[waiting.Task.Job] {
 			waiting.NotExamined = true
 			q.Waiting = append(q.Waiting, waiting)
 		}
 	}
-	if budget {
-		q.examined = examined // without budget, a job that fits could not be released
+	if hasBudget {
+		q.examined = examined // without write budget, even a job that fits is not released
 	}
-	q.serveStarving(cycle, examined)
+	q.startStarvingJobs(cycle, examined)
 	cycle.end(q)
 	q.commits.Commit(cycle.decisions)
 }
 
-// examine looks for room for a job, and returns how many tasks it examined.
+// examine looks for capacity for a job, and returns the number of tasks that it examined.
 func (q *Queue) examine(job *clusterstate.Job, cycle *schedulingCycle, limit int) int {
 	spec := &job.Record.Spec
-	if cycle.leavesAtLimit[q.state.QuotaLeaf(spec)] {
+	if cycle.quotaLeavesAtLimit[q.state.QuotaLeaf(spec)] {
 		cycle.rounds.overLimit = append(cycle.rounds.overLimit, job)
 		return 0
 	}
@@ -68,14 +68,14 @@
 	case calendar.Shut:
 		return 0
 	case calendar.Soon:
-		if cycle.rounds.second {
+		if cycle.rounds.inSecondRound {
 			return 0
 		}
 		return q.reserveForWindow(job, cycle, limit)
 	case calendar.Free, calendar.Allowed:
 	}
-	q.unblockLent(job.ID, cycle)
-	defer q.blockLent(job.ID, cycle)
+	q.unblockReturned(job.ID, cycle)
+	defer q.blockReturned(job.ID, cycle)
 	if spec.IsGang() {
 		q.releaseGang(job, cycle)
 		return 1
@@ -83,7 +83,8 @@
 	return q.releaseTasks(job, cycle, limit)
 }
 
-// StillWaiting lists what found no room when it was last examined and whose job still waits.
+// StillWaiting lists the tasks that found no capacity when they were last examined and whose job
+// still waits.
 func (q *Queue) StillWaiting() []*Waiting {
 	return slices.DeleteFunc(
 		slices.Clone(q.Waiting),
@@ -91,13 +92,13 @@
 	)
 }
 
-// releaseTasks releases what waits of a job of independent tasks or replicas, and returns how many
-// tasks it examined.
+// releaseTasks releases the waiting tasks of a job of independent tasks or replicas, and returns
+// the number of tasks that it examined.
 func (q *Queue) releaseTasks(job *clusterstate.Job, cycle *schedulingCycle, limit int) int {
 	spec := &job.Record.Spec
-	candidates, freePlaces := q.taskCandidates(job, cycle)
+	candidates, freeSlots := q.taskCandidates(job, cycle)
 	probing := q.state.Trust(job, "") == jobs.Probing
-	tasks := q.tasksToExamine(job, cycle, limit, freePlaces)
+	tasks := q.tasksToExamine(job, cycle, limit, freeSlots)
 	if probing {
 		tasks = q.probeTask(job)
 	}
@@ -111,16 +112,16 @@
 		tasks:      tasks,
 		probing:    probing,
 		zones:      q.zonesWithLoans(job, cycle),
-		candidates: q.concentrate(spec, candidates, len(tasks)),
+		candidates: q.limitShards(spec, candidates, len(tasks)),
 	}
 	examinedCount := placer.placeAll()
 	placements := placer.placements
 	if len(placements) == len(tasks) {
 		delete(q.noCapacitySince, job.ID)
 	}
-	if q.awaitsMoreCapacity(job, len(placements), freePlaces) {
-		for _, o := range placements {
-			cycle.hold(q, o.machine, spec.Resources())
+	if q.awaitsMoreCapacity(job, len(placements), freeSlots) {
+		for _, p := range placements {
+			cycle.hold(q, p.machine, spec.Resources())
 		}
 		return examinedCount
 	}
@@ -128,8 +129,8 @@
 	return examinedCount
 }
 
-// taskCandidates lists the machines with room for a task of a job, and counts the tasks that they
-// have room for, up to somewhat more than the job has left.
+// taskCandidates lists the machines with capacity for a task of a job, and counts the tasks that
+// fit on them. It stops counting once the count exceeds the number of tasks that the job has left.
 func (q *Queue) taskCandidates(job *clusterstate.Job, cycle *schedulingCycle) ([]sharding.Candidate, int) {
 	spec := &job.Record.Spec
 	if cycle.knownUnplaceable(spec, 1) {
@@ -139,29 +140,29 @@
 	if len(candidates) == 0 {
 		cycle.noteUnplaceable(spec, 1)
 	}
-	freePlaces := 0
+	freeSlots := 0
 	wanted := spec.TaskCount - job.DoneCount - len(job.Active)
-	for i := 0; i < len(candidates) && freePlaces <= wanted; i++ {
-		freePlaces += candidates[i].Free.HowMany(spec.Resources())
+	for i := 0; i < len(candidates) && freeSlots <= wanted; i++ {
+		freeSlots += candidates[i].Free.HowMany(spec.Resources())
 	}
-	return candidates, freePlaces
+	return candidates, freeSlots
 }
 
-// tasksToExamine lists the tasks of a job that a cycle looks for room for.
+// tasksToExamine lists the tasks of a job that a cycle tries to place.
 func (q *Queue) tasksToExamine(
 	job *clusterstate.Job,
 	cycle *schedulingCycle,
-	limit, freePlaces int,
+	limit, freeSlots int,
 ) []*clusterstate.Task {
 	if q.Overdue(job) {
-		limit = min(limit, 1+job.Record.Spec.TaskCount/tuning.BeginShare) // jobs behind it are overdue, too
+		limit = min(limit, 1+job.Record.Spec.TaskCount/tuning.BeginShare) // leaves capacity for the overdue jobs behind it
 	}
-	limit = min(limit, freePlaces+tuning.WaitingEach, q.startableCount(job))
+	limit = min(limit, freeSlots+tuning.WaitingEach, q.startableCount(job))
 	return q.withoutBorrowers(q.pendingTasks(job, limit), cycle)
 }
 
-// addWaiting notes tasks that found no room: they keep their place in the queue, and machines are
-// held for the first of them.
+// addWaiting records tasks that found no capacity. They keep their position in the queue, and
+// machines are held for the first of them.
 func (q *Queue) addWaiting(
 	job *clusterstate.Job,
 	tasks []*clusterstate.Task,
@@ -170,17 +171,17 @@
 	cycle *schedulingCycle,
 ) {
 	spec := &job.Record.Spec
-	if cycle.rounds.second {
+	if cycle.rounds.inSecondRound {
 		return
 	}
-	expired := q.lacksCapacity(job)
+	expired := q.noteNoCapacity(job)
 	count := cycle.account.CountAllowed(q.state.QuotaLeaf(spec), spec.Amount(), q.startableCount(job))
 	if count == 0 {
 		return
 	}
 	cycle.account.Charge(spec.QuotaKey(), spec.Amount(), count)
 	if expired {
-		cycle.rounds.expired = append(cycle.rounds.expired, round{job, count})
+		cycle.rounds.expired = append(cycle.rounds.expired, unplacedCharge{job, count})
 	}
 	q.Waiting = append(
 		q.Waiting,
@@ -195,13 +196,13 @@
 	q.holdMachines(tasks[0], min(count, tuning.HoldEach), zones, cycle)
 }
 
-// awaitsMoreCapacity reports whether the few tasks of a job array that there is room for should
-// wait a moment for more of them, to share a task range. Their places are held.
-func (q *Queue) awaitsMoreCapacity(job *clusterstate.Job, placementCount, freePlaces int) bool {
+// awaitsMoreCapacity reports whether the few tasks of a job array that fit now should wait a moment
+// until more of them fit, so that they share a task range. The capacity for them is held.
+func (q *Queue) awaitsMoreCapacity(job *clusterstate.Job, placementCount, freeSlots int) bool {
 	wanted := min(tuning.GatherTasks, job.Record.Spec.TaskCount-job.DoneCount-len(job.Active))
 	savesWrites := q.Scarce() && !q.budget.HasSpareWrites() && !q.cluster.UsesBatches() &&
 		job.Record.Spec.Kind == jobs.JobArray
-	if !savesWrites || placementCount == 0 || placementCount >= wanted || placementCount < freePlaces {
+	if !savesWrites || placementCount == 0 || placementCount >= wanted || placementCount < freeSlots {
 		job.AccumulatingSince = time.Time{}
 		return false
 	}
--- a/internal/queue/rounds.go
+++ b/internal/queue/rounds.go
@@ -5,28 +5,31 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// schedulingRounds is what the second round of a cycle needs to know of the first.
+// schedulingRounds is the state that the first round of a cycle passes to the second.
 //
-// A job that finds no room is charged to its team's limit all the same, so that later work does not
-// take what it is about to use. Where its zone has no room for long, that left the team's other
-// jobs waiting beside free machines (scenario meet-place-turn, docs/incidents/turn-kept.md): once a
-// job has found no room for tuning.RoundFor, what has room now goes first. The job loses nothing by
-// that but the limit, and is first in the queue for the capacity that comes free.
+// A job that finds no capacity is still charged to its team's limit, so that jobs further back in
+// the queue do not use the quota that it is about to need. When a zone had no capacity for a long
+// time, these charges kept the team's other jobs waiting next to free machines (scenario
+// meet-place-turn, docs/incidents/turn-kept.md). So once a job has found no capacity for
+// tuning.RoundFor, the second round examines the jobs that were over the limit again, without its
+// charge. The waiting job loses only its claim on the quota, and is still first in the queue for
+// capacity that becomes free.
 type schedulingRounds struct {
-	expired   []round             // charges that stood for longer than tuning.RoundFor
-	overLimit []*clusterstate.Job // jobs that did not fit their team's limit
-	second    bool                // the second round is under way: overLimit is examined once more
+	expired       []unplacedCharge    // charges that have stood for longer than tuning.RoundFor
+	overLimit     []*clusterstate.Job // jobs that would have exceeded their team's limit
+	inSecondRound bool                // the second round is running: overLimit is examined again
 }
 
-// round is the charge of a job that found no room, for so many tasks.
-type round struct {
+// unplacedCharge is the quota charge of a job that found no capacity, for the given number of
+// tasks.
+type unplacedCharge struct {
 	job       *clusterstate.Job
 	taskCount int
 }
 
-// lacksCapacity notes that a job finds no room, and reports whether it has found none for longer
-// than tuning.RoundFor.
-func (q *Queue) lacksCapacity(job *clusterstate.Job) bool {
+// noteNoCapacity records that a job finds no capacity, and reports whether it has found none for
+// longer than tuning.RoundFor.
+func (q *Queue) noteNoCapacity(job *clusterstate.Job) bool {
 	since, known := q.noCapacitySince[job.ID]
 	if !known {
 		since = q.state.Now
@@ -35,23 +38,23 @@
 	return q.state.Now.Sub(since) > tuning.RoundFor
 }
 
-// runRounds examines once more the jobs that did not fit their team's limit beside charges that
-// have stood for too long. What finds no room in this second round charges nothing and asks for no
-// machine.
-func (q *Queue) runRounds(cycle *schedulingCycle, limit int) {
-	t := &cycle.rounds
-	if len(t.expired) == 0 || len(t.overLimit) == 0 {
+// runSecondRound examines the jobs that would have exceeded their team's limit again, without the
+// charges that have stood for too long. A job that finds no capacity in this second round is not
+// charged, and no machine is requested for it.
+func (q *Queue) runSecondRound(cycle *schedulingCycle, limit int) {
+	rounds := &cycle.rounds
+	if len(rounds.expired) == 0 || len(rounds.overLimit) == 0 {
 		return
 	}
 	charge := func(sign int) {
-		for _, l := range t.expired {
-			cycle.account.Charge(l.job.Record.Spec.QuotaKey(), l.job.Record.Spec.Amount(), sign*l.taskCount)
+		for _, unplaced := range rounds.expired {
+			cycle.account.Charge(unplaced.job.Record.Spec.QuotaKey(), unplaced.job.Record.Spec.Amount(), sign*unplaced.taskCount)
 		}
 	}
 	charge(-1)
-	clear(cycle.leavesAtLimit)
-	t.second = true
-	for _, job := range t.overLimit {
+	clear(cycle.quotaLeavesAtLimit)
+	rounds.inSecondRound = true
+	for _, job := range rounds.overLimit {
 		if limit <= 0 || !q.budget.Allows(cycle.writeCount(), 1) {
 			break
 		}
--- a/internal/queue/starvation.go
+++ b/internal/queue/starvation.go
@@ -10,25 +10,27 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// starvation is what the starvation guard knows of a job none of whose tasks is under way: since
-// when each check found room for it, with its team under its limit, while both were kept for
-// others.
+// starvation is what the starvation guard records of a job that has no active tasks. A job starves
+// while there is free capacity for it and its team is under its limit, but the capacity or the
+// quota is kept for other jobs.
 type starvation struct {
-	starvingSince    time.Time // zero if there was no free capacity for it lately
-	hadCapacitySince time.Time // when there last was free capacity for it
-	examinedAt       time.Time
+	starvingSince time.Time // zero if there was no free capacity for it recently
+	hadCapacityAt time.Time // when there last was free capacity for it
+	examinedAt    time.Time
 }
 
-// serveStarving is the starvation guard: it gives room to jobs that have waited for too long
-// although capacity is free. What a cycle holds, it holds for as long as those wait that it is held
-// for: a machine for a task that fits nowhere, capacity for a large gang, what a team has left for
-// a job that needs more, and the charge of tasks that have no room themselves. Some of those never
-// come, as only replicas are in their way. So whatever capacity is held for, no job waits for
-// longer than tuning.StarvingAfter for capacity that stands free (docs/incidents/passed-over.md).
+// startStarvingJobs is the starvation guard: it starts jobs that have waited too long although
+// there is free capacity for them. A cycle holds capacity and quota until the job that they are
+// held for can start: a machine for a task that fits nowhere, capacity for a large gang, the
+// remaining quota of a team for a job that needs more, and the charges of tasks that found no
+// capacity. Some of those jobs never start, because only replicas occupy the capacity they need.
+// Therefore no job waits longer than tuning.StarvingAfter for free capacity, whatever that capacity
+// is held for (docs/incidents/passed-over.md).
 //
-// It comes last in a cycle: what has just come free has gone to those whose turn it is, and what is
-// still free is held. Jobs that the cycle did not examine still have their turn.
-func (q *Queue) serveStarving(cycle *schedulingCycle, examined map[*clusterstate.Job]bool) {
+// It runs last in a cycle, when capacity that has become free has been given to jobs in queue
+// order, and what is still free is held. Jobs that the cycle did not examine are not considered,
+// because their turn is yet to come.
+func (q *Queue) startStarvingJobs(cycle *schedulingCycle, examined map[*clusterstate.Job]bool) {
 	for jobID := range q.starving {
 		if job := q.state.Queued[jobID]; job == nil || len(job.Active) > 0 {
 			delete(q.starving, jobID)
@@ -37,44 +39,44 @@
 	cycle.releaseHolds(q)
 	due := q.starvationCandidates(examined)
 	for _, job := range due[:min(len(due), tuning.MaxStarvingExamined)] {
-		q.serveIfStarving(job, cycle)
+		q.startIfStarving(job, cycle)
 	}
 }
 
-// serveIfStarving checks whether there is room for a job, notes since when, and starts it if there
-// has been for too long.
-func (q *Queue) serveIfStarving(job *clusterstate.Job, cycle *schedulingCycle) {
+// startIfStarving checks whether there is capacity for a job, records since when, and starts the
+// job if there has been for too long.
+func (q *Queue) startIfStarving(job *clusterstate.Job, cycle *schedulingCycle) {
 	now := q.state.Now
 	starving := q.starving[job.ID]
 	starving.examinedAt = now
-	begin := q.startOf(job, cycle)
-	if begin != nil {
-		starving.hadCapacitySince = now
+	start := q.prepareStart(job, cycle)
+	if start != nil {
+		starving.hadCapacityAt = now
 	}
-	waits := now.Sub(starving.starvingSince)
-	long := waits >= tuning.StarvingAfter
-	due := long || waits >= tuning.StarvingCapacityFor && now.Before(q.startStarvingUntil)
+	starvingFor := now.Sub(starving.starvingSince)
+	starvedTooLong := starvingFor >= tuning.StarvingAfter
+	due := starvedTooLong || starvingFor >= tuning.StarvingCapacityFor && now.Before(q.startStarvingUntil)
 	switch {
-	case now.Sub(starving.hadCapacitySince) > tuning.StarvingGap:
+	case now.Sub(starving.hadCapacityAt) > tuning.StarvingGap:
 		starving.starvingSince = time.Time{}
 	case starving.starvingSince.IsZero():
 		starving.starvingSince = now
-	case begin != nil && due && q.budget.Allows(cycle.writeCount(), 1):
-		if long {
+	case start != nil && due && q.budget.Allows(cycle.writeCount(), 1):
+		if starvedTooLong {
 			q.startStarvingUntil = now.Add(tuning.StarvingEvery)
 		}
 		q.config.Log.Debug("starving job started",
 			"job_id", job.ID,
 			"class", job.Record.Spec.Class,
-			"duration_ms", waits.Milliseconds(),
+			"duration_ms", starvingFor.Milliseconds(),
 		)
-		begin()
+		start()
 	}
 	q.starving[job.ID] = starving
 }
 
-// starvationCandidates lists the jobs that wait, have nothing under way and were not checked
-// lately, those that starve longest first.
+// starvationCandidates lists the examined jobs that wait, have no active tasks and are due for a
+// check. Jobs that have starved the longest come first.
 func (q *Queue) starvationCandidates(examined map[*clusterstate.Job]bool) []*clusterstate.Job {
 	reserved := map[*clusterstate.Job]bool{}
 	for _, r := range q.state.Reservations {
@@ -97,7 +99,7 @@
 }
 
 // starvationCheckDue reports whether a job has waited long enough to be checked, was not checked
-// lately, and may begin.
+// recently, and may start.
 func (q *Queue) starvationCheckDue(job *clusterstate.Job) bool {
 	waited := time.Duration(q.state.NowMs()-job.Record.AcceptedMs) * time.Millisecond
 	return waited >= tuning.StarvingMinAge &&
@@ -107,7 +109,8 @@
 		q.state.Trust(job, "") != jobs.Probing
 }
 
-// compare orders by since when a job starves, those that do not last, and then by the last check.
+// compare orders by starvingSince, with jobs that do not starve last, and then by the time of the
+// last check.
 func (s starvation) compare(other starvation) int {
 	if s.starvingSince.IsZero() != other.starvingSince.IsZero() {
 		if s.starvingSince.IsZero() {
@@ -121,11 +124,11 @@
 	)
 }
 
-// startOf returns what starts a job now: a gang whole, anything else with one task. It is nil if
-// there is no room for that, or its limits do not allow it.
-func (q *Queue) startOf(job *clusterstate.Job, cycle *schedulingCycle) func() {
+// prepareStart returns a function that starts a job now: all tasks of a gang, or one task of any
+// other job. It returns nil if there is no capacity or not enough quota for that.
+func (q *Queue) prepareStart(job *clusterstate.Job, cycle *schedulingCycle) func() {
 	if job.Record.Spec.IsGang() {
-		return q.startOfGang(job, cycle)
+		return q.prepareGangStart(job, cycle)
 	}
 	spec := &job.Record.Spec
 	tasks := q.pendingTasks(job, 1)
@@ -147,16 +150,16 @@
 	}
 }
 
-// startOfGang is startOf for a gang.
-func (q *Queue) startOfGang(job *clusterstate.Job, cycle *schedulingCycle) func() {
+// prepareGangStart implements prepareStart for a gang.
+func (q *Queue) prepareGangStart(job *clusterstate.Job, cycle *schedulingCycle) func() {
 	spec := &job.Record.Spec
-	tasks, attempt := q.restingTasks(job)
+	tasks, attempt := q.startableGangTasks(job)
 	if tasks == nil || !q.state.Account.Allows(q.state.QuotaLeaf(spec), spec.Amount(), spec.TaskCount) {
 		return nil
 	}
-	placements, sameController := q.fitGang(tasks, cycle)
+	placements, oneShard := q.fitGang(tasks, cycle)
 	if placements == nil {
 		return nil
 	}
-	return func() { q.beginGang(job, tasks, placements, sameController, attempt, cycle) }
+	return func() { q.startGang(job, tasks, placements, oneShard, attempt, cycle) }
 }
