--- a/internal/completion/completion.go
+++ b/internal/completion/completion.go
@@ -1,5 +1,5 @@
-// Package completion makes the writes for the records of a job that ends: the final state,
-// which is kept for ever, and the live records, which are cleared. It has no IO and no clock.
+// Package completion builds the writes that end a job: its final state, which the store keeps for
+// ever, and the removal of its live records. It does no IO and reads no clock.
 package completion
 
 import (
@@ -13,13 +13,14 @@
 	"github.com/harrierreel/harrierreel/internal/store"
 )
 
-// FinalWrites are the records of a job that ends in a state at a time (Unix, milliseconds).
-// Its live record is among them and not removed, since its tasks are yet to act on it.
+// FinalWrites returns the writes for a job that ends in the given state at nowMs (Unix time in
+// milliseconds). They update the job's live record instead of removing it, because its tasks have
+// yet to act on the new state.
 func FinalWrites(job *clusterstate.Job, state jobs.JobState, nowMs int64) []store.Write {
 	record := *job.Record
 	record.State, record.EndMs, record.DoneCount = state, nowMs, job.DoneCount
 	if state == jobs.Done {
-		record.DoneCount = record.Spec.TaskCount // of a gang, one done means all are
+		record.DoneCount = record.Spec.TaskCount // one done task of a gang means that all are done
 	}
 	return []store.Write{
 		decide.Put(jobs.JobPrefix+job.ID, record),
@@ -27,13 +28,13 @@
 	}
 }
 
-// jobRecords counts the records that a job's end writes besides its task ranges: the final
-// and the live one.
+// jobRecords is the number of records that ending a job writes besides its task ranges: the final
+// record and the live one.
 const jobRecords = 2
 
-// InOneTransaction is the urgent decision that writes a job's final state and removes its
-// live records. It is ok only where none of the job's tasks may be on a machine any more,
-// one transaction of txnOps writes holds it all, and none of the records is in flight.
+// InOneTransaction returns the urgent decision that writes a job's final state and removes its
+// live records. ok is true only if no task of the job is active, one transaction of txnOps writes
+// suffices, and no transaction on any of the task ranges is in flight.
 func InOneTransaction(
 	job *clusterstate.Job,
 	state jobs.JobState,
@@ -51,9 +52,9 @@
 	return finalDecision(job, state), true
 }
 
-// finalDecision writes a job's final state in place of its live records. It is urgent: users
-// wait for it, the records do not change any more, and as a large decision it would never
-// find the budget that small ones leave.
+// finalDecision returns the decision that replaces a job's live records with its final state. It is
+// urgent because users wait for it, because the records no longer change, and because smaller
+// decisions would never leave enough of the write budget for one this large.
 func finalDecision(job *clusterstate.Job, state jobs.JobState) decide.Decision {
 	final := jobs.Final{State: state, DoneCount: job.Record.Spec.TaskCount}
 	decision := decide.Decision{
@@ -70,9 +71,9 @@
 	return decision
 }
 
-// ClearRecords removes the records of a closed job, at most txnOps of them: task ranges
-// without a task on a machine, and the job's own once no range is left. What batch records
-// still say of its tasks is left out when they are next written.
+// ClearRecords returns the decisions that remove the records of a closed job, at most txnOps of
+// them: task ranges without a task on a machine, and the job's own record once no range is left.
+// Its entries in batch records are dropped when those are next written.
 func ClearRecords(job *clusterstate.Job, txnOps int, busy func(key string) bool) []decide.Decision {
 	if len(job.Ranges) == 0 {
 		for _, task := range job.Active {
@@ -93,19 +94,19 @@
 	return decisions
 }
 
-// mayBeOnMachine tells whether a task is on a machine, or may be for all that is known.
+// mayBeOnMachine reports whether a task is on a machine, or may be because its record is unreadable.
 func mayBeOnMachine(task *clusterstate.Task) bool {
 	return task.OnMachine() || task.State == clusterstate.Unreadable
 }
 
-// removal is the decision to remove one record.
+// removal returns the decision that removes one record.
 func removal(key string) decide.Decision {
 	return decide.Decision{Writes: []store.Write{decide.Remove(key)}}
 }
 
-// WithLastTask is the decision that ends a job array with its last task. It is ok only where
-// one task range holds all of the job, or batch records do. For a job of one task that is
-// four writes instead of five, and the leader's next cycle is not waited for.
+// WithLastTask returns the decision that ends a job array together with its last task. ok is true
+// only if all of the job's tasks are in a single task range or in batch records. For a job of one
+// task this takes four writes instead of five, and does not wait for the leader's next pass.
 func WithLastTask(task *clusterstate.Task) (decision decide.Decision, ok bool) {
 	job := task.Job
 	if job.Record.Spec.Kind != jobs.JobArray || !inOneRecord(task) || job.DoneCount != job.Record.Spec.TaskCount-1 {
@@ -120,16 +121,16 @@
 	}
 	decision = finalDecision(job, state)
 	if task.StoredIn.IsBatch() {
-		// The batch record is not written for it: its entry of the task outlives the job's
-		// record by a moment and goes with the next ends. That nobody has given the task
-		// up and started it elsewhere is ensured by its machine's record, which changes
-		// before that.
+		// The batch record is not rewritten for this: the task's entry briefly outlives the
+		// job's record and is dropped when later ends are written. The precondition on the
+		// machine's record ensures that no controller has given the task up and restarted it
+		// elsewhere, since that record changes first.
 		decision.ReadSet = append(decision.ReadSet, fleet.MachinePrefix+task.Machine)
 	}
 	return decision, true
 }
 
-// inOneRecord tells whether a task's range holds all tasks of its job, or batch records do.
+// inOneRecord reports whether one task range, or batch records alone, hold all tasks of a task's job.
 func inOneRecord(task *clusterstate.Task) bool {
 	switch len(task.Job.Ranges) {
 	case 0:
@@ -141,8 +142,8 @@
 	}
 }
 
-// ClearBatches removes batch records, at most txnOps of them, that hold only what is left of
-// jobs that are over, as known up to an epoch of the state service.
+// ClearBatches returns the decisions that remove obsolete batch records, at most txnOps of them.
+// knownEpoch is the store's epoch up to which state holds all changes.
 func ClearBatches(
 	state *clusterstate.State,
 	knownEpoch uint64,
@@ -158,8 +159,8 @@
 	return decisions
 }
 
-// isObsoleteBatch tells whether a batch record holds only what is left of jobs that are over.
-// One that lists no tasks is not known to be such, nor is one that is newer than the epoch.
+// isObsoleteBatch reports whether a batch record is known to hold only tasks of jobs that have
+// ended. That is not known of a record that lists no tasks or is newer than the epoch.
 func isObsoleteBatch(record *clusterstate.TaskRecord, knownEpoch uint64) bool {
 	inUse := func(task *clusterstate.Task) bool { return record.Holds(task) && !task.Obsolete(knownEpoch) }
 	return len(record.Tasks) > 0 && record.Revision <= knownEpoch && !slices.ContainsFunc(record.Tasks, inUse)
--- a/internal/completion/completion_test.go
+++ b/internal/completion/completion_test.go
@@ -19,7 +19,7 @@
 	finished = jobs.Task{State: jobs.Finished, Attempt: 1}
 )
 
-// newState is a state with a live job array of so many tasks.
+// newState returns a state with a live job array of taskCount tasks.
 func newState(t *testing.T, taskCount int) *clusterstate.State {
 	t.Helper()
 	state := clusterstate.New(quota.Flat(nil), func(string) {})
@@ -40,7 +40,7 @@
 	return state
 }
 
-// applyRange puts tasks into a task range of the job.
+// applyRange adds tasks to the state in a task range of the job.
 func applyRange(t *testing.T, state *clusterstate.State, first int, tasks ...jobs.Task) {
 	t.Helper()
 	if _, err := state.ApplyTaskRange(jobs.TaskRangeKey(jobID, first), jobs.EncodeTaskRange(tasks, 8192)); err != nil {
@@ -48,7 +48,7 @@
 	}
 }
 
-// applyBatch puts tasks of the job into a batch record at revision 5.
+// applyBatch adds tasks of the job to the state in a batch record at revision 5.
 func applyBatch(t *testing.T, state *clusterstate.State, tasks ...jobs.Task) {
 	t.Helper()
 	var entries []taskbatch.Entry
@@ -70,7 +70,7 @@
 	return keys
 }
 
-func TestInOneTransactionOnlyWhenAllIsAtRestAndFits(t *testing.T) {
+func TestInOneTransactionRequiresInactiveJobThatFits(t *testing.T) {
 	firstRange := jobs.TaskRangeKey(jobID, 0)
 	cases := []struct {
 		name   string
@@ -81,7 +81,7 @@
 	}{
 		{"all finished", finished, 3, notBusy, true},
 		{"one task on a machine", placed, 3, notBusy, false},
-		{"more records than a transaction holds", finished, 2, notBusy, false},
+		{"more records than fit a transaction", finished, 2, notBusy, false},
 		{"a task range in flight", finished, 3, func(key string) bool { return key == firstRange }, false},
 	}
 	for _, c := range cases {
@@ -90,27 +90,27 @@
 			applyRange(t, state, 0, c.task)
 			decision, ok := InOneTransaction(state.Jobs[jobID], jobs.Done, c.txnOps, c.busy)
 			if ok != c.want {
-				t.Fatalf("got %v", ok)
+				t.Fatalf("got ok %v", ok)
 			}
 			want := []string{jobs.FinalPrefix + jobID, jobs.JobPrefix + jobID, firstRange}
 			if ok && (!slices.Equal(writtenKeys(decision), want) || !decision.Urgent || !decision.CompletesJob) {
-				t.Errorf("%+v", decision)
+				t.Errorf("got decision %+v", decision)
 			}
 		})
 	}
 }
 
-func TestClearRecordsKeepsWhatMayBeOnAMachine(t *testing.T) {
+func TestClearRecordsKeepsTasksThatMayBeOnMachines(t *testing.T) {
 	ranges := []string{jobs.TaskRangeKey(jobID, 0), jobs.TaskRangeKey(jobID, 2)}
 	cases := []struct {
 		name   string
-		second jobs.Task // of the second task range
+		second jobs.Task // second task of the second task range
 		txnOps int
 		busy   func(string) bool
 		want   []string
 	}{
 		{"all finished", finished, 4, notBusy, ranges},
-		{"at most a transaction's writes", finished, 1, notBusy, ranges[:1]},
+		{"at most the writes of one transaction", finished, 1, notBusy, ranges[:1]},
 		{"a task on a machine", placed, 4, notBusy, ranges[:1]},
 		{"a task range in flight", finished, 4, func(key string) bool { return key == ranges[0] }, ranges[1:]},
 	}
@@ -132,7 +132,7 @@
 	})
 }
 
-func TestWithLastTaskOnlyWhenOneRecordHoldsTheJob(t *testing.T) {
+func TestWithLastTaskRequiresOneRangeOrBatches(t *testing.T) {
 	cases := []struct {
 		name  string
 		apply func(t *testing.T, state *clusterstate.State)
@@ -164,13 +164,13 @@
 			c.apply(t, state)
 			decision, ok := WithLastTask(state.Jobs[jobID].Tasks[c.index])
 			if ok != c.want || !slices.Equal(decision.ReadSet, c.reads) {
-				t.Errorf("%v: %+v", ok, decision)
+				t.Errorf("got ok %v, decision %+v", ok, decision)
 			}
 		})
 	}
 }
 
-func TestClearBatchesOnlyOfJobsKnownToBeOver(t *testing.T) {
+func TestClearBatchesRemovesOnlyThoseOfEndedJobs(t *testing.T) {
 	cases := []struct {
 		name       string
 		jobGone    bool
@@ -179,7 +179,7 @@
 	}{
 		{"job is live", false, 5, nil},
 		{"job is gone", true, 5, []string{"pack/1"}},
-		{"job is gone, known before the batch record", true, 4, nil},
+		{"job is gone, batch record newer than the known epoch", true, 4, nil},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/controller/changes.go
+++ b/internal/controller/changes.go
@@ -15,25 +15,25 @@
 	"github.com/harrierreel/harrierreel/internal/taskbatch"
 )
 
-// change is one change of the mirror.
+// change is a change of one key in the mirror.
 type change struct {
 	key      string
-	name     string          // the key after the prefix by which its handler was found
-	value    json.RawMessage // nil: the key was removed
+	name     string          // the key without its handler's prefix
+	value    json.RawMessage // nil if the key was removed
 	revision uint64
 }
 
-// recordHandler says who takes in the changes of which keys. Exactly one of key, prefix and
-// holds is set.
+// recordHandler applies the changes of the keys that it matches. Exactly one of key, prefix and
+// matches is set.
 type recordHandler struct {
-	key    string
-	prefix string // of longer keys: the prefix alone is no record's key
-	holds  func(key string) bool
-	apply  func(c *Controller, record change)
+	key     string
+	prefix  string // matches longer keys only; the prefix itself is not a key
+	matches func(key string) bool
+	apply   func(c *Controller, record change)
 }
 
-// recordHandlers are all records that the controller keeps in memory, but for the calendar's.
-// The first that fits a key takes its change in.
+// recordHandlers covers all records that the controller keeps in memory, except the calendar's.
+// The first handler that matches a key applies its change.
 var recordHandlers = []recordHandler{
 	{key: members.ViewKey, apply: (*Controller).applyView},
 	{prefix: members.MemberPrefix, apply: (*Controller).applyMember},
@@ -44,16 +44,16 @@
 	{prefix: taskbatch.KeyPrefix, apply: (*Controller).applyBatch},
 	{prefix: jobs.JobPrefix, apply: (*Controller).applyJob},
 	{prefix: fleet.MachinePrefix, apply: (*Controller).applyMachine},
-	{holds: isClaimsKey, apply: (*Controller).applyClaims},
+	{matches: isClaimsKey, apply: (*Controller).applyClaims},
 	{prefix: provisioning.MachineTypePrefix, apply: (*Controller).applyMachineType},
-	{holds: provisioning.IsSummaryKey, apply: (*Controller).applySummary},
+	{matches: provisioning.IsSummaryKey, apply: (*Controller).applySummary},
 	{prefix: jobs.FinalPrefix, apply: (*Controller).applyFinal},
 	{key: quota.StoreKey, apply: (*Controller).applyQuota},
 	{prefix: lending.Prefix, apply: (*Controller).applyLoans},
 	{prefix: pipelines.RunPrefix, apply: (*Controller).applyRun},
 }
 
-// match tells whether the handler takes in changes of a key, and the key after its prefix.
+// match reports whether the handler applies to a key, and returns the key without the prefix.
 func (h *recordHandler) match(key string) (name string, ok bool) {
 	switch {
 	case h.key != "":
@@ -61,13 +61,12 @@
 	case h.prefix != "":
 		return strings.TrimPrefix(key, h.prefix), hasPrefix(key, h.prefix)
 	default:
-		return key, h.holds(key)
+		return key, h.matches(key)
 	}
 }
 
-// applyChange takes a change of the mirror into the typed state. An unreadable
-// record is logged and quarantined: it stays in the store, and nothing is
-// decided from it.
+// applyChange applies a change of the mirror to the typed state. An unreadable record is logged
+// and quarantined: it stays in the store, and no decision is based on it.
 func (c *Controller) applyChange(key string, value json.RawMessage, revision uint64) {
 	c.dirty = true
 	if c.calendar.Changed(key, value) {
@@ -82,15 +81,15 @@
 	}
 }
 
-// logUnreadable logs a record that was quarantined, if err says that one was.
+// logUnreadable logs that a record was quarantined if err, from applying it, is not nil.
 func (c *Controller) logUnreadable(record change, err error) {
 	if err != nil {
 		c.log.Error("unreadable record quarantined", "key", record.key, "error", err)
 	}
 }
 
-// applyView takes in the view and gives each machine its owner under it. An unreadable view
-// changes nothing: the last one stays in force.
+// applyView applies a new view and updates the owner of each machine. An unreadable view is
+// ignored: the last one stays in force.
 func (c *Controller) applyView(record change) {
 	view, ok := members.Decode(record.value)
 	if !ok {
@@ -151,7 +150,7 @@
 	c.logUnreadable(record, c.queue.ApplyClaims(record.key, record.value))
 }
 
-// applyMachineType takes in a machine type. One that cannot be read leaves the known one.
+// applyMachineType applies a machine type. An unreadable record leaves the known one in place.
 func (c *Controller) applyMachineType(record change) {
 	if record.value == nil {
 		delete(c.state.MachineTypes, record.name)
@@ -178,7 +177,7 @@
 
 func (c *Controller) applyRun(record change) { c.api.ApplyRun(record.name, record.value) }
 
-// hasPrefix tells whether a key is longer than the prefix and begins with it.
+// hasPrefix reports whether a key begins with the prefix and is longer than it.
 func hasPrefix(key, prefix string) bool {
 	return len(key) > len(prefix) && strings.HasPrefix(key, prefix)
 }
--- a/internal/controller/changes_test.go
+++ b/internal/controller/changes_test.go
@@ -11,8 +11,8 @@
 	"github.com/harrierreel/harrierreel/internal/quota"
 )
 
-// handlersOf counts the handlers that take in changes of a key.
-func handlersOf(key string) int {
+// countHandlers returns the number of handlers that match a key.
+func countHandlers(key string) int {
 	count := 0
 	for i := range recordHandlers {
 		if _, ok := recordHandlers[i].match(key); ok {
@@ -22,12 +22,12 @@
 	return count
 }
 
-// Each record that is listed at a start is taken in by one handler, whatever their order.
+// Every key listed at startup matches exactly one handler, so their order does not matter.
 func TestEveryListedKeyHasOneHandler(t *testing.T) {
 	wholeKeys := []string{members.ViewKey, fleet.ClaimsKey, provisioning.SummaryKey, quota.StoreKey}
 	for _, key := range wholeKeys {
-		if got := handlersOf(key); got != 1 {
-			t.Errorf("%d handlers of %q, want 1", got, key)
+		if got := countHandlers(key); got != 1 {
+			t.Errorf("%d handlers match %q, want 1", got, key)
 		}
 	}
 	prefixes := append([]string{lending.Prefix}, livePrefixes...)
@@ -39,11 +39,11 @@
 		case members.ViewKey, fleet.ClaimsKey, provisioning.SummaryKey:
 			continue // whole keys
 		}
-		if got := handlersOf(prefix + "x-1"); got != want {
-			t.Errorf("%d handlers of keys under %q, want %d", got, prefix, want)
+		if got := countHandlers(prefix + "x-1"); got != want {
+			t.Errorf("%d handlers match keys with prefix %q, want %d", got, prefix, want)
 		}
-		if got := handlersOf(prefix); got != 0 {
-			t.Errorf("%d handlers of the prefix %q alone, want 0", got, prefix)
+		if got := countHandlers(prefix); got != 0 {
+			t.Errorf("%d handlers match the bare prefix %q, want 0", got, prefix)
 		}
 	}
 }
--- a/internal/controller/closing.go
+++ b/internal/controller/closing.go
@@ -8,7 +8,7 @@
 	"github.com/harrierreel/harrierreel/internal/store"
 )
 
-// closeJobs closes jobs whose tasks are done and removes the records of closed jobs.
+// closeJobs closes the jobs whose tasks are all done and removes the records of closed jobs.
 func (c *Controller) closeJobs() {
 	for _, jobID := range clusterstate.SortedKeys(c.state.Complete) {
 		c.closeJob(c.state.Complete[jobID])
@@ -16,7 +16,7 @@
 	c.clearClosedJobs()
 }
 
-// closeJob writes the final state of a job whose tasks are done, unless that is under way.
+// closeJob writes the final state of a job whose tasks are all done, unless a write is in progress.
 func (c *Controller) closeJob(job *clusterstate.Job) {
 	if c.leaderState.closing[job.ID] || c.committer.Busy(jobs.JobPrefix+job.ID) {
 		return
@@ -34,8 +34,8 @@
 	c.api.CloseJob(job, state, store.PriorityDecision, func(bool) { delete(c.leaderState.closing, job.ID) })
 }
 
-// clearClosedJobs removes the records of closed jobs. It is not urgent, so it uses spare writes
-// only: decisions that are urgent must not wait for it.
+// clearClosedJobs removes the records of closed jobs. It uses only spare writes, so that it does
+// not delay urgent decisions.
 func (c *Controller) clearClosedJobs() {
 	txnOps := c.settings.Cluster.State.TxnOps
 	var decisions []decide.Decision
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,12 +1,12 @@
-// Package controller joins the other packages into one controller. One event loop owns all
-// state: messages and ticks come in, calls to other services go out, and their answers
-// come back through the same loop. But for Serve it does no IO and reads no clock, so the
-// scenarios run it against simulated services.
+// Package controller assembles the other packages into one controller process. A single event
+// loop owns all state: it handles incoming messages and ticks, sends calls to other services and
+// receives their answers as further events. Except for Serve, the package does no IO and reads
+// no clock, so the scenario tests run it against simulated services.
 //
-// Everything it does follows from the mirror of the store: a decision is a transaction
-// conditional on the view and on every record it was made from, and commands to agents and
-// calls to the cloud are derived from committed records only. A lost, late or doubtful
-// transaction therefore needs no memory of its own: whatever it did shows in the mirror.
+// All decisions are based on the mirror, the local copy of the store. Each decision is a
+// transaction conditional on the view and on every record it was based on, and commands to agents
+// and calls to the cloud are derived from committed records only. The outcome of a lost, delayed
+// or unanswered transaction therefore needs no separate tracking: it shows in the mirror.
 package controller
 
 import (
@@ -35,8 +35,8 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Controller is one controller. Everything but Serve runs on its event loop; nothing in it is
-// locked.
+// Controller is one controller process of the cluster. All of its methods run on its event loop,
+// so it uses no locks.
 type Controller struct {
 	settings  *settings.Settings
 	transport Transport
@@ -47,13 +47,13 @@
 	mirror *store.Mirror
 	sync   syncState
 
-	state *clusterstate.State // what is known from the records, and the time of the present event
+	state *clusterstate.State // decoded records, and the time of the current event
 	view  *members.View
 
-	role          members.Role // under the view of roleEpoch, not under a newer one in view
+	role          members.Role // in the view of roleEpoch; view may already be newer
 	roleEpoch     uint64
 	gossipedAt    time.Time
-	gossipedEpoch uint64 // of the store, as last told to peers
+	gossipedEpoch uint64 // store epoch in the last gossip message
 
 	callErrors    callerrors.Counter
 	committer     *commit.Committer
@@ -64,28 +64,28 @@
 	shard         *shard.Shard
 	reachability  *reachability.Tracker
 	membership    *membership.Membership
-	calendar      *calendar.Service // nil: turned off
+	calendar      *calendar.Service // nil if disabled
 	cancellations *cancellation.Service
-	acks          *readconsistency.AckLog // what users were told of jobs
+	acks          *readconsistency.AckLog // job states that users were answered with
 
-	dirty              bool // something happened that decisions may follow from
+	dirty              bool // an event since the last reconciliation may call for decisions
 	reconciledAt       time.Time
 	leaderReconciledAt time.Time
 	writesLoggedAt     time.Time
 
-	checks            standby.Checks // of this controller as a leader
-	tickedAt          time.Time      // last tick of the loop's clock
-	loopLag           time.Duration  // how late the ticks have been of late
-	behindSince       time.Time      // since when peers have read further than the mirror, zero if not
-	shuttingDownSince time.Time      // zero: it was not asked to end
+	checks            standby.Checks // readiness checks of a new leader
+	tickedAt          time.Time      // last tick of the loop
+	loopLag           time.Duration  // recent delay of the ticks
+	behindSince       time.Time      // since when peers have known a newer epoch, zero if none does
+	shuttingDownSince time.Time      // zero unless a shutdown was requested
 }
 
-// New makes a controller that knows nothing yet. It reads as the list of who depends on whom:
-// what a collaborator needs of one that is made after it is looked up when it is called.
-func New(set *settings.Settings, transport Transport, log *slog.Logger, random *rand.Rand) *Controller {
-	c := &Controller{settings: set, log: log, rand: random, role: members.Outside}
-	c.transport = transport.countingErrors(&c.callErrors)
-	c.state = clusterstate.New(quota.Flat(set.TeamMap()), c.reviewMachine)
+// New returns a controller with an empty state. Collaborators are created in the order of their
+// dependencies; those that need one created later look it up at each call.
+func New(cfg *settings.Settings, transport Transport, log *slog.Logger, random *rand.Rand) *Controller {
+	c := &Controller{settings: cfg, log: log, rand: random, role: members.Outside}
+	c.transport = transport.withErrorCounting(&c.callErrors)
+	c.state = clusterstate.New(quota.Flat(cfg.TeamMap()), c.reviewMachine)
 	c.client = c.newClient()
 	c.cancellations = c.newCancellations()
 	c.acks = c.newAckLog()
@@ -103,20 +103,20 @@
 	return c
 }
 
-// State is what is known from the records. Callers outside this package only read it, between events.
+// State returns the decoded records. Callers outside this package may only read it, between events.
 func (c *Controller) State() *clusterstate.State { return c.state }
 
-// wake has the loop look for decisions to take.
+// wake schedules a reconciliation.
 func (c *Controller) wake() { c.dirty = true }
 
-// reviewMachine has a machine's records compared with its heartbeats.
+// reviewMachine schedules a comparison of a machine's records with its heartbeats.
 func (c *Controller) reviewMachine(machine string) {
 	c.shard.ReviewMachine(machine)
 	c.dirty = true
 }
 
-// Run handles one event at its time, and what follows from it. It must not be called while
-// another Run or Tick is under way.
+// Run handles one event at the time now and then reconciles. It must not be called while another
+// Run or Tick is running.
 func (c *Controller) Run(now time.Time, event func()) {
 	last := c.state.Now
 	c.state.Now = now
@@ -131,7 +131,7 @@
 	c.reconcile()
 }
 
-// Tick does what is due by time. The loop calls it every tuning.Tick.
+// Tick does the periodic work. The loop calls it every tuning.Tick.
 func (c *Controller) Tick(now time.Time) {
 	c.Run(now, func() {
 		c.measureLoopLag()
@@ -148,7 +148,7 @@
 	})
 }
 
-// reconcile takes the decisions that the last events made possible, at most once in
+// reconcile makes the decisions that the latest events call for, at most once per
 // tuning.ReconcileGap.
 func (c *Controller) reconcile() {
 	if !c.dirty || c.state.Now.Sub(c.reconciledAt) < tuning.ReconcileGap {
@@ -160,9 +160,9 @@
 		return
 	}
 	if c.mirror.Epoch < c.mirror.Revision(members.ViewKey) {
-		// Our own commit of the view is ahead of the watch: what the last view
-		// still committed is not all here yet, and deciding without it would
-		// forget charges and placements.
+		// This controller's own commit of the view is ahead of the watch, so the mirror may
+		// still lack transactions committed under the previous view. A decision made now would
+		// miss their quota charges and placements.
 		c.dirty = true
 		return
 	}
@@ -176,8 +176,8 @@
 	c.client.Dispatch(c.state.Now)
 }
 
-// reconcileLeader takes the leader's decisions. It looks at every machine, so the pause between
-// two calls grows with their number.
+// reconcileLeader makes the leader's decisions. It examines every machine, so the minimum pause
+// between two passes grows with their number.
 func (c *Controller) reconcileLeader() {
 	pause := tuning.ReconcileGap + time.Duration(len(c.state.Machines))*tuning.LeaderGapPerMachine
 	if c.state.Now.Sub(c.leaderReconciledAt) < pause {
@@ -188,7 +188,7 @@
 	c.runLeaderDuties()
 }
 
-// Wait tells how long the loop may sleep.
+// Wait returns how long the loop may sleep.
 func (c *Controller) Wait() time.Duration {
 	if c.dirty {
 		return c.api.WaitForHeld(tuning.ReconcileGap)
@@ -199,7 +199,7 @@
 	return c.api.WaitForHeld(tuning.Tick)
 }
 
-// Request takes a request of a user, an operator or an agent. respond is called exactly once.
+// Request handles a request from a user, an operator or an agent. respond is called exactly once.
 func (c *Controller) Request(request *http1.Message, respond func(http1.Reply)) {
 	party := callerrors.AgentRequests
 	if api.IsUsers(request) {
@@ -211,7 +211,7 @@
 	})
 }
 
-// reviewMachineOf has a task's machine reviewed.
+// reviewMachineOf schedules a review of the machine that a task is on, if any.
 func (c *Controller) reviewMachineOf(t *clusterstate.Task) {
 	if t.Machine != "" {
 		c.shard.ReviewMachine(t.Machine)
--- a/internal/controller/diagnostics.go
+++ b/internal/controller/diagnostics.go
@@ -6,7 +6,7 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// logWriteCounts logs what the writes to the store were spent on, by kind of key.
+// logWriteCounts logs the number of writes to the store by kind of key, every tuning.Step.
 func (c *Controller) logWriteCounts() {
 	if c.state.Now.Sub(c.writesLoggedAt) >= tuning.Step {
 		c.writesLoggedAt = c.state.Now
@@ -14,7 +14,7 @@
 	}
 }
 
-// logCallErrors logs which calls were refused, once a minute.
+// logCallErrors logs which calls were refused, every tuning.CallErrorsLogEvery.
 func (c *Controller) logCallErrors() {
 	unexpected, load := c.callErrors.Report(c.state.Now)
 	if unexpected != "" {
@@ -25,5 +25,5 @@
 	}
 }
 
-// ProtocolErrors counts the calls and decisions so far that a correct program never makes.
+// ProtocolErrors returns the number of calls and decisions so far that a correct program never makes.
 func (c *Controller) ProtocolErrors() int { return c.callErrors.Unexpected + c.committer.Quarantined() }
--- a/internal/controller/gossip.go
+++ b/internal/controller/gossip.go
@@ -12,11 +12,11 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// ReceiveGossip takes a line from a peer.
+// ReceiveGossip handles a line that a peer sent: one encoded gossip message.
 func (c *Controller) ReceiveGossip(line []byte) {
 	gossip, err := peer.Decode(line, c.isPeer)
 	if err != nil {
-		c.countUndecoded(line, err)
+		c.countDecodeError(line, err)
 		return
 	}
 	c.membership.PeerAlive(gossip.From)
@@ -36,22 +36,22 @@
 	c.applyUnreached(gossip.From, gossip.Unreached)
 }
 
-// isPeer tells whether the settings name this controller as a peer.
+// isPeer reports whether the settings list a controller of this name as a peer.
 func (c *Controller) isPeer(name string) bool {
 	return slices.ContainsFunc(c.settings.Peers, func(p settings.Peer) bool { return p.NodeName == name })
 }
 
-// countUndecoded counts a line that was not taken in, as a request that was refused.
-func (c *Controller) countUndecoded(line []byte, err error) {
+// countDecodeError counts a line that could not be decoded as a refused request.
+func (c *Controller) countDecodeError(line []byte, err error) {
 	var decodeError *peer.DecodeError
 	if errors.As(err, &decodeError) {
 		c.callErrors.Note(callerrors.Peers, "line", string(decodeError.Reason), http.StatusBadRequest, line)
 	}
 }
 
-// applyUnreached takes in which agents came to a peer instead of their owner. An agent
-// that cannot reach its owner always tries the same next controller, which need not
-// be the leader.
+// applyUnreached records complaints about the owners of machines whose agents turned to the peer
+// from instead. An agent that cannot reach its owner always falls back to the same next
+// controller, which is not necessarily the leader.
 func (c *Controller) applyUnreached(from string, machines []string) {
 	for _, machine := range machines[:min(len(machines), tuning.MaxUnreached)] {
 		if owner := c.ownerOf(machine); owner != from && c.state.Machines[machine] != nil {
@@ -60,8 +60,8 @@
 	}
 }
 
-// sendGossip sends all peers what this controller knows: at once when the mirror has got
-// further, but not more than twice in tuning.GossipEvery, and else once in that time.
+// sendGossip sends this controller's status to all peers once per tuning.GossipEvery, or up to
+// twice in that time while the mirror advances.
 func (c *Controller) sendGossip() {
 	pause := tuning.GossipEvery
 	if c.mirror.Epoch > c.gossipedEpoch {
@@ -76,8 +76,8 @@
 	c.broadcast(gossip)
 }
 
-// broadcastAcks tells the other controllers what users are about to be told of jobs, before
-// the answers leave.
+// broadcastAcks tells the other controllers which job states users are about to be answered with,
+// before the answers are sent.
 func (c *Controller) broadcastAcks() {
 	for _, acks := range c.acks.TakeUnsent() {
 		gossip := c.newGossip(cancellation.Message{})
@@ -88,7 +88,7 @@
 	}
 }
 
-// broadcast sends all peers a line.
+// broadcast sends a gossip message to all peers.
 func (c *Controller) broadcast(gossip peer.Gossip) {
 	line := peer.Encode(gossip)
 	for _, p := range c.settings.Peers {
@@ -96,12 +96,12 @@
 	}
 }
 
-// send sends a peer a line about cancellations.
+// send sends a message about cancellations to a peer.
 func (c *Controller) send(name string, message cancellation.Message) {
 	c.transport.Gossip(name, peer.Encode(c.newGossip(message)))
 }
 
-// newGossip is what this controller says of itself with each line, beside the message.
+// newGossip returns a gossip message that carries this controller's status and the given message.
 func (c *Controller) newGossip(message cancellation.Message) peer.Gossip {
 	return peer.Gossip{
 		From:               c.settings.NodeName,
@@ -113,9 +113,9 @@
 	}
 }
 
-// machinesHeardEpoch is the epoch of the view under which this controller has heard its
-// machines, 0 if it has not. It is told only when its own watch shows the list of those that
-// it does not hear, since whoever is told waits for that epoch of the store.
+// machinesHeardEpoch returns the epoch of the view under which this controller has heard from its
+// machines, 0 if it has not. It stays 0 until the watch shows this controller's own list of
+// unresponsive machines, because receivers wait until they have read that epoch of the store.
 func (c *Controller) machinesHeardEpoch() uint64 {
 	for _, key := range c.shard.UnresponsiveKeys() {
 		if c.mirror.Epoch < c.mirror.Revision(key) {
@@ -125,7 +125,7 @@
 	return c.shard.MachinesHeardEpoch()
 }
 
-// hearsAllMembers tells whether the lines of all other members come in.
+// hearsAllMembers reports whether gossip is arriving from all other members of the view.
 func (c *Controller) hearsAllMembers() bool {
 	if c.view == nil {
 		return true
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -7,14 +7,14 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// mayDecide tells whether this controller may decide for users.
+// mayDecide reports whether this controller may make decisions for users' requests.
 func (c *Controller) mayDecide() bool {
 	return !c.client.Unavailable() && c.inCertainView()
 }
 
-// healthy tells whether users should be sent here. While the store is unavailable every
-// controller stays healthy and refuses at once; one that alone cannot reach the store, as
-// its peers' gossip shows, is not healthy.
+// healthy reports whether the load balancer should send users here. While the store is unavailable
+// to all, every controller stays healthy and refuses requests at once. A controller that cannot
+// reach the store while its peers' gossip shows that they can is not healthy.
 func (c *Controller) healthy() bool {
 	if !c.inCertainView() || !c.shuttingDownSince.IsZero() {
 		return false
@@ -22,14 +22,14 @@
 	return !c.client.Unavailable() || !c.reachability.StoreReachableElsewhere()
 }
 
-// inCertainView tells whether this controller follows the store, and knows that it is in the view.
+// inCertainView reports whether this controller follows the store and is certain to be in the view.
 func (c *Controller) inCertainView() bool {
 	return c.sync.live && c.role != members.Outside && c.membership.Certain()
 }
 
-// handleStall takes note that the loop did not run for so long. What it measured
-// meanwhile proves nothing: no machine or member is judged unresponsive for time in which this
-// controller did not listen. Deadlines, such as that of a cancelled task, are not put off.
+// handleStall handles a gap during which the loop did not run. No machine or member counts as
+// unresponsive for time in which this controller was not listening. Deadlines, such as that of a
+// cancelled task, are not extended.
 func (c *Controller) handleStall(gap time.Duration) {
 	c.log.Info("process stalled", "duration_ms", gap.Milliseconds())
 	c.shard.Stalled(gap)
@@ -38,8 +38,8 @@
 	c.membership.Stalled(gap)
 }
 
-// measureLoopLag takes note of how late the loop's clock ticks: the largest delay of late,
-// which decays by a quarter with each tick.
+// measureLoopLag updates loopLag, the largest recent delay of a tick, which decays by a quarter
+// with each tick.
 func (c *Controller) measureLoopLag() {
 	if !c.tickedAt.IsZero() {
 		delay := max(0, c.state.Now.Sub(c.tickedAt)-2*tuning.Tick)
@@ -48,7 +48,7 @@
 	c.tickedAt = c.state.Now
 }
 
-// lag is how far this controller is behind, with its own loop or with the watch.
+// lag returns how far this controller is behind, in its own loop or in following the store.
 func (c *Controller) lag() time.Duration {
 	lag := c.loopLag
 	if !c.behindSince.IsZero() {
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -9,23 +9,23 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// leaderState is what only the leader keeps. A new leader starts it anew from the
-// mirror and the cloud's list.
+// leaderState is the state that only the leader keeps. A new leader rebuilds it from the mirror
+// and the cloud's list.
 type leaderState struct {
 	closing          map[string]bool // jobs whose records are being closed in several transactions
 	replicasMovedAt  time.Time
-	releasedAt       time.Time // last scheduling cycle
+	lastCycleAt      time.Time // last scheduling cycle
 	queueWasEmpty    bool      // at the last scheduling cycle
 	batchesClearedAt time.Time
-	nextDuty         int // which duty is first to use the write budget
+	nextDuty         int // index of the duty that may use the write budget first
 }
 
-// reset forgets everything.
+// reset clears everything.
 func (l *leaderState) reset() {
 	*l = leaderState{closing: map[string]bool{}}
 }
 
-// runLeaderDuties does what only the leader does, once its checks permit it.
+// runLeaderDuties performs the tasks of the leader once its checks permit them.
 func (c *Controller) runLeaderDuties() {
 	if c.role != members.Leader || !c.checks.Permits(standby.Decommission) {
 		return
@@ -38,8 +38,8 @@
 	c.calendar.Pass()
 	c.queue.DropClaims()
 	c.queue.ReconcileClaims()
-	// Where the write budget does not allow all duties, each is first in turn.
-	duties := []func(){c.closeJobs, c.provisioner.Decommission, c.queue.UnassignStale, c.releaseQueued}
+	// The write budget may not suffice for all duties, so they take turns at going first.
+	duties := []func(){c.closeJobs, c.provisioner.Decommission, c.queue.UnassignStale, c.scheduleQueued}
 	for i := range duties {
 		duties[(c.leaderState.nextDuty+i)%len(duties)]()
 	}
@@ -48,9 +48,9 @@
 	c.clearBatches()
 }
 
-// releaseQueued runs a scheduling cycle, if the write budget allows one now. While no write can
-// be made, free capacity accumulates: the next cycle places in fewer and larger records.
-func (c *Controller) releaseQueued() {
+// scheduleQueued runs a scheduling cycle if the write budget allows one now. While it does not,
+// free capacity accumulates, and the next cycle places tasks in fewer, larger records.
+func (c *Controller) scheduleQueued() {
 	if !c.checks.Permits(standby.Schedule) || !c.api.QuotaSettled() {
 		return
 	}
@@ -61,24 +61,24 @@
 	if c.queue.Scarce() {
 		minWrites = tuning.MinBatchWrites
 	}
-	overdue := c.state.Now.Sub(c.leaderState.releasedAt) > tuning.AssignLateAfter
+	overdue := c.state.Now.Sub(c.leaderState.lastCycleAt) > tuning.AssignLateAfter
 	if c.client.Allows(0, minWrites) || overdue {
-		c.leaderState.releasedAt, c.leaderState.queueWasEmpty = c.state.Now, len(c.state.Queued) == 0
+		c.leaderState.lastCycleAt, c.leaderState.queueWasEmpty = c.state.Now, len(c.state.Queued) == 0
 		c.queue.RunCycle()
 	}
 }
 
-// batchCycleDue tells whether a scheduling cycle that writes batch records may follow the last
-// one. A cycle over an empty queue puts off none: the next job is placed as it comes.
+// batchCycleDue reports whether a scheduling cycle that writes batch records is due. A cycle over
+// an empty queue does not delay the next one, so the next job is placed as soon as it arrives.
 func (c *Controller) batchCycleDue() bool {
 	pause := tuning.BatchEvery
 	if !c.client.HasSpareWrites() {
 		pause = tuning.BatchEveryScarce
 	}
-	return c.leaderState.queueWasEmpty || c.state.Now.Sub(c.leaderState.releasedAt) >= pause
+	return c.leaderState.queueWasEmpty || c.state.Now.Sub(c.leaderState.lastCycleAt) >= pause
 }
 
-// clearBatches removes batch records that hold only tasks of closed jobs.
+// clearBatches removes batch records that hold only tasks of closed jobs, at most every tuning.Step.
 func (c *Controller) clearBatches() {
 	due := c.state.Now.Sub(c.leaderState.batchesClearedAt) >= tuning.Step
 	if len(c.state.Batches) == 0 || !due || !c.client.HasSpareWrites() {
--- a/internal/controller/leader_checks.go
+++ b/internal/controller/leader_checks.go
@@ -5,9 +5,9 @@
 	"github.com/harrierreel/harrierreel/internal/standby"
 )
 
-// updateChecks notes what this controller has checked as a leader. The store is asked for
-// nothing: each check is of what the controller knows or waits for anyway. Those of the view
-// always hold here, since reconcile returns before it where they don't.
+// updateChecks records the results of the checks that a new leader must pass. It sends no requests
+// to the store: each check concerns state that the controller already has or is waiting for. The
+// checks of the view always hold here, because reconcile returns early otherwise.
 func (c *Controller) updateChecks() {
 	if c.role != members.Leader {
 		return
@@ -32,7 +32,7 @@
 	}
 }
 
-// recordCheck notes whether a check holds, and logs it the first time that it does.
+// recordCheck records whether a check holds and logs the first time that it does.
 func (c *Controller) recordCheck(check standby.Check, holds bool) {
 	first, after := c.checks.Record(check, holds, c.state.Now)
 	if !first {
@@ -45,7 +45,7 @@
 	}
 }
 
-// pendingChecks is what a leader has still to check.
+// pendingChecks returns the checks that this controller has yet to pass as the leader.
 func (c *Controller) pendingChecks() []standby.Check {
 	if c.role != members.Leader {
 		return nil
--- a/internal/controller/limits.go
+++ b/internal/controller/limits.go
@@ -6,10 +6,10 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// updateBudget sets this controller's share of the store's request rate, which the live
-// members divide among them: what an ended one leaves is there for the others.
-// Where views differ for a moment the limits may be passed; the store then refuses, and
-// the call is sent again.
+// updateBudget sets this controller's share of the store's rate limits, which the members of the
+// view divide among themselves: the share of a member that has left goes to the others. While
+// controllers briefly disagree on the view, they may exceed the limits together; the store then
+// refuses calls, which are retried.
 func (c *Controller) updateBudget() {
 	requestShare, writeShare := c.budgetShares()
 	store := c.settings.Cluster.State
@@ -18,7 +18,8 @@
 	c.api.UpdateRunBudget()
 }
 
-// budgetShares are this controller's parts of all requests to the store and of all writes.
+// budgetShares returns this controller's shares (0 to 1) of the store's requests and of its writes.
+// A share of the writes may exceed the even one, see tuning.WriteOvercommit.
 func (c *Controller) budgetShares() (requests, writes float64) {
 	size := c.settings.Cluster.Size
 	if c.role != members.Outside {
@@ -35,18 +36,18 @@
 	}
 }
 
-// valueBytes is how many bytes a record may have.
+// valueBytes returns the maximum size of a record in bytes.
 func (c *Controller) valueBytes() int { return int(c.settings.Cluster.State.ValueKB * 1024) }
 
-// maxRangeTasks is how many tasks one record of a task range holds: as many as its bytes allow,
-// and as one transaction can move with their preconditions.
+// maxRangeTasks returns the maximum number of tasks in one task range record. Both the record's
+// size and the number of preconditions that a transaction moving all of them needs limit it.
 func (c *Controller) maxRangeTasks() int {
 	byBytes := max(1, c.valueBytes()/tuning.RangeTaskBytes)
 	return min(byBytes, c.settings.Cluster.State.TxnOps*tuning.PreconditionsPerOp/2)
 }
 
-// usesBatches tells whether tasks are placed in batch records: where writes are scarce, and
-// every member can read them.
+// usesBatches reports whether tasks are placed in batch records: if the settings ask for it, by
+// default where writes are scarce, and every member can read them.
 func (c *Controller) usesBatches() bool {
 	var wanted bool
 	switch c.settings.Operator.TaskBatching {
--- a/internal/controller/release_test.go
+++ b/internal/controller/release_test.go
@@ -20,17 +20,17 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// storeLimits are what the store of a test allows.
+// storeLimits returns the limits of the store in these tests.
 func storeLimits(writeRPS float64) settings.State {
 	return settings.State{RPS: 250, WriteRPS: writeRPS, ValueKB: 8, TxnOps: 16}
 }
 
-// put enters a record into the mirror as the watch does.
+// put adds a record to the mirror as the watch would.
 func put(c *Controller, key string, value any, revision uint64) {
 	c.mirror.Put(key, jobs.Encode(value), revision)
 }
 
-// arraySpec is a job array of tasks of one core.
+// arraySpec returns the spec of a job array whose tasks use one core each.
 func arraySpec(jobID string, tasks int) jobs.Spec {
 	return jobs.Spec{
 		ID:        jobID,
@@ -45,16 +45,16 @@
 	}
 }
 
-// putJob enters an accepted job into the mirror.
+// putJob adds an accepted job to the mirror.
 func putJob(c *Controller, spec jobs.Spec, revision uint64) {
 	put(c, jobs.JobPrefix+spec.ID, jobs.Record{State: jobs.Live, AcceptedMs: c.state.NowMs(), Spec: spec}, revision)
 }
 
-// newLeader is a controller that leads by itself over so many machines of 16 cores, with so
-// many jobs of one task waiting. Nothing it sends is ever answered.
+// newLeader returns a controller that leads a view of one member, with the given numbers of
+// machines of 16 cores and of waiting jobs of one task each. None of its calls is ever answered.
 func newLeader(machines, waiting int, writeRPS float64) *Controller {
-	set := &settings.Settings{NodeName: "n0", Operator: settings.DefaultOperator()}
-	set.Cluster = settings.Cluster{
+	cfg := &settings.Settings{NodeName: "n0", Operator: settings.DefaultOperator()}
+	cfg.Cluster = settings.Cluster{
 		Size:    1,
 		Teams:   []settings.Team{{Name: "team"}},
 		State:   storeLimits(writeRPS),
@@ -68,31 +68,31 @@
 		Cloud:  neverAnswered,
 		Gossip: func(string, []byte) {},
 	}
-	c := New(set, transport, slog.New(slog.DiscardHandler), rand.New(rand.NewPCG(1, 1)))
+	c := New(cfg, transport, slog.New(slog.DiscardHandler), rand.New(rand.NewPCG(1, 1)))
 	c.state.Now = time.UnixMilli(1e12)
-	enterRecords(c, machines, waiting)
+	putRecords(c, machines, waiting)
 	c.sync.live = true
 	c.role, c.roleEpoch = members.Leader, 1
 	c.client.Dispatch(c.state.Now)
-	c.state.Now = c.state.Now.Add(time.Second) // the budget fills
+	c.state.Now = c.state.Now.Add(time.Second) // refills the budget
 	c.client.Dispatch(c.state.Now)
-	c.shard.Reconciling.SetView(1, nil, nil, c.state.Now) // as on any day: steady
+	c.shard.Reconciling.SetView(1, nil, nil, c.state.Now) // no other members: reconciliation is complete at once
 	return c
 }
 
-// enterRecords enters the view, one machine type, its machines and the waiting jobs.
-func enterRecords(c *Controller, machines, waiting int) {
+// putRecords adds the view, one machine type, its machines and the waiting jobs to the mirror.
+func putRecords(c *Controller, machines, waiting int) {
 	revision := uint64(0)
-	enter := func(key string, value any) {
+	putNext := func(key string, value any) {
 		revision++
 		put(c, key, value, revision)
 	}
-	enter(members.ViewKey, members.View{
+	putNext(members.ViewKey, members.View{
 		Leader:  "n0",
 		Members: []members.Member{{Name: "n0", Incarnation: 1}},
 		Epoch:   1,
 	})
-	enter(provisioning.MachineTypePrefix+"g8", jobs.MachineType{
+	putNext(provisioning.MachineTypePrefix+"g8", jobs.MachineType{
 		Name:     "g8",
 		Cores:    16,
 		MemoryGB: 64,
@@ -101,7 +101,7 @@
 	})
 	for i := range machines {
 		record := fleet.MachineRecord{State: fleet.Up, MachineType: "g8", Zone: "a"}
-		enter(fmt.Sprintf("%si-%06d", fleet.MachinePrefix, i), record)
+		putNext(fmt.Sprintf("%si-%06d", fleet.MachinePrefix, i), record)
 	}
 	for i := range waiting {
 		spec := arraySpec(fmt.Sprintf("wk-%06d", i), 1)
@@ -112,9 +112,9 @@
 	c.mirror.Epoch = revision
 }
 
-// A thousand waiting jobs cost a scheduling cycle no more than the writes that it can
-// make; a job that it does not get to keeps its place among the waiting.
-func TestReleaseStopsAtTheWriteBudget(t *testing.T) {
+// A scheduling cycle over a thousand waiting jobs assigns no more tasks than the write budget
+// covers; a live job that it does not reach stays in the waiting list.
+func TestSchedulingCycleStopsAtWriteBudget(t *testing.T) {
 	c := newLeader(500, 1000, 40)
 	c.queue.Waiting = []*queue.Waiting{
 		{Task: &clusterstate.Task{Job: c.state.Jobs["wk-000999"]}, Count: 1},
@@ -122,29 +122,30 @@
 	}
 	c.queue.RunCycle()
 	if got := len(c.state.Reservations); got < 10 || got > 40 {
-		t.Errorf("released %d tasks with 40 writes a second", got)
+		t.Errorf("assigned %d tasks with 40 writes a second, want 10 to 40", got)
 	}
 	if len(c.queue.Waiting) != 1 || c.queue.Waiting[0].Task.Job.ID != "wk-000999" {
-		t.Errorf("waiting: %v", c.queue.Waiting)
+		t.Errorf("waiting: %v, want only wk-000999", c.queue.Waiting)
 	}
 	for _, inconsistency := range c.state.Audit() {
 		t.Error(inconsistency)
 	}
 }
 
-// Of a very large job no more tasks wait for machines, or are scaled out for, than may be active.
-func TestOfAHugeJobNoMoreTasksWaitThanMayBeActive(t *testing.T) {
+// A very large job counts with at most tuning.MaxActive tasks as waiting for machines, and so as
+// demand for scaling out.
+func TestWaitingTasksOfLargeJobAreLimitedToMaxActive(t *testing.T) {
 	c := newLeader(0, 0, 60)
 	putJob(c, arraySpec("wk-000007", 100000), 9000)
 	c.queue.RunCycle()
 	if len(c.queue.Waiting) != 1 || c.queue.Waiting[0].Count != tuning.MaxActive {
-		t.Errorf("waiting: %+v", c.queue.Waiting)
+		t.Errorf("waiting: %+v, want one entry of the maximum of active tasks", c.queue.Waiting)
 	}
 }
 
-// A job array of one task is over with the heartbeat that reports its end: its final state
-// replaces its records at once, but not all such ends are under way at the same time.
-func TestFewEndsOfManySingleTaskJobsAreUnderWayAtOnce(t *testing.T) {
+// When a heartbeat reports the end of a single-task job, its final state replaces its records at
+// once. If many such jobs end together, only about one transaction's worth of writes is in flight.
+func TestWritesInFlightAreLimitedWhenManySingleTaskJobsEnd(t *testing.T) {
 	c := newLeader(10, 50, 200)
 	var decisions []decide.Decision
 	for i := range 50 {
@@ -153,32 +154,32 @@
 		c.mirror.Put(jobs.TaskRangeKey(jobID, 0), jobs.EncodeTaskRange(placed, 8192), 5000)
 		decision, ok := completion.WithLastTask(c.state.Jobs[jobID].Tasks[0])
 		if !ok || len(decision.Writes) != 3 {
-			t.Fatalf("end of %s: %v %v", jobID, ok, decision.Writes)
+			t.Fatalf("completion of %s: ok %v, writes %v", jobID, ok, decision.Writes)
 		}
 		decisions = append(decisions, decision)
 	}
 	c.mirror.Epoch = 5000
 	c.committer.Commit(decisions)
-	underWay := 0
+	inFlight := 0
 	for _, decision := range decisions {
 		for _, write := range decision.Writes {
 			if c.committer.Busy(decide.WriteKey(write)) {
-				underWay++
+				inFlight++
 			}
 		}
 	}
-	if underWay < 16 || underWay > 18 {
-		t.Errorf("%d writes of ends under way with 16 a transaction", underWay)
+	if inFlight < 16 || inFlight > 18 {
+		t.Errorf("%d writes in flight with 16 per transaction, want 16 to 18", inFlight)
 	}
 }
 
-// newLeaderOfClasses is a leader over 2,000 machines with so many more waiting jobs, each of the
-// next of so many classes. With a tree, every class is a leaf of the quota tree.
-func newLeaderOfClasses(b *testing.B, waiting, leaves int, tree bool) *Controller {
+// newLeaderWithClasses returns a leader of 2,000 machines with waiting jobs spread evenly over the
+// given number of classes. With tree, every class is a leaf of the quota tree.
+func newLeaderWithClasses(b *testing.B, waiting, classes int, tree bool) *Controller {
 	b.Helper()
 	c := newLeader(2000, 0, 60)
 	team := quota.OfTeam{Name: "team"}
-	for i := range leaves {
+	for i := range classes {
 		team.Classes = append(team.Classes, quota.OfClass{
 			Name:      fmt.Sprint("c", i),
 			Limit:     &quota.Bounds{Cores: 40},
@@ -195,19 +196,19 @@
 	}
 	for i := range waiting {
 		spec := arraySpec(fmt.Sprintf("wk-9%05d", i), 1)
-		spec.Class = fmt.Sprint("c", i%leaves)
+		spec.Class = fmt.Sprint("c", i%classes)
 		spec.Priority = "standard"
 		putJob(c, spec, 1e6+uint64(i))
 	}
 	return c
 }
 
-// BenchmarkReleaseOfManyClasses is a scheduling cycle over 3,000 waiting tasks and 2,000 machines,
-// under the platform's team alone and under a tree of 1,000 leaves.
-func BenchmarkReleaseOfManyClasses(b *testing.B) {
+// BenchmarkScheduleManyClasses measures a scheduling cycle over 3,000 waiting tasks and 2,000
+// machines, with the platform's team alone and with a quota tree of 1,000 leaves.
+func BenchmarkScheduleManyClasses(b *testing.B) {
 	for _, tree := range []bool{false, true} {
 		b.Run(fmt.Sprintf("tree=%v", tree), func(b *testing.B) {
-			c := newLeaderOfClasses(b, 3000, 1000, tree)
+			c := newLeaderWithClasses(b, 3000, 1000, tree)
 			b.ReportAllocs()
 			for b.Loop() {
 				c.queue.RunCycle()
@@ -216,8 +217,8 @@
 	}
 }
 
-// BenchmarkReleaseOfManySmallJobs is a scheduling cycle over 1,000 waiting jobs of one task.
-func BenchmarkReleaseOfManySmallJobs(b *testing.B) {
+// BenchmarkScheduleManySmallJobs measures a scheduling cycle over 1,000 waiting jobs of one task.
+func BenchmarkScheduleManySmallJobs(b *testing.B) {
 	c := newLeader(1900, 1000, 60)
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/controller/replicas.go
+++ b/internal/controller/replicas.go
@@ -7,9 +7,9 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// moveReplicas evicts replicas from draining machines, which they would otherwise keep for
-// ever: one is stopped where another machine has room for it and holds its image, so that it
-// is away for a moment only. A few at a time.
+// moveReplicas evicts replicas, a few at a time, from draining machines, which they would otherwise
+// never leave. A replica is stopped only if another machine has room for it and holds its image,
+// so that its downtime is short.
 func (c *Controller) moveReplicas() {
 	if c.state.Now.Sub(c.leaderState.replicasMovedAt) < tuning.MoveEvery {
 		return
@@ -19,7 +19,7 @@
 	c.committer.Commit(c.replicaMoves(limit))
 }
 
-// replicaMoves is at most so many decisions that stop a replica on a draining machine.
+// replicaMoves returns at most limit decisions, each of which stops a replica on a draining machine.
 func (c *Controller) replicaMoves(limit int) []decide.Decision {
 	event := jobs.TaskEvent{Kind: jobs.Stop, Reason: "moved off a draining machine"}
 	var decisions []decide.Decision
@@ -40,8 +40,8 @@
 	return decisions
 }
 
-// isMovable tells whether a task is a replica that has been on its machine for long enough. One
-// of this controller's own machines must have been observed there.
+// isMovable reports whether a task is a replica that was placed on its machine long enough ago. On
+// one of this controller's own machines it must also have been observed running.
 func (c *Controller) isMovable(task *clusterstate.Task, machine string) bool {
 	if task.Job.Record == nil || task.State != jobs.Placed {
 		return false
@@ -52,7 +52,7 @@
 	return task.Job.Record.Spec.Kind == jobs.Service && c.state.Now.Sub(task.StateSince) >= tuning.MoveAfter
 }
 
-// hasRoomElsewhere tells whether a machine that holds a replica's image has room for it.
+// hasRoomElsewhere reports whether a replica fits another machine, one that holds its image.
 func (c *Controller) hasRoomElsewhere(task *clusterstate.Task, machine string) bool {
 	zones := c.state.TasksByZone(task.Job)
 	if m := c.state.Machines[machine]; m != nil {
--- a/internal/controller/runtime.go
+++ b/internal/controller/runtime.go
@@ -16,38 +16,38 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Serve runs a controller on real sockets and the real clock. When ctx ends it leaves the view
-// in order, and returns the context's error.
-func Serve(ctx context.Context, set *settings.Settings, log *slog.Logger) error {
-	debug.SetMemoryLimit(int64(set.Cluster.Limits.MemoryMB * tuning.MemoryShare * (1 << 20)))
+// Serve runs a controller on real sockets and the real clock. When ctx ends, the controller shuts
+// down gracefully and Serve returns the context's error.
+func Serve(ctx context.Context, cfg *settings.Settings, log *slog.Logger) error {
+	debug.SetMemoryLimit(int64(cfg.Cluster.Limits.MemoryMB * tuning.MemoryShare * (1 << 20)))
 	events := make(chan func(), tuning.EventQueue)
-	// The sockets outlive ctx: the shutdown needs them.
+	// The sockets outlive ctx because the shutdown needs them.
 	serving, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	var c *Controller
-	transport := dialers{events: events}.transport(serving, set, func(name string) { c.PeerDisconnected(name) })
+	transport := dialers{events: events}.transport(serving, cfg, func(name string) { c.PeerDisconnected(name) })
 	random := rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), 0))
-	c = New(set, transport, log, random)
+	c = New(cfg, transport, log, random)
 	c.state.Now = time.Now()
-	go newListener(set, c, events).Run(serving.Done())
+	go newListener(cfg, c, events).Run(serving.Done())
 	return runLoop(ctx, c, events)
 }
 
-// dialers makes the calls to other services on sockets. Answers come back as events.
+// dialers makes calls to other services over sockets. Their answers are sent to events.
 type dialers struct {
 	events chan<- func()
 }
 
-// transport is the other services and controllers on sockets. Links to peers end with ctx;
-// onDisconnect is called on the loop.
+// transport returns a Transport over sockets. Links to peers end with ctx; onDisconnect is called
+// on the loop.
 func (d dialers) transport(
-	ctx context.Context, set *settings.Settings, onDisconnect func(peer string),
+	ctx context.Context, cfg *settings.Settings, onDisconnect func(peer string),
 ) Transport {
-	links := d.links(ctx, set.Peers, onDisconnect)
+	links := d.links(ctx, cfg.Peers, onDisconnect)
 	return Transport{
-		Store: d.caller(set.Outside.State, tuning.StateConns),
-		Watch: d.caller(set.Outside.State, 1),
-		Cloud: d.caller(set.Outside.Cloud, tuning.CloudConns),
+		Store: d.caller(cfg.Outside.State, tuning.StateConns),
+		Watch: d.caller(cfg.Outside.State, 1),
+		Cloud: d.caller(cfg.Outside.Cloud, tuning.CloudConns),
 		Agent: func(endpoint, method, target string, body []byte, timeout time.Duration,
 			done func(int, []byte, error),
 		) {
@@ -61,7 +61,7 @@
 	}
 }
 
-// caller makes calls to one address, of whose connections so many are kept when idle.
+// caller returns a function that calls one address and keeps up to maxIdle idle connections to it.
 func (d dialers) caller(address string, maxIdle int) store.Call {
 	client := &http1.Client{Addr: address, MaxIdle: maxIdle, MaxBody: tuning.MaxAnswerBody}
 	return func(method, target string, body []byte, timeout time.Duration, done func(int, []byte, error)) {
@@ -78,7 +78,7 @@
 	}
 }
 
-// links starts a link to each peer, by its name.
+// links starts a link to each peer and returns the links by peer name.
 func (d dialers) links(
 	ctx context.Context, peers []settings.Peer, onDisconnect func(peer string),
 ) map[string]*peer.Link {
@@ -94,14 +94,14 @@
 	return links
 }
 
-// newListener takes requests and peers' lines, and refuses those for which the loop is too far
-// behind.
-func newListener(set *settings.Settings, c *Controller, events chan<- func()) *http1.Server {
-	fdLimit := set.Cluster.Limits.FdLimit
+// newListener returns the server for requests and for gossip from peers. While the event queue is
+// full it refuses requests and drops gossip.
+func newListener(cfg *settings.Settings, c *Controller, events chan<- func()) *http1.Server {
+	fdLimit := cfg.Cluster.Limits.FdLimit
 	maxConns := max(fdLimit-tuning.ReservedSockets, fdLimit/2)
 	return &http1.Server{
-		APIAddr:       set.Front,
-		PeerAddr:      set.PeerListen,
+		APIAddr:       cfg.Front,
+		PeerAddr:      cfg.PeerListen,
 		MaxConns:      maxConns,
 		IsUserRequest: api.IsUsers,
 		MaxUserConns:  int(float64(maxConns) * tuning.UserConns),
@@ -121,8 +121,8 @@
 	}
 }
 
-// runLoop hands events and ticks to the controller until it has shut down, which begins when
-// ctx ends.
+// runLoop passes events and ticks to the controller until it has shut down. The shutdown starts
+// when ctx ends.
 func runLoop(ctx context.Context, c *Controller, events <-chan func()) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -150,7 +150,7 @@
 	return ctx.Err()
 }
 
-// runPending handles the events that have come in meanwhile.
+// runPending handles the events that are already queued.
 func runPending(c *Controller, events <-chan func()) {
 	for {
 		select {
@@ -162,7 +162,7 @@
 	}
 }
 
-// Describe is a line about the settings for the log.
-func Describe(set *settings.Settings) string {
-	return fmt.Sprintf("%s in %s, front %s, peers %d", set.NodeName, set.Zone, set.Front, len(set.Peers))
+// Describe returns a one-line summary of the settings for the log.
+func Describe(cfg *settings.Settings) string {
+	return fmt.Sprintf("%s in %s, front %s, peers %d", cfg.NodeName, cfg.Zone, cfg.Front, len(cfg.Peers))
 }
--- a/internal/controller/shutdown.go
+++ b/internal/controller/shutdown.go
@@ -5,8 +5,8 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Shutdown has this controller leave the view in order: users are sent elsewhere first, then
-// leadership passes on, and the shard with it. Calls after the first change nothing.
+// Shutdown starts a graceful exit from the view: first users are directed elsewhere, then
+// leadership and the shard are handed over. Calls after the first have no effect.
 func (c *Controller) Shutdown() {
 	if c.shuttingDownSince.IsZero() {
 		c.shuttingDownSince = c.state.Now
@@ -14,15 +14,15 @@
 	}
 }
 
-// continueShutdown resigns from the view once the load balancer sends no more users here.
+// continueShutdown resigns from the view once the load balancer has stopped sending users here.
 func (c *Controller) continueShutdown() {
 	if !c.shuttingDownSince.IsZero() && c.state.Now.Sub(c.shuttingDownSince) >= tuning.LeaveUsers {
 		c.membership.Resign()
 	}
 }
 
-// HasShutDown tells whether the process may end: nothing depends on it any more, or it has
-// tried for tuning.LeaveWithin.
+// HasShutDown reports whether the process may exit: because nothing depends on it any more, or
+// because tuning.LeaveWithin has passed since it began to resign.
 func (c *Controller) HasShutDown() bool {
 	if c.shuttingDownSince.IsZero() {
 		return false
--- a/internal/controller/sync.go
+++ b/internal/controller/sync.go
@@ -17,7 +17,8 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// livePrefixes are listed whole at a start, in this order. Jobs come before their tasks.
+// livePrefixes are the prefixes that are listed completely at startup, in this order: jobs before
+// their tasks.
 var livePrefixes = []string{
 	jobs.JobPrefix,
 	jobs.TaskPrefix,
@@ -34,39 +35,39 @@
 	provisioning.SummaryKey,
 }
 
-// prefixes are the prefixes that are listed, with those of the collaborators.
+// prefixes returns all prefixes to list, including those of the collaborators.
 func (c *Controller) prefixes() []string {
 	return slices.Concat(livePrefixes, c.api.Prefixes(), c.queue.Prefixes(), c.calendar.Keys())
 }
 
-// syncState is how far the mirror has got.
+// syncState is the progress of synchronizing the mirror with the store.
 type syncState struct {
-	live     bool // every prefix was listed and the watch runs
+	live     bool // every prefix has been listed
 	listing  bool
 	watching bool
-	retryAt  time.Time // when to list or watch again
+	retryAt  time.Time // no listing or watch is started before
 
-	prefixIndex int                     // of the prefix that is being listed
-	pageAfter   string                  // the next page begins after this key
-	rows        []store.Item            // of the pages of this prefix so far
-	firstEpoch  uint64                  // of the prefix's first page
-	watchFrom   uint64                  // epoch of the first page of all
-	listedTo    uint64                  // the latest epoch of a page
-	query       cancellation.StoreQuery // began before any page was asked for
+	prefixIndex  int                     // of the prefix being listed
+	pageAfter    string                  // the next page starts after this key
+	rows         []store.Item            // of this prefix's pages so far
+	prefixEpoch  uint64                  // epoch of this prefix's first page
+	watchFrom    uint64                  // epoch of the first page of the whole listing
+	maxPageEpoch uint64                  // highest epoch of any page
+	query        cancellation.StoreQuery // begun before the first page was requested
 }
 
-// knownEpoch is up to where the mirror shows all changes of the store.
+// knownEpoch returns the epoch up to which the mirror holds all changes of the store.
 func (c *Controller) knownEpoch() uint64 { return c.mirror.Epoch }
 
-// mirrorLive tells whether the mirror follows the store.
+// mirrorLive reports whether the mirror follows the store.
 func (c *Controller) mirrorLive() bool { return c.sync.live }
 
-// caughtUp tells whether the mirror shows one epoch: pages are listed one after the
-// other, and a task that moved meanwhile from a batch record of a later page to one of an
-// earlier is in neither until the watch has come to the last page.
-func (c *Controller) caughtUp() bool { return c.sync.live && c.mirror.Epoch >= c.sync.listedTo }
+// caughtUp reports whether the mirror is a consistent snapshot. Pages are listed one after the
+// other, so a task that moves during the listing from a batch record of a later page to one of an
+// earlier page is in neither until the watch reaches the epoch of the last page.
+func (c *Controller) caughtUp() bool { return c.sync.live && c.mirror.Epoch >= c.sync.maxPageEpoch }
 
-// syncMirror lists what must be listed and keeps one watch open.
+// syncMirror starts or resumes the listing, or keeps one watch open once the listing is complete.
 func (c *Controller) syncMirror() {
 	if c.state.Now.Before(c.sync.retryAt) {
 		return
@@ -83,14 +84,14 @@
 	}
 }
 
-// listPage asks for the page of the present prefix that begins after a key, and goes on until
+// listPage requests the page of the current prefix that starts after a key, and continues until
 // all prefixes are listed.
 func (c *Controller) listPage(after string) {
 	prefix := c.prefixes()[c.sync.prefixIndex]
 	c.client.List(store.PriorityUrgent, prefix, after, func(page store.Page, err error) {
 		if err != nil {
-			// What was read stays: where pages often fail, a listing that began
-			// anew each time would never end.
+			// Keep the pages read so far: if requests often fail, a listing that
+			// restarted each time would never finish.
 			c.sync.listing, c.sync.pageAfter, c.sync.retryAt = false, after, c.state.Now.Add(tuning.SyncAgain)
 			return
 		}
@@ -98,16 +99,16 @@
 			c.sync.watchFrom = page.Epoch
 		}
 		if after == "" {
-			c.sync.rows, c.sync.firstEpoch = nil, page.Epoch
+			c.sync.rows, c.sync.prefixEpoch = nil, page.Epoch
 		}
-		c.sync.listedTo = max(c.sync.listedTo, page.Epoch)
+		c.sync.maxPageEpoch = max(c.sync.maxPageEpoch, page.Epoch)
 		c.sync.rows = append(c.sync.rows, page.Rows...)
 		if page.HasNext && len(page.Rows) > 0 {
 			c.listPage(page.Rows[len(page.Rows)-1].Key)
 			return
 		}
-		// Keys that the listing lacks are gone as of its first page.
-		c.mirror.ApplyListing(prefix, c.sync.rows, c.sync.firstEpoch)
+		// Keys missing from the listing were removed by the epoch of its first page.
+		c.mirror.ApplyListing(prefix, c.sync.rows, c.sync.prefixEpoch)
 		c.sync.rows = nil
 		c.sync.prefixIndex++
 		if c.sync.prefixIndex < len(c.prefixes()) {
@@ -118,7 +119,7 @@
 	})
 }
 
-// finishListing begins to watch after the last page.
+// finishListing starts the watch after the last page.
 func (c *Controller) finishListing() {
 	c.sync.listing, c.sync.live = false, true
 	c.mirror.Epoch = max(c.mirror.Epoch, c.sync.watchFrom)
@@ -129,14 +130,14 @@
 	c.watchNow()
 }
 
-// watchGap is the pause between two watches: all controllers' watches together
-// may take only a share of the store's requests.
+// watchGap returns the pause between two watches: the watches of all controllers together may use
+// only a share of the store's request rate.
 func (c *Controller) watchGap() time.Duration {
 	rate := c.settings.Cluster.State.RPS * tuning.WatchShare / float64(max(c.settings.Cluster.Size, 1))
 	return max(tuning.WatchGap, jobs.Seconds(1/max(rate, 1)))
 }
 
-// watchNow opens the watch unless it is open.
+// watchNow opens the watch if the mirror is live and no watch is open.
 func (c *Controller) watchNow() {
 	if !c.sync.live || c.sync.watching {
 		return
@@ -153,15 +154,15 @@
 			c.sync.retryAt = c.state.Now.Add(tuning.SyncAgain)
 		default:
 			c.mirror.ApplyEvents(epoch, events)
-			c.watchAnswered(query, opened)
+			c.handleWatchAnswer(query, opened)
 		}
 	})
 }
 
-// watchAnswered takes in that the mirror shows what the store's answer to a watch held.
-func (c *Controller) watchAnswered(query cancellation.StoreQuery, opened time.Time) {
+// handleWatchAnswer does what follows once a watch's events have been applied to the mirror.
+func (c *Controller) handleWatchAnswer(query cancellation.StoreQuery, opened time.Time) {
 	if c.caughtUp() {
-		// The store answered after the query began, with every change until then.
+		// The store answered after the query began, with every change up to that point.
 		c.cancellations.StoreQueryAnswered(query)
 	}
 	c.behindSince = time.Time{}
--- a/internal/controller/transport.go
+++ b/internal/controller/transport.go
@@ -11,24 +11,24 @@
 type AgentCall func(endpoint, method, target string, body []byte, timeout time.Duration,
 	done func(status int, body []byte, err error))
 
-// Transport is everything a controller can reach. Answers come back on the loop,
-// through Run.
+// Transport holds the functions with which a controller reaches other services. Answers arrive on
+// the loop, through Run.
 type Transport struct {
 	Store       store.Call
-	Watch       store.Call // of its own, since a watch is held open and must not hold up other calls
+	Watch       store.Call // separate, since a held watch must not delay other calls
 	Cloud       store.Call
 	Agent       AgentCall
-	Gossip      func(peer string, line []byte) // line is whole and may be dropped
-	WallClockMs func() int64                   // time of day in ms; nil: that of the loop
+	Gossip      func(peer string, line []byte) // line is one encoded message and may be dropped
+	WallClockMs func() int64                   // time of day in ms; if nil, the loop's time is used
 }
 
-// countingErrors is the same transport with all answers that are refusals counted.
-func (t Transport) countingErrors(counter *callerrors.Counter) Transport {
-	counted := t
-	counted.Store = countCallErrors(counter, callerrors.Store, t.Store)
-	counted.Watch = countCallErrors(counter, callerrors.Store, t.Watch)
-	counted.Cloud = countCallErrors(counter, callerrors.Cloud, t.Cloud)
-	counted.Agent = func(endpoint, method, target string, body []byte, timeout time.Duration,
+// withErrorCounting returns the same transport with every refused call counting.
+func (t Transport) withErrorCounting(counter *callerrors.Counter) Transport {
+	counting := t
+	counting.Store = countCallErrors(counter, callerrors.Store, t.Store)
+	counting.Watch = countCallErrors(counter, callerrors.Store, t.Watch)
+	counting.Cloud = countCallErrors(counter, callerrors.Cloud, t.Cloud)
+	counting.Agent = func(endpoint, method, target string, body []byte, timeout time.Duration,
 		done func(int, []byte, error),
 	) {
 		call := func(method, target string, body []byte, timeout time.Duration, done func(int, []byte, error)) {
@@ -36,10 +36,10 @@
 		}
 		countCallErrors(counter, callerrors.AgentCalls, call)(method, target, body, timeout, done)
 	}
-	return counted
+	return counting
 }
 
-// countCallErrors is a call whose refusals are counted as the party's.
+// countCallErrors wraps a call so that its refusals are counted under the party.
 func countCallErrors(counter *callerrors.Counter, party callerrors.Party, call store.Call) store.Call {
 	return func(method, target string, body []byte, timeout time.Duration, done func(int, []byte, error)) {
 		call(method, target, body, timeout, func(status int, answer []byte, err error) {
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -5,19 +5,19 @@
 	"github.com/harrierreel/harrierreel/internal/sharding"
 )
 
-// Role is this controller's role under the last view it knows.
+// Role returns this controller's role in the last known view.
 func (c *Controller) Role() members.Role { return c.role }
 
-// outsideView tells whether the known view does not name this controller.
+// outsideView reports whether this controller is not a member of the known view.
 func (c *Controller) outsideView() bool { return c.role == members.Outside }
 
-// viewEpoch is the epoch of the view that this controller's role is from.
+// viewEpoch returns the epoch of the view in which this controller has its role.
 func (c *Controller) viewEpoch() uint64 { return c.roleEpoch }
 
-// memberNames lists the members of the known view.
+// memberNames returns the names of the known view's members.
 func (c *Controller) memberNames() []string { return c.view.Names() }
 
-// ownerOf is the controller that a machine belongs to under the known view, "" without one.
+// ownerOf returns the controller that owns a machine under the known view, "" if no view is known.
 func (c *Controller) ownerOf(machine string) string {
 	if c.view == nil {
 		return ""
@@ -25,7 +25,7 @@
 	return sharding.Owner(machine, c.view.Names())
 }
 
-// ownsMachine tells whether a machine belongs to this controller.
+// ownsMachine reports whether this controller owns a machine.
 func (c *Controller) ownsMachine(machine string) bool {
 	if m := c.state.Machines[machine]; m != nil {
 		return m.Owner == c.settings.NodeName
@@ -33,7 +33,7 @@
 	return c.ownerOf(machine) == c.settings.NodeName
 }
 
-// updateRole follows the view: with a new epoch, every agent's session begins anew.
+// updateRole updates the role to the known view. With a new epoch, all agents' sessions start over.
 func (c *Controller) updateRole() {
 	role := members.RoleOf(c.view, c.settings.NodeName, c.membership.LeaseID())
 	epoch := uint64(0)
@@ -58,8 +58,9 @@
 	c.reachability.ResetComplaints()
 }
 
-// resetLeaderState drops what only a leader keeps. It must not outlive the view in which it
-// led, here either: a machine that it decommissioned may be in use under the next leader.
+// resetLeaderState discards the state that only a leader keeps. Not even this controller may keep
+// it beyond the view in which it led: a machine that it decommissioned may be in use under the
+// next leader.
 func (c *Controller) resetLeaderState() {
 	c.leaderState.reset()
 	c.queue.Reset()
--- a/internal/controller/wiring_api.go
+++ b/internal/controller/wiring_api.go
@@ -4,7 +4,7 @@
 	"github.com/harrierreel/harrierreel/internal/api"
 )
 
-// newAPI makes the server of users', operators' and agents' requests.
+// newAPI returns the server for the requests of users, operators and agents.
 func (c *Controller) newAPI() *api.Server {
 	config := api.Config{
 		Settings: c.settings,
@@ -26,8 +26,8 @@
 	})
 }
 
-// apiCollaborators is the controller as the API server sees it: its View, Health, Watch and
-// LoopWaker.
+// apiCollaborators adapts the controller to the collaborators of the API server: its View, Health,
+// Watch and LoopWaker.
 type apiCollaborators struct {
 	controller *Controller
 }
--- a/internal/controller/wiring_calendar.go
+++ b/internal/controller/wiring_calendar.go
@@ -9,7 +9,7 @@
 	"github.com/harrierreel/harrierreel/internal/fleet"
 )
 
-// newCalendar makes the release calendar, nil where operators have none.
+// newCalendar returns the release calendar, nil if the operators have not configured one.
 func (c *Controller) newCalendar() *calendar.Service {
 	adapter := calendarAdapter{controller: c}
 	return calendar.New(c.state, c.settings.Operator.Calendar,
@@ -30,11 +30,12 @@
 	)
 }
 
-// calendarAdapter is the controller as its calendar sees it. What the controller is made of is
-// looked up at each call, since some of it is made after the calendar.
+// calendarAdapter adapts the controller to the calendar's collaborators. Components of the
+// controller are looked up at each call, since some are created after the calendar.
 type calendarAdapter struct{ controller *Controller }
 
-// WallMs returns the time of day in ms, that of the event under way if the transport has none.
+// WallMs returns the time of day in ms, or the time of the current event if the transport has no
+// wall clock.
 func (a calendarAdapter) WallMs() int64 {
 	if a.controller.transport.WallClockMs == nil {
 		return a.controller.state.NowMs()
@@ -42,20 +43,20 @@
 	return a.controller.transport.WallClockMs()
 }
 
-// Busy reports whether a record is under a transaction.
+// Busy reports whether a transaction on a record is in flight.
 func (a calendarAdapter) Busy(key string) bool { return a.controller.committer.Busy(key) }
 
-// Commit has decisions committed.
+// Commit commits decisions to the store.
 func (a calendarAdapter) Commit(decisions []decide.Decision) {
 	a.controller.committer.Commit(decisions)
 }
 
-// UnresponsiveSince returns since when a machine has not answered, false if it does.
+// UnresponsiveSince returns since when a machine has been unresponsive, false if it is responsive.
 func (a calendarAdapter) UnresponsiveSince(machine *clusterstate.Machine) (time.Time, bool) {
 	return a.controller.shard.UnresponsiveSince(machine)
 }
 
-// TransitionMachine returns the decision that an event changes a machine's record.
+// TransitionMachine returns the decisions that apply an event to a machine's record.
 func (a calendarAdapter) TransitionMachine(machine string, event fleet.Event, reason string) []decide.Decision {
 	return a.controller.shard.TransitionMachine(machine, event, reason)
 }
--- a/internal/controller/wiring_cancellation.go
+++ b/internal/controller/wiring_cancellation.go
@@ -8,8 +8,9 @@
 	"github.com/harrierreel/harrierreel/internal/jobs"
 )
 
-// newCancellations makes the service of acknowledged cancellations. The incarnation of its process is drawn without the
-// seed, since it decides nothing.
+// newCancellations returns the service of acknowledged cancellations. The incarnation of its process
+// is drawn from the global random source rather than the seeded one, since no decision depends on
+// its value.
 func (c *Controller) newCancellations() *cancellation.Service {
 	config := cancellation.Config{
 		Name:         c.settings.NodeName,
@@ -27,7 +28,7 @@
 	return cancellation.New(c.state, config, collaborators, rand.Uint64)
 }
 
-// cancellationTransport sends messages of cancellations to other controllers and to agents.
+// cancellationTransport sends messages about cancellations to other controllers and to agents.
 type cancellationTransport struct{ controller *Controller }
 
 // SendToPeer implements cancellation.PeerSender.
--- a/internal/controller/wiring_commit.go
+++ b/internal/controller/wiring_commit.go
@@ -6,7 +6,7 @@
 	"github.com/harrierreel/harrierreel/internal/decide"
 )
 
-// newCommitter makes what sends decisions to the store as transactions.
+// newCommitter returns the committer, which sends decisions to the store as transactions.
 func (c *Controller) newCommitter() *commit.Committer {
 	collaborators := committerCollaborators{controller: c}
 	return commit.New(c.state, commit.Config{
@@ -22,9 +22,8 @@
 	})
 }
 
-// committerCollaborators is the controller as the committer sees it: its Membership, Guard
-// and Loop. The calendar and the API are made after the committer, so they are looked up at
-// each call.
+// committerCollaborators adapts the controller to the committer's Membership, Guard and Loop. The
+// calendar and the API are created after the committer, so they are looked up at each call.
 type committerCollaborators struct {
 	controller *Controller
 }
--- a/internal/controller/wiring_membership.go
+++ b/internal/controller/wiring_membership.go
@@ -10,8 +10,8 @@
 	"github.com/harrierreel/harrierreel/internal/standby"
 )
 
-// newMembership makes this controller's membership: its lease, its vote on the view and its readiness
-// to lead.
+// newMembership returns this controller's membership: its lease, its part in changing the view and
+// its readiness to lead.
 func (c *Controller) newMembership() *membership.Membership {
 	adapter := membershipAdapter{controller: c}
 	return membership.New(c.state,
@@ -33,11 +33,11 @@
 	)
 }
 
-// membershipAdapter is the controller as its membership sees it. What the controller is made of is
-// looked up at each call, since some of it is made after the membership.
+// membershipAdapter adapts the controller to the membership's collaborators. Components of the
+// controller are looked up at each call, since some are created after the membership.
 type membershipAdapter struct{ controller *Controller }
 
-// View returns the newest view that is known, nil while there is none.
+// View returns the newest known view, nil if none is known.
 func (a membershipAdapter) View() *members.View { return a.controller.view }
 
 // MirrorLive reports whether the mirror follows the store.
@@ -48,14 +48,14 @@
 	return a.controller.reachability.Unreachable()
 }
 
-// Lag returns how far the controller is behind, with its loop or with its watch.
+// Lag returns how far the controller is behind, in its loop or in following the store.
 func (a membershipAdapter) Lag() time.Duration { return a.controller.lag() }
 
-// PendingChecks lists what the controller has still to check as a leader.
+// PendingChecks returns the checks that the controller has yet to pass as the leader.
 func (a membershipAdapter) PendingChecks() []standby.Check { return a.controller.pendingChecks() }
 
-// Wake has the loop look for decisions to take.
+// Wake schedules a reconciliation.
 func (a membershipAdapter) Wake() { a.controller.wake() }
 
-// WatchNow has the loop open the watch of the store.
+// WatchNow opens the watch of the store if none is open.
 func (a membershipAdapter) WatchNow() { a.controller.watchNow() }
--- a/internal/controller/wiring_provisioning.go
+++ b/internal/controller/wiring_provisioning.go
@@ -12,7 +12,7 @@
 	"github.com/harrierreel/harrierreel/internal/standby"
 )
 
-// newProvisioner makes what scales the machines out and in.
+// newProvisioner returns the provisioner, which scales the fleet of machines out and in.
 func (c *Controller) newProvisioner() *provisioning.Provisioner {
 	config := provisioning.Config{
 		Operator:   c.settings.Operator,
@@ -35,8 +35,8 @@
 	})
 }
 
-// provisioningAdapter is the controller as its provisioner sees it. What the controller is made
-// of is looked up at each call, since the shard is made after the provisioner.
+// provisioningAdapter adapts the controller to the provisioner's collaborators. Components of the
+// controller are looked up at each call, since the shard is created after the provisioner.
 type provisioningAdapter struct{ controller *Controller }
 
 // Send sends a request to the cloud.
@@ -47,55 +47,55 @@
 	a.controller.transport.Cloud(method, target, body, timeout, done)
 }
 
-// IsLeader tells whether the controller leads, and under which epoch.
+// IsLeader reports whether the controller is the leader, and returns the epoch of its view.
 func (a provisioningAdapter) IsLeader() (bool, uint64) {
 	return a.controller.role == members.Leader, a.controller.roleEpoch
 }
 
-// MayScaleOut tells whether the checks and the reconciliation let the leader request machines.
+// MayScaleOut reports whether the leader's checks and the reconciliation permit requesting machines.
 func (a provisioningAdapter) MayScaleOut() bool {
 	c := a.controller
 	return c.checks.Permits(standby.ScaleOut) && c.shard.Reconciling.MayScaleOut(c.state.Now)
 }
 
-// Reconciled tells whether reconciliation is over.
+// Reconciled reports whether reconciliation is complete.
 func (a provisioningAdapter) Reconciled() bool { return a.controller.shard.Reconciling.Steady() }
 
-// Wake has the loop look for work again.
+// Wake schedules a reconciliation.
 func (a provisioningAdapter) Wake() { a.controller.wake() }
 
-// TaskLost is the decision for a task whose machine is gone.
+// TaskLost returns the decision for a task whose machine is gone.
 func (a provisioningAdapter) TaskLost(
 	task *clusterstate.Task, kind jobs.TaskEventKind, pause time.Duration,
 ) decide.Decision {
 	return a.controller.shard.EndAttempt(task, kind, pause)
 }
 
-// TransitionMachine is the decisions that an event of a machine asks for.
+// TransitionMachine returns the decisions that apply an event to a machine's record.
 func (a provisioningAdapter) TransitionMachine(
 	machine string, event fleet.Event, reason string,
 ) []decide.Decision {
 	return a.controller.shard.TransitionMachine(machine, event, reason)
 }
 
-// InUse tells whether a machine is up and sends heartbeats.
+// InUse reports whether a machine is up and sends heartbeats.
 func (a provisioningAdapter) InUse(machine *clusterstate.Machine) bool {
 	return a.controller.shard.InUse(machine)
 }
 
-// UnresponsivenessOf is what its owner says of a machine that sends no heartbeats.
+// UnresponsivenessOf returns what the owner of an unresponsive machine has published about it.
 func (a provisioningAdapter) UnresponsivenessOf(
 	machine *clusterstate.Machine,
 ) (fleet.Unresponsiveness, bool) {
 	return a.controller.shard.UnresponsivenessOf(machine)
 }
 
-// LastHeard is when this controller last heard a machine of another owner.
+// LastHeard returns when this controller last heard from a machine of another owner.
 func (a provisioningAdapter) LastHeard(machine string) time.Time {
 	return a.controller.reachability.LastHeard(machine)
 }
 
-// HasSession tells whether this controller has a session with a machine's agent.
+// HasSession reports whether this controller has a session with a machine's agent.
 func (a provisioningAdapter) HasSession(machine string) bool {
 	return a.controller.shard.HasSession(machine)
 }
--- a/internal/controller/wiring_queue.go
+++ b/internal/controller/wiring_queue.go
@@ -7,7 +7,7 @@
 	"github.com/harrierreel/harrierreel/internal/queue"
 )
 
-// newQueue makes the queue, which schedules the tasks that wait.
+// newQueue returns the queue, which schedules the waiting tasks.
 func (c *Controller) newQueue() *queue.Queue {
 	adapter := queueAdapter{controller: c}
 	return queue.New(c.state,
@@ -32,14 +32,14 @@
 	)
 }
 
-// queueAdapter is the controller as its queue sees it. What the controller is made of is looked up at
-// each call, since some of it is made after the queue.
+// queueAdapter adapts the controller to the queue's collaborators. Components of the controller are
+// looked up at each call, since some are created after the queue.
 type queueAdapter struct{ controller *Controller }
 
-// Ready reports whether a machine takes new tasks at all, by its record.
+// Ready reports whether a machine accepts new tasks, according to its record.
 func (a queueAdapter) Ready(m *clusterstate.Machine) bool { return a.controller.shard.Ready(m) }
 
-// CanPlace reports whether a task may go on a machine of this controller's shard now.
+// CanPlace reports whether a task may be placed now on a machine of this controller's shard.
 func (a queueAdapter) CanPlace(task *clusterstate.Task, m *clusterstate.Machine) bool {
 	return a.controller.shard.CanPlace(task, m)
 }
@@ -49,8 +49,8 @@
 	return a.controller.view.Incarnation(controller) == 0
 }
 
-// UsesBatches reports whether tasks may be released in batch records.
+// UsesBatches reports whether tasks are placed in batch records.
 func (a queueAdapter) UsesBatches() bool { return a.controller.usesBatches() }
 
-// Gate returns whether a job's work may begin by the calendar.
+// Gate returns the calendar's verdict on whether a job may start.
 func (a queueAdapter) Gate(spec *jobs.Spec) calendar.Verdict { return a.controller.calendar.Gate(spec) }
--- a/internal/controller/wiring_reachability.go
+++ b/internal/controller/wiring_reachability.go
@@ -6,20 +6,20 @@
 	"github.com/harrierreel/harrierreel/internal/reachability"
 )
 
-// newReachability makes the tracker of who reaches whom.
+// newReachability returns the tracker of which controllers and agents can reach each other.
 func (c *Controller) newReachability() *reachability.Tracker {
-	collaborators := reachabilityAdapter{controller: c}
+	adapter := reachabilityAdapter{controller: c}
 	return reachability.New(c.state, reachability.Config{
 		Log:        c.log,
 		Rand:       c.rand,
-		Agents:     collaborators,
-		Membership: collaborators,
-		Store:      collaborators,
+		Agents:     adapter,
+		Membership: adapter,
+		Store:      adapter,
 	})
 }
 
-// reachabilityAdapter is what the tracker needs of the controller. Collaborators are looked up
-// at each call, since some are made after the tracker.
+// reachabilityAdapter adapts the controller to the tracker's collaborators. Components of the
+// controller are looked up at each call, since some are created after the tracker.
 type reachabilityAdapter struct{ controller *Controller }
 
 func (a reachabilityAdapter) CallAgent(endpoint, method, target string, body []byte, timeout time.Duration,
--- a/internal/controller/wiring_readconsistency.go
+++ b/internal/controller/wiring_readconsistency.go
@@ -5,8 +5,8 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// newAckLog makes the log of the jobs' states that users were answered with. Without peers no other controller answers,
-// so no answer is delayed.
+// newAckLog returns the log of the job states that users were answered with. Without peers no other
+// controller can give a conflicting answer, so answers are not delayed.
 func (c *Controller) newAckLog() *readconsistency.AckLog {
 	if len(c.settings.Peers) == 0 {
 		return readconsistency.NewAckLog(0)
--- a/internal/controller/wiring_shard.go
+++ b/internal/controller/wiring_shard.go
@@ -6,7 +6,7 @@
 	"github.com/harrierreel/harrierreel/internal/shard"
 )
 
-// newShard makes what this controller does for the machines of its shard.
+// newShard returns the shard, which manages the machines that this controller owns.
 func (c *Controller) newShard() *shard.Shard {
 	config := shard.Config{
 		Name:       c.settings.NodeName,
@@ -27,7 +27,7 @@
 	})
 }
 
-// shardView is the view as the shard sees it.
+// shardView gives the shard access to the view.
 type shardView struct{ controller *Controller }
 
 func (v shardView) OutsideView() bool             { return v.controller.outsideView() }
@@ -41,7 +41,7 @@
 	return !c.outsideView() && c.caughtUp() && !c.membership.Uncertain()
 }
 
-// shardAgents sends the shard's requests to workers' agents.
+// shardAgents sends the shard's requests to the agents on the machines.
 type shardAgents struct{ controller *Controller }
 
 func (a shardAgents) Call(
@@ -51,12 +51,12 @@
 	a.controller.transport.Agent(endpoint, method, target, body, timeout, done)
 }
 
-// shardLoop wakes the controller's loop for the shard.
+// shardLoop lets the shard schedule a reconciliation.
 type shardLoop struct{ controller *Controller }
 
 func (l shardLoop) Wake() { l.controller.wake() }
 
-// shardProvisioner is what the shard asks of the provisioner.
+// shardProvisioner gives the shard access to the provisioner.
 type shardProvisioner struct{ controller *Controller }
 
 func (p shardProvisioner) GivenUp(machine string) bool {
@@ -68,14 +68,14 @@
 	return draining
 }
 
-// shardBudget is the budget of writes as the shard sees it.
+// shardBudget gives the shard access to the write budget.
 type shardBudget struct{ controller *Controller }
 
 func (b shardBudget) Allows(spent, writes int) bool { return b.controller.client.Allows(spent, writes) }
 func (b shardBudget) HasSpareWrites() bool          { return b.controller.client.HasSpareWrites() }
 func (b shardBudget) UsesBatches() bool             { return b.controller.usesBatches() }
 
-// shardCancellations is what the shard asks of the acknowledged cancellations.
+// shardCancellations gives the shard access to the acknowledged cancellations.
 type shardCancellations struct{ controller *Controller }
 
 func (c shardCancellations) Cancelled(jobID string) bool {
--- a/internal/controller/wiring_store.go
+++ b/internal/controller/wiring_store.go
@@ -10,8 +10,8 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// newClient makes the client of the state service. Its watch is held for no longer than the
-// acknowledgement of cancellations allows.
+// newClient returns the client of the store. Its watch is held for at most a share of the proof
+// window, so that the answers extend the proof before it expires.
 func (c *Controller) newClient() *store.Client {
 	client := store.New(c.transport.Store, c.transport.Watch)
 	watchHold := time.Duration(float64(c.proofWindow()) * tuning.WatchHoldShare)
@@ -21,14 +21,15 @@
 	return client
 }
 
-// proofWindow is for how long leases may be renewed after the last proof that no cancellation
-// is missing.
+// proofWindow returns for how long leases may be renewed after the last proof that this controller
+// knows all acknowledged cancellations.
 func (c *Controller) proofWindow() time.Duration {
 	workers := c.settings.Cluster.Workers
 	return cancellation.Window(workers.LeaseS, workers.CancelS)
 }
 
-// newMirror makes the mirror of the live keys. Records that are kept for ever are only passed on.
+// newMirror returns the mirror of the live keys. Records that stay in the store for ever are passed to
+// applyChange but not kept in the mirror.
 func (c *Controller) newMirror() *store.Mirror {
 	mirror := store.NewMirror(c.applyChange)
 	mirror.Transient = func(key string) bool {
