--- a/internal/store/budget.go
+++ b/internal/store/budget.go
@@ -2,8 +2,8 @@
 
 import "github.com/harrierreel/harrierreel/internal/tuning"
 
-// SetBudget sets this controller's share of requests and writes per second, and the writes per
-// second that it may widen its share to.
+// SetBudget sets this controller's share of the service's rate limits, in requests and writes per
+// second, and the maximum rate to which its share of writes may grow.
 func (c *Client) SetBudget(requestRate, writeShare, maxWriteRate float64) {
 	c.requestRate = requestRate
 	c.writeShare = writeShare
@@ -15,8 +15,7 @@
 	c.writeRate = min(c.writeShare*c.shareFactor, c.maxWriteRate)
 }
 
-// refill adds the tokens of the time since the last refill. At the start half a second's worth
-// is there.
+// refill adds the tokens accrued since the last refill. The first call grants half a second's worth.
 func (c *Client) refill() {
 	if c.refilledAt.IsZero() {
 		c.refilledAt = c.now
@@ -30,11 +29,11 @@
 	c.writeTokens = min(c.writeTokens+elapsed*c.writeRate, c.writeRate)
 }
 
-// minWriteShare, writes per second: keeps the quotient of the rates finite without a share.
+// minWriteShare, in writes per second, avoids a division by zero when the share is 0.
 const minWriteShare = 1e-9
 
-// adaptWriteShare adapts the share of writes once a second: a little more while it is wanted
-// and none was refused, less as soon as one was.
+// adaptWriteShare adjusts the share of writes once per tuning.WriteShareAdaptInterval: additive
+// increase while writes are held back and none was refused, multiplicative decrease after a refusal.
 func (c *Client) adaptWriteShare() {
 	if c.now.Sub(c.shareAdaptedAt) < tuning.WriteShareAdaptInterval {
 		return
@@ -42,42 +41,42 @@
 	switch {
 	case c.rateLimited:
 		c.shareFactor = max(1, c.shareFactor*tuning.WriteShareBackoff)
-	case c.writesLacking:
+	case c.writesHeldBack:
 		c.shareFactor = min(c.shareFactor+tuning.WriteShareIncrease, c.maxWriteRate/max(c.writeShare, minWriteShare))
 	}
 	c.shareAdaptedAt = c.now
 	c.rateLimited = false
-	c.writesLacking = false
+	c.writesHeldBack = false
 	c.updateWriteRate()
 }
 
-// affords tells whether so many writes can leave at once, after those that were spent already.
-// A transaction larger than a second's worth needs no more than that.
+// affords reports whether the budget covers the given number of writes now, in addition to spent
+// ones. A transaction larger than one second's worth of writes needs only that much.
 func (c *Client) affords(spent, writes int) bool {
 	return c.writeTokens-float64(spent) >= min(float64(writes), c.writeRate)
 }
 
-// Allows tells whether so many writes can leave at once, after those that the caller has spent
-// already. Callers ask before they decide: what waits here grows old, and by the time that it
-// leaves the records that it was made from have changed, so that it fails and its writes are
-// spent for nothing.
+// Allows reports whether the given number of writes can be sent at once, in addition to those that
+// the caller has already spent. Callers ask before they make a decision: while a transaction waits
+// in the queue, the records that it is based on may change, so that it fails and its writes are
+// wasted.
 func (c *Client) Allows(spent, writes int) bool {
 	enough := c.affords(spent, writes)
-	c.writesLacking = c.writesLacking || !enough
+	c.writesHeldBack = c.writesHeldBack || !enough
 	return c.waiting == 0 && c.requestTokens >= 1 && enough
 }
 
-// HasSpareWrites tells whether there is budget to spare for writes without hurry.
+// HasSpareWrites reports whether the budget has writes to spare for work that is not urgent.
 func (c *Client) HasSpareWrites() bool { return c.waiting == 0 && c.writeTokens > c.writeRate/2 }
 
-// AllowsRead tells whether there is budget for a read that a user waits for, beside the share
-// (0 to 1) of a second's requests that is reserved for others.
+// AllowsRead reports whether the budget covers a read for a user while reservedShare (0 to 1) of
+// one second's requests stays available for other calls.
 func (c *Client) AllowsRead(reservedShare float64) bool {
 	return c.requestTokens >= max(1, c.requestRate*reservedShare)
 }
 
-// TakeWriteCounts returns how many writes of each kind of key were handed in since its last
-// call; removals count apart, under the kind with a leading "-".
+// TakeWriteCounts returns the number of writes enqueued since its last call, by kind of key.
+// Removals are counted separately, under the kind with a leading "-".
 func (c *Client) TakeWriteCounts() map[string]int {
 	counts := c.writeCounts
 	c.writeCounts = map[string]int{}
--- a/internal/store/budget_test.go
+++ b/internal/store/budget_test.go
@@ -23,17 +23,17 @@
 		c.Get(PriorityUser, "user", nil, ignore)
 	}
 	if len(sent) != 5 {
-		t.Fatalf("half a second's worth at a start: %d", len(sent))
+		t.Fatalf("sent %d calls at the start, want half a second's worth: 5", len(sent))
 	}
 	c.Get(PriorityUrgent, "urgent", nil, ignore)
 	c.RenewLease(1, func(error) {})
 	if sent[len(sent)-1] != "/grants/1/renew" {
-		t.Error("a lease is renewed whatever the budget")
+		t.Error("lease renewal was not sent although it is exempt from the budget")
 	}
 	sent = nil
 	c.Dispatch(now.Add(300 * time.Millisecond))
 	if len(sent) == 0 || sent[0] != "/store/urgent" {
-		t.Errorf("what is in doubt is read before users are served: %v", sent)
+		t.Errorf("sent %v, want the urgent call before the users' calls", sent)
 	}
 	refused := 0
 	for range 100 {
@@ -44,7 +44,7 @@
 		})
 	}
 	if refused == 0 {
-		t.Error("the queue has a bound, beyond it users are refused at once")
+		t.Error("no call was refused, want refusals once the users' queue is full")
 	}
 }
 
@@ -58,27 +58,27 @@
 	now := time.Unix(0, 0)
 	c.Dispatch(now)
 	var got error
-	ended := 0
+	doneCalls := 0
 	c.Commit(PriorityUser, Txn{Writes: []Write{{Remove: "k"}}}, func(_ uint64, _ []string, err error) {
-		ended++
+		doneCalls++
 		got = err
 	})
 	for i := range 4 {
 		if len(answers) != i+1 {
-			t.Fatalf("sent %d times, not %d", len(answers), i+1)
+			t.Fatalf("sent %d times, want %d", len(answers), i+1)
 		}
 		answers[i](429, nil, nil)
 		now = now.Add(time.Second)
 		c.Dispatch(now)
 	}
-	if ended != 1 || !errors.Is(got, ErrUnavailable) {
-		t.Errorf("ended %d times with %v", ended, got)
+	if doneCalls != 1 || !errors.Is(got, ErrUnavailable) {
+		t.Errorf("done was called %d times, last with %v; want once with ErrUnavailable", doneCalls, got)
 	}
 }
 
-// A controller's share of the writes is widened while it wants more and the service refuses
-// none, and given back when it does.
-func TestWriteShareWidensUntilRateLimited(t *testing.T) {
+// A controller's share of the writes grows while it needs more and the service refuses none, and
+// shrinks after a refusal.
+func TestWriteShareGrowsUntilRateLimited(t *testing.T) {
 	status := 200
 	answer := []byte(`{"epoch":1}`)
 	call := func(_, _ string, _ []byte, _ time.Duration, done func(int, []byte, error)) { done(status, answer, nil) }
@@ -102,7 +102,7 @@
 		runSecond()
 	}
 	if got := runSecond(); got < 55 || got > 61 {
-		t.Errorf("%d writes a second with nobody else, not about 60", got)
+		t.Errorf("%d writes a second without other controllers, want about 60", got)
 	}
 	status = 429
 	runSecond()
@@ -111,13 +111,13 @@
 		runSecond()
 	}
 	if got := runSecond(); got > 57 {
-		t.Errorf("%d writes a second soon after a refusal", got)
+		t.Errorf("%d writes a second soon after a refusal, want at most 57", got)
 	}
 }
 
-// While the budget of writes is used up, reads pass the writes of their own priority: users'
-// queries wait for the epoch, which is read with the priority of many a write.
-func TestReadsOvertakeWritesWithoutBudget(t *testing.T) {
+// While the write budget is exhausted, reads overtake writes of the same priority: users' queries
+// wait for a read of the epoch, which has the same priority as many writes.
+func TestReadsOvertakeBlockedWrites(t *testing.T) {
 	var sent []string
 	call := func(method, target string, _ []byte, _ time.Duration, _ func(int, []byte, error)) {
 		sent = append(sent, method+" "+target)
@@ -132,13 +132,13 @@
 		}
 		c.Commit(PriorityUrgent, t, func(uint64, []string, error) {})
 	}
-	commit(5) // the whole budget
+	commit(5) // uses up the write budget
 	commit(8)
 	c.Get(PriorityUrgent, "k", nil, func(*Item, error) {})
 	if len(sent) != 2 || !strings.HasPrefix(sent[1], "GET ") || c.Waiting() != 1 {
-		t.Errorf("sent %v, %d wait", sent, c.Waiting())
+		t.Errorf("sent %v, %d calls waiting", sent, c.Waiting())
 	}
 	if c.Dispatch(time.Unix(1, 0)); len(sent) != 3 || c.Waiting() != 0 {
-		t.Errorf("sent %v, %d wait", sent, c.Waiting())
+		t.Errorf("sent %v, %d calls waiting", sent, c.Waiting())
 	}
 }
--- a/internal/store/calls.go
+++ b/internal/store/calls.go
@@ -11,8 +11,8 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Get reads a key. The item is nil when the key is absent. sent, if given, is called when the
-// request leaves.
+// Get reads a key. The item is nil if the key is absent. If sent is not nil, it is called when the
+// request is sent.
 func (c *Client) Get(p Priority, key string, sent func(), done func(*Item, error)) {
 	call := pendingCall{method: http.MethodGet, target: "/store/" + key, sent: sent}
 	call.done = func(status int, body []byte, err error) {
@@ -30,11 +30,11 @@
 	c.enqueue(p, call)
 }
 
-// epochProbeKey is a key that nobody writes: of all requests that return the epoch, reading an
-// absent key costs least.
+// epochProbeKey is a key that is never written: of all requests that return the epoch, reading an
+// absent key is the cheapest.
 const epochProbeKey = "epoch"
 
-// ReadEpoch reads the state service's present epoch.
+// ReadEpoch reads the state service's current epoch.
 func (c *Client) ReadEpoch(p Priority, done func(epoch uint64, err error)) {
 	const operation = "read epoch"
 	call := pendingCall{method: http.MethodGet, target: "/store/" + epochProbeKey}
@@ -55,7 +55,7 @@
 	c.enqueue(p, call)
 }
 
-// ListTarget is the request target for a page of the keys with a prefix, after the key since.
+// ListTarget returns the request target for the page of keys with a prefix that starts after since.
 func ListTarget(prefix, since string) string {
 	target := fmt.Sprintf("/store?prefix=%s&limit=%d", url.QueryEscape(prefix), tuning.ListPage)
 	if since != "" {
@@ -64,13 +64,13 @@
 	return target
 }
 
-// WatchTarget is the request target for what has changed since an epoch, held for up to hold
-// while nothing has.
+// WatchTarget returns the request target for the changes since an epoch. The service holds the
+// request for up to hold while there are none.
 func WatchTarget(since uint64, hold time.Duration) string {
 	return fmt.Sprintf("/follow?prefix=&since=%d&hold_ms=%d", since, hold.Milliseconds())
 }
 
-// List reads a page of the keys with a prefix, after the key since ("" for the first page).
+// List reads the page of keys with a prefix that starts after the key since ("" for the first page).
 func (c *Client) List(p Priority, prefix, since string, done func(Page, error)) {
 	call := pendingCall{method: http.MethodGet, target: ListTarget(prefix, since)}
 	call.done = func(status int, body []byte, err error) {
@@ -81,8 +81,8 @@
 	c.enqueue(p, call)
 }
 
-// Commit runs a transaction; epoch is the revision of its writes. On ErrConflict failed names
-// the keys whose preconditions did not hold. On ErrNoAnswer it may still take effect.
+// Commit runs a transaction; epoch is the revision of its writes. On ErrConflict, failed lists the
+// keys whose preconditions did not hold. On ErrNoAnswer, the transaction may still take effect.
 func (c *Client) Commit(p Priority, t Txn, done func(epoch uint64, failed []string, err error)) {
 	const operation = "commit transaction"
 	if t.body == nil {
@@ -106,7 +106,7 @@
 	c.enqueue(p, call)
 }
 
-// countWrites counts writes by the kind of key, the part of it before the first slash.
+// countWrites counts writes by kind of key, which is the part before the first slash.
 func (c *Client) countWrites(writes []Write) {
 	for _, w := range writes {
 		if w.Remove != "" {
@@ -119,7 +119,7 @@
 	}
 }
 
-// GrantLease asks for a lease; its ID is never 0 without an error.
+// GrantLease requests a lease. Its ID is never 0 if err is nil.
 func (c *Client) GrantLease(ttl time.Duration, done func(leaseID uint64, err error)) {
 	const operation = "grant lease"
 	call := pendingCall{
@@ -138,7 +138,7 @@
 	c.enqueue(PriorityMembership, call)
 }
 
-// RenewLease renews a lease. ErrGone means that it has expired.
+// RenewLease renews a lease. ErrGone means that the lease has expired.
 func (c *Client) RenewLease(leaseID uint64, done func(error)) {
 	call := pendingCall{method: http.MethodPost, target: fmt.Sprintf("/grants/%d/renew", leaseID)}
 	call.done = func(status int, _ []byte, err error) {
@@ -147,15 +147,15 @@
 	c.enqueue(PriorityMembership, call)
 }
 
-// Watch waits for changes after the epoch since. ErrGone means that the service no longer
-// knows them and the keys must be listed anew. It leaves at once, whatever the budget.
+// Watch waits for changes after the epoch since. ErrGone means that the service no longer has
+// them and the keys must be listed again. The request is sent at once, regardless of the budget.
 func (c *Client) Watch(since uint64, done func(epoch uint64, events []Event, err error)) {
 	const operation = "watch"
 	c.requestTokens--
 	finish := func(status int, body []byte, err error) {
 		if err != nil {
-			// Not counted as a failure: a held watch without an answer says nothing about
-			// the service.
+			// Not counted as a failure: a held watch that gets no answer does not show that
+			// the service is unavailable.
 			done(0, nil, fmt.Errorf("%s: %w: %w", operation, ErrNoAnswer, err))
 			return
 		}
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -1,7 +1,7 @@
-// Package store is the client of the state service, a consensus-backed key-value store: calls
-// under a shared rate budget, and a mirror of the live keys. It does no IO and reads no clock:
-// the caller hands it the time and a Call to send with. Everything in it belongs to the
-// controller's event loop; nothing is safe for concurrent use.
+// Package store is the client of the state service, a consensus-backed key-value store. It makes
+// calls under a rate budget that the controllers share, and mirrors the live keys. It does no IO and
+// reads no clock: the caller provides the time and the Call to send requests with. Everything in it
+// runs on the controller's event loop; nothing is safe for concurrent use.
 package store
 
 import (
@@ -19,8 +19,8 @@
 	done func(status int, body []byte, err error),
 )
 
-// Client keeps calls inside this controller's share of the state service's rate limits. What
-// the budget does not allow at once waits in a queue for each priority.
+// Client keeps calls within this controller's share of the state service's rate limits. Calls that
+// the budget does not cover at once wait in one queue per priority.
 type Client struct {
 	send  Call
 	watch Call
@@ -28,18 +28,18 @@
 	now        time.Time // of the last Dispatch
 	refilledAt time.Time
 
-	// Token buckets of one second's capacity; rates are per second.
+	// Token buckets that hold at most one second's worth; rates are per second.
 	requestTokens float64
 	requestRate   float64
 	writeTokens   float64
 	writeRate     float64
 
-	// The share of writes is widened while this controller wants more and the service refuses
-	// none: the other controllers then leave theirs unused.
+	// The share of writes grows while this controller needs more and the service refuses none,
+	// which means that the other controllers are not using theirs.
 	writeShare     float64 // writes per second that this controller is entitled to
-	maxWriteRate   float64 // writes per second that the share may be widened to
+	maxWriteRate   float64 // writes per second to which the share may grow
 	shareFactor    float64 // writeRate over writeShare, at least 1
-	writesLacking  bool    // wanted more writes than it had since shareAdaptedAt
+	writesHeldBack bool    // the budget did not cover all writes since shareAdaptedAt
 	rateLimited    bool    // a write was refused with 429 since shareAdaptedAt
 	shareAdaptedAt time.Time
 
@@ -49,10 +49,10 @@
 	queues      [priorityLevels][]pendingCall
 	waiting     int            // calls in all queues
 	failures    int            // consecutive calls without an answer or answered 503
-	writeCounts map[string]int // writes handed in, by the kind of key
+	writeCounts map[string]int // writes enqueued, by kind of key
 }
 
-// New makes a client with an empty budget; send is for calls, watch for held requests.
+// New returns a client with an empty budget that sends its calls with send and its watches with watch.
 func New(send, watch Call) *Client {
 	return &Client{
 		send:        send,
@@ -63,12 +63,12 @@
 	}
 }
 
-// maxFailures is how many calls in a row may fail before the service counts as unavailable: a
-// single lost answer is no outage.
+// maxFailures is the number of consecutive failed calls at which the service counts as unavailable:
+// a single lost answer is not an outage.
 const maxFailures = 2
 
-// Unavailable reports whether the last calls failed.
+// Unavailable reports whether the service counts as unavailable, since its last calls failed.
 func (c *Client) Unavailable() bool { return c.failures >= maxFailures }
 
-// Waiting is the number of calls held back by the budget.
+// Waiting returns the number of calls that the budget holds back.
 func (c *Client) Waiting() int { return c.waiting }
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -7,23 +7,23 @@
 	"net/http"
 )
 
-// Sentinel errors of calls, compared with errors.Is. What a call returns wraps one of them and
-// names the operation and its object.
+// Sentinel errors of calls, for use with errors.Is. The error that a call returns wraps one of them
+// and names the operation and its object.
 var (
-	// ErrNoAnswer means that no answer came; the request may still take effect.
+	// ErrNoAnswer means that no valid answer was received; the request may still take effect.
 	ErrNoAnswer = errors.New("state service gave no answer")
 	// ErrUnavailable means that the request was not executed.
 	ErrUnavailable = errors.New("state service unavailable")
-	// ErrGone means that a watch is too old, or that a lease has ended.
+	// ErrGone means that a key is absent, a watch's epoch is too old or a lease has expired.
 	ErrGone = errors.New("gone")
 	// ErrConflict means that a precondition did not hold.
 	ErrConflict = errors.New("conflict")
-	// ErrRefused means that the service calls the request malformed.
+	// ErrRefused means that the service rejected the request as malformed.
 	ErrRefused = errors.New("refused")
 )
 
-// classify turns an answer into nil or one of the sentinel errors and counts consecutive
-// failures. operation names what was called and on what.
+// classify maps an answer to nil or an error that wraps one of the sentinel errors, and counts
+// consecutive failures. operation names the operation and its object.
 func (c *Client) classify(operation string, status int, err error) error {
 	switch {
 	case err != nil:
@@ -47,8 +47,8 @@
 	return fmt.Errorf("%s: %w: status %d", operation, ErrRefused, status)
 }
 
-// decode classifies an answer and, if the request was executed, reads its body into answer.
-// A body that cannot be read counts as no answer, since what the service did is unknown.
+// decode classifies an answer and, if the request succeeded, decodes its body into answer. A
+// malformed body counts as no answer, since it is unknown what the service did.
 func (c *Client) decode(operation string, status int, body []byte, err error, answer any) error {
 	if err := c.classify(operation, status, err); err != nil {
 		return err
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -26,7 +26,7 @@
 	}
 )
 
-func TestGoldenForms(t *testing.T) {
+func TestGoldenMessages(t *testing.T) {
 	goldentest.Filled(t, goldenItem)
 	goldentest.JSON(t, "item.json", goldenItem)
 	goldentest.JSON(t, "item-least.json", Item{Key: "view", Value: json.RawMessage(`1`)})
@@ -40,13 +40,13 @@
 	goldentest.JSON(t, "page.json", page)
 	goldentest.JSON(t, "page-least.json", Page{Rows: []Item{}})
 
-	followed := WatchResult{Epoch: 42, Events: goldenEvents}
-	goldentest.Filled(t, followed)
-	goldentest.JSON(t, "followed.json", followed)
+	watchResult := WatchResult{Epoch: 42, Events: goldenEvents}
+	goldentest.Filled(t, watchResult)
+	goldentest.JSON(t, "followed.json", watchResult)
 	goldentest.JSON(t, "followed-least.json", WatchResult{Events: []Event{}})
 }
 
-// goldenClient makes a client that records its calls and gets one answer to all of them.
+// goldenClient returns a client all of whose calls get the same answer, and the record of its calls.
 func goldenClient(t *testing.T, status int, answer []byte) (*Client, *bytes.Buffer) {
 	t.Helper()
 	var sent bytes.Buffer
@@ -76,12 +76,12 @@
 	goldentest.Bytes(t, "requests.txt", sent.Bytes())
 }
 
-// TestGoldenAnswers reads answers from files that no run writes.
+// TestGoldenAnswers decodes answers from golden files. Some of these the flag -update does not write.
 func TestGoldenAnswers(t *testing.T) {
 	check := func(name string, got, want any, err, wantErr error) {
 		t.Helper()
 		if !reflect.DeepEqual(got, want) || !errors.Is(err, wantErr) {
-			t.Errorf("%s: read %+v, %v; want %+v, %v", name, got, err, want, wantErr)
+			t.Errorf("%s: got %+v, %v; want %+v, %v", name, got, err, want, wantErr)
 		}
 	}
 	c, _ := goldenClient(t, 200, goldentest.Read(t, "item.json"))
@@ -92,13 +92,13 @@
 	})
 	c, _ = goldenClient(t, 200, goldentest.Read(t, "followed.json"))
 	c.Watch(41, func(epoch uint64, events []Event, err error) {
-		check("epoch followed", epoch, uint64(42), err, nil)
-		check("events followed", events, goldenEvents, err, nil)
+		check("epoch of a watch", epoch, uint64(42), err, nil)
+		check("events of a watch", events, goldenEvents, err, nil)
 	})
 	c, _ = goldenClient(t, 409, goldentest.Read(t, "answer-multi.json"))
 	c.Commit(PriorityDecision, Txn{}, func(epoch uint64, failed []string, err error) {
-		check("epoch of a transaction", epoch, uint64(41), err, ErrConflict)
-		check("keys of a transaction", failed, []string{"host/a", "job/wk-1"}, err, ErrConflict)
+		check("epoch of a conflict", epoch, uint64(41), err, ErrConflict)
+		check("failed keys of a conflict", failed, []string{"host/a", "job/wk-1"}, err, ErrConflict)
 	})
 	c, _ = goldenClient(t, 200, goldentest.Read(t, "answer-grant.json"))
 	c.GrantLease(time.Second, func(leaseID uint64, err error) { check("lease", leaseID, uint64(77), err, nil) })
--- a/internal/store/limits.go
+++ b/internal/store/limits.go
@@ -14,19 +14,19 @@
 	ValueBytes    int // of one value
 }
 
-// MaxKeyBytes is the longest key that the state service takes, in bytes (PROTOCOL,
+// MaxKeyBytes is the maximum length of a key that the state service accepts, in bytes (PROTOCOL,
 // "Controller nodes -> state service").
 const MaxKeyBytes = 200
 
-// KeyError is a key that the state service would not take.
+// KeyError reports a key that the state service would not accept.
 type KeyError struct {
 	Key string
 }
 
-// Error names the key, shortened, and its length.
+// Error returns a message with the key, shortened, and its length.
 func (e *KeyError) Error() string { return fmt.Sprintf("key %.40q of %d bytes", e.Key, len(e.Key)) }
 
-// CheckKey returns a *KeyError if the state service would not take the key.
+// CheckKey returns a *KeyError if the state service would not accept the key.
 func CheckKey(key string) error {
 	if key == "" || len(key) > MaxKeyBytes || strings.ContainsAny(key, " \t\r\n") {
 		return &KeyError{Key: key}
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// LimitedQuantity is what a limit of Limits counts; its text is the unit.
+// LimitedQuantity is a quantity that Limits bounds; its value is the unit in error messages.
 type LimitedQuantity string
 
 // Limited quantities.
@@ -44,15 +44,15 @@
 	LimitedBytes         LimitedQuantity = "bytes"
 )
 
-// LimitError is a transaction that passes a limit.
+// LimitError reports a transaction that exceeds a limit.
 type LimitError struct {
 	Quantity LimitedQuantity
 	Count    int
 	Limit    int
-	Key      string // of the value that is too large, "" for the whole transaction
+	Key      string // key of the value that is too large, "" if the limit is on the whole transaction
 }
 
-// Error names the count, its limit and the key, if one value is at fault.
+// Error returns a message with the count, the limit and, if one value is too large, its key.
 func (e *LimitError) Error() string {
 	if e.Key != "" {
 		return fmt.Sprintf("%d %s of %d in %s", e.Count, e.Quantity, e.Limit, e.Key)
@@ -61,8 +61,8 @@
 }
 
 // Check returns a *LimitError or *KeyError if the state service would refuse a transaction. It
-// measures what is sent, not what it was made from: the transaction keeps its encoded body and
-// must not be changed afterwards.
+// measures the encoded request body, which the transaction keeps and Client.Commit sends, so the
+// transaction must not be changed afterwards.
 func (l Limits) Check(t *Txn) error {
 	if len(t.Writes) > l.Ops {
 		return &LimitError{Quantity: LimitedOps, Count: len(t.Writes), Limit: l.Ops}
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// Fault is the text of Check's error, "" for none.
+// Fault returns the message of Check's error, "" if there is none.
 func (l Limits) Fault(t *Txn) string {
 	if err := l.Check(t); err != nil {
 		return err.Error()
@@ -107,7 +107,7 @@
 	return ""
 }
 
-// encodeBody makes the request's body. What is changed afterwards is not in it.
+// encodeBody encodes the request body. Later changes to the transaction are not included.
 func (t *Txn) encodeBody() error {
 	if t.Preconditions == nil {
 		t.Preconditions = []Precondition{}
--- a/internal/store/limits_test.go
+++ b/internal/store/limits_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestLimitsCheckNamesWhatIsExceeded(t *testing.T) {
+func TestLimitsCheckReportsExceededLimit(t *testing.T) {
 	limits := Limits{Ops: 2, Preconditions: 1, BodyBytes: 200, ValueBytes: 100}
 	put := func(key string, valueBytes int) Write {
 		return Write{Put: key, Value: json.RawMessage(`"` + strings.Repeat("x", valueBytes-2) + `"`)}
--- a/internal/store/messages.go
+++ b/internal/store/messages.go
@@ -2,8 +2,7 @@
 
 import "encoding/json"
 
-// The tags are the words of the state service's protocol; this file is the one place that
-// maps them.
+// The JSON tags are the names in the state service's protocol. Only this file maps them to Go names.
 
 // Item is a key with its value.
 type Item struct {
@@ -13,14 +12,14 @@
 	LeaseID  uint64          `json:"hold,omitempty"`
 }
 
-// Precondition demands that Key is at Revision; 0 demands that it is absent.
+// Precondition requires that Key is at Revision; 0 requires that it is absent.
 type Precondition struct {
 	Key      string `json:"key"`
 	Revision uint64 `json:"stamp"`
 }
 
-// Write puts or removes one key: either Put or Remove is set. With a LeaseID the key ends with
-// that lease.
+// Write puts or removes one key: either Put or Remove is set. With a LeaseID, the key is removed
+// when that lease expires.
 type Write struct {
 	Put     string          `json:"write,omitempty"`
 	Remove  string          `json:"remove,omitempty"`
@@ -34,10 +33,10 @@
 	Preconditions []Precondition `json:"if"`
 	Writes        []Write        `json:"writes,omitempty"`
 
-	body []byte // the request as Limits.Check has measured it, sent as it is
+	body []byte // the encoded request, which Limits.Check measures and Client.Commit sends
 }
 
-// Event is one change seen by a watch: either Put or Remove is set.
+// Event is a change reported by a watch: either Put or Remove is set.
 type Event struct {
 	Put      string          `json:"write"`
 	Remove   string          `json:"remove"`
@@ -52,7 +51,7 @@
 	Epoch   uint64 `json:"epoch"`
 }
 
-// WatchResult is the answer to a watch: the events up to Epoch.
+// WatchResult is the answer to a watch: all events up to Epoch.
 type WatchResult struct {
 	Epoch  uint64  `json:"epoch"`
 	Events []Event `json:"events"`
--- a/internal/store/mirror.go
+++ b/internal/store/mirror.go
@@ -8,35 +8,35 @@
 	"strings"
 )
 
-// Mirror is this controller's copy of the live keys. It may lag behind the state service, never
-// lead it: only committed values enter it, and every decision made from it carries the
-// revisions that it was made from.
+// Mirror is this controller's copy of the live keys. It may lag behind the state service but is
+// never ahead of it: it holds committed values only. Every decision made from it carries the
+// revisions of the records that it is based on.
 type Mirror struct {
 	items map[string]Item
-	// tombstones holds the revisions of removals that came by our own commits ahead of the
-	// watch, so that an older event still on its way does not bring the key back.
+	// tombstones holds the revisions of removals that became known, by this controller's own
+	// commits, ahead of the watch. It keeps an older event, still to come, from restoring the key.
 	tombstones map[string]uint64
-	// Epoch is how far the watch has come: all changes up to it are in.
+	// Epoch is the epoch that the watch has reached: all changes up to it have been applied.
 	Epoch uint64
 	// Changed is called for every change, with a nil value for a removal.
 	Changed func(key string, value json.RawMessage, revision uint64)
-	// Transient, if set, names keys that are passed on to Changed and not kept: records that
-	// stay in the store for ever would fill the memory.
+	// Transient, if set, reports whether a key is passed to Changed without being kept. It is for
+	// records that stay in the store for ever, which would exhaust the memory.
 	Transient func(key string) bool
 }
 
-// NewMirror makes an empty mirror.
+// NewMirror returns an empty mirror that calls changed for every change.
 func NewMirror(changed func(key string, value json.RawMessage, revision uint64)) *Mirror {
 	return &Mirror{items: map[string]Item{}, tombstones: map[string]uint64{}, Changed: changed}
 }
 
-// Revision is the revision of a key, 0 when it is absent.
+// Revision returns the revision of a key, 0 if it is absent.
 func (m *Mirror) Revision(key string) uint64 { return m.items[key].Revision }
 
-// Get returns the value of a key, nil when it is absent.
+// Get returns the value of a key, nil if it is absent.
 func (m *Mirror) Get(key string) json.RawMessage { return m.items[key].Value }
 
-// Keys lists the keys with a prefix in order.
+// Keys returns the keys with a prefix, sorted.
 func (m *Mirror) Keys(prefix string) []string {
 	var keys []string
 	for k := range m.items {
@@ -48,10 +48,10 @@
 	return keys
 }
 
-// Put enters a committed value, unless one as new is there. What is no newer than Epoch is
-// there already or is gone: the answer to a read or to an own transaction may come after the
-// watch has shown the key's removal, and must not bring it back
-// (docs/incidents/late-answers.md).
+// Put applies a committed value unless the mirror already has one that is as new. A value no newer
+// than Epoch is ignored, since it has been applied already or has since been removed: the answer to
+// a read or to one of this controller's transactions may arrive after the watch has shown the key's
+// removal, and must not restore it (docs/incidents/late-answers.md).
 func (m *Mirror) Put(key string, value json.RawMessage, revision uint64) {
 	if revision <= m.Epoch || m.items[key].Revision >= revision || m.tombstones[key] >= revision {
 		return
@@ -62,7 +62,7 @@
 	m.Changed(key, value, revision)
 }
 
-// Remove enters a committed removal.
+// Remove applies a committed removal.
 func (m *Mirror) Remove(key string, revision uint64) {
 	if m.items[key].Revision > revision || m.tombstones[key] >= revision {
 		return
@@ -76,9 +76,9 @@
 	}
 }
 
-// ApplyEvents enters the events of a watch up to epoch; it sorts them in place. Of one
-// transaction the puts come first: a task that moved from one batch record to another must not
-// be gone in between.
+// ApplyEvents applies the events of a watch up to epoch; it sorts them in place. Within one
+// transaction it applies puts before removals, so that a task that moves from one batch record to
+// another does not disappear in between.
 func (m *Mirror) ApplyEvents(epoch uint64, events []Event) {
 	slices.SortStableFunc(events, compareEvents)
 	for _, e := range events {
@@ -104,8 +104,8 @@
 	return cmp.Compare(len(a.Remove), 0) - cmp.Compare(len(b.Remove), 0)
 }
 
-// ApplyListing enters a full listing of a prefix that describes the store at or after epoch;
-// keys of the prefix that it lacks are gone.
+// ApplyListing applies a full listing of a prefix that was read at or after epoch. Keys with the
+// prefix that are missing from it are removed, unless they are newer than epoch.
 func (m *Mirror) ApplyListing(prefix string, rows []Item, epoch uint64) {
 	listed := make(map[string]bool, len(rows))
 	for _, row := range rows {
@@ -119,7 +119,8 @@
 	}
 }
 
-// ApplyCommit enters the writes of an own transaction that was answered 200, at its revision.
+// ApplyCommit applies the writes of a transaction of this controller that the service committed at
+// revision.
 func (m *Mirror) ApplyCommit(writes []Write, revision uint64) {
 	for _, w := range writes {
 		if w.Put != "" {
--- a/internal/store/mirror_test.go
+++ b/internal/store/mirror_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// newTestMirror makes a mirror and the values that its changes add up to.
+// newTestMirror returns a mirror and the values by key that result from its changes.
 func newTestMirror(t *testing.T) (*Mirror, map[string]string) {
 	t.Helper()
 	values := map[string]string{}
@@ -30,12 +30,12 @@
 	m.ApplyCommit([]Write{{Remove: "k"}}, 9)
 	m.ApplyEvents(7, []Event{putEvent("k", "2", 7)})
 	if _, ok := values["k"]; ok {
-		t.Error("an older event brought a removed key back")
+		t.Error("an older event restored a removed key")
 	}
 	m.ApplyEvents(9, []Event{{Remove: "k", Revision: 9}})
 	m.ApplyEvents(11, []Event{putEvent("k", "3", 11)})
 	if values["k"] != "3" {
-		t.Errorf("%v", values)
+		t.Errorf("got values %v", values)
 	}
 	m.Put("k", json.RawMessage("old"), 4)
 	if values["k"] != "3" || m.Revision("k") != 11 {
@@ -48,23 +48,23 @@
 	m.ApplyEvents(5, []Event{putEvent("a/1", "1", 4), putEvent("a/2", "1", 5)})
 	m.ApplyListing("a/", []Item{{Key: "a/2", Value: json.RawMessage("2"), Revision: 6}}, 8)
 	if _, ok := values["a/1"]; ok || values["a/2"] != "2" {
-		t.Errorf("%v", values)
+		t.Errorf("got values %v", values)
 	}
 }
 
-// Final states stay in the store for ever; a mirror that kept each one it saw would grow until
-// its controller was ended for memory.
+// Final states stay in the store for ever. A mirror that kept all of them would grow until its
+// controller was killed for exceeding its memory limit.
 func TestTransientKeysAreNotKept(t *testing.T) {
 	changes := 0
 	m := NewMirror(func(string, json.RawMessage, uint64) { changes++ })
 	m.Transient = func(key string) bool { return strings.HasPrefix(key, "final/") }
 	m.ApplyEvents(3, []Event{putEvent("final/a", "1", 2), putEvent("job/a", "1", 3)})
 	if changes != 2 || len(m.Keys("")) != 1 || m.Revision("final/a") != 0 {
-		t.Fatalf("%d changes, kept %v", changes, m.Keys(""))
+		t.Fatalf("%d changes, keys kept: %v; want 2 changes, only job/a kept", changes, m.Keys(""))
 	}
 }
 
-// In whatever order the events of a transaction come.
+// Puts come first regardless of the order in which the events of a transaction arrive.
 func TestPutsOfATransactionAreAppliedBeforeRemovals(t *testing.T) {
 	var changes []string
 	m := NewMirror(func(key string, value json.RawMessage, _ uint64) {
@@ -77,17 +77,17 @@
 	}
 }
 
-// What the watch has passed is here or gone: an answer that comes later, to a read or to an own
-// transaction, brings nothing back.
+// Up to the epoch that the watch has reached, the mirror is complete. An answer that arrives later,
+// to a read or to one of this controller's transactions, must not restore a removed key.
 func TestLateAnswerDoesNotRestoreRemovedKey(t *testing.T) {
 	m, values := newTestMirror(t)
 	m.ApplyEvents(7, []Event{putEvent("job/a", "1", 5), {Remove: "job/a", Revision: 7}})
 	m.Put("job/a", json.RawMessage("1"), 5)
 	m.ApplyCommit([]Write{{Put: "job/a", Value: json.RawMessage("1")}}, 5)
 	if len(values) != 0 || m.Revision("job/a") != 0 {
-		t.Errorf("%v came back", values)
+		t.Errorf("late answers restored %v", values)
 	}
 	if m.Put("job/b", json.RawMessage("1"), 8); m.Revision("job/b") != 8 {
-		t.Error("a change that the watch has yet to show was dropped")
+		t.Error("a change newer than the watch was dropped")
 	}
 }
--- a/internal/store/queue.go
+++ b/internal/store/queue.go
@@ -8,31 +8,31 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Priority orders waiting calls; lower goes first.
+// Priority orders waiting calls; lower values are sent first.
 type Priority uint8
 
-// Priorities: first what the protocol's rules depend on, then users, then the rest.
+// Priorities. Calls that the correctness of the protocol depends on come first, then those for users.
 const (
-	PriorityMembership Priority = iota // leases, the view and the fence; exempt from the budget
-	PriorityUrgent                     // re-reading what is in doubt, and reading the state at a start
+	PriorityMembership Priority = iota // leases, the view and the fence; may overdraw the budget
+	PriorityUrgent                     // rereading records of transactions in doubt, and listing at startup
 	PriorityUser                       // submissions and cancellations
 	PriorityDecision                   // all other transactions
-	PriorityPoll                       // queries that a user repeats by himself
+	PriorityPoll                       // queries that a user repeats
 	priorityLevels
 )
 
-// pendingCall is a call that waits for the budget.
+// pendingCall is a call that waits until the budget covers it.
 type pendingCall struct {
 	method  string
 	target  string
 	body    []byte
-	writes  int    // of its transaction, 0 for reads and leases
-	sent    func() // called when the request leaves, if set
+	writes  int    // number of writes in its transaction, 0 for reads and leases
+	sent    func() // if set, called when the request is sent
 	done    func(status int, body []byte, err error)
-	retries int // times that it was refused with 429
+	retries int // number of times that it was refused with 429
 }
 
-// Dispatch sends what the budget allows at now. The loop calls it after every event.
+// Dispatch sends the waiting calls that the budget covers at now. The loop calls it after every event.
 func (c *Client) Dispatch(now time.Time) {
 	c.now = now
 	c.refill()
@@ -41,17 +41,18 @@
 		priority := Priority(level)
 		for i := 0; i < len(c.queues[priority]); {
 			call := c.queues[priority][i]
-			// Membership may overdraw: a lost lease costs more than a 429.
+			// Membership calls may overdraw the budget: losing a lease costs more than a 429.
 			if priority != PriorityMembership {
 				if c.requestTokens < 1 {
 					return
 				}
 				if call.writes > 0 && (writesExhausted || !c.affords(0, call.writes)) {
-					// Reads may pass it: users' questions wait for the epoch, and that
-					// read stood behind writes for as long as those were short. Writes
-					// may not, so that a large transaction is not starved by small ones.
+					// Reads may overtake a blocked write: users' queries wait for a read of
+					// the epoch, which would otherwise be stuck while writes are scarce.
+					// Other writes may not, so that small transactions do not starve a
+					// large one.
 					writesExhausted = true
-					c.writesLacking = true
+					c.writesHeldBack = true
 					i++
 					continue
 				}
@@ -63,7 +64,7 @@
 	}
 }
 
-// dispatchCall spends the budget for one call and sends it.
+// dispatchCall charges one call to the budget and sends it.
 func (c *Client) dispatchCall(priority Priority, call pendingCall) {
 	c.requestTokens--
 	c.writeTokens -= float64(call.writes)
@@ -80,8 +81,8 @@
 	c.send(call.method, call.target, call.body, tuning.StateTimeout, done)
 }
 
-// requeue puts a call that the service refused with 429 back to the head of its queue. It was
-// not executed, only sent too early: the budget was planned wider than the limit.
+// requeue returns a call that the service refused with 429 to the head of its queue. The call was
+// not executed; it was sent too early, since the controllers' budgets may together exceed the limit.
 func (c *Client) requeue(priority Priority, call pendingCall) {
 	call.retries++
 	c.queues[priority] = slices.Insert(c.queues[priority], 0, call)
@@ -94,11 +95,11 @@
 	}
 }
 
-// enqueue hands in a call and sends it at once if the budget allows.
+// enqueue adds a call to its queue and sends it at once if the budget covers it.
 func (c *Client) enqueue(priority Priority, call pendingCall) {
 	if priority != PriorityMembership && len(c.queues[priority]) >= c.queueLimit(priority) {
-		// Answered 429, not as an outage: a controller that is asked too much must not take
-		// the service for down, and refuse every user while it calls itself healthy.
+		// Answer 429 rather than 503: an overloaded controller must not conclude that the service
+		// is down and refuse every user while it reports itself healthy.
 		call.done(http.StatusTooManyRequests, nil, nil)
 		return
 	}
@@ -107,8 +108,8 @@
 	c.Dispatch(c.now)
 }
 
-// queueLimit is how many calls of a priority may wait. Users' calls are bounded by what the
-// budget serves while a user waits.
+// queueLimit returns how many calls of a priority may wait. For users' calls it is the number that
+// the budget covers within tuning.UserCalls, the time for which a call for a user may wait.
 func (c *Client) queueLimit(priority Priority) int {
 	if priority != PriorityUser && priority != PriorityPoll {
 		return tuning.StateQueue
