--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -1,5 +1,5 @@
-// Package goldentest helps tests compare what is sent or stored with files written by an
-// earlier state of the code, byte for byte. Only tests use it.
+// Package goldentest helps tests compare messages and stored records, byte for byte, with golden
+// files written by an earlier version of the code. Only tests use it.
 package goldentest
 
 import (
@@ -17,8 +17,8 @@
 
 var update = flag.Bool("update", false, "write the golden files instead of comparing with them")
 
-// Bytes compares got with the file testdata/golden/name of the package under
-// test. With -update it writes the file instead.
+// Bytes compares got with the file testdata/golden/name of the package under test. With the flag
+// -update it writes the file instead.
 func Bytes(tb testing.TB, name string, got []byte) {
 	tb.Helper()
 	path := filepath.Join("testdata", "golden", name)
@@ -32,7 +32,7 @@
 		return
 	}
 	if want := Read(tb, name); !bytes.Equal(got, want) {
-		tb.Errorf("%s: the code now writes\n%q\nthe golden file has\n%q", name, got, want)
+		tb.Errorf("%s: the code writes\n%q\nthe golden file has\n%q", name, got, want)
 	}
 }
 
@@ -46,9 +46,9 @@
 	return b
 }
 
-// JSON compares the JSON form of v with testdata/golden/name, and the file with itself,
-// decoded into a value of v's type and encoded again. It is for types that
-// the code gives to encoding/json itself.
+// JSON compares the JSON form of v with testdata/golden/name, and checks that the file stays the
+// same when it is decoded into a value of v's type and encoded again. It is for types that the
+// code encodes with encoding/json.
 func JSON[T any](tb testing.TB, name string, v T) {
 	tb.Helper()
 	b, err := json.Marshal(v)
@@ -56,12 +56,12 @@
 		tb.Fatalf("%s: %v", name, err)
 	}
 	Bytes(tb, name, b)
-	var back T
-	if err := json.Unmarshal(Read(tb, name), &back); err != nil {
+	var decoded T
+	if err := json.Unmarshal(Read(tb, name), &decoded); err != nil {
 		tb.Errorf("%s: decoding the golden file: %v", name, err)
 		return
 	}
-	b, err = json.Marshal(back)
+	b, err = json.Marshal(decoded)
 	if err != nil {
 		tb.Fatalf("%s: %v", name, err)
 	}
@@ -70,13 +70,12 @@
 	}
 }
 
-// Filled fails the test for every field in v that is zero, so that a field
-// added later is noticed. It looks into pointers, interfaces, maps (each
-// value) and slices (the first element), and asks for at least one element of
-// each map and slice. A type that contains itself is looked into once. Fields
-// with the JSON tag "-" are passed over, and so are the paths in except, which
-// join names by a dot: a field's JSON name, or its Go name if it has no tag; a
-// slice's "0"; a map's key.
+// Filled reports a test error for every field in v that is zero, so that a golden test covers fields
+// added later. It descends into pointers, interfaces, maps (every value) and slices (the first
+// element), and requires at least one element in each map and slice. A recursive type is descended
+// into once. Fields with the JSON tag "-" are skipped, and so are the paths in except. A path joins
+// names with dots: a field's JSON name, or its Go name if it has no tag; "0" for a slice's element;
+// a map's key.
 func Filled(tb testing.TB, v any, except ...string) {
 	tb.Helper()
 	for _, path := range zeros(reflect.ValueOf(v), "", nil, except) {
@@ -84,7 +83,7 @@
 	}
 }
 
-// zeros returns the paths below v that hold a zero value.
+// zeros returns the paths of zero values in v. within lists the struct types that enclose v.
 func zeros(v reflect.Value, path string, within []reflect.Type, except []string) []string {
 	if slices.Contains(except, path) {
 		return nil
@@ -114,8 +113,8 @@
 		return []string{path}
 	}
 	var found []string
-	for entries := v.MapRange(); entries.Next(); {
-		found = append(found, zeros(entries.Value(), join(path, keyName(entries.Key())), within, except)...)
+	for iter := v.MapRange(); iter.Next(); {
+		found = append(found, zeros(iter.Value(), join(path, keyName(iter.Key())), within, except)...)
 	}
 	return found
 }
@@ -136,8 +135,7 @@
 	return found
 }
 
-// fieldName returns the name of a field within a path, and whether the field
-// is looked at.
+// fieldName returns the name of a field within a path, and whether the field is checked.
 func fieldName(field reflect.StructField) (string, bool) {
 	tag, tagged := field.Tag.Lookup("json")
 	if tag == "-" {
--- a/internal/goldentest/goldentest_test.go
+++ b/internal/goldentest/goldentest_test.go
@@ -20,8 +20,8 @@
 	hidden bool
 }
 
-// filled has no zero field but one that is passed over.
-func filled() branch {
+// filledBranch returns a value whose only zero field is skipped.
+func filledBranch() branch {
 	full := leaf{Name: "a", Size: 1}
 	return branch{
 		Leaves: []leaf{full},
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestZerosAreNamed(t *testing.T) {
+func TestZerosReturnsPathsOfZeroFields(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*branch)
 		except []string
@@ -48,7 +48,7 @@
 		"excepted":             {func(b *branch) { b.hidden = false }, []string{"hidden"}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			value := filled()
+			value := filledBranch()
 			c.change(&value)
 			if got := zeros(reflect.ValueOf(value), "", nil, c.except); !slices.Equal(got, c.want) {
 				t.Errorf("got %q, want %q", got, c.want)
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -76,7 +76,7 @@
 	goldentest.Bytes(t, "requests.txt", sent.Bytes())
 }
 
-// TestGoldenAnswers decodes answers from golden files. Some of these the flag -update does not write.
+// TestGoldenAnswers decodes answers from golden files; those named answer-* are not written by -update.
 func TestGoldenAnswers(t *testing.T) {
 	check := func(name string, got, want any, err, wantErr error) {
 		t.Helper()
--- a/internal/taskbatch/batch.go
+++ b/internal/taskbatch/batch.go
@@ -1,8 +1,8 @@
-// Package taskbatch is the form of batch records: values of the state service that hold the
-// records of many jobs' tasks, so that one write says what has become of all of them. A batch
-// record is JSON with the jobs' IDs in the clear and the tasks packed: protobuf's wire format,
-// so that later versions may add fields, compressed with zstd, which brings a checksum (XXH64).
-// No IO, no clock.
+// Package taskbatch encodes and decodes batch records: values in the state service that hold the
+// records of tasks of many jobs, so that one write can update all of them. A batch record is JSON
+// with the job IDs as plain text and the tasks packed. The packed form is the protobuf wire format,
+// so that later versions can add fields, compressed with zstd, which adds a checksum (XXH64). The
+// package does no IO and reads no clock.
 package taskbatch
 
 import (
@@ -21,21 +21,22 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// KeyPrefix begins the keys of batch records in the state service. They are listed after jobs.
+// KeyPrefix is the prefix of the keys of batch records in the state service. They are listed after
+// the jobs.
 const KeyPrefix = "pack/"
 
-// FormatVersion is the newest form of batch records that this program reads and writes.
+// FormatVersion is the version of the format of batch records that this program reads and writes.
 const FormatVersion = 1
 
-// ErrMalformed means that a batch record, or a part of it, cannot be read.
+// ErrMalformed means that a batch record, or a part of it, cannot be decoded.
 var ErrMalformed = errors.New("malformed batch record")
 
-// VersionError is a batch record of a form that this program does not know.
+// VersionError reports a batch record of a version that this program does not support.
 type VersionError struct {
 	Version int
 }
 
-// Error names the version.
+// Error returns a message with the version.
 func (e *VersionError) Error() string {
 	return fmt.Sprintf("batch record of unknown version %d", e.Version)
 }
@@ -47,7 +48,7 @@
 	Task  jobs.Task
 }
 
-// Sort puts entries in the order of batch records: by job, then by index.
+// Sort sorts entries into the order that batch records use: by job ID, then by index.
 func Sort(entries []Entry) {
 	slices.SortFunc(entries, compare)
 }
@@ -56,24 +57,24 @@
 	return cmp.Or(strings.Compare(a.JobID, b.JobID), cmp.Compare(a.Index, b.Index))
 }
 
-// stored is a batch record as stored. The jobs' IDs stand in the clear, so that of a record
-// whose rest cannot be read it is still known whose tasks it holds.
+// stored is the JSON form of a batch record. The job IDs are plain text, so that they remain known
+// if the rest of the record cannot be decoded.
 type stored struct {
 	Version int    `json:"v"`
-	Jobs    string `json:"jobs"` // their IDs, separated by spaces
-	Tasks   string `json:"z"`    // fields as below, compressed, in base64
+	Jobs    string `json:"jobs"` // job IDs, separated by spaces
+	Tasks   string `json:"z"`    // the packed form, compressed, in base64
 }
 
-// Fields of the packed form. Field numbers are never used for something else.
+// Fields of the packed form. Field numbers are never reused.
 const (
-	fieldName protowire.Number = 1 // of a machine, zone or controller; tasks name it by its position
+	fieldName protowire.Number = 1 // name of a machine, zone or controller; tasks refer to its position
 	fieldTask protowire.Number = 2
 )
 
-// taskField is a field of one task. Numbers are never used for something else.
+// taskField is the number of a field of a task. Field numbers are never reused.
 type taskField protowire.Number
 
-// Fields of a task. Names are positions in the list of names, from 1; 0 is none.
+// Fields of a task. A name is stored as its position in the list of names, from 1; 0 means none.
 const (
 	taskJob        taskField = 1 // position in the list of jobs, from 0
 	taskIndex      taskField = 2
@@ -85,21 +86,22 @@
 	taskAttempt    taskField = 8
 	taskFailures   taskField = 9
 	taskFailedOn   taskField = 10 // repeated
-	taskNotBefore  taskField = 11 // ms since 1970
-	taskReason     taskField = 12 // the text itself
+	taskNotBefore  taskField = 11 // Unix time in ms
+	taskReason     taskField = 12 // the text itself, not a position
 )
 
-// states numbers the states of tasks in batch records; new ones are added at the end.
+// states lists the task states; batch records store a state as its index here. New states are
+// appended at the end.
 var states = []jobs.TaskState{jobs.Pending, jobs.Assigned, jobs.Placed, jobs.Stopping, jobs.Finished}
 
-// zstdCodec is the compressor and decompressor of all batch records.
+// zstdCodec returns the compressor and the decompressor of all batch records.
 var zstdCodec = compression.New(
 	tuning.MaxUnpacked,
 	append(slices.Clone(compression.SmallRecords), zstd.WithEncoderLevel(zstd.SpeedFastest))...,
 )
 
-// JobIDs lists the jobs whose tasks a batch record holds, also of one whose rest can't be read;
-// false if not even they can be told.
+// JobIDs returns the IDs of the jobs whose tasks a batch record holds, even if the tasks cannot be
+// decoded. It returns false if the IDs cannot be decoded either.
 func JobIDs(value json.RawMessage) ([]string, bool) {
 	var s stored
 	if json.Unmarshal(value, &s) != nil {
--- a/internal/taskbatch/batch_test.go
+++ b/internal/taskbatch/batch_test.go
@@ -22,7 +22,7 @@
 	return jobs.Task{State: jobs.Placed, Machine: machine, Zone: "a", Attempt: 1}
 }
 
-// drawEntries is any entries of a batch record, each task once.
+// drawEntries draws the entries of a batch record, without duplicate tasks.
 func drawEntries(t *rapid.T) []Entry {
 	drawn := map[string]bool{}
 	var entries []Entry
@@ -61,59 +61,60 @@
 		task.NotBeforeMs = rapid.Int64Range(0, 1<<42).Draw(t, "not before")
 		task.FailedOn = rapid.SliceOfN(machine, 0, 4).Draw(t, "failed on")
 		if len(task.FailedOn) == 0 {
-			task.FailedOn = nil // as it is read
+			task.FailedOn = nil // as Decode returns it
 		}
 	case jobs.Finished:
-		// Nothing else is kept.
+		// A finished task has no other fields.
 	}
 	return task
 }
 
-func TestDecodeReadsWhatEncodeWrites(t *testing.T) {
+func TestDecodeInvertsEncode(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		entries := drawEntries(t)
 		value := Encode(entries)
 		decoded, err := Decode(value)
 		Sort(entries)
 		if err != nil || !reflect.DeepEqual(decoded, entries) {
-			t.Fatalf("%v: %+v, not %+v", err, decoded, entries)
+			t.Fatalf("error %v, got %+v, want %+v", err, decoded, entries)
 		}
 		jobIDs, ok := JobIDs(value)
 		for _, entry := range entries {
 			if !ok || !slices.Contains(jobIDs, entry.JobID) {
-				t.Fatalf("%v does not name %s", jobIDs, entry.JobID)
+				t.Fatalf("job IDs %v lack %s", jobIDs, entry.JobID)
 			}
 		}
 	})
 }
 
-// However small a value may be, every task is in one of the batch records once.
+// Regardless of the size limit, every task ends up in exactly one of the batch records.
 func TestSplitKeepsEveryTaskOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		entries := drawEntries(t)
 		Sort(entries)
-		var kept []Entry
+		var restored []Entry
 		for _, value := range Split(entries, rapid.IntRange(80, 900).Draw(t, "limit")) {
 			decoded, err := Decode(value)
 			if err != nil {
 				t.Fatal(err)
 			}
-			kept = append(kept, decoded...)
+			restored = append(restored, decoded...)
 		}
-		if len(kept) != len(entries) {
-			t.Fatalf("%d tasks of %d after a split", len(kept), len(entries))
+		if len(restored) != len(entries) {
+			t.Fatalf("%d tasks after a split, want %d", len(restored), len(entries))
 		}
 		for i, want := range entries {
-			got := kept[i]
+			got := restored[i]
 			if compare(got, want) != 0 || got.Task.State != want.Task.State || got.Task.Attempt != want.Task.Attempt {
-				t.Fatalf("%+v, not %+v", got, want)
+				t.Fatalf("got %+v, want %+v", got, want)
 			}
 		}
 	})
 }
 
-// A flipped bit is seen, and whose tasks they were is still known.
-func TestDamagedRecordStillNamesItsJobs(t *testing.T) {
+// If a bit of the compressed tasks flips, decoding fails or still yields every task, and the job IDs
+// remain readable.
+func TestJobIDsOfDamagedRecordAreReadable(t *testing.T) {
 	var entries []Entry
 	for i := range 50 {
 		entries = append(entries, Entry{JobID: fmt.Sprint("wk-", i%5), Index: i, Task: placed(fmt.Sprint("i-", i))})
@@ -133,7 +134,7 @@
 			})
 			compressed[i] ^= 1 << bit
 			if decoded, err := Decode(damaged); err == nil && len(decoded) != len(entries) {
-				t.Fatalf("byte %d, bit %d: %d tasks", i, bit, len(decoded))
+				t.Fatalf("byte %d, bit %d flipped: decoded %d tasks without an error", i, bit, len(decoded))
 			}
 			if jobIDs, ok := JobIDs(damaged); !ok || len(jobIDs) != 5 {
 				t.Fatal(jobIDs)
@@ -142,7 +143,7 @@
 	}
 }
 
-func TestDecodeRefusesMalformedRecords(t *testing.T) {
+func TestDecodeRejectsMalformedRecords(t *testing.T) {
 	tests := []struct {
 		name  string
 		value string
@@ -170,7 +171,7 @@
 	})
 }
 
-// What a task takes of a value, for the counts in docs/notes/records.md.
+// The size of a placed task in a batch record, on which the counts in docs/notes/records.md are based.
 func TestPlacedTaskTakesFewBytes(t *testing.T) {
 	const tasks, maxBytesPerTask = 400, 22
 	var entries []Entry
@@ -189,7 +190,7 @@
 	value := Encode(entries)
 	t.Logf("%d bytes for %d placed tasks of 50 jobs", len(value), tasks)
 	if len(value) > tasks*maxBytesPerTask {
-		t.Errorf("%d bytes for %d placed tasks of 50 jobs on as many machines", len(value), tasks)
+		t.Errorf("%d bytes for %d placed tasks of 50 jobs on as many machines exceed the limit", len(value), tasks)
 	}
 }
 
@@ -212,7 +213,7 @@
 		}
 		again, err := Decode(Encode(entries))
 		if err != nil || !reflect.DeepEqual(again, entries) {
-			t.Fatalf("%v: %+v, not %+v", err, again, entries)
+			t.Fatalf("error %v, got %+v, want %+v", err, again, entries)
 		}
 	})
 }
--- a/internal/taskbatch/decode.go
+++ b/internal/taskbatch/decode.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// entryBytes is about what a task takes unpacked, names and all.
+	// entryBytes is the approximate size of a task and its names in the packed form, uncompressed.
 	entryBytes = 18
-	// maxNames is how many names a batch record may hold: four a task.
+	// maxNames is the maximum number of names in a batch record: four per task.
 	maxNames = 4 * tuning.MaxBatchTasks
-	// maxFailures and maxNotBeforeMs keep what is read within the types of jobs.Task.
+	// maxFailures and maxNotBeforeMs keep decoded numbers within the types of jobs.Task's fields.
 	maxFailures    = 1 << 31
 	maxNotBeforeMs = 1 << 62
 )
 
-// Decode reads a batch record and checks it. Unknown fields are ignored; an unknown version is a
-// *VersionError, anything else wraps ErrMalformed.
+// Decode decodes and validates a batch record. Unknown fields are ignored. The error is a
+// *VersionError for an unknown version and wraps ErrMalformed otherwise.
 func Decode(value json.RawMessage) ([]Entry, error) {
 	var s stored
 	if err := json.Unmarshal(value, &s); err != nil {
@@ -33,7 +33,7 @@
 	}
 	jobIDs, ok := s.jobIDs()
 	if !ok {
-		return nil, fmt.Errorf("%w: list of jobs", ErrMalformed)
+		return nil, fmt.Errorf("%w: invalid list of job IDs", ErrMalformed)
 	}
 	packed, err := unpack(s.Tasks)
 	if err != nil {
@@ -54,7 +54,7 @@
 	return d.entries, nil
 }
 
-// unpack undoes base64 and compression, and so checks the checksum.
+// unpack decodes the base64 text and decompresses it, which verifies the checksum.
 func unpack(tasks string) ([]byte, error) {
 	compressed, err := base64.StdEncoding.DecodeString(tasks)
 	if err != nil {
@@ -68,18 +68,18 @@
 	return packed, nil
 }
 
-// decoder is what was read of a batch record so far.
+// decoder holds what has been decoded of a batch record so far.
 type decoder struct {
 	jobIDs  []string
 	names   []string
 	entries []Entry
 }
 
-// field reads one field of the packed form and returns what follows it.
+// field decodes one field of the packed form and returns the rest of b.
 func (d *decoder) field(b []byte) ([]byte, error) {
 	number, wireType, n := protowire.ConsumeTag(b)
 	if n < 0 {
-		return nil, fmt.Errorf("%w: tag", ErrMalformed)
+		return nil, fmt.Errorf("%w: invalid field tag", ErrMalformed)
 	}
 	b = b[n:]
 	if wireType != protowire.BytesType || number != fieldName && number != fieldTask {
@@ -107,7 +107,7 @@
 	return b[n:], nil
 }
 
-// skipField skips the value of an unknown field.
+// skipField skips the value of an unknown field and returns the rest of b.
 func skipField(b []byte, number protowire.Number, wireType protowire.Type) ([]byte, error) {
 	n := protowire.ConsumeFieldValue(number, wireType, b)
 	if n < 0 {
@@ -116,7 +116,7 @@
 	return b[n:], nil
 }
 
-// entry reads one task's record.
+// entry decodes the record of one task.
 func (d *decoder) entry(b []byte) (Entry, error) {
 	t := taskDecoder{names: d.names}
 	var err error
@@ -126,7 +126,7 @@
 		}
 	}
 	if t.outOfRange || t.job >= uint64(len(d.jobIDs)) || t.state >= uint64(len(states)) {
-		return Entry{}, fmt.Errorf("%w: position of a name, job or state", ErrMalformed)
+		return Entry{}, fmt.Errorf("%w: position of a name, job or state out of range", ErrMalformed)
 	}
 	if t.index >= jobs.MaxTasks || t.failures > maxFailures || t.notBeforeMs > maxNotBeforeMs {
 		return Entry{}, fmt.Errorf("%w: number out of range", ErrMalformed)
@@ -141,10 +141,10 @@
 	return entry, nil
 }
 
-// taskDecoder is what was read of a task so far; numbers are unchecked.
+// taskDecoder holds what has been decoded of a task so far. Its numbers are not validated yet.
 type taskDecoder struct {
 	names      []string
-	outOfRange bool // a name's position was
+	outOfRange bool // the position of a name was invalid
 
 	task        jobs.Task
 	job         uint64 // position in the list of jobs
@@ -154,11 +154,11 @@
 	notBeforeMs uint64
 }
 
-// field reads one field of a task and returns what follows it.
+// field decodes one field of a task and returns the rest of b.
 func (t *taskDecoder) field(b []byte) ([]byte, error) {
 	number, wireType, n := protowire.ConsumeTag(b)
 	if n < 0 {
-		return nil, fmt.Errorf("%w: tag in a task", ErrMalformed)
+		return nil, fmt.Errorf("%w: invalid field tag in a task", ErrMalformed)
 	}
 	b = b[n:]
 	if wireType == protowire.VarintType {
@@ -172,7 +172,7 @@
 	if taskField(number) == taskReason && wireType == protowire.BytesType {
 		reason, n := protowire.ConsumeString(b)
 		if n < 0 {
-			return nil, fmt.Errorf("%w: reason of a task", ErrMalformed)
+			return nil, fmt.Errorf("%w: invalid reason of a task", ErrMalformed)
 		}
 		t.task.Reason = reason
 		return b[n:], nil
@@ -180,7 +180,7 @@
 	return skipField(b, number, wireType)
 }
 
-// set takes in a number; fields of later versions are ignored.
+// set sets the field to a decoded number. Unknown fields, from later versions, are ignored.
 func (t *taskDecoder) set(field taskField, value uint64) {
 	switch field {
 	case taskJob:
@@ -206,11 +206,11 @@
 	case taskNotBefore:
 		t.notBeforeMs = value
 	case taskReason:
-		// A text, never a number.
+		// The reason is text and is never encoded as a number.
 	}
 }
 
-// name is the name at a position from 1.
+// name returns the name at a position, from 1.
 func (t *taskDecoder) name(position uint64) string {
 	if position == 0 || position > uint64(len(t.names)) {
 		t.outOfRange = true
--- a/internal/taskbatch/encode.go
+++ b/internal/taskbatch/encode.go
@@ -11,13 +11,14 @@
 	"github.com/harrierreel/harrierreel/internal/jobs"
 )
 
-// nameTable is a list of names as it grows.
+// nameTable assigns positions to the names that the tasks of a batch record refer to.
 type nameTable struct {
 	names     []string
 	positions map[string]int // from 1
 }
 
-// position is a name's position from 1, 0 for none.
+// position returns the position of a name, from 1, and adds the name if it is new. It returns 0 for
+// the empty name.
 func (t *nameTable) position(name string) uint64 {
 	if name == "" {
 		return 0
@@ -31,7 +32,7 @@
 	return uint64(position)
 }
 
-// Encode writes a batch record. The same entries, in any order, give the same bytes.
+// Encode encodes entries as a batch record. The result does not depend on their order.
 func Encode(entries []Entry) json.RawMessage {
 	if !slices.IsSortedFunc(entries, compare) {
 		entries = slices.Clone(entries)
@@ -49,7 +50,7 @@
 		tasks = protowire.AppendTag(tasks, fieldTask, protowire.BytesType)
 		tasks = protowire.AppendBytes(tasks, task)
 	}
-	// Names come first, so that a reader knows them when it reads the tasks.
+	// Names come first, so that a decoder knows them when it reaches the tasks.
 	var packed []byte
 	for _, name := range table.names {
 		packed = protowire.AppendTag(packed, fieldName, protowire.BytesType)
@@ -65,7 +66,8 @@
 	})
 }
 
-// appendTask appends the fields of one task; jobPosition is its job's in the list of jobs.
+// appendTask appends the fields of one task to b. jobPosition is its job's position in the list of
+// jobs, from 0.
 func appendTask(b []byte, entry *Entry, jobPosition int, table *nameTable) []byte {
 	t := &entry.Task
 	b = appendNumber(b, taskJob, uint64(jobPosition))
@@ -88,7 +90,7 @@
 	return b
 }
 
-// appendNumber appends a field, nothing for 0.
+// appendNumber appends a numeric field to b unless its value is 0.
 func appendNumber(b []byte, field taskField, value uint64) []byte {
 	if value == 0 {
 		return b
@@ -97,7 +99,8 @@
 	return protowire.AppendVarint(b, value)
 }
 
-// withoutPlacementInfo leaves out of entries what only helps to choose machines or to explain.
+// withoutPlacementInfo returns a copy of entries without the optional fields, which only help to
+// choose machines or explain the state.
 func withoutPlacementInfo(entries []Entry) []Entry {
 	entries = slices.Clone(entries)
 	for i := range entries {
@@ -107,9 +110,10 @@
 	return entries
 }
 
-// Split writes entries as one batch record of at most limit bytes, or as many as it takes; where
-// one would do without what is only helpful, that is left out. The first goes under the key that
-// the entries had. A single entry is written whatever its size.
+// Split encodes entries as one batch record of at most limit bytes, or as several if they do not
+// fit. Optional fields (see withoutPlacementInfo) are dropped if that makes the entries fit into one
+// record. The first record belongs under the key that the entries had before. A record of a single
+// entry may exceed limit.
 func Split(entries []Entry, limit int) []json.RawMessage {
 	value := Encode(entries)
 	if len(value) <= limit || len(entries) <= 1 {
--- a/internal/taskbatch/golden_test.go
+++ b/internal/taskbatch/golden_test.go
@@ -54,18 +54,18 @@
 			recorded := goldentest.Read(t, test.file)
 			decoded, err := Decode(recorded)
 			if err != nil || !reflect.DeepEqual(decoded, test.entries) {
-				t.Fatalf("read %+v, %v", decoded, err)
+				t.Fatalf("decoded %+v, error %v", decoded, err)
 			}
 			goldentest.Bytes(t, test.file, Encode(decoded))
 			goldentest.JSON(t, test.file, decodeStored(t, recorded))
 			if jobIDs, ok := JobIDs(recorded); !ok || len(jobIDs) == 0 {
-				t.Errorf("its jobs are %q, %v", jobIDs, ok)
+				t.Errorf("got job IDs %q, ok %v", jobIDs, ok)
 			}
 		})
 	}
 }
 
-// TestGoldenPackedForm holds what is within a batch record, before it is compressed.
+// TestGoldenPackedForm checks the packed form of the tasks before compression.
 func TestGoldenPackedForm(t *testing.T) {
 	s := decodeStored(t, goldentest.Read(t, "pack.json"))
 	goldentest.Filled(t, s)
--- a/internal/testseed/testseed.go
+++ b/internal/testseed/testseed.go
@@ -1,12 +1,12 @@
-// Package testseed runs a package's tests with a fixed seed for the property tests, so that
-// every run has the same verdict. Only tests use it.
+// Package testseed runs a package's tests with a fixed seed for the property tests, so that every
+// run has the same result. Only tests use it.
 package testseed
 
 import (
 	"flag"
 	"testing"
 
-	// It declares the flags that are set here.
+	// Registers the flags that Main sets.
 	_ "pgregory.net/rapid"
 )
 
@@ -15,13 +15,13 @@
 	defaultSeed = "20261201"
 )
 
-// Main runs the tests and returns the code to exit with. It is for a TestMain, which calls
-// it before the flags are parsed. The flag -rapid.seed tries other seeds.
+// Main runs the tests and returns the exit code. TestMain calls it instead of m.Run, before flags
+// are parsed. The flag -rapid.seed sets another seed.
 func Main(m *testing.M) int {
 	flag.Parse()
-	given := false
-	flag.Visit(func(f *flag.Flag) { given = given || f.Name == seedFlag })
-	if !given {
+	seedGiven := false
+	flag.Visit(func(f *flag.Flag) { seedGiven = seedGiven || f.Name == seedFlag })
+	if !seedGiven {
 		_ = flag.Set(seedFlag, defaultSeed)
 	}
 	_ = flag.Set("rapid.nofailfile", "true")
