--- a/internal/completion/completion.go
+++ b/internal/completion/completion.go
@@ -1,5 +1,5 @@
-// Package completion builds the writes that end a job: its final state, which the store keeps for
-// ever, and the removal of its live records. It does no IO and reads no clock.
+// Package completion builds the writes that end a job: its final state, which the store keeps
+// permanently, and the removal of its live records. It does no IO and reads no clock.
 package completion
 
 import (
--- a/internal/controller/limits.go
+++ b/internal/controller/limits.go
@@ -39,15 +39,16 @@
 // valueBytes returns the maximum size of a record in bytes.
 func (c *Controller) valueBytes() int { return int(c.settings.Cluster.State.ValueKB * 1024) }
 
-// maxRangeTasks returns the maximum number of tasks in one task range record. Both the record's
-// size and the number of preconditions that a transaction moving all of them needs limit it.
+// maxRangeTasks returns the maximum number of tasks in one task range record. It is limited by the
+// size of a record and by the number of preconditions in a transaction, since one transaction must
+// be able to move all tasks of a range.
 func (c *Controller) maxRangeTasks() int {
 	byBytes := max(1, c.valueBytes()/tuning.RangeTaskBytes)
 	return min(byBytes, c.settings.Cluster.State.TxnOps*tuning.PreconditionsPerOp/2)
 }
 
-// usesBatches reports whether tasks are placed in batch records: if the settings ask for it, by
-// default where writes are scarce, and every member can read them.
+// usesBatches reports whether tasks are placed in batch records. The setting decides this, by default
+// in favor of them where writes are scarce, but every member must be able to read them.
 func (c *Controller) usesBatches() bool {
 	var wanted bool
 	switch c.settings.Operator.TaskBatching {
--- a/internal/controller/release_test.go
+++ b/internal/controller/release_test.go
@@ -76,7 +76,8 @@
 	c.client.Dispatch(c.state.Now)
 	c.state.Now = c.state.Now.Add(time.Second) // refills the budget
 	c.client.Dispatch(c.state.Now)
-	c.shard.Reconciling.SetView(1, nil, nil, c.state.Now) // no other members: reconciliation is complete at once
+	// Without machines or other owners to wait for, reconciliation completes.
+	c.shard.Reconciling.SetView(1, nil, nil, c.state.Now)
 	return c
 }
 
--- a/internal/store/mirror.go
+++ b/internal/store/mirror.go
@@ -21,7 +21,7 @@
 	// Changed is called for every change, with a nil value for a removal.
 	Changed func(key string, value json.RawMessage, revision uint64)
 	// Transient, if set, reports whether a key is passed to Changed without being kept. It is for
-	// records that stay in the store for ever, which would exhaust the memory.
+	// records that the store keeps permanently, which would exhaust the memory.
 	Transient func(key string) bool
 }
 
--- a/internal/store/mirror_test.go
+++ b/internal/store/mirror_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// Final states stay in the store for ever. A mirror that kept all of them would grow until its
+// The store keeps final states permanently. A mirror that kept all of them would grow until its
 // controller was killed for exceeding its memory limit.
 func TestTransientKeysAreNotKept(t *testing.T) {
 	changes := 0
