--- a/internal/shard/collaborators.go
+++ b/internal/shard/collaborators.go
@@ -10,15 +10,15 @@
 	"github.com/harrierreel/harrierreel/internal/settings"
 )
 
-// Config is what a shard is set to.
+// Config configures a Shard.
 type Config struct {
 	Name       string // of this controller
 	Cluster    settings.Cluster
-	ValueBytes int // largest value of a record, in bytes
+	ValueBytes int // maximum size of a stored value, in bytes
 	Log        *slog.Logger
 }
 
-// Collaborators are the other parts of the controller that a shard calls. All are needed.
+// Collaborators are the other parts of the controller that a shard calls. All are required.
 type Collaborators struct {
 	View          View
 	Agents        AgentCaller
@@ -31,90 +31,91 @@
 	Complaints    ComplaintLog
 }
 
-// View is the view of the controllers that this one acts in.
+// View gives access to the membership view that this controller acts under.
 type View interface {
-	// OutsideView tells whether the view does not name this controller.
+	// OutsideView reports whether this controller is not in the view.
 	OutsideView() bool
-	// MayAnswerAgents tells whether this controller may answer heartbeats.
+	// MayAnswerAgents reports whether this controller may answer heartbeats.
 	MayAnswerAgents() bool
-	// Epoch is the view's.
+	// Epoch returns the epoch of the view.
 	Epoch() uint64
-	// KnownEpoch is up to where all changes of the key-value store are known; it may be
-	// above the view's.
+	// KnownEpoch returns the epoch of the key-value store up to which all changes are known. It may
+	// be higher than the view's epoch.
 	KnownEpoch() uint64
-	// Members are the names of the controllers in the view.
+	// Members returns the names of the controllers in the view.
 	Members() []string
-	// OwnerOf is the controller that a machine without a record belongs to.
+	// OwnerOf returns the controller that owns a machine without a record.
 	OwnerOf(machine string) string
 }
 
 // AgentCaller sends requests to workers' agents.
 type AgentCaller interface {
-	// Call sends a request; done is called with its answer on the controller's loop.
+	// Call sends a request. It calls done with the answer on the controller's event loop.
 	Call(
 		endpoint, method, target string, body []byte, timeout time.Duration,
 		done func(status int, body []byte, err error),
 	)
 }
 
-// LoopWaker has the controller's loop reconcile again without delay.
+// LoopWaker makes the controller's event loop reconcile again without delay.
 type LoopWaker interface {
 	Wake()
 }
 
-// Scheduler places what waits on the machines of the shard.
+// Scheduler places pending tasks on the machines of the shard.
 type Scheduler interface {
-	// Place is one scheduling cycle: the decisions that place tasks.
+	// Place runs one scheduling cycle and returns the decisions that place tasks.
 	Place() []decide.Decision
-	// ClaimedFor is the job that a machine is claimed for, "" if it is not.
+	// ClaimedFor returns the ID of the job that a machine is claimed for, or "" if there is none.
 	ClaimedFor(machine *clusterstate.Machine) string
-	// MayBegin tells whether tasks of a job may begin now, by the calendar.
+	// MayBegin reports whether the calendar allows tasks of a job to start now.
 	MayBegin(spec *jobs.Spec) bool
 }
 
-// Provisioner scales the machines out and in.
+// Provisioner scales the fleet out and in.
 type Provisioner interface {
-	// GivenUp tells whether a machine is being decommissioned.
+	// GivenUp reports whether a machine is being decommissioned.
 	GivenUp(machine string) bool
-	// Draining tells whether a machine takes no new tasks, since it will be scaled in.
+	// Draining reports whether a machine accepts no new tasks because it is to be scaled in.
 	Draining(machine string) bool
 }
 
-// CommitQueue takes decisions and commits them to the key-value store.
+// CommitQueue commits decisions to the key-value store.
 type CommitQueue interface {
-	// Busy tells whether a record is under a transaction; a decision about it waits.
+	// Busy reports whether a record is part of a pending transaction. A decision about it has to
+	// wait.
 	Busy(key string) bool
-	// Commit takes decisions, to be committed in this order.
+	// Commit queues decisions, to be committed in the given order.
 	Commit(decisions []decide.Decision)
 }
 
-// WriteBudget is how much may be written to the key-value store now.
+// WriteBudget limits the rate of writes to the key-value store.
 type WriteBudget interface {
-	// Allows tells whether there is budget for so many writes beside those spent.
+	// Allows reports whether the budget covers a number of writes in addition to those spent.
 	Allows(spent, writes int) bool
-	// HasSpareWrites tells whether writes need not be saved.
+	// HasSpareWrites reports whether writes need not be economized.
 	HasSpareWrites() bool
-	// UsesBatches tells whether batch records hold the task states of many jobs.
+	// UsesBatches reports whether batch records hold the task states of many jobs.
 	UsesBatches() bool
 }
 
-// Cancellations is what this controller knows of acknowledged cancellations (package
-// cancellation).
+// Cancellations gives access to the acknowledged cancellations that this controller knows of (see
+// package cancellation).
 type Cancellations interface {
-	// Cancelled tells whether a job's cancellation was acknowledged, though its record here
-	// may not show it.
+	// Cancelled reports whether a job's cancellation was acknowledged. The mirrored record of the
+	// job may not show it yet.
 	Cancelled(jobID string) bool
-	// MayRenewLeases tells whether heartbeats may be answered so that workers' leases go on.
+	// MayRenewLeases reports whether replies to heartbeats may renew workers' leases.
 	MayRenewLeases() bool
-	// MayLaunch tells whether tasks may be launched.
+	// MayLaunch reports whether tasks may be launched.
 	MayLaunch() bool
 	// LeaseWithheld counts a heartbeat whose lease was not renewed.
 	LeaseWithheld()
 }
 
-// ComplaintLog notes which machines cannot reach their owner.
+// ComplaintLog records which machines cannot reach their owner.
 type ComplaintLog interface {
-	// Complain notes that a worker came to another controller than its owner; here tells
-	// whether it came to this one.
+	// Complain records that a worker sent a heartbeat to a controller that is not its owner. The
+	// flag here is true if that was this controller.
 	Complain(owner, machine string, here bool)
 }
--- a/internal/shard/commands.go
+++ b/internal/shard/commands.go
@@ -11,7 +11,8 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// command sends commands to a machine's agent directly, or shows it the fencing token.
+// command sends a direct command to a machine's agent if one is due. A machine that is not known
+// yet is sent one to show it the current fencing token.
 func (s *Shard) command(session *agent.Session, commands []agent.Command) {
 	if session.CommandPending || session.Endpoint == "" {
 		return
@@ -25,7 +26,7 @@
 		if sinceLastCall < tuning.AdoptAgain<<min(session.FailedCalls, 3) {
 			return
 		}
-		commands = s.stopsOfCancelled(session.Machine)
+		commands = s.stopsForCancelled(session.Machine)
 	} else if !s.commandDue(session, commands, sinceLastCall) {
 		return
 	}
@@ -36,8 +37,8 @@
 	s.call(session, commands)
 }
 
-// commandDue tells whether a known machine is sent commands now. One that is overdue is
-// called also without any.
+// commandDue reports whether a known machine is to be sent commands now. An overdue machine is
+// called even if there are none.
 func (s *Shard) commandDue(session *agent.Session, commands []agent.Command, sinceLastCall time.Duration) bool {
 	if s.overdue(session) && sinceLastCall >= tuning.AdoptAgain {
 		return true
@@ -66,18 +67,18 @@
 			return
 		}
 		if session.FencingToken() != fencingToken {
-			// A new view came meanwhile; what this command did shows in the first heartbeat
-			// under the new token.
+			// The token changed while the call was in flight. The effect of this command shows in
+			// the first heartbeat that carries the new token.
 			session.CommandPending = false
 			return
 		}
-		s.answered(session, agentEpoch, status, answer, err)
+		s.handleAnswer(session, agentEpoch, status, answer, err)
 	}
 	s.agents.Call(session.Endpoint, "POST", "/commands", body, tuning.CommandTimeout, done)
 }
 
-// answered takes in the answer to a direct command that was sent for an agent epoch.
-func (s *Shard) answered(session *agent.Session, agentEpoch uint64, status int, answer []byte, err error) {
+// handleAnswer handles the answer to a direct command that was sent for an agent epoch.
+func (s *Shard) handleAnswer(session *agent.Session, agentEpoch uint64, status int, answer []byte, err error) {
 	executed, refused := status == statusOK, status == statusConflict
 	var heartbeat agent.Heartbeat
 	if err != nil || (!executed && !refused) ||
@@ -96,16 +97,15 @@
 	session.CommandRefused()
 	s.accept(session, &heartbeat)
 	if heartbeat.AgentEpoch != agentEpoch {
-		session.LastCall = time.Time{} // try again with the right agent epoch
+		session.LastCall = time.Time{} // retry at once with the current agent epoch
 	}
 }
 
-// stopsOfCancelled are stops of what the records place on a machine, though it is
-// cancelled. A machine that does not answer may have a launch waiting that left before the
-// cancellation was acknowledged, and carries out in order what came behind it: without the
-// stop that would start (meet-hung-cancelled-launch). A stop is safe, whatever the machine
-// holds.
-func (s *Shard) stopsOfCancelled(machine string) []agent.Command {
+// stopsForCancelled returns stop commands for the cancelled tasks that the records still place on a
+// machine. An unresponsive machine may have queued a launch that was sent before the cancellation
+// was acknowledged. It executes queued commands in order, so without a stop behind that launch the
+// task would run (scenario meet-hung-cancelled-launch). A stop is safe whatever is on the machine.
+func (s *Shard) stopsForCancelled(machine string) []agent.Command {
 	var placed []agent.TaskStatus
 	for _, taskID := range clusterstate.SortedKeys(s.state.TasksOnMachine[machine]) {
 		attempt := s.state.TasksOnMachine[machine][taskID].Attempt
@@ -114,8 +114,9 @@
 	return cancellation.StopCommands(placed, s.cancelled)
 }
 
-// mayCall tells whether a call may be spent on a machine while this controller reconciles:
-// those that died must not delay the calls to those that run.
+// mayCall reports whether a machine may be called now. While this controller reconciles after its
+// start, calls to machines that may have died are limited, so that they do not delay the calls to
+// running machines.
 func (s *Shard) mayCall(session *agent.Session) bool {
 	switch {
 	case s.Reconciling.Steady():
@@ -128,15 +129,15 @@
 	return true
 }
 
-// deferCall has a machine reviewed again when a call comes free, and not with the next
-// sweep: 64 machines every 0.4 s were ten seconds for all of a fleet's.
+// deferCall schedules a machine for another review as soon as the call limits allow, instead of at
+// the next sweep: 64 machines every 0.4 s took ten seconds for a whole fleet.
 func (s *Shard) deferCall(session *agent.Session) {
 	if !s.Reconciling.Steady() {
-		s.awaitingCall = append(s.awaitingCall, session.Machine)
+		s.awaitingCallSlot = append(s.awaitingCallSlot, session.Machine)
 	}
 }
 
-// countCall counts a call to a machine; the caller calls ended once the call is over.
+// countCall counts a call to a machine against its limit until the returned function is called.
 func (s *Shard) countCall(session *agent.Session) (ended func()) {
 	count := &s.callsToUnseen
 	switch {
--- a/internal/shard/fixture_test.go
+++ b/internal/shard/fixture_test.go
@@ -17,19 +17,19 @@
 	"github.com/harrierreel/harrierreel/internal/settings"
 )
 
-// owner is the shard of n0, whose collaborators do as the test says.
-type owner struct {
+// fixture is the shard of controller n0 with fake collaborators that the test controls.
+type fixture struct {
 	*Shard
 	t          *testing.T
 	controller *fakeController
 }
 
-func newOwner(t *testing.T) *owner {
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
-	o := &owner{t: t, controller: newFakeController()}
+	f := &fixture{t: t, controller: newFakeController()}
 	state := clusterstate.New(
 		quota.Flat(map[string]quota.Team{"t": {Name: "t"}}),
-		func(machine string) { o.ReviewMachine(machine) },
+		func(machine string) { f.ReviewMachine(machine) },
 	)
 	state.Now = time.UnixMilli(1e12)
 	config := Config{
@@ -41,51 +41,51 @@
 		ValueBytes: 8192,
 		Log:        slog.New(slog.DiscardHandler),
 	}
-	o.Shard = New(state, config, Collaborators{
-		View:          o.controller,
-		Agents:        o.controller,
-		Loop:          o.controller,
-		Scheduler:     newScheduler(o, state, config),
-		Provisioner:   o.controller,
-		Commits:       o.controller,
-		Budget:        o.controller,
-		Cancellations: o.controller,
-		Complaints:    o.controller,
+	f.Shard = New(state, config, Collaborators{
+		View:          f.controller,
+		Agents:        f.controller,
+		Loop:          f.controller,
+		Scheduler:     newScheduler(f, state, config),
+		Provisioner:   f.controller,
+		Commits:       f.controller,
+		Budget:        f.controller,
+		Cancellations: f.controller,
+		Complaints:    f.controller,
 	})
-	return o
+	return f
 }
 
-// addMachineType makes the type of the machines known.
-func (o *owner) addMachineType() {
-	o.state.MachineTypes["g4"] = &jobs.MachineType{Name: "g4", Cores: 8, Accelerators: 4, MemoryGB: 64}
+// addMachineType adds the type of the test's machines.
+func (f *fixture) addMachineType() {
+	f.state.MachineTypes["g4"] = &jobs.MachineType{Name: "g4", Cores: 8, Accelerators: 4, MemoryGB: 64}
 }
 
 // addMachine records a machine as up.
-func (o *owner) addMachine(name, owner, endpoint string) {
-	o.t.Helper()
+func (f *fixture) addMachine(name, owner, endpoint string) {
+	f.t.Helper()
 	record := fleet.MachineRecord{State: fleet.Up, MachineType: "g4", Zone: "a", Endpoint: endpoint}
-	if err := o.state.ApplyMachine(name, owner, jobs.Encode(record)); err != nil {
-		o.t.Fatal(err)
+	if err := f.state.ApplyMachine(name, owner, jobs.Encode(record)); err != nil {
+		f.t.Fatal(err)
 	}
 }
 
 // addJob records a job as live.
-func (o *owner) addJob(spec jobs.Spec) {
-	o.t.Helper()
-	if err := o.state.ApplyJob(spec.ID, jobs.Encode(jobs.Record{State: jobs.Live, Spec: spec})); err != nil {
-		o.t.Fatal(err)
+func (f *fixture) addJob(spec jobs.Spec) {
+	f.t.Helper()
+	if err := f.state.ApplyJob(spec.ID, jobs.Encode(jobs.Record{State: jobs.Live, Spec: spec})); err != nil {
+		f.t.Fatal(err)
 	}
 }
 
-// putTasks records a range of tasks.
-func (o *owner) putTasks(key string, tasks ...jobs.Task) {
-	o.t.Helper()
-	if _, err := o.state.ApplyTaskRange(key, jobs.EncodeTaskRange(tasks, o.config.ValueBytes)); err != nil {
-		o.t.Fatal(err)
+// putTasks stores a task range.
+func (f *fixture) putTasks(key string, tasks ...jobs.Task) {
+	f.t.Helper()
+	if _, err := f.state.ApplyTaskRange(key, jobs.EncodeTaskRange(tasks, f.config.ValueBytes)); err != nil {
+		f.t.Fatal(err)
 	}
 }
 
-// specOf is a job of small tasks.
+// specOf returns the spec of a job with small tasks.
 func specOf(jobID, kind string, taskCount int) jobs.Spec {
 	return jobs.Spec{
 		ID:           jobID,
@@ -101,26 +101,26 @@
 	}
 }
 
-// heartbeat sends a heartbeat and returns its answer.
-func (o *owner) heartbeat(body string) (status int, answer string) {
-	o.Heartbeat([]byte(body), func(r http1.Reply) { status, answer = r.Status, string(r.Body) })
+// heartbeat sends a heartbeat and returns the reply.
+func (f *fixture) heartbeat(body string) (status int, answer string) {
+	f.Heartbeat([]byte(body), func(r http1.Reply) { status, answer = r.Status, string(r.Body) })
 	return status, answer
 }
 
-// heartbeatBody is a heartbeat of machine i-1 that shows no token.
+// heartbeatBody returns a heartbeat of machine i-1 that carries fencing token 0.
 func heartbeatBody(heartbeatSeq, statuses string) string {
 	const form = `{"host":"i-1","endpoint":"w:1","build":"g4","site":"a",` +
 		`"tenure":1,"tick":%T,"baton":0,"pieces":[%P]}`
 	return strings.NewReplacer("%T", heartbeatSeq, "%P", statuses).Replace(form)
 }
 
-// withToken has a heartbeat show the token in force: that of epoch 5.
+// withToken makes a heartbeat carry the current fencing token, that of epoch 5.
 func withToken(body string) string {
 	return strings.Replace(body, `"baton":0`, `"baton":5242880`, 1)
 }
 
-// newScheduler is the real queue over the shard under test.
-func newScheduler(o *owner, state *clusterstate.State, config Config) *queue.Queue {
+// newScheduler returns a real queue that works on the shard under test.
+func newScheduler(f *fixture, state *clusterstate.State, config Config) *queue.Queue {
 	return queue.New(state, queue.Config{
 		Name:          config.Name,
 		MaxTxnWrites:  config.Cluster.State.TxnOps,
@@ -128,10 +128,10 @@
 		MaxRangeTasks: 30,
 		Log:           config.Log,
 	}, queue.Collaborators{
-		Budget:   o.controller,
-		Commits:  queueSide{o},
-		Machines: queueSide{o},
-		Cluster:  queueSide{o},
+		Budget:   f.controller,
+		Commits:  queueCollaborators{f},
+		Machines: queueCollaborators{f},
+		Cluster:  queueCollaborators{f},
 	})
 }
 
@@ -141,13 +141,13 @@
 	done func(status int, body []byte, err error),
 )
 
-// fakeController is all collaborators but the scheduler. It takes every decision at once,
-// and no machine is scaled in.
+// fakeController implements all collaborators but the scheduler. It settles every decision at once
+// and scales no machine in.
 type fakeController struct {
 	inView               bool
 	owner                string // of the machines without a record
 	cancelled            string // a job whose cancellation was acknowledged
-	cancellationsUnknown bool   // not all acknowledged cancellations are known
+	cancellationsUnknown bool   // some acknowledged cancellations are not known yet
 	leasesWithheld       int
 	calls                []string
 	call                 agentCall
@@ -216,15 +216,17 @@
 
 func (c *fakeController) Complain(owner, machine string, here bool) { c.complain(owner, machine, here) }
 
-// queueSide is the shard under test, with its controller, as the queue sees it.
-type queueSide struct{ owner *owner }
+// queueCollaborators implements the queue's collaborators with the shard under test and its controller.
+type queueCollaborators struct{ fixture *fixture }
 
-func (queueSide) Busy(string) bool                     { return false }
-func (q queueSide) Commit(decisions []decide.Decision) { q.owner.controller.Commit(decisions) }
-func (q queueSide) Ready(m *clusterstate.Machine) bool { return q.owner.Ready(m) }
-func (q queueSide) UsesBatches() bool                  { return q.owner.controller.UsesBatches() }
-func (queueSide) HasLeftView(string) bool              { return false }
+func (queueCollaborators) Busy(string) bool { return false }
+func (q queueCollaborators) Commit(decisions []decide.Decision) {
+	q.fixture.controller.Commit(decisions)
+}
+func (q queueCollaborators) Ready(m *clusterstate.Machine) bool { return q.fixture.Ready(m) }
+func (q queueCollaborators) UsesBatches() bool                  { return q.fixture.controller.UsesBatches() }
+func (queueCollaborators) HasLeftView(string) bool              { return false }
 
-func (q queueSide) CanPlace(task *clusterstate.Task, m *clusterstate.Machine) bool {
-	return q.owner.CanPlace(task, m)
+func (q queueCollaborators) CanPlace(task *clusterstate.Task, m *clusterstate.Machine) bool {
+	return q.fixture.CanPlace(task, m)
 }
--- a/internal/shard/foreign_heartbeats.go
+++ b/internal/shard/foreign_heartbeats.go
@@ -8,19 +8,20 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// foreignHeartbeat is a heartbeat of another owner's machine that may be an old one.
+// foreignHeartbeat is a heartbeat from another owner's machine that may be outdated.
 type foreignHeartbeat struct {
 	owner string
 	at    time.Time
 }
 
-// noteForeignHeartbeat takes in a heartbeat of another owner's machine. It is a complaint
-// about the owner if it shows a token of this view, and so is from after the owner first
-// called the machine, or if the owner itself lists the machine as unresponsive. Copies of
-// heartbeats from under an earlier view show neither, and where the machine never came
-// they pass for new ones one after another: taken for complaints they had a sound
-// controller left out of the view (meet-next-views, docs/incidents/reports-for-next.md).
-func (s *Shard) noteForeignHeartbeat(owner string, heartbeat *agent.Heartbeat) {
+// handleForeignHeartbeat handles a heartbeat from another owner's machine. It counts as a complaint
+// about the owner in two cases: it carries a token of this view or a later one, so it was sent after
+// the owner first called the machine; or the owner itself lists the machine as unresponsive. Delayed
+// copies of heartbeats from an earlier view meet neither condition, but a controller that never
+// received heartbeats from the machine takes each of them for a new one. When they counted as
+// complaints, a healthy controller was left out of the view (scenario meet-next-views,
+// docs/incidents/reports-for-next.md).
+func (s *Shard) handleForeignHeartbeat(owner string, heartbeat *agent.Heartbeat) {
 	_, unresponsive := s.state.Unresponsive[owner][heartbeat.Machine]
 	if unresponsive || heartbeat.FencingToken/agent.FencingTokenSpan >= s.view.Epoch() {
 		delete(s.foreignHeartbeats, heartbeat.Machine)
@@ -30,16 +31,16 @@
 	s.foreignHeartbeats[heartbeat.Machine] = foreignHeartbeat{owner: owner, at: s.state.Now}
 }
 
-// confirmComplaints counts doubted heartbeats as complaints after all, once the owner
-// lists their machines as unresponsive.
+// confirmComplaints counts possibly outdated heartbeats as complaints once the owner lists their
+// machines as unresponsive.
 func (s *Shard) confirmComplaints(owner string) {
 	for _, machine := range clusterstate.SortedKeys(s.foreignHeartbeats) {
-		doubted := s.foreignHeartbeats[machine]
+		unconfirmed := s.foreignHeartbeats[machine]
 		_, unresponsive := s.state.Unresponsive[owner][machine]
 		switch {
-		case s.state.Now.Sub(doubted.at) > tuning.ComplaintGap:
+		case s.state.Now.Sub(unconfirmed.at) > tuning.ComplaintGap:
 			delete(s.foreignHeartbeats, machine)
-		case doubted.owner == owner && unresponsive:
+		case unconfirmed.owner == owner && unresponsive:
 			delete(s.foreignHeartbeats, machine)
 			s.complaints.Complain(owner, machine, true)
 		}
--- a/internal/shard/foreign_heartbeats_test.go
+++ b/internal/shard/foreign_heartbeats_test.go
@@ -10,92 +10,92 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// publish takes in an owner's list of unresponsive machines.
-func (o *owner) publish(owner, list string) {
-	o.t.Helper()
-	if err := o.ApplyUnresponsive(owner, json.RawMessage(list)); err != nil {
-		o.t.Fatal(err)
+// applyList applies an owner's list of unresponsive machines.
+func (f *fixture) applyList(owner, list string) {
+	f.t.Helper()
+	if err := f.ApplyUnresponsive(owner, json.RawMessage(list)); err != nil {
+		f.t.Fatal(err)
 	}
 }
 
-// comes has three heartbeats of i-1, which another controller owns, come here.
-func (o *owner) comes(token uint64) {
-	o.t.Helper()
+// sendForeignHeartbeats sends three heartbeats of i-1, which another controller owns, to this controller.
+func (f *fixture) sendForeignHeartbeats(token uint64) {
+	f.t.Helper()
 	for heartbeatSeq := range 3 {
-		o.state.Now = o.state.Now.Add(time.Second)
-		next := o.newestHeartbeats["i-1"][1] + uint64(heartbeatSeq) + 1
+		f.state.Now = f.state.Now.Add(time.Second)
+		next := f.newestHeartbeats["i-1"][1] + uint64(heartbeatSeq) + 1
 		body := fmt.Sprintf(`{"host":"i-1","tenure":1,"tick":%d,"baton":%d}`, next, token)
-		if status, _ := o.heartbeat(body); status != 421 {
-			o.t.Fatalf("status %d", status)
+		if status, _ := f.heartbeat(body); status != 421 {
+			f.t.Fatalf("status %d, want 421", status)
 		}
 	}
 }
 
-// complaintsAfter counts the complaints of i-1, which n1 owns, that do leads to.
-func complaintsAfter(t *testing.T, do func(o *owner)) int {
+// complaintsAfter runs do and returns how many complaints of i-1 about its owner, n1, it causes.
+func complaintsAfter(t *testing.T, do func(f *fixture)) int {
 	t.Helper()
-	o := newOwner(t)
-	o.controller.owner = "n1"
+	f := newFixture(t)
+	f.controller.owner = "n1"
 	complaints := 0
-	o.controller.complain = func(owner, machine string, here bool) {
+	f.controller.complain = func(owner, machine string, here bool) {
 		if owner != "n1" || machine != "i-1" || !here {
-			t.Errorf("%s of %s, here %v", machine, owner, here)
+			t.Errorf("complaint of %s about %s, here %v", machine, owner, here)
 		}
 		complaints++
 	}
-	o.addMachine("i-1", "n1", "w:1")
-	do(o)
+	f.addMachine("i-1", "n1", "w:1")
+	do(f)
 	return complaints
 }
 
-// A machine of another owner that comes here complains if its heartbeat is from under this
-// view, or once its owner lists it as unresponsive; copies of earlier heartbeats do not.
-func TestForeignHeartbeatComplains(t *testing.T) {
-	const epoch = 5 // newOwner's view
+// A heartbeat from another owner's machine counts as a complaint if it was sent under this view, or
+// once the owner lists the machine as unresponsive. Copies of earlier heartbeats do not count.
+func TestForeignHeartbeatCountsAsComplaint(t *testing.T) {
+	const epoch = 5 // of the fixture's view
 	now, earlier := uint64(epoch*agent.FencingTokenSpan+1), uint64((epoch-1)*agent.FencingTokenSpan+7)
 	for _, c := range []struct {
 		name string
-		do   func(o *owner)
+		do   func(f *fixture)
 		want int
 	}{
-		{"under this view", func(o *owner) { o.comes(now) }, 3},
-		{"under a later view", func(o *owner) { o.comes(now + agent.FencingTokenSpan) }, 3},
-		{"copies from under an earlier view", func(o *owner) { o.comes(earlier) }, 0},
-		{"copies, and the owner lists another machine", func(o *owner) {
-			o.comes(earlier)
-			o.publish("n1", `["i-2"]`)
+		{"under this view", func(f *fixture) { f.sendForeignHeartbeats(now) }, 3},
+		{"under a later view", func(f *fixture) { f.sendForeignHeartbeats(now + agent.FencingTokenSpan) }, 3},
+		{"copies from under an earlier view", func(f *fixture) { f.sendForeignHeartbeats(earlier) }, 0},
+		{"copies, the owner lists another machine", func(f *fixture) {
+			f.sendForeignHeartbeats(earlier)
+			f.applyList("n1", `["i-2"]`)
 		}, 0},
-		{"copies, and another owner lists it", func(o *owner) {
-			o.comes(earlier)
-			o.publish("n2", `["i-1"]`)
+		{"copies, another owner lists the machine", func(f *fixture) {
+			f.sendForeignHeartbeats(earlier)
+			f.applyList("n2", `["i-1"]`)
 		}, 0},
-		{"the owner lists it as unresponsive", func(o *owner) {
-			o.publish("n1", `["i-1"]`)
-			o.comes(earlier)
+		{"the owner lists the machine as unresponsive", func(f *fixture) {
+			f.applyList("n1", `["i-1"]`)
+			f.sendForeignHeartbeats(earlier)
 		}, 3},
-		{"the owner lists it as outbound-partitioned", func(o *owner) {
-			o.publish("n1", `["mute:i-1"]`)
-			o.comes(earlier)
+		{"the owner lists the machine as outbound-partitioned", func(f *fixture) {
+			f.applyList("n1", `["mute:i-1"]`)
+			f.sendForeignHeartbeats(earlier)
 		}, 3},
-		{"the owner lists it afterwards", func(o *owner) {
-			o.comes(earlier)
-			o.publish("n1", `["i-1"]`)
-			o.publish("n1", `["i-1","i-2"]`)
+		{"the owner lists the machine afterwards", func(f *fixture) {
+			f.sendForeignHeartbeats(earlier)
+			f.applyList("n1", `["i-1"]`)
+			f.applyList("n1", `["i-1","i-2"]`)
 		}, 1},
-		{"long afterwards", func(o *owner) {
-			o.comes(earlier)
-			o.state.Now = o.state.Now.Add(tuning.ComplaintGap + time.Second)
-			o.publish("n1", `["i-1"]`)
+		{"the owner lists the machine long afterwards", func(f *fixture) {
+			f.sendForeignHeartbeats(earlier)
+			f.state.Now = f.state.Now.Add(tuning.ComplaintGap + time.Second)
+			f.applyList("n1", `["i-1"]`)
 		}, 0},
-		{"a view later", func(o *owner) {
-			o.comes(earlier)
-			o.NewView()
-			o.publish("n1", `["i-1"]`)
+		{"the owner lists the machine under the next view", func(f *fixture) {
+			f.sendForeignHeartbeats(earlier)
+			f.NewView()
+			f.applyList("n1", `["i-1"]`)
 		}, 0},
-		{"after the controller stalled", func(o *owner) {
-			o.comes(earlier)
-			o.Stalled(time.Second)
-			o.publish("n1", `["i-1"]`)
+		{"the owner lists the machine after this controller stalled", func(f *fixture) {
+			f.sendForeignHeartbeats(earlier)
+			f.Stalled(time.Second)
+			f.applyList("n1", `["i-1"]`)
 		}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/shard/golden_test.go
+++ b/internal/shard/golden_test.go
@@ -15,87 +15,87 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// record writes down a heartbeat and its answer as they go over the wire.
-func (o *owner) record(out *bytes.Buffer, title, body string) {
+// recordExchange appends a heartbeat and its reply to out, as they are on the wire.
+func (f *fixture) recordExchange(out *bytes.Buffer, title, body string) {
 	fmt.Fprintf(out, "## %s\n%s\n", title, body)
-	o.Heartbeat([]byte(body), func(r http1.Reply) {
+	f.Heartbeat([]byte(body), func(r http1.Reply) {
 		out.Write(http1.AppendResponse(nil, r.Status, r.Body, r.Close, r.RetryAfter))
 		out.WriteString("\n\n")
 	})
 }
 
-// withTokenInForce has a heartbeat show the token in force.
-func (o *owner) withTokenInForce(body string) string {
+// withCurrentToken makes a heartbeat carry the current fencing token.
+func (f *fixture) withCurrentToken(body string) string {
 	fencingToken := uint64(0)
-	if session := o.sessions["i-1"]; session != nil {
+	if session := f.sessions["i-1"]; session != nil {
 		fencingToken = session.FencingToken()
 	}
 	return strings.Replace(body, `"baton":0`, fmt.Sprintf(`"baton":%d`, fencingToken), 1)
 }
 
-// Every answer to a heartbeat keeps its form, byte for byte.
+// Replies to heartbeats are compared with the golden file byte for byte.
 func TestGoldenHeartbeats(t *testing.T) {
 	var out bytes.Buffer
-	o := newOwner(t)
-	o.addMachineType()
-	o.record(&out, "no report", `{"host":`)
-	o.record(&out, "no name", `{"host":"i 1"}`)
-	o.record(&out, "a machine without a record", heartbeatBody("1", ""))
-	o.record(&out, "has seen a later baton", strings.Replace(heartbeatBody("2", ""), `"baton":0`, `"baton":99999999`, 1))
-	o.controller.owner = "n1"
-	o.record(&out, "another's machine", heartbeatBody("3", ""))
-	o.controller.owner = ""
-	o.record(&out, "nobody's machine", heartbeatBody("4", ""))
-	o.controller.owner, o.controller.inView = "n0", false
-	o.record(&out, "outside the view", heartbeatBody("5", ""))
-	o.controller.inView, o.controller.cancellationsUnknown = true, true
-	o.record(&out, "not all cancellations are known", heartbeatBody("6", ""))
-	o.controller.cancellationsUnknown, o.controller.cancelled = false, "wk-000001"
+	f := newFixture(t)
+	f.addMachineType()
+	f.recordExchange(&out, "no report", `{"host":`)
+	f.recordExchange(&out, "no name", `{"host":"i 1"}`)
+	f.recordExchange(&out, "a machine without a record", heartbeatBody("1", ""))
+	f.recordExchange(&out, "has seen a later baton", strings.Replace(heartbeatBody("2", ""), `"baton":0`, `"baton":99999999`, 1))
+	f.controller.owner = "n1"
+	f.recordExchange(&out, "another's machine", heartbeatBody("3", ""))
+	f.controller.owner = ""
+	f.recordExchange(&out, "nobody's machine", heartbeatBody("4", ""))
+	f.controller.owner, f.controller.inView = "n0", false
+	f.recordExchange(&out, "outside the view", heartbeatBody("5", ""))
+	f.controller.inView, f.controller.cancellationsUnknown = true, true
+	f.recordExchange(&out, "not all cancellations are known", heartbeatBody("6", ""))
+	f.controller.cancellationsUnknown, f.controller.cancelled = false, "wk-000001"
 	running := `{"piece":"wk-000001/0","try":3,"status":"running"}`
-	o.record(&out, "told to be cancelled, baton not shown", heartbeatBody("7", running))
+	f.recordExchange(&out, "told to be cancelled, baton not shown", heartbeatBody("7", running))
 	unknown := `{"piece":"wk-000002/0","try":1,"status":"running"},` +
 		`{"piece":"wk-000002/1","try":2,"status":"ended","cause":"done"}`
-	o.record(&out, "unknown tasks, baton shown", withToken(heartbeatBody("8", unknown)))
+	f.recordExchange(&out, "unknown tasks, baton shown", withToken(heartbeatBody("8", unknown)))
 	for i := range tuning.MaxSessions {
-		o.sessions[fmt.Sprint("x-", i)] = nil
+		f.sessions[fmt.Sprint("x-", i)] = nil
 	}
-	o.record(&out, "too many machines", strings.Replace(heartbeatBody("1", ""), `"i-1"`, `"i-2"`, 1))
+	f.recordExchange(&out, "too many machines", strings.Replace(heartbeatBody("1", ""), `"i-1"`, `"i-2"`, 1))
 	goldentest.Bytes(t, "beats.txt", out.Bytes())
 }
 
-// Every direct command keeps its form, and what is made of its answers keeps.
+// Direct commands, and the session's state after each answer, are compared with the golden file.
 func TestGoldenCommands(t *testing.T) {
 	var out bytes.Buffer
-	o := newOwner(t)
-	o.addMachineType()
-	o.addMachine("i-1", "n0", "w:1")
+	f := newFixture(t)
+	f.addMachineType()
+	f.addMachine("i-1", "n0", "w:1")
 	spec := specOf("wk-000001", jobs.JobArray, 3)
 	spec.CheckpointIntervalS, spec.CheckpointTimeS = 10, 4
-	o.addJob(spec)
+	f.addJob(spec)
 	var answer string
 	status := 0
-	o.controller.call = func(
+	f.controller.call = func(
 		endpoint, method, target string, body []byte, timeout time.Duration,
 		done func(int, []byte, error),
 	) {
 		fmt.Fprintf(&out, "%s within %s\n", endpoint, timeout)
 		out.Write(http1.AppendRequest(nil, method, target, endpoint, body, false))
-		shown := o.withTokenInForce(answer)
+		shown := f.withCurrentToken(answer)
 		fmt.Fprintf(&out, "\n-> %d %s\n", status, shown)
 		done(status, []byte(shown), nil)
 	}
 	step := func(title string, answerStatus int, answerBody string) {
 		status, answer = answerStatus, answerBody
 		fmt.Fprintf(&out, "## %s\n", title)
-		o.state.Now = o.state.Now.Add(tuning.AdoptAgain << 3)
-		o.ReviewMachine("i-1")
-		o.Reconcile()
-		session := o.sessions["i-1"]
+		f.state.Now = f.state.Now.Add(tuning.AdoptAgain << 3)
+		f.ReviewMachine("i-1")
+		f.Reconcile()
+		session := f.sessions["i-1"]
 		fmt.Fprintf(&out, "state %s, tenure %d, tick %d, tasks %d, build %q, site %q, loaner %v\n\n",
 			session.State, session.AgentEpoch, session.HeartbeatSeq, len(session.Tasks),
 			session.MachineType, session.Zone, session.Spot)
 	}
-	o.heartbeat(heartbeatBody("1", ""))
+	f.heartbeat(heartbeatBody("1", ""))
 	step("baton shown, refused", 409, strings.Replace(heartbeatBody("2", ""), `"tenure":1`, `"tenure":2`, 1))
 	noticed := func(heartbeatSeq, statuses string) string {
 		body := heartbeatBody(heartbeatSeq, statuses)
@@ -105,8 +105,8 @@
 	step("no report", 200, `{}`)
 	step("another's answer", 200, strings.Replace(noticed("4", ""), `"i-1"`, `"i-9"`, 1))
 	step("another status", 421, noticed("4", ""))
-	o.heartbeat(o.withTokenInForce(noticed("5", "")))
-	o.putTasks(
+	f.heartbeat(f.withCurrentToken(noticed("5", "")))
+	f.putTasks(
 		"task/wk-000001/0",
 		jobs.Task{State: jobs.Placed, Machine: "i-1", Attempt: 3},
 		jobs.Task{State: jobs.Stopping, Machine: "i-1", Attempt: 1},
@@ -114,28 +114,28 @@
 	)
 	held := `{"piece":"wk-000001/1","try":1,"status":"running"},` +
 		`{"piece":"wk-000009/0","try":2,"status":"ended","cause":"done"}`
-	o.heartbeat(o.withTokenInForce(noticed("6", held)))
+	f.heartbeat(f.withCurrentToken(noticed("6", held)))
 	launched := `{"piece":"wk-000001/0","try":3,"status":"pulling"},` +
 		`{"piece":"wk-000001/2","try":1,"status":"running"}`
 	step("launch, stop with time to save, reap", 200, noticed("7", launched))
-	o.controller.cancelled = "wk-000001"
+	f.controller.cancelled = "wk-000001"
 	ended := `{"piece":"wk-000001/0","try":3,"status":"ended","cause":"error","saved":true}`
 	step("stops of what was told to be cancelled", 200, noticed("8", ended))
-	if o.sessions["i-1"].State != agent.Known {
-		t.Error("the machine's heartbeats prove nothing")
+	if f.sessions["i-1"].State != agent.Known {
+		t.Error("the machine's session is not known")
 	}
 	goldentest.Bytes(t, "commands.txt", out.Bytes())
 }
 
-// The list of unresponsive machines keeps its form as it is written.
+// The stored list of unresponsive machines is compared with the golden files.
 func TestGoldenUnresponsiveList(t *testing.T) {
 	for name, unresponsive := range map[string]map[string]bool{
 		"quiet.json":       {"m-1": false, "m-2": true},
 		"quiet-least.json": {},
 	} {
-		o := newOwner(t)
-		o.unresponsiveLists["n0"] = fleet.UnresponsiveLists{1: {OutboundPartitioned: map[string]bool{"m-9": false}}}
-		decisions := o.publishUnresponsive(unresponsive)
+		f := newFixture(t)
+		f.unresponsiveLists["n0"] = fleet.UnresponsiveLists{1: {OutboundPartitioned: map[string]bool{"m-9": false}}}
+		decisions := f.publishUnresponsive(unresponsive)
 		if len(decisions) != 1 || len(decisions[0].Writes) != 1 || decisions[0].Writes[0].Put != "quiet/n0" {
 			t.Fatalf("%s: decided %+v", name, decisions)
 		}
--- a/internal/shard/health.go
+++ b/internal/shard/health.go
@@ -10,7 +10,7 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// healthOf is what is known of a machine's failures.
+// healthOf returns the failure history of a machine, which starts empty.
 func (s *Shard) healthOf(machine string) *fleet.Health {
 	health := s.health[machine]
 	if health == nil {
@@ -20,8 +20,9 @@
 	return health
 }
 
-// TransitionMachine is the decision that an event changes the state of a machine's record,
-// if it does; reason goes into the record.
+// TransitionMachine returns the decision that applies an event to the state of a machine's record,
+// with the reason to record. It returns nil if the event changes nothing or the record is part of a
+// pending transaction.
 func (s *Shard) TransitionMachine(machine string, event fleet.Event, reason string) []decide.Decision {
 	m := s.state.Machines[machine]
 	if m == nil || s.commits.Busy(fleet.MachinePrefix+machine) {
@@ -51,23 +52,23 @@
 	}}
 }
 
-// watchHealth keeps a machine's record in step with what its owner hears. It notes in
-// unresponsive a machine that sends no heartbeats, with true if it answers commands.
-func (s *Shard) watchHealth(session *agent.Session, unresponsive map[string]bool) []decide.Decision {
+// checkHealth updates a machine's record from the state of its session. If the machine sends no
+// heartbeats, it is added to unresponsive, with the value true if it still answers commands.
+func (s *Shard) checkHealth(session *agent.Session, unresponsive map[string]bool) []decide.Decision {
 	machine := s.state.Machines[session.Machine]
 	if machine == nil {
-		return s.watchUnrecorded(session)
+		return s.checkUnrecorded(session)
 	}
 	settings := s.config.Cluster.Workers
 	if s.state.Now.Sub(session.LastHeartbeat) > settings.OutboundPartitionedAfter() {
-		// What it answers to commands is true, but renews no lease: all that it holds ends
-		// with that, again and again. Without this a task was begun on such a machine
-		// five times (meet-mute-one, docs/incidents/mute-machines.md).
+		// Its answers to commands are valid but renew no lease, so every task on it ends when the
+		// lease expires. Without this check a task was started on such a machine five times
+		// (scenario meet-mute-one, docs/incidents/mute-machines.md).
 		unresponsive[session.Machine] = true
 	}
 	switch {
 	case !session.HigherTokenSince.IsZero() && s.state.Now.Sub(session.HigherTokenSince) > settings.LeaseOverAfter():
-		// Nobody of this view can command it: its lease has expired, and what it holds with it.
+		// No controller of this view can command it: its lease has expired and its tasks have ended.
 		return s.TransitionMachine(session.Machine, fleet.Unhealthy, "has seen a later baton than this view's")
 	case s.isUnresponsive(session):
 		unresponsive[session.Machine] = false
@@ -80,11 +81,11 @@
 	return nil
 }
 
-// watchUnrecorded records a machine without a record once it is certain that it is there,
-// and forgets one that does not report.
-func (s *Shard) watchUnrecorded(session *agent.Session) []decide.Decision {
-	// An old heartbeat of a machine that is gone may carry the token in force: only an
-	// answered command shows that it is there.
+// checkUnrecorded handles a machine without a record: it records the machine once it is known to
+// exist, and drops its session if nothing is heard from it.
+func (s *Shard) checkUnrecorded(session *agent.Session) []decide.Decision {
+	// An old heartbeat of a deleted machine may carry the current token. Only an answered command
+	// shows that the machine still exists.
 	if session.State == agent.Known && session.Connected {
 		record := fleet.MachineRecord{
 			State:       fleet.Up,
@@ -103,7 +104,7 @@
 	return nil
 }
 
-// CanPlace tells whether a task may go on a machine of this shard now.
+// CanPlace reports whether a task may be placed on a machine of this shard now.
 func (s *Shard) CanPlace(task *clusterstate.Task, machine *clusterstate.Machine) bool {
 	session := s.sessions[machine.Name]
 	if session == nil || session.State != agent.Known || session.PreemptionNoticeS != nil {
@@ -118,12 +119,12 @@
 		(claimedFor == "" || claimedFor == task.Job.ID)
 }
 
-// Ready tells whether a machine takes new tasks at all, by its record.
+// Ready reports whether a machine accepts new tasks: it is healthy and reconciled.
 func (s *Shard) Ready(machine *clusterstate.Machine) bool {
 	return s.Reconciling.AcceptsTasks(machine.Name) && s.isHealthy(machine)
 }
 
-// isHealthy tells whether a machine takes new tasks once it is reconciled.
+// isHealthy reports whether a machine accepts new tasks, apart from whether it is reconciled.
 func (s *Shard) isHealthy(machine *clusterstate.Machine) bool {
 	return s.InUse(machine) &&
 		s.state.MachineTypes[machine.MachineType] != nil &&
--- a/internal/shard/heartbeat.go
+++ b/internal/shard/heartbeat.go
@@ -12,21 +12,22 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Statuses of HTTP that heartbeats and direct commands are answered with; 503 is
-// http1.Unavailable's.
+// HTTP statuses of the replies to heartbeats and direct commands. Status 503 is set by
+// http1.Unavailable.
 const (
 	statusOK          = 200
 	statusBadRequest  = 400
-	statusConflict    = 409 // a command was refused, nothing was executed
+	statusConflict    = 409 // the agent refused the command and executed nothing
 	statusMisdirected = 421 // another controller owns the machine
 )
 
-// heartbeatMark is the agent epoch and the sequence number of a heartbeat, which order
-// those of a machine.
-type heartbeatMark [2]uint64
+// heartbeatVersion is the agent epoch and the sequence number of a heartbeat, which together order
+// the heartbeats of a machine.
+type heartbeatVersion [2]uint64
 
-// Heartbeat answers a worker's heartbeat. Only the machine's owner answers 200, which
-// renews the worker's lease, and only while it may; others send the worker to the owner.
+// Heartbeat handles a worker's heartbeat. Only the machine's owner replies with status 200, which
+// renews the worker's lease, and only while it may renew leases. Other controllers redirect the
+// worker to the owner.
 func (s *Shard) Heartbeat(body []byte, respond func(http1.Reply)) {
 	var heartbeat agent.Heartbeat
 	if err := json.Unmarshal(body, &heartbeat); err != nil || !fleet.ValidName(heartbeat.Machine) {
@@ -42,9 +43,9 @@
 	if owner != s.config.Name {
 		s.Reconciling.Redirected(owner)
 		if isNew {
-			s.noteForeignHeartbeat(owner, &heartbeat)
+			s.handleForeignHeartbeat(owner, &heartbeat)
 		}
-		respond(misdirected(owner))
+		respond(misdirectedReply(owner))
 		return
 	}
 	session := s.sessionOf(heartbeat.Machine)
@@ -53,10 +54,10 @@
 		return
 	}
 	if heartbeat.FencingToken > session.FencingToken() {
-		// Another controller holds a higher token: this one is behind, and a 200 would only
+		// Another controller has issued a higher token, so this one is behind. A 200 would only
 		// keep the worker here while its lease expires.
 		session.ObserveToken(heartbeat.FencingToken, s.state.Now)
-		respond(misdirected(owner))
+		respond(misdirectedReply(owner))
 		return
 	}
 	session.LastHeartbeat = s.state.Now
@@ -65,20 +66,21 @@
 		s.loop.Wake()
 	}
 	if !s.cancellations.MayRenewLeases() {
-		// The status counts, its lease does not: what was acknowledged as cancelled and is
-		// not known here must end with it.
+		// The reported status is applied, but the lease is not renewed: tasks whose cancellation
+		// was acknowledged but is not known here must end when the lease expires.
 		s.cancellations.LeaseWithheld()
 		respond(http1.Unavailable("not all cancellations are known"))
 		return
 	}
-	commands := limitCommands(s.stopsFirst(&heartbeat, s.repeatableCommands(session, &heartbeat)))
+	commands := limitCommands(s.prependStops(&heartbeat, s.repeatableCommands(session, &heartbeat)))
 	respond(http1.Reply{Status: statusOK, Body: jobs.Encode(struct {
 		FencingToken uint64          `json:"baton"`
 		Commands     []agent.Command `json:"orders"`
 	}{session.FencingToken(), commands})})
 }
 
-// ownerOf is the controller that owns a machine: by its record, else by the view.
+// ownerOf returns the controller that owns a machine: by its record if there is one, otherwise by
+// the view.
 func (s *Shard) ownerOf(machine string) string {
 	if m := s.state.Machines[machine]; m != nil {
 		return m.Owner
@@ -86,9 +88,9 @@
 	return s.view.OwnerOf(machine)
 }
 
-// repeatableCommands are the commands that the answer to the newest heartbeat carries:
-// only those that may be repeated. Launches are sent to the agent directly, so that there
-// is one place where the answer tells whether they were executed.
+// repeatableCommands returns the commands for the reply to a machine's newest heartbeat: only those
+// that are safe to repeat. Launches are sent by direct command instead, because only the answer to
+// that shows whether they were executed.
 func (s *Shard) repeatableCommands(session *agent.Session, heartbeat *agent.Heartbeat) []agent.Command {
 	commands := []agent.Command{}
 	isNewest := heartbeat.AgentEpoch == session.AgentEpoch && heartbeat.HeartbeatSeq == session.HeartbeatSeq
@@ -103,10 +105,10 @@
 	return commands
 }
 
-// stopsFirst puts before the commands a stop for each reported task whose job is known to
-// be cancelled, also while the machine's heartbeats prove nothing or a command to it is
-// unanswered: each answer that renews a lease carries them.
-func (s *Shard) stopsFirst(heartbeat *agent.Heartbeat, commands []agent.Command) []agent.Command {
+// prependStops prepends to the commands a stop for each reported task whose job is known to be
+// cancelled. Every reply that renews a lease carries these stops, even while the machine's
+// heartbeats are not authoritative or a direct command to it is unanswered.
+func (s *Shard) prependStops(heartbeat *agent.Heartbeat, commands []agent.Command) []agent.Command {
 	stops := cancellation.StopCommands(heartbeat.Tasks, s.cancelled)
 	if len(stops) == 0 {
 		return commands
@@ -122,26 +124,27 @@
 	return stops
 }
 
-// cancelled tells whether a job is cancelled, as its record shows or as was acknowledged.
+// cancelled reports whether a job is cancelled, either by its record or by an acknowledged
+// cancellation that the record does not show yet.
 func (s *Shard) cancelled(jobID string) bool {
 	job := s.state.Jobs[jobID]
 	return job != nil && job.Record != nil && job.Record.State == jobs.Cancelled || s.cancellations.Cancelled(jobID)
 }
 
-// isNewHeartbeat tells whether a heartbeat is newer than all that came here of a machine
-// with a record. An old one that comes late, once the machine has another owner, doesn't
-// tell that the machine can't reach that one.
+// isNewHeartbeat reports whether a heartbeat is the newest that this controller has received from a
+// machine with a record. An old heartbeat that is delivered late, after the machine has moved to
+// another owner, does not show that the machine cannot reach that owner.
 func (s *Shard) isNewHeartbeat(heartbeat *agent.Heartbeat) bool {
-	mark := heartbeatMark{heartbeat.AgentEpoch, heartbeat.HeartbeatSeq}
+	version := heartbeatVersion{heartbeat.AgentEpoch, heartbeat.HeartbeatSeq}
 	last := s.newestHeartbeats[heartbeat.Machine]
-	if s.state.Machines[heartbeat.Machine] == nil || slices.Compare(mark[:], last[:]) <= 0 {
+	if s.state.Machines[heartbeat.Machine] == nil || slices.Compare(version[:], last[:]) <= 0 {
 		return false
 	}
-	s.newestHeartbeats[heartbeat.Machine] = mark
+	s.newestHeartbeats[heartbeat.Machine] = version
 	return true
 }
 
-// limitCommands cuts commands to what one message may carry; the next carries the rest.
+// limitCommands truncates commands to the maximum per message. The rest follows in later messages.
 func limitCommands(commands []agent.Command) []agent.Command {
 	if len(commands) > tuning.MaxCommands {
 		return commands[:tuning.MaxCommands]
@@ -149,8 +152,9 @@
 	return commands
 }
 
-// misdirected is the answer to a heartbeat that the owner should get; "" if none is known.
-func misdirected(owner string) http1.Reply {
+// misdirectedReply returns the reply that redirects a heartbeat to the machine's owner. An empty owner
+// means that none is known.
+func misdirectedReply(owner string) http1.Reply {
 	if owner == "" {
 		return http1.Reply{Status: statusMisdirected, Body: []byte("{}")}
 	}
--- a/internal/shard/heartbeat_test.go
+++ b/internal/shard/heartbeat_test.go
@@ -8,53 +8,54 @@
 	"github.com/harrierreel/harrierreel/internal/jobs"
 )
 
-// Only the owner answers 200, and only while it may; everyone else sends the worker on.
-func TestHeartbeatAnsweredByItsOwnerOnly(t *testing.T) {
-	o := newOwner(t)
+// Only the machine's owner replies with 200, and only while it is in the view. Other controllers
+// redirect the worker to the owner.
+func TestOnlyOwnerAcceptsHeartbeat(t *testing.T) {
+	f := newFixture(t)
 	for _, name := range []string{"", "i 1", "i-1\n", strings.Repeat("i", 151)} { // not valid in keys
-		if s, _ := o.heartbeat(string(jobs.Encode(map[string]string{"host": name}))); s != 400 {
+		if s, _ := f.heartbeat(string(jobs.Encode(map[string]string{"host": name}))); s != 400 {
 			t.Errorf("%q: %d", name, s)
 		}
 	}
-	if s, body := o.heartbeat(heartbeatBody("1", "")); s != 200 || !strings.Contains(body, `"baton":5242880`) {
-		t.Errorf("%d %s: the fencing token is not the epoch's", s, body)
+	if s, body := f.heartbeat(heartbeatBody("1", "")); s != 200 || !strings.Contains(body, `"baton":5242880`) {
+		t.Errorf("%d %s, want 200 and the fencing token of epoch 5", s, body)
 	}
-	if s, _ := o.heartbeat(strings.Replace(heartbeatBody("2", ""), `"baton":0`, `"baton":99999999`, 1)); s != 421 {
-		t.Errorf("a worker that has seen a higher token: %d", s)
+	if s, _ := f.heartbeat(strings.Replace(heartbeatBody("2", ""), `"baton":0`, `"baton":99999999`, 1)); s != 421 {
+		t.Errorf("a worker that has seen a higher token: %d, want 421", s)
 	}
-	o.controller.owner = "n1"
-	if s, body := o.heartbeat(heartbeatBody("3", "")); s != 421 || body != `{"reports_to":"n1"}` {
-		t.Errorf("another's machine: %d %s", s, body)
+	f.controller.owner = "n1"
+	if s, body := f.heartbeat(heartbeatBody("3", "")); s != 421 || body != `{"reports_to":"n1"}` {
+		t.Errorf("another controller's machine: %d %s", s, body)
 	}
-	o.controller.inView = false
-	if s, _ := o.heartbeat(heartbeatBody("4", "")); s != 503 {
-		t.Errorf("outside the view: %d", s)
+	f.controller.inView = false
+	if s, _ := f.heartbeat(heartbeatBody("4", "")); s != 503 {
+		t.Errorf("outside the view: %d, want 503", s)
 	}
 }
 
-// While not all acknowledged cancellations are known no lease is renewed, but the status
-// counts; and each answer that renews one carries a stop for what was acknowledged as
-// cancelled, also while the machine's heartbeats prove nothing yet.
+// While some acknowledged cancellations are unknown, no lease is renewed, but the reported status is
+// applied. Each reply that renews a lease carries a stop for every task whose cancellation was
+// acknowledged, even while the machine's session is unseen.
 func TestLeaseWithheldUntilCancellationsAreKnown(t *testing.T) {
-	o := newOwner(t)
-	o.addMachine("i-1", "n0", "w:1")
-	held := strings.Join([]string{
+	f := newFixture(t)
+	f.addMachine("i-1", "n0", "w:1")
+	statuses := strings.Join([]string{
 		`{"piece":"wk-000001/0","try":3,"status":"running"}`,
 		`{"piece":"wk-000002/0","try":1,"status":"running"}`,
 		`{"piece":"wk-000001/1","try":1,"status":"ended","cause":"done"}`,
 	}, ",")
-	o.controller.cancellationsUnknown = true
-	if s, _ := o.heartbeat(heartbeatBody("1", held)); s != 503 || o.controller.leasesWithheld != 1 {
-		t.Errorf("%d while cancellations are unknown, %d leases withheld", s, o.controller.leasesWithheld)
+	f.controller.cancellationsUnknown = true
+	if s, _ := f.heartbeat(heartbeatBody("1", statuses)); s != 503 || f.controller.leasesWithheld != 1 {
+		t.Errorf("%d while cancellations are unknown, %d leases withheld", s, f.controller.leasesWithheld)
 	}
-	if s := o.sessions["i-1"]; s == nil || s.HeartbeatSeq != 1 {
-		t.Errorf("the heartbeat was not taken in: %+v", s)
+	if s := f.sessions["i-1"]; s == nil || s.HeartbeatSeq != 1 {
+		t.Errorf("the heartbeat was not applied: %+v", s)
 	}
-	o.controller.cancellationsUnknown, o.controller.cancelled = false, "wk-000001"
+	f.controller.cancellationsUnknown, f.controller.cancelled = false, "wk-000001"
 	const stop = `"orders":[{"verb":"stop","piece":"wk-000001/0","try":3,"wind_down_s":0}]`
-	status, body := o.heartbeat(heartbeatBody("2", held))
-	state := o.sessions["i-1"].State
+	status, body := f.heartbeat(heartbeatBody("2", statuses))
+	state := f.sessions["i-1"].State
 	if status != 200 || state != agent.Unseen || !strings.Contains(body, stop) {
-		t.Errorf("%d %s in %s", status, body, state)
+		t.Errorf("status %d, body %s, session %s", status, body, state)
 	}
 }
--- a/internal/shard/reconcile.go
+++ b/internal/shard/reconcile.go
@@ -10,9 +10,8 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Reconcile is one reconciliation of the shard: it reviews the machines that something has
-// happened to, with each sweep also those that need it without that, and commits what
-// follows.
+// Reconcile runs one reconciliation of the shard: it places tasks, reviews the machines that have
+// changed, sweeps all machines when a sweep is due, and commits the resulting decisions.
 func (s *Shard) Reconcile() {
 	if s.view.OutsideView() {
 		clear(s.toReview)
@@ -25,8 +24,8 @@
 	decisions = append(decisions, s.reviewMachines()...)
 	decisions = append(decisions, s.placeAgain()...)
 	s.Reconciling.Advance(s.state.Now, s.view.KnownEpoch())
-	// Where the budget does not allow all, thousands of ends of a low-priority job must not stand
-	// before those that others wait for.
+	// If the write budget does not cover all decisions, thousands of ended tasks of a low-priority
+	// job must not delay decisions that other jobs wait for.
 	sort.SliceStable(decisions, func(a, b int) bool {
 		orderA, orderB := s.recoveryOrder(&decisions[a]), s.recoveryOrder(&decisions[b])
 		if orderA != orderB {
@@ -37,15 +36,15 @@
 	s.commits.Commit(decisions)
 }
 
-// sweep looks over all sessions: it watches the health of their machines and marks those
-// for review that need it though nothing has happened to them.
+// sweep checks the health of the machines of all sessions and marks for review those that need it
+// although nothing has changed: machines that are not known yet, overdue, or about to be preempted.
 func (s *Shard) sweep() []decide.Decision {
 	s.lastSweep = s.state.Now
 	var decisions []decide.Decision
 	unresponsive := map[string]bool{}
 	for _, machine := range clusterstate.SortedKeys(s.sessions) {
 		session := s.sessions[machine]
-		decisions = append(decisions, s.watchHealth(session, unresponsive)...)
+		decisions = append(decisions, s.checkHealth(session, unresponsive)...)
 		if session.State != agent.Known || s.awaitsFirstAnswer(session) ||
 			session.PreemptionNoticeS != nil || s.overdue(session) {
 			s.toReview[machine] = true
@@ -58,10 +57,10 @@
 	return append(decisions, s.publishUnresponsive(unresponsive)...)
 }
 
-// reviewMachines reviews the machines that are marked for it, sends them commands, and
-// returns what is to be committed.
+// reviewMachines reviews the machines that are marked for review, sends them commands, and returns
+// the decisions to commit.
 func (s *Shard) reviewMachines() []decide.Decision {
-	delayEnds := s.delaysEnds()
+	delayEnds := s.shouldDelayEnds()
 	if !delayEnds {
 		for machine := range s.delayedEnds {
 			s.toReview[machine] = true
@@ -78,27 +77,27 @@
 		if len(found.decisions) > 0 || len(found.commands) > 0 || found.vanished {
 			s.reviewAgain[machine] = true
 		}
-		s.noteReview(session, &found)
+		s.trackReview(session, &found)
 		switch {
 		case len(found.decisions) == 0:
 		case delayEnds:
 			s.delayedEnds[machine] = true
 		default:
-			s.lastEnds = s.state.Now
+			s.lastEndsCommit = s.state.Now
 			decisions = append(decisions, found.decisions...)
 		}
 		s.command(session, found.commands)
 	}
 	clear(s.toReview)
-	for _, machine := range s.awaitingCall {
+	for _, machine := range s.awaitingCallSlot {
 		s.toReview[machine] = true
 	}
-	s.awaitingCall = s.awaitingCall[:0]
+	s.awaitingCallSlot = s.awaitingCallSlot[:0]
 	return decisions
 }
 
-// sessionToReview is a machine's session, started if the machine is recorded as this
-// controller's; nil if it is another's.
+// sessionToReview returns a machine's session. It starts one if the machine is recorded as owned by
+// this controller and not deleted, and otherwise returns nil.
 func (s *Shard) sessionToReview(machine string) *agent.Session {
 	if session := s.sessions[machine]; session != nil {
 		return session
@@ -107,14 +106,14 @@
 	if m == nil || m.Owner != s.config.Name || m.State == fleet.Deleted {
 		return nil
 	}
-	s.keepSession(m)
+	s.ensureSession(m)
 	return s.sessions[machine]
 }
 
-// delaysEnds tells whether ends wait to be committed with others: while writes are scarce,
-// and with batch records, many tasks of a record end soon after one another, and all of
-// them are one write.
-func (s *Shard) delaysEnds() bool {
+// shouldDelayEnds reports whether ended tasks are held back to be committed in a batch. Many tasks of one
+// record tend to end soon after one another, and committing them together takes a single write. That
+// matters while writes are scarce, and with batch records.
+func (s *Shard) shouldDelayEnds() bool {
 	gap := tuning.GatherFor
 	if s.budget.HasSpareWrites() {
 		gap = 0
@@ -122,5 +121,5 @@
 			gap = tuning.BatchEvery
 		}
 	}
-	return s.state.Now.Sub(s.lastEnds) < gap
+	return s.state.Now.Sub(s.lastEndsCommit) < gap
 }
--- a/internal/shard/recovery.go
+++ b/internal/shard/recovery.go
@@ -14,8 +14,8 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// noteReview tells the tracker of the reconciliation what a machine's review has found.
-func (s *Shard) noteReview(session *agent.Session, found *review) {
+// trackReview records the result of a machine's review in the reconciliation tracker.
+func (s *Shard) trackReview(session *agent.Session, found *review) {
 	switch {
 	case s.Reconciling.Steady():
 	case session.State != agent.Known:
@@ -31,13 +31,14 @@
 	}
 }
 
-// placeAgain places tasks that have vanished where they were, under another attempt: one
-// write instead of two, the image is there, and the capacity was promised to nobody else.
-// What is in one record is written at once, when all the machines that it is about were
-// heard: one machine at a time, a batch record of 200 tasks was written 100 times.
+// placeAgain returns the decisions that place vanished tasks on the same machines again, under a new
+// attempt. Compared with freeing and rescheduling a task, this takes one write instead of two, the
+// image is already on the machine, and the capacity is still reserved for the task. A record is
+// written only once all machines that it refers to have been heard from: when it was written machine
+// by machine, a batch record of 200 tasks was written 100 times.
 //
-// The machine's record is no precondition, as it is where a task is placed elsewhere: the
-// task is recorded on it before and after, so that whoever deletes it frees the task.
+// Unlike other placements, these do not have the machine's record as a precondition: the task is
+// recorded on the machine both before and after, so whoever deletes the machine frees the task.
 func (s *Shard) placeAgain() []decide.Decision {
 	if len(s.vanishedTasks) == 0 || !s.budget.Allows(0, tuning.MinBatchWrites) ||
 		s.state.Now.Sub(s.placedAgainAt) < tuning.PlaceAgainEvery {
@@ -51,17 +52,16 @@
 	return decisions
 }
 
-// tasksToPlaceAgain are the vanished tasks whose records can be written now. Those records
-// come first that bring back the most tasks by one write; the commit queue takes them in
-// this order.
+// tasksToPlaceAgain returns the vanished tasks whose records can be written now, in the order in
+// which they are to be committed: the records that restore the most tasks with one write come first.
 func (s *Shard) tasksToPlaceAgain() []*clusterstate.Task {
 	var tasks []*clusterstate.Task
 	awaitsMachine := map[*clusterstate.TaskRecord]bool{}
 	taskCount := map[*clusterstate.TaskRecord]int{}
 	for taskID := range s.vanishedTasks {
-		task := s.task(taskID)
+		task := s.taskByID(taskID)
 		if task == nil || !task.OnMachine() || !s.canPlaceAgain(task) {
-			delete(s.vanishedTasks, taskID) // its machine's review tells what it is now
+			delete(s.vanishedTasks, taskID) // the next review of its machine handles it
 			continue
 		}
 		if _, known := awaitsMachine[task.StoredIn]; !known {
@@ -82,11 +82,13 @@
 	return tasks
 }
 
-// placeTaskAgain is the decision that places a task, or its gang, where it was.
+// placeTaskAgain returns the decision that places a task, or all of its gang, on the same machines
+// again. If that is not possible, the decision frees the task. It returns nil if the task is handled
+// with another of its gang, or if a machine of the gang has yet to be heard from.
 func (s *Shard) placeTaskAgain(task *clusterstate.Task) []decide.Decision {
-	members := gangOf(task)
+	members := gangMembers(task)
 	if first := members[0]; first != task && first != nil && s.vanishedTasks[first.ID] {
-		return nil // the first of a gang decides for it; without that one it is not whole
+		return nil // handled with the gang's first task; if that has not vanished, the gang is incomplete
 	}
 	lost := func() []decide.Decision { return []decide.Decision{s.EndAttempt(task, jobs.Lost, 0)} }
 	var records []*jobs.Task
@@ -114,9 +116,9 @@
 	return []decide.Decision{decision}
 }
 
-// gangOf is the tasks of a task's gang in order, nil where one is missing, or the task
-// alone.
-func gangOf(task *clusterstate.Task) []*clusterstate.Task {
+// gangMembers returns the tasks of a task's gang by index, with nil for each task that does not exist. A
+// task without a gang is returned alone.
+func gangMembers(task *clusterstate.Task) []*clusterstate.Task {
 	spec := &task.Job.Record.Spec
 	if !spec.IsGang() || spec.TaskCount <= 1 {
 		return []*clusterstate.Task{task}
@@ -128,8 +130,8 @@
 	return members
 }
 
-// canPlaceAgain tells whether a task is known to be gone from a machine of this shard that
-// may be given it once more.
+// canPlaceAgain reports whether a task is known to have vanished from a machine of this shard on
+// which it may be placed again.
 func (s *Shard) canPlaceAgain(task *clusterstate.Task) bool {
 	session, machine := s.sessions[task.Machine], s.state.Machines[task.Machine]
 	if session == nil || machine == nil || task.State != jobs.Placed || !isLive(task.Job) {
@@ -143,7 +145,8 @@
 		s.scheduler.MayBegin(&task.Job.Record.Spec)
 }
 
-// awaitsMachine tells whether a machine with a task of a record has yet to be heard.
+// awaitsMachine reports whether a heartbeat is still awaited from a machine that holds one of the
+// record's tasks.
 func (s *Shard) awaitsMachine(record *clusterstate.TaskRecord) bool {
 	if s.Reconciling.Phase() != reconcile.Hearing {
 		return false
@@ -156,8 +159,8 @@
 	return false
 }
 
-// recoveryOrder is the order in which decisions are committed while this controller
-// reconciles; at all other times they go by priority alone.
+// recoveryOrder returns the rank of a decision in the commit order while this controller reconciles
+// after its start. Otherwise decisions are ordered by priority alone.
 func (s *Shard) recoveryOrder(decision *decide.Decision) reconcile.Order {
 	if s.Reconciling.Steady() || len(decision.Changes) == 0 {
 		return reconcile.Ends
@@ -170,8 +173,8 @@
 	return reconcile.OrderOf(&job.Record.Spec, job.Record.State != jobs.Live, change.Next.State == jobs.Placed)
 }
 
-// MachinesHeardEpoch is the view under which all of this controller's machines were heard,
-// or are published as unresponsive; 0 if some are neither.
+// MachinesHeardEpoch returns the epoch of the view under which every machine of this controller has
+// sent a heartbeat or is published as unresponsive. It returns 0 while some machine has done neither.
 func (s *Shard) MachinesHeardEpoch() uint64 {
 	for _, name := range s.Reconciling.Decommissioned() {
 		if machine := s.state.Machines[name]; machine != nil && machine.Owner == s.config.Name && s.InUse(machine) {
--- a/internal/shard/recovery_test.go
+++ b/internal/shard/recovery_test.go
@@ -13,37 +13,37 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// restarted is an owner that has just started, with machines i-1 to i-n whose leases
-// expired meanwhile, and a job with a task recorded on each.
-func restarted(t *testing.T, machines int, kind string) *owner {
+// newRestartedFixture returns a controller that has just started, with machines i-1 to i-n whose leases have
+// expired in the meantime, and a job with one task recorded on each machine.
+func newRestartedFixture(t *testing.T, machines int, kind string) *fixture {
 	t.Helper()
-	o := newOwner(t)
-	o.addMachineType()
-	o.addJob(specOf("wk-1", kind, machines))
+	f := newFixture(t)
+	f.addMachineType()
+	f.addJob(specOf("wk-1", kind, machines))
 	var tasks []jobs.Task
 	for i := range machines {
 		machine := fmt.Sprintf("i-%d", i+1)
-		o.addMachine(machine, "n0", "w:"+machine)
+		f.addMachine(machine, "n0", "w:"+machine)
 		tasks = append(tasks, jobs.Task{State: jobs.Placed, Machine: machine, Attempt: uint64(i + 1)})
 	}
-	o.putTasks("task/wk-1/0", tasks...)
-	o.NewView()
-	return o
+	f.putTasks("task/wk-1/0", tasks...)
+	f.NewView()
+	return f
 }
 
-// reports is a heartbeat of a machine under the token in force, in the agent epoch after its
-// lease expired.
-func (o *owner) reports(machine, statuses string) {
+// reportAfterExpiry sends a machine's heartbeat with the current fencing token, in the agent epoch that began
+// when its lease expired.
+func (f *fixture) reportAfterExpiry(machine, statuses string) {
 	named := strings.NewReplacer(`"host":"i-1"`, `"host":"`+machine+`"`, `"tenure":1`, `"tenure":2`)
-	o.heartbeat(withToken(named.Replace(heartbeatBody("1", statuses))))
+	f.heartbeat(withToken(named.Replace(heartbeatBody("1", statuses))))
 }
 
-// reconciled is what one reconciliation decides about tasks.
-func (o *owner) reconciled() (decisions []decide.Decision) {
-	o.controller.decisions = nil
-	o.state.Now = o.state.Now.Add(tuning.PlaceAgainEvery)
-	o.Reconcile()
-	for _, decision := range o.controller.decisions {
+// reconcileTasks runs one reconciliation and returns its decisions about tasks.
+func (f *fixture) reconcileTasks() (decisions []decide.Decision) {
+	f.controller.decisions = nil
+	f.state.Now = f.state.Now.Add(tuning.PlaceAgainEvery)
+	f.Reconcile()
+	for _, decision := range f.controller.decisions {
 		if len(decision.Changes) > 0 {
 			decisions = append(decisions, decision)
 		}
@@ -51,88 +51,89 @@
 	return decisions
 }
 
-// What an expired lease killed is placed once more where it was, in one decision for a gang
-// and only once all machines of the record have been heard or given up.
+// Tasks that ended with an expired lease are placed again on the same machines, in one decision for a
+// gang, and only once every machine of the record has been heard from or decommissioned.
 func TestVanishedTasksArePlacedAgain(t *testing.T) {
 	for kind, wantDecisions := range map[string]int{jobs.Gang: 1, jobs.JobArray: 3} {
-		o := restarted(t, 3, kind)
-		// No call is answered yet.
-		o.controller.call = func(string, string, string, []byte, time.Duration, func(int, []byte, error)) {}
-		o.reports("i-1", "")
-		o.reports("i-2", "")
-		if decisions := o.reconciled(); len(decisions) != 0 {
-			t.Fatalf("%s: decided before the third machine was heard: %v", kind, decisions[0].String())
+		f := newRestartedFixture(t, 3, kind)
+		// No call is answered.
+		f.controller.call = func(string, string, string, []byte, time.Duration, func(int, []byte, error)) {}
+		f.reportAfterExpiry("i-1", "")
+		f.reportAfterExpiry("i-2", "")
+		if decisions := f.reconcileTasks(); len(decisions) != 0 {
+			t.Fatalf("%s: decided before a heartbeat of the third machine: %v", kind, decisions[0].String())
 		}
-		o.reports("i-3", "")
-		decisions := o.reconciled()
+		f.reportAfterExpiry("i-3", "")
+		decisions := f.reconcileTasks()
 		if len(decisions) != wantDecisions {
-			t.Fatalf("%s: %d decisions", kind, len(decisions))
+			t.Fatalf("%s: unexpected number of decisions: %d", kind, len(decisions))
 		}
 		for _, decision := range decisions {
 			for _, change := range decision.Changes {
 				before, next := change.Task, change.Next
 				if next.State != jobs.Placed || next.Machine != before.Machine || next.Attempt <= before.Attempt {
-					t.Errorf("%s: %+v: not a higher attempt on the same machine", kind, next)
+					t.Errorf("%s: %+v, want a higher attempt on the same machine", kind, next)
 				}
 				if kind == jobs.Gang && next.Attempt != 4 {
-					t.Errorf("%s: %+v: not above all attempts of the gang", kind, next)
+					t.Errorf("%s: %+v, want attempt 4, above all attempts of the gang", kind, next)
 				}
 			}
 		}
 	}
 }
 
-// A gang that has lost a machine does not go on: its tasks are freed.
+// A gang that has lost a machine is not placed again: its tasks are freed.
 func TestIncompleteGangIsFreed(t *testing.T) {
-	o := restarted(t, 2, jobs.Gang)
-	o.reports("i-1", "")
-	for range 30 { // two calls to the other stay without an answer
-		o.reconciled()
+	f := newRestartedFixture(t, 2, jobs.Gang)
+	f.reportAfterExpiry("i-1", "")
+	for range 30 { // long enough for two unanswered calls to i-2
+		f.reconcileTasks()
 	}
-	if o.Reconciling.Phase() == reconcile.Hearing {
-		t.Fatal("a machine that does not answer is waited for")
+	if f.Reconciling.Phase() == reconcile.Hearing {
+		t.Fatal("a machine that answers no calls is still awaited")
 	}
-	decisions := o.reconciled()
+	decisions := f.reconcileTasks()
 	if len(decisions) != 1 || decisions[0].Changes[0].Next.State != jobs.Pending {
-		t.Fatalf("%d decisions", len(decisions))
+		t.Fatalf("%d decisions, want one that frees a task", len(decisions))
 	}
 }
 
-// A task that still runs is left alone; one on a machine that will be taken is freed.
-func TestRunningTaskStaysAndNoticedMachineIsFreed(t *testing.T) {
-	o := restarted(t, 2, jobs.JobArray)
-	o.reports("i-1", `{"piece":"wk-1/0","try":1,"status":"running"}`)
+// A task that still runs is left alone. A vanished task on a machine with a preemption notice is
+// freed.
+func TestRunningTaskStaysAndPreemptedMachineIsFreed(t *testing.T) {
+	f := newRestartedFixture(t, 2, jobs.JobArray)
+	f.reportAfterExpiry("i-1", `{"piece":"wk-1/0","try":1,"status":"running"}`)
 	noticed := strings.NewReplacer(`"host":"i-1"`, `"host":"i-2"`, `"baton":0`, `"baton":0,"warning_s":20`)
-	o.heartbeat(withToken(noticed.Replace(heartbeatBody("1", ""))))
-	decisions := o.reconciled()
+	f.heartbeat(withToken(noticed.Replace(heartbeatBody("1", ""))))
+	decisions := f.reconcileTasks()
 	if len(decisions) != 1 {
-		t.Fatalf("%d decisions", len(decisions))
+		t.Fatalf("%d decisions, want 1", len(decisions))
 	}
 	if freed := decisions[0].Changes[0]; freed.Task.Index != 1 || freed.Next.State != jobs.Pending {
 		t.Errorf("decided %s", decisions[0].String())
 	}
 }
 
-// Machines that died delay no call to one that runs, and one for which no call was free
-// is called as soon as one is.
+// Calls to machines that were never heard from are limited, so that dead machines do not delay calls
+// to running ones. A machine that exceeded the limit is called as soon as earlier calls have ended.
 func TestCallsToDeadMachinesAreLimited(t *testing.T) {
-	o := restarted(t, 200, jobs.JobArray)
+	f := newRestartedFixture(t, 200, jobs.JobArray)
 	var endCalls []func()
 	calls := 0
-	o.controller.call = func(endpoint, _, _ string, _ []byte, _ time.Duration, done func(int, []byte, error)) {
+	f.controller.call = func(endpoint, _, _ string, _ []byte, _ time.Duration, done func(int, []byte, error)) {
 		calls++
 		endCalls = append(endCalls, func() { done(0, nil, errors.New("no answer")) })
 	}
-	o.Reconcile()
+	f.Reconcile()
 	if calls != tuning.AwaitedCalls {
-		t.Fatalf("%d calls to machines that were never heard", calls)
+		t.Fatalf("%d calls to machines that were never heard from", calls)
 	}
 	for _, endCall := range endCalls {
 		endCall()
 	}
-	o.state.Now = o.state.Now.Add(time.Millisecond) // no sweep
-	o.Reconcile()
+	f.state.Now = f.state.Now.Add(time.Millisecond) // too soon for a sweep
+	f.Reconcile()
 	if calls != 2*tuning.AwaitedCalls {
-		t.Errorf("%d calls once those were over", calls)
+		t.Errorf("%d calls after the first ones ended", calls)
 	}
 }
--- a/internal/shard/review.go
+++ b/internal/shard/review.go
@@ -14,16 +14,16 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// review is what the comparison of a machine's records with its heartbeats calls for.
+// review is the outcome of comparing a machine's records with its heartbeats.
 type review struct {
 	commands  []agent.Command
-	decisions []decide.Decision // ends of attempts, and tasks that are freed
-	vanished  bool              // tasks are gone that are to be placed there once more
-	busy      bool              // a record is under a transaction
+	decisions []decide.Decision // that end attempts or free tasks
+	vanished  bool              // some tasks have vanished and are to be placed again on the machine
+	busy      bool              // a task record is part of a pending transaction
 }
 
-// differenceCounter takes note of a difference and its answer. A review for the answer to
-// a heartbeat counts none, since the next reconciliation finds them again.
+// differenceCounter counts a difference and the action taken on it. A review for the reply to a
+// heartbeat counts nothing, since the next reconciliation finds the same differences.
 type differenceCounter func(machine string, difference reconcile.Difference, answer reconcile.Answer)
 
 func ignoreDifference(string, reconcile.Difference, reconcile.Answer) {}
@@ -45,62 +45,62 @@
 	return found
 }
 
-// reviewRecorded compares a task that is recorded on a machine with its heartbeats.
+// reviewRecorded compares a task that is recorded on a machine with the machine's heartbeats.
 func (s *Shard) reviewRecorded(
 	session *agent.Session, task *clusterstate.Task, count differenceCounter, found *review,
 ) {
-	over := !isLive(task.Job) || s.cancellations.Cancelled(task.Job.ID)
+	jobOver := !isLive(task.Job) || s.cancellations.Cancelled(task.Job.ID)
 	if s.commits.Busy(task.StoredIn.Key) {
 		found.busy = true
-		if over && session.State == agent.Known {
-			// A transaction may be without an answer for as long as the key-value store is
-			// away; a stop of what is over does not wait for it.
+		if jobOver && session.State == agent.Known {
+			// A transaction may stay unanswered for as long as the key-value store is
+			// unavailable. Tasks of a job that is over are stopped without waiting for it.
 			always := func(string) bool { return true }
 			found.commands = append(found.commands, cancellation.StopCommands(session.Tasks[task.ID], always)...)
 		}
-		return // its end has the machine reviewed again
+		return // the machine is reviewed again once the transaction ends
 	}
 	verdict, status := session.Judge(task.ID, task.Attempt)
 	recorded := reconcile.Recorded{
 		Verdict:  verdict,
-		Over:     over,
+		Over:     jobOver,
 		Stopping: task.State == jobs.Stopping,
 		Leaving:  s.isLeaving(session.Machine),
 	}
 	if verdict == agent.OnMachine {
-		s.noteRunning(session, task, status)
-		recorded.Checkpoint = !over && s.shouldCheckpoint(session, task, status)
+		s.markRunning(session, task, status)
+		recorded.Checkpoint = !jobOver && s.shouldCheckpoint(session, task, status)
 	}
 	difference, answer := reconcile.OfRecorded(recorded)
 	count(session.Machine, difference, answer)
 	switch answer {
 	case reconcile.Launch:
-		if s.launchesLater(task) || !s.cancellations.MayLaunch() {
+		if s.shouldDelayLaunch(task) || !s.cancellations.MayLaunch() {
 			s.reviewAgain[session.Machine] = true
 			return
 		}
 		launch := agent.Command{Verb: agent.Launch, TaskID: task.ID, Attempt: task.Attempt}
 		found.commands = append(found.commands, launch)
 	case reconcile.Stop:
-		found.commands = append(found.commands, stopCommand(task, over))
+		found.commands = append(found.commands, stopCommand(task, jobOver))
 	case reconcile.End:
 		found.decisions = append(found.decisions, s.attemptEnded(session, task, status))
 	case reconcile.Free:
-		s.free(task, difference, found)
+		s.freeTask(task, difference, found)
 	case reconcile.Wait, reconcile.Continue, reconcile.Forget:
 	}
 }
 
-// reviewReported compares an attempt of a machine's newest heartbeat with the records.
+// reviewReported compares an attempt that a machine's newest heartbeat lists with the records.
 func (s *Shard) reviewReported(
 	session *agent.Session, status agent.TaskStatus, count differenceCounter, found *review,
 ) {
 	task := s.state.TasksOnMachine[session.Machine][status.TaskID]
 	recorded := task != nil && task.Attempt == status.Attempt
-	// What is cancelled is stopped at once; its end is forgotten only once no record can
+	// Cancelled attempts are stopped at once. An ended attempt is forgotten only once no record can
 	// name it any more.
 	writing := !recorded && s.isBeingWritten(status.TaskID) &&
-		(status.Status == agent.Ended || !s.cancellations.Cancelled(jobOf(status.TaskID)))
+		(status.Status == agent.Ended || !s.cancellations.Cancelled(jobIDOf(status.TaskID)))
 	difference, answer := reconcile.OfReported(status.Status, recorded, writing)
 	if !recorded {
 		count(session.Machine, difference, answer)
@@ -123,23 +123,23 @@
 	}
 }
 
-// isLive tells whether a job is recorded as live.
+// isLive reports whether a job is recorded as live.
 func isLive(job *clusterstate.Job) bool { return job.Record != nil && job.Record.State == jobs.Live }
 
-// isLeaving tells whether a machine is deleted, or about to be, or has no record.
+// isLeaving reports whether a machine is deleted, is being deleted, or has no record.
 func (s *Shard) isLeaving(machine string) bool {
 	m := s.state.Machines[machine]
 	return m == nil || m.State == fleet.Deleting || m.State == fleet.Deleted
 }
 
-// jobOf is the job of a task.
-func jobOf(taskID string) string {
+// jobIDOf returns the ID of the job that a task belongs to.
+func jobIDOf(taskID string) string {
 	jobID, _, _ := jobs.SplitTaskID(taskID)
 	return jobID
 }
 
-// task is what is known of a task by its name, nil if there is none.
-func (s *Shard) task(taskID string) *clusterstate.Task {
+// taskByID returns a task by its ID, or nil if there is none.
+func (s *Shard) taskByID(taskID string) *clusterstate.Task {
 	jobID, index, ok := jobs.SplitTaskID(taskID)
 	if !ok || s.state.Jobs[jobID] == nil {
 		return nil
@@ -147,9 +147,9 @@
 	return s.state.Jobs[jobID].Tasks[index]
 }
 
-// launchesLater tells whether a task of a gang should wait with its launch for the image
-// pulls of the others (gangs.LaunchAt).
-func (s *Shard) launchesLater(task *clusterstate.Task) bool {
+// shouldDelayLaunch reports whether the launch of a gang's task should be delayed because other members
+// of the gang take longer to pull their image (see gangs.LaunchAt).
+func (s *Shard) shouldDelayLaunch(task *clusterstate.Task) bool {
 	spec := &task.Job.Record.Spec
 	if !spec.IsGang() || spec.ImageGB <= 0 {
 		return false
@@ -165,9 +165,9 @@
 	return s.state.Now.Before(launchAt)
 }
 
-// noteRunning takes note that a task was seen running. Operators' scripts read its log
-// line, whose keys and message stay as they are.
-func (s *Shard) noteRunning(session *agent.Session, task *clusterstate.Task, status agent.TaskStatus) {
+// markRunning records that a task was observed running. Operators' scripts parse its log line, so
+// the message and the keys must not change.
+func (s *Shard) markRunning(session *agent.Session, task *clusterstate.Task, status agent.TaskStatus) {
 	if status.Status != agent.Running || task.ObservedRunning {
 		return
 	}
@@ -185,37 +185,38 @@
 	}
 }
 
-// isBeingWritten tells whether the record of a task is under a transaction.
+// isBeingWritten reports whether a task's record is part of a pending transaction.
 func (s *Shard) isBeingWritten(taskID string) bool {
 	if _, reserved := s.state.Reservations[taskID]; reserved {
 		return true
 	}
-	task := s.task(taskID)
+	task := s.taskByID(taskID)
 	return task != nil && s.commits.Busy(task.StoredIn.Key)
 }
 
-// shouldCheckpoint tells whether a task should write a checkpoint now, since its machine
-// will be taken.
+// shouldCheckpoint reports whether a task should write a checkpoint and stop now because its machine
+// is about to be preempted.
 func (s *Shard) shouldCheckpoint(session *agent.Session, task *clusterstate.Task, status agent.TaskStatus) bool {
 	if session.PreemptionNoticeS == nil || status.Status != agent.Running {
 		return false
 	}
 	spec := &task.Job.Record.Spec
 	if spec.Kind == jobs.Service {
-		return true // a replica has nothing to finish: start it elsewhere
+		return true // a replica has no work to finish, so it can restart elsewhere at once
 	}
-	leftS := *session.PreemptionNoticeS - s.state.Now.Sub(session.LastStatus).Seconds()
+	remainingS := *session.PreemptionNoticeS - s.state.Now.Sub(session.LastStatus).Seconds()
 	if spec.CheckpointIntervalS > 0 {
-		return leftS <= spec.CheckpointTimeS+tuning.SaveMargin
+		return remainingS <= spec.CheckpointTimeS+tuning.SaveMargin
 	}
-	// What cannot finish in time had better begin elsewhere at once.
-	return spec.ExpectedDurationS-s.state.Now.Sub(task.StateSince).Seconds() > leftS*tuning.NoticeDoubt
+	// A task that cannot finish in time is better restarted elsewhere at once.
+	return spec.ExpectedDurationS-s.state.Now.Sub(task.StateSince).Seconds() > remainingS*tuning.NoticeDoubt
 }
 
-// stopCommand stops a recorded attempt, with time for a checkpoint unless its job is over.
-func stopCommand(task *clusterstate.Task, over bool) agent.Command {
+// stopCommand returns the command that stops a recorded attempt, with time for a checkpoint unless
+// its job is over.
+func stopCommand(task *clusterstate.Task, jobOver bool) agent.Command {
 	gracePeriodS := 0.0
-	if !over && task.Job.Record.Spec.CheckpointIntervalS > 0 {
+	if !jobOver && task.Job.Record.Spec.CheckpointIntervalS > 0 {
 		gracePeriodS = task.Job.Record.Spec.CheckpointTimeS + 1
 	}
 	return agent.Command{
--- a/internal/shard/sessions.go
+++ b/internal/shard/sessions.go
@@ -6,8 +6,8 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// sessionOf returns the session of a machine of this shard, starting it if need be; nil if
-// there are too many.
+// sessionOf returns the session of a machine of this shard and starts one if there is none. It
+// returns nil if the limit of sessions is reached.
 func (s *Shard) sessionOf(machine string) *agent.Session {
 	session := s.sessions[machine]
 	if session == nil {
@@ -20,8 +20,8 @@
 	return session
 }
 
-// keepSession makes sure that a machine of this shard has a session.
-func (s *Shard) keepSession(machine *clusterstate.Machine) {
+// ensureSession ensures that a machine of this shard has a session.
+func (s *Shard) ensureSession(machine *clusterstate.Machine) {
 	session := s.sessionOf(machine.Name)
 	if session == nil || session.Endpoint != "" {
 		return
@@ -32,7 +32,7 @@
 	session.Spot = machine.Spot
 }
 
-// accept enters a heartbeat, or the answer to a command, into a machine's session.
+// accept applies a heartbeat, or the answer to a command, to a machine's session.
 func (s *Shard) accept(session *agent.Session, heartbeat *agent.Heartbeat) (isNew bool) {
 	placed := map[string]uint64{}
 	for taskID, task := range s.state.TasksOnMachine[session.Machine] {
@@ -41,13 +41,13 @@
 	return session.Accept(heartbeat, s.state.Now, placed)
 }
 
-// awaitsFirstAnswer tells whether a machine without a record has yet to answer a command.
+// awaitsFirstAnswer reports whether a machine has no record and has not answered a command yet.
 func (s *Shard) awaitsFirstAnswer(session *agent.Session) bool {
 	return !session.Connected && s.state.Machines[session.Machine] == nil
 }
 
-// overdue tells whether a machine should have reported by now. It is then called directly:
-// where heartbeats are seldom, waiting for the next would leave its tasks dead for long.
+// overdue reports whether a machine's heartbeat is late. An overdue machine is called directly: if
+// heartbeats are infrequent, waiting for the next one would leave failed tasks down for long.
 func (s *Shard) overdue(session *agent.Session) bool {
 	return s.state.Now.Sub(session.LastStatus) > s.config.Cluster.Workers.HeartbeatLateAfter()
 }
--- a/internal/shard/shard.go
+++ b/internal/shard/shard.go
@@ -1,7 +1,7 @@
-// Package shard is what a controller does for the machines of its shard, those that it
-// owns under the view: the sessions with their agents, what heartbeats mean for the
-// records, which commands are sent, and which machines are unresponsive. Decisions,
-// answers and calls come out; it has no IO and no clock.
+// Package shard manages the machines that a controller owns under the current view. It keeps the
+// sessions with their agents, reconciles their heartbeats with the stored records, sends commands,
+// and tracks which machines are unresponsive. It performs no IO and reads no clock: its output is
+// decisions to commit, replies to heartbeats and calls to agents.
 package shard
 
 import (
@@ -14,11 +14,11 @@
 	"github.com/harrierreel/harrierreel/internal/reconcile"
 )
 
-// Shard is what a controller keeps of the machines that it owns. It belongs to the
-// controller's loop: all methods are called from there.
+// Shard is a controller's state for the machines that it owns. All methods must be called on the
+// controller's event loop.
 type Shard struct {
 	config Config
-	state  *clusterstate.State // what is known from the records
+	state  *clusterstate.State // mirrors the stored records
 
 	view          View
 	agents        AgentCaller
@@ -30,35 +30,35 @@
 	cancellations Cancellations
 	complaints    ComplaintLog
 
-	// Reconciling is what is known of this controller's machines since it started.
+	// Reconciling tracks the reconciliation of this controller's machines after it starts.
 	Reconciling *reconcile.Tracker
 
 	sessions map[string]*agent.Session // by machine
 	health   map[string]*fleet.Health  // by machine
 
-	newestHeartbeats  map[string]heartbeatMark    // by machine, the newest that came here
-	foreignHeartbeats map[string]foreignHeartbeat // by machine, the last here that may be an old one
+	newestHeartbeats  map[string]heartbeatVersion // by machine, the newest that this controller received
+	foreignHeartbeats map[string]foreignHeartbeat // by machine, the last one that may be outdated
 
-	// unresponsiveLists are the lists that state.Unresponsive is joined of, by owner.
+	// unresponsiveLists holds, by owner, the lists that are joined into state.Unresponsive.
 	unresponsiveLists map[string]fleet.UnresponsiveLists
 
-	// What changed since the last reconciliation.
+	// Work for the next reconciliations.
 	toReview    map[string]bool // machines to review
 	reviewAgain map[string]bool // machines to review again with the next sweep
-	delayedEnds map[string]bool // machines with ends that wait to be committed with others
+	delayedEnds map[string]bool // machines whose ended tasks are held back, to be committed in a batch
 
-	awaitingCall  []string        // machines for which no call was free
-	vanishedTasks map[string]bool // tasks to be placed once more where they were
-	placedAgainAt time.Time       // when vanishedTasks were last gone through
+	awaitingCallSlot []string        // machines that are to be called once the call limits allow it
+	vanishedTasks    map[string]bool // tasks to place again on the machine that they vanished from
+	placedAgainAt    time.Time       // when vanishedTasks was last processed
 
-	calls             int // to agents under way
-	callsToUnseen     int // of them to machines that have not reported yet
-	callsToUnanswered int // of them to machines that left a call unanswered
+	calls             int // calls to agents in flight
+	callsToUnseen     int // of them, to machines that have not sent a heartbeat yet
+	callsToUnanswered int // of them, to machines that left their last call unanswered
 	lastSweep         time.Time
-	lastEnds          time.Time // when ended tasks were last committed
+	lastEndsCommit    time.Time // when ended tasks were last committed
 }
 
-// New makes the shard of a controller over what is known from the records.
+// New returns a controller's shard that works on state, the mirror of the stored records.
 func New(state *clusterstate.State, config Config, collaborators Collaborators) *Shard {
 	return &Shard{
 		config:            config,
@@ -75,7 +75,7 @@
 		Reconciling:       reconcile.New(config.Cluster.Workers.HeartbeatS, config.Log),
 		sessions:          map[string]*agent.Session{},
 		health:            map[string]*fleet.Health{},
-		newestHeartbeats:  map[string]heartbeatMark{},
+		newestHeartbeats:  map[string]heartbeatVersion{},
 		foreignHeartbeats: map[string]foreignHeartbeat{},
 		unresponsiveLists: map[string]fleet.UnresponsiveLists{},
 		toReview:          map[string]bool{},
@@ -85,14 +85,14 @@
 	}
 }
 
-// ReviewMachine has a machine's records compared with its heartbeats at the next
-// reconciliation.
+// ReviewMachine schedules a machine for review: the next reconciliation compares its records with
+// its heartbeats.
 func (s *Shard) ReviewMachine(machine string) { s.toReview[machine] = true }
 
-// HasSession tells whether a machine has a session here.
+// HasSession reports whether this controller has a session with a machine's agent.
 func (s *Shard) HasSession(machine string) bool { return s.sessions[machine] != nil }
 
-// Stalled discounts time in which this controller's loop did not run.
+// Stalled discounts a gap during which this controller's event loop did not run.
 func (s *Shard) Stalled(gap time.Duration) {
 	clear(s.foreignHeartbeats)
 	for _, session := range s.sessions {
@@ -100,8 +100,8 @@
 	}
 }
 
-// NewView begins every session anew under the view's epoch, and ends those of machines
-// that another controller owns now.
+// NewView applies a new view: it restarts every session under the view's epoch and drops the
+// sessions of machines that another controller now owns.
 func (s *Shard) NewView() {
 	clear(s.foreignHeartbeats)
 	for machine, session := range s.sessions {
@@ -117,7 +117,7 @@
 	var own []string
 	for _, machine := range s.state.Machines {
 		if machine.Owner == s.config.Name {
-			s.keepSession(machine)
+			s.ensureSession(machine)
 			own = append(own, machine.Name)
 		}
 	}
@@ -129,8 +129,9 @@
 	s.lastSweep = time.Time{}
 }
 
-// MachineRemoved forgets a machine. Its session must not bring the record back; should the
-// worker report after all, it is met as a new one.
+// MachineRemoved forgets a machine whose record was removed. Its session is dropped too, since it
+// would otherwise recreate the record. If the worker sends another heartbeat, it counts as a new
+// machine.
 func (s *Shard) MachineRemoved(machine string) {
 	delete(s.health, machine)
 	delete(s.newestHeartbeats, machine)
--- a/internal/shard/task_end.go
+++ b/internal/shard/task_end.go
@@ -13,9 +13,9 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// EndAttempt is the decision that a task is no longer on its machine, for the reason that
-// kind names; it is not placed again before the pause is over. It is empty if the task is
-// in a state that the event does not change.
+// EndAttempt returns the decision that takes a task off its machine, for the reason given by kind.
+// The task is not placed again before pause has elapsed. The decision is empty if the event does not
+// apply to the task's state.
 func (s *Shard) EndAttempt(task *clusterstate.Task, kind jobs.TaskEventKind, pause time.Duration) decide.Decision {
 	if !isLive(task.Job) {
 		kind = jobs.Lost
@@ -31,7 +31,7 @@
 	}
 }
 
-// attemptEnded is the decision about a reported end.
+// attemptEnded returns the decision for an attempt that the machine reports as ended.
 func (s *Shard) attemptEnded(session *agent.Session, task *clusterstate.Task, status agent.TaskStatus) decide.Decision {
 	health := s.healthOf(session.Machine)
 	if !isLive(task.Job) {
@@ -43,14 +43,14 @@
 		if task.Job.Record.Spec.Kind == jobs.Service {
 			return s.EndAttempt(task, jobs.Lost, 0)
 		}
-		decision, whole := completion.WithLastTask(task)
-		if whole && (!s.isLeaving(session.Machine) || !task.StoredIn.IsBatch()) {
+		decision, endsJob := completion.WithLastTask(task)
+		if endsJob && (!s.isLeaving(session.Machine) || !task.StoredIn.IsBatch()) {
 			return decision
 		}
 		return s.EndAttempt(task, jobs.Complete, 0)
 	case agent.CauseError:
 		decision := s.EndAttempt(task, jobs.Fail, jobs.Backoff(task.Failures))
-		s.blame(session.Machine, health, task)
+		s.attributeFailure(session.Machine, health, task)
 		return decision
 	case agent.CauseNoSuch:
 		return s.EndAttempt(task, jobs.Fail, jobs.Backoff(task.Failures))
@@ -61,26 +61,27 @@
 	return s.EndAttempt(task, jobs.Lost, 0)
 }
 
-// blame tells a faulty machine from a faulty job. A job that has failed on several
-// machines is itself to blame and costs no machine; a machine on which several blameless
-// jobs fail, or one that others finish elsewhere, is faulty.
-func (s *Shard) blame(machine string, health *fleet.Health, task *clusterstate.Task) {
+// attributeFailure attributes a task's failure to its machine or to its job. A job that has failed on several
+// machines is itself considered faulty and marks no machine as unhealthy. A machine is marked as
+// unhealthy if several trusted jobs fail on it, or if a job whose other tasks succeed keeps failing
+// on it.
+func (s *Shard) attributeFailure(machine string, health *fleet.Health, task *clusterstate.Task) {
 	if s.state.Trust(task.Job, machine) == jobs.Probing {
 		return
 	}
-	blameless := func(jobID string) bool {
+	trusted := func(jobID string) bool {
 		job := s.state.Jobs[jobID]
 		return job != nil && isLive(job) && s.state.Trust(job, "") == jobs.Trusted
 	}
-	if health.Failed(task.Job.ID, s.state.Now, task.Job.DoneCount > 0, blameless) {
+	if health.Failed(task.Job.ID, s.state.Now, task.Job.DoneCount > 0, trusted) {
 		s.commits.Commit(s.TransitionMachine(machine, fleet.Unhealthy, "tasks fail on it"))
 	}
 }
 
-// free is what becomes of a recorded task that is not on its machine. While this
-// controller reconciles, one that vanished from a machine that may hold it still, as it
-// does where the lease expired, is left to placeAgain.
-func (s *Shard) free(task *clusterstate.Task, difference reconcile.Difference, found *review) {
+// freeTask handles a recorded task that is not on its machine: it adds the decision that frees the task.
+// While this controller reconciles after its start, a task that vanished from a machine that could
+// run it again, for instance because the worker's lease expired, is left to placeAgain instead.
+func (s *Shard) freeTask(task *clusterstate.Task, difference reconcile.Difference, found *review) {
 	if !s.Reconciling.Steady() && difference == reconcile.Vanished && s.canPlaceAgain(task) {
 		s.vanishedTasks[task.ID] = true
 		found.vanished = true
--- a/internal/shard/unresponsive.go
+++ b/internal/shard/unresponsive.go
@@ -15,7 +15,7 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// isUnresponsive tells whether a machine of this shard sends no heartbeats and answers no
+// isUnresponsive reports whether a machine of this shard neither sends heartbeats nor answers
 // commands.
 func (s *Shard) isUnresponsive(session *agent.Session) bool {
 	neverHeard := session.HeartbeatSeq == 0
@@ -28,9 +28,9 @@
 		session.FailedCalls >= tuning.UnresponsiveCalls && sinceStatus > settings.HeartbeatLateAfter()
 }
 
-// ApplyUnresponsive takes in which machines an owner lists as unresponsive. The name is
-// that of one of its lists, the key without fleet.UnresponsivePrefix; a nil value is one
-// that was removed. It fails if the value is no list, and then changes nothing.
+// ApplyUnresponsive applies a stored list of the machines that an owner considers unresponsive. The
+// name is the list's key without fleet.UnresponsivePrefix. A nil value means that the list was
+// removed. If the value is not a valid list, ApplyUnresponsive returns an error and changes nothing.
 func (s *Shard) ApplyUnresponsive(name string, value json.RawMessage) error {
 	owner, number := fleet.ParseUnresponsiveKey(name)
 	lists := s.unresponsiveLists[owner]
@@ -56,8 +56,8 @@
 	return nil
 }
 
-// publishUnresponsive is the decisions that write which of this shard's machines are
-// unresponsive, where that has changed. Values of unresponsive are as in watchHealth.
+// publishUnresponsive returns the decisions that update the stored lists of this shard's unresponsive
+// machines, if they have changed. The values of unresponsive have the meaning given in checkHealth.
 func (s *Shard) publishUnresponsive(unresponsive map[string]bool) []decide.Decision {
 	published := s.unresponsiveLists[s.config.Name]
 	wanted := published.Divide(unresponsive, s.view.Epoch(), s.config.ValueBytes)
@@ -66,7 +66,7 @@
 			s.config.Log.Info("unresponsive machines published", "machines", len(unresponsive))
 		}
 	}
-	// The first list is written last: it has the others count.
+	// The first list is written last, because the other lists only take effect with it.
 	numbers := map[int]bool{1: true}
 	for number := range wanted {
 		numbers[number] = true
@@ -77,7 +77,7 @@
 	var decisions []decide.Decision
 	for _, number := range slices.Backward(slices.Sorted(maps.Keys(numbers))) {
 		key := fleet.UnresponsiveKey(s.config.Name, number)
-		write, changed := writeOfList(key, number, published, wanted)
+		write, changed := listWrite(key, number, published, wanted)
 		if changed && !s.commits.Busy(key) {
 			decisions = append(decisions, decide.Decision{Writes: []store.Write{write}, OnSettled: settled})
 		}
@@ -85,22 +85,22 @@
 	return decisions
 }
 
-// writeOfList is the write that turns one list from what is published into what is wanted.
-func writeOfList(key string, number int, published, wanted fleet.UnresponsiveLists) (write store.Write, changed bool) {
+// listWrite returns the write that updates one list from the published to the wanted content.
+func listWrite(key string, number int, published, wanted fleet.UnresponsiveLists) (write store.Write, changed bool) {
 	list, needed := wanted[number]
-	former, exists := published[number]
+	previous, exists := published[number]
 	if !needed {
-		// A list is not removed before its machines stand in others.
+		// A list is removed only after its machines have been published in other lists.
 		return decide.Remove(key), wanted[1].Equal(published[1])
 	}
-	if list.Equal(former) && (exists || number == 1) {
+	if list.Equal(previous) && (exists || number == 1) {
 		return store.Write{}, false
 	}
 	return decide.Put(key, list.Entries()), true
 }
 
-// UnresponsiveKeys are the keys of the lists in which this controller publishes its
-// unresponsive machines.
+// UnresponsiveKeys returns the keys of the lists in which this controller publishes its unresponsive
+// machines.
 func (s *Shard) UnresponsiveKeys() []string {
 	keys := []string{fleet.UnresponsiveKey(s.config.Name, 1)}
 	for number := range s.unresponsiveLists[s.config.Name] {
@@ -111,7 +111,8 @@
 	return keys
 }
 
-// UnresponsivenessOf is what a machine's owner says of it while it sends no heartbeats.
+// UnresponsivenessOf returns what a machine's owner has published about it, and whether the machine
+// is listed as unresponsive.
 func (s *Shard) UnresponsivenessOf(machine *clusterstate.Machine) (fleet.Unresponsiveness, bool) {
 	if machine.State == fleet.LegacyUnresponsive {
 		return fleet.Unresponsiveness{Since: machine.StateSince}, true
@@ -120,14 +121,14 @@
 	return unresponsiveness, ok
 }
 
-// UnresponsiveSince tells since when a machine sends no heartbeats and answers no
-// commands, if so.
+// UnresponsiveSince returns the time since which a machine has neither sent heartbeats nor answered
+// commands, and whether that is the case.
 func (s *Shard) UnresponsiveSince(machine *clusterstate.Machine) (time.Time, bool) {
 	unresponsiveness, ok := s.UnresponsivenessOf(machine)
 	return unresponsiveness.Since, ok && !unresponsiveness.OutboundPartitioned
 }
 
-// InUse tells whether a machine is up and sends heartbeats.
+// InUse reports whether a machine is up, sends heartbeats and is not being decommissioned.
 func (s *Shard) InUse(machine *clusterstate.Machine) bool {
 	if machine.State != fleet.Up {
 		return false
--- a/internal/shard/unresponsive_test.go
+++ b/internal/shard/unresponsive_test.go
@@ -11,20 +11,20 @@
 	"github.com/harrierreel/harrierreel/internal/fleet"
 )
 
-// A machine whose heartbeats stay out is published as unresponsive, and then not in use; a
-// value that is no list is refused.
+// A machine that stops sending heartbeats is published as unresponsive and then no longer in use. A
+// value that is not a list is rejected.
 func TestUnresponsiveMachineIsPublished(t *testing.T) {
-	o := newOwner(t)
-	o.addMachine("i-1", "n0", "w:1")
-	o.heartbeat(heartbeatBody("1", ""))
-	o.Reconcile()
-	o.controller.decisions = nil
+	f := newFixture(t)
+	f.addMachine("i-1", "n0", "w:1")
+	f.heartbeat(heartbeatBody("1", ""))
+	f.Reconcile()
+	f.controller.decisions = nil
 	for range 12 {
-		o.state.Now = o.state.Now.Add(time.Second)
-		o.Reconcile()
+		f.state.Now = f.state.Now.Add(time.Second)
+		f.Reconcile()
 	}
 	published := ""
-	for _, d := range o.controller.decisions {
+	for _, d := range f.controller.decisions {
 		for _, w := range d.Writes {
 			if w.Put == fleet.UnresponsivePrefix+"n0" {
 				published = string(w.Value)
@@ -34,61 +34,62 @@
 	if published != `["i-1"]` {
 		t.Fatalf("published %q", published)
 	}
-	if err := o.ApplyUnresponsive("n0", json.RawMessage(published)); err != nil {
+	if err := f.ApplyUnresponsive("n0", json.RawMessage(published)); err != nil {
 		t.Fatal(err)
 	}
-	if m := o.state.Machines["i-1"]; o.InUse(m) || o.Ready(m) {
+	if m := f.state.Machines["i-1"]; f.InUse(m) || f.Ready(m) {
 		t.Error("an unresponsive machine is in use")
 	}
-	if o.ApplyUnresponsive("n0", json.RawMessage("7")) == nil {
-		t.Error("nonsense was read")
+	if f.ApplyUnresponsive("n0", json.RawMessage("7")) == nil {
+		t.Error("a value that is not a list was accepted")
 	}
 }
 
-// applyPublished takes in the lists of unresponsive machines that were decided, as the mirror
-// does, and returns how many writes that were.
-func (o *owner) applyPublished() int {
-	o.t.Helper()
+// applyPublished applies the committed lists of unresponsive machines, as the mirror of the store
+// does, and returns the number of writes.
+func (f *fixture) applyPublished() int {
+	f.t.Helper()
 	writes := 0
-	for _, d := range o.controller.decisions {
+	for _, d := range f.controller.decisions {
 		for _, w := range d.Writes {
 			name, isList := strings.CutPrefix(w.Put+w.Remove, fleet.UnresponsivePrefix)
 			if !isList {
 				continue
 			}
-			if len(w.Value) > o.config.ValueBytes {
-				o.t.Errorf("%d bytes in %s", len(w.Value), w.Put)
+			if len(w.Value) > f.config.ValueBytes {
+				f.t.Errorf("value of %d bytes in %s is too long", len(w.Value), w.Put)
 			}
-			if err := o.ApplyUnresponsive(name, w.Value); err != nil {
-				o.t.Error(err)
+			if err := f.ApplyUnresponsive(name, w.Value); err != nil {
+				f.t.Error(err)
 			}
 			writes++
 		}
 	}
-	o.controller.decisions = nil
+	f.controller.decisions = nil
 	return writes
 }
 
-// One controller owns 4,000 machines, and a third of them, and then all, are unresponsive at
-// once: each is published as such, and published once; so it is when they report again.
-func TestUnresponsiveAmong4000Machines(t *testing.T) {
+// One controller owns 4,000 machines, of which a third and then all become unresponsive at once.
+// Each is published as unresponsive, without repeated writes, and removed from the lists when it
+// sends heartbeats again.
+func TestUnresponsiveMachinesInLargeFleet(t *testing.T) {
 	const machines = 4000
-	o := newOwner(t)
+	f := newFixture(t)
 	machine := func(i int) string { return fmt.Sprintf("i-%06d", i) }
 	for i := range machines {
-		o.addMachine(machine(i), "n0", "w:1")
+		f.addMachine(machine(i), "n0", "w:1")
 	}
 	heartbeatSeq := 0
-	sevenSeconds := func(reports func(i int) bool) {
+	runSevenSeconds := func(reports func(i int) bool) {
 		for range 7 {
-			o.state.Now = o.state.Now.Add(time.Second)
+			f.state.Now = f.state.Now.Add(time.Second)
 			heartbeatSeq++
 			for i := range machines {
 				if reports(i) {
-					o.heartbeat(strings.Replace(heartbeatBody(strconv.Itoa(heartbeatSeq), ""), "i-1", machine(i), 1))
+					f.heartbeat(strings.Replace(heartbeatBody(strconv.Itoa(heartbeatSeq), ""), "i-1", machine(i), 1))
 				}
 			}
-			o.Reconcile()
+			f.Reconcile()
 		}
 	}
 	for _, c := range []struct {
@@ -96,37 +97,37 @@
 		reports          func(i int) bool
 		wantUnresponsive int
 	}{
-		{"all report", func(int) bool { return true }, 0},
-		{"a third does not", func(i int) bool { return i%3 != 0 }, 1334},
-		{"none does", func(int) bool { return false }, machines},
-		{"a third does", func(i int) bool { return i%3 == 0 }, 2666},
-		{"all report again", func(int) bool { return true }, 0},
+		{"all send heartbeats", func(int) bool { return true }, 0},
+		{"a third is silent", func(i int) bool { return i%3 != 0 }, 1334},
+		{"all are silent", func(int) bool { return false }, machines},
+		{"a third sends heartbeats", func(i int) bool { return i%3 == 0 }, 2666},
+		{"all send heartbeats again", func(int) bool { return true }, 0},
 	} {
-		o.controller.decisions = nil
-		sevenSeconds(c.reports)
-		o.applyPublished()
-		sevenSeconds(c.reports)
-		o.applyPublished()
-		unresponsive := len(o.state.Unresponsive["n0"])
-		if len(o.sessions) != machines || unresponsive != c.wantUnresponsive {
-			t.Errorf("%s: %d sessions, %d machines unresponsive, not %d",
-				c.name, len(o.sessions), unresponsive, c.wantUnresponsive)
+		f.controller.decisions = nil
+		runSevenSeconds(c.reports)
+		f.applyPublished()
+		runSevenSeconds(c.reports)
+		f.applyPublished()
+		unresponsive := len(f.state.Unresponsive["n0"])
+		if len(f.sessions) != machines || unresponsive != c.wantUnresponsive {
+			t.Errorf("%s: %d sessions, %d machines unresponsive, want %d",
+				c.name, len(f.sessions), unresponsive, c.wantUnresponsive)
 		}
 		used := 0
 		for i := range machines {
-			if o.InUse(o.state.Machines[machine(i)]) {
+			if f.InUse(f.state.Machines[machine(i)]) {
 				used++
 			}
 		}
 		if used != machines-c.wantUnresponsive {
-			t.Errorf("%s: %d machines in use", c.name, used)
+			t.Errorf("%s: unexpected number of machines in use: %d", c.name, used)
 		}
-		sevenSeconds(c.reports)
-		if n := o.applyPublished(); n != 0 {
+		runSevenSeconds(c.reports)
+		if n := f.applyPublished(); n != 0 {
 			t.Errorf("%s: published again in %d writes", c.name, n)
 		}
 	}
-	if keys := o.UnresponsiveKeys(); len(keys) != 1 {
-		t.Errorf("further lists are left: %v", keys)
+	if keys := f.UnresponsiveKeys(); len(keys) != 1 {
+		t.Errorf("more than one list is left: %v", keys)
 	}
 }
