--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -8,7 +8,7 @@
 	"github.com/harrierreel/harrierreel/internal/goldentest"
 )
 
-// What workers send keeps its form, byte for byte.
+// Heartbeats are compared with the golden files byte for byte, and read back from them.
 func TestGoldenHeartbeats(t *testing.T) {
 	notice, zero := 12.5, 0.0
 	full := Heartbeat{
@@ -42,12 +42,12 @@
 		goldentest.JSON(t, name, want)
 		var got Heartbeat
 		if err := json.Unmarshal(goldentest.Read(t, name), &got); err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("%s: read as %+v, not as %+v: %v", name, got, want, err)
+			t.Errorf("%s: read as %+v, want %+v: %v", name, got, want, err)
 		}
 	}
 }
 
-// What workers are sent keeps its form, byte for byte.
+// Commands and the bodies of direct commands are compared with the golden files byte for byte.
 func TestGoldenCommands(t *testing.T) {
 	grace, zero := 7.5, 0.0
 	commands := []Command{
--- a/internal/agent/session.go
+++ b/internal/agent/session.go
@@ -1,6 +1,6 @@
-// Package agent is the conversation with one worker's agent: its heartbeats with status,
-// the fencing token, the commands, and which attempts of tasks are known to be on the
-// machine. It has no IO and no clock.
+// Package agent implements the controller's side of the protocol with a worker's agent: heartbeats
+// with the status of tasks, fencing tokens, commands, and the knowledge of which task attempts are on
+// the machine. It performs no IO and reads no clock.
 package agent
 
 import (
@@ -9,23 +9,21 @@
 	"time"
 )
 
-// FencingTokenSpan is how many values a session's counter has below the view's epoch: a
+// FencingTokenSpan is the number of values of a session's counter within one epoch of the view: a
 // fencing token is epoch*FencingTokenSpan + counter.
 const FencingTokenSpan = 1 << 20
 
 // State is the state of a session.
 type State string
 
-// States of a session. Only in Known do heartbeats count as the truth about the machine's
-// tasks.
+// States of a session. Heartbeats are authoritative about the machine's tasks only in state Known.
 const (
-	Unseen State = "unseen" // the worker has not shown the token in force yet
-	Known  State = "known"  // a heartbeat has carried the token in force
+	Unseen State = "unseen" // no heartbeat has carried the current token yet
+	Known  State = "known"  // a heartbeat has carried the current token
 )
 
-// Session is what the controller that owns a machine keeps of the conversation with its
-// agent. Its token only ever goes up; after each raise the session is Unseen until the
-// worker has shown the new token.
+// Session is the state that a machine's owner keeps about the machine's agent. Its fencing token
+// never decreases. After each increase the session is Unseen until a heartbeat carries the new token.
 type Session struct {
 	// The machine, as its newest heartbeat describes it.
 	Machine     string
@@ -39,36 +37,36 @@
 	Counter      uint64 // lower part of the fencing token
 	AgentEpoch   uint64 // of the newest heartbeat
 	HeartbeatSeq uint64 // of the newest heartbeat
-	// Tasks are the attempts of the newest heartbeat by task, the highest attempt first.
+	// Tasks holds the attempts that the newest heartbeat lists, by task, the highest attempt first.
 	Tasks map[string][]TaskStatus
 
-	// PreemptionNoticeS is the time, in seconds from LastStatus, after which the cloud
-	// takes the machine; nil without a notice.
+	// PreemptionNoticeS is the time, in seconds from LastStatus, until the cloud preempts the
+	// machine. It is nil without a notice.
 	PreemptionNoticeS  *float64
 	PreemptionNoticeAt time.Time // when the notice was first seen
 
-	LastStatus    time.Time // newest status, by heartbeat or as the answer to a command
-	LastHeartbeat time.Time // newest heartbeat: an answered command renews no lease
-	LastCall      time.Time // last direct command sent
-	// HigherTokenSince is since when the worker shows a token above the one in force; zero
-	// if it doesn't.
+	LastStatus    time.Time // of the newest status, from a heartbeat or the answer to a command
+	LastHeartbeat time.Time // of the newest heartbeat; answers to commands renew no lease
+	LastCall      time.Time // when the last direct command was sent
+	// HigherTokenSince is the time since which the worker has shown a token above the current one.
+	// It is zero if the worker shows none.
 	HigherTokenSince time.Time
-	CommandPending   bool // a direct command is unanswered
-	FailedCalls      int  // direct commands without an answer, in a row
-	Connected        bool // it has answered a direct command, so it was there under this owner
+	CommandPending   bool // a direct command has not been answered yet
+	FailedCalls      int  // consecutive direct commands without an answer
+	Connected        bool // the agent has answered a direct command, so the machine existed under this owner
 
-	// launched holds the attempts whose launch was sent under the token in force, by task;
-	// one that a later heartbeat lacks has been on the machine and is gone.
+	// launched holds, by task, the attempts whose launch was sent under the current token. An
+	// attempt that a later heartbeat does not list was on the machine and has gone.
 	launched map[string]sentLaunch
-	// missing holds the attempts that were recorded on the machine when it became known
-	// without reporting them, by task: they are over.
+	// missing holds, by task, the attempts that were recorded on the machine but not listed by the
+	// heartbeat with which it became known. They have ended.
 	missing map[string]uint64
 }
 
-// sentLaunch is a launch that went out in a direct command.
+// sentLaunch is a launch that was sent in a direct command.
 type sentLaunch struct {
 	attempt uint64
-	pending bool // the command is unanswered
+	pending bool // the command has not been answered yet
 }
 
 // NewSession starts a session with a machine's agent under a view's epoch.
@@ -83,11 +81,12 @@
 	return s
 }
 
-// FencingToken is the token in force.
+// FencingToken returns the session's current fencing token.
 func (s *Session) FencingToken() uint64 { return s.Epoch*FencingTokenSpan + s.Counter }
 
-// restart is the one place where a session ceases to be Known: a new epoch or a raised
-// counter means that the worker must show the new token first.
+// restart makes a session Unseen, under the token of epoch and counter: the worker must show that
+// token before its heartbeats are authoritative again. No other function takes a session out of
+// state Known.
 func (s *Session) restart(epoch, counter uint64) {
 	s.Epoch, s.Counter = epoch, counter
 	s.State = Unseen
@@ -95,10 +94,11 @@
 	s.missing = map[string]uint64{}
 }
 
-// NewEpoch moves the session to a later view; an epoch that is not later changes nothing.
-// Whether the worker has seen a higher token is compared anew: a controller that was out
-// of the view for longer than a lease would otherwise take machines that others commanded
-// meanwhile for ones that nobody can command.
+// NewEpoch moves the session to a later view. An epoch that is not later changes nothing.
+//
+// HigherTokenSince is reset: a controller that was outside the view for longer than a lease would
+// otherwise conclude that no controller can command the machines that others have commanded in the
+// meantime.
 func (s *Session) NewEpoch(epoch uint64) {
 	if epoch > s.Epoch {
 		s.HigherTokenSince = time.Time{}
@@ -106,7 +106,8 @@
 	}
 }
 
-// ObserveToken takes note of the highest token that the worker has seen.
+// ObserveToken compares the highest token that the worker has seen with the current one and updates
+// HigherTokenSince.
 func (s *Session) ObserveToken(fencingToken uint64, now time.Time) {
 	switch {
 	case fencingToken <= s.FencingToken():
@@ -116,7 +117,7 @@
 	}
 }
 
-// IsNewer tells whether a heartbeat is newer than all accepted so far.
+// IsNewer reports whether a heartbeat is newer than all accepted so far.
 func (s *Session) IsNewer(heartbeat *Heartbeat) bool {
 	if heartbeat.AgentEpoch != s.AgentEpoch {
 		return heartbeat.AgentEpoch > s.AgentEpoch
@@ -124,8 +125,9 @@
 	return heartbeat.HeartbeatSeq > s.HeartbeatSeq
 }
 
-// Accept enters a heartbeat. placed names the tasks recorded on the machine with their
-// attempts. Accept returns false when the heartbeat is old and changes nothing.
+// Accept applies a heartbeat to the session and reports whether it is newer than all before. An old
+// heartbeat changes nothing. The map placed holds the attempts that are recorded on the machine, by
+// task.
 func (s *Session) Accept(heartbeat *Heartbeat, now time.Time, placed map[string]uint64) bool {
 	if !s.IsNewer(heartbeat) {
 		return false
@@ -156,9 +158,9 @@
 	return true
 }
 
-// leaseExpired notes that the worker's lease expired: it killed and forgot everything,
-// including attempts whose launch is still on its way, since the agent epoch that it was
-// sent for no longer matches.
+// leaseExpired marks all attempts as missing after the worker's lease has expired. The worker has
+// then killed and forgotten all of them. Attempts whose launch is still in flight are included,
+// because that launch was sent for an agent epoch that no longer matches.
 func (s *Session) leaseExpired(placed map[string]uint64) {
 	for taskID, sent := range s.launched {
 		s.missing[taskID] = sent.attempt
@@ -168,9 +170,9 @@
 	}
 }
 
-// byTask sorts the attempts of a heartbeat by task, the highest attempt first. A heartbeat
-// lists each attempt until it is told to forget it: an ended one may stand beside the next
-// one of the same task, in any order.
+// byTask groups the attempts of a heartbeat by task, the highest attempt first. A heartbeat lists an
+// attempt until the worker is told to forget it, so it may list an ended attempt beside the next one
+// of the same task, in any order.
 func byTask(statuses []TaskStatus) map[string][]TaskStatus {
 	tasks := make(map[string][]TaskStatus, len(statuses))
 	for _, status := range statuses {
@@ -182,7 +184,7 @@
 	return tasks
 }
 
-// CommandSent notes that commands go out in a direct command, and which of them launch.
+// CommandSent records that commands are sent in a direct command, and which of them are launches.
 func (s *Session) CommandSent(commands []Command, now time.Time) {
 	s.CommandPending, s.LastCall = true, now
 	for _, command := range commands {
@@ -192,7 +194,7 @@
 	}
 }
 
-// CommandAnswered notes that the direct command was executed.
+// CommandAnswered records that the pending direct command was executed.
 func (s *Session) CommandAnswered() {
 	s.CommandPending, s.FailedCalls, s.Connected = false, 0, true
 	for taskID, sent := range s.launched {
@@ -201,27 +203,28 @@
 	}
 }
 
-// CommandRefused notes that the worker answered 409: nothing was executed. The session
-// starts again under the same token and believes the next heartbeat that carries it.
+// CommandRefused records that the worker refused the pending direct command with status 409 and
+// executed nothing. The session restarts under the same token, and becomes Known again with the next
+// heartbeat that carries it.
 func (s *Session) CommandRefused() {
 	s.CommandPending, s.FailedCalls, s.Connected = false, 0, true
 	s.restart(s.Epoch, s.Counter)
 }
 
-// CommandUnanswered notes that a direct command got no answer. It may still be executed,
-// or even arrive much later, as long as its token is the highest: so the counter goes up
-// before the machine's heartbeats are believed again.
+// CommandUnanswered records that the pending direct command got no answer. The command may still be
+// executed, even much later, as long as the worker has seen no higher token. The counter is therefore
+// incremented before the machine's heartbeats are authoritative again.
 func (s *Session) CommandUnanswered() {
 	s.CommandPending = false
 	s.FailedCalls++
 	if s.Counter+1 >= FencingTokenSpan {
-		return // the next view starts the counter again
+		return // the counter restarts with the next view
 	}
 	s.restart(s.Epoch, s.Counter+1)
 }
 
-// Stalled discounts time in which the owner did not run: the machine was not unresponsive
-// in it. The notice that the cloud gave runs on all the same.
+// Stalled discounts a gap during which the owner did not run, since it does not count as silence of
+// the machine. The time of a preemption notice continues to run.
 func (s *Session) Stalled(gap time.Duration) {
 	s.LastStatus = s.LastStatus.Add(gap)
 	s.LastHeartbeat = s.LastHeartbeat.Add(gap)
--- a/internal/agent/session_test.go
+++ b/internal/agent/session_test.go
@@ -17,12 +17,12 @@
 	}
 }
 
-func known(t *testing.T) *Session {
+func newKnownSession(t *testing.T) *Session {
 	t.Helper()
 	s := NewSession("i-1", 3, now)
 	s.Accept(heartbeat(1, 1, s.FencingToken()), now, nil)
 	if s.State != Known {
-		t.Fatal("a heartbeat with the token in force makes the machine known")
+		t.Fatal("the session is not known after a heartbeat with the current token")
 	}
 	return s
 }
@@ -39,19 +39,19 @@
 	}
 	s.CommandUnanswered()
 	if s.FencingToken() != 3<<20+1 {
-		t.Errorf("an unanswered command raises the counter: %d", s.FencingToken())
+		t.Errorf("fencing token %d after an unanswered command", s.FencingToken())
 	}
 	s.NewEpoch(4)
 	if s.FencingToken() != 4<<20 || s.State != Unseen {
-		t.Errorf("a new epoch starts anew: %d %s", s.FencingToken(), s.State)
+		t.Errorf("fencing token %d, state %s after a new epoch", s.FencingToken(), s.State)
 	}
 }
 
-func TestHeartbeatWithAnotherTokenIsUnclear(t *testing.T) {
+func TestHeartbeatWithOldTokenLeavesAttemptUnclear(t *testing.T) {
 	s := NewSession("i-1", 3, now)
 	s.Accept(heartbeat(1, 1, 2<<20), now, map[string]uint64{"wk-1/0": 1})
 	if v := verdict(s, "wk-1/0", 1); v != Unclear {
-		t.Errorf("%s", v)
+		t.Errorf("verdict %s", v)
 	}
 }
 
@@ -60,61 +60,61 @@
 	running := TaskStatus{TaskID: "wk-1/1", Attempt: 2, Status: Running}
 	s.Accept(heartbeat(1, 5, s.FencingToken(), running), now, map[string]uint64{"wk-1/0": 1, "wk-1/1": 2})
 	if v := verdict(s, "wk-1/0", 1); v != Missing {
-		t.Errorf("its attempt is over: %s", v)
+		t.Errorf("recorded and not reported: %s", v)
 	}
 	if v := verdict(s, "wk-1/1", 2); v != OnMachine {
-		t.Errorf("%s", v)
+		t.Errorf("recorded and reported: %s", v)
 	}
 	if v := verdict(s, "wk-1/2", 1); v != ToLaunch {
-		t.Errorf("placed later: %s", v)
+		t.Errorf("neither recorded nor reported: %s", v)
 	}
 }
 
-func TestLaunchIsJudgedAfterItsAnswer(t *testing.T) {
-	s := known(t)
+func TestLaunchIsPendingUntilAnswered(t *testing.T) {
+	s := newKnownSession(t)
 	s.CommandSent([]Command{{Verb: Launch, TaskID: "wk-1/0", Attempt: 1}}, now)
 	s.Accept(heartbeat(1, 2, s.FencingToken()), now, nil)
 	if v := verdict(s, "wk-1/0", 1); v != Sent {
-		t.Errorf("under way: %s", v)
+		t.Errorf("launch in flight: %s", v)
 	}
 	s.CommandAnswered()
 	s.Accept(heartbeat(1, 3, s.FencingToken(), TaskStatus{TaskID: "wk-1/0", Attempt: 1, Status: Pulling}), now, nil)
 	if v := verdict(s, "wk-1/0", 1); v != OnMachine {
-		t.Errorf("%s", v)
+		t.Errorf("launched and reported: %s", v)
 	}
 	s.Accept(heartbeat(1, 4, s.FencingToken()), now, nil)
 	if v := verdict(s, "wk-1/0", 1); v != Missing {
-		t.Errorf("gone: %s", v)
+		t.Errorf("launched and no longer reported: %s", v)
 	}
 }
 
-func TestUnansweredLaunchIsUnclearUntilTheNextToken(t *testing.T) {
-	s := known(t)
+func TestUnansweredLaunchIsUnclearUntilNextToken(t *testing.T) {
+	s := newKnownSession(t)
 	s.CommandSent([]Command{{Verb: Launch, TaskID: "wk-1/0", Attempt: 1}}, now)
 	s.CommandUnanswered()
 	s.Accept(heartbeat(1, 9, s.FencingToken()-1), now, nil)
 	if v := verdict(s, "wk-1/0", 1); v != Unclear {
-		t.Errorf("the old command may still come: %s", v)
+		t.Errorf("the unanswered command may still be executed: %s", v)
 	}
 	s.Accept(heartbeat(1, 10, s.FencingToken()), now, map[string]uint64{"wk-1/0": 1})
 	if v := verdict(s, "wk-1/0", 1); v != Missing {
-		t.Errorf("now it cannot: %s", v)
+		t.Errorf("the unanswered command can no longer be executed: %s", v)
 	}
 }
 
-func TestNewAgentEpochEndsAllAttempts(t *testing.T) {
-	s := known(t)
+func TestNewAgentEpochMakesAttemptsMissing(t *testing.T) {
+	s := newKnownSession(t)
 	s.CommandSent([]Command{{Verb: Launch, TaskID: "wk-1/0", Attempt: 1}}, now)
 	s.CommandAnswered()
 	s.Accept(heartbeat(1, 2, s.FencingToken(), TaskStatus{TaskID: "wk-1/0", Attempt: 1, Status: Running}), now, nil)
 	s.Accept(heartbeat(2, 3, s.FencingToken()), now, map[string]uint64{"wk-1/0": 1})
 	if v := verdict(s, "wk-1/0", 1); v != Missing {
-		t.Errorf("%s", v)
+		t.Errorf("verdict %s", v)
 	}
 }
 
 func TestOldHeartbeatsAreIgnored(t *testing.T) {
-	s := known(t)
+	s := newKnownSession(t)
 	s.Accept(heartbeat(2, 8, s.FencingToken(), TaskStatus{TaskID: "wk-1/0", Attempt: 1, Status: Running}), now, nil)
 	for _, old := range []*Heartbeat{
 		heartbeat(2, 8, s.FencingToken()),
@@ -122,35 +122,35 @@
 		heartbeat(1, 99, s.FencingToken()),
 	} {
 		if s.Accept(old, now, nil) {
-			t.Errorf("%d/%d is not newer", old.AgentEpoch, old.HeartbeatSeq)
+			t.Errorf("accepted an old heartbeat, agent epoch %d, sequence number %d", old.AgentEpoch, old.HeartbeatSeq)
 		}
 	}
 }
 
-func TestRefusedCommandTrustsTheNextHeartbeat(t *testing.T) {
-	s := known(t)
+func TestNextHeartbeatAfterRefusedCommandIsAuthoritative(t *testing.T) {
+	s := newKnownSession(t)
 	s.CommandSent([]Command{{Verb: Launch, TaskID: "wk-1/0", Attempt: 1}}, now)
 	s.CommandRefused()
 	if v := verdict(s, "wk-1/0", 1); v != Unclear {
-		t.Errorf("%s", v)
+		t.Errorf("after the refusal: %s", v)
 	}
 	s.Accept(heartbeat(2, 9, s.FencingToken()), now, map[string]uint64{"wk-1/0": 1})
 	if v := verdict(s, "wk-1/0", 1); v != Missing {
-		t.Errorf("%s", v)
+		t.Errorf("after the next heartbeat: %s", v)
 	}
 }
 
-func TestEarlierAttemptDelaysTheLaunch(t *testing.T) {
-	s := known(t)
+func TestEarlierAttemptOnMachineDelaysLaunch(t *testing.T) {
+	s := newKnownSession(t)
 	s.Accept(heartbeat(1, 2, s.FencingToken(), TaskStatus{TaskID: "wk-1/0", Attempt: 1, Status: Saving}), now, nil)
 	if v := verdict(s, "wk-1/0", 2); v != Unclear {
-		t.Errorf("%s", v)
+		t.Errorf("verdict %s", v)
 	}
 }
 
-// Time in which the owner did not run is not counted as the machine's; the cloud's notice
-// runs on.
-func TestStalledControllerIsNotAnUnresponsiveMachine(t *testing.T) {
+// Time in which the owner did not run does not count as silence of the machine, but counts towards a
+// preemption notice.
+func TestStallOfOwnerIsNotSilenceOfMachine(t *testing.T) {
 	start := time.Unix(1000, 0)
 	s := NewSession("i-1", 1, start)
 	notice := 20.0
@@ -165,10 +165,10 @@
 	}
 }
 
-// A heartbeat lists an attempt until it is told to forget it, and so may hold two of one
-// task, in any order. Taken for the only one, the ended attempt made the newer one, which
-// ran, look gone: it would have been placed a second time.
-func TestTwoAttemptsOfOneTaskInAHeartbeat(t *testing.T) {
+// A worker lists an attempt until it is told to forget it, so a heartbeat may list two attempts of one
+// task, in any order. When the ended attempt was taken for the only one, the newer, running attempt
+// appeared to be missing and would have been placed a second time.
+func TestHeartbeatWithTwoAttemptsOfOneTask(t *testing.T) {
 	ended := TaskStatus{TaskID: "wk-1/0", Attempt: 1, Status: Ended, Cause: CauseDone}
 	running := TaskStatus{TaskID: "wk-1/0", Attempt: 2, Status: Running}
 	for _, c := range []struct {
@@ -194,7 +194,7 @@
 				t.Errorf("the ended attempt is %s", v)
 			}
 			if v, status := s.Judge("wk-1/0", 3); v != Unclear || status.Attempt != 2 {
-				t.Errorf("a third attempt is %s beside a running one", v)
+				t.Errorf("a third attempt is %s while another one runs", v)
 			}
 		})
 	}
--- a/internal/agent/verdict.go
+++ b/internal/agent/verdict.go
@@ -1,20 +1,21 @@
 package agent
 
-// Verdict says what a session knows of a recorded attempt.
+// Verdict is what a session knows about an attempt that is recorded on its machine.
 type Verdict string
 
-// Verdicts on an attempt that is recorded on the machine.
+// Verdicts on a recorded attempt.
 const (
-	Unclear     Verdict = "unclear"   // wait for a heartbeat that carries the token in force
+	Unclear     Verdict = "unclear"   // not known until a heartbeat carries the current token
 	ToLaunch    Verdict = "to launch" // its launch was never sent
-	Sent        Verdict = "sent"      // its launch is under way
-	OnMachine   Verdict = "on it"     // reported, not ended
-	EndReported Verdict = "over"      // reported ended
-	Missing     Verdict = "missing"   // was sent or recorded, and is not on the machine
+	Sent        Verdict = "sent"      // its launch is in flight
+	OnMachine   Verdict = "on it"     // reported and not ended
+	EndReported Verdict = "over"      // reported as ended
+	Missing     Verdict = "missing"   // was launched or recorded, but is not on the machine
 )
 
-// Judge tells where a recorded attempt stands. The reported status is returned with OnIt
-// and Over, and with Unclear if another attempt of the task is still on the machine.
+// Judge returns the verdict on a recorded attempt. With OnMachine and EndReported it also returns
+// the attempt's reported status, and with Unclear that of another attempt of the task if one is still
+// on the machine.
 func (s *Session) Judge(taskID string, attempt uint64) (Verdict, TaskStatus) {
 	if s.State != Known {
 		return Unclear, TaskStatus{}
@@ -43,7 +44,7 @@
 	return ToLaunch, TaskStatus{}
 }
 
-// reported finds an attempt in the newest heartbeat.
+// reported returns the status of an attempt in the newest heartbeat, and whether it is listed there.
 func (s *Session) reported(taskID string, attempt uint64) (TaskStatus, bool) {
 	for _, status := range s.Tasks[taskID] {
 		if status.Attempt == attempt {
@@ -53,8 +54,7 @@
 	return TaskStatus{}, false
 }
 
-// ForgetTask drops what is noted of an attempt, and of earlier ones, once its end has been
-// committed.
+// ForgetTask forgets an attempt, and earlier ones of the same task, once its end has been committed.
 func (s *Session) ForgetTask(taskID string, attempt uint64) {
 	if sent, ok := s.launched[taskID]; ok && sent.attempt <= attempt {
 		delete(s.launched, taskID)
--- a/internal/agent/wire.go
+++ b/internal/agent/wire.go
@@ -2,32 +2,32 @@
 
 import "github.com/harrierreel/harrierreel/internal/jobs"
 
-// The types of this file are what goes over the wire. Their tags and the values of the
-// constants are the protocol's and never change; the Go names are the glossary's.
+// The types in this file define the wire format. Their JSON tags and the values of the constants are
+// part of the protocol and must not change, although the Go names differ from them.
 
 // Values of TaskStatus.Status.
 const (
 	Ended   = "ended"
 	Running = "running"
 	Pulling = "pulling" // its image is being fetched
-	Waiting = "waiting" // ready, but the rest of its gang is not
-	Saving  = "saving"  // writes a checkpoint before it stops
+	Waiting = "waiting" // ready to run, but the rest of its gang is not
+	Saving  = "saving"  // writing a checkpoint before it stops
 )
 
-// Cause says why an attempt ended.
+// Cause is the reason why an attempt ended.
 type Cause string
 
-// Causes that decide what follows. Workers name others too (stopped, or the rest of the gang
-// gone); an attempt that ended for one of those is lost and no failure.
+// Causes that are handled specially. Workers report others too, such as stopped or that the rest of
+// the gang is gone. An attempt that ended for one of those counts as lost and not as failed.
 const (
 	CauseDone   Cause = "done"
 	CauseError  Cause = "error"
-	CauseNoRoom Cause = "no_room" // not started: the machine's free capacity does not hold it
+	CauseNoRoom Cause = "no_room" // not started: it does not fit the machine's free capacity
 	CauseInUse  Cause = "in_use"  // not started: another attempt of the task is on the machine
 	CauseNoSuch Cause = "no_such" // not started: its job is unknown
 )
 
-// TaskStatus is an attempt of a task as a heartbeat lists it.
+// TaskStatus is the status of one attempt of a task, as listed in a heartbeat.
 type TaskStatus struct {
 	TaskID       string `json:"piece"`
 	Attempt      uint64 `json:"try"`
@@ -36,45 +36,45 @@
 	Checkpointed bool   `json:"saved,omitempty"`
 }
 
-// Heartbeat is a worker's report of itself and of the attempts that it holds. The answer
-// to a direct command has the same form.
+// Heartbeat is a worker's report about itself and the attempts on its machine. The answer to a direct
+// command has the same format.
 type Heartbeat struct {
 	Machine      string `json:"host"`
 	Endpoint     string `json:"endpoint"`
 	MachineType  string `json:"build"`
 	Zone         string `json:"site"`
 	Spot         bool   `json:"loaner"`
-	AgentEpoch   uint64 `json:"tenure"` // goes up when the worker's lease has expired
-	HeartbeatSeq uint64 `json:"tick"`   // goes up with each heartbeat and each answer to a command
+	AgentEpoch   uint64 `json:"tenure"` // incremented when the worker's lease expires
+	HeartbeatSeq uint64 `json:"tick"`   // incremented with each heartbeat and each answer to a command
 	FencingToken uint64 `json:"baton"`  // the highest that the worker has seen
-	// PreemptionNoticeS is the time, in seconds, after which the cloud takes the machine;
-	// nil without a notice.
+	// PreemptionNoticeS is the time, in seconds, until the cloud preempts the machine. It is nil
+	// without a notice.
 	PreemptionNoticeS *float64     `json:"warning_s"`
 	Tasks             []TaskStatus `json:"pieces"`
 }
 
-// Verb is what a command has the worker do.
+// Verb is the action that a command requests.
 type Verb string
 
 // Verbs of commands.
 const (
 	Launch Verb = "launch"
 	Stop   Verb = "stop"
-	Forget Verb = "reap" // list the ended attempt no longer
+	Forget Verb = "reap" // stop listing the ended attempt
 )
 
-// Command is one command to a worker, about one attempt of a task.
+// Command is a command to a worker about one attempt of a task.
 type Command struct {
 	Verb    Verb   `json:"verb"`
 	TaskID  string `json:"piece"`
 	Attempt uint64 `json:"try"`
-	// GracePeriodS is the time, in seconds, that a stopped attempt may use to write a
-	// checkpoint. Only stops have one.
+	// GracePeriodS is the time, in seconds, that a stopped attempt has to write a checkpoint. Only
+	// stops have one.
 	GracePeriodS *float64 `json:"wind_down_s,omitempty"`
 }
 
-// EncodeCommands is the body of a direct command under a fencing token, for one agent
-// epoch of the worker.
+// EncodeCommands returns the body of a direct command that carries commands under a fencing token,
+// for one agent epoch of the worker.
 func EncodeCommands(fencingToken, agentEpoch uint64, commands []Command) []byte {
 	return jobs.Encode(struct {
 		FencingToken uint64    `json:"baton"`
--- a/internal/shard/golden_test.go
+++ b/internal/shard/golden_test.go
@@ -15,8 +15,8 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// recordExchange appends a heartbeat and its reply to out, as they are on the wire.
-func (f *fixture) recordExchange(out *bytes.Buffer, title, body string) {
+// record appends a heartbeat and its reply to out, as they are on the wire.
+func (f *fixture) record(out *bytes.Buffer, title, body string) {
 	fmt.Fprintf(out, "## %s\n%s\n", title, body)
 	f.Heartbeat([]byte(body), func(r http1.Reply) {
 		out.Write(http1.AppendResponse(nil, r.Status, r.Body, r.Close, r.RetryAfter))
@@ -38,28 +38,28 @@
 	var out bytes.Buffer
 	f := newFixture(t)
 	f.addMachineType()
-	f.recordExchange(&out, "no report", `{"host":`)
-	f.recordExchange(&out, "no name", `{"host":"i 1"}`)
-	f.recordExchange(&out, "a machine without a record", heartbeatBody("1", ""))
-	f.recordExchange(&out, "has seen a later baton", strings.Replace(heartbeatBody("2", ""), `"baton":0`, `"baton":99999999`, 1))
+	f.record(&out, "no report", `{"host":`)
+	f.record(&out, "no name", `{"host":"i 1"}`)
+	f.record(&out, "a machine without a record", heartbeatBody("1", ""))
+	f.record(&out, "has seen a later baton", strings.Replace(heartbeatBody("2", ""), `"baton":0`, `"baton":99999999`, 1))
 	f.controller.owner = "n1"
-	f.recordExchange(&out, "another's machine", heartbeatBody("3", ""))
+	f.record(&out, "another's machine", heartbeatBody("3", ""))
 	f.controller.owner = ""
-	f.recordExchange(&out, "nobody's machine", heartbeatBody("4", ""))
+	f.record(&out, "nobody's machine", heartbeatBody("4", ""))
 	f.controller.owner, f.controller.inView = "n0", false
-	f.recordExchange(&out, "outside the view", heartbeatBody("5", ""))
+	f.record(&out, "outside the view", heartbeatBody("5", ""))
 	f.controller.inView, f.controller.cancellationsUnknown = true, true
-	f.recordExchange(&out, "not all cancellations are known", heartbeatBody("6", ""))
+	f.record(&out, "not all cancellations are known", heartbeatBody("6", ""))
 	f.controller.cancellationsUnknown, f.controller.cancelled = false, "wk-000001"
 	running := `{"piece":"wk-000001/0","try":3,"status":"running"}`
-	f.recordExchange(&out, "told to be cancelled, baton not shown", heartbeatBody("7", running))
+	f.record(&out, "told to be cancelled, baton not shown", heartbeatBody("7", running))
 	unknown := `{"piece":"wk-000002/0","try":1,"status":"running"},` +
 		`{"piece":"wk-000002/1","try":2,"status":"ended","cause":"done"}`
-	f.recordExchange(&out, "unknown tasks, baton shown", withToken(heartbeatBody("8", unknown)))
+	f.record(&out, "unknown tasks, baton shown", withToken(heartbeatBody("8", unknown)))
 	for i := range tuning.MaxSessions {
 		f.sessions[fmt.Sprint("x-", i)] = nil
 	}
-	f.recordExchange(&out, "too many machines", strings.Replace(heartbeatBody("1", ""), `"i-1"`, `"i-2"`, 1))
+	f.record(&out, "too many machines", strings.Replace(heartbeatBody("1", ""), `"i-1"`, `"i-2"`, 1))
 	goldentest.Bytes(t, "beats.txt", out.Bytes())
 }
 
