--- a/internal/reconcile/difference.go
+++ b/internal/reconcile/difference.go
@@ -2,20 +2,21 @@
 
 import "github.com/harrierreel/harrierreel/internal/agent"
 
-// Difference is how a recorded or a reported attempt compares with the other side. The summary log line prints it.
+// Difference classifies how a recorded and a reported attempt compare. The summary log line prints it.
 type Difference string
 
-// The differences. Each has one answer (see OfRecorded and OfReported). Two more are of machines and not of attempts: a
-// machine that is in neither the cloud's list nor any heartbeat is package provisioning's, one that no record names is
-// entered by its owner.
+// The differences between recorded and reported attempts. Each has one answer (see OfRecorded and
+// OfReported). Differences that concern whole machines are handled elsewhere: package provisioning
+// handles a machine that is neither in the cloud's list nor in any heartbeat, and the owner records a
+// machine that has no record.
 const (
 	Unclear       Difference = "no heartbeat under the fencing token"
 	Alike         Difference = "recorded and reported alike"
 	Unsent        Difference = "recorded, launch never sent"
 	UnderWay      Difference = "recorded, launch under way"
-	Vanished      Difference = "recorded, not there" // forgotten, or killed by lease expiry
+	Vanished      Difference = "recorded, not there" // forgotten by the worker, or killed by lease expiry
 	EndedHere     Difference = "ended, record live"
-	RunsOver      Difference = "on its machine, job over" // cancelled, ended, or to be stopped
+	RunsOver      Difference = "on its machine, job over" // job cancelled or ended, or task to be stopped
 	RunsReclaimed Difference = "on its machine, which will be reclaimed"
 	NoMachine     Difference = "recorded, machine decommissioned"
 	Stray         Difference = "reported, not recorded" // a late launch, or an older attempt
@@ -23,7 +24,7 @@
 	Writing       Difference = "record under way"
 )
 
-// Answer is what is done about a difference.
+// Answer is the action taken on a difference.
 type Answer string
 
 // The answers.
@@ -32,35 +33,36 @@
 	Continue Answer = "continue"
 	Launch   Answer = "launch" // sent once
 	Stop     Answer = "stop"
-	Free     Answer = "free" // its capacity is free, by the worker's own heartbeat
+	Free     Answer = "free" // free the capacity, which the worker's heartbeat shows to be unused
 	End      Answer = "end"  // commit the end that was reported
 	Forget   Answer = "forget"
 )
 
-// Recorded is an attempt that a record places on a machine.
+// Recorded describes an attempt that a record places on a machine.
 type Recorded struct {
 	Verdict    agent.Verdict // of the machine's session
 	Over       bool          // its job is not live
 	Stopping   bool          // it is to be stopped
 	Leaving    bool          // its machine is deleted or about to be
-	Checkpoint bool          // it should checkpoint now, since its machine will be reclaimed
+	Checkpoint bool          // it should write a checkpoint now, since its machine is to be reclaimed
 }
 
-// OfRecorded names how a recorded attempt compares with its machine's heartbeats, and what is done about it.
+// OfRecorded returns how a recorded attempt compares with its machine's heartbeats, and the action to
+// take.
 func OfRecorded(r Recorded) (Difference, Answer) {
-	over := r.Over || r.Stopping
+	shouldEnd := r.Over || r.Stopping
 	switch r.Verdict {
 	case agent.ToLaunch:
 		switch {
-		case over:
-			return RunsOver, Free // never sent, and none will be
+		case shouldEnd:
+			return RunsOver, Free // the launch was not sent and will not be
 		case r.Leaving:
 			return NoMachine, Free
 		}
 		return Unsent, Launch
 	case agent.OnMachine:
 		switch {
-		case over:
+		case shouldEnd:
 			return RunsOver, Stop
 		case r.Checkpoint:
 			return RunsReclaimed, Stop
@@ -77,16 +79,17 @@
 	return Unclear, Wait
 }
 
-// OfReported names how a reported attempt compares with the records. recorded tells that its machine's records name it,
-// writing that its task's record is under a transaction.
+// OfReported returns how a reported attempt compares with the records, and the action to take. The
+// flag recorded means that its machine's records name it, and writing that its task's record is part
+// of a pending transaction.
 func OfReported(status string, recorded, writing bool) (Difference, Answer) {
 	switch {
 	case recorded:
-		return Alike, Continue // OfRecorded has its answer
+		return Alike, Continue // OfRecorded decides
 	case writing:
 		return Writing, Wait
 	case status == agent.Ended:
-		// Forgotten only now: its end is committed, for no record names it.
+		// No record names it, so its end has been committed and the worker may forget it.
 		return StrayEnd, Forget
 	}
 	return Stray, Stop
--- a/internal/reconcile/difference_test.go
+++ b/internal/reconcile/difference_test.go
@@ -29,7 +29,7 @@
 	} {
 		t.Run(fmt.Sprintf("%+v", c.recorded), func(t *testing.T) {
 			if difference, answer := OfRecorded(c.recorded); difference != c.difference || answer != c.answer {
-				t.Errorf("%s, %s", difference, answer)
+				t.Errorf("difference %q, answer %s", difference, answer)
 			}
 		})
 	}
--- a/internal/reconcile/doc.go
+++ b/internal/reconcile/doc.go
@@ -1,4 +1,6 @@
-// Package reconcile is how a controller that starts compares what machines report with what is recorded: from which
-// machines it has received heartbeats, what differs, and what may be decided before all of it is known. After all
-// controllers were down nothing else knows it (docs/recovery.md). It has no IO and no clock.
+// Package reconcile reconciles the records with the heartbeats of machines after a controller starts.
+// It tracks which machines have sent heartbeats and where these differ from the records, and defines
+// which decisions are allowed before reconciliation is complete. After all controllers were down,
+// this is the only way to learn the state of the machines (docs/recovery.md). The package performs no
+// IO and reads no clock.
 package reconcile
--- a/internal/reconcile/machine_state.go
+++ b/internal/reconcile/machine_state.go
@@ -1,31 +1,31 @@
 package reconcile
 
-// MachineState is how far the comparison of one machine's records with its heartbeats is.
+// MachineState is the progress of reconciling one machine's records with its heartbeats.
 type MachineState string
 
 // The states of a machine.
 const (
 	MachineUnregistered   MachineState = "unregistered"   // no heartbeat under this view's fencing token yet
-	MachineRegistered     MachineState = "registered"     // not compared yet
-	MachineDiffers        MachineState = "differs"        // something is still to be done about it
+	MachineRegistered     MachineState = "registered"     // has sent a heartbeat that was not compared yet
+	MachineDiffers        MachineState = "differs"        // records and heartbeats differ, and that is not resolved yet
 	MachineReconciled     MachineState = "reconciled"     // records and heartbeats agree
-	MachineDecommissioned MachineState = "decommissioned" // no longer waited for: it does not answer, or is lost
+	MachineDecommissioned MachineState = "decommissioned" // no longer awaited: it does not answer, or is lost
 )
 
-// Event is what happens to a machine.
+// Event is an event that may change a machine's state.
 type Event string
 
-// The events of a machine.
+// The events.
 const (
 	HeartbeatReceived Event = "heartbeat under this view's fencing token"
 	RecordsMatch      Event = "compared, nothing differs"
 	RecordsDiffer     Event = "compared, something differs"
 	CallUnanswered    Event = "call unanswered, or decommissioned"
-	TokenChanged      Event = "fencing token changed" // what it reported before no longer counts
+	TokenChanged      Event = "fencing token changed" // earlier heartbeats no longer count
 )
 
-// Next returns a machine's state after an event, and whether the event changes it. A machine's state changes nowhere
-// else.
+// Next returns a machine's state after an event, and whether the event changes it. All changes of a
+// machine's state go through Next.
 func Next(state MachineState, event Event) (next MachineState, changed bool) {
 	switch event {
 	case HeartbeatReceived:
@@ -42,7 +42,7 @@
 	return state, false
 }
 
-// transition goes from one of some states to another; any other state stays.
+// transition returns to if state is one of from, and otherwise leaves state unchanged.
 func transition(state, to MachineState, from ...MachineState) (next MachineState, changed bool) {
 	for _, f := range from {
 		if state == f {
@@ -52,7 +52,7 @@
 	return state, false
 }
 
-// Counts is how many machines are in each state. The summary log line prints it.
+// Counts is the number of machines in each state. The summary log line prints it.
 type Counts struct {
 	Unregistered   int
 	Registered     int
@@ -61,7 +61,7 @@
 	Decommissioned int
 }
 
-// of is the count of a state.
+// of returns a pointer to the count of a state.
 func (c *Counts) of(state MachineState) *int {
 	switch state {
 	case MachineUnregistered:
--- a/internal/reconcile/order.go
+++ b/internal/reconcile/order.go
@@ -2,23 +2,24 @@
 
 import "github.com/harrierreel/harrierreel/internal/jobs"
 
-// Order is the order in which changes are committed while the budget of changes is short; the lowest goes first.
+// Order is the rank of a change in the commit order while the write budget is short. The lowest rank
+// is committed first.
 type Order int
 
-// The orders.
+// The ranks.
 const (
-	Cancelled Order = iota // cancel_s bounds how late it may be
-	Ends                   // and frees: others can use the capacity
+	Cancelled Order = iota // must be committed within cancel_s
+	Ends                   // ended and freed tasks, whose capacity others can use
 	Services
 	Gangs // their tasks wait for one another for gang_wait_s only
 	Others
 )
 
-// OrderOf is the order of a change of a job's tasks. over tells that the job is not live, placesAgain that the change
-// places the tasks again.
-func OrderOf(spec *jobs.Spec, over, placesAgain bool) Order {
+// OrderOf returns the rank of a change to tasks of a job. The flag jobOver means that the job is not
+// live, and placesAgain that the change places the tasks again.
+func OrderOf(spec *jobs.Spec, jobOver, placesAgain bool) Order {
 	switch {
-	case over:
+	case jobOver:
 		return Cancelled
 	case !placesAgain:
 		return Ends
--- a/internal/reconcile/phase.go
+++ b/internal/reconcile/phase.go
@@ -6,18 +6,18 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Phase is how far a controller that has started is.
+// Phase is the progress of a controller's reconciliation after it starts.
 type Phase string
 
-// The phases, in order. Steady is the last: from then on this package holds nothing back.
+// The phases, in order. In Steady, the last one, this package restricts nothing any more.
 const (
-	Loading     Phase = "loading"     // reads the state service; it is in no view yet
-	Hearing     Phase = "hearing"     // own machines are unregistered, or other owners had no time to hear theirs
+	Loading     Phase = "loading"     // reading the state service; not in a view yet
+	Hearing     Phase = "hearing"     // waiting for heartbeats of own machines, or for other owners to receive theirs
 	Reconciling Phase = "reconciling" // some registered machines still differ
 	Steady      Phase = "steady"
 )
 
-// Permission is a kind of decision that may be held back.
+// Permission is a kind of decision that is not allowed in every phase.
 type Permission string
 
 // The permissions.
@@ -29,8 +29,8 @@
 	ScaleOut        Permission = "scale out"
 )
 
-// permitted is what may be decided in each phase. Whether a controller may decide at all, as a member or as the leader,
-// is not decided here but by standby.Checks and by the view's revision.
+// permitted holds the permissions of each phase. Whether a controller may act at all, as a member or
+// as the leader, is determined elsewhere: by standby.Checks and by the view's revision.
 var permitted = map[Phase]map[Permission]bool{
 	Loading: {},
 	Hearing: {StopTasks: true, ApplyHeartbeats: true, PlaceOnOwn: true},
@@ -50,28 +50,29 @@
 	},
 }
 
-// Permits reports whether a permission is given in a phase.
+// Permits reports whether a phase grants a permission.
 func (p Phase) Permits(permission Permission) bool { return permitted[p][permission] }
 
-// Facts is what a phase follows from.
+// Facts is the input from which the next phase is determined.
 type Facts struct {
 	InView        bool // this controller is, or was, in a view
 	Machines      Counts
-	AwaitsOwners  bool          // some owners of other machines have not reported that they heard theirs
-	SinceStart    time.Duration // since this controller came into its first view
+	AwaitsOwners  bool          // some other owners have not reported heartbeats of all their machines
+	SinceStart    time.Duration // since this controller entered its first view
 	SinceLastView time.Duration
 }
 
-// Advance returns the next phase. A phase changes nowhere else. hearWithin is when all machines that run have sent
-// heartbeats (two intervals and some), finishWithin when reconciliation ends in any case: what still differs then is
-// what differs on any day.
-func (p Phase) Advance(facts Facts, hearWithin, finishWithin time.Duration) Phase {
+// Advance returns the next phase. All changes of a phase go through Advance. By heartbeatsWithin every
+// running machine has sent a heartbeat: it is a little more than two heartbeat intervals. At
+// finishWithin reconciliation ends in any case: differences that remain then are handled like those
+// that arise in normal operation.
+func (p Phase) Advance(facts Facts, heartbeatsWithin, finishWithin time.Duration) Phase {
 	switch {
 	case p == Steady || !facts.InView:
 		return p
 	case facts.SinceStart >= finishWithin:
 		return Steady
-	case facts.Machines.Unregistered > 0 && facts.SinceStart < hearWithin:
+	case facts.Machines.Unregistered > 0 && facts.SinceStart < heartbeatsWithin:
 		return Hearing
 	case facts.AwaitsOwners && facts.SinceLastView < tuning.ReconcileOthers:
 		return Hearing
--- a/internal/reconcile/tracker.go
+++ b/internal/reconcile/tracker.go
@@ -12,45 +12,48 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Tracker is one controller's reconciliation of its own machines, from its start until it is steady. Then it forgets
-// them and holds nothing back. It is used on the event loop only.
+// Tracker tracks the reconciliation of a controller's own machines, from the controller's start until
+// the phase is Steady. Then it forgets the machines and restricts nothing. It must be used on the
+// event loop only.
 type Tracker struct {
-	phase        Phase
-	startedAt    time.Time // of the first view
-	viewedAt     time.Time // of the newest view
-	heardAt      time.Time // when it last left the phase Hearing
-	viewEpoch    uint64    // of the newest view
-	hearWithin   time.Duration
-	finishWithin time.Duration
+	phase            Phase
+	startedAt        time.Time // of the first view
+	viewedAt         time.Time // of the newest view
+	hearingEndedAt   time.Time // when the phase last left Hearing
+	viewEpoch        uint64    // of the newest view
+	heartbeatsWithin time.Duration
+	finishWithin     time.Duration
 
-	// awaitedOwners is the other owners: 0 until they report that they heard their machines, then the epoch by which
-	// it is known here which they did not hear.
+	// awaitedOwners holds the other owners that reconciliation waits for. The value is 0 until the
+	// owner reports that it has heard from its machines. From then on it is the epoch of the state
+	// service that this controller must know, in order to know which machines the owner has not heard
+	// from.
 	awaitedOwners  map[string]uint64
-	machines       map[string]MachineState // own, by name
+	machines       map[string]MachineState // own machines, by name
 	counts         Counts                  // of machines
-	decommissioned []string                // own, when it became steady
+	decommissioned []string                // own machines that were decommissioned when the phase became Steady
 
 	summary *summary // nil once steady
 	log     *slog.Logger
 }
 
-// summary is what the log line at the end of the reconciliation tells.
+// summary holds the statistics for the log line at the end of the reconciliation.
 type summary struct {
-	registeredAfter *hdrhistogram.Histogram // ms from the first view, by machine
-	reconciledAfter *hdrhistogram.Histogram // the same
+	registeredAfter *hdrhistogram.Histogram // time from the first view until a machine registered, in ms
+	reconciledAfter *hdrhistogram.Histogram // time from the first view until a machine was reconciled, in ms
 	differences     map[Difference]int
 	answers         map[Answer]int
-	redirected      map[string]int // heartbeats that were redirected, by the owner that they were redirected to
+	redirected      map[string]int // redirected heartbeats, by the owner that they were redirected to
 }
 
-// New makes the tracker of a controller whose workers send a heartbeat every reportS seconds.
+// New returns the tracker of a controller whose workers send a heartbeat every reportS seconds.
 func New(reportS float64, log *slog.Logger) *Tracker {
-	heartbeats := time.Duration(tuning.ReconcileReports * reportS * float64(time.Second))
+	heartbeatWait := time.Duration(tuning.ReconcileReports * reportS * float64(time.Second))
 	return &Tracker{
-		phase:        Loading,
-		hearWithin:   heartbeats + tuning.ReconcileSlack,
-		finishWithin: tuning.MaxReconcile,
-		machines:     map[string]MachineState{},
+		phase:            Loading,
+		heartbeatsWithin: heartbeatWait + tuning.ReconcileSlack,
+		finishWithin:     tuning.MaxReconcile,
+		machines:         map[string]MachineState{},
 		summary: &summary{
 			registeredAfter: newHistogram(),
 			reconciledAfter: newHistogram(),
@@ -66,23 +69,24 @@
 	return hdrhistogram.New(1, tuning.MaxReconcile.Milliseconds()*2, 2)
 }
 
-// Phase is the present phase.
+// Phase returns the current phase.
 func (t *Tracker) Phase() Phase { return t.phase }
 
 // Steady reports whether reconciliation is over.
 func (t *Tracker) Steady() bool { return t.phase == Steady }
 
-// Permits reports whether a permission is given now.
+// Permits reports whether the current phase grants a permission.
 func (t *Tracker) Permits(permission Permission) bool { return t.phase.Permits(permission) }
 
-// MayScaleOut reports whether machines may be scaled out: once the queue has been offered those that registered last.
+// MayScaleOut reports whether new machines may be requested. That is delayed until the queue had time
+// to use the machines that registered last.
 func (t *Tracker) MayScaleOut(now time.Time) bool {
-	return t.Permits(ScaleOut) && now.Sub(t.heardAt) >= tuning.ReconcileScaleOutDelay
+	return t.Permits(ScaleOut) && now.Sub(t.hearingEndedAt) >= tuning.ReconcileScaleOutDelay
 }
 
-// AcceptsTasks reports whether tasks may be placed on a machine: on an own one once it is reconciled,
-// on another owner's once the owner had the time to hear its machines and to report which it does not
-// hear.
+// AcceptsTasks reports whether tasks may be placed on a machine. A machine of this controller accepts
+// tasks once it is reconciled. A machine of another owner accepts them once the owner had time to hear
+// from its machines and to publish those that it has not heard from.
 func (t *Tracker) AcceptsTasks(machine string) bool {
 	if t.Steady() {
 		return true
@@ -94,15 +98,15 @@
 	return t.Permits(PlaceOnOthers)
 }
 
-// Awaits reports whether a machine has yet to register and may do so soon. What depends on several machines is decided
-// once for all of them.
+// Awaits reports whether a machine has not registered yet but may do so soon. Decisions that depend on
+// several machines wait until none of them is awaited.
 func (t *Tracker) Awaits(machine string) bool {
 	return t.phase == Hearing && t.machines[machine] == MachineUnregistered
 }
 
-// SetView begins reconciliation with the first view, and sets which machines are this controller's
-// under a later one and which other controllers own some: all machines have to send a heartbeat under
-// the new fencing token.
+// SetView applies a view. It sets which machines this controller owns and which other controllers own
+// machines. The first view starts the reconciliation. Under every view all machines have to send a
+// heartbeat with the new fencing token.
 func (t *Tracker) SetView(epoch uint64, machines, others []string, now time.Time) {
 	t.viewEpoch = epoch
 	if t.Steady() {
@@ -130,14 +134,14 @@
 	t.Advance(now, 0)
 }
 
-// Record applies an event to a machine of this controller's.
+// Record applies an event to a machine of this controller.
 func (t *Tracker) Record(machine string, event Event, now time.Time) {
 	if t.phase != Hearing && t.phase != Reconciling {
 		return
 	}
 	state, known := t.machines[machine]
 	if !known {
-		state = MachineUnregistered // no record named it
+		state = MachineUnregistered // a machine without a record
 		t.counts.Unregistered++
 	}
 	next, changed := Next(state, event)
@@ -147,7 +151,7 @@
 	if !changed {
 		return
 	}
-	// A value beyond the histogram's range is left out of the summary.
+	// Values beyond the histogram's range are not counted in the summary.
 	afterMs := now.Sub(t.startedAt).Milliseconds() + 1
 	switch next {
 	case MachineRegistered:
@@ -158,7 +162,7 @@
 	}
 }
 
-// Remove removes a machine that is another owner's now, or gone.
+// Remove forgets a machine that has moved to another owner or was removed.
 func (t *Tracker) Remove(machine string) {
 	if state, known := t.machines[machine]; known {
 		*t.counts.of(state)--
@@ -166,7 +170,7 @@
 	}
 }
 
-// Count counts a difference and its answer for the summary, at the first comparison of a machine.
+// Count counts a difference and its answer for the summary. Only a machine's first comparison counts.
 func (t *Tracker) Count(machine string, difference Difference, answer Answer) {
 	state := t.machines[machine]
 	if t.Steady() || difference == Unclear || state == MachineDiffers || state == MachineReconciled {
@@ -176,8 +180,8 @@
 	t.summary.answers[answer]++
 }
 
-// MachinesHeardEpoch is the epoch of the view under which all of this controller's machines have
-// registered or were decommissioned, 0 if they were not.
+// MachinesHeardEpoch returns the epoch of the newest view if all of this controller's machines have
+// registered under it or were decommissioned, and 0 otherwise.
 func (t *Tracker) MachinesHeardEpoch() uint64 {
 	if t.startedAt.IsZero() || t.counts.Unregistered > 0 {
 		return 0
@@ -185,16 +189,18 @@
 	return t.viewEpoch
 }
 
-// OwnerHeard notes that another owner has heard its machines under the view of an epoch, and that the state service
-// holds at epoch by which of them it does not hear. It counts once that is known here: otherwise those would be taken
-// for machines that run.
-func (t *Tracker) OwnerHeard(name string, epoch, by uint64) {
+// OwnerHeard records that another owner has heard from its machines under the view of an epoch, and
+// that the state service holds, as of listEpoch, the list of those that it has not heard from. The
+// owner is awaited until that list is known here. Otherwise the listed machines would be taken for
+// running ones.
+func (t *Tracker) OwnerHeard(name string, epoch, listEpoch uint64) {
 	if _, awaited := t.awaitedOwners[name]; awaited && epoch >= t.viewEpoch {
-		t.awaitedOwners[name] = max(by, 1)
+		t.awaitedOwners[name] = max(listEpoch, 1)
 	}
 }
 
-// Decommissioned lists the own machines that are no longer waited for, in no order.
+// Decommissioned returns this controller's machines that are no longer awaited, in no particular
+// order.
 func (t *Tracker) Decommissioned() []string {
 	machines := slices.Clone(t.decommissioned)
 	for machine, state := range t.machines {
@@ -205,17 +211,17 @@
 	return machines
 }
 
-// Redirected counts a heartbeat of another owner's machine for the summary.
+// Redirected counts a heartbeat that was redirected to another owner, for the summary.
 func (t *Tracker) Redirected(owner string) {
 	if !t.Steady() {
 		t.summary.redirected[owner]++
 	}
 }
 
-// Advance advances the phase by what is known up to an epoch of the state service, and logs the summary when
-// reconciliation is over.
-func (t *Tracker) Advance(now time.Time, known uint64) {
-	maps.DeleteFunc(t.awaitedOwners, func(_ string, by uint64) bool { return by > 0 && by <= known })
+// Advance moves to the next phase if its conditions are met, and logs the summary when reconciliation
+// ends. The contents of the state service are known up to knownEpoch.
+func (t *Tracker) Advance(now time.Time, knownEpoch uint64) {
+	maps.DeleteFunc(t.awaitedOwners, func(_ string, listEpoch uint64) bool { return listEpoch > 0 && listEpoch <= knownEpoch })
 	facts := Facts{
 		InView:        !t.startedAt.IsZero(),
 		Machines:      t.counts,
@@ -223,7 +229,7 @@
 		SinceStart:    now.Sub(t.startedAt),
 		SinceLastView: now.Sub(t.viewedAt),
 	}
-	next := t.phase.Advance(facts, t.hearWithin, t.finishWithin)
+	next := t.phase.Advance(facts, t.heartbeatsWithin, t.finishWithin)
 	if next == t.phase {
 		return
 	}
@@ -232,7 +238,7 @@
 		"machines", fmt.Sprintf("%+v", t.counts),
 		"duration_ms", facts.SinceStart.Milliseconds())
 	if t.phase == Hearing {
-		t.heardAt = now
+		t.hearingEndedAt = now
 	}
 	t.phase = next
 	if next == Steady {
