--- a/internal/agent/session_test.go
+++ b/internal/agent/session_test.go
@@ -122,7 +122,7 @@
 		heartbeat(1, 99, s.FencingToken()),
 	} {
 		if s.Accept(old, now, nil) {
-			t.Errorf("accepted an old heartbeat, agent epoch %d, sequence number %d", old.AgentEpoch, old.HeartbeatSeq)
+			t.Errorf("accepted an old heartbeat: agent epoch %d, number %d", old.AgentEpoch, old.HeartbeatSeq)
 		}
 	}
 }
--- a/internal/reachability/tracker.go
+++ b/internal/reachability/tracker.go
@@ -1,6 +1,6 @@
-// Package reachability tracks which controllers and agents reach each other: members whose
-// agents cannot reach them and that are therefore left out of the view, and whether this
-// controller itself reaches any agent. It has no IO and no clock.
+// Package reachability tracks which controllers and agents can reach each other. It determines which
+// members are to be left out of the view because their agents cannot reach them, and whether this
+// controller itself reaches any agent. It performs no IO and reads no clock.
 package reachability
 
 import (
@@ -17,39 +17,40 @@
 
 // AgentCaller sends requests to machines' agents.
 type AgentCaller interface {
-	// CallAgent sends one request; done is called on the event loop, exactly once.
+	// CallAgent sends a request. It calls done exactly once, on the event loop.
 	CallAgent(endpoint, method, target string, body []byte, timeout time.Duration,
 		done func(status int, body []byte, err error))
 }
 
-// Membership is what this controller knows of the view and of its members.
+// Membership gives access to this controller's knowledge of the view and its members.
 type Membership interface {
-	// OwnerOf is the controller that a machine belongs to.
+	// OwnerOf returns the controller that owns a machine.
 	OwnerOf(machine string) string
-	// Incarnation is that of a member's lease, 0 if it has none.
+	// Incarnation returns the incarnation of a member's lease, or 0 if it has none.
 	Incarnation(member string) uint64
-	// OutsideView tells whether the known view does not name this controller.
+	// OutsideView reports whether this controller is not in the view that it knows.
 	OutsideView() bool
 }
 
-// Store is what this controller knows of its connection to the store.
+// Store gives access to the state of this controller's connection to the store.
 type Store interface {
-	// MirrorLive tells whether the mirror follows the store.
+	// MirrorLive reports whether the mirror is following the store.
 	MirrorLive() bool
-	// Unavailable tells whether the store answers nobody, as far as this controller knows.
+	// Unavailable reports whether, as far as this controller knows, the store answers no controller.
 	Unavailable() bool
 }
 
-// Config is what a Tracker is built from. Every field is required.
+// Config configures a Tracker. Every field is required.
 type Config struct {
 	Log        *slog.Logger
-	Rand       *rand.Rand // picks the agents that are probed
+	Rand       *rand.Rand // selects the agents to probe
 	Agents     AgentCaller
 	Membership Membership
 	Store      Store
 }
 
-// Tracker is what one controller knows of who reaches whom. It belongs to the event loop.
+// Tracker is one controller's knowledge of which controllers and agents can reach each other. It must
+// be used on the event loop only.
 type Tracker struct {
 	state      *clusterstate.State
 	log        *slog.Logger
@@ -59,31 +60,32 @@
 	store      Store
 
 	complaints    members.Complaints
-	lastHeard     map[string]time.Time // machine to its last heartbeat that its owner did not get
+	lastHeard     map[string]time.Time // by machine, its last heartbeat that did not reach its owner
 	votedOut      map[string]votedOutMember
 	peers         map[string]peerState
 	isolated      bool // outside the view, and no agent answers
-	pendingProbes int  // probes of agents that were not answered yet
+	pendingProbes int  // probes of agents that are in flight
 	probedAt      time.Time
 }
 
-// peerState is what a peer said of itself last.
+// peerState is what a peer last reported about itself.
 type peerState struct {
 	storeReachable bool
 	isolated       bool
 	at             time.Time
 }
 
-// fresh tells whether the peer said so lately enough to count.
+// fresh reports whether the peer's report is recent enough to count.
 func (p peerState) fresh(now time.Time) bool { return now.Sub(p.at) < tuning.PeerFresh }
 
-// votedOutMember is a member that agents could not reach.
+// votedOutMember is a member that is left out of the view because agents could not reach it.
 type votedOutMember struct {
 	incarnation uint64
 	until       time.Time
 }
 
-// New makes a tracker that has heard nothing yet. state is read only, and its clock is used.
+// New returns a tracker without any complaints or gossip. It only reads state, and takes the time from
+// it.
 func New(state *clusterstate.State, config Config) *Tracker {
 	return &Tracker{
 		state:      state,
@@ -99,30 +101,31 @@
 	}
 }
 
-// Isolated tells whether this controller is outside the view and reaches no agent.
+// Isolated reports whether this controller is outside the view and reaches no agent.
 func (t *Tracker) Isolated() bool { return t.isolated }
 
-// LastHeard is when a machine of another owner was last heard here, zero if never.
+// LastHeard returns the time of the last heartbeat of a machine that is known not to have reached the
+// machine's owner, or the zero time if there was none.
 func (t *Tracker) LastHeard(machine string) time.Time { return t.lastHeard[machine] }
 
-// LocalComplaints lists the machines whose agents lately came to this controller instead of
-// their owner.
+// LocalComplaints returns the machines whose agents recently sent heartbeats to this controller
+// instead of their owner.
 func (t *Tracker) LocalComplaints() []string { return t.complaints.Local(t.state.Now) }
 
-// ResetComplaints drops all complaints: they were about another view, or about time in
-// which this controller's loop did not run.
+// ResetComplaints drops all complaints. It is called when they no longer apply: after a change of view,
+// or after a gap during which this controller's event loop did not run.
 func (t *Tracker) ResetComplaints() { t.complaints = members.Complaints{} }
 
 // MachineRemoved forgets a machine.
 func (t *Tracker) MachineRemoved(machine string) { delete(t.lastHeard, machine) }
 
-// ApplyGossip takes in what a peer says of itself: whether the store answers it, and whether
-// it is isolated.
+// ApplyGossip records what a peer reports about itself: whether it reaches the store, and whether it is
+// isolated.
 func (t *Tracker) ApplyGossip(from string, storeReachable, isolated bool) {
 	t.peers[from] = peerState{storeReachable: storeReachable, isolated: isolated, at: t.state.Now}
 }
 
-// StoreReachableElsewhere tells whether a peer said lately that the store answers it.
+// StoreReachableElsewhere reports whether a peer has recently reported that it reaches the store.
 func (t *Tracker) StoreReachableElsewhere() bool {
 	for _, peer := range t.peers {
 		if peer.storeReachable && peer.fresh(t.state.Now) {
@@ -132,19 +135,19 @@
 	return false
 }
 
-// Complain notes that an agent does not reach its machine's owner: it came here (here is
-// true) although it was sent there, or to another controller, which says so.
+// Complain records that an agent does not reach its machine's owner: although it was redirected to the
+// owner, it sent a heartbeat to this controller (here is true) or to a peer that reported it.
 func (t *Tracker) Complain(owner, machine string, here bool) {
 	t.lastHeard[machine] = t.state.Now
 	if t.store.Unavailable() {
-		return // the owner may be in reach and unable to renew its lease (package cancellation)
+		return // the owner may be reachable but unable to renew leases (see package cancellation)
 	}
 	t.complaints.Add(owner, machine, here, t.state.Now)
 }
 
-// Unreachable lists the members that agents cannot reach: the agents were told the owner's
-// name and keep coming here instead. A member that is found unreachable stays so for
-// tuning.VotedOutFor, so that it does not enter and leave the view in turns.
+// Unreachable returns the members that agents cannot reach: the agents were redirected to them but keep
+// sending heartbeats to other controllers. A member that is found to be unreachable remains so for
+// tuning.VotedOutFor, so that it does not repeatedly enter and leave the view.
 func (t *Tracker) Unreachable() map[string]bool {
 	unreachable := t.stillVotedOut()
 	if t.membership.OutsideView() {
@@ -175,16 +178,15 @@
 	return unreachable
 }
 
-// stillVotedOut lists the members whose time outside the view is not over.
+// stillVotedOut returns the members that must still stay outside the view.
 func (t *Tracker) stillVotedOut() map[string]bool {
 	out := map[string]bool{}
 	for name, member := range t.votedOut {
-		// Only the incarnation that was out of reach: a process that ended and
-		// came back starts with a clean slate.
+		// Only the incarnation that was unreachable is left out, not a process that has restarted.
 		if t.membership.Incarnation(name) != member.incarnation {
 			continue
 		}
-		// One that says that it still reaches no agent stays out for longer.
+		// A member that reports that it still reaches no agent stays out for longer.
 		peer := t.peers[name]
 		if t.state.Now.Before(member.until) || peer.isolated && peer.fresh(t.state.Now) {
 			out[name] = true
@@ -193,8 +195,9 @@
 	return out
 }
 
-// Reconcile probes agents while this controller is outside the view: one that was voted out
-// because agents could not reach it must not be given machines again before that is mended.
+// Reconcile probes agents while this controller is outside the view. A controller that was left out
+// because agents could not reach it must not be assigned machines again before the connection is
+// restored.
 func (t *Tracker) Reconcile() {
 	if !t.membership.OutsideView() {
 		t.isolated = false
@@ -211,7 +214,7 @@
 	t.probe(candidates)
 }
 
-// probeCandidates lists the machines that are up and whose agent's address is known.
+// probeCandidates returns the machines that are up and whose agent has a known address.
 func (t *Tracker) probeCandidates() []*clusterstate.Machine {
 	var candidates []*clusterstate.Machine
 	for _, m := range t.state.MachinesByName() {
@@ -222,7 +225,7 @@
 	return candidates
 }
 
-// probe asks a sample of the agents for anything at all: an answer of any status counts.
+// probe sends a request to a random sample of the agents. An answer with any status counts as success.
 func (t *Tracker) probe(candidates []*clusterstate.Machine) {
 	t.probedAt = t.state.Now
 	answered := false
--- a/internal/reachability/tracker_test.go
+++ b/internal/reachability/tracker_test.go
@@ -16,7 +16,7 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// fixture is a tracker of a controller whose collaborators say what the test sets.
+// fixture is a tracker with fake collaborators that the test controls.
 type fixture struct {
 	*Tracker
 	outsideView      bool
@@ -39,10 +39,10 @@
 	done(0, nil, errors.New("no answer"))
 }
 
-// advance lets time pass.
+// advance moves the clock forward.
 func (f *fixture) advance(d time.Duration) { f.state.Now = f.state.Now.Add(d) }
 
-// complainFor has the agents of all machines come here once a second.
+// complainFor makes the agents of all machines complain to this controller once a second.
 func (f *fixture) complainFor(seconds, machines int) {
 	for range seconds {
 		f.advance(time.Second)
@@ -52,7 +52,7 @@
 	}
 }
 
-// newFixture is a tracker that knows so many machines of member n1.
+// newFixture returns a tracker that knows a number of machines of member n1.
 func newFixture(t *testing.T, machines int) *fixture {
 	t.Helper()
 	f := &fixture{incarnation: 7}
@@ -74,65 +74,65 @@
 	return f
 }
 
-// A member that agents do not reach, though sent there, is left out for a while; its next
-// incarnation starts with a clean slate, and one that says it is isolated stays out.
-func TestMemberThatAgentsCannotReachIsUnreachableForAWhile(t *testing.T) {
+// A member that agents cannot reach is unreachable for a limited time. Its next incarnation is not
+// affected. A member that reports that it is isolated stays unreachable.
+func TestMemberUnreachableByAgentsStaysOutForAWhile(t *testing.T) {
 	f := newFixture(t, 4)
 	f.complainFor(20, 4)
 	if !f.Unreachable()["n1"] || f.LastHeard("i-2") != f.state.Now || len(f.LocalComplaints()) != 4 {
-		t.Fatalf("%v, here %v", f.Unreachable(), f.LocalComplaints())
+		t.Fatalf("unreachable %v, local complaints %v", f.Unreachable(), f.LocalComplaints())
 	}
 	f.ResetComplaints()
 	f.incarnation = 8
 	if f.Unreachable()["n1"] {
-		t.Error("the next incarnation is left out for the former one's sake")
+		t.Error("the next incarnation is unreachable because of the previous one")
 	}
 	f.incarnation = 7
 	f.advance(tuning.VotedOutFor + time.Second)
 	if f.Unreachable()["n1"] {
-		t.Error("left out for too long")
+		t.Error("still unreachable after VotedOutFor")
 	}
 	f.ApplyGossip("n1", true, true)
 	if !f.Unreachable()["n1"] || !f.StoreReachableElsewhere() {
-		t.Error("a member that says it is isolated is let in")
+		t.Error("a member that reports that it is isolated is not unreachable")
 	}
 	f.advance(tuning.PeerFresh + time.Second)
 	if f.Unreachable()["n1"] || f.StoreReachableElsewhere() {
-		t.Error("old gossip counts")
+		t.Error("outdated gossip counts")
 	}
 }
 
-// While the store answers nobody an owner may be unable to renew leases, and its agents try
-// other controllers: that does not show that they cannot reach it.
+// While the store is unavailable, an owner may be unable to renew leases, so its agents try other
+// controllers. That does not show that they cannot reach the owner.
 func TestComplaintsDoNotCountWhileStoreIsUnavailable(t *testing.T) {
 	f := newFixture(t, 4)
 	f.storeUnavailable = true
 	f.complainFor(20, 4)
 	if f.Unreachable()["n1"] || f.LastHeard("i-2") != f.state.Now {
-		t.Errorf("%v, heard %v", f.Unreachable(), f.LastHeard("i-2"))
+		t.Errorf("unreachable %v, last heard %v", f.Unreachable(), f.LastHeard("i-2"))
 	}
 }
 
-// From outside the view a controller probes whether it reaches agents.
-func TestIsolatedWhileOutsideTheViewAndNoAgentAnswers(t *testing.T) {
+// A controller outside the view probes whether it reaches agents, at most once per interval.
+func TestIsolatedOutsideViewWhileNoAgentAnswers(t *testing.T) {
 	f := newFixture(t, 10)
 	f.outsideView = true
 	f.Reconcile()
 	if !f.Isolated() {
-		t.Error("no agent answers, and the controller is not isolated")
+		t.Error("not isolated although no agent answers")
 	}
 	f.agentsAnswer = true
 	f.Reconcile()
 	if !f.Isolated() {
-		t.Error("agents were probed again at once")
+		t.Error("agents were probed again before the interval elapsed")
 	}
 	f.advance(tuning.IsolationProbeEvery + time.Second)
 	if f.Reconcile(); f.Isolated() {
-		t.Error("agents answer, and the controller is isolated")
+		t.Error("isolated although agents answer")
 	}
 	f.agentsAnswer, f.outsideView = false, false
 	f.advance(tuning.IsolationProbeEvery + time.Second)
 	if f.Reconcile(); f.Isolated() {
-		t.Error("a controller inside the view is isolated")
+		t.Error("isolated although inside the view")
 	}
 }
--- a/internal/reconcile/tracker.go
+++ b/internal/reconcile/tracker.go
@@ -221,7 +221,7 @@
 // Advance moves to the next phase if its conditions are met, and logs the summary when reconciliation
 // ends. The contents of the state service are known up to knownEpoch.
 func (t *Tracker) Advance(now time.Time, knownEpoch uint64) {
-	maps.DeleteFunc(t.awaitedOwners, func(_ string, listEpoch uint64) bool { return listEpoch > 0 && listEpoch <= knownEpoch })
+	maps.DeleteFunc(t.awaitedOwners, func(_ string, listed uint64) bool { return listed > 0 && listed <= knownEpoch })
 	facts := Facts{
 		InView:        !t.startedAt.IsZero(),
 		Machines:      t.counts,
--- a/internal/reconcile/tracker_test.go
+++ b/internal/reconcile/tracker_test.go
@@ -128,10 +128,10 @@
 				}
 				tracker.Advance(now, 9)
 				if tracker.AcceptsTasks("i-9") != (s >= c.acceptsAfter) || tracker.AcceptsTasks("i-1") {
-					t.Errorf("after %d s in phase %s, i-9 accepts tasks: %v", s, tracker.Phase(), tracker.AcceptsTasks("i-9"))
+					t.Errorf("after %d s, %s: accepts tasks %v", s, tracker.Phase(), tracker.AcceptsTasks("i-9"))
 				}
 				if tracker.MayScaleOut(now) != (s >= c.acceptsAfter+2) {
-					t.Errorf("after %d s in phase %s, may scale out: %v", s, tracker.Phase(), tracker.MayScaleOut(now))
+					t.Errorf("after %d s, %s: may scale out %v", s, tracker.Phase(), tracker.MayScaleOut(now))
 				}
 			}
 			tracker.Remove("i-1")
--- a/internal/sharding/owner.go
+++ b/internal/sharding/owner.go
@@ -1,14 +1,14 @@
-// Package sharding divides the machines among the live controllers by rendezvous hashing,
-// counts machines' resources, and picks the machine for a task by bin packing. It has no
-// IO, no clock and no state.
+// Package sharding assigns machines to controllers by rendezvous hashing, does arithmetic on machine
+// resources, and picks machines for tasks by bin packing. It performs no IO, reads no clock and keeps
+// no state.
 package sharding
 
 import "hash/fnv"
 
-// Owner is the member that a machine belongs to, by rendezvous hashing: the member with
-// the highest hash of member and machine. When a member goes, only its own machines move.
-// All controllers compute it alike, also those of other versions, so the hash must never
-// change. Without members there is no owner: "".
+// Owner returns the member that owns a machine by rendezvous hashing: the one with the highest hash of
+// member and machine. If a member leaves, only its own machines move. The hash must never change,
+// because all controllers, including those of other versions, must compute the same owner. Owner
+// returns "" if there are no members.
 func Owner(machine string, members []string) string {
 	highest, owner := uint64(0), ""
 	for _, member := range members {
@@ -20,8 +20,8 @@
 	return owner
 }
 
-// rendezvousHash is FNV-1a of both names, followed by the 64-bit finalizer of MurmurHash3:
-// FNV alone mixes its last bytes badly into the high bits.
+// rendezvousHash returns the FNV-1a hash of both names, passed through the 64-bit finalizer of
+// MurmurHash3. FNV-1a alone mixes the last bytes poorly into the high bits.
 func rendezvousHash(member, machine string) uint64 {
 	digest := fnv.New64a()
 	_, _ = digest.Write([]byte(member))
--- a/internal/sharding/owner_test.go
+++ b/internal/sharding/owner_test.go
@@ -7,7 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-func TestLostMemberMovesOnlyItsOwnMachines(t *testing.T) {
+func TestRemovedMemberMovesOnlyItsMachines(t *testing.T) {
 	all, fewer := []string{"a", "b", "c"}, []string{"a", "c"}
 	count := map[string]int{}
 	for i := range 300 {
@@ -15,21 +15,21 @@
 		before, after := Owner(m, all), Owner(m, fewer)
 		count[before]++
 		if before != "b" && before != after {
-			t.Fatalf("%s moved from %s to %s although %s lives", m, before, after, before)
+			t.Fatalf("%s moved from %s to %s although %s is still a member", m, before, after, before)
 		}
 	}
 	for _, m := range all {
 		if count[m] < 60 {
-			t.Errorf("%s owns only %d of 300", m, count[m])
+			t.Errorf("%s owns only %d of 300 machines", m, count[m])
 		}
 	}
 	if Owner("x", nil) != "" {
-		t.Error("no members, no owner")
+		t.Error("a machine has an owner although there are no members")
 	}
 }
 
-// BenchmarkOwner is the owner of each of 2,000 machines among five members, by the
-// hash in use and by a library's (docs/notes/quotas.md says why it is not taken).
+// BenchmarkOwner computes the owners of 2,000 machines among five members, with the hash in use and
+// with xxhash. The reason why xxhash is not used is in docs/notes/quotas.md.
 func BenchmarkOwner(b *testing.B) {
 	names := []string{"perch-0", "perch-1", "perch-2", "perch-3", "perch-4"}
 	machines := make([]string, 2000)
--- a/internal/sharding/pick.go
+++ b/internal/sharding/pick.go
@@ -2,39 +2,40 @@
 
 import "math"
 
-// minPullDifferenceS is the difference in image pull time, in seconds, from which it
-// decides between machines; less drowns in the pull rate's own spread.
+// minPullDifferenceS is the difference in image pull time, in seconds, below which two machines are
+// considered equal. Smaller differences are lost in the variation of the pull rate.
 const minPullDifferenceS = 1.0
 
-// minStrandedDifference is the difference in stranded accelerators from which it decides
-// between machines.
+// minStrandedDifference is the difference in stranded accelerators below which two machines are
+// considered equal.
 const minStrandedDifference = 0.01
 
-// Candidate is a machine that a task is allowed on.
+// Candidate is a machine on which a task may be placed.
 type Candidate struct {
 	Machine    string
 	Free       Resources
 	Capacity   Resources
 	Spot       bool
 	Zone       string
-	Controller string  // that the machine belongs to
-	HasImage   bool    // holds the task's image
-	ImagePullS float64 // seconds to pull the image otherwise
+	Controller string  // the machine's owner
+	HasImage   bool    // the task's image is on the machine
+	ImagePullS float64 // seconds to pull the image if it is not
 	Load       float64 // share of the machine in use, 0 to 1
 }
 
 // Pick returns the index of the best machine for need, or -1 if it fits on none.
 //
-// For tasks that may use them (spot), spot machines come first: on others they would stand
-// in the way of tasks that may not. Then machines that hold the image, since a pull takes
-// longer than any queue; then those that pull it faster; then, for work without
-// accelerators, where it strands the fewest of them; then the fullest that still fits,
-// which keeps others empty enough to be scaled in.
+// Machines are preferred in this order:
+//   - spot machines, if the task may use them (spot), which leaves the others to tasks that may not;
+//   - machines that hold the image, since a pull takes longer than any queue;
+//   - machines that pull the image faster;
+//   - for tasks without accelerators, machines on which they strand the fewest accelerators;
+//   - the fullest machine on which the task fits, which keeps others empty enough to be scaled in.
 func Pick(need Resources, spot bool, candidates []Candidate) int {
 	return PickIf(need, spot, candidates, func(*Candidate) bool { return true })
 }
 
-// PickIf is Pick among the candidates that allowed accepts.
+// PickIf is like Pick but considers only the candidates for which allowed returns true.
 func PickIf(need Resources, spot bool, candidates []Candidate, allowed func(*Candidate) bool) int {
 	best := -1
 	for i := range candidates {
@@ -49,7 +50,7 @@
 	return best
 }
 
-// better tells whether need goes on a rather than on b.
+// better reports whether a is a better machine for need than b.
 func better(need Resources, a, b *Candidate, spot bool) bool {
 	if spot && a.Spot != b.Spot {
 		return a.Spot
@@ -72,9 +73,9 @@
 	return a.Machine < b.Machine
 }
 
-// stranded is how many accelerators of a machine need would leave without the cores and
-// memory that they go with. Work that takes none itself and fills a machine up would have
-// its accelerators stand idle until it ends.
+// stranded returns the number of free accelerators that need would strand on a machine, by taking the
+// cores and memory that go with them. If a task without accelerators fills up a machine, the
+// machine's accelerators stay idle until it ends.
 func stranded(need Resources, c *Candidate) float64 {
 	if c.Capacity.Accelerators <= 0 || c.Capacity.Cores <= 0 || c.Capacity.MemoryGB <= 0 {
 		return 0
@@ -82,8 +83,8 @@
 	return usableAccelerators(c.Free, c.Capacity) - usableAccelerators(c.Free.Sub(need), c.Capacity)
 }
 
-// usableAccelerators is how many of the free accelerators have their share of the
-// machine's cores and memory free as well.
+// usableAccelerators returns the number of free accelerators whose share of the machine's cores and
+// memory is free as well.
 func usableAccelerators(free, capacity Resources) float64 {
 	return min(
 		free.Accelerators,
--- a/internal/sharding/pick_test.go
+++ b/internal/sharding/pick_test.go
@@ -14,33 +14,33 @@
 		{Machine: "half", Free: Resources{5, 2, 5}, Capacity: whole, Load: 0.5},
 	}
 	if got := candidates[Pick(need, false, candidates)].Machine; got != "half" {
-		t.Errorf("fullest that fits: got %s", got)
+		t.Errorf("picked %s, want the fullest machine that fits", got)
 	}
 	candidates[1].HasImage = true
 	if got := candidates[Pick(need, false, candidates)].Machine; got != "empty" {
-		t.Errorf("cached image first: got %s", got)
+		t.Errorf("picked %s, want the machine that holds the image", got)
 	}
 	if Pick(Resources{Accelerators: 5}, false, candidates) != -1 {
-		t.Error("nothing fits")
+		t.Error("picked a machine although the task fits on none")
 	}
 }
 
-func TestSpotMachinesBeforeImages(t *testing.T) {
+func TestPickPrefersSpotMachineOverImage(t *testing.T) {
 	candidates := []Candidate{
 		{Machine: "a", Free: Resources{Cores: 9}, Capacity: Resources{Cores: 9}, HasImage: true},
 		{Machine: "b", Free: Resources{Cores: 9}, Capacity: Resources{Cores: 9}, Spot: true, ImagePullS: 9},
 	}
 	if i := Pick(Resources{Cores: 1}, true, candidates); i != 1 {
-		t.Error("a task that may use spot machines leaves the others to those that may not")
+		t.Error("a task that may use spot machines was placed on another one")
 	}
 	if i := Pick(Resources{Cores: 1}, false, candidates[:1]); i != 0 {
-		t.Errorf("picked %d of one machine", i)
+		t.Errorf("picked index %d, want 0, the only machine", i)
 	}
 }
 
-// Work without accelerators goes where they are in use already, not where it would
-// leave free ones without cores; work with accelerators goes by load alone.
-func TestWorkWithoutAcceleratorsStrandsFewest(t *testing.T) {
+// A task without accelerators goes to a machine whose accelerators are in use already, not to one where
+// it would take the cores that free accelerators need. A task with accelerators goes by load alone.
+func TestTaskWithoutAcceleratorsStrandsFewest(t *testing.T) {
 	whole := Resources{Cores: 32, Accelerators: 4, MemoryGB: 256}
 	candidates := []Candidate{
 		{Machine: "i-1", Capacity: whole, Free: Resources{Cores: 16, Accelerators: 4, MemoryGB: 128}, Load: 0.5},
@@ -49,23 +49,22 @@
 	}
 	pick := func(need Resources) string { return candidates[Pick(need, false, candidates)].Machine }
 	if got := pick(Resources{Cores: 12, MemoryGB: 20}); got != "i-2" {
-		t.Errorf("cores alone went to %s", got)
+		t.Errorf("a task with 12 cores and no accelerator went to %s", got)
 	}
 	if got := pick(Resources{Cores: 18, MemoryGB: 20}); got != "i-3" {
-		t.Errorf("many cores went to %s", got)
+		t.Errorf("a task with 18 cores and no accelerator went to %s", got)
 	}
 	if got := pick(Resources{Cores: 4, Accelerators: 1, MemoryGB: 20}); got != "i-1" {
-		t.Errorf("an accelerator went to %s", got)
+		t.Errorf("a task with an accelerator went to %s", got)
 	}
-	// A machine that holds the image still goes first.
+	// A machine that holds the image is still preferred.
 	candidates[0].HasImage = true
 	if got := pick(Resources{Cores: 12, MemoryGB: 20}); got != "i-1" {
-		t.Errorf("with its image elsewhere it went to %s", got)
+		t.Errorf("a task whose image is on i-1 went to %s", got)
 	}
 }
 
-// BenchmarkPick is the choice among 2,000 machines for work with and without
-// accelerators.
+// BenchmarkPick picks among 2,000 machines for tasks with and without accelerators.
 func BenchmarkPick(b *testing.B) {
 	whole := Resources{Cores: 64, Accelerators: 8, MemoryGB: 512}
 	var candidates []Candidate
@@ -79,8 +78,8 @@
 		})
 	}
 	for name, need := range map[string]Resources{
-		"accelerators": {Cores: 4, Accelerators: 1, MemoryGB: 8},
-		"cores alone":  {Cores: 4, MemoryGB: 8},
+		"accelerators":    {Cores: 4, Accelerators: 1, MemoryGB: 8},
+		"no accelerators": {Cores: 4, MemoryGB: 8},
 	} {
 		b.Run(name, func(b *testing.B) {
 			for b.Loop() {
--- a/internal/sharding/resources.go
+++ b/internal/sharding/resources.go
@@ -2,24 +2,24 @@
 
 import "math"
 
-// Resources is an amount of a machine's resources.
+// Resources is an amount of each resource of a machine.
 type Resources struct {
 	Cores        float64
 	Accelerators float64
 	MemoryGB     float64
 }
 
-// roundingSlack absorbs the rounding of decimal amounts, in cores, accelerators or GB.
+// roundingSlack is the tolerance for rounding errors of decimal amounts, in cores, accelerators or GB.
 const roundingSlack = 1e-6
 
-// Fits tells whether need fits into r.
+// Fits reports whether need fits into r.
 func (r Resources) Fits(need Resources) bool {
 	return need.Cores <= r.Cores+roundingSlack &&
 		need.Accelerators <= r.Accelerators+roundingSlack &&
 		need.MemoryGB <= r.MemoryGB+roundingSlack
 }
 
-// Add is the sum of r and other by component.
+// Add returns the sum of r and other, by component.
 func (r Resources) Add(other Resources) Resources {
 	return Resources{
 		Cores:        r.Cores + other.Cores,
@@ -28,7 +28,7 @@
 	}
 }
 
-// Sub is r less other by component. A component may become negative.
+// Sub returns r minus other, by component. Components may become negative.
 func (r Resources) Sub(other Resources) Resources {
 	return Resources{
 		Cores:        r.Cores - other.Cores,
@@ -37,13 +37,13 @@
 	}
 }
 
-// components lists the components in a fixed order.
+// components returns the components in a fixed order.
 func (r Resources) components() [3]float64 {
 	return [3]float64{r.Cores, r.Accelerators, r.MemoryGB}
 }
 
-// ShareOf is the largest share of whole that r takes: what part of a machine a task uses
-// up. It is above 1 if r can never fit.
+// ShareOf returns the largest share that r takes of any component of whole (the dominant share of a
+// task on a machine). It is above 1 if r can never fit into whole.
 func (r Resources) ShareOf(whole Resources) float64 {
 	const neverFits = 2
 	share := 0.0
@@ -60,7 +60,7 @@
 	return share
 }
 
-// HowMany is how many times need fits into r; 0 if need is nothing at all.
+// HowMany returns how many times need fits into r, or 0 if need is zero.
 func (r Resources) HowMany(need Resources) int {
 	times := math.Inf(1)
 	free := r.components()
--- a/internal/sharding/resources_test.go
+++ b/internal/sharding/resources_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestShareOfAMachine(t *testing.T) {
+func TestShareOf(t *testing.T) {
 	whole := Resources{Cores: 10, Accelerators: 4, MemoryGB: 100}
 	if got := (Resources{Cores: 5, Accelerators: 1, MemoryGB: 10}).ShareOf(whole); got != 0.5 {
 		t.Errorf("share %v", got)
@@ -12,7 +12,7 @@
 	}
 }
 
-func TestHowManyFit(t *testing.T) {
+func TestHowMany(t *testing.T) {
 	free := Resources{Cores: 32, Accelerators: 4, MemoryGB: 100}
 	for need, want := range map[Resources]int{
 		{Cores: 8, Accelerators: 1, MemoryGB: 10}:  4,
@@ -22,7 +22,7 @@
 		{}:                                         0,
 	} {
 		if got := free.HowMany(need); got != want {
-			t.Errorf("%v: %d, not %d", need, got, want)
+			t.Errorf("%v fits %d times, want %d", need, got, want)
 		}
 	}
 }
