--- a/internal/agent/session.go
+++ b/internal/agent/session.go
@@ -1,6 +1,6 @@
 // Package agent implements the controller's side of the protocol with a worker's agent: heartbeats
-// with the status of tasks, fencing tokens, commands, and the knowledge of which task attempts are on
-// the machine. It performs no IO and reads no clock.
+// with the status of tasks, fencing tokens, commands, and the knowledge of which task attempts are
+// on the machine. It performs no IO and reads no clock.
 package agent
 
 import (
@@ -23,7 +23,8 @@
 )
 
 // Session is the state that a machine's owner keeps about the machine's agent. Its fencing token
-// never decreases. After each increase the session is Unseen until a heartbeat carries the new token.
+// never decreases. After each increase the session is Unseen until a heartbeat carries the new
+// token.
 type Session struct {
 	// The machine, as its newest heartbeat describes it.
 	Machine     string
@@ -146,7 +147,7 @@
 		s.PreemptionNoticeAt = now
 	}
 	s.PreemptionNoticeS = heartbeat.PreemptionNoticeS
-	s.Tasks = byTask(heartbeat.Tasks)
+	s.Tasks = groupByTask(heartbeat.Tasks)
 	if heartbeat.FencingToken == s.FencingToken() && s.State == Unseen {
 		s.State = Known
 		for taskID, attempt := range placed {
@@ -170,10 +171,10 @@
 	}
 }
 
-// byTask groups the attempts of a heartbeat by task, the highest attempt first. A heartbeat lists an
-// attempt until the worker is told to forget it, so it may list an ended attempt beside the next one
-// of the same task, in any order.
-func byTask(statuses []TaskStatus) map[string][]TaskStatus {
+// groupByTask groups the attempts of a heartbeat by task, the highest attempt first. A heartbeat
+// lists an attempt until the worker is told to forget it, so it may list an ended attempt beside
+// the next one of the same task, in any order.
+func groupByTask(statuses []TaskStatus) map[string][]TaskStatus {
 	tasks := make(map[string][]TaskStatus, len(statuses))
 	for _, status := range statuses {
 		tasks[status.TaskID] = append(tasks[status.TaskID], status)
@@ -212,8 +213,8 @@
 }
 
 // CommandUnanswered records that the pending direct command got no answer. The command may still be
-// executed, even much later, as long as the worker has seen no higher token. The counter is therefore
-// incremented before the machine's heartbeats are authoritative again.
+// executed, even much later, as long as the worker has seen no higher token. The counter is
+// therefore incremented before the machine's heartbeats are authoritative again.
 func (s *Session) CommandUnanswered() {
 	s.CommandPending = false
 	s.FailedCalls++
--- a/internal/agent/session_test.go
+++ b/internal/agent/session_test.go
@@ -165,9 +165,9 @@
 	}
 }
 
-// A worker lists an attempt until it is told to forget it, so a heartbeat may list two attempts of one
-// task, in any order. When the ended attempt was taken for the only one, the newer, running attempt
-// appeared to be missing and would have been placed a second time.
+// A worker lists an attempt until it is told to forget it, so a heartbeat may list two attempts of
+// one task, in any order. When the ended attempt was taken for the only one, the newer, running
+// attempt appeared to be missing and would have been placed a second time.
 func TestHeartbeatWithTwoAttemptsOfOneTask(t *testing.T) {
 	ended := TaskStatus{TaskID: "wk-1/0", Attempt: 1, Status: Ended, Cause: CauseDone}
 	running := TaskStatus{TaskID: "wk-1/0", Attempt: 2, Status: Running}
--- a/internal/agent/verdict.go
+++ b/internal/agent/verdict.go
@@ -14,8 +14,8 @@
 )
 
 // Judge returns the verdict on a recorded attempt. With OnMachine and EndReported it also returns
-// the attempt's reported status, and with Unclear that of another attempt of the task if one is still
-// on the machine.
+// the attempt's reported status, and with Unclear that of another attempt of the task if one is
+// still on the machine.
 func (s *Session) Judge(taskID string, attempt uint64) (Verdict, TaskStatus) {
 	if s.State != Known {
 		return Unclear, TaskStatus{}
--- a/internal/agent/wire.go
+++ b/internal/agent/wire.go
@@ -36,8 +36,8 @@
 	Checkpointed bool   `json:"saved,omitempty"`
 }
 
-// Heartbeat is a worker's report about itself and the attempts on its machine. The answer to a direct
-// command has the same format.
+// Heartbeat is a worker's report about itself and the attempts on its machine. The answer to a
+// direct command has the same format.
 type Heartbeat struct {
 	Machine      string `json:"host"`
 	Endpoint     string `json:"endpoint"`
--- a/internal/reachability/tracker.go
+++ b/internal/reachability/tracker.go
@@ -49,8 +49,8 @@
 	Store      Store
 }
 
-// Tracker is one controller's knowledge of which controllers and agents can reach each other. It must
-// be used on the event loop only.
+// Tracker is one controller's knowledge of which controllers and agents can reach each other. It
+// must be used on the event loop only.
 type Tracker struct {
 	state      *clusterstate.State
 	log        *slog.Logger
@@ -84,8 +84,8 @@
 	until       time.Time
 }
 
-// New returns a tracker without any complaints or gossip. It only reads state, and takes the time from
-// it.
+// New returns a tracker without any complaints or gossip. It only reads state, and takes the time
+// from it.
 func New(state *clusterstate.State, config Config) *Tracker {
 	return &Tracker{
 		state:      state,
@@ -104,23 +104,23 @@
 // Isolated reports whether this controller is outside the view and reaches no agent.
 func (t *Tracker) Isolated() bool { return t.isolated }
 
-// LastHeard returns the time of the last heartbeat of a machine that is known not to have reached the
-// machine's owner, or the zero time if there was none.
+// LastHeard returns the time of the last heartbeat of a machine that is known not to have reached
+// the machine's owner, or the zero time if there was none.
 func (t *Tracker) LastHeard(machine string) time.Time { return t.lastHeard[machine] }
 
 // LocalComplaints returns the machines whose agents recently sent heartbeats to this controller
 // instead of their owner.
 func (t *Tracker) LocalComplaints() []string { return t.complaints.Local(t.state.Now) }
 
-// ResetComplaints drops all complaints. It is called when they no longer apply: after a change of view,
-// or after a gap during which this controller's event loop did not run.
+// ResetComplaints drops all complaints. It is called when they no longer apply: after a change of
+// view, or after a gap during which this controller's event loop did not run.
 func (t *Tracker) ResetComplaints() { t.complaints = members.Complaints{} }
 
 // MachineRemoved forgets a machine.
 func (t *Tracker) MachineRemoved(machine string) { delete(t.lastHeard, machine) }
 
-// ApplyGossip records what a peer reports about itself: whether it reaches the store, and whether it is
-// isolated.
+// ApplyGossip records what a peer reports about itself: whether it reaches the store, and whether
+// it is isolated.
 func (t *Tracker) ApplyGossip(from string, storeReachable, isolated bool) {
 	t.peers[from] = peerState{storeReachable: storeReachable, isolated: isolated, at: t.state.Now}
 }
@@ -135,8 +135,8 @@
 	return false
 }
 
-// Complain records that an agent does not reach its machine's owner: although it was redirected to the
-// owner, it sent a heartbeat to this controller (here is true) or to a peer that reported it.
+// Complain records that an agent does not reach its machine's owner: although it was redirected to
+// the owner, it sent a heartbeat to this controller (here is true) or to a peer that reported it.
 func (t *Tracker) Complain(owner, machine string, here bool) {
 	t.lastHeard[machine] = t.state.Now
 	if t.store.Unavailable() {
@@ -145,9 +145,9 @@
 	t.complaints.Add(owner, machine, here, t.state.Now)
 }
 
-// Unreachable returns the members that agents cannot reach: the agents were redirected to them but keep
-// sending heartbeats to other controllers. A member that is found to be unreachable remains so for
-// tuning.VotedOutFor, so that it does not repeatedly enter and leave the view.
+// Unreachable returns the members that agents cannot reach: the agents were redirected to them but
+// keep sending heartbeats to other controllers. A member that is found to be unreachable remains so
+// for tuning.VotedOutFor, so that it does not repeatedly enter and leave the view.
 func (t *Tracker) Unreachable() map[string]bool {
 	unreachable := t.stillVotedOut()
 	if t.membership.OutsideView() {
@@ -225,7 +225,8 @@
 	return candidates
 }
 
-// probe sends a request to a random sample of the agents. An answer with any status counts as success.
+// probe sends a request to a random sample of the agents. An answer with any status counts as
+// success.
 func (t *Tracker) probe(candidates []*clusterstate.Machine) {
 	t.probedAt = t.state.Now
 	answered := false
--- a/internal/reconcile/difference.go
+++ b/internal/reconcile/difference.go
@@ -2,13 +2,14 @@
 
 import "github.com/harrierreel/harrierreel/internal/agent"
 
-// Difference classifies how a recorded and a reported attempt compare. The summary log line prints it.
+// Difference classifies how a recorded and a reported attempt compare. The summary log line prints
+// it.
 type Difference string
 
 // The differences between recorded and reported attempts. Each has one answer (see OfRecorded and
 // OfReported). Differences that concern whole machines are handled elsewhere: package provisioning
-// handles a machine that is neither in the cloud's list nor in any heartbeat, and the owner records a
-// machine that has no record.
+// handles a machine that is neither in the cloud's list nor in any heartbeat, and the owner records
+// a machine that has no record.
 const (
 	Unclear       Difference = "no heartbeat under the fencing token"
 	Alike         Difference = "recorded and reported alike"
@@ -47,8 +48,8 @@
 	Checkpoint bool          // it should write a checkpoint now, since its machine is to be reclaimed
 }
 
-// OfRecorded returns how a recorded attempt compares with its machine's heartbeats, and the action to
-// take.
+// OfRecorded returns how a recorded attempt compares with its machine's heartbeats, and the action
+// to take.
 func OfRecorded(r Recorded) (Difference, Answer) {
 	shouldEnd := r.Over || r.Stopping
 	switch r.Verdict {
--- a/internal/reconcile/phase.go
+++ b/internal/reconcile/phase.go
@@ -62,8 +62,8 @@
 	SinceLastView time.Duration
 }
 
-// Advance returns the next phase. All changes of a phase go through Advance. By heartbeatsWithin every
-// running machine has sent a heartbeat: it is a little more than two heartbeat intervals. At
+// Advance returns the next phase. All changes of a phase go through Advance. By heartbeatsWithin
+// every running machine has sent a heartbeat: it is a little more than two heartbeat intervals. At
 // finishWithin reconciliation ends in any case: differences that remain then are handled like those
 // that arise in normal operation.
 func (p Phase) Advance(facts Facts, heartbeatsWithin, finishWithin time.Duration) Phase {
--- a/internal/reconcile/tracker.go
+++ b/internal/reconcile/tracker.go
@@ -12,9 +12,9 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Tracker tracks the reconciliation of a controller's own machines, from the controller's start until
-// the phase is Steady. Then it forgets the machines and restricts nothing. It must be used on the
-// event loop only.
+// Tracker tracks the reconciliation of a controller's own machines, from the controller's start
+// until the phase is Steady. Then it forgets the machines and restricts nothing. It must be used on
+// the event loop only.
 type Tracker struct {
 	phase            Phase
 	startedAt        time.Time // of the first view
@@ -26,8 +26,8 @@
 
 	// awaitedOwners holds the other owners that reconciliation waits for. The value is 0 until the
 	// owner reports that it has heard from its machines. From then on it is the epoch of the state
-	// service that this controller must know, in order to know which machines the owner has not heard
-	// from.
+	// service that this controller must know, in order to know which machines the owner has not
+	// heard from.
 	awaitedOwners  map[string]uint64
 	machines       map[string]MachineState // own machines, by name
 	counts         Counts                  // of machines
@@ -46,9 +46,10 @@
 	redirected      map[string]int // redirected heartbeats, by the owner that they were redirected to
 }
 
-// New returns the tracker of a controller whose workers send a heartbeat every reportS seconds.
-func New(reportS float64, log *slog.Logger) *Tracker {
-	heartbeatWait := time.Duration(tuning.ReconcileReports * reportS * float64(time.Second))
+// New returns the tracker of a controller whose workers send a heartbeat every
+// heartbeatIntervalS seconds.
+func New(heartbeatIntervalS float64, log *slog.Logger) *Tracker {
+	heartbeatWait := time.Duration(tuning.ReconcileReports * heartbeatIntervalS * float64(time.Second))
 	return &Tracker{
 		phase:            Loading,
 		heartbeatsWithin: heartbeatWait + tuning.ReconcileSlack,
@@ -78,15 +79,15 @@
 // Permits reports whether the current phase grants a permission.
 func (t *Tracker) Permits(permission Permission) bool { return t.phase.Permits(permission) }
 
-// MayScaleOut reports whether new machines may be requested. That is delayed until the queue had time
-// to use the machines that registered last.
+// MayScaleOut reports whether new machines may be requested. That is delayed until the queue had
+// time to use the machines that registered last.
 func (t *Tracker) MayScaleOut(now time.Time) bool {
 	return t.Permits(ScaleOut) && now.Sub(t.hearingEndedAt) >= tuning.ReconcileScaleOutDelay
 }
 
-// AcceptsTasks reports whether tasks may be placed on a machine. A machine of this controller accepts
-// tasks once it is reconciled. A machine of another owner accepts them once the owner had time to hear
-// from its machines and to publish those that it has not heard from.
+// AcceptsTasks reports whether tasks may be placed on a machine. A machine of this controller
+// accepts tasks once it is reconciled. A machine of another owner accepts them once the owner had
+// time to hear from its machines and to publish those that it has not heard from.
 func (t *Tracker) AcceptsTasks(machine string) bool {
 	if t.Steady() {
 		return true
@@ -98,15 +99,15 @@
 	return t.Permits(PlaceOnOthers)
 }
 
-// Awaits reports whether a machine has not registered yet but may do so soon. Decisions that depend on
-// several machines wait until none of them is awaited.
+// Awaits reports whether a machine has not registered yet but may do so soon. Decisions that depend
+// on several machines wait until none of them is awaited.
 func (t *Tracker) Awaits(machine string) bool {
 	return t.phase == Hearing && t.machines[machine] == MachineUnregistered
 }
 
-// SetView applies a view. It sets which machines this controller owns and which other controllers own
-// machines. The first view starts the reconciliation. Under every view all machines have to send a
-// heartbeat with the new fencing token.
+// SetView applies a view. It sets which machines this controller owns and which other controllers
+// own machines. The first view starts the reconciliation. Under every view all machines have to
+// send a heartbeat with the new fencing token.
 func (t *Tracker) SetView(epoch uint64, machines, others []string, now time.Time) {
 	t.viewEpoch = epoch
 	if t.Steady() {
@@ -170,7 +171,8 @@
 	}
 }
 
-// Count counts a difference and its answer for the summary. Only a machine's first comparison counts.
+// Count counts a difference and its answer for the summary. Only a machine's first comparison
+// counts.
 func (t *Tracker) Count(machine string, difference Difference, answer Answer) {
 	state := t.machines[machine]
 	if t.Steady() || difference == Unclear || state == MachineDiffers || state == MachineReconciled {
@@ -218,8 +220,8 @@
 	}
 }
 
-// Advance moves to the next phase if its conditions are met, and logs the summary when reconciliation
-// ends. The contents of the state service are known up to knownEpoch.
+// Advance moves to the next phase if its conditions are met, and logs the summary when
+// reconciliation ends. The contents of the state service are known up to knownEpoch.
 func (t *Tracker) Advance(now time.Time, knownEpoch uint64) {
 	maps.DeleteFunc(t.awaitedOwners, func(_ string, listed uint64) bool { return listed > 0 && listed <= knownEpoch })
 	facts := Facts{
--- a/internal/reconcile/tracker_test.go
+++ b/internal/reconcile/tracker_test.go
@@ -65,9 +65,9 @@
 	}
 }
 
-// For any sequence of machine events: the counts match a recount, phases go back only at a later view,
-// a machine accepts tasks only while its records and heartbeats agree under the newest fencing token,
-// and the tracker becomes steady in the end.
+// For any sequence of machine events: the counts match a recount, phases go back only at a later
+// view, a machine accepts tasks only while its records and heartbeats agree under the newest
+// fencing token, and the tracker becomes steady in the end.
 func TestTrackerBecomesSteadyAfterAnyEvents(t *testing.T) {
 	events := []Event{HeartbeatReceived, RecordsMatch, RecordsDiffer, CallUnanswered, TokenChanged}
 	rapid.Check(t, func(t *rapid.T) {
@@ -95,9 +95,9 @@
 	})
 }
 
-// A machine of another owner accepts no tasks until the owner has reported, under the newest view, that
-// it has heard from its machines, or had enough time to do so. Scaling out is delayed until the queue
-// had time to use those machines. A machine that was removed is no longer awaited.
+// A machine of another owner accepts no tasks until the owner has reported, under the newest view,
+// that it has heard from its machines, or had enough time to do so. Scaling out is delayed until
+// the queue had time to use those machines. A machine that was removed is no longer awaited.
 func TestOtherOwnersMachinesAcceptTasksAfterReportOrTimeout(t *testing.T) {
 	for name, c := range map[string]struct {
 		reported     bool
@@ -114,12 +114,12 @@
 			tracker.OwnerHeard("n1", 4, 9) // a report under the previous view
 			tracker.OwnerHeard("n2", 5, 9)
 			if tracker.MachinesHeardEpoch() != 0 {
-				t.Error("the own machine counts as heard before its heartbeat")
+				t.Error("the machine counts as heard from before its heartbeat")
 			}
 			tracker.Record("i-1", HeartbeatReceived, start)
 			tracker.Record("i-1", RecordsDiffer, start)
 			if tracker.MachinesHeardEpoch() != 5 {
-				t.Error("the own machine does not count as heard after its heartbeat")
+				t.Error("the machine does not count as heard from after its heartbeat")
 			}
 			for s := range 6 {
 				now := start.Add(time.Duration(s) * time.Second)
@@ -143,8 +143,8 @@
 	}
 }
 
-// The report of another owner counts only once the list of machines that it has not heard from is known
-// here.
+// The report of another owner counts only once the list of machines that it has not heard from is
+// known here.
 func TestOwnersReportCountsOnceItsListIsKnown(t *testing.T) {
 	tracker := newTracker()
 	tracker.SetView(5, []string{"i-1"}, []string{"n1"}, start)
--- a/internal/shard/fixture_test.go
+++ b/internal/shard/fixture_test.go
@@ -216,7 +216,8 @@
 
 func (c *fakeController) Complain(owner, machine string, here bool) { c.complain(owner, machine, here) }
 
-// queueCollaborators implements the queue's collaborators with the shard under test and its controller.
+// queueCollaborators implements the queue's collaborators with the shard under test and its
+// controller.
 type queueCollaborators struct{ fixture *fixture }
 
 func (queueCollaborators) Busy(string) bool { return false }
--- a/internal/shard/foreign_heartbeats_test.go
+++ b/internal/shard/foreign_heartbeats_test.go
@@ -18,7 +18,8 @@
 	}
 }
 
-// sendForeignHeartbeats sends three heartbeats of i-1, which another controller owns, to this controller.
+// sendForeignHeartbeats sends three heartbeats of i-1, which another controller owns, to this
+// controller.
 func (f *fixture) sendForeignHeartbeats(token uint64) {
 	f.t.Helper()
 	for heartbeatSeq := range 3 {
--- a/internal/shard/golden_test.go
+++ b/internal/shard/golden_test.go
@@ -97,15 +97,15 @@
 	}
 	f.heartbeat(heartbeatBody("1", ""))
 	step("baton shown, refused", 409, strings.Replace(heartbeatBody("2", ""), `"tenure":1`, `"tenure":2`, 1))
-	noticed := func(heartbeatSeq, statuses string) string {
+	withNotice := func(heartbeatSeq, statuses string) string {
 		body := heartbeatBody(heartbeatSeq, statuses)
 		return strings.Replace(body, `"tenure":1`, `"loaner":true,"warning_s":500,"tenure":2`, 1)
 	}
-	step("baton shown, taken", 200, noticed("3", ""))
+	step("baton shown, taken", 200, withNotice("3", ""))
 	step("no report", 200, `{}`)
-	step("another's answer", 200, strings.Replace(noticed("4", ""), `"i-1"`, `"i-9"`, 1))
-	step("another status", 421, noticed("4", ""))
-	f.heartbeat(f.withCurrentToken(noticed("5", "")))
+	step("another's answer", 200, strings.Replace(withNotice("4", ""), `"i-1"`, `"i-9"`, 1))
+	step("another status", 421, withNotice("4", ""))
+	f.heartbeat(f.withCurrentToken(withNotice("5", "")))
 	f.putTasks(
 		"task/wk-000001/0",
 		jobs.Task{State: jobs.Placed, Machine: "i-1", Attempt: 3},
@@ -114,13 +114,13 @@
 	)
 	held := `{"piece":"wk-000001/1","try":1,"status":"running"},` +
 		`{"piece":"wk-000009/0","try":2,"status":"ended","cause":"done"}`
-	f.heartbeat(f.withCurrentToken(noticed("6", held)))
+	f.heartbeat(f.withCurrentToken(withNotice("6", held)))
 	launched := `{"piece":"wk-000001/0","try":3,"status":"pulling"},` +
 		`{"piece":"wk-000001/2","try":1,"status":"running"}`
-	step("launch, stop with time to save, reap", 200, noticed("7", launched))
+	step("launch, stop with time to save, reap", 200, withNotice("7", launched))
 	f.controller.cancelled = "wk-000001"
 	ended := `{"piece":"wk-000001/0","try":3,"status":"ended","cause":"error","saved":true}`
-	step("stops of what was told to be cancelled", 200, noticed("8", ended))
+	step("stops of what was told to be cancelled", 200, withNotice("8", ended))
 	if f.sessions["i-1"].State != agent.Known {
 		t.Error("the machine's session is not known")
 	}
--- a/internal/shard/heartbeat.go
+++ b/internal/shard/heartbeat.go
@@ -152,8 +152,8 @@
 	return commands
 }
 
-// misdirectedReply returns the reply that redirects a heartbeat to the machine's owner. An empty owner
-// means that none is known.
+// misdirectedReply returns the reply that redirects a heartbeat to the machine's owner. An empty
+// owner means that none is known.
 func misdirectedReply(owner string) http1.Reply {
 	if owner == "" {
 		return http1.Reply{Status: statusMisdirected, Body: []byte("{}")}
--- a/internal/shard/reconcile.go
+++ b/internal/shard/reconcile.go
@@ -36,8 +36,9 @@
 	s.commits.Commit(decisions)
 }
 
-// sweep checks the health of the machines of all sessions and marks for review those that need it
-// although nothing has changed: machines that are not known yet, overdue, or about to be preempted.
+// sweep checks the health of the machines of all sessions. It marks for review those that need it
+// although nothing has changed: machines that are not known yet, overdue or about to be preempted,
+// and machines whose last review found something to do.
 func (s *Shard) sweep() []decide.Decision {
 	s.lastSweep = s.state.Now
 	var decisions []decide.Decision
@@ -110,9 +111,9 @@
 	return s.sessions[machine]
 }
 
-// shouldDelayEnds reports whether ended tasks are held back to be committed in a batch. Many tasks of one
-// record tend to end soon after one another, and committing them together takes a single write. That
-// matters while writes are scarce, and with batch records.
+// shouldDelayEnds reports whether ended tasks are held back to be committed in a batch. Many tasks
+// of one record tend to end soon after one another, and committing them together takes a single
+// write. That matters while writes are scarce, and with batch records.
 func (s *Shard) shouldDelayEnds() bool {
 	gap := tuning.GatherFor
 	if s.budget.HasSpareWrites() {
--- a/internal/shard/recovery.go
+++ b/internal/shard/recovery.go
@@ -116,8 +116,8 @@
 	return []decide.Decision{decision}
 }
 
-// gangMembers returns the tasks of a task's gang by index, with nil for each task that does not exist. A
-// task without a gang is returned alone.
+// gangMembers returns the tasks of a task's gang by index, with nil for each task that does not
+// exist. A task without a gang is returned alone.
 func gangMembers(task *clusterstate.Task) []*clusterstate.Task {
 	spec := &task.Job.Record.Spec
 	if !spec.IsGang() || spec.TaskCount <= 1 {
@@ -174,7 +174,8 @@
 }
 
 // MachinesHeardEpoch returns the epoch of the view under which every machine of this controller has
-// sent a heartbeat or is published as unresponsive. It returns 0 while some machine has done neither.
+// sent a heartbeat or is published as unresponsive. It returns 0 while some machine has done
+// neither.
 func (s *Shard) MachinesHeardEpoch() uint64 {
 	for _, name := range s.Reconciling.Decommissioned() {
 		if machine := s.state.Machines[name]; machine != nil && machine.Owner == s.config.Name && s.InUse(machine) {
--- a/internal/shard/recovery_test.go
+++ b/internal/shard/recovery_test.go
@@ -13,8 +13,8 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// newRestartedFixture returns a controller that has just started, with machines i-1 to i-n whose leases have
-// expired in the meantime, and a job with one task recorded on each machine.
+// newRestartedFixture returns a controller that has just started, with machines i-1 to i-n whose
+// leases have expired in the meantime, and a job with one task recorded on each machine.
 func newRestartedFixture(t *testing.T, machines int, kind string) *fixture {
 	t.Helper()
 	f := newFixture(t)
@@ -31,8 +31,8 @@
 	return f
 }
 
-// reportAfterExpiry sends a machine's heartbeat with the current fencing token, in the agent epoch that began
-// when its lease expired.
+// reportAfterExpiry sends a machine's heartbeat with the current fencing token, in the agent epoch
+// that began when its lease expired.
 func (f *fixture) reportAfterExpiry(machine, statuses string) {
 	named := strings.NewReplacer(`"host":"i-1"`, `"host":"`+machine+`"`, `"tenure":1`, `"tenure":2`)
 	f.heartbeat(withToken(named.Replace(heartbeatBody("1", statuses))))
@@ -51,8 +51,8 @@
 	return decisions
 }
 
-// Tasks that ended with an expired lease are placed again on the same machines, in one decision for a
-// gang, and only once every machine of the record has been heard from or decommissioned.
+// Tasks that ended with an expired lease are placed again on the same machines, in one decision for
+// a gang, and only once every machine of the record has been heard from or decommissioned.
 func TestVanishedTasksArePlacedAgain(t *testing.T) {
 	for kind, wantDecisions := range map[string]int{jobs.Gang: 1, jobs.JobArray: 3} {
 		f := newRestartedFixture(t, 3, kind)
@@ -103,8 +103,8 @@
 func TestRunningTaskStaysAndPreemptedMachineIsFreed(t *testing.T) {
 	f := newRestartedFixture(t, 2, jobs.JobArray)
 	f.reportAfterExpiry("i-1", `{"piece":"wk-1/0","try":1,"status":"running"}`)
-	noticed := strings.NewReplacer(`"host":"i-1"`, `"host":"i-2"`, `"baton":0`, `"baton":0,"warning_s":20`)
-	f.heartbeat(withToken(noticed.Replace(heartbeatBody("1", ""))))
+	withNotice := strings.NewReplacer(`"host":"i-1"`, `"host":"i-2"`, `"baton":0`, `"baton":0,"warning_s":20`)
+	f.heartbeat(withToken(withNotice.Replace(heartbeatBody("1", ""))))
 	decisions := f.reconcileTasks()
 	if len(decisions) != 1 {
 		t.Fatalf("%d decisions, want 1", len(decisions))
--- a/internal/shard/review.go
+++ b/internal/shard/review.go
@@ -26,6 +26,7 @@
 // heartbeat counts nothing, since the next reconciliation finds the same differences.
 type differenceCounter func(machine string, difference reconcile.Difference, answer reconcile.Answer)
 
+// ignoreDifference is the differenceCounter that counts nothing.
 func ignoreDifference(string, reconcile.Difference, reconcile.Answer) {}
 
 // review compares a machine's records with its heartbeats.
@@ -147,8 +148,8 @@
 	return s.state.Jobs[jobID].Tasks[index]
 }
 
-// shouldDelayLaunch reports whether the launch of a gang's task should be delayed because other members
-// of the gang take longer to pull their image (see gangs.LaunchAt).
+// shouldDelayLaunch reports whether the launch of a gang's task should be delayed because other
+// members of the gang take longer to pull their image (see gangs.LaunchAt).
 func (s *Shard) shouldDelayLaunch(task *clusterstate.Task) bool {
 	spec := &task.Job.Record.Spec
 	if !spec.IsGang() || spec.ImageGB <= 0 {
--- a/internal/shard/task_end.go
+++ b/internal/shard/task_end.go
@@ -61,10 +61,10 @@
 	return s.EndAttempt(task, jobs.Lost, 0)
 }
 
-// attributeFailure attributes a task's failure to its machine or to its job. A job that has failed on several
-// machines is itself considered faulty and marks no machine as unhealthy. A machine is marked as
-// unhealthy if several trusted jobs fail on it, or if a job whose other tasks succeed keeps failing
-// on it.
+// attributeFailure attributes a task's failure to its machine or to its job. A job that has failed
+// on several machines is itself considered faulty and marks no machine as unhealthy. A machine is
+// marked as unhealthy if several trusted jobs fail on it, or if a job whose other tasks succeed
+// keeps failing on it.
 func (s *Shard) attributeFailure(machine string, health *fleet.Health, task *clusterstate.Task) {
 	if s.state.Trust(task.Job, machine) == jobs.Probing {
 		return
@@ -78,9 +78,10 @@
 	}
 }
 
-// freeTask handles a recorded task that is not on its machine: it adds the decision that frees the task.
-// While this controller reconciles after its start, a task that vanished from a machine that could
-// run it again, for instance because the worker's lease expired, is left to placeAgain instead.
+// freeTask handles a recorded task that is not on its machine: it adds the decision that frees the
+// task. While this controller reconciles after its start, a task that vanished from a machine that
+// could run it again, for instance because the worker's lease expired, is left to placeAgain
+// instead.
 func (s *Shard) freeTask(task *clusterstate.Task, difference reconcile.Difference, found *review) {
 	if !s.Reconciling.Steady() && difference == reconcile.Vanished && s.canPlaceAgain(task) {
 		s.vanishedTasks[task.ID] = true
--- a/internal/shard/unresponsive.go
+++ b/internal/shard/unresponsive.go
@@ -56,8 +56,9 @@
 	return nil
 }
 
-// publishUnresponsive returns the decisions that update the stored lists of this shard's unresponsive
-// machines, if they have changed. The values of unresponsive have the meaning given in checkHealth.
+// publishUnresponsive returns the decisions that update the stored lists of this shard's
+// unresponsive machines, if they have changed. The values of unresponsive have the meaning given in
+// checkHealth.
 func (s *Shard) publishUnresponsive(unresponsive map[string]bool) []decide.Decision {
 	published := s.unresponsiveLists[s.config.Name]
 	wanted := published.Divide(unresponsive, s.view.Epoch(), s.config.ValueBytes)
--- a/internal/shard/unresponsive_test.go
+++ b/internal/shard/unresponsive_test.go
@@ -75,9 +75,9 @@
 func TestUnresponsiveMachinesInLargeFleet(t *testing.T) {
 	const machines = 4000
 	f := newFixture(t)
-	machine := func(i int) string { return fmt.Sprintf("i-%06d", i) }
+	machineName := func(i int) string { return fmt.Sprintf("i-%06d", i) }
 	for i := range machines {
-		f.addMachine(machine(i), "n0", "w:1")
+		f.addMachine(machineName(i), "n0", "w:1")
 	}
 	heartbeatSeq := 0
 	runSevenSeconds := func(reports func(i int) bool) {
@@ -86,7 +86,7 @@
 			heartbeatSeq++
 			for i := range machines {
 				if reports(i) {
-					f.heartbeat(strings.Replace(heartbeatBody(strconv.Itoa(heartbeatSeq), ""), "i-1", machine(i), 1))
+					f.heartbeat(strings.Replace(heartbeatBody(strconv.Itoa(heartbeatSeq), ""), "i-1", machineName(i), 1))
 				}
 			}
 			f.Reconcile()
@@ -115,7 +115,7 @@
 		}
 		used := 0
 		for i := range machines {
-			if f.InUse(f.state.Machines[machine(i)]) {
+			if f.InUse(f.state.Machines[machineName(i)]) {
 				used++
 			}
 		}
--- a/internal/sharding/owner.go
+++ b/internal/sharding/owner.go
@@ -1,14 +1,14 @@
-// Package sharding assigns machines to controllers by rendezvous hashing, does arithmetic on machine
-// resources, and picks machines for tasks by bin packing. It performs no IO, reads no clock and keeps
-// no state.
+// Package sharding assigns machines to controllers by rendezvous hashing, does arithmetic on
+// machine resources, and picks machines for tasks by bin packing. It performs no IO, reads no clock
+// and keeps no state.
 package sharding
 
 import "hash/fnv"
 
-// Owner returns the member that owns a machine by rendezvous hashing: the one with the highest hash of
-// member and machine. If a member leaves, only its own machines move. The hash must never change,
-// because all controllers, including those of other versions, must compute the same owner. Owner
-// returns "" if there are no members.
+// Owner returns the member that owns a machine by rendezvous hashing: the one with the highest hash
+// of member and machine. If a member leaves, only its own machines move. The hash must never
+// change, because all controllers, including those of other versions, must compute the same owner.
+// Owner returns "" if there are no members.
 func Owner(machine string, members []string) string {
 	highest, owner := uint64(0), ""
 	for _, member := range members {
--- a/internal/sharding/pick.go
+++ b/internal/sharding/pick.go
@@ -73,8 +73,8 @@
 	return a.Machine < b.Machine
 }
 
-// stranded returns the number of free accelerators that need would strand on a machine, by taking the
-// cores and memory that go with them. If a task without accelerators fills up a machine, the
+// stranded returns the number of free accelerators that need would strand on a machine, by taking
+// the cores and memory that go with them. If a task without accelerators fills up a machine, the
 // machine's accelerators stay idle until it ends.
 func stranded(need Resources, c *Candidate) float64 {
 	if c.Capacity.Accelerators <= 0 || c.Capacity.Cores <= 0 || c.Capacity.MemoryGB <= 0 {
--- a/internal/sharding/pick_test.go
+++ b/internal/sharding/pick_test.go
@@ -6,12 +6,12 @@
 )
 
 func TestPickPrefersImageThenFullest(t *testing.T) {
-	whole := Resources{Cores: 10, Accelerators: 4, MemoryGB: 10}
+	capacity := Resources{Cores: 10, Accelerators: 4, MemoryGB: 10}
 	need := Resources{Cores: 1, Accelerators: 1, MemoryGB: 1}
 	candidates := []Candidate{
-		{Machine: "full", Free: Resources{Cores: 10}, Capacity: whole, Load: 1},
-		{Machine: "empty", Free: whole, Capacity: whole},
-		{Machine: "half", Free: Resources{5, 2, 5}, Capacity: whole, Load: 0.5},
+		{Machine: "full", Free: Resources{Cores: 10}, Capacity: capacity, Load: 1},
+		{Machine: "empty", Free: capacity, Capacity: capacity},
+		{Machine: "half", Free: Resources{5, 2, 5}, Capacity: capacity, Load: 0.5},
 	}
 	if got := candidates[Pick(need, false, candidates)].Machine; got != "half" {
 		t.Errorf("picked %s, want the fullest machine that fits", got)
@@ -38,14 +38,15 @@
 	}
 }
 
-// A task without accelerators goes to a machine whose accelerators are in use already, not to one where
-// it would take the cores that free accelerators need. A task with accelerators goes by load alone.
+// A task without accelerators goes to a machine whose accelerators are in use already, not to one
+// where it would take the cores that free accelerators need. A task with accelerators goes by load
+// alone.
 func TestTaskWithoutAcceleratorsStrandsFewest(t *testing.T) {
-	whole := Resources{Cores: 32, Accelerators: 4, MemoryGB: 256}
+	capacity := Resources{Cores: 32, Accelerators: 4, MemoryGB: 256}
 	candidates := []Candidate{
-		{Machine: "i-1", Capacity: whole, Free: Resources{Cores: 16, Accelerators: 4, MemoryGB: 128}, Load: 0.5},
-		{Machine: "i-2", Capacity: whole, Free: Resources{Cores: 16, Accelerators: 0, MemoryGB: 128}, Load: 0.5},
-		{Machine: "i-3", Capacity: whole, Free: Resources{Cores: 30, Accelerators: 3, MemoryGB: 250}, Load: 0.1},
+		{Machine: "i-1", Capacity: capacity, Free: Resources{Cores: 16, Accelerators: 4, MemoryGB: 128}, Load: 0.5},
+		{Machine: "i-2", Capacity: capacity, Free: Resources{Cores: 16, Accelerators: 0, MemoryGB: 128}, Load: 0.5},
+		{Machine: "i-3", Capacity: capacity, Free: Resources{Cores: 30, Accelerators: 3, MemoryGB: 250}, Load: 0.1},
 	}
 	pick := func(need Resources) string { return candidates[Pick(need, false, candidates)].Machine }
 	if got := pick(Resources{Cores: 12, MemoryGB: 20}); got != "i-2" {
@@ -66,15 +67,15 @@
 
 // BenchmarkPick picks among 2,000 machines for tasks with and without accelerators.
 func BenchmarkPick(b *testing.B) {
-	whole := Resources{Cores: 64, Accelerators: 8, MemoryGB: 512}
+	capacity := Resources{Cores: 64, Accelerators: 8, MemoryGB: 512}
 	var candidates []Candidate
 	for i := range 2000 {
 		free := Resources{Cores: float64(i % 64), Accelerators: float64(i % 9), MemoryGB: float64(i % 512)}
 		candidates = append(candidates, Candidate{
 			Machine:  fmt.Sprint("i-", i),
-			Capacity: whole,
+			Capacity: capacity,
 			Free:     free,
-			Load:     whole.Sub(free).ShareOf(whole),
+			Load:     capacity.Sub(free).ShareOf(capacity),
 		})
 	}
 	for name, need := range map[string]Resources{
--- a/internal/sharding/resources.go
+++ b/internal/sharding/resources.go
@@ -9,7 +9,8 @@
 	MemoryGB     float64
 }
 
-// roundingSlack is the tolerance for rounding errors of decimal amounts, in cores, accelerators or GB.
+// roundingSlack is the tolerance for rounding errors of decimal amounts, in cores, accelerators or
+// GB.
 const roundingSlack = 1e-6
 
 // Fits reports whether need fits into r.
@@ -42,12 +43,12 @@
 	return [3]float64{r.Cores, r.Accelerators, r.MemoryGB}
 }
 
-// ShareOf returns the largest share that r takes of any component of whole (the dominant share of a
-// task on a machine). It is above 1 if r can never fit into whole.
-func (r Resources) ShareOf(whole Resources) float64 {
+// ShareOf returns the largest share that r takes of any component of total (the dominant share of a
+// task on a machine). It is above 1 if r can never fit into total.
+func (r Resources) ShareOf(total Resources) float64 {
 	const neverFits = 2
 	share := 0.0
-	capacity := whole.components()
+	capacity := total.components()
 	for i, amount := range r.components() {
 		if amount <= 0 {
 			continue
--- a/internal/sharding/resources_test.go
+++ b/internal/sharding/resources_test.go
@@ -3,8 +3,8 @@
 import "testing"
 
 func TestShareOf(t *testing.T) {
-	whole := Resources{Cores: 10, Accelerators: 4, MemoryGB: 100}
-	if got := (Resources{Cores: 5, Accelerators: 1, MemoryGB: 10}).ShareOf(whole); got != 0.5 {
+	capacity := Resources{Cores: 10, Accelerators: 4, MemoryGB: 100}
+	if got := (Resources{Cores: 5, Accelerators: 1, MemoryGB: 10}).ShareOf(capacity); got != 0.5 {
 		t.Errorf("share %v", got)
 	}
 	if got := (Resources{Accelerators: 1}).ShareOf(Resources{Cores: 1}); got <= 1 {
