--- a/internal/members/certainty.go
+++ b/internal/members/certainty.go
@@ -1,30 +1,30 @@
 package members
 
-// CertaintyState is how certain a controller is of its place in the view. A process that
-// stalled while its clocks ran on wakes with an old lease, an old view and ages that count
-// time in which it received nothing.
+// CertaintyState is how far a controller can rely on its own place in the view. A process that was
+// paused while its clocks kept running resumes with a stale lease, a stale view and message ages
+// that include time in which it could not receive anything.
 type CertaintyState string
 
-// Certainty states of a controller, in the order in which a stall leads through them.
+// Certainty states, in the order in which a controller passes through them after a stall.
 const (
 	Certain    CertaintyState = "sure"
-	Doubtful   CertaintyState = "doubtful"    // stalled: its lease may have expired
-	LeaseKnown CertaintyState = "settled"     // the lease holds, or is known to have expired
-	CatchingUp CertaintyState = "catching up" // the mirror must reach an epoch read since
+	Doubtful   CertaintyState = "doubtful"    // after a stall: the lease may have expired
+	LeaseKnown CertaintyState = "settled"     // the lease is confirmed, or known to have expired
+	CatchingUp CertaintyState = "catching up" // the mirror must reach an epoch that was read after the stall
 )
 
-// CertaintyEvent is what changes a certainty state.
+// CertaintyEvent is an input to LeaseCertainty.Next.
 type CertaintyEvent struct {
 	Kind CertaintyEventKind
-	// Epoch is the store's epoch that was read (EpochRead), or that the watch has reached
-	// (WatchedTo); other kinds leave it 0.
+	// Epoch is the store's epoch that was read (EpochRead) or that the watch has reached
+	// (WatchedTo). It is 0 for the other kinds.
 	Epoch uint64
 }
 
 // CertaintyEventKind is the kind of a CertaintyEvent.
 type CertaintyEventKind string
 
-// Kinds of events.
+// Kinds of certainty events.
 const (
 	Stalled        CertaintyEventKind = "stood still"
 	LeaseConfirmed CertaintyEventKind = "lease settled"
@@ -32,16 +32,16 @@
 	WatchedTo      CertaintyEventKind = "followed to"
 )
 
-// LeaseCertainty is a certainty state with the epoch that it waits for.
+// LeaseCertainty is a certainty state together with the epoch that it waits for.
 type LeaseCertainty struct {
 	State CertaintyState
-	// RequiredEpoch is the epoch that the watch must reach while the state is CatchingUp.
+	// RequiredEpoch is the epoch that the watch must reach before CatchingUp becomes Certain.
 	RequiredEpoch uint64
 }
 
-// Next returns the certainty after an event. It is the only place where the state changes. An
-// event that does not follow from the present state, such as the answer to a request from before
-// the last stall, changes nothing.
+// Next returns the certainty after an event. All state transitions are made here. An event that is
+// not valid in the current state, such as a response to a request sent before the last stall,
+// changes nothing.
 func (c LeaseCertainty) Next(e CertaintyEvent) LeaseCertainty {
 	switch {
 	case e.Kind == Stalled:
--- a/internal/members/complaints.go
+++ b/internal/members/complaints.go
@@ -9,17 +9,17 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Complaints are the reports by agents that came to another member although they were sent to
-// the owner of their machine, by owner and machine.
+// Complaints records, by owner and machine, agents that contacted another member although they had
+// been redirected to the owner of their machine.
 type Complaints map[string]map[string]*complaint
 
 type complaint struct {
 	first, last time.Time
-	local       bool // the agent came to this member
+	local       bool // the agent contacted this member
 }
 
-// Add records a complaint; local tells that the agent came to this member, rather than that a
-// peer reported it.
+// Add records a complaint. local is set if the agent contacted this member, and not set if a peer
+// reported the complaint.
 func (c Complaints) Add(owner, machine string, local bool, now time.Time) {
 	if c[owner] == nil {
 		c[owner] = map[string]*complaint{}
@@ -33,8 +33,8 @@
 	entry.local = entry.local || local
 }
 
-// Local lists machines whose agents recently complained to this member, for its peers: as many
-// as one gossip line takes.
+// Local lists the machines whose agents recently complained to this member, as many as fit into one
+// gossip message to its peers.
 func (c Complaints) Local(now time.Time) []string {
 	var out []string
 	bytesLeft := tuning.MaxUnreachedBytes
@@ -53,7 +53,7 @@
 	return out
 }
 
-// listedBytes returns how many bytes a name takes in a list in JSON, with its comma.
+// listedBytes returns the size of a name as an element of a JSON list, including the comma.
 func listedBytes(name string) int {
 	text, err := json.Marshal(name)
 	if err != nil {
@@ -62,9 +62,9 @@
 	return len(text) + 1
 }
 
-// PersistentByOwner counts by owner the machines that cannot reach it. Complaints that stopped,
-// or whose machine has another owner by now, are dropped. unresponsive tells whether the owner
-// itself reports that it receives no heartbeats of a machine.
+// PersistentByOwner counts, by owner, the machines that cannot reach their owner. It drops
+// complaints that have stopped and those whose machine has another owner by now. unresponsive
+// reports whether the owner itself says that it receives no heartbeats from a machine.
 func (c Complaints) PersistentByOwner(
 	now time.Time,
 	ownerOf func(machine string) string,
@@ -85,10 +85,11 @@
 	return out
 }
 
-// persistent reports whether a machine cannot reach its owner: it has complained for long, or the
-// owner itself reports it unresponsive though its agent was sent there again. An agent waits 4 s for an
-// owner that does not answer before it complains, and once more after each complaint: where
-// leases are short, a second complaint comes too late to save its lease.
+// persistent reports whether a machine cannot reach its owner: either its agent has kept
+// complaining for long enough, or the owner still reports the machine as unresponsive after the
+// agent was redirected to it. An agent waits 4 s for an owner that does not answer before it
+// complains, and again after each complaint. Where leases are short, a second complaint would come
+// too late to save the lease.
 func (c *complaint) persistent(now time.Time, unresponsive func() bool) bool {
 	if c.last.Sub(c.first) >= tuning.UnreachableOwnerAfter {
 		return true
--- a/internal/members/complaints_test.go
+++ b/internal/members/complaints_test.go
@@ -7,13 +7,13 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-func TestComplaintsPersistUntilTheyStopOrTheOwnerChanges(t *testing.T) {
+func TestComplaintsCountUntilTheyStopOrTheOwnerChanges(t *testing.T) {
 	now := time.Unix(1000, 0)
 	complaints := Complaints{}
 	responsive := func(string, string) bool { return false }
 	ownerOf := func(machine string) string {
 		if machine == "i-3" {
-			return "c" // has passed to another owner
+			return "c" // ownership has moved
 		}
 		return "b"
 	}
@@ -27,10 +27,10 @@
 	}
 	at := now.Add(7 * time.Second)
 	if got := complaints.Local(at); len(got) != 1 || got[0] != "i-1" {
-		t.Errorf("local: %v", got)
+		t.Errorf("local complaints: %v", got)
 	}
 	if got := complaints.PersistentByOwner(at, ownerOf, responsive); len(got) != 1 || got["b"] != 1 {
-		t.Errorf("persistent: %v", got)
+		t.Errorf("persistent complaints: %v", got)
 	}
 	at = now.Add(time.Minute)
 	if got := complaints.PersistentByOwner(at, ownerOf, responsive); len(got) != 0 || len(complaints["b"]) != 0 {
@@ -38,9 +38,9 @@
 	}
 }
 
-// A machine that complained once cannot reach its owner if the owner itself, a moment after the
-// agent was sent there, still reports that it receives no heartbeats of it.
-func TestSingleComplaintPersistsIfTheOwnerReportsTheMachineUnresponsive(t *testing.T) {
+// A single complaint is enough if the owner, shortly after the agent was redirected to it, still
+// reports that it receives no heartbeats from the machine.
+func TestSingleComplaintCountsIfTheOwnerReportsTheMachineUnresponsive(t *testing.T) {
 	now := time.Unix(1000, 0)
 	complaints := Complaints{}
 	complaints.Add("b", "i-1", true, now)
@@ -49,10 +49,10 @@
 	unresponsive := func(owner, machine string) bool { return owner == "b" && machine == "i-1" }
 	at := now.Add(tuning.UnresponsiveRetryAfter / 2)
 	if got := complaints.PersistentByOwner(at, ownerOf, unresponsive); len(got) != 0 {
-		t.Errorf("on its way to the owner: %v", got)
+		t.Errorf("before the agent can have reached the owner: %v", got)
 	}
 	at = now.Add(tuning.UnresponsiveRetryAfter)
 	if got := complaints.PersistentByOwner(at, ownerOf, unresponsive); len(got) != 1 || got["b"] != 1 {
-		t.Errorf("unresponsive to its owner: %v", got)
+		t.Errorf("machine that its owner reports unresponsive: %v", got)
 	}
 }
--- a/internal/members/golden_test.go
+++ b/internal/members/golden_test.go
@@ -18,12 +18,12 @@
 	goldentest.Filled(t, full)
 	for name, v := range map[string]View{"view.json": full, "view-least.json": {Epoch: 1}} {
 		goldentest.JSON(t, name, v)
-		back, ok := Decode(goldentest.Read(t, name))
-		if !ok || !reflect.DeepEqual(*back, v) {
-			t.Errorf("%s: read %+v, %v", name, back, ok)
+		decoded, ok := Decode(goldentest.Read(t, name))
+		if !ok || !reflect.DeepEqual(*decoded, v) {
+			t.Errorf("%s: decoded %+v, %v", name, decoded, ok)
 			continue
 		}
-		b, err := json.Marshal(back)
+		b, err := json.Marshal(decoded)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/members/restart_backoff.go
+++ b/internal/members/restart_backoff.go
@@ -6,23 +6,25 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// restartHistory is what is known of one member's incarnations.
+// restartHistory tracks the incarnations of one member.
 type restartHistory struct {
-	incarnation uint64    // of its member key, 0 while there is none
-	since       time.Time // when that key was first seen
-	// restarts counts the ends in a row of incarnations that stood for less than
-	// tuning.RejoinStable; the first end counts in any case.
+	incarnation uint64    // in its member key, 0 if there is no key
+	since       time.Time // when this incarnation was first observed
+	// restarts counts consecutive incarnations that ended within tuning.RejoinStable. The first end
+	// always counts.
 	restarts int
 }
 
-// RestartBackoff is how often the members restart, as one controller sees it, by member name.
-// A process that crashes again and again would cost everybody a view each time, and every
-// machine a fencing token: it is admitted at once the first time, and after that once it has
-// stood for a pause that doubles. It is kept in memory: a controller that has just started
-// knows of no restarts, and at worst admits a member once more. Only the event loop uses it.
+// RestartBackoff delays the admission of members that restart repeatedly, as observed by one
+// controller, by member name. Each restart of a crash-looping process would otherwise cost a change
+// of the view, and a new fencing token for every machine. A member is admitted at once after its
+// first restart, and after further ones only when it has been up for a pause that doubles each
+// time. The state is kept in memory only: a controller that has just started knows of no restarts,
+// and at worst admits a member once too often. Not safe for concurrent use; only the event loop
+// uses it.
 type RestartBackoff map[string]*restartHistory
 
-// Observe records the incarnation of a member's key, 0 if the key is gone.
+// Observe records the incarnation in a member's key, 0 if the key was deleted.
 func (b RestartBackoff) Observe(name string, incarnation uint64, now time.Time) {
 	history := b[name]
 	if history == nil {
@@ -41,7 +43,7 @@
 	history.incarnation, history.since = incarnation, now
 }
 
-// Pause returns how long a member must have stood before it is admitted to the view.
+// Pause returns how long a member must have been up before it is admitted to the view.
 func (b RestartBackoff) Pause(name string) time.Duration {
 	history := b[name]
 	if history == nil || history.restarts < 2 {
--- a/internal/members/restart_backoff_test.go
+++ b/internal/members/restart_backoff_test.go
@@ -9,11 +9,11 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-func TestRestartBackoffDoublesUntilAnIncarnationStands(t *testing.T) {
+func TestRestartBackoffDoublesUntilAnIncarnationIsStable(t *testing.T) {
 	now := time.UnixMilli(1e12)
 	backoff := RestartBackoff{}
 	incarnation := uint64(0)
-	pass := func(d time.Duration) { now = now.Add(d) }
+	advance := func(d time.Duration) { now = now.Add(d) }
 	restart := func() {
 		incarnation++
 		backoff.Observe("a", incarnation, now)
@@ -22,35 +22,35 @@
 	if backoff.Blocked("a", now) {
 		t.Error("blocked at its first start")
 	}
-	// It restarts once an hour: never blocked.
+	// A restart once an hour is never blocked.
 	for range 3 {
-		pass(time.Hour)
+		advance(time.Hour)
 		restart()
 		if backoff.Blocked("a", now) {
 			t.Error("blocked after a single restart")
 		}
 	}
-	// It restarts again and again.
+	// Restarts in quick succession.
 	for i, want := range []time.Duration{tuning.RejoinPause, 2 * tuning.RejoinPause, 4 * tuning.RejoinPause} {
-		pass(300 * time.Millisecond)
+		advance(300 * time.Millisecond)
 		if i == 1 {
-			backoff.Observe("a", 0, now) // its lease expired meanwhile: the same restart
+			backoff.Observe("a", 0, now) // the lease expired in between: still a single restart
 		}
 		restart()
 		got := backoff.Pause("a")
 		if got != want || !backoff.Blocked("a", now) || backoff.Blocked("a", now.Add(want)) {
-			t.Errorf("restart %d: pause %v, not %v", i+2, got, want)
+			t.Errorf("restart %d: pause %v, want %v", i+2, got, want)
 		}
 	}
-	pass(tuning.RejoinStable)
+	advance(tuning.RejoinStable)
 	restart()
 	if backoff.Blocked("a", now) {
-		t.Error("blocked although it had stood")
+		t.Error("blocked although the previous incarnation was stable")
 	}
 }
 
-// However a process ends and restarts, it is admitted at most twice, and then once more for each
-// pause that it has stood.
+// A process that restarts at any intervals is admitted at most twice without a pause, and after
+// that once for each pause that it outlives.
 func TestRestartsCauseABoundedNumberOfViews(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start := time.UnixMilli(1e12)
@@ -67,7 +67,7 @@
 			}
 			now = now.Add(200 * time.Millisecond)
 		}
-		// Pauses of 0, 0, 1 and 2 s can be stood; 4 s are not.
+		// Incarnations can outlive pauses of 0, 0, 1 and 2 s, but not one of 4 s.
 		if limit := 4; admissions > limit {
 			t.Fatalf("admitted %d times in %v, more than %d", admissions, now.Sub(start), limit)
 		}
--- a/internal/members/view.go
+++ b/internal/members/view.go
@@ -9,20 +9,20 @@
 // Member is a live controller.
 type Member struct {
 	Name string `json:"name"`
-	// Incarnation is the id of the lease that the controller's member key hangs on: a restart
-	// has a new lease and so is a new incarnation.
+	// Incarnation is the ID of the lease that the controller's member key is attached to. A
+	// restarted controller has a new lease and thus a new incarnation.
 	Incarnation uint64 `json:"inc"`
 }
 
-// View is the value of ViewKey.
+// View is the cluster view, stored under ViewKey.
 type View struct {
 	Leader  string   `json:"leader"`
 	Members []Member `json:"members"`
-	// Epoch grows by one with each change of the view, from 1.
+	// Epoch starts at 1 and increases by one with each change of the view.
 	Epoch uint64 `json:"epoch"`
 }
 
-// Incarnation returns the incarnation of a member in the view, 0 if it is not in it.
+// Incarnation returns the incarnation of a member, 0 if the view does not contain it.
 func (v *View) Incarnation(name string) uint64 {
 	for _, m := range v.Members {
 		if m.Name == name {
@@ -32,7 +32,7 @@
 	return 0
 }
 
-// Names lists the members' names.
+// Names returns the members' names.
 func (v *View) Names() []string {
 	out := make([]string, 0, len(v.Members))
 	for _, m := range v.Members {
@@ -41,8 +41,8 @@
 	return out
 }
 
-// Removed lists the names of members that are not in the next view, or are in it as another
-// incarnation; none if there is no view yet (v is nil).
+// Removed returns the names of members that the next view does not contain, or contains with
+// another incarnation. It returns nil if there is no view yet (v is nil).
 func (v *View) Removed(next *View) []string {
 	var out []string
 	if v == nil {
@@ -59,13 +59,14 @@
 // HasMembers reports whether the view has exactly these members, in this order.
 func (v *View) HasMembers(members []Member) bool { return slices.Equal(v.Members, members) }
 
-// leaderAlive reports whether the leader still has the member key of the incarnation in the view.
+// leaderAlive reports whether the leader still has a member key with the incarnation that the view
+// lists.
 func (v *View) leaderAlive(memberKeys map[string]uint64) bool {
 	incarnation := v.Incarnation(v.Leader)
 	return incarnation != 0 && memberKeys[v.Leader] == incarnation
 }
 
-// Decode reads a stored view; false if it is none.
+// Decode decodes a stored view. It returns false if the value is not a valid view.
 func Decode(b []byte) (*View, bool) {
 	var v View
 	if json.Unmarshal(b, &v) != nil || v.Epoch == 0 {
@@ -79,12 +80,12 @@
 
 // Roles of a controller.
 const (
-	Outside  Role = "outside"  // not in the view: decides nothing
+	Outside  Role = "outside"  // not in the view; makes no decisions
 	Follower Role = "follower" // owns a shard
-	Leader   Role = "leader"   // also places tasks, scales out and in, and changes the view
+	Leader   Role = "leader"   // also schedules tasks, scales the cluster and changes the view
 )
 
-// RoleOf returns the role that the view gives an incarnation of a controller.
+// RoleOf returns the role of an incarnation of a controller in a view.
 func RoleOf(v *View, name string, incarnation uint64) Role {
 	switch {
 	case v == nil || incarnation == 0 || v.Incarnation(name) != incarnation:
@@ -95,20 +96,20 @@
 	return Follower
 }
 
-// ViewInputs is all that a change of the view is decided from.
+// ViewInputs contains everything that NextView bases its decision on.
 type ViewInputs struct {
 	Name        string
-	Incarnation uint64            // this controller's, 0 while it has none
-	View        *View             // nil while there is none
-	MemberKeys  map[string]uint64 // name to incarnation
+	Incarnation uint64            // of this controller, 0 if it has no lease
+	View        *View             // nil if there is no view yet
+	MemberKeys  map[string]uint64 // incarnation by name
 	Unreachable map[string]bool   // members that agents cannot reach
-	BackingOff  map[string]bool   // members that keep crashing and are not admitted yet
+	BackingOff  map[string]bool   // members that restart repeatedly and are not admitted yet
 }
 
-// NextView returns the view that this controller should write now, or nil. The leader writes
-// it; when the leader's member key is gone or belongs to another incarnation, or agents cannot
-// reach the leader, any live member may, and the precondition on the view's revision lets one
-// of them succeed.
+// NextView returns the view that this controller should write now, or nil. Normally the leader
+// writes it. If the leader's member key is gone or belongs to another incarnation, or if agents
+// cannot reach the leader, any live member may write it; the precondition on the view's revision
+// lets only one of them succeed.
 func NextView(in ViewInputs) *View {
 	if in.Incarnation == 0 || in.MemberKeys[in.Name] != in.Incarnation {
 		return nil
@@ -125,7 +126,7 @@
 	return &View{Leader: in.Name, Members: live, Epoch: in.View.Epoch + 1}
 }
 
-// liveMembers lists the members of the next view, by name.
+// liveMembers returns the members of the next view, sorted by name.
 func (in ViewInputs) liveMembers() []Member {
 	var live []Member
 	for name, incarnation := range in.MemberKeys {
@@ -137,8 +138,9 @@
 	return live
 }
 
-// admits reports whether restarts do not keep a member out. Who is in the view stays, and no
-// controller holds itself back: where all keep crashing, one must lead.
+// admits reports whether the restart backoff lets a member into the view. Members of the current
+// view stay, and a controller never holds itself back: if all controllers crash repeatedly, one of
+// them must still lead.
 func (in ViewInputs) admits(name string, incarnation uint64) bool {
 	if !in.BackingOff[name] || name == in.Name {
 		return true
@@ -146,8 +148,8 @@
 	return in.View != nil && in.View.Incarnation(name) == incarnation
 }
 
-// mayChangeView reports whether this controller is the one to replace the view by one of these
-// members, and there is something to change.
+// mayChangeView reports whether this controller should replace the view by one with these members,
+// and whether that would change anything.
 func (in ViewInputs) mayChangeView(live []Member) bool {
 	if !in.View.leaderAlive(in.MemberKeys) {
 		return true
--- a/internal/members/view_test.go
+++ b/internal/members/view_test.go
@@ -15,7 +15,7 @@
 	inputs ViewInputs
 	want   *View
 }{
-	"the first view": {
+	"first view": {
 		inputs: ViewInputs{Name: "a", Incarnation: 1, MemberKeys: map[string]uint64{"a": 1}},
 		want:   view("a", 1, a1),
 	},
@@ -34,7 +34,7 @@
 		},
 		want: view("a", 5, a1, Member{"b", 9}),
 	},
-	"a follower leaves the view of a live leader alone": {
+	"a follower does not change the view of a live leader": {
 		inputs: ViewInputs{Name: "b", Incarnation: 2, MemberKeys: allKeys, View: view("a", 4, a1, b2)},
 	},
 	"a follower replaces a leader without a member key": {
@@ -45,7 +45,7 @@
 		},
 		want: view("b", 5, b2, c3),
 	},
-	"a restarted leader leads on as a new incarnation": {
+	"a restarted leader stays leader as a new incarnation": {
 		inputs: ViewInputs{
 			Name: "a", Incarnation: 7,
 			MemberKeys: map[string]uint64{"a": 7, "b": 2},
@@ -60,7 +60,7 @@
 			View:       view("a", 4, a1),
 		},
 	},
-	"a controller with its former incarnation's key writes no view": {
+	"a controller whose member key has its former incarnation writes no view": {
 		inputs: ViewInputs{
 			Name: "b", Incarnation: 8,
 			MemberKeys: map[string]uint64{"b": 2},
@@ -95,7 +95,7 @@
 	},
 }
 
-func TestNextViewIsWrittenByTheLeaderOrWhenTheLeaderIsLost(t *testing.T) {
+func TestNextViewIsWrittenByTheLeaderUnlessItIsLost(t *testing.T) {
 	for name, test := range nextViewTests {
 		t.Run(name, func(t *testing.T) {
 			if got := NextView(test.inputs); !sameView(got, test.want) {
@@ -112,7 +112,7 @@
 	return a.Leader == b.Leader && a.Epoch == b.Epoch && a.HasMembers(b.Members)
 }
 
-func TestRoleOfNeedsTheIncarnationInTheView(t *testing.T) {
+func TestRoleOfRequiresTheIncarnationInTheView(t *testing.T) {
 	v := view("a", 4, Member{"a", 1}, Member{"b", 2})
 	for name, test := range map[string]struct {
 		controller  string
@@ -127,19 +127,19 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := RoleOf(v, test.controller, test.incarnation); got != test.want {
-				t.Errorf("%s %d: %s, want %s", test.controller, test.incarnation, got, test.want)
+				t.Errorf("%s, incarnation %d: %s, want %s", test.controller, test.incarnation, got, test.want)
 			}
 		})
 	}
 }
 
-func TestRemovedNamesGoneAndRestartedMembers(t *testing.T) {
+func TestRemovedReturnsMissingAndRestartedMembers(t *testing.T) {
 	old := &View{Members: []Member{{"a", 1}, {"b", 2}, {"c", 3}}}
 	got := old.Removed(&View{Members: []Member{{"a", 1}, {"b", 9}}})
 	if len(got) != 2 || got[0] != "b" || got[1] != "c" {
 		t.Errorf("removed: %v", got)
 	}
 	if (*View)(nil).Removed(old) != nil {
-		t.Error("members were removed from no view")
+		t.Error("members removed although there was no view")
 	}
 }
