--- a/internal/members/capabilities.go
+++ b/internal/members/capabilities.go
@@ -12,7 +12,7 @@
 }
 
 // AllSupportBatches reports whether every member of the view, in the incarnation that the view
-// lists, can read batch records of the given format.
+// lists, can read batch records of the given format or of a newer one.
 func (v *View) AllSupportBatches(capabilities map[string]Capabilities, batchFormat int) bool {
 	for _, m := range v.Members {
 		if c := capabilities[m.Name]; c.Incarnation != m.Incarnation || c.BatchFormat < batchFormat {
--- a/internal/members/restart_backoff_test.go
+++ b/internal/members/restart_backoff_test.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// A process that restarts at any intervals is admitted at most twice without a pause, and after
-// that once for each pause that it outlives.
+// A process that keeps restarting is admitted at most twice without a pause, and after that once
+// for each pause that one of its incarnations outlives.
 func TestRestartsCauseABoundedNumberOfViews(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start := time.UnixMilli(1e12)
--- a/internal/membership/certainty.go
+++ b/internal/membership/certainty.go
@@ -11,18 +11,18 @@
 // Certain reports whether this controller is certain of its place in the view.
 func (m *Membership) Certain() bool { return m.certainty.State == members.Certain }
 
-// Uncertain reports whether this controller must not answer agents for the controllers now. During
-// an outage of the store it goes on answering them: no other controller can have been given its
-// machines by then, or their fencing tokens show it.
+// Uncertain reports whether this controller must currently not answer agents on behalf of the
+// cluster. During an outage of the store it keeps answering them: its machines cannot have been
+// assigned to another controller in the meantime, or their fencing tokens would show it.
 func (m *Membership) Uncertain() bool { return !m.Certain() && !m.client.Unavailable() }
 
-// Stalled records a gap in which the event loop did not run, and which its lease may not have
-// outlived: this controller decides nothing, and answers for nothing, until it knows its place in
-// the view again. A leader that woke under another one would scale out and decommission machines
-// by an old state.
+// Stalled records that the event loop did not run for a while, possibly longer than the lease
+// lasts. Until this controller has verified its place in the view it makes no decisions and answers
+// for nothing. A leader that resumed after being replaced would otherwise scale out and
+// decommission machines based on stale state.
 func (m *Membership) Stalled(gap time.Duration) {
-	// A member that probes others may have been probed itself: then its lease is not all that
-	// it must not have outlived.
+	// With probes enabled, a member may have been probed and removed during a stall that is shorter
+	// than its lease.
 	if !m.config.AnswersProbes && gap < m.config.LeaseTTL-tuning.MemberRenew-tuning.Standstill/2 {
 		return
 	}
@@ -30,8 +30,8 @@
 	m.certainty = m.certainty.Next(members.CertaintyEvent{Kind: members.Stalled})
 }
 
-// RestoreCertainty reads the epoch that the mirror must reach before this controller is certain of
-// its place again, and notes whether the mirror has reached it.
+// RestoreCertainty makes progress towards certainty after a stall: it records the epoch that the
+// mirror has reached, and reads from the store the epoch that the mirror must reach.
 func (m *Membership) RestoreCertainty() {
 	m.certainty = m.certainty.Next(members.CertaintyEvent{Kind: members.WatchedTo, Epoch: m.mirror.Epoch})
 	if m.certainty.State != members.LeaseKnown || m.readingEpoch {
@@ -41,7 +41,7 @@
 	sentAt := m.state.Now
 	m.client.ReadEpoch(store.PriorityMembership, func(epoch uint64, err error) {
 		m.readingEpoch = false
-		// A request from before a later stall says nothing of it.
+		// A response to a request sent before the last stall proves nothing.
 		if err == nil && !sentAt.Before(m.resumedAt) {
 			m.certainty = m.certainty.Next(members.CertaintyEvent{Kind: members.EpochRead, Epoch: epoch})
 			m.loop.WatchNow()
--- a/internal/membership/certainty_test.go
+++ b/internal/membership/certainty_test.go
@@ -8,9 +8,9 @@
 	"github.com/harrierreel/harrierreel/internal/members"
 )
 
-// A controller that stalls twice must not take the response to a request from after the first
-// stall for one to a request from after the second.
-func TestResponseFromBeforeASecondStallRestoresNoCertainty(t *testing.T) {
+// After two stalls, a response to a request sent between them must not be taken for a response to a
+// request sent after the second one.
+func TestResponseToARequestBeforeTheLastStallRestoresNoCertainty(t *testing.T) {
 	var responses []func(int, []byte, error)
 	f := newFixture(t, func(method, target string, _ []byte, done func(int, []byte, error)) {
 		if method == "GET" && strings.HasPrefix(target, "/store/") {
@@ -28,15 +28,15 @@
 	stall()
 	stall()
 	if len(responses) != 1 || m.certainty.State != members.LeaseKnown {
-		t.Fatalf("%d requests, %s", len(responses), m.certainty.State)
+		t.Fatalf("%d requests, state %s", len(responses), m.certainty.State)
 	}
 	responses[0](404, []byte(`{"epoch":5}`), nil)
 	if m.certainty.State != members.LeaseKnown {
-		t.Fatalf("%s by a response from before", m.certainty.State)
+		t.Fatalf("state %s after a response to a request sent before the second stall", m.certainty.State)
 	}
 	m.RestoreCertainty()
 	if len(responses) != 2 {
-		t.Fatal("not requested again")
+		t.Fatal("the epoch was not requested again")
 	}
 	responses[1](404, []byte(`{"epoch":9999}`), nil)
 	if m.certainty.State != members.CatchingUp || m.certainty.RequiredEpoch != 9999 {
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -11,8 +11,8 @@
 	"github.com/harrierreel/harrierreel/internal/members"
 )
 
-// TestGoldenRequests holds what a controller sends to join, probe, answer, change the view, hand
-// the lead over and resign.
+// TestGoldenRequests compares the requests that a controller sends to join, probe, answer a probe,
+// change the view, hand over leadership and resign with the recorded ones.
 func TestGoldenRequests(t *testing.T) {
 	var sent bytes.Buffer
 	var responses []func(int, []byte, error)
@@ -22,12 +22,12 @@
 	})
 	f.client.Dispatch(f.state.Now)
 	m := f.membership
-	step := func(name string, act func(), response string) {
+	step := func(name string, action func(), response string) {
 		t.Helper()
 		fmt.Fprintf(&sent, "# %s\n", name)
 		first := len(responses)
-		act()
-		for i := first; i < len(responses); i++ { // a response may have more sent
+		action()
+		for i := first; i < len(responses); i++ { // a response may trigger further requests
 			responses[i](200, []byte(response), nil)
 		}
 	}
--- a/internal/membership/helpers_test.go
+++ b/internal/membership/helpers_test.go
@@ -17,7 +17,7 @@
 	"github.com/harrierreel/harrierreel/internal/taskbatch"
 )
 
-// fakeController is a controller whose mirror is live and that is never behind.
+// fakeController is a controller whose mirror is live and that never lags.
 type fakeController struct{ view *members.View }
 
 func (c *fakeController) View() *members.View            { return c.view }
@@ -28,7 +28,7 @@
 func (c *fakeController) Wake()                          {}
 func (c *fakeController) WatchNow()                      {}
 
-// fixture is the membership of the controller n0 with a mirror that a test writes.
+// fixture is the membership of controller n0 with a mirror that tests write to.
 type fixture struct {
 	t          *testing.T
 	state      *clusterstate.State
@@ -38,7 +38,7 @@
 	membership *Membership
 }
 
-// newFixture makes a fixture whose client sends its requests by send.
+// newFixture returns a fixture whose store client sends its requests with send.
 func newFixture(t *testing.T, send func(method, target string, body []byte, done func(int, []byte, error))) *fixture {
 	t.Helper()
 	f := &fixture{t: t, controller: &fakeController{}}
@@ -66,7 +66,7 @@
 	return f
 }
 
-// apply takes in a change of the mirror, as the controller does.
+// apply handles a change of the mirror, as the controller does.
 func (f *fixture) apply(key string, value json.RawMessage, _ uint64) {
 	prefix, name, _ := strings.Cut(key, "/")
 	switch prefix + "/" {
@@ -78,18 +78,18 @@
 		f.membership.ApplyProbe(name, value)
 	case members.ViewKey + "/":
 		f.controller.view, _ = members.Decode(value)
-	case fleet.UnresponsivePrefix: // of no concern here
+	case fleet.UnresponsivePrefix: // not used by membership
 	default:
 		f.t.Errorf("unexpected key %s", key)
 	}
 }
 
-// put writes a key into the mirror.
+// put writes a value to a key of the mirror.
 func (f *fixture) put(key string, value any, revision uint64) {
 	f.mirror.Put(key, jobs.Encode(value), revision)
 }
 
-// putMember writes what a member of some incarnation keeps in the store into the mirror.
+// putMember writes the keys of a member in the given incarnation to the mirror.
 func (f *fixture) putMember(name string, incarnation, revision uint64) {
 	f.put(members.MemberPrefix+name, incarnation, revision)
 	f.put(members.CapabilitiesPrefix+name, members.Capabilities{
@@ -99,8 +99,8 @@
 	}, revision)
 }
 
-// pass has time pass and the membership reconciled, with a lease that needs no renewal.
-func (f *fixture) pass(d time.Duration) {
+// advance moves the clock and reconciles the membership, with a lease that needs no renewal.
+func (f *fixture) advance(d time.Duration) {
 	f.state.Now = f.state.Now.Add(d)
 	f.client.Dispatch(f.state.Now)
 	f.membership.renewedAt = f.state.Now
--- a/internal/membership/lease.go
+++ b/internal/membership/lease.go
@@ -11,10 +11,10 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// LeaseID returns the id of its lease, 0 for none.
+// LeaseID returns the ID of this controller's lease, 0 if it has none.
 func (m *Membership) LeaseID() uint64 { return m.leaseID }
 
-// reconcileLease requests a lease while there is none, and renews it in time.
+// reconcileLease requests a lease if there is none, and renews it when due.
 func (m *Membership) reconcileLease() {
 	switch {
 	case m.granting, m.resigned:
@@ -57,8 +57,8 @@
 	})
 }
 
-// leaseConfirmed records that the lease holds, by the response to a request of that time. The
-// response to a request from before the last stall proves nothing.
+// leaseConfirmed records that the lease was valid, by the response to a request sent at sentAt. A
+// response to a request sent before the last stall proves nothing.
 func (m *Membership) leaseConfirmed(sentAt time.Time) {
 	if sentAt.Before(m.resumedAt) {
 		return
@@ -67,7 +67,7 @@
 	m.RestoreCertainty()
 }
 
-// writeMemberKey writes this controller's member key, and what it can read, under its lease.
+// writeMemberKey writes this controller's member key and capabilities, attached to its lease.
 func (m *Membership) writeMemberKey() {
 	if m.writingMemberKey || m.resigned {
 		return
@@ -94,7 +94,7 @@
 	m.client.Commit(store.PriorityMembership, store.Txn{Writes: writes}, func(epoch uint64, _ []string, err error) {
 		m.writingMemberKey = false
 		if errors.Is(err, store.ErrRefused) && m.leaseID == leaseID {
-			m.leaseID = 0 // no such lease
+			m.leaseID = 0 // the store does not know the lease
 		}
 		if err == nil {
 			m.mirror.ApplyCommit(writes, epoch)
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,7 +1,8 @@
-// Package membership is how a controller joins the others, renews its lease and votes on the view
-// (package members decides on it), how it becomes certain of its place again after a stall, and
-// how it carries out what its readiness to lead asks for (package standby). Requests to the store
-// go out through the client; the package itself has no IO and no clock.
+// Package membership runs the cluster membership of one controller: it obtains and renews the
+// lease, writes the view when it is its turn (package members contains the rules), restores
+// certainty after a stall, and carries out the actions that the standby state machine requests
+// (package standby). Requests to the store go through the client; the package itself does no I/O
+// and reads no clock.
 package membership
 
 import (
@@ -16,47 +17,49 @@
 	"github.com/harrierreel/harrierreel/internal/taskbatch"
 )
 
-// Config is what does not change while the controller runs.
+// Config is the configuration of a Membership.
 type Config struct {
-	// Name is this controller's name, and that of its member key.
+	// Name is the name of this controller and of its member key.
 	Name     string
 	LeaseTTL time.Duration
-	// MaxTxnWrites is the store's limit of writes in a transaction.
+	// MaxTxnWrites is the store's limit on writes per transaction.
 	MaxTxnWrites int
-	// AnswersProbes has this controller probe members whose connection ended, and answer probes.
+	// AnswersProbes makes this controller answer liveness probes, and probe members whose
+	// connection ended.
 	AnswersProbes bool
-	// Zones are the controllers' zones by name.
+	// Zones contains the controllers' zones by name.
 	Zones map[string]string
 	Log   *slog.Logger
 }
 
-// ClusterView is what the controller knows of the others.
+// ClusterView provides what the controller knows about the cluster.
 type ClusterView interface {
-	// View returns the newest view that is known, nil while there is none.
+	// View returns the newest known view, nil if there is none yet.
 	View() *members.View
-	// MirrorLive reports whether the mirror follows the store.
+	// MirrorLive reports whether the mirror is following the store.
 	MirrorLive() bool
-	// Unreachable returns the members that agents cannot reach, in a map that is the caller's.
+	// Unreachable returns the members that agents cannot reach. The caller may modify the map.
 	Unreachable() map[string]bool
 }
 
-// LeaderFitness is how fit the controller is to lead.
+// LeaderFitness tells how fit the controller is to lead.
 type LeaderFitness interface {
-	// Lag returns how far the controller is behind, with its loop or with its watch.
+	// Lag returns how far the event loop or the watch is behind, whichever is worse.
 	Lag() time.Duration
-	// PendingChecks lists what it has still to check as a leader, none if it does not lead.
+	// PendingChecks returns the checks that a new leader has yet to complete, none if this
+	// controller does not lead.
 	PendingChecks() []standby.Check
 }
 
 // LoopWaker wakes the controller's event loop.
 type LoopWaker interface {
-	// Wake has the loop look for decisions to take.
+	// Wake makes the event loop run its decisions again.
 	Wake()
-	// WatchNow has the loop open the watch of the store.
+	// WatchNow makes the event loop open the watch of the store without delay.
 	WatchNow()
 }
 
-// Collaborators are those that membership relies on.
+// Collaborators are the dependencies of a Membership.
 type Collaborators struct {
 	Client  *store.Client
 	Mirror  *store.Mirror
@@ -65,43 +68,43 @@
 	Loop    LoopWaker
 }
 
-// Membership is one controller's lease, its vote on the view and its readiness to lead. Only the
-// event loop calls it.
+// Membership manages the lease, the view changes and the standby state of one controller. Not safe
+// for concurrent use; only the event loop calls it.
 type Membership struct {
 	config  Config
-	state   *clusterstate.State // tells the time, and whether there are batch records
+	state   *clusterstate.State // for the current time and the batch records
 	client  *store.Client
 	mirror  *store.Mirror
 	cluster ClusterView
 	fitness LeaderFitness
 	loop    LoopWaker
 
-	memberKeys   map[string]uint64 // name to incarnation
+	memberKeys   map[string]uint64 // incarnation by name
 	backoff      members.RestartBackoff
 	capabilities map[string]members.Capabilities
 
-	leaseID          uint64 // which is its incarnation; 0 for none
+	leaseID          uint64 // also the incarnation; 0 for none
 	renewedAt        time.Time
-	granting         bool // a lease was requested
+	granting         bool // a lease request is in flight
 	writingMemberKey bool
 
 	certainty    members.LeaseCertainty // of its place in the view
-	resumedAt    time.Time              // after its last stall
-	readingEpoch bool                   // the epoch that makes it certain
+	resumedAt    time.Time              // end of the last stall
+	readingEpoch bool                   // the epoch that the mirror must reach is being read
 
 	changingView bool
-	resigning    bool // its resignation was sent
+	resigning    bool // the resignation was sent
 	resigned     bool
 
 	standby          *standby.Standby
-	probes           map[string]standby.Probe // that stand in the store, by the probed member
+	probes           map[string]standby.Probe // standing probes in the store, by the probed member
 	probing          bool
 	answeringProbe   bool
-	probeEpoch       uint64   // of the store, when this controller last wrote probes
-	unansweredProbes []string // members that are to be removed from the view
+	probeEpoch       uint64   // epoch of the store at which this controller last wrote probes
+	unansweredProbes []string // members to remove from the view
 }
 
-// New makes the membership of a controller that has not joined.
+// New returns the membership of a controller that has not joined yet.
 func New(state *clusterstate.State, config Config, with Collaborators) *Membership {
 	return &Membership{
 		config:       config,
@@ -120,7 +123,7 @@
 	}
 }
 
-// ApplyMember takes in a member's key, nil for one that is gone.
+// ApplyMember applies a change of a member key; value is nil if the key was deleted.
 func (m *Membership) ApplyMember(name string, value json.RawMessage) {
 	defer func() { m.backoff.Observe(name, m.memberKeys[name], m.state.Now) }()
 	var incarnation uint64
@@ -129,15 +132,16 @@
 		return
 	}
 	if name == m.config.Name && m.leaseID != 0 && m.memberKeys[name] == m.leaseID && !m.resigning {
-		// Its lease expired, or it was probed and did not answer in time: either way it comes
-		// back as a new incarnation.
+		// This controller's lease expired, or it did not answer a probe in time. Either way it
+		// rejoins as a new incarnation.
 		m.config.Log.Info("membership lost", "lease_id", m.leaseID)
 		m.leaseID = 0
 	}
 	delete(m.memberKeys, name)
 }
 
-// ApplyCapabilities takes in what a member can read, nil for a key that is gone.
+// ApplyCapabilities applies a change of a member's capabilities; value is nil if the key was
+// deleted.
 func (m *Membership) ApplyCapabilities(name string, value json.RawMessage) {
 	var capabilities members.Capabilities
 	if value == nil || json.Unmarshal(value, &capabilities) != nil {
@@ -147,18 +151,18 @@
 	}
 }
 
-// Incarnation returns the incarnation in a member's key, 0 if it has none.
+// Incarnation returns the incarnation in a member's key, 0 if it has no key.
 func (m *Membership) Incarnation(name string) uint64 { return m.memberKeys[name] }
 
-// AllSupportBatches reports whether all members of the view read batch records; false while there
-// is no view.
+// AllSupportBatches reports whether all members of the view can read batch records. It returns
+// false if there is no view.
 func (m *Membership) AllSupportBatches() bool {
 	view := m.cluster.View()
 	return view != nil && view.AllSupportBatches(m.capabilities, taskbatch.FormatVersion)
 }
 
-// Reconcile keeps the lease and the member key, carries out what the readiness to lead asks for
-// and, where it is this controller's turn, changes the view.
+// Reconcile maintains the lease and the member key, carries out the actions of the standby state
+// machine, and changes the view when it is this controller's turn.
 func (m *Membership) Reconcile() {
 	m.reconcileLease()
 	m.RestoreCertainty()
@@ -175,7 +179,7 @@
 	m.changeView()
 }
 
-// precondition is that a key is as the mirror has it.
+// precondition returns the precondition that a key still has the revision in the mirror.
 func (m *Membership) precondition(key string) store.Precondition {
 	return store.Precondition{Key: key, Revision: m.mirror.Revision(key)}
 }
--- a/internal/membership/probes.go
+++ b/internal/membership/probes.go
@@ -19,10 +19,10 @@
 	}
 }
 
-// PeerAlive records that a peer's gossip arrived.
+// PeerAlive records that gossip of a peer was received.
 func (m *Membership) PeerAlive(name string) { m.standby.PeerAlive(name) }
 
-// ApplyProbe takes in the probe of a member, nil for one that is gone.
+// ApplyProbe applies a change of the probe of a member; value is nil if the probe was deleted.
 func (m *Membership) ApplyProbe(name string, value json.RawMessage) {
 	if probe, ok := standby.DecodeProbe(value); ok {
 		m.probes[name] = probe
@@ -34,15 +34,16 @@
 	m.loop.Wake()
 }
 
-// Standby returns the state of its readiness to lead, and how many probes were answered so far.
+// Standby returns the standby state and the number of probes that have been answered so far.
 func (m *Membership) Standby() (state standby.State, falseAlarms int) {
 	return m.standby.State, m.standby.FalseAlarms
 }
 
-// SuccessionOrder returns its place among those that are to succeed the leader, -1 if it has none.
+// SuccessionOrder returns the position of this controller in the order of succession, -1 if it has
+// none.
 func (m *Membership) SuccessionOrder() int { return m.standby.SuccessionOrder }
 
-// evaluateStandby evaluates the readiness to lead and carries out the actions.
+// evaluateStandby advances the standby state machine and carries out its actions.
 func (m *Membership) evaluateStandby() {
 	m.unansweredProbes = nil
 	since := m.standby.Since
@@ -70,7 +71,7 @@
 	}
 }
 
-// clusterStatus returns what the readiness to lead is evaluated from.
+// clusterStatus returns the input of the standby state machine.
 func (m *Membership) clusterStatus() standby.ClusterStatus {
 	status := standby.ClusterStatus{
 		Now:              m.state.Now,
@@ -100,8 +101,8 @@
 	return status
 }
 
-// probe writes probes of members. What they are based on is in the preconditions: the view, this
-// controller's member key, and the member keys of those that are probed.
+// probe writes probes of members. The transaction's preconditions cover what the decision is based
+// on: the view, the member key of this controller, and the member keys of the probed members.
 func (m *Membership) probe(names []string, timeout time.Duration) {
 	if m.probing {
 		return
@@ -138,7 +139,7 @@
 	})
 }
 
-// answerProbe removes the probe of this controller.
+// answerProbe deletes the probe of this controller.
 func (m *Membership) answerProbe() {
 	if m.answeringProbe {
 		return
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -12,11 +12,11 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// removalWrites is how many writes it takes to remove a member from the view: its member key, its
-// capabilities, its probe and its first list of unresponsive machines.
+// removalWrites is the number of writes needed to remove a member from the view: its member key,
+// its capabilities, its probe and its first list of unresponsive machines.
 const removalWrites = 4
 
-// maxRemovals returns how many members one change of the view can remove.
+// maxRemovals returns how many members a single change of the view can remove.
 func (m *Membership) maxRemovals() int { return max(1, (m.config.MaxTxnWrites-1)/removalWrites) }
 
 // nextView returns the view that this controller should write now, or nil.
@@ -39,8 +39,9 @@
 	})
 }
 
-// candidates returns the member keys without those of controllers that cannot read what is stored:
-// in the view they would take tasks in batch records for tasks that nobody knows.
+// candidates returns the member keys of the controllers that can read all stored records. A
+// controller in the view that could not read batch records would treat the tasks in them as
+// unknown.
 func (m *Membership) candidates() map[string]uint64 {
 	if len(m.state.Batches) == 0 {
 		return m.memberKeys
@@ -55,7 +56,7 @@
 	return out
 }
 
-// changeView writes the next view, if there is something to change and it is this controller's turn.
+// changeView writes the next view if there is one and it is this controller's turn.
 func (m *Membership) changeView() {
 	if m.changingView {
 		return
@@ -73,8 +74,8 @@
 	})
 }
 
-// viewTxn returns the transaction that changes the view and removes the members whose probes are
-// unanswered.
+// viewTxn returns the transaction that changes the view and removes the members that left their
+// probes unanswered.
 func (m *Membership) viewTxn(next *members.View, unanswered []string) store.Txn {
 	t := store.Txn{
 		Preconditions: []store.Precondition{
@@ -94,8 +95,8 @@
 	return t
 }
 
-// commitView commits a change of the view; only one is under way at a time. succeeded is called
-// before the mirror has the change.
+// commitView commits a change of the view. Only one change may be in flight. succeeded is called
+// before the change is applied to the mirror.
 func (m *Membership) commitView(t store.Txn, succeeded func()) {
 	m.changingView = true
 	m.client.Commit(store.PriorityMembership, t, func(epoch uint64, _ []string, err error) {
@@ -108,9 +109,9 @@
 	})
 }
 
-// addRemoval adds to a change of the view the removal of a member that did not answer: it holds
-// only if the probe still stands as it was read, and takes the member key away, so that the member
-// comes back as a new incarnation or not at all.
+// addRemoval adds the removal of a member that did not answer its probe to a change of the view.
+// The transaction succeeds only if the probe is unchanged, and it deletes the member key, so that
+// the member can only come back as a new incarnation.
 func (m *Membership) addRemoval(t store.Txn, name string) store.Txn {
 	probeKey := standby.ProbePrefix + name
 	memberKey := members.MemberPrefix + name
@@ -120,11 +121,11 @@
 	return t
 }
 
-// appendUnresponsiveRemovals adds to a transaction's writes those that take the lists of
-// unresponsive machines of members away that leave the view. When a member comes back its machines
-// have been heard by others meanwhile: by the old list hundreds of them were deleted at once
-// (docs/incidents/ushanga-ops-ops-1.md). The first lists of all members come first; the further ones
-// follow as far as there is room. Without the first they count for nothing
+// appendUnresponsiveRemovals adds writes that delete the lists of unresponsive machines of members
+// that leave the view. By the time a member comes back, other controllers have received heartbeats
+// from its machines; acting on the old list once deleted hundreds of them at once
+// (docs/incidents/ushanga-ops-ops-1.md). The first lists of all members come first, followed by as
+// many further lists as fit. Further lists have no effect without the first
 // (fleet.UnresponsiveLists), and the member clears them itself when it comes back.
 func (m *Membership) appendUnresponsiveRemovals(writes []store.Write, names []string) []store.Write {
 	for _, name := range names {
@@ -138,8 +139,8 @@
 	return writes
 }
 
-// appendUnresponsiveRemoval adds the write that takes one of a member's lists of unresponsive
-// machines away, if there is such a list.
+// appendUnresponsiveRemoval adds the write that deletes one of a member's lists of unresponsive
+// machines, if the list exists.
 func (m *Membership) appendUnresponsiveRemoval(writes []store.Write, name string, number int) []store.Write {
 	if key := fleet.UnresponsiveKey(name, number); m.mirror.Revision(key) != 0 {
 		writes = append(writes, decide.Remove(key))
@@ -147,7 +148,7 @@
 	return writes
 }
 
-// handOver hands the lead to another member.
+// handOver transfers leadership to another member.
 func (m *Membership) handOver(leader string) {
 	if m.changingView {
 		return
@@ -167,10 +168,11 @@
 	})
 }
 
-// Resign has this controller give up its place in the view, in the next calls of Reconcile.
+// Resign makes this controller leave the view in subsequent calls of Reconcile.
 func (m *Membership) Resign() { m.standby.Resign() }
 
-// resignTo gives up this controller's place, and the lead with it if it leads.
+// resignTo removes this controller from the membership. If it leads, it also makes the given member
+// the leader.
 func (m *Membership) resignTo(leader string) {
 	if m.changingView || m.resigned {
 		return
@@ -198,7 +200,7 @@
 	})
 }
 
-// viewWithoutSelf returns the view that follows this controller's resignation.
+// viewWithoutSelf returns the next view, without this controller and led by the given member.
 func (m *Membership) viewWithoutSelf(view *members.View, leader string) *members.View {
 	next := &members.View{Leader: leader, Epoch: view.Epoch + 1}
 	for _, member := range view.Members {
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -16,9 +16,10 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Batch records are begun only while all members declare, for their present incarnation, that they
-// read them; once there are any, a controller that does not is no candidate.
-func TestBatchesNeedTheCapabilityOfEveryPresentIncarnation(t *testing.T) {
+// Batch records may be written only once all members have declared, for their current incarnation,
+// that they can read them. Once there are batch records, a controller that cannot read them is not
+// a candidate for the view.
+func TestBatchesRequireTheCapabilityOfEveryCurrentIncarnation(t *testing.T) {
 	f := newFixture(t, func(string, string, []byte, func(int, []byte, error)) {})
 	m := f.membership
 	f.controller.view = &members.View{
@@ -31,15 +32,15 @@
 	}
 	m.ApplyCapabilities("n0", json.RawMessage(`{"inc":10,"pack":1}`))
 	if m.AllSupportBatches() || len(m.candidates()) != 2 {
-		t.Error("n1 has not declared what it reads; there are no batch records")
+		t.Error("before n1 declares capabilities, batch records must be unsupported and both controllers candidates")
 	}
 	m.ApplyCapabilities("n1", json.RawMessage(`{"inc":9,"pack":1}`))
 	if m.AllSupportBatches() {
-		t.Error("that was n1's last incarnation")
+		t.Error("batch records are supported by the capabilities of n1's previous incarnation")
 	}
 	m.ApplyCapabilities("n1", json.RawMessage(`{"inc":11,"pack":2}`))
 	if !m.AllSupportBatches() {
-		t.Error("all have declared that they read them")
+		t.Error("batch records are unsupported although all members can read them")
 	}
 	placed := jobs.Task{State: jobs.Placed, Machine: "i-1", Attempt: 1}
 	batch := taskbatch.Encode([]taskbatch.Entry{{JobID: "wk-1", Index: 0, Task: placed}})
@@ -47,15 +48,16 @@
 	m.ApplyCapabilities("n1", nil)
 	m.ApplyMember("n2", json.RawMessage("12"))
 	if got := m.candidates(); len(got) != 1 || got["n0"] != 10 {
-		t.Errorf("%v with a batch record in the store", got)
+		t.Errorf("candidates with a batch record in the store: %v", got)
 	}
 	f.controller.view = nil
 	if m.AllSupportBatches() {
-		t.Error("without a view")
+		t.Error("batch records are supported without a view")
 	}
 }
 
-// removalFixture is a fixture that records transactions, in a view of n0, n1 and n2 led by n0.
+// removalFixture is a fixture that records transactions. Its view contains n0, n1 and n2 and is led
+// by n0.
 type removalFixture struct {
 	*fixture
 	sent      []store.Txn
@@ -74,7 +76,7 @@
 			done(200, []byte(`{"hold":10}`), nil)
 		}
 	})
-	r.pass(0)
+	r.advance(0)
 	view := members.View{Leader: "n0", Epoch: 3}
 	for i, name := range []string{"n0", "n1", "n2"} {
 		r.putMember(name, uint64(10+i), uint64(101+i))
@@ -85,7 +87,7 @@
 	return r
 }
 
-// wantSent fails the test unless so many transactions were sent.
+// wantSent fails the test unless count transactions have been sent.
 func (r *removalFixture) wantSent(count int, reason string) {
 	r.t.Helper()
 	if len(r.sent) != count {
@@ -93,12 +95,12 @@
 	}
 }
 
-// removeN1 has n1 leave its probe unanswered, and returns the transaction that removes it.
+// removeN1 makes n1 leave its probe unanswered and returns the transaction that removes it.
 func (r *removalFixture) removeN1() store.Txn {
 	r.t.Helper()
 	r.membership.PeerDisconnected("n1")
-	r.pass(time.Second)
-	r.wantSent(1, "its connection ended")
+	r.advance(time.Second)
+	r.wantSent(1, "the connection to n1 ended")
 	probe := r.sent[0]
 	if probe.Writes[0].Put != "call/n1" ||
 		!slices.Contains(probe.Preconditions, store.Precondition{Key: "call/n1"}) ||
@@ -106,22 +108,22 @@
 		r.t.Fatalf("%+v", probe)
 	}
 	r.responses[0](200, []byte(`{"epoch":110}`), nil)
-	r.pass(tuning.ProbeTimeout / 2)
+	r.advance(tuning.ProbeTimeout / 2)
 	r.wantSent(1, "removed too early")
-	r.pass(tuning.ProbeTimeout)
-	r.wantSent(1, "removed by one whose watch has not reached the probe")
+	r.advance(tuning.ProbeTimeout)
+	r.wantSent(1, "removed before the watch of the prober reached the probe")
 	r.mirror.ApplyEvents(110, nil)
-	r.pass(0)
+	r.advance(0)
 	r.wantSent(2, "the probe is unanswered")
 	return r.sent[1]
 }
 
-// The change of view that removes a member holds only if its probe still stands as it was read, and
-// takes its member key away.
-func TestUnansweredProbeRemovesTheMemberOnPreconditions(t *testing.T) {
+// The change of the view that removes a member has the unchanged probe as a precondition and
+// deletes the member key.
+func TestUnansweredProbeRemovesTheMemberUnderPreconditions(t *testing.T) {
 	r := newRemovalFixture(t)
-	// What n1 reported unresponsive goes with its place: the first list, and as many more as one
-	// transaction takes.
+	// The lists of unresponsive machines of n1 are deleted with it: the first one, and as many more
+	// as fit into one transaction.
 	for number := range 20 {
 		r.put(fleet.UnresponsiveKey("n1", number+1), []string{"i-1"}, 104)
 	}
@@ -135,7 +137,7 @@
 		}
 	}
 	if !removed["quiet/n1"] || lists != 12 || len(removal.Writes) != 16 {
-		t.Errorf("%d lists of n1 are taken away, in %d writes", lists, len(removal.Writes))
+		t.Errorf("%d lists of n1 are deleted, in %d writes", lists, len(removal.Writes))
 	}
 	for _, precondition := range []store.Precondition{
 		{Key: "view", Revision: 104},
@@ -144,7 +146,7 @@
 		{Key: "member/n1", Revision: 102},
 	} {
 		if !slices.Contains(removal.Preconditions, precondition) {
-			t.Errorf("the change of view lacks the precondition %+v", precondition)
+			t.Errorf("the change of the view lacks the precondition %+v", precondition)
 		}
 	}
 	if !removed["call/n1"] || !removed["member/n1"] || !removed["form/n1"] {
@@ -152,12 +154,12 @@
 	}
 }
 
-// A controller that is probed answers; one that is removed comes back as another incarnation.
-func TestProbedControllerAnswersAndReturnsAsAnotherIncarnation(t *testing.T) {
+// A controller that is probed answers. One that is removed comes back as a new incarnation.
+func TestProbedControllerAnswersAndReturnsAsANewIncarnation(t *testing.T) {
 	r := newRemovalFixture(t)
 	r.removeN1()
 	r.put("call/n0", standby.Probe{Incarnation: 10, By: "n2", WaitMs: 500}, 120)
-	r.pass(100 * time.Millisecond)
+	r.advance(100 * time.Millisecond)
 	answer := r.sent[len(r.sent)-1]
 	if len(answer.Writes) != 1 || answer.Writes[0].Remove != "call/n0" ||
 		answer.Preconditions[0] != (store.Precondition{Key: "call/n0", Revision: 120}) {
@@ -165,6 +167,6 @@
 	}
 	r.mirror.Remove("member/n0", 130)
 	if r.membership.LeaseID() == 10 {
-		t.Error("it would come back as the same incarnation")
+		t.Error("the removed controller kept its incarnation")
 	}
 }
