--- a/internal/membership/lease.go
+++ b/internal/membership/lease.go
@@ -17,7 +17,7 @@
 // reconcileLease requests a lease if there is none, and renews it when due.
 func (m *Membership) reconcileLease() {
 	switch {
-	case m.granting, m.resigned:
+	case m.requestingLease, m.resigned:
 	case m.leaseID == 0:
 		m.grantLease()
 	case m.state.Now.Sub(m.renewedAt) >= tuning.MemberRenew:
@@ -26,11 +26,11 @@
 }
 
 func (m *Membership) grantLease() {
-	m.granting = true
+	m.requestingLease = true
 	m.renewedAt = m.state.Now
 	sentAt := m.state.Now
 	m.client.GrantLease(m.config.LeaseTTL, func(leaseID uint64, err error) {
-		m.granting = false
+		m.requestingLease = false
 		if err == nil {
 			m.leaseID = leaseID
 			m.leaseConfirmed(sentAt)
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -83,21 +83,21 @@
 	backoff      members.RestartBackoff
 	capabilities map[string]members.Capabilities
 
-	leaseID          uint64 // also the incarnation; 0 for none
-	renewedAt        time.Time
-	granting         bool // a lease request is in flight
+	leaseID          uint64    // also the incarnation; 0 for none
+	renewedAt        time.Time // when the last request for the lease or its renewal was sent
+	requestingLease  bool
 	writingMemberKey bool
 
-	certainty    members.LeaseCertainty // of its place in the view
+	certainty    members.LeaseCertainty // of the place in the view
 	resumedAt    time.Time              // end of the last stall
-	readingEpoch bool                   // the epoch that the mirror must reach is being read
+	readingEpoch bool                   // the read of the epoch to catch up with is in flight
 
 	changingView bool
 	resigning    bool // the resignation was sent
 	resigned     bool
 
 	standby          *standby.Standby
-	probes           map[string]standby.Probe // standing probes in the store, by the probed member
+	probes           map[string]standby.Probe // unanswered probes in the store, by the probed member
 	probing          bool
 	answeringProbe   bool
 	probeEpoch       uint64   // epoch of the store at which this controller last wrote probes
@@ -105,15 +105,15 @@
 }
 
 // New returns the membership of a controller that has not joined yet.
-func New(state *clusterstate.State, config Config, with Collaborators) *Membership {
+func New(state *clusterstate.State, config Config, collaborators Collaborators) *Membership {
 	return &Membership{
 		config:       config,
 		state:        state,
-		client:       with.Client,
-		mirror:       with.Mirror,
-		cluster:      with.Cluster,
-		fitness:      with.Fitness,
-		loop:         with.Loop,
+		client:       collaborators.Client,
+		mirror:       collaborators.Mirror,
+		cluster:      collaborators.Cluster,
+		fitness:      collaborators.Fitness,
+		loop:         collaborators.Loop,
 		memberKeys:   map[string]uint64{},
 		backoff:      members.RestartBackoff{},
 		capabilities: map[string]members.Capabilities{},
--- a/internal/standby/checks.go
+++ b/internal/standby/checks.go
@@ -5,50 +5,56 @@
 	"time"
 )
 
-// Check is one thing that a new leader must know before it decides. A check that held once stays done for
-// the leader's epoch. What may change later is asked again where it matters: the loop decides nothing
-// while the controller is not certain of its place in the view or its watch is behind the view
-// (Controller.reconcile), and nothing is committed while the fence is raised (Committer.Fencing).
+// Check is a condition that must be verified before a new leader makes decisions. Once a check has
+// passed it stays passed for the leader's epoch. Conditions that may change later are verified
+// again where they matter: the loop makes no decisions while the controller is uncertain of its
+// place in the view or its watch is behind the view (Controller.reconcile), and nothing is
+// committed while the fence is raised (Committer.Fencing).
 type Check string
 
-// The checks, in the order in which they are usually done.
+// The checks, in the order in which they usually pass.
 const (
-	// InViewCertain: its lease is the one that the view names it by, and it is certain of it.
+	// InViewCertain: the view lists the controller with its current lease, and the controller is
+	// certain of that.
 	InViewCertain Check = "place in the view"
-	// WatchReachedView: the watch has reached the view's own change. What the former leader
-	// committed came before that; what it sends later fails by the view's revision.
+	// WatchReachedView: the watch has reached the change of the view. Everything that the former
+	// leader committed came before that change; whatever it sends later fails its precondition on
+	// the view's revision.
 	WatchReachedView Check = "watch has reached the view"
-	// TransactionsFenced: no transaction of its own is without an answer.
+	// TransactionsFenced: none of the controller's own transactions has an unknown outcome.
 	TransactionsFenced Check = "own transactions settled"
-	// QuotasSettled: the tree of quotas that decisions have as a precondition is known.
+	// QuotasSettled: the quota tree that decisions have as a precondition is known.
 	QuotasSettled Check = "quotas settled"
-	// MachineTypesKnown: the catalogue of machine types is known, with today's prices.
+	// MachineTypesKnown: the catalogue of machine types is known, with current prices.
 	MachineTypesKnown Check = "machine types known"
-	// CloudListed: a listing of the cloud's machines was begun after it became leader, or shortly before
-	// by a successor that follows the cloud (standby { follow_cloud }).
+	// CloudListed: a listing of the cloud's machines has been completed that was begun after the
+	// controller became leader, or shortly before if it followed the cloud as a standby (standby {
+	// follow_cloud }).
 	CloudListed Check = "cloud's list read"
-	// FormerScaleOutsCounted: machines that the former leader scaled out and that the listing may still lack are
-	// counted, by the summary, until the listing must have them. A new leader's provisioner starts from the
-	// summary, so this holds from the first; it stands here to name what scaling out rests on.
+	// FormerScaleOutsCounted: machines that the former leader requested and that the listing may
+	// not contain yet are counted from the summary until the listing must contain them. The
+	// provisioner of a new leader starts from the summary, so this check passes immediately; it is
+	// listed to make explicit what scaling out depends on.
 	FormerScaleOutsCounted Check = "former rents listed or counted"
 )
 
-// Duty is what a leader does with what it knows.
+// Duty is a kind of decision that only a leader makes.
 type Duty string
 
 // Duties of a leader.
 const (
-	// Schedule is to assign and place waiting tasks, and to preempt for them.
+	// Schedule assigns and places waiting tasks, and preempts other tasks for them.
 	Schedule Duty = "release"
-	// ScaleOut is to scale out, and to plan.
+	// ScaleOut plans capacity and scales out.
 	ScaleOut Duty = "rent"
-	// Decommission is to delete machines. All other work of a leader waits for what it needs, too: ending
-	// jobs, evictions for quota, moving replicas, machine claims.
+	// Decommission deletes machines. The remaining work of a leader has the same required checks:
+	// ending jobs, evictions for quota, moving replicas, machine claims.
 	Decommission Duty = "delete"
 )
 
-// requiredChecks are those that must be done before each duty. Until CloudListed, a leader scales
-// out nothing; for ten steps after, only to current demand (docs/design.md).
+// requiredChecks lists the checks that must have passed before each duty. Until CloudListed has
+// passed, a leader does not scale out; for ten steps after that it scales out to current demand
+// only (docs/design.md).
 var requiredChecks = map[Duty][]Check{
 	Schedule: {
 		InViewCertain,
@@ -72,7 +78,7 @@
 	},
 }
 
-// allChecks lists the checks.
+// allChecks returns all checks in their usual order.
 func allChecks() []Check {
 	return []Check{
 		InViewCertain,
@@ -85,24 +91,25 @@
 	}
 }
 
-// Checks is what a leader has checked under one epoch. None is skipped: a duty that is asked for
-// before its checks are done waits. The zero value permits no duty.
+// Checks records which checks a leader has passed in one epoch. No check is skipped: a duty waits
+// until all of its required checks have passed. The zero value permits no duty.
 type Checks struct {
 	Epoch uint64 // of the view
 	since time.Time
-	done  map[Check]time.Duration // how long after since
+	done  map[Check]time.Duration // time from since until the check passed
 }
 
-// Begin starts the checks of a new leader; under the same epoch it changes nothing.
+// Begin starts the checks of a new leader. If they were already begun for the epoch, it does
+// nothing.
 func (c *Checks) Begin(epoch uint64, now time.Time) {
 	if c.Epoch != epoch || c.done == nil {
 		*c = Checks{Epoch: epoch, since: now, done: map[Check]time.Duration{}}
 	}
 }
 
-// Record takes in whether a check holds now. It returns whether it is done for the first time,
-// and how long after Begin that was. What held once under an epoch stays checked: later every
-// decision is fenced by itself.
+// Record records whether a check holds now. It returns whether the check has just passed for the
+// first time and, if it has passed, how long after Begin. A check stays passed for the epoch,
+// because every later decision is fenced individually.
 func (c *Checks) Record(check Check, holds bool, now time.Time) (first bool, after time.Duration) {
 	if c.done == nil {
 		return false, 0
@@ -115,15 +122,15 @@
 	return true, c.done[check]
 }
 
-// Pending lists the checks that have still to be done.
+// Pending returns the checks that have not passed yet.
 func (c *Checks) Pending() []Check {
 	return slices.DeleteFunc(allChecks(), c.isDone)
 }
 
-// Done reports whether no check is pending.
+// Done reports whether all checks have passed.
 func (c *Checks) Done() bool { return len(c.done) == len(allChecks()) }
 
-// Permits reports whether a duty's checks are done.
+// Permits reports whether all required checks of a duty have passed.
 func (c *Checks) Permits(duty Duty) bool {
 	return !slices.ContainsFunc(requiredChecks[duty], func(check Check) bool { return !c.isDone(check) })
 }
--- a/internal/standby/checks_test.go
+++ b/internal/standby/checks_test.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// No duty before its checks, each reported once with its time; another epoch starts anew.
+// A duty is permitted only after its required checks, each of which is reported once, with its
+// time. A new epoch starts over.
 func TestDutiesWaitForTheirChecks(t *testing.T) {
 	var checks Checks
 	if checks.Permits(Schedule) || checks.Permits(ScaleOut) || checks.Permits(Decommission) {
-		t.Error("before it leads")
+		t.Error("a duty is permitted before the checks have begun")
 	}
 	checks.Begin(7, start)
 	for i, check := range allChecks() {
@@ -21,18 +22,18 @@
 		for duty, required := range requiredChecks {
 			ready := !slices.ContainsFunc(required, func(c Check) bool { return slices.Contains(pending, c) })
 			if checks.Permits(duty) != ready {
-				t.Errorf("%s with %v pending: %v", duty, pending, checks.Permits(duty))
+				t.Errorf("%s with %v pending: permitted %v", duty, pending, checks.Permits(duty))
 			}
 		}
 		if first, _ := checks.Record(check, false, start); first {
-			t.Error("done although it does not hold")
+			t.Error("a check passed although it does not hold")
 		}
 		at := start.Add(time.Duration(i) * time.Second)
 		if first, after := checks.Record(check, true, at); !first || after != time.Duration(i)*time.Second {
 			t.Error(check, first, after)
 		}
 		if first, _ := checks.Record(check, true, at); first {
-			t.Error("reported twice")
+			t.Error("a check was reported twice")
 		}
 	}
 	if !checks.Permits(ScaleOut) {
@@ -40,9 +41,9 @@
 	}
 	checks.Begin(7, start)
 	if !checks.Permits(ScaleOut) {
-		t.Error("forgotten under the same epoch")
+		t.Error("the checks were reset within the same epoch")
 	}
 	if checks.Begin(8, start); checks.Permits(Decommission) {
-		t.Error("another epoch's checks count")
+		t.Error("the checks of a former epoch permit a duty")
 	}
 }
--- a/internal/standby/golden_test.go
+++ b/internal/standby/golden_test.go
@@ -11,8 +11,8 @@
 	goldentest.Filled(t, full)
 	goldentest.JSON(t, "call.json", full)
 	goldentest.JSON(t, "call-least.json", Probe{})
-	if back, ok := DecodeProbe(goldentest.Read(t, "call.json")); !ok || back != full {
-		t.Errorf("read %+v, %v", back, ok)
+	if decoded, ok := DecodeProbe(goldentest.Read(t, "call.json")); !ok || decoded != full {
+		t.Errorf("decoded %+v, %v", decoded, ok)
 	}
 	goldentest.Bytes(t, "keys.txt", []byte(ProbePrefix+"\n"))
 }
--- a/internal/standby/model_test.go
+++ b/internal/standby/model_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// model is a store with a view, members' keys and probes, and controllers that see it late,
-// commit late, stall, end and restart.
+// model simulates a store with a view, member keys and probes, and controllers that read it late,
+// commit late, stall, crash and restart.
 type model struct {
 	now             time.Time
 	revision        int
@@ -30,17 +30,17 @@
 	standby     *Standby
 	incarnation uint64
 	alive       bool
-	// What it has read.
+	// The state of the store as of the last read.
 	leader         string
 	view           map[string]uint64
 	viewRevision   int
 	probes         map[string]Probe
 	probeRevisions map[string]int
 	logPosition    int
-	unsent         []func() // transactions that have not arrived
+	delayedTxns    []func() // transactions that have not reached the store
 }
 
-// probeChange is an entry of the watch: a probe was written or removed.
+// probeChange is an event of the watch: a probe was written or deleted.
 type probeChange struct {
 	name    string
 	probe   Probe
@@ -74,14 +74,15 @@
 		standby:     New(m.now),
 		incarnation: m.lastIncarnation,
 		alive:       true,
-		unsent:      node.unsent,
+		delayedTxns: node.delayedTxns,
 		logPosition: len(m.log),
 	}
 	m.keys[name] = m.lastIncarnation
 	m.read(name)
 }
 
-// read brings a controller's watch up to date: each probe, and each that was removed.
+// read brings the state of a controller up to date with the store and passes on all probe changes
+// since the last read.
 func (m *model) read(name string) {
 	node := m.nodes[name]
 	node.leader, node.viewRevision, node.view = m.leader, m.viewRevision, maps.Clone(m.view)
@@ -107,19 +108,19 @@
 	}
 }
 
-// evaluate has a controller evaluate its status and hands what it wants to commit to send.
+// evaluate evaluates the status of a controller and passes the resulting transactions to send.
 func (m *model) evaluate(name string, send func(func())) {
 	node := m.nodes[name]
 	if !node.alive {
 		return
 	}
-	if m.keys[name] != node.incarnation { // removed: it comes back as a new incarnation
+	if m.keys[name] != node.incarnation { // removed: rejoins as a new incarnation
 		m.restart(name)
 		node = m.nodes[name]
 	}
 	status := node.status(name, m.now)
 	actions, _ := node.standby.Evaluate(status)
-	observed := *node // as it is now: transactions may arrive later
+	observed := *node // a copy, since transactions may reach the store later
 	for _, action := range actions {
 		switch action.Kind {
 		case ActionAnswer:
@@ -129,10 +130,10 @@
 		case ActionRemove:
 			send(func() { m.commitRemoval(name, observed, action.Names) })
 		case ActionResign, ActionHandOver:
-			panic("nobody resigns or lags in this model")
+			panic("no controller resigns or lags in this model")
 		}
 	}
-	// The leader admits members whose keys are there.
+	// The leader updates the view to match the member keys.
 	if node.leader == name && status.InView {
 		send(func() {
 			if m.viewRevision == observed.viewRevision && m.keys[name] == observed.incarnation && !maps.Equal(m.keys, m.view) {
@@ -142,7 +143,7 @@
 	}
 }
 
-// status is what a controller knows by what it has read.
+// status returns the cluster status according to what a controller has read.
 func (node *modelNode) status(name string, now time.Time) ClusterStatus {
 	status := ClusterStatus{
 		Now:    now,
@@ -164,7 +165,7 @@
 	return status
 }
 
-// commitAnswer removes a controller's probe if it stands as it has seen it.
+// commitAnswer deletes the probe of a controller if the probe is unchanged since it was observed.
 func (m *model) commitAnswer(name string, observed modelNode) {
 	if m.probeRevisions[name] == observed.probeRevisions[name] {
 		m.revision++
@@ -172,7 +173,8 @@
 	}
 }
 
-// commitProbes writes probes if view, keys and probes are as the prober has seen them.
+// commitProbes writes probes if the view, the member keys and the probes are unchanged since the
+// prober observed them.
 func (m *model) commitProbes(name string, observed modelNode, action Action) {
 	for _, member := range action.Names {
 		if m.probeRevisions[member] != observed.probeRevisions[member] || m.viewRevision != observed.viewRevision ||
@@ -188,7 +190,8 @@
 	}
 }
 
-// commitRemoval changes the view without members whose probes stand as they were observed.
+// commitRemoval removes members from the view if their probes are unchanged since they were
+// observed.
 func (m *model) commitRemoval(name string, observed modelNode, removed []string) {
 	for _, member := range removed {
 		if m.probeRevisions[member] != observed.probeRevisions[member] || m.probeRevisions[member] == 0 {
@@ -200,7 +203,7 @@
 	}
 }
 
-// commitView commits a view led by a controller, without some members.
+// commitView commits a view with the given leader and without the removed members.
 func (m *model) commitView(leader string, removed []string) {
 	m.revision++
 	m.epoch++
@@ -211,29 +214,30 @@
 	}
 	m.view = maps.Clone(m.keys)
 	if former, led := m.leaders[m.epoch]; led && former != leader {
-		panic("two leaders under one epoch")
+		panic("two leaders in one epoch")
 	}
 	m.leaders[m.epoch] = leader
 }
 
-// step has a controller read, evaluate and commit at once, or, if late, evaluate what it has read
-// before and commit later.
+// step makes a controller read, evaluate and commit at once. If late is set, the controller
+// evaluates what it last read, and its transactions are delayed.
 func (m *model) step(name string, late bool) {
 	node := m.nodes[name]
 	if late {
-		m.evaluate(name, func(commit func()) { node.unsent = append(node.unsent, commit) })
+		m.evaluate(name, func(commit func()) { node.delayedTxns = append(node.delayedTxns, commit) })
 		return
 	}
 	m.read(name)
 	m.evaluate(name, func(commit func()) { commit() })
 }
 
-// drawEvent has something happen to a controller; the prompt one neither ends nor is late.
-func (m *model) drawEvent(t *rapid.T, prompt string) {
+// drawEvent draws an event that affects one controller. The prompt node never crashes and is never
+// late.
+func (m *model) drawEvent(t *rapid.T, promptNode string) {
 	name := rapid.SampledFrom(names).Draw(t, "who")
 	node := m.nodes[name]
 	switch kind := rapid.IntRange(0, 9).Draw(t, "what"); {
-	case kind == 0 && name != prompt && node.alive:
+	case kind == 0 && name != promptNode && node.alive:
 		node.alive = false
 		for _, other := range names {
 			if m.nodes[other].alive && rapid.Bool().Draw(t, "seen") {
@@ -243,37 +247,38 @@
 	case kind == 1 && !node.alive:
 		m.restart(name)
 	case kind == 2:
-		for _, other := range names { // a filter refuses its connections
+		for _, other := range names { // a packet filter refuses all of its connections
 			m.nodes[other].standby.ConnectionEnded(name, m.now)
 			node.standby.ConnectionEnded(other, m.now)
 		}
-	case kind == 3 && len(node.unsent) > 0:
-		node.unsent[0]()
-		node.unsent = node.unsent[1:]
-	case kind < 7 && name != prompt:
+	case kind == 3 && len(node.delayedTxns) > 0:
+		node.delayedTxns[0]()
+		node.delayedTxns = node.delayedTxns[1:]
+	case kind < 7 && name != promptNode:
 		m.step(name, rapid.Bool().Draw(t, "late"))
 	default:
 		m.step(name, false)
 	}
 }
 
-// settle has all late transactions arrive, every controller run, and all of them evaluate in
-// time for twenty seconds.
-func (m *model) settle(prompt string) {
+// settle delivers all delayed transactions, starts all stopped controllers, and lets all of them
+// evaluate without delay for twenty seconds.
+func (m *model) settle(promptNode string) {
 	for _, name := range names {
-		for _, commit := range m.nodes[name].unsent {
+		for _, commit := range m.nodes[name].delayedTxns {
 			commit()
 		}
-		m.nodes[name].unsent = nil
+		m.nodes[name].delayedTxns = nil
 		if !m.nodes[name].alive {
 			m.restart(name)
 		}
 	}
-	// A leader that is out is replaced by its lease or by a probe; here its lease expires.
+	// A leader that lost its member key is replaced after its lease expires or a probe times out. Here
+	// the lease expires.
 	for range 400 {
 		m.now = m.now.Add(50 * time.Millisecond)
 		if m.keys[m.leader] != m.view[m.leader] {
-			m.commitView(prompt, nil)
+			m.commitView(promptNode, nil)
 		}
 		for _, name := range names {
 			m.step(name, false)
@@ -281,24 +286,24 @@
 	}
 }
 
-// TestAnyOrderOfFaultsKeepsOneLeader draws any order of ends, stalls, restarts, refused
-// connections, late reads and late transactions: no epoch has two leaders, a controller that
-// runs, reads and commits in time is never removed, and once all run again every probe ends and
-// somebody leads.
+// TestAnyOrderOfFaultsKeepsOneLeader draws arbitrary sequences of crashes, stalls, restarts,
+// refused connections, late reads and late transactions. No epoch may have two leaders, a
+// controller that reads and commits without delay must never be removed, and once all controllers
+// run again, all probes must be answered and one controller must lead.
 func TestAnyOrderOfFaultsKeepsOneLeader(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel()
-		prompt := rapid.SampledFrom(names).Draw(t, "prompt") // always in time
+		promptNode := rapid.SampledFrom(names).Draw(t, "prompt") // never crashes and is never late
 		for range rapid.IntRange(5, 120).Draw(t, "steps") {
 			m.now = m.now.Add(50 * time.Millisecond)
-			m.drawEvent(t, prompt)
-			incarnation := m.nodes[prompt].incarnation
-			m.step(prompt, false)
-			if m.nodes[prompt].incarnation != incarnation {
-				t.Fatalf("%s answered in time and was removed", prompt)
+			m.drawEvent(t, promptNode)
+			incarnation := m.nodes[promptNode].incarnation
+			m.step(promptNode, false)
+			if m.nodes[promptNode].incarnation != incarnation {
+				t.Fatalf("%s was removed although it answered in time", promptNode)
 			}
 		}
-		m.settle(prompt)
+		m.settle(promptNode)
 		if len(m.probes) > 0 || len(m.view) != len(names) {
 			t.Fatalf("probes %v, view %v, keys %v", m.probes, m.view, m.keys)
 		}
@@ -308,7 +313,7 @@
 				want = Leading
 			}
 			if got := m.nodes[name].standby.State; got != want && got != Warm {
-				t.Fatalf("%s is %s, not %s", name, got, want)
+				t.Fatalf("%s is in state %s, want %s", name, got, want)
 			}
 		}
 	})
--- a/internal/standby/probes.go
+++ b/internal/standby/probes.go
@@ -9,32 +9,33 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// ProbePrefix is the prefix of the store's keys, one a member by its name, in which a member is
-// probed.
+// ProbePrefix is the prefix of the keys in the store that contain probes, one per probed member, by
+// name.
 const ProbePrefix = "call/"
 
-// Probe is a liveness probe: the value of a key under ProbePrefix. The probed member removes the
+// Probe is a liveness probe, stored under ProbePrefix. The probed member answers by deleting the
 // key.
 type Probe struct {
-	Incarnation uint64 `json:"inc"` // the incarnation that is probed
-	By          string `json:"by"`  // the prober's name
-	// WaitMs is how long it may stand unanswered, in milliseconds.
+	Incarnation uint64 `json:"inc"` // incarnation of the probed member
+	By          string `json:"by"`  // name of the prober
+	// WaitMs is how long the probe may stay unanswered, in milliseconds.
 	WaitMs int64 `json:"wait_ms"`
 }
 
-// timeout returns how long the probe may stand unanswered.
+// timeout returns how long the probe may stay unanswered.
 func (p Probe) timeout() time.Duration { return time.Duration(p.WaitMs) * time.Millisecond }
 
-// DecodeProbe reads a stored probe; false if it is none.
+// DecodeProbe decodes a stored probe. It returns false if the value is not a valid probe.
 func DecodeProbe(value json.RawMessage) (Probe, bool) {
 	var probe Probe
 	ok := json.Unmarshal(value, &probe) == nil && probe.Incarnation != 0 && probe.WaitMs > 0
 	return probe, ok
 }
 
-// probeOrder returns when it is this controller's turn to act on a suspicion: the leader comes
-// first; after a suspected leader come the others in the order of succession. The priority is -1
-// while it is not its turn at all. succession is its place among the successors, -1 if it has none.
+// probeOrder returns the priority with which this controller acts on suspicions, and its position
+// in the order of succession. The leader has priority 0. If the leader is suspected, the others act
+// in the order of succession. The priority is -1 if it is not this controller's turn; the
+// succession is -1 if it has no position.
 func (s *Standby) probeOrder(status ClusterStatus) (priority, succession int) {
 	succession = slices.Index(Successors(status, s.suspected), status.Name)
 	switch {
@@ -46,16 +47,16 @@
 	return -1, succession
 }
 
-// probeDelay returns how long a controller leaves the first go to those before it. One that is
-// behind itself had better not be the one to lead.
+// probeDelay returns how long a controller waits to let those with a higher priority act first. A
+// lagging controller waits longer, since it would make a poor leader.
 func (status ClusterStatus) probeDelay(priority int) time.Duration {
 	return time.Duration(priority)*tuning.ProbeStagger + min(status.Lag, tuning.ProbeStagger)
 }
 
-// probesAndRemovals returns the actions by which this controller acts on suspicions: it probes, and
-// removes those whose probes are unanswered. A controller that is behind its own probe removes
-// nobody, as it would be a leader that can't decide: those after it see the probe and follow
-// instead.
+// probesAndRemovals returns the actions on current suspicions: probes to write, and removals of
+// members whose probes timed out. A controller whose watch has not reached its own probes removes
+// nobody, because it would become a leader that cannot make decisions; the next controller in line
+// sees the probe and acts instead.
 func (s *Standby) probesAndRemovals(status ClusterStatus, priority int) []Action {
 	var actions []Action
 	if probe := s.probesDue(status, priority); probe.Names != nil {
@@ -67,17 +68,18 @@
 	return actions
 }
 
-// probes reports whether a member is this controller's to probe: the leader is probed by its
-// followers, everybody else by the leader, and nobody by itself.
+// probes reports whether it is for this controller to probe a member. Followers probe the leader,
+// the leader probes everyone else, and no controller probes itself.
 func (status ClusterStatus) probes(member string) bool {
 	return member != status.Name && (status.Leader == status.Name || member == status.Leader)
 }
 
-// probesDue returns the probes that this controller has to write now.
+// probesDue returns the action that writes the probes that are due now, without names if there are
+// none.
 func (s *Standby) probesDue(status ClusterStatus, priority int) Action {
 	action := Action{Kind: ActionProbe, Wait: tuning.ProbeTimeout}
 	if s.endedConnections(status) > 1 {
-		// Several at once: more likely it is the network's fault, so they are given time.
+		// If several connections ended, the cause is more likely the network: allow more time.
 		action.Wait = tuning.ProbeTimeoutMany
 	}
 	for _, member := range status.Members {
@@ -86,13 +88,13 @@
 		}
 		action.Names = append(action.Names, member.Name)
 		if s.suspects[member.Name].pause > 0 {
-			action.Wait = tuning.ProbeTimeoutMany // it has answered before
+			action.Wait = tuning.ProbeTimeoutMany // this member has answered a probe recently
 		}
 	}
 	return action
 }
 
-// endedConnections counts the members whose connections have ended.
+// endedConnections returns the number of members whose connections have ended.
 func (s *Standby) endedConnections(status ClusterStatus) int {
 	ended := 0
 	for _, member := range status.Members {
@@ -103,19 +105,19 @@
 	return ended
 }
 
-// probeDue reports whether this controller has to probe a member now.
+// probeDue reports whether this controller must probe a member now.
 func (s *Standby) probeDue(status ClusterStatus, member Member, priority int) bool {
 	if _, probed := status.Probes[member.Name]; probed || !member.AnswersProbes || !status.probes(member.Name) {
 		return false
 	}
 	p := s.suspects[member.Name]
-	if p == nil || p.connectionEndedAt.IsZero() || status.Now.Before(p.notProbedBefore) {
+	if p == nil || p.connectionEndedAt.IsZero() || status.Now.Before(p.nextProbeAt) {
 		return false
 	}
 	return status.Now.Sub(p.connectionEndedAt) >= status.probeDelay(priority)
 }
 
-// unansweredProbes lists the members whose probes have stood for too long.
+// unansweredProbes returns the members whose probes have timed out.
 func (s *Standby) unansweredProbes(status ClusterStatus, priority int) []string {
 	var out []string
 	for _, name := range slices.Sorted(maps.Keys(status.Probes)) {
--- a/internal/standby/standby.go
+++ b/internal/standby/standby.go
@@ -1,13 +1,14 @@
-// Package standby is how ready a controller is to lead, how it finds out that another one has
-// ended before that one's lease expires, and what it checks before it decides as a leader. It is
-// pure: events come in, actions go out; it has no IO and no clock.
+// Package standby contains a controller's standby state machine: how ready the controller is to
+// lead, how it detects that another controller has ended before that one's lease expires, and what
+// it checks before it makes decisions as a leader. The package is pure: it turns observations into
+// actions, does no I/O and reads no clock.
 //
-// A controller whose connection ends is suspected, no more: a packet filter or a lack of sockets
-// ends connections, too. The controller that is to act on the suspicion probes it: by a key in
-// the store, which the probed controller answers by removing it, if it is alive and reaches the
-// store. A probe that is unanswered in time lets the prober change the view without the suspect,
-// in one transaction that has the probe, as it was written, among its preconditions. So no message
-// between controllers decides anything, and a controller that answers late is out, fenced by the
+// A controller whose connection ends is only suspected, since packet filters and socket exhaustion
+// end connections, too. The controller responsible for the suspicion probes the suspect by writing
+// a key to the store. The suspect answers by deleting the key, if it is alive and reaches the
+// store. If the probe times out, the prober may remove the suspect from the view in a transaction
+// that has the unchanged probe among its preconditions. No decision therefore depends on a message
+// between controllers, and a controller that answers too late has been removed and is fenced by the
 // view like any former member (docs/notes/standby.md).
 package standby
 
@@ -17,54 +18,54 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// State is how ready a controller is.
+// State is the standby state of a controller.
 type State string
 
 // States of a controller.
 const (
-	Cold      State = "cold"      // outside the view, or its mirror is not live
-	Following State = "following" // a member
-	Warm      State = "warm"      // a member that is among the first in the order of succession
-	Probing   State = "calling"   // the leader is suspected, and this one is to succeed it
-	Checking  State = "checking"  // leads, and has not done all of a leader's checks
+	Cold      State = "cold"      // not in the view, or the mirror is not live
+	Following State = "following" // in the view
+	Warm      State = "warm"      // in the view and among the first in the order of succession
+	Probing   State = "calling"   // the leader is suspected, and it is this controller's turn to act on that
+	Checking  State = "checking"  // leads, but has not passed all checks of a new leader yet
 	Leading   State = "leading"
-	Leaving   State = "leaving" // resigns
+	Leaving   State = "leaving" // resigning
 )
 
-// Member is a member of the view, as others see it.
+// Member is a member of the view.
 type Member struct {
 	Name        string
 	Incarnation uint64
 	Zone        string
-	// AnswersProbes tells that its program answers liveness probes.
+	// AnswersProbes reports whether the member answers liveness probes.
 	AnswersProbes bool
 }
 
-// ClusterStatus is what an evaluation is based on.
+// ClusterStatus is the input of an evaluation.
 type ClusterStatus struct {
 	Now     time.Time
 	Name    string // of this controller
-	InView  bool   // in the view, its mirror live, certain of its place
+	InView  bool   // in the view, with a live mirror, and certain of its place
 	Leader  string
 	Members []Member
-	// Lag is how far this controller is behind: with its watch, or with its own loop.
+	// Lag is how far this controller is behind, with its watch or with its event loop.
 	Lag time.Duration
-	// WatchBehind tells that its watch has not reached the probes that it wrote itself.
+	// WatchBehind reports whether the watch has yet to reach the probes that this controller wrote.
 	WatchBehind bool
-	// PendingChecks are those that a leader has still to do.
+	// PendingChecks are the checks that have yet to pass if this controller leads.
 	PendingChecks []Check
-	// Probes are those that stand in the store, by the probed member.
+	// Probes are the unanswered probes in the store, by the probed member.
 	Probes map[string]Probe
-	// StoreUnavailable tells that the store does not answer.
+	// StoreUnavailable reports whether the store does not answer.
 	StoreUnavailable bool
 }
 
-// Action is something that the controller has to do.
+// Action is something for the controller to carry out.
 type Action struct {
 	Kind ActionKind
-	// Names are members: those to probe or to remove, or the one to lead.
+	// Names are the members to probe or to remove, or the member that becomes leader.
 	Names []string
-	// Wait is how long a probe may stand unanswered.
+	// Wait is how long a probe may stay unanswered.
 	Wait time.Duration
 }
 
@@ -73,33 +74,35 @@
 
 // Kinds of actions.
 const (
-	ActionProbe    ActionKind = "call"      // write probes of Names
-	ActionAnswer   ActionKind = "answer"    // remove the probe of this controller
-	ActionRemove   ActionKind = "out"       // change the view without Names
-	ActionResign   ActionKind = "leave"     // change the view to one without this controller, led by Names[0]
-	ActionHandOver ActionKind = "hand over" // change the view to one led by Names[0]
+	ActionProbe    ActionKind = "call"      // write probes of the members in Names
+	ActionAnswer   ActionKind = "answer"    // delete the probe of this controller
+	ActionRemove   ActionKind = "out"       // remove the members in Names from the view
+	ActionResign   ActionKind = "leave"     // remove this controller from the membership; Names[0] leads the next view
+	ActionHandOver ActionKind = "hand over" // make Names[0] the leader
 )
 
-// Standby is one controller's readiness. Only the event loop uses it.
+// Standby is the standby state machine of one controller. Not safe for concurrent use; only the
+// event loop uses it.
 type Standby struct {
 	State  State
-	Reason string // for the last change of the state, for the log
-	Since  time.Time
-	// SuccessionOrder is its place among those that are to succeed the leader, -1 if it has none.
+	Reason string    // of the last state change, for the log
+	Since  time.Time // of the last state change
+	// SuccessionOrder is the position of this controller in the order of succession, -1 if it has
+	// none.
 	SuccessionOrder int
-	// FalseAlarms counts probes that were answered.
+	// FalseAlarms counts the probes that were answered.
 	FalseAlarms int
 
 	suspects  map[string]*suspect
 	resigning bool
-	// laggingSince is since when it leads while it is behind. Handing over has a pause of its own,
-	// so that controllers that are all behind do not pass the lead around.
+	// laggingSince is when this controller, as the leader, began to lag. Handovers have a backoff
+	// of their own, so that controllers that all lag do not pass leadership around.
 	laggingSince  time.Time
 	handedOverAt  time.Time
 	handOverPause time.Duration
 }
 
-// New makes the readiness of a controller that has just started.
+// New returns the state machine of a controller that has just started.
 func New(now time.Time) *Standby {
 	return &Standby{
 		State:    Cold,
@@ -109,19 +112,19 @@
 	}
 }
 
-// Resign has the controller give up its place in the view.
+// Resign makes the controller leave the view.
 func (s *Standby) Resign() { s.resigning = true }
 
-// Evaluate takes in the cluster's status and returns what to do, in this order. It is the only
-// place where the state changes; changed tells that it did.
+// Evaluate processes the status of the cluster and returns the actions to carry out, in order, and
+// whether the state changed. All state transitions are made here.
 func (s *Standby) Evaluate(status ClusterStatus) (actions []Action, changed bool) {
 	s.updateSuspects(status)
 	priority, succession := s.probeOrder(status)
 	s.SuccessionOrder = succession
 	switch {
 	case !status.InView:
-		// It has nothing to decide from. It still answers: a probe means that others count
-		// it in.
+		// Nothing can be decided, but a probe is still answered: it means that others consider
+		// this controller a member.
 		if !status.StoreUnavailable {
 			actions = answer(status)
 		}
@@ -142,7 +145,7 @@
 	return actions, s.transition(state, reason, status.Now)
 }
 
-// answer returns the action that answers a probe of this controller, none if none stands.
+// answer returns the action that answers the probe of this controller, nil if there is no probe.
 func answer(status ClusterStatus) []Action {
 	if _, probed := status.Probes[status.Name]; !probed {
 		return nil
@@ -150,10 +153,10 @@
 	return []Action{{Kind: ActionAnswer}}
 }
 
-// resignation returns the action that gives up this controller's place, with its successor if it
-// leads; none if a leader has no successor.
+// resignation returns the action that removes this controller from the membership. If it leads, the
+// action names its successor; without a successor there is no action.
 func (s *Standby) resignation(status ClusterStatus) []Action {
-	leader := []string{status.Leader} // changes the view when the member key is gone
+	leader := []string{status.Leader} // the leader changes the view once the member key is gone
 	if status.Leader == status.Name {
 		leader = Successors(status, s.suspected)
 	}
@@ -163,7 +166,8 @@
 	return []Action{{Kind: ActionResign, Names: leader[:1]}}
 }
 
-// stateInView returns the state of a controller that is in the view and stays in it, and why.
+// stateInView returns the state of a controller that is in the view and not resigning, and the
+// reason for it.
 func (s *Standby) stateInView(status ClusterStatus, priority int) (state State, reason string) {
 	switch {
 	case status.Leader == status.Name && len(status.PendingChecks) > 0:
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -14,7 +14,7 @@
 
 var start = time.Unix(1e9, 0)
 
-// statusOfFive is the status that one of five controllers sees, led by n0, in two zones.
+// statusOfFive returns the status as seen by one of five controllers in two zones, led by n0.
 func statusOfFive(name string, now time.Time) ClusterStatus {
 	status := ClusterStatus{
 		Now:    now,
@@ -34,13 +34,13 @@
 	return status
 }
 
-// evaluate returns the actions of an evaluation.
+// evaluate returns the actions of one evaluation.
 func evaluate(s *Standby, status ClusterStatus) []Action {
 	actions, _ := s.Evaluate(status)
 	return actions
 }
 
-// wantNone fails the test if there is an action.
+// wantNone fails the test if there are any actions.
 func wantNone(t *testing.T, actions []Action, reason string) {
 	t.Helper()
 	if len(actions) != 0 {
@@ -48,7 +48,8 @@
 	}
 }
 
-// wantOne fails the test unless there is one action, of this kind and for these members.
+// wantOne fails the test unless there is exactly one action, of the given kind and for the given
+// members.
 func wantOne(t *testing.T, actions []Action, kind ActionKind, names, reason string) {
 	t.Helper()
 	if len(actions) != 1 || actions[0].Kind != kind || fmt.Sprint(actions[0].Names) != names {
@@ -56,50 +57,50 @@
 	}
 }
 
-// An ended connection alone decides nothing: a probe goes out, from the first successor at once,
-// from the next a little later; only if it stands for its time is the member removed.
+// An ended connection alone must not remove a member. The first successor probes at once and the
+// next one a little later; the member is removed only if the probe times out.
 func TestEndedConnectionIsProbedBeforeTheMemberIsRemoved(t *testing.T) {
 	now := start
 	first, second := New(now), New(now)
 	first.ConnectionEnded("n0", now)
 	second.ConnectionEnded("n0", now)
 	actions := evaluate(first, statusOfFive("n1", now))
-	wantOne(t, actions, ActionProbe, "[n0]", "the first successor")
+	wantOne(t, actions, ActionProbe, "[n0]", "the first successor probes")
 	if actions[0].Wait != tuning.ProbeTimeout || first.State != Probing {
 		t.Fatalf("%+v %s", actions, first.State)
 	}
-	wantNone(t, evaluate(second, statusOfFive("n3", now)), "the second successor, at once")
+	wantNone(t, evaluate(second, statusOfFive("n3", now)), "the second successor does not probe at once")
 	now = now.Add(tuning.ProbeStagger)
-	wantOne(t, evaluate(second, statusOfFive("n3", now)), ActionProbe, "[n0]", "the second, as nobody has probed")
+	wantOne(t, evaluate(second, statusOfFive("n3", now)), ActionProbe, "[n0]", "the second successor, if the first has not probed")
 
 	status := statusOfFive("n1", now)
 	status.Probes["n0"] = Probe{Incarnation: 10, By: "n1", WaitMs: tuning.ProbeTimeout.Milliseconds()}
-	wantNone(t, evaluate(first, status), "the probe stands")
+	wantNone(t, evaluate(first, status), "the probe is already there")
 	status.Now = now.Add(tuning.ProbeTimeout - 1)
 	wantNone(t, evaluate(first, status), "removed too early")
 	status.Now = now.Add(tuning.ProbeTimeout)
-	wantOne(t, evaluate(first, status), ActionRemove, "[n0]", "unanswered in time")
+	wantOne(t, evaluate(first, status), ActionRemove, "[n0]", "the probe timed out")
 
-	// Followers that are suspected are the leader's to probe.
+	// Only the leader probes suspected followers.
 	third := New(now)
 	third.ConnectionEnded("n2", now)
 	wantNone(t, evaluate(third, statusOfFive("n4", now.Add(time.Hour))), "a follower suspects another")
 }
 
-// A member that answers is not probed again before a pause that doubles, however often its
-// connection ends; one whose gossip arrives is not suspected; one that comes back as another
-// incarnation starts anew.
+// A member that has answered a probe is probed again only after a pause that doubles each time,
+// however often its connection ends. Gossip of a member clears the suspicion, and a new incarnation
+// starts without any.
 func TestAnsweredProbeDelaysTheNextOne(t *testing.T) {
 	s, now := New(start), start
 	pause := tuning.ProbePause
 	for range 8 {
 		s.ConnectionEnded("n2", now)
 		actions := evaluate(s, statusOfFive("n0", now))
-		wantOne(t, actions, ActionProbe, "[n2]", "its connection ended")
+		wantOne(t, actions, ActionProbe, "[n2]", "the connection ended")
 		if again := s.FalseAlarms > 0; again != (actions[0].Wait == tuning.ProbeTimeoutMany) {
-			t.Fatalf("one that has answered before is given %v", actions[0].Wait)
+			t.Fatalf("wrong timeout of a probe, with or without an answered one before: %v", actions[0].Wait)
 		}
-		// Its answer comes before the next evaluation.
+		// The probe is written and answered between two evaluations.
 		s.ProbeObserved("n2", Probe{Incarnation: 12, By: "n0", WaitMs: 500}, now)
 		s.ProbeRemoved("n2")
 		s.Evaluate(statusOfFive("n0", now.Add(time.Millisecond)))
@@ -115,17 +116,18 @@
 	s.PeerAlive("n3")
 	s.PeerAlive("n2")
 	if actions := evaluate(s, statusOfFive("n0", now)); len(actions) != 0 {
-		t.Errorf("their gossip arrived: %+v", actions)
+		t.Errorf("actions against members whose gossip arrived: %+v", actions)
 	}
 	s.ConnectionEnded("n2", now)
 	status := statusOfFive("n0", now)
 	status.Members[2].Incarnation = 99
 	if actions := evaluate(s, status); len(actions) != 0 {
-		t.Errorf("it is back: %+v", actions)
+		t.Errorf("actions against a new incarnation: %+v", actions)
 	}
 }
 
-// A leader that is behind for some time hands over, not again before a pause.
+// A leader that has been lagging for some time hands over leadership, with a growing pause between
+// handovers.
 func TestLaggingLeaderHandsOver(t *testing.T) {
 	s, now := New(start), start
 	actionsAt := map[time.Duration]string{}
@@ -147,12 +149,13 @@
 	follower.Evaluate(status)
 	status.Now = now.Add(time.Hour)
 	if actions := evaluate(follower, status); len(actions) != 0 {
-		t.Errorf("a follower hands over: %+v", actions)
+		t.Errorf("a lagging follower hands over: %+v", actions)
 	}
 }
 
-// Several connections that end at once are more likely the network's fault.
-func TestSeveralEndedConnectionsAreGivenMoreTime(t *testing.T) {
+// Connections that end at the same time point to a network problem, so the probes get a longer
+// timeout.
+func TestSeveralEndedConnectionsGetALongerProbeTimeout(t *testing.T) {
 	s := New(start)
 	for _, name := range []string{"n1", "n2", "n3"} {
 		s.ConnectionEnded(name, start)
@@ -165,12 +168,12 @@
 	}
 	status.StoreUnavailable = true
 	if actions := evaluate(s, status); len(actions) != 0 {
-		t.Errorf("with the store unavailable: %+v", actions)
+		t.Errorf("actions with the store unavailable: %+v", actions)
 	}
 }
 
-// A controller that resigns gives the lead to its successor, or tells the leader; it answers no
-// probes.
+// A leader that resigns names its successor, and a follower that resigns names the current leader.
+// Neither answers probes.
 func TestResigningControllerNamesTheNextLeaderAndAnswersNoProbe(t *testing.T) {
 	for name, test := range map[string]struct{ controller, leader string }{
 		"the leader": {controller: "n0", leader: "n1"},
--- a/internal/standby/succession.go
+++ b/internal/standby/succession.go
@@ -8,9 +8,10 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Successors orders the members by who should lead next: those that nobody suspects, first those
-// of other zones than the leader's, then by name in turn after the leader's, so that not the same
-// one succeeds every leader. No controller suspects itself.
+// Successors returns the members in the order in which they should succeed the leader. Suspected
+// members are left out, but a controller never suspects itself. Members in other zones than the
+// leader's come first; within each group the order is by name, starting after the leader's, so that
+// different leaders have different successors.
 func Successors(status ClusterStatus, suspected func(string) bool) []string {
 	leaderZone := ""
 	for _, member := range status.Members {
@@ -38,7 +39,7 @@
 	return names
 }
 
-// falseFirst puts false before true.
+// falseFirst is a comparison function that orders false before true.
 func falseFirst(a, b bool) int {
 	switch {
 	case a == b:
@@ -49,9 +50,9 @@
 	return -1
 }
 
-// handOverTo returns the member that this controller, as a leader that is behind, hands the lead
-// to, "" if it does not. It is behind if its loop or its watch has lagged for some time: what it
-// decides comes late and conflicts.
+// handOverTo returns the member to which this controller, as a lagging leader, should hand over
+// leadership, "" if it should not. A leader is lagging if its event loop or its watch has been
+// behind for some time: its decisions come late and conflict.
 func (s *Standby) handOverTo(status ClusterStatus) string {
 	if status.Leader != status.Name || status.Lag < tuning.UnfitLag {
 		s.laggingSince = time.Time{}
