--- a/internal/standby/checks.go
+++ b/internal/standby/checks.go
@@ -27,8 +27,8 @@
 	QuotasSettled Check = "quotas settled"
 	// MachineTypesKnown: the catalogue of machine types is known, with current prices.
 	MachineTypesKnown Check = "machine types known"
-	// CloudListed: a listing of the cloud's machines has been completed that was begun after the
-	// controller became leader, or shortly before if it followed the cloud as a standby (standby {
+	// CloudListed: the cloud's machines have been listed, by a listing that was begun after the
+	// controller became leader, or shortly before by a successor that follows the cloud (standby {
 	// follow_cloud }).
 	CloudListed Check = "cloud's list read"
 	// FormerScaleOutsCounted: machines that the former leader requested and that the listing may
--- a/internal/standby/suspects.go
+++ b/internal/standby/suspects.go
@@ -11,7 +11,7 @@
 	incarnation       uint64
 	connectionEndedAt time.Time     // zero if its connection has not ended
 	probeObservedAt   time.Time     // when this controller first saw the unanswered probe; zero if there is none
-	nextProbeAt       time.Time     // zero until a probe has been answered
+	nextProbeAt       time.Time     // earliest time of the next probe; zero until a probe has been answered
 	pause             time.Duration // between an answered probe and the next one
 	// answeredProbes counts the probes deleted since the last evaluation.
 	answeredProbes int
@@ -90,8 +90,9 @@
 	}
 }
 
-// updatePause doubles the pause after answered probes. The cause that ended the connection may
-// persist, and the member should not be probed every time it ends the connection again.
+// updatePause doubles the pause after answered probes, and resets it after tuning.ProbeForgetAfter
+// without one. The cause that ended the connection may persist, and the member should not be probed
+// every time it ends the connection again.
 func (p *suspect) updatePause(now time.Time) {
 	if p.answeredProbes > 0 {
 		p.pause = min(max(2*p.pause, tuning.ProbePause), tuning.MaxProbePause)
