--- a/internal/readconsistency/ack_log.go
+++ b/internal/readconsistency/ack_log.go
@@ -8,14 +8,15 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// AckLog holds the newest state that this process has acknowledged to a user or received from another controller, for
-// the last tuning.MaxAcks jobs. jobs.Live stands for accepted; an end is newer than that and final.
+// AckLog records, for the last tuning.MaxAcks jobs, the newest state that this process has
+// acknowledged to a user or received from another controller. jobs.Live means accepted; an end
+// state is newer than that and final.
 type AckLog struct {
-	delay      time.Duration              // from recording a state to its first answer
+	delay      time.Duration              // between recording a state and the first answer with it
 	acks       map[string]acknowledgement // by job ID
-	order      []string                   // job IDs, as first recorded
-	unsent     []string                   // IDs of jobs whose acknowledgement peers have not been sent
-	lastGossip map[string]time.Time       // by peer, when its last line came
+	order      []string                   // job IDs in the order in which they were first recorded
+	unsent     []string                   // IDs of jobs whose acknowledgements have not been sent to peers
+	lastGossip map[string]time.Time       // by peer, when a message of it last arrived
 }
 
 type acknowledgement struct {
@@ -23,41 +24,44 @@
 	recordedAt time.Time
 }
 
-// NewAckLog makes an empty log. An answer with a new state leaves no earlier than delay after it was recorded.
+// NewAckLog returns an empty log. An answer with a new state must not leave until delay after the
+// state was recorded.
 func NewAckLog(delay time.Duration) *AckLog {
 	return &AckLog{delay: delay, acks: map[string]acknowledgement{}, lastGossip: map[string]time.Time{}}
 }
 
-// PeerAlive notes that a line of another controller came, whatever its content.
+// PeerAlive records that a message of another controller arrived, whatever its content.
 func (l *AckLog) PeerAlive(from string, now time.Time) { l.lastGossip[from] = now }
 
-// HearsAll reports whether lines of all these controllers have come of late.
+// HearsAll reports whether messages of all the given controllers have arrived recently.
 func (l *AckLog) HearsAll(names []string, now time.Time) bool {
 	return !slices.ContainsFunc(names, func(name string) bool {
 		return now.Sub(l.lastGossip[name]) > tuning.PeerUnresponsiveAfter
 	})
 }
 
-// Latest is the newest state of a job that is known to be acknowledged.
+// Latest returns the newest state of a job that is known to have been acknowledged.
 func (l *AckLog) Latest(jobID string) (jobs.Final, bool) {
 	ack, ok := l.acks[jobID]
 	return ack.final, ok
 }
 
-// Acknowledge records the state of a job that a user is about to be answered with, for TakeUnsent if it is new, and
-// returns how long the answer has to wait. Whoever answers calls Latest first, and answers with that if it is newer.
+// Acknowledge records the state of a job that is about to be sent to a user, marks it for
+// TakeUnsent if it is new, and returns how long the answer must wait. The caller must call Latest
+// first and answer with that state if it is newer.
 func (l *AckLog) Acknowledge(jobID string, final jobs.Final, now time.Time) time.Duration {
 	if l.record(jobID, final, now) {
 		l.unsent = append(l.unsent, jobID)
 	}
 	ack := l.acks[jobID]
 	if ack.final.State != final.State {
-		return 0 // a newer state was acknowledged; the caller looks that up first
+		return 0 // a newer state has been acknowledged, which the caller finds with Latest
 	}
 	return max(0, ack.recordedAt.Add(l.delay).Sub(now))
 }
 
-// ApplyPeerAcks records what another controller has acknowledged. It is not sent on.
+// ApplyPeerAcks records what another controller has acknowledged. It is not forwarded to other
+// peers.
 func (l *AckLog) ApplyPeerAcks(acks Acks, now time.Time) {
 	for _, jobID := range acks.Accepted {
 		l.record(jobID, jobs.Final{State: jobs.Live}, now)
@@ -67,7 +71,7 @@
 	}
 }
 
-// record enters a state that is newer than the known one, and reports whether it was.
+// record stores a state if it is newer than the known one, and reports whether it was.
 func (l *AckLog) record(jobID string, final jobs.Final, now time.Time) bool {
 	old, known := l.acks[jobID]
 	if known && (old.final.State != jobs.Live || final.State == jobs.Live) {
@@ -84,7 +88,8 @@
 	return true
 }
 
-// TakeUnsent returns the messages for the other controllers with what was acknowledged since it was last called.
+// TakeUnsent returns messages to the other controllers with everything that has been acknowledged
+// since the last call.
 func (l *AckLog) TakeUnsent() []Acks {
 	var messages []Acks
 	for len(l.unsent) > 0 {
@@ -93,7 +98,7 @@
 		for _, jobID := range l.unsent[:count] {
 			ack, ok := l.acks[jobID]
 			switch {
-			case !ok: // dropped beyond the bound
+			case !ok: // evicted because of tuning.MaxAcks
 			case ack.final.State == jobs.Live:
 				message.Accepted = append(message.Accepted, jobID)
 			default:
--- a/internal/readconsistency/ack_log_test.go
+++ b/internal/readconsistency/ack_log_test.go
@@ -13,15 +13,15 @@
 
 const ms = time.Millisecond
 
-// The newest state counts, an end is final, and what was received from a peer is not sent on.
-func TestNewestAcknowledgementCounts(t *testing.T) {
+// The newest state wins, an end state is final, and states received from a peer are not forwarded.
+func TestNewestAcknowledgedStateWins(t *testing.T) {
 	log := NewAckLog(30 * ms)
 	live, done := jobs.Final{State: jobs.Live}, jobs.Final{State: jobs.Done, DoneCount: 3}
 	if wait := log.Acknowledge("wk-1", live, start); wait != 30*ms {
-		t.Error("a new state waits", wait)
+		t.Error("delay of a new state:", wait)
 	}
 	if wait := log.Acknowledge("wk-1", live, start.Add(20*ms)); wait != 10*ms {
-		t.Error("the rest of the delay is", wait)
+		t.Error("remaining delay:", wait)
 	}
 	peerAcks := Acks{Accepted: []string{"wk-1", "wk-2"}, Ended: map[string]jobs.Final{"wk-1": done}}
 	log.ApplyPeerAcks(peerAcks, start.Add(25*ms))
@@ -31,12 +31,12 @@
 		t.Error("latest", final)
 	}
 	if wait := log.Acknowledge("wk-1", done, start.Add(35*ms)); wait != 20*ms {
-		t.Error("received 10 ms ago, waits", wait)
+		t.Error("remaining delay of a state received 10 ms ago:", wait)
 	}
 	messages := log.TakeUnsent()
 	if len(messages) != 1 || len(messages[0].Accepted) != 0 || len(messages[0].Ended) != 1 ||
 		messages[0].Ended["wk-1"] != done || log.TakeUnsent() != nil {
-		t.Errorf("unsent %+v", messages)
+		t.Errorf("unsent messages: %+v", messages)
 	}
 }
 
@@ -47,12 +47,12 @@
 		log.Acknowledge(fmt.Sprintf("wk-%06d", i), jobs.Final{State: jobs.Live}, start)
 	}
 	if len(log.acks) != tuning.MaxAcks || len(log.order) != tuning.MaxAcks {
-		t.Error(len(log.acks), "kept,", len(log.order), "in order")
+		t.Error(len(log.acks), "entries kept,", len(log.order), "in order")
 	}
 	sent := 0
 	for _, message := range log.TakeUnsent() {
 		if !message.Valid() {
-			t.Error("a message that no controller accepts")
+			t.Error("a message is not valid")
 		}
 		sent += len(message.Accepted)
 	}
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestPeerIsUnresponsiveAfterItsBound(t *testing.T) {
+func TestPeerIsUnresponsiveAfterTheTimeout(t *testing.T) {
 	log := NewAckLog(0)
 	log.PeerAlive("n1", start)
 	for after, want := range map[time.Duration]bool{
--- a/internal/readconsistency/doc.go
+++ b/internal/readconsistency/doc.go
@@ -1,17 +1,18 @@
-// Package readconsistency gives users monotonic reads of jobs: accepted, then done or cancelled. No controller answers
-// a user with an older state than one that another controller has acknowledged. Three rules ensure that together
-// (docs/incidents/older-answers.md):
+// Package readconsistency gives users monotonic reads of jobs: a job is accepted, then done or
+// cancelled, and no controller answers a user with a state older than one that another controller
+// has already acknowledged. Three rules together ensure this (docs/incidents/older-answers.md):
 //
-//   - A controller that is about to acknowledge a new state records it, sends it to the other controllers in the same
-//     turn of the event loop, and lets the answer leave a moment later (AckLog.Acknowledge). A controller that has
-//     received it answers with nothing older (AckLog.Latest).
-//   - An answer that may be outdated later, "no such job" or a live job, comes from a read of the state service that
-//     was sent after the question came, and leaves no later than that same moment after the read was sent. So even
-//     where messages between controllers are lost, an answer read before the change has left before the change is
-//     acknowledged.
-//   - A read that took longer is repeated, and in the end the user is told to retry. A mirror that is not known to be
-//     that recent answers later, by what was received from peers, and not at all while messages of another member of
-//     the view don't arrive.
+//   - A controller that is about to acknowledge a new state records it, sends it to the other
+//     controllers in the same turn of the event loop, and delays the answer for a short time
+//     (AckLog.Acknowledge). A controller that has received it never answers with an older state
+//     (AckLog.Latest).
+//   - An answer that may become outdated, "no such job" or a live job, must come from a read of the
+//     state service that was sent after the question arrived, and must leave within the same short
+//     time after the read was sent. Thus, even if messages between controllers are lost, an answer
+//     that was read before a change has left before that change is acknowledged.
+//   - A read that took longer is repeated, and eventually the user is told to retry. A mirror that
+//     is not known to be that recent is used for answers only later, together with what was received
+//     from peers, and not at all while no messages arrive from another member of the view.
 //
-// The package has no IO and no clock.
+// The package does no I/O and reads no clock.
 package readconsistency
--- a/internal/readconsistency/message.go
+++ b/internal/readconsistency/message.go
@@ -5,13 +5,14 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Acks is the acknowledgements that one line between controllers carries.
+// Acks contains the acknowledgements in one message between controllers.
 type Acks struct {
 	Accepted []string              `json:"accepted,omitempty"` // IDs of jobs acknowledged as live
 	Ended    map[string]jobs.Final `json:"ended,omitempty"`    // by job ID
 }
 
-// Valid reports whether a controller may have sent the acknowledgements. None at all (nil) are valid.
+// Valid reports whether the acknowledgements could have been sent by a controller. A message
+// without any (nil) is valid.
 func (a *Acks) Valid() bool {
 	if a == nil {
 		return true
--- a/internal/readconsistency/message_test.go
+++ b/internal/readconsistency/message_test.go
@@ -8,7 +8,7 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-func TestOnlyAcksThatAControllerSendsAreValid(t *testing.T) {
+func TestOnlyAcksThatAControllerCouldSendAreValid(t *testing.T) {
 	long := Acks{}
 	for i := range tuning.MaxAcksPerLine + 1 {
 		long.Accepted = append(long.Accepted, fmt.Sprintf("wk-%06d", i))
@@ -20,18 +20,18 @@
 		acks *Acks
 		want bool
 	}{
-		"none":                         {nil, true},
-		"empty":                        {&Acks{}, true},
-		"more than a line holds":       {&long, false},
-		"accepted job without ID":      {&Acks{Accepted: []string{"x/../y"}}, false},
-		"ended job that is live":       {ended("wk-000001", jobs.Final{State: jobs.Live}), false},
-		"negative count of done tasks": {ended("wk-000001", jobs.Final{State: jobs.Done, DoneCount: -1}), false},
-		"ended job without ID":         {ended("", jobs.Final{State: jobs.Done}), false},
-		"ended job":                    {ended("wk-000001", jobs.Final{State: jobs.Cancelled, DoneCount: 2}), true},
+		"none":                            {nil, true},
+		"empty":                           {&Acks{}, true},
+		"too many for a message":          {&long, false},
+		"accepted job with an invalid ID": {&Acks{Accepted: []string{"x/../y"}}, false},
+		"ended job that is live":          {ended("wk-000001", jobs.Final{State: jobs.Live}), false},
+		"negative count of done tasks":    {ended("wk-000001", jobs.Final{State: jobs.Done, DoneCount: -1}), false},
+		"ended job without an ID":         {ended("", jobs.Final{State: jobs.Done}), false},
+		"ended job":                       {ended("wk-000001", jobs.Final{State: jobs.Cancelled, DoneCount: 2}), true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if c.acks.Valid() != c.want {
-				t.Errorf("valid %v: %+v", !c.want, c.acks)
+				t.Errorf("valid is %v for %+v", !c.want, c.acks)
 			}
 		})
 	}
--- a/internal/readconsistency/model_test.go
+++ b/internal/readconsistency/model_test.go
@@ -12,16 +12,17 @@
 
 const modelJobID = "wk-000001"
 
-// model is one job in the state service, controllers that answer a user about it, and the user. Each step is 5 ms.
-// Reads, mirrors and messages take some steps; messages may be lost.
+// model simulates one job in the state service, several controllers that answer a user about it,
+// and the user. Each step is 5 ms long. Reads, mirrors and messages take several steps; messages
+// may be lost.
 type model struct {
 	t           *rapid.T
 	now         time.Time
-	committed   []stateAt // the states of the job in the state service
+	committed   []stateAt // the states of the job committed to the state service
 	controllers []*controller
 	pending     []event
-	received    stateAt // the newest that the user has received
-	partitioned bool    // messages between controllers are lost
+	received    stateAt // the newest state that the user has received
+	partitioned bool    // all messages between controllers are lost
 }
 
 type stateAt struct {
@@ -38,18 +39,18 @@
 	do func()
 }
 
-// progress orders the states of a job: unknown, live, ended.
+// progress maps the states of a job to their order: unknown, live, ended.
 func progress(state jobs.JobState) int {
 	return map[jobs.JobState]int{"": 0, jobs.Live: 1, jobs.Done: 2, jobs.Cancelled: 2}[state]
 }
 
-// after has something happen in a drawn number of ms.
+// after schedules a call after a drawn number of milliseconds.
 func (m *model) after(minimum, maximum int, do func()) {
 	delay := time.Duration(rapid.IntRange(minimum, maximum).Draw(m.t, "ms")) * ms
 	m.pending = append(m.pending, event{m.now.Add(delay), do})
 }
 
-// runPending lets happen what is due.
+// runPending runs the scheduled calls that are due.
 func (m *model) runPending() {
 	for i := 0; i < len(m.pending); i++ {
 		if e := m.pending[i]; !e.at.After(m.now) {
@@ -67,9 +68,10 @@
 	return m.committed[len(m.committed)-1].final
 }
 
-// commit has the job accepted, or ended, by a controller that then answers the user. A job does not end before its user
-// knows of it: its tasks take longer, and who cancels it has been answered that it is accepted. A late response to an
-// acceptance is no answer by itself: the job is read.
+// commit makes a controller commit that the job is accepted or has ended, and then answer the user.
+// A job cannot end before the user knows of it: its tasks take longer, and only a user who was told
+// that it is accepted can cancel it. If the response to an acceptance comes late, the controller
+// reads the job instead of answering directly.
 func (m *model) commit(c *controller, final jobs.Final) {
 	sentAt := m.now
 	m.after(0, 60, func() {
@@ -88,7 +90,8 @@
 	})
 }
 
-// answer answers the user with a state that may be acknowledged at any time, once the answer may leave.
+// answer answers the user, once the answer may leave, with a state that does not require a recent
+// read.
 func (m *model) answer(c *controller, final jobs.Final) {
 	if latest, ok := c.log.Latest(modelJobID); ok && progress(latest.State) > progress(final.State) {
 		final = latest
@@ -106,7 +109,7 @@
 func (m *model) sendUnsent(c *controller) {
 	for _, message := range c.log.TakeUnsent() {
 		if !message.Valid() {
-			m.t.Fatalf("not valid: %+v", message)
+			m.t.Fatalf("invalid message: %+v", message)
 		}
 		for _, other := range m.controllers {
 			if other != c && !m.partitioned {
@@ -116,7 +119,7 @@
 	}
 }
 
-// leave has an answer leave now.
+// leave makes an answer leave the controller now.
 func (m *model) leave(final jobs.Final) {
 	if progress(final.State) < progress(m.received.final.State) {
 		m.t.Fatalf("%q leaves %v after the user received %q",
@@ -129,11 +132,11 @@
 	})
 }
 
-// read answers a question by a read of the state service, or by the mirror that a watch brought up to date: a state
-// that may be outdated later only if it was read a moment ago.
+// read answers a question by a read of the state service, or by a mirror that a watch has brought
+// up to date. A state that may become outdated is used only if the read was recent.
 func (m *model) read(c *controller) {
 	sentAt := m.now
-	m.after(0, 60, func() { // it arrives there
+	m.after(0, 60, func() { // the request arrives
 		final := m.stored()
 		m.after(0, 60, func() { m.readAnswered(c, final, sentAt) })
 	})
@@ -147,11 +150,11 @@
 	case known && progress(latest.State) > progress(final.State):
 		if progress(latest.State) == 2 {
 			m.answer(c, latest)
-		} // accepted, and not found: read again, here the user is told to retry
+		} // accepted, but not found: a controller reads again, the model tells the user to retry
 	case m.now.Sub(sentAt) > tuning.ReadFresh:
 	case final.State == "":
 		m.leave(final)
-	default: // live: if its acceptance is new, a later read answers with it
+	default: // live: if the acceptance is new, a later read answers with it
 		if c.log.Acknowledge(modelJobID, final, m.now) == 0 {
 			m.leave(final)
 			return
@@ -160,7 +163,7 @@
 	}
 }
 
-// act is a commit, a fault, or users' questions.
+// act performs a drawn action: a commit, a fault, or a question of the user.
 func (m *model) act(action int, c *controller) {
 	switch action {
 	case 0:
@@ -172,16 +175,17 @@
 		m.partitioned = !m.partitioned
 	case 3, 4, 5, 6, 7, 8:
 		m.read(c)
-	default: // users ask all controllers
+	default: // the user asks all controllers
 		for _, other := range m.controllers {
 			m.read(other)
 		}
 	}
 }
 
-// Whichever controller commits, whichever is asked, however late reads, their answers, messages and commits' responses
-// are, and if all messages are lost: once the user has received a state, no answer that leaves later has an older one.
-// Without the delay before a new state is acknowledged this fails within a few draws.
+// Once the user has received a state, no answer that leaves later may have an older one, whichever
+// controller commits or is asked, however late reads, messages and responses are, and even if all
+// messages are lost. Without the delay before a new state is acknowledged, this test fails within a
+// few draws.
 func TestNoAnswerIsOlderThanWhatTheUserReceived(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{t: t, now: start}
--- a/internal/standby/checks.go
+++ b/internal/standby/checks.go
@@ -28,8 +28,8 @@
 	// MachineTypesKnown: the catalogue of machine types is known, with current prices.
 	MachineTypesKnown Check = "machine types known"
 	// CloudListed: the cloud's machines have been listed, by a listing that was begun after the
-	// controller became leader, or shortly before by a successor that follows the cloud (standby {
-	// follow_cloud }).
+	// controller became leader, or shortly before by a successor that follows the cloud (setting
+	// standby.follow_cloud).
 	CloudListed Check = "cloud's list read"
 	// FormerScaleOutsCounted: machines that the former leader requested and that the listing may
 	// not contain yet are counted from the summary until the listing must contain them. The
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -71,7 +71,7 @@
 	}
 	wantNone(t, evaluate(second, statusOfFive("n3", now)), "the second successor does not probe at once")
 	now = now.Add(tuning.ProbeStagger)
-	wantOne(t, evaluate(second, statusOfFive("n3", now)), ActionProbe, "[n0]", "the second one, as the first has not probed")
+	wantOne(t, evaluate(second, statusOfFive("n3", now)), ActionProbe, "[n0]", "the second, as the first has not probed")
 
 	status := statusOfFive("n1", now)
 	status.Probes["n0"] = Probe{Incarnation: 10, By: "n1", WaitMs: tuning.ProbeTimeout.Milliseconds()}
