--- a/internal/cancellation/ack_log_test.go
+++ b/internal/cancellation/ack_log_test.go
@@ -7,25 +7,26 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Beyond their bounds the log drops entries, which a peer sees as a gap, and a peer receives no more.
-func TestLogsAreBoundedAndDroppedEntriesShowAsGap(t *testing.T) {
+// The log drops its oldest entries beyond its limit, which a peer detects as a gap, and a peer
+// stops receiving entries beyond its own limit.
+func TestLogsAreBoundedAndDroppedEntriesAreDetectedAsAGap(t *testing.T) {
 	log := NewAckLog(7)
 	for i := range 3 * tuning.MaxAckLogEntries {
 		if !log.Append(fmt.Sprintf("wk-%06d", i)) {
-			t.Fatal("not new")
+			t.Fatal("a new job was not appended")
 		}
 	}
 	if log.Append(fmt.Sprintf("wk-%06d", 3*tuning.MaxAckLogEntries-1)) {
-		t.Error("entered twice")
+		t.Error("a job was appended twice")
 	}
 	if len(log.jobIDs) > tuning.MaxAckLogEntries || len(log.known) != len(log.jobIDs) ||
 		log.Position().Seq != uint64(3*tuning.MaxAckLogEntries) {
-		t.Errorf("%d kept, %d known, at %v", len(log.jobIDs), len(log.known), log.Position())
+		t.Errorf("%d entries kept, %d known, position %v", len(log.jobIDs), len(log.known), log.Position())
 	}
 	acks := NewPeerAcks([]string{"n1"})
 	for _, entries := range log.EntriesAfter(LogPosition{}, 5) {
 		if message := (Message{Entries: &entries}); !message.Valid() {
-			t.Fatalf("not valid: %d entries from %d", len(entries.JobIDs), entries.First)
+			t.Fatalf("invalid message: %d entries from %d", len(entries.JobIDs), entries.First)
 		}
 		acks.Receive("n1", entries, at(0))
 	}
@@ -39,12 +40,13 @@
 	}
 	if len(acks.jobs) > tuning.MaxPeerCancellations ||
 		acks.Received()["n1"].Seq >= uint64(tuning.MaxPeerCancellations+10) {
-		t.Errorf("%d jobs, received %v", len(acks.jobs), acks.Received())
+		t.Errorf("%d jobs known, received %v", len(acks.jobs), acks.Received())
 	}
 }
 
-// An answer begins where the asker stands, also for one that knows only an earlier incarnation.
-func TestAnswerBeginsAfterWhatTheAskerReceived(t *testing.T) {
+// An answer contains all entries that the sender of the query has not received, even if it only
+// knows an earlier incarnation.
+func TestAnswerBeginsAfterTheReceivedPosition(t *testing.T) {
 	log := NewAckLog(7)
 	for i := range tuning.MaxAcksPerLine + 3 {
 		log.Append(fmt.Sprintf("wk-%06d", i))
@@ -54,19 +56,19 @@
 		messages int
 		first    uint64
 	}{
-		"nothing received":            {LogPosition{}, 2, 1},
-		"of an earlier incarnation":   {LogPosition{6, 400}, 2, 1},
-		"some received":               {LogPosition{7, 5}, 1, 6},
-		"all received":                {LogPosition{7, uint64(tuning.MaxAcksPerLine + 3)}, 1, 0},
-		"more received than there is": {LogPosition{7, 9999}, 1, 0},
+		"nothing received":        {LogPosition{}, 2, 1},
+		"earlier incarnation":     {LogPosition{6, 400}, 2, 1},
+		"some entries received":   {LogPosition{7, 5}, 1, 6},
+		"all entries received":    {LogPosition{7, uint64(tuning.MaxAcksPerLine + 3)}, 1, 0},
+		"position beyond the end": {LogPosition{7, 9999}, 1, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got := log.EntriesAfter(c.from, 5)
 			if len(got) != c.messages || got[0].First != c.first {
-				t.Errorf("%d messages, first %d", len(got), got[0].First)
+				t.Errorf("%d messages, first entry %d", len(got), got[0].First)
 			}
 			if got[len(got)-1].Nonce != 5 || len(got) > 1 && got[0].Nonce != 0 {
-				t.Error("the last message alone must carry the nonce")
+				t.Error("only the last message must carry the nonce")
 			}
 		})
 	}
--- a/internal/cancellation/golden_test.go
+++ b/internal/cancellation/golden_test.go
@@ -25,7 +25,7 @@
 	})
 }
 
-// TestGoldenAnswer holds the messages that a log's answer consists of.
+// TestGoldenAnswer compares the messages of answers with the recorded ones.
 func TestGoldenAnswer(t *testing.T) {
 	log := NewAckLog(3)
 	goldentest.JSON(t, "answer-empty.json", log.EntriesAfter(LogPosition{}, 6))
--- a/internal/cancellation/message.go
+++ b/internal/cancellation/message.go
@@ -5,36 +5,38 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// LogPosition is a position in the log of one process: after its first Seq entries.
+// LogPosition is a position in the log of one process, after its first Seq entries.
 type LogPosition struct {
-	Incarnation uint64 `json:"inc"` // of the process; a restarted controller has another one
+	Incarnation uint64 `json:"inc"` // of the process; a restarted controller has a new one
 	Seq         uint64 `json:"seq"`
 }
 
-// AckEntries is a run of consecutive entries of the sender's log, which begins with entry number First (from 1).
+// AckEntries is a range of consecutive entries of the sender's log, beginning with entry number
+// First (counted from 1).
 type AckEntries struct {
 	Incarnation uint64   `json:"inc"`
 	First       uint64   `json:"first,omitempty"`
 	JobIDs      []string `json:"uids,omitempty"`
-	LogLength   uint64   `json:"upto"` // entries of the log when the message was sent
-	// Nonce is that of the query whose answer ends with this message, 0 if it ends none.
+	LogLength   uint64   `json:"upto"` // number of entries in the log when the message was sent
+	// Nonce is the nonce of the query if this message completes the answer to it, 0 otherwise.
 	Nonce uint64 `json:"nonce,omitempty"`
 }
 
-// Query asks a peer for all entries of its log that the asker has not received.
+// Query asks a peer for all entries of its log that the sender has not received.
 type Query struct {
 	Nonce    uint64      `json:"nonce"`
-	Received LogPosition `json:"taken"` // up to where the asker has received the peer's log
+	Received LogPosition `json:"taken"` // position up to which the sender has received the peer's log
 }
 
-// Message is what one line between controllers carries for this package. All fields are optional.
+// Message is the part of a message between controllers that belongs to this package. All fields are
+// optional.
 type Message struct {
 	Entries  *AckEntries            `json:"told,omitempty"`
 	Query    *Query                 `json:"ask,omitempty"`
-	Received map[string]LogPosition `json:"taken,omitempty"` // by peer, up to where the sender has received its log
+	Received map[string]LogPosition `json:"taken,omitempty"` // by peer, position up to which the sender has received its log
 }
 
-// Valid reports whether a controller may have sent the message.
+// Valid reports whether the message could have been sent by a controller.
 func (m *Message) Valid() bool {
 	if m.Entries != nil && !m.Entries.valid() {
 		return false
--- a/internal/cancellation/peer_acks.go
+++ b/internal/cancellation/peer_acks.go
@@ -7,23 +7,23 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// PeerAcks holds what one process has received of the other controllers' logs: jobs that are cancelled although the
-// mirror may not show it yet. A cancellation is final, so it is always safe to act on it. An entry is dropped once the
-// mirror is proven to show it.
+// PeerAcks records what one process has received of the other controllers' logs: jobs that are
+// cancelled even if the mirror does not show it yet. Because a cancellation is final, acting on it
+// is always safe. An entry is dropped once the mirror is proven to show it.
 type PeerAcks struct {
-	peers map[string]*peerLog  // by name; exactly the controllers that the settings name
-	jobs  map[string]time.Time // by job ID, when its cancellation was received
+	peers map[string]*peerLog  // by name; exactly the controllers in the settings
+	jobs  map[string]time.Time // by job ID, when the cancellation was received
 }
 
-// peerLog is what is known of the log of one other controller's process.
+// peerLog is what is known about the log of one process of another controller.
 type peerLog struct {
-	incarnation uint64    // 0 until a message came
-	since       time.Time // when the first message of this incarnation came
-	received    uint64    // entries of its log that were received, or that the mirror shows
-	length      uint64    // length of its log by its newest message
+	incarnation uint64    // 0 until a message arrives
+	since       time.Time // when the first message of this incarnation arrived
+	received    uint64    // number of entries that were received or that the mirror shows
+	length      uint64    // length of the log according to its newest message
 }
 
-// NewPeerAcks makes an empty one for the controllers that the settings name.
+// NewPeerAcks returns an empty PeerAcks for the controllers in the settings.
 func NewPeerAcks(peers []string) *PeerAcks {
 	a := &PeerAcks{peers: map[string]*peerLog{}, jobs: map[string]time.Time{}}
 	for _, peer := range peers {
@@ -32,14 +32,14 @@
 	return a
 }
 
-// Cancelled reports whether a job is known to be cancelled by an acknowledgement.
+// Cancelled reports whether a job is known to be cancelled from an acknowledgement.
 func (a *PeerAcks) Cancelled(jobID string) bool {
 	_, ok := a.jobs[jobID]
 	return ok
 }
 
-// Received is the position up to which each other controller's log was received. They are sent it as a confirmation,
-// so that they stop resending.
+// Received returns the position up to which each other controller's log was received. It is sent to
+// those controllers as a confirmation, so that they stop resending.
 func (a *PeerAcks) Received() map[string]LogPosition {
 	positions := map[string]LogPosition{}
 	for name, peer := range a.peers {
@@ -50,16 +50,18 @@
 	return positions
 }
 
-// Record enters a job whose cancellation this process itself acknowledges: its own mirror may lag as well.
+// Record adds a job whose cancellation this process itself acknowledges, since its own mirror may
+// lag, too.
 func (a *PeerAcks) Record(jobID string, now time.Time) {
 	if _, known := a.jobs[jobID]; !known {
 		a.jobs[jobID] = now
 	}
 }
 
-// Receive enters a message and returns the jobs that are new. Messages arrive in order on a connection, but a network
-// partition may hold them: those of an earlier incarnation may follow those of the next. So only entries that continue
-// what was received of the present incarnation move its position.
+// Receive processes a message and returns the jobs that were not known before. Messages on one
+// connection arrive in order, but a network partition may delay them, so messages of an earlier
+// incarnation may arrive after those of the next one. The position therefore only advances by
+// entries that continue what was received from the current incarnation.
 func (a *PeerAcks) Receive(from string, entries AckEntries, now time.Time) []string {
 	peer := a.peers[from]
 	if peer == nil || entries.Incarnation == 0 {
@@ -75,7 +77,7 @@
 			continue
 		}
 		if len(a.jobs) >= tuning.MaxPeerCancellations {
-			return added // the rest is not received, so the position stays and nothing is proven by it
+			return added // the position does not advance, so the remaining entries count as not received
 		}
 		a.jobs[jobID] = now
 		added = append(added, jobID)
@@ -87,7 +89,7 @@
 	return added
 }
 
-// logLengths is how long the other controllers' logs are by their newest messages.
+// logLengths returns the lengths of the other controllers' logs according to their newest messages.
 func (a *PeerAcks) logLengths() map[string]LogPosition {
 	positions := make(map[string]LogPosition, len(a.peers))
 	for name, peer := range a.peers {
@@ -96,8 +98,8 @@
 	return positions
 }
 
-// mirrorCaughtUp notes that the mirror shows every cancellation acknowledged before a time, and with them the logs up
-// to the lengths that were known at that time.
+// mirrorCaughtUp records that the mirror shows every cancellation acknowledged before a time, and
+// thus all log entries up to the lengths that were known at that time.
 func (a *PeerAcks) mirrorCaughtUp(at time.Time, logLengths map[string]LogPosition) {
 	for name, position := range logLengths {
 		if peer := a.peers[name]; peer != nil && peer.incarnation == position.Incarnation {
--- a/internal/cancellation/proof.go
+++ b/internal/cancellation/proof.go
@@ -6,56 +6,59 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// ProofState is whether an owner's proof of knowledge is recent enough to renew leases.
+// ProofState is whether the proof of an owner is recent enough to renew leases.
 type ProofState string
 
-// The states of a proof.
+// Proof states.
 const (
 	ProofValid   ProofState = "valid"   // leases are renewed
-	ProofExpired ProofState = "expired" // no lease is renewed: tasks of cancellations not received end by lease expiry
+	ProofExpired ProofState = "expired" // no leases are renewed; tasks with unknown cancellations end by lease expiry
 )
 
-// Proof is the time up to which the owner of a shard provably knows every cancellation that any controller has
-// acknowledged to a user, and what follows for leases. A worker's lease expires lease_s after the worker *sent* the
-// last heartbeat that was answered 200. So if no 200 leaves later than cancel_s - lease_s after the proven time, less
-// a margin, then the tasks of every cancellation acknowledged after it are gone within cancel_s, even on a machine
-// that no other controller reaches.
+// Proof tracks the time up to which the owner of a shard provably knows every cancellation that any
+// controller has acknowledged to a user, and whether it may therefore renew leases. A worker's
+// lease expires lease_s after the worker *sent* the last heartbeat that was answered with 200. If
+// no 200 is sent later than cancel_s - lease_s after the proven time, less a margin, then the tasks
+// of every cancellation acknowledged after the proven time have ended within cancel_s, even on a
+// machine that no other controller can reach.
 //
-// There are two ways to prove a time. The first is the mirror, at an epoch which the state service returned to a
-// request sent at that time: a cancellation is committed before it is acknowledged. The second, while the state
-// service is unavailable, is an answer by every controller that the settings name to a query sent at that time, with
-// all entries of its process's log.
+// There are two ways to prove a time. The first is the mirror: it must have reached an epoch that
+// the state service returned to a request sent at that time, since a cancellation is committed
+// before it is acknowledged. The second is used while the state service is unavailable: every
+// controller in the settings must answer a query sent at that time with all entries of its log.
 type Proof struct {
 	peerAcks  *PeerAcks
-	window    time.Duration // see Window; 0 turns the proof off: leases are always renewed
-	provenAt  time.Time     // zero for never
-	queriedAt time.Time     // when the last query round began
+	window    time.Duration // see Window; 0 disables the proof: leases are always renewed
+	provenAt  time.Time     // zero if nothing has been proven
+	queriedAt time.Time     // start of the last query round
 	nonce     uint64        // of the last query round
-	rounds    []queryRound  // newest last
+	rounds    []queryRound  // oldest first
 	state     ProofState
 }
 
-// queryRound is one query to all other controllers.
+// queryRound is a query that is sent to all other controllers.
 type queryRound struct {
 	nonce    uint64
 	sentAt   time.Time
 	answered map[string]uint64 // by peer, the incarnation that answered
 }
 
-// Window is how long after the proven time leases may be renewed. It is 0 where the settings leave no time for it; the
-// program refuses such settings at its start. Both parameters are in seconds.
+// Window returns how long after the proven time leases may be renewed. It returns 0 if the settings
+// leave no time for that; the program rejects such settings at startup. Both parameters are in
+// seconds.
 func Window(leaseS, cancelS float64) time.Duration {
 	window := time.Duration((cancelS*(1-tuning.ProofDrift)-leaseS)*float64(time.Second)) - tuning.ProofMargin
 	return max(window, 0)
 }
 
-// NewProof makes the proof of a process that has proven nothing yet. The nonce should be random: an answer to a query
-// of an earlier process of this controller must not be taken for an answer to this one's.
+// NewProof returns the proof of a process that has proven nothing yet. The nonce should be random,
+// so that an answer to a query by an earlier process of this controller is not taken for an answer
+// to a query by this one.
 func NewProof(peers []string, window time.Duration, nonce uint64) *Proof {
 	return &Proof{peerAcks: NewPeerAcks(peers), window: window, nonce: nonce, state: ProofExpired}
 }
 
-// Advance updates the state; it changes nowhere else.
+// Advance updates the state and reports whether it changed. The state changes only here.
 func (p *Proof) Advance(now time.Time) (state ProofState, changed bool) {
 	state = ProofValid
 	if !p.MayRenewLeases(now) {
@@ -66,43 +69,47 @@
 	return state, changed
 }
 
-// MayRenewLeases reports whether a worker's lease may be renewed now.
+// MayRenewLeases reports whether leases of workers may be renewed now.
 func (p *Proof) MayRenewLeases(now time.Time) bool {
 	return p.window == 0 || !p.provenAt.IsZero() && now.Sub(p.provenAt) < p.window
 }
 
-// MayLaunch reports whether a task may be launched now. It is stricter than MayRenewLeases, since the task may start as
-// late as the call's timeout, on a machine whose lease was last renewed while the call was under way.
+// MayLaunch reports whether tasks may be launched now. It is stricter than MayRenewLeases: the task
+// may start as late as the timeout of the call, on a machine whose lease was last renewed during
+// the call.
 func (p *Proof) MayLaunch(now time.Time) bool {
 	return p.MayRenewLeases(now.Add(min(2*tuning.CommandTimeout, p.window/2)))
 }
 
-// Age is the time since the proven time.
+// Age returns the time since the proven time.
 func (p *Proof) Age(now time.Time) time.Duration { return now.Sub(p.provenAt) }
 
-// Cancelled reports whether a job is known to be cancelled by an acknowledgement, though the mirror may not show it.
+// Cancelled reports whether a job is known to be cancelled from an acknowledgement, even if the
+// mirror does not show it yet.
 func (p *Proof) Cancelled(jobID string) bool { return p.peerAcks.Cancelled(jobID) }
 
-// Received is the position up to which each other controller's log was received.
+// Received returns the position up to which each other controller's log was received.
 func (p *Proof) Received() map[string]LogPosition { return p.peerAcks.Received() }
 
-// Receive enters a peer's message and returns the jobs that are new (PeerAcks.Receive).
+// Receive processes a message of a peer and returns the jobs that were not known before
+// (PeerAcks.Receive).
 func (p *Proof) Receive(from string, entries AckEntries, now time.Time) []string {
 	return p.peerAcks.Receive(from, entries, now)
 }
 
-// StoreQuery is a request to the state service: when it was sent, and how long the other controllers' logs were then.
+// StoreQuery describes a request to the state service: when it was sent, and how long the other
+// controllers' logs were at that time.
 type StoreQuery struct {
 	sentAt     time.Time
 	logLengths map[string]LogPosition
 }
 
-// BeginStoreQuery notes that a request to the state service is sent now.
+// BeginStoreQuery records that a request to the state service is being sent now.
 func (p *Proof) BeginStoreQuery(now time.Time) StoreQuery {
 	return StoreQuery{now, p.peerAcks.logLengths()}
 }
 
-// StoreQueryAnswered notes that the mirror shows all changes up to the answer to that request.
+// StoreQueryAnswered records that the mirror shows all changes up to the answer to the request.
 func (p *Proof) StoreQueryAnswered(query StoreQuery) {
 	if query.sentAt.After(p.provenAt) {
 		p.provenAt = query.sentAt
@@ -110,8 +117,9 @@
 	p.peerAcks.mirrorCaughtUp(query.sentAt, query.logLengths)
 }
 
-// NextQuery begins a query round to the other controllers, if one is due, and returns its nonce. A round is due where
-// the state service is unavailable, or has proven nothing for half of the window.
+// NextQuery begins a query round to the other controllers if one is due, and returns its nonce. A
+// round is due if the state service is unavailable, or if it has proven nothing for half of the
+// window.
 func (p *Proof) NextQuery(now time.Time, storeUnavailable bool) (nonce uint64, due bool) {
 	minAge := p.window / 2
 	if storeUnavailable {
@@ -132,9 +140,10 @@
 	return p.nonce, true
 }
 
-// PeerAnswered notes the last message of an answer, after Receive has entered its entries. It counts only if no entry
-// of the peer's log is missing, and only by an incarnation whose first message came before the proven time: what an
-// earlier incarnation has acknowledged since then is in no log any more.
+// PeerAnswered processes the last message of an answer, after Receive has processed its entries.
+// The answer counts only if no entry of the peer's log is missing, and only from an incarnation
+// whose first message arrived before the proven time: an earlier incarnation may have acknowledged
+// cancellations since then that are in no log any more.
 func (p *Proof) PeerAnswered(from string, entries AckEntries) {
 	peer := p.peerAcks.peers[from]
 	if entries.Nonce == 0 || peer == nil || peer.incarnation != entries.Incarnation || peer.received < entries.LogLength {
@@ -149,8 +158,8 @@
 	}
 }
 
-// closeRound proves the time at which a round was sent, if all peers have answered it, each by the incarnation that was
-// there at the time proven before.
+// closeRound marks the send time of a round as proven if all peers have answered, each from the
+// incarnation that it had at the previously proven time.
 func (p *Proof) closeRound(i int) {
 	round := p.rounds[i]
 	for name, peer := range p.peerAcks.peers {
--- a/internal/cancellation/proof_model_test.go
+++ b/internal/cancellation/proof_model_test.go
@@ -10,53 +10,54 @@
 	"pgregory.net/rapid"
 )
 
-// model is an owner, other controllers that acknowledge cancellations, the state service between them, and one machine
-// whose lease the owner renews. Each step is a quarter of a second. Messages between controllers and answers of the
-// state service take some steps, or are held by a partition.
+// model simulates an owner, other controllers that acknowledge cancellations, the state service
+// between them, and one machine whose lease the owner renews. Each step is 250 ms long. Messages
+// between controllers and answers of the state service take several steps, or are held back by a
+// partition.
 type model struct {
 	t       *rapid.T
 	now     time.Time
-	lease   time.Duration
-	cancel  time.Duration
+	lease   time.Duration // lease_s
+	cancel  time.Duration // cancel_s
 	owner   *Proof
 	ackers  []*acker
-	pending []message // on their way
+	pending []message // in flight
 
-	committed        []string             // cancellations in the state service, in order
-	mirrored         int                  // of them, by the owner's mirror
-	storeDown        bool                 // for all controllers
-	storeRefuses     map[string]bool      // or for one controller
-	acknowledged     map[string]time.Time // by job, first
+	committed        []string             // cancellations committed to the state service, in order
+	mirrored         int                  // number of those that the owner's mirror shows
+	storeDown        bool                 // the state service is down for all controllers
+	storeRefuses     map[string]bool      // controllers that the state service refuses to answer
+	acknowledged     map[string]time.Time // by job, when its cancellation was first acknowledged
 	running          map[string]bool      // jobs with a task on the machine
-	renewedAt        time.Time            // when the heartbeat was sent that was answered last
+	renewedAt        time.Time            // when the last answered heartbeat was sent
 	outboundOnly     bool                 // the machine does not receive answers
-	undisturbedUntil time.Time            // until then no further fault comes
+	undisturbedUntil time.Time            // no further fault is injected until then
 	jobCount         int
 }
 
-// acker is another controller.
+// acker is another controller, which acknowledges cancellations.
 type acker struct {
 	name        string
 	incarnation uint64
 	log         *AckLog
-	stopped     bool // its process has ended
-	partitioned bool // messages between it and the owner are held
+	stopped     bool // the process has ended
+	partitioned bool // messages between it and the owner are held back
 }
 
-// message is on its way between an acker and the owner, or from the state service to the owner.
+// message is in flight between an acker and the owner, or from the state service to the owner.
 type message struct {
 	arrivesAt   time.Time
 	acker       *acker // nil for the state service
-	incarnation uint64 // of the process that it was sent to or by
+	incarnation uint64 // of the process that sent it or that it was sent to
 	entries     *AckEntries
 	query       *Query
 	storeQuery  StoreQuery
-	commits     int // that the state service's answer shows
+	commits     int // number of commits that the state service's answer shows
 }
 
 const step = 250 * time.Millisecond
 
-// drawSteps is a drawn time of so many steps.
+// drawSteps draws a duration of a number of steps.
 func (m *model) drawSteps(minimum, maximum int, label string) time.Duration {
 	return time.Duration(rapid.IntRange(minimum, maximum).Draw(m.t, label)) * step
 }
@@ -66,12 +67,13 @@
 	m.pending = append(m.pending, msg)
 }
 
-// deliver hands over what has arrived, in order for each sender. A partition holds it.
+// deliver handles the messages that have arrived, in order for each connection. Partitions hold
+// messages back.
 func (m *model) deliver() {
 	blocked := map[string]bool{}
-	var rest []message
+	var remaining []message
 	sent := m.pending
-	m.pending = nil // answers to what is delivered follow the rest
+	m.pending = nil // messages sent during delivery are appended after the remaining ones
 	for _, msg := range sent {
 		connection := "state"
 		if msg.acker != nil {
@@ -79,12 +81,12 @@
 		}
 		if blocked[connection] || msg.arrivesAt.After(m.now) || msg.acker != nil && msg.acker.partitioned {
 			blocked[connection] = true
-			rest = append(rest, msg)
+			remaining = append(remaining, msg)
 			continue
 		}
 		m.handle(msg)
 	}
-	m.pending = append(rest, m.pending...)
+	m.pending = append(remaining, m.pending...)
 }
 
 func (m *model) handle(msg message) {
@@ -92,7 +94,7 @@
 	case msg.acker == nil:
 		m.mirrored = max(m.mirrored, msg.commits)
 		m.owner.StoreQueryAnswered(msg.storeQuery)
-	case msg.entries != nil: // also of a process that has ended since
+	case msg.entries != nil: // even if its process has ended since
 		m.owner.Receive(msg.acker.name, *msg.entries, m.now)
 		m.owner.PeerAnswered(msg.acker.name, *msg.entries)
 	case !msg.acker.stopped && msg.acker.incarnation == msg.incarnation: // a connection ends with its process
@@ -102,12 +104,13 @@
 	}
 }
 
-// advance is one turn of the owner and one heartbeat of the machine.
+// advance simulates one turn of the owner and one heartbeat of the machine, and checks that no task
+// outlives its cancellation.
 func (m *model) advance() {
 	m.exchange()
 	if m.now.Sub(m.renewedAt) > m.lease {
 		clear(m.running)
-		m.renewedAt = m.now // its next epoch
+		m.renewedAt = m.now // the next agent epoch begins
 	}
 	sentAt := m.now.Add(-m.drawSteps(0, 3, "heartbeat"))
 	if m.owner.MayRenewLeases(m.now) && !m.outboundOnly && sentAt.After(m.renewedAt) {
@@ -120,13 +123,14 @@
 	}
 	for jobID := range m.running {
 		if at, ok := m.acknowledged[jobID]; ok && m.now.Sub(at) > m.cancel {
-			m.t.Fatalf("%s is on the machine %v after its cancellation was acknowledged, proven %v ago",
+			m.t.Fatalf("%s is still running %v after its cancellation was acknowledged; last proof %v ago",
 				jobID, m.now.Sub(at), m.owner.Age(m.now))
 		}
 	}
 }
 
-// exchange has the owner query the state service and the ackers, and the ackers send handshakes.
+// exchange makes the owner query the state service and the ackers, and makes the ackers send
+// handshakes.
 func (m *model) exchange() {
 	storeUnavailable := m.storeDown || m.storeRefuses["owner"]
 	if !storeUnavailable {
@@ -149,7 +153,7 @@
 	}
 }
 
-// launch has the owner start a few jobs' tasks, if it may.
+// launch makes the owner launch tasks of several jobs, if it may.
 func (m *model) launch() {
 	for len(m.running) < 5 && m.owner.MayLaunch(m.now) {
 		m.jobCount++
@@ -157,8 +161,8 @@
 	}
 }
 
-// acknowledge has an acker answer a cancellation, or a question about a cancelled job. Unless sends is set, its entry
-// is only in the log.
+// acknowledge makes an acker answer a cancellation, or a question about a cancelled job. Unless
+// sends is set, the entry is appended to its log but not sent.
 func (m *model) acknowledge(a *acker, sends bool) {
 	if a.stopped || m.storeDown || m.storeRefuses[a.name] || len(m.running) == 0 {
 		return
@@ -177,13 +181,13 @@
 	}
 }
 
-// restart begins the next incarnation of an acker.
+// restart starts the next incarnation of an acker.
 func (a *acker) restart() {
 	a.incarnation++
 	a.log = NewAckLog(a.incarnation)
 }
 
-// act is one of the faults, or a cancellation.
+// act performs a drawn action: a cancellation or a fault.
 func (m *model) act(action int, a *acker) {
 	switch action {
 	case 0, 1, 2:
@@ -196,16 +200,16 @@
 		m.storeRefuses[a.name] = !m.storeRefuses[a.name]
 	case 6:
 		a.partitioned = !a.partitioned
-	case 7: // its process ends, or another one starts
+	case 7: // its process ends, or a new one starts
 		a.stopped = !a.stopped
 		if !a.stopped {
 			a.restart()
 		}
 	case 8:
 		m.outboundOnly = !m.outboundOnly
-	case 9: // the owner stands still
+	case 9: // the owner stalls
 		m.now = m.now.Add(m.drawSteps(1, 40, "standstill"))
-	case 10: // one that acknowledges right before the state service fails restarts at once
+	case 10: // an acker acknowledges right before the state service fails, and restarts at once
 		m.storeRefuses["owner"] = true
 		m.acknowledge(a, false)
 		m.storeDown, m.undisturbedUntil = true, m.now.Add(m.cancel+5*time.Second)
@@ -215,10 +219,10 @@
 	}
 }
 
-// Whatever fails between ackers, owner, state service and machine: no task is on the machine longer than cancel_s after
-// its cancellation was acknowledged. Without the bound of MayRenewLeases, or with a round closed by an incarnation that
-// started since the last proof, this fails within ten draws. What a log has dropped or a partition has lost is
-// TestPeerAnswersProveTheirQueryTime's.
+// Whatever fails between the ackers, the owner, the state service and the machine, no task may run
+// longer than cancel_s after its cancellation was acknowledged. If MayRenewLeases has no bound, or
+// if an incarnation that started after the last proof may close a query round, this test fails
+// within ten draws. Dropped and lost log entries are covered by TestPeerAnswersProveTheirQueryTime.
 func TestNoTaskOutlivesItsAcknowledgedCancellation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		times := rapid.SampledFrom([][2]float64{{16, 41}, {42, 62}, {38, 63}}).Draw(t, "lease and cancel")
--- a/internal/cancellation/service.go
+++ b/internal/cancellation/service.go
@@ -9,42 +9,42 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Config is the settings of a Service.
+// Config is the configuration of a Service.
 type Config struct {
 	Name         string        // of this controller
-	Peers        []string      // all other controllers that the settings name
+	Peers        []string      // all other controllers in the settings
 	ProofWindow  time.Duration // how long after a proof leases may be renewed, see Window
-	CancelWithin time.Duration // cancel_s: when a cancelled job's tasks must be gone after the acknowledgement
+	CancelWithin time.Duration // cancel_s: how soon after the acknowledgement a cancelled job's tasks must have ended
 	Log          *slog.Logger
 }
 
 // PeerSender sends messages to other controllers.
 type PeerSender interface {
-	// SendToPeer sends a message, which may be lost.
+	// SendToPeer sends a message, which may get lost.
 	SendToPeer(peer string, message Message)
 }
 
-// AgentCaller calls the agents of workers.
+// AgentCaller sends requests to the agents on the workers.
 type AgentCaller interface {
-	// CallAgent sends a request; done is called on the event loop.
+	// CallAgent sends a request. done is called on the event loop.
 	CallAgent(endpoint, method, target string, body []byte, timeout time.Duration,
 		done func(status int, body []byte, err error))
 }
 
 // Shards knows which controller owns which machine.
 type Shards interface {
-	// OwnerOf is the controller whose shard has the machine, "" while no view is known.
+	// OwnerOf returns the controller that owns the shard of the machine, "" if no view is known.
 	OwnerOf(machine string) string
-	// ReviewMachine has the machine's records compared with its heartbeat soon.
+	// ReviewMachine schedules a comparison of the machine's records with its heartbeat.
 	ReviewMachine(machine string)
 }
 
-// StoreStatus tells whether the state service answers.
+// StoreStatus reports whether the state service is unavailable.
 type StoreStatus interface {
 	Unavailable() bool
 }
 
-// Collaborators are the parts of the controller that a Service calls.
+// Collaborators are the dependencies of a Service.
 type Collaborators struct {
 	Peers  PeerSender
 	Agents AgentCaller
@@ -52,7 +52,8 @@
 	Store  StoreStatus
 }
 
-// Service is one controller's part in carrying out acknowledged cancellations. It is used on the event loop only.
+// Service enforces acknowledged cancellations on behalf of one controller. Not safe for concurrent
+// use; only the event loop uses it.
 type Service struct {
 	config Config
 	state  *clusterstate.State
@@ -63,20 +64,20 @@
 
 	proof         *Proof
 	log           *AckLog
-	confirmations map[string]LogPosition // by peer, up to where it has received this log
-	sentEntries   uint64                 // entries that were sent to all peers once
+	confirmations map[string]LogPosition // by peer, the position up to which it has received this log
+	sentEntries   uint64                 // number of entries that have been sent to all peers once
 	sentAt        time.Time              // when entries were last sent
 	relay         StopRelay
 
-	// LeasesWithheld counts heartbeats that were not answered 200 since no proof was valid.
+	// LeasesWithheld counts heartbeats that were not answered with 200 because no proof was valid.
 	LeasesWithheld int
-	// StopsRelayed counts stop commands that were sent to machines of other owners.
+	// StopsRelayed counts stop commands sent to machines of other owners.
 	StopsRelayed int
 
-	withheldBefore int // LeasesWithheld when the proof expired
+	withheldBefore int // value of LeasesWithheld when the proof expired
 }
 
-// New makes the service of a process; random supplies its incarnation and its first nonce.
+// New returns the service of a process. random provides its incarnation and its first nonce.
 func New(state *clusterstate.State, config Config, collaborators Collaborators, random func() uint64) *Service {
 	incarnation := random()>>1 | 1
 	return &Service{
@@ -92,23 +93,24 @@
 	}
 }
 
-// Cancelled reports whether a job is known to be cancelled by an acknowledgement, though the mirror may not show it.
+// Cancelled reports whether a job is known to be cancelled from an acknowledgement, even if the
+// mirror does not show it yet.
 func (s *Service) Cancelled(jobID string) bool { return s.proof.Cancelled(jobID) }
 
-// MayRenewLeases reports whether a worker's lease may be renewed now.
+// MayRenewLeases reports whether leases of workers may be renewed now.
 func (s *Service) MayRenewLeases(now time.Time) bool { return s.proof.MayRenewLeases(now) }
 
-// MayLaunch reports whether a task may be launched now.
+// MayLaunch reports whether tasks may be launched now.
 func (s *Service) MayLaunch(now time.Time) bool { return s.proof.MayLaunch(now) }
 
-// BeginStoreQuery notes that a request to the state service is sent now.
+// BeginStoreQuery records that a request to the state service is being sent now.
 func (s *Service) BeginStoreQuery(now time.Time) StoreQuery { return s.proof.BeginStoreQuery(now) }
 
-// StoreQueryAnswered notes that the mirror shows all changes up to the answer to that request.
+// StoreQueryAnswered records that the mirror shows all changes up to the answer to the request.
 func (s *Service) StoreQueryAnswered(query StoreQuery) { s.proof.StoreQueryAnswered(query) }
 
-// Acknowledge notes that a user is about to be told that a job is cancelled. It must be called before the answer
-// leaves.
+// Acknowledge records that a user is about to be told that a job is cancelled. It must be called
+// before the answer leaves.
 func (s *Service) Acknowledge(jobID string) {
 	if s.log.Append(jobID) {
 		s.proof.peerAcks.Record(jobID, s.state.Now)
@@ -117,7 +119,8 @@
 	}
 }
 
-// reviewMachinesOf has the machines that hold tasks of a cancelled job reviewed, which stops the tasks.
+// reviewMachinesOf schedules a review of all machines with tasks of a cancelled job, which stops
+// the tasks.
 func (s *Service) reviewMachinesOf(jobID string) {
 	if job := s.state.Jobs[jobID]; job != nil {
 		for _, task := range job.Active {
@@ -128,8 +131,8 @@
 	}
 }
 
-// Handshake is what every periodic line to the other controllers carries: the length of this log, and up to where
-// theirs were received.
+// Handshake returns what every periodic message to the other controllers contains: the length of
+// this log, and the positions up to which the other logs were received.
 func (s *Service) Handshake() Message {
 	end := s.log.Position()
 	return Message{
@@ -138,7 +141,8 @@
 	}
 }
 
-// Receive handles a message of another controller. One that the settings do not name is ignored.
+// Receive processes a message of another controller. Messages of controllers that are not in the
+// settings are ignored.
 func (s *Service) Receive(from string, message Message) {
 	if s.proof.peerAcks.peers[from] == nil {
 		return
@@ -159,7 +163,7 @@
 	}
 }
 
-// confirmed reports whether a controller has received an entry of this log.
+// confirmed reports whether a controller has confirmed that it received an entry of this log.
 func (s *Service) confirmed(peer string, seq uint64) bool {
 	position := s.confirmations[peer]
 	return position.Incarnation == s.log.incarnation && position.Seq >= seq
@@ -169,8 +173,8 @@
 	return !slices.ContainsFunc(s.config.Peers, func(peer string) bool { return !s.confirmed(peer, seq) })
 }
 
-// Reconcile sends what peers have not received, queries them where the state service does not answer, and relays
-// stops. The controller calls it with each tick of the event loop.
+// Reconcile sends entries that peers have not received, queries the peers if the state service does
+// not answer, and relays stop commands. The controller calls it on each tick of the event loop.
 func (s *Service) Reconcile() {
 	s.Broadcast()
 	s.resendUnconfirmed()
@@ -184,9 +188,10 @@
 	s.logTransitions()
 }
 
-// Broadcast sends the entries that were made since it last did. The controller calls it in the same turn of the event
-// loop in which the answers leave: another controller that is asked about the job must not answer by what it knew
-// before. In a burst the entries of several turns are sent together.
+// Broadcast sends the entries appended since the last broadcast. The controller calls it in the
+// same turn of the event loop in which the answers leave, so that another controller that is asked
+// about the job does not answer with outdated knowledge. In a burst, the entries of several turns
+// are sent together.
 func (s *Service) Broadcast() {
 	if end := s.log.Position().Seq; s.sentEntries < end && s.state.Now.Sub(s.sentAt) >= tuning.AckGatherFor {
 		s.sendEntries(LogPosition{s.log.incarnation, s.sentEntries}, s.config.Peers)
@@ -194,8 +199,8 @@
 	}
 }
 
-// resendUnconfirmed sends the entries that a peer has not confirmed once more, at most every tuning.AckResend and only
-// while a pending stop needs it.
+// resendUnconfirmed resends the entries that a peer has not confirmed, at most every
+// tuning.AckResend and only while a pending stop depends on it.
 func (s *Service) resendUnconfirmed() {
 	end := s.log.Position().Seq
 	if s.sentEntries != end || len(s.relay.undelivered) == 0 || s.state.Now.Sub(s.sentAt) < tuning.AckResend {
@@ -211,7 +216,7 @@
 	}
 }
 
-// sendEntries sends the entries after a position.
+// sendEntries sends the entries after a position to the given peers.
 func (s *Service) sendEntries(from LogPosition, peers []string) {
 	for _, entries := range s.log.EntriesAfter(from, 0) {
 		for _, peer := range peers {
@@ -220,8 +225,9 @@
 	}
 }
 
-// logTransitions logs when leases are no longer renewed, and when they are again. A proof that becomes valid for the
-// first time is no such transition, nor is an expiry in which no heartbeat came.
+// logTransitions logs when the renewal of leases is suspended and resumed. It does not log the
+// first time that a proof becomes valid, nor the end of a suspension during which no heartbeat
+// arrived.
 func (s *Service) logTransitions() {
 	state, changed := s.proof.Advance(s.state.Now)
 	if !changed || s.proof.provenAt.IsZero() {
--- a/internal/cancellation/service_test.go
+++ b/internal/cancellation/service_test.go
@@ -11,16 +11,16 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// testNetwork connects controllers that receive one another's messages at once, and counts what is sent.
+// testNetwork delivers messages between controllers immediately and counts them.
 type testNetwork struct {
 	t           *testing.T
 	services    map[string]*Service
 	messages    int
 	entries     int
-	partitioned bool // no message arrives
+	partitioned bool // all messages are lost
 }
 
-// testController is one controller's collaborators.
+// testController implements the dependencies of one controller.
 type testController struct {
 	network *testNetwork
 	name    string
@@ -32,7 +32,7 @@
 		c.network.entries += len(message.Entries.JobIDs)
 	}
 	if !message.Valid() {
-		c.network.t.Fatalf("a message that no controller would accept: %+v", message)
+		c.network.t.Fatalf("invalid message: %+v", message)
 	}
 	if !c.network.partitioned {
 		c.network.services[peer].Receive(c.name, message)
@@ -40,7 +40,7 @@
 }
 
 func (c testController) CallAgent(_, method, target string, _ []byte, _ time.Duration, _ func(int, []byte, error)) {
-	c.network.t.Fatalf("agent called: %s %s", method, target)
+	c.network.t.Fatalf("unexpected call of an agent: %s %s", method, target)
 }
 
 func (c testController) OwnerOf(string) string { return c.name }
@@ -74,7 +74,7 @@
 	return network
 }
 
-// advance moves each controller's time on and has it reconcile and send its handshake.
+// advance moves the clock of each controller, and makes it reconcile and send its handshake.
 func (n *testNetwork) advance(d time.Duration, names ...string) {
 	for _, name := range names {
 		s := n.services[name]
@@ -88,8 +88,7 @@
 	}
 }
 
-// 2,000 cancellations in a second are sent with the next ticks in a few messages, are confirmed, and are not sent
-// again.
+// 2,000 cancellations within a second are sent in a few messages, confirmed, and not sent again.
 func TestBurstOfCancellationsIsSentOnceInFewMessages(t *testing.T) {
 	names := []string{"n0", "n1", "n2"}
 	network := newTestNetwork(t, names...)
@@ -103,7 +102,7 @@
 	}
 	for _, name := range names {
 		if got := len(network.services[name].proof.peerAcks.jobs); got != 2000 {
-			t.Errorf("%s knows %d", name, got)
+			t.Errorf("%s knows %d cancellations", name, got)
 		}
 	}
 	if network.messages > 2*10 || network.entries != 2*2000 {
@@ -114,11 +113,11 @@
 		network.advance(100*time.Millisecond, names...)
 	}
 	if network.messages != 0 {
-		t.Errorf("%d messages after all was confirmed", network.messages)
+		t.Errorf("%d messages after all cancellations were confirmed", network.messages)
 	}
 }
 
-// What is not confirmed is sent again, once a second, until it is confirmed.
+// An unconfirmed cancellation is resent once a second until it is confirmed.
 func TestUnconfirmedCancellationIsResentUntilConfirmed(t *testing.T) {
 	network := newTestNetwork(t, "n0", "n1")
 	network.advance(time.Second, "n0", "n1")
@@ -134,12 +133,12 @@
 	network.partitioned = false
 	network.advance(tuning.AckResend, "n0", "n1")
 	if !network.services["n1"].Cancelled("wk-000001") {
-		t.Error("not known after the partition")
+		t.Error("the cancellation is unknown to the peer after the partition")
 	}
 	network.messages = 0
 	network.advance(2*tuning.AckResend, "n0", "n1")
 	network.advance(2*tuning.AckResend, "n0", "n1")
 	if network.messages != 0 {
-		t.Errorf("%d messages after it was confirmed", network.messages)
+		t.Errorf("%d messages after the cancellation was confirmed", network.messages)
 	}
 }
--- a/internal/cancellation/stop_relay.go
+++ b/internal/cancellation/stop_relay.go
@@ -10,15 +10,16 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// StopRelay sends stop commands for the cancellations that this process has acknowledged to machines whose owners have
-// not confirmed them. A worker executes a command that carries its current fencing token, whichever controller sends
-// it, and stopping a cancelled task is safe under every token: it changes nothing that the owner decides, and the
-// owner frees the task's machine by the worker's own heartbeat.
+// StopRelay sends stop commands for the cancellations that this process has acknowledged to
+// machines whose owners have not confirmed them. A worker executes any command with its current
+// fencing token, whichever controller sends it. Stopping a cancelled task is safe under every
+// token: it overrides no decision of the owner, and the owner frees the task's machine only when
+// the worker's own heartbeat shows that the task has ended.
 type StopRelay struct {
 	undelivered []pendingStop            // oldest first
 	attempts    map[string]*relayAttempt // by machine
-	calls       int                      // under way
-	nextScan    time.Time                // not before
+	calls       int                      // in flight
+	nextScan    time.Time                // earliest time of the next scan
 }
 
 // pendingStop is an acknowledged cancellation whose tasks this process may still have to stop.
@@ -28,27 +29,27 @@
 	acknowledgedAt time.Time
 }
 
-// relayAttempt is how far the stop commands for one machine are.
+// relayAttempt is the state of the stop commands for one machine.
 type relayAttempt struct {
 	state   relayState
-	retryAt time.Time // not before
+	retryAt time.Time // earliest time of the next attempt
 }
 
-// relayState is the step of an attempt.
+// relayState is the state of a relayAttempt.
 type relayState uint8
 
 const (
-	relayIdle     relayState = iota // until its retry time
-	relayQuerying                   // asked the machine for its token, epoch and tasks
-	relayStopping                   // stop commands are under way
+	relayIdle     relayState = iota // no call is in flight; the machine may be called again at retryAt
+	relayQuerying                   // querying the machine for its fencing token, epoch and tasks
+	relayStopping                   // stop commands are in flight
 )
 
-// add enters a cancellation that was acknowledged now.
+// add adds a cancellation that is being acknowledged now.
 func (r *StopRelay) add(jobID string, seq uint64, now time.Time) {
 	r.undelivered = append(r.undelivered, pendingStop{jobID, seq, now})
 }
 
-// attempt returns the attempt for a machine, a new idle one if there is none.
+// attempt returns the attempt for a machine, creating an idle one if there is none.
 func (r *StopRelay) attempt(machine string) *relayAttempt {
 	attempt := r.attempts[machine]
 	if attempt == nil {
@@ -61,29 +62,29 @@
 	return attempt
 }
 
-// relayStops finds the machines that hold tasks of acknowledged cancellations which their owners have not confirmed,
-// and stops the tasks.
+// relayStops finds the machines with tasks of acknowledged cancellations that their owners have not
+// confirmed, and stops these tasks.
 func (s *Service) relayStops() {
 	r, now := &s.relay, s.state.Now
 	if len(r.undelivered) == 0 || now.Before(r.nextScan) {
 		return
 	}
 	r.nextScan = now.Add(tuning.StopRelayEvery)
-	rest := r.undelivered[:0]
+	remaining := r.undelivered[:0]
 	for _, stop := range r.undelivered {
 		age := now.Sub(stop.acknowledgedAt)
 		if age > s.config.CancelWithin {
-			continue // by now lease expiry has ended its tasks
+			continue // its tasks have ended by lease expiry
 		}
 		if !s.confirmedByAll(stop.seq) {
-			rest = append(rest, stop)
+			remaining = append(remaining, stop)
 			if age >= tuning.StopRelayAfter {
 				s.relayToMachines(stop)
 			}
 		}
 	}
-	clear(r.undelivered[len(rest):])
-	r.undelivered = rest
+	clear(r.undelivered[len(remaining):])
+	r.undelivered = remaining
 	for machine, attempt := range r.attempts {
 		if attempt.state == relayIdle && now.Sub(attempt.retryAt) > s.config.CancelWithin {
 			delete(r.attempts, machine)
@@ -91,8 +92,8 @@
 	}
 }
 
-// relayToMachines begins attempts for the machines that hold tasks of a job, of owners that have not confirmed its
-// cancellation.
+// relayToMachines begins attempts for the machines with tasks of a job whose owners have not
+// confirmed its cancellation.
 func (s *Service) relayToMachines(stop pendingStop) {
 	job := s.state.Jobs[stop.jobID]
 	if job == nil {
@@ -109,7 +110,7 @@
 	}
 }
 
-// relayToMachine asks a machine which tasks it holds, and commands it to stop those that are cancelled.
+// relayToMachine queries a machine for its tasks and commands it to stop those that are cancelled.
 func (s *Service) relayToMachine(machine, endpoint string) {
 	r := &s.relay
 	attempt := r.attempt(machine)
@@ -123,7 +124,7 @@
 		var heartbeat agent.Heartbeat
 		if err != nil || status != http.StatusOK || json.Unmarshal(answer, &heartbeat) != nil ||
 			heartbeat.Machine != machine {
-			s.rest(attempt, tuning.StopRelayRetry)
+			s.finishAttempt(attempt, tuning.StopRelayRetry)
 			return
 		}
 		s.stopCancelled(attempt, endpoint, &heartbeat)
@@ -131,13 +132,13 @@
 	s.agents.CallAgent(endpoint, http.MethodGet, "/show", nil, tuning.CommandTimeout, onAnswer)
 }
 
-// stopCancelled commands a machine to stop the cancelled tasks of its heartbeat.
+// stopCancelled sends stop commands for the cancelled tasks in the heartbeat of a machine.
 func (s *Service) stopCancelled(attempt *relayAttempt, endpoint string, heartbeat *agent.Heartbeat) {
 	commands := StopCommands(heartbeat.Tasks, func(jobID string) bool {
 		return s.log.known[jobID] || s.Cancelled(jobID)
 	})
 	if len(commands) == 0 {
-		s.rest(attempt, tuning.StopRelayRetryClean) // a launch by the owner may still be under way
+		s.finishAttempt(attempt, tuning.StopRelayRetryClean) // the owner may still be launching tasks
 		return
 	}
 	attempt.state = relayStopping
@@ -146,18 +147,18 @@
 	body := agent.EncodeCommands(heartbeat.FencingToken, heartbeat.AgentEpoch, commands)
 	onAnswer := func(int, []byte, error) {
 		s.relay.calls--
-		s.rest(attempt, tuning.StopRelayRetry)
+		s.finishAttempt(attempt, tuning.StopRelayRetry)
 	}
 	s.agents.CallAgent(endpoint, http.MethodPost, "/commands", body, tuning.CommandTimeout, onAnswer)
 }
 
-// rest ends an attempt; the machine is not called again during the pause.
-func (s *Service) rest(attempt *relayAttempt, pause time.Duration) {
+// finishAttempt ends an attempt. The machine is not called again until the pause is over.
+func (s *Service) finishAttempt(attempt *relayAttempt, pause time.Duration) {
 	attempt.state, attempt.retryAt = relayIdle, s.state.Now.Add(pause)
 }
 
-// StopCommands returns a stop command without grace period for each reported task that has not ended and whose job is
-// cancelled, at most tuning.MaxCommands.
+// StopCommands returns stop commands without a grace period for the reported tasks that have not
+// ended and whose jobs are cancelled, at most tuning.MaxCommands.
 func StopCommands(tasks []agent.TaskStatus, cancelled func(jobID string) bool) []agent.Command {
 	var commands []agent.Command
 	for _, task := range tasks {
--- a/internal/cancellation/stop_relay_test.go
+++ b/internal/cancellation/stop_relay_test.go
@@ -6,7 +6,7 @@
 	"github.com/harrierreel/harrierreel/internal/agent"
 )
 
-func TestStopCommandsAreForCancelledTasksThatHaveNotEnded(t *testing.T) {
+func TestStopCommandsCoverCancelledTasksThatHaveNotEnded(t *testing.T) {
 	got := StopCommands([]agent.TaskStatus{
 		{TaskID: "wk-000001/0", Attempt: 3, Status: agent.Running},
 		{TaskID: "wk-000001/1", Attempt: 1, Status: agent.Ended},
@@ -14,6 +14,6 @@
 		{TaskID: "odd", Status: agent.Running},
 	}, func(jobID string) bool { return jobID == "wk-000001" })
 	if len(got) != 1 || got[0].TaskID != "wk-000001/0" || got[0].Attempt != 3 || *got[0].GracePeriodS != 0 {
-		t.Errorf("%+v", got)
+		t.Errorf("stop commands: %+v", got)
 	}
 }
