--- a/internal/cancellation/message.go
+++ b/internal/cancellation/message.go
@@ -33,7 +33,7 @@
 type Message struct {
 	Entries  *AckEntries            `json:"told,omitempty"`
 	Query    *Query                 `json:"ask,omitempty"`
-	Received map[string]LogPosition `json:"taken,omitempty"` // by peer, position up to which the sender has received its log
+	Received map[string]LogPosition `json:"taken,omitempty"` // by peer, position up to which its log was received
 }
 
 // Valid reports whether the message could have been sent by a controller.
--- a/internal/cancellation/peer_acks.go
+++ b/internal/cancellation/peer_acks.go
@@ -77,7 +77,7 @@
 			continue
 		}
 		if len(a.jobs) >= tuning.MaxPeerCancellations {
-			return added // the position does not advance, so the remaining entries count as not received
+			return added // the remaining entries count as not received, so nothing is proven by them
 		}
 		a.jobs[jobID] = now
 		added = append(added, jobID)
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -10,7 +10,7 @@
 	"github.com/harrierreel/harrierreel/internal/readconsistency"
 )
 
-// fullGossip has every field filled.
+// fullGossip returns a message with all fields set.
 func fullGossip() Gossip {
 	return Gossip{
 		From:               "ctl-a",
@@ -40,7 +40,7 @@
 	}
 }
 
-// A line is written and read byte for byte as recorded.
+// Messages are encoded and decoded byte for byte as recorded.
 func TestGossipIsEncodedAndDecodedAsRecorded(t *testing.T) {
 	full := fullGossip()
 	goldentest.Filled(t, full)
@@ -60,7 +60,7 @@
 			goldentest.Bytes(t, file, Encode(gossip))
 			decoded, err := Decode(goldentest.Read(t, file), func(name string) bool { return name == "ctl-a" })
 			if err != nil || !reflect.DeepEqual(decoded, gossip) {
-				t.Errorf("read %+v, %v", decoded, err)
+				t.Errorf("decoded %+v, %v", decoded, err)
 			}
 			goldentest.Bytes(t, file, Encode(decoded))
 		})
--- a/internal/peer/gossip.go
+++ b/internal/peer/gossip.go
@@ -1,10 +1,11 @@
-// Package peer is the gossip between controllers: JSON lines on peer_listen.
+// Package peer implements gossip between controllers: JSON messages, one per line, sent to
+// peer_listen.
 //
-// No rule needs that a line arrives: a controller that misses one decides less, or later, and
-// an owner that cannot prove that it knows the others' acknowledged cancellations lets its
-// agents' leases expire (package cancellation). What the rules do need is that no line states
-// anything false: an answer counts only with the nonce of its query, and what is not a whole
-// line of a known controller changes nothing.
+// Correctness never depends on the delivery of a message. A controller that misses one makes fewer
+// decisions or makes them later, and an owner that cannot prove that it knows all cancellations
+// acknowledged by others lets its agents' leases expire (package cancellation). Correctness does
+// require that no message states anything false: an answer counts only with the nonce of its query,
+// and anything other than a complete line from a known controller has no effect.
 package peer
 
 import (
@@ -16,50 +17,51 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Gossip is one line. The tags are the wire names: a controller of the former version reads
-// them while controllers are replaced.
+// Gossip is one message. The JSON tags are part of the wire format and must not change: during a
+// rolling upgrade, controllers of the previous version read them.
 type Gossip struct {
 	From           string `json:"from"`               // name of the sender
-	Epoch          uint64 `json:"epoch,omitempty"`    // the store's epoch that the sender has read up to
-	StoreReachable bool   `json:"state_ok,omitempty"` // the store answers the sender
-	// Isolated: the sender is outside the view and reaches no agent.
+	Epoch          uint64 `json:"epoch,omitempty"`    // epoch up to which the sender has read the store
+	StoreReachable bool   `json:"state_ok,omitempty"` // whether the store answers the sender
+	// Isolated is set if the sender is outside the view and reaches no agent.
 	Isolated bool `json:"blind,omitempty"`
-	// MachinesHeardEpoch is the epoch of the view under which the sender has heard all of its
-	// machines, or given them up.
+	// MachinesHeardEpoch is the epoch of the view in which the sender has received heartbeats from
+	// all of its machines, apart from those that it has given up.
 	MachinesHeardEpoch uint64 `json:"heard,omitempty"`
-	// Unreached are machines whose agents came to the sender although they were sent to their
-	// owner.
+	// Unreached lists machines whose agents contacted the sender although they had been redirected
+	// to their owner.
 	Unreached []string `json:"unreached,omitempty"`
 
-	// Acknowledged is what the sender has just acknowledged to users of jobs. A line with it has
-	// no epoch: it comes too often to have every controller catch up at once.
+	// Acknowledged contains what the sender has just acknowledged to users about jobs. A message
+	// with this field has no epoch: such messages are too frequent for every one of them to make
+	// all controllers catch up.
 	Acknowledged *readconsistency.Acks `json:"told_of,omitempty"`
 
-	cancellation.Message // a line is a message about cancellations, and more
+	cancellation.Message // embedded: its fields are part of the same JSON object
 }
 
-// Valid tells whether a controller may have sent this.
+// Valid reports whether the message could have been sent by a controller.
 func (g *Gossip) Valid() bool { return g.Message.Valid() && g.Acknowledged.Valid() }
 
-// DecodeReason is the kind of a DecodeError. Operators see its value in the counts of refused
+// DecodeReason is the reason of a DecodeError. Operators see its values in the counts of refused
 // calls.
 type DecodeReason string
 
-// Kinds of lines that are not taken in.
+// Reasons for rejecting a line.
 const (
-	Unreadable    DecodeReason = "unreadable"      // not JSON, or cut short
-	TooLong       DecodeReason = "too long"        // beyond tuning.MaxPeerLine
-	UnknownSender DecodeReason = "unknown sender"  // no controller that the settings name
-	InvalidFields DecodeReason = "without meaning" // fields that no controller sends
+	Unreadable    DecodeReason = "unreadable"      // not JSON, or truncated
+	TooLong       DecodeReason = "too long"        // longer than tuning.MaxPeerLine
+	UnknownSender DecodeReason = "unknown sender"  // not a controller in the settings
+	InvalidFields DecodeReason = "without meaning" // field values that no controller sends
 )
 
-// DecodeError is why a line was not taken in.
+// DecodeError describes why a line was rejected.
 type DecodeError struct {
 	Reason DecodeReason
-	Err    error // what the JSON decoder says of an unreadable line, else nil
+	Err    error // the error of the JSON decoder for an unreadable line, else nil
 }
 
-// Error says operation, object and reason.
+// Error returns the operation, the object and the reason.
 func (e *DecodeError) Error() string {
 	if e.Err != nil {
 		return fmt.Sprintf("decode gossip: %s: %v", e.Reason, e.Err)
@@ -67,10 +69,10 @@
 	return "decode gossip: " + string(e.Reason)
 }
 
-// Unwrap is the decoder's error.
+// Unwrap returns the error of the JSON decoder, nil if there is none.
 func (e *DecodeError) Unwrap() error { return e.Err }
 
-// Encode writes gossip as a line, with its end.
+// Encode encodes a message as a line, including the newline.
 func Encode(gossip Gossip) []byte {
 	line, err := json.Marshal(gossip)
 	if err != nil {
@@ -79,8 +81,8 @@
 	return append(line, '\n')
 }
 
-// Decode reads a line of one of the known controllers. Its error is a *DecodeError, and
-// nothing of a line with an error is returned.
+// Decode decodes a line from one of the known controllers. The error is a *DecodeError; no part of
+// a rejected line is returned.
 func Decode(line []byte, known func(controller string) bool) (Gossip, error) {
 	if len(line) > tuning.MaxPeerLine {
 		return Gossip{}, &DecodeError{Reason: TooLong}
--- a/internal/peer/gossip_test.go
+++ b/internal/peer/gossip_test.go
@@ -14,7 +14,7 @@
 
 func knowsN1(name string) bool { return name == "n1" }
 
-// reasonOf is why a line was not taken in, empty if it was.
+// reasonOf returns the reason for which a line was rejected, "" if it was accepted.
 func reasonOf(t *testing.T, err error) DecodeReason {
 	t.Helper()
 	if err == nil {
@@ -22,36 +22,36 @@
 	}
 	var decodeError *DecodeError
 	if !errors.As(err, &decodeError) {
-		t.Fatalf("%v is no DecodeError", err)
+		t.Fatalf("%v is not a DecodeError", err)
 	}
 	return decodeError.Reason
 }
 
-// What is not a whole line of a known controller is told apart by what is wrong with it.
-func TestDecodeTellsWhyALineIsNotTakenIn(t *testing.T) {
+// Lines are rejected with the reason that applies to them.
+func TestDecodeReturnsTheReasonOfARejection(t *testing.T) {
 	entries := cancellation.AckEntries{Incarnation: 7, First: 1, JobIDs: []string{"wk-000001"}, LogLength: 1}
-	whole := string(Encode(Gossip{From: "n1", Epoch: 4, Message: cancellation.Message{Entries: &entries}}))
+	validLine := string(Encode(Gossip{From: "n1", Epoch: 4, Message: cancellation.Message{Entries: &entries}}))
 	for _, c := range []struct {
 		name string
 		line string
 		want DecodeReason
 	}{
-		{"whole line", whole, ""},
+		{"complete line", validLine, ""},
 		{"field of a later version", `{"from":"n1","new_field":{"a":[1]}}`, ""},
-		{"line cut short", whole[:len(whole)/2], Unreadable},
+		{"truncated line", validLine[:len(validLine)/2], Unreadable},
 		{"HTTP request", "GET /up HTTP/1.1", Unreadable},
 		{"no sender", "{}", UnknownSender},
-		{"controller that the settings lack", strings.Replace(whole, "n1", "n9", 1), UnknownSender},
-		{"query without nonce", `{"from":"n1","ask":{"nonce":0}}`, InvalidFields},
-		{"entries without incarnation", `{"from":"n1","told":{"upto":3}}`, InvalidFields},
-		{"job ID with a path", strings.Replace(whole, "wk-", "../", 1), InvalidFields},
-		{"entries beyond the log", strings.Replace(whole, `"first":1`, `"first":9`, 1), InvalidFields},
+		{"controller that is not in the settings", strings.Replace(validLine, "n1", "n9", 1), UnknownSender},
+		{"query without a nonce", `{"from":"n1","ask":{"nonce":0}}`, InvalidFields},
+		{"entries without an incarnation", `{"from":"n1","told":{"upto":3}}`, InvalidFields},
+		{"job ID with a path", strings.Replace(validLine, "wk-", "../", 1), InvalidFields},
+		{"entries beyond the end of the log", strings.Replace(validLine, `"first":1`, `"first":9`, 1), InvalidFields},
 		{"too long", `{"from":"n1","pad":"` + strings.Repeat("x", tuning.MaxPeerLine) + `"}`, TooLong},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := Decode([]byte(c.line), knowsN1)
 			if got := reasonOf(t, err); got != c.want {
-				t.Errorf("%.60q is %q, not %q", c.line, got, c.want)
+				t.Errorf("%.60q: reason %q, want %q", c.line, got, c.want)
 			}
 		})
 	}
@@ -64,17 +64,17 @@
 		gossip, err := Decode(line, knowsN1)
 		reason := reasonOf(t, err)
 		if reason == "" && (gossip.From != "n1" || !gossip.Valid()) {
-			t.Error("a line of an unknown sender, or with invalid fields, is taken in")
+			t.Error("a line from an unknown sender or with invalid fields was accepted")
 		}
 		if reason != "" && (gossip.Epoch != 0 || gossip.Acknowledged != nil || gossip.Query != nil) {
-			t.Error("a part of a faulty line is taken in")
+			t.Error("a part of a rejected line was returned")
 		}
 	})
 }
 
-// All of 4,000 machines whose agents do not reach their owner fit into a line at once, and of
-// any names as many as a line holds.
-func TestUnreachedMachinesFitIntoALine(t *testing.T) {
+// A message can contain all of 4,000 machines whose agents do not reach their owner, and with
+// longer names as many as fit into a line.
+func TestUnreachedMachinesFitIntoAMessage(t *testing.T) {
 	now := time.Unix(1000, 0)
 	numbered := func(i int) string { return fmt.Sprintf("i-%06d", i) }
 	longest := func(i int) string { return fmt.Sprintf("%0*d", tuning.MaxMachineName, i) }
@@ -82,8 +82,8 @@
 	for _, c := range []struct {
 		name        string
 		machineName func(i int) string
-		want        int // machines in the line
-		oneIn       int // one machine of so many is out of reach
+		want        int // machines in the message
+		oneIn       int // one in so many machines is unreachable
 	}{
 		{"4000 machines", numbered, 4000, 1},
 		{"a third of 4000 machines", numbered, 1334, 3},
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -10,8 +10,8 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// linkQueue is how many lines wait for a connection; more are dropped, since gossip that is
-// late is of no use.
+// linkQueue is how many lines may wait for a connection. Further ones are dropped, since late
+// gossip is of no use.
 const linkQueue = 16
 
 // Link sends lines to one peer. Lines that cannot be sent are dropped.
@@ -21,15 +21,15 @@
 	onDisconnect func()
 }
 
-// NewLink starts a link, which ends with ctx. onDisconnect is called, on a goroutine
-// of the link, when the peer ends the connection or refuses one: its process may be gone.
+// NewLink starts a link, which runs until ctx is done. onDisconnect is called on a goroutine of the
+// link when the peer closes or refuses a connection, which may mean that its process has ended.
 func NewLink(ctx context.Context, address string, onDisconnect func()) *Link {
 	l := &Link{address: address, queue: make(chan []byte, linkQueue), onDisconnect: onDisconnect}
 	go l.run(ctx)
 	return l
 }
 
-// Send queues a line, dropping it when the queue is full. It does not block.
+// Send queues a line without blocking. It drops the line if the queue is full.
 func (l *Link) Send(line []byte) {
 	select {
 	case l.queue <- line:
@@ -37,13 +37,13 @@
 	}
 }
 
-// run writes queued lines until ctx ends. A connection is made when there is a line to send,
-// and given up at the first write that fails.
+// run writes queued lines until ctx is done. It connects when there is a line to send, and closes
+// the connection at the first failed write.
 func (l *Link) run(ctx context.Context) {
 	var conn net.Conn
 	closeConn := func() {
 		if conn != nil {
-			_ = conn.Close() // nothing depends on the end of it
+			_ = conn.Close() // an error would make no difference
 			conn = nil
 		}
 	}
@@ -58,7 +58,7 @@
 					continue
 				}
 			}
-			_ = conn.SetWriteDeadline(time.Now().Add(tuning.DialTimeout)) // a closed one fails at the write
+			_ = conn.SetWriteDeadline(time.Now().Add(tuning.DialTimeout)) // on a closed connection the write fails, too
 			if _, err := conn.Write(line); err != nil {
 				closeConn()
 			}
@@ -66,7 +66,7 @@
 	}
 }
 
-// dial connects to the peer, nil if it does not answer.
+// dial connects to the peer. It returns nil if that fails.
 func (l *Link) dial(ctx context.Context) net.Conn {
 	dialer := net.Dialer{Timeout: tuning.DialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp4", l.address)
@@ -80,7 +80,7 @@
 	return conn
 }
 
-// awaitDisconnect reads from a connection, on which the peer sends nothing, until it ends.
+// awaitDisconnect reads from a connection until it ends. The peer never sends anything on it.
 func (l *Link) awaitDisconnect(conn net.Conn) {
 	var buffer [64]byte
 	for {
--- a/internal/peer/link_test.go
+++ b/internal/peer/link_test.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// patience is how long a test waits for what must happen.
-const patience = 10 * time.Second
+// waitTimeout is how long a test waits for an expected event.
+const waitTimeout = 10 * time.Second
 
-// listen is a peer's socket, closed with the test.
+// listen opens a listening socket, which is closed at the end of the test.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -24,7 +24,8 @@
 	return listener
 }
 
-// startLink starts a link that ends with the returned function, and tells of disconnects.
+// startLink starts a link. It returns a channel that receives a value on each disconnect, and a
+// function that ends the link.
 func startLink(t *testing.T, address string) (*Link, <-chan struct{}, context.CancelFunc) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -34,7 +35,7 @@
 	return link, disconnects, cancel
 }
 
-// accept is the link's connection, on which it has sent a line.
+// accept makes the link send a line, and accepts the connection on which the line arrives.
 func accept(t *testing.T, listener net.Listener, link *Link) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	link.Send([]byte("first\n"))
@@ -43,7 +44,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	if err := conn.SetReadDeadline(time.Now().Add(patience)); err != nil {
+	if err := conn.SetReadDeadline(time.Now().Add(waitTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	reader := bufio.NewReader(conn)
@@ -53,17 +54,17 @@
 	return conn, reader
 }
 
-// awaitDisconnect fails unless the link tells of a disconnect.
+// awaitDisconnect fails the test unless the link reports a disconnect.
 func awaitDisconnect(t *testing.T, disconnects <-chan struct{}) {
 	t.Helper()
 	select {
 	case <-disconnects:
-	case <-time.After(patience):
-		t.Error("no disconnect was told")
+	case <-time.After(waitTimeout):
+		t.Error("no disconnect was reported")
 	}
 }
 
-func TestLinkTellsThatThePeerEndedTheConnection(t *testing.T) {
+func TestLinkReportsThatThePeerClosedTheConnection(t *testing.T) {
 	listener := listen(t)
 	link, disconnects, _ := startLink(t, listener.Addr().String())
 	conn, _ := accept(t, listener, link)
@@ -73,7 +74,7 @@
 	awaitDisconnect(t, disconnects)
 }
 
-func TestLinkTellsThatThePeerRefusesConnections(t *testing.T) {
+func TestLinkReportsThatThePeerRefusesConnections(t *testing.T) {
 	listener := listen(t)
 	address := listener.Addr().String()
 	if err := listener.Close(); err != nil {
@@ -84,15 +85,15 @@
 	awaitDisconnect(t, disconnects)
 }
 
-func TestLinkClosesItsConnectionWithItsContext(t *testing.T) {
+func TestLinkClosesItsConnectionWhenItsContextIsDone(t *testing.T) {
 	listener := listen(t)
 	link, disconnects, cancel := startLink(t, listener.Addr().String())
 	_, reader := accept(t, listener, link)
 	cancel()
 	if _, err := reader.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("read %v, want the end of the connection", err)
+		t.Errorf("read returned %v, want EOF", err)
 	}
 	if len(disconnects) > 0 {
-		t.Error("its own end is told as the peer's")
+		t.Error("a connection closed by the link was reported as a disconnect")
 	}
 }
