--- a/internal/cancellation/proof_model_test.go
+++ b/internal/cancellation/proof_model_test.go
@@ -187,8 +187,8 @@
 	a.log = NewAckLog(a.incarnation)
 }
 
-// act performs a drawn action: a cancellation or a fault.
-func (m *model) act(action int, a *acker) {
+// performAction performs a drawn action: a cancellation or a fault.
+func (m *model) performAction(action int, a *acker) {
 	switch action {
 	case 0, 1, 2:
 		m.acknowledge(a, action != 0)
@@ -247,7 +247,7 @@
 			m.deliver()
 			if i%10 == 0 && m.now.After(m.undisturbedUntil) {
 				m.launch()
-				m.act(rapid.IntRange(0, 10).Draw(t, "action"), rapid.SampledFrom(m.ackers).Draw(t, "acker"))
+				m.performAction(rapid.IntRange(0, 10).Draw(t, "action"), rapid.SampledFrom(m.ackers).Draw(t, "acker"))
 			}
 			m.advance()
 		}
--- a/internal/cancellation/service.go
+++ b/internal/cancellation/service.go
@@ -31,7 +31,7 @@
 		done func(status int, body []byte, err error))
 }
 
-// Shards knows which controller owns which machine.
+// Shards provides the assignment of machines to controllers.
 type Shards interface {
 	// OwnerOf returns the controller that owns the shard of the machine, "" if no view is known.
 	OwnerOf(machine string) string
--- a/internal/membership/probes.go
+++ b/internal/membership/probes.go
@@ -108,7 +108,7 @@
 		return
 	}
 	names = names[:min(len(names), m.maxRemovals())]
-	t := store.Txn{
+	txn := store.Txn{
 		Preconditions: []store.Precondition{
 			m.precondition(members.ViewKey),
 			m.precondition(members.MemberPrefix + m.config.Name),
@@ -116,15 +116,15 @@
 	}
 	for _, name := range names {
 		key := standby.ProbePrefix + name
-		t.Preconditions = append(t.Preconditions, m.precondition(members.MemberPrefix+name), m.precondition(key))
-		t.Writes = append(t.Writes, decide.Put(key, standby.Probe{
+		txn.Preconditions = append(txn.Preconditions, m.precondition(members.MemberPrefix+name), m.precondition(key))
+		txn.Writes = append(txn.Writes, decide.Put(key, standby.Probe{
 			Incarnation: m.cluster.View().Incarnation(name),
 			By:          m.config.Name,
 			WaitMs:      timeout.Milliseconds(),
 		}))
 	}
 	m.probing = true
-	m.client.Commit(store.PriorityMembership, t, func(epoch uint64, _ []string, err error) {
+	m.client.Commit(store.PriorityMembership, txn, func(epoch uint64, _ []string, err error) {
 		m.probing = false
 		if err == nil {
 			m.config.Log.Info("members probed",
@@ -132,7 +132,7 @@
 				"reason", "connection ended",
 				"timeout_ms", timeout.Milliseconds(),
 			)
-			m.mirror.ApplyCommit(t.Writes, epoch)
+			m.mirror.ApplyCommit(txn.Writes, epoch)
 			m.probeEpoch = epoch
 		}
 		m.loop.Wake()
@@ -146,15 +146,15 @@
 	}
 	m.answeringProbe = true
 	key := standby.ProbePrefix + m.config.Name
-	t := store.Txn{
+	txn := store.Txn{
 		Preconditions: []store.Precondition{m.precondition(key)},
 		Writes:        []store.Write{decide.Remove(key)},
 	}
-	m.client.Commit(store.PriorityMembership, t, func(epoch uint64, _ []string, err error) {
+	m.client.Commit(store.PriorityMembership, txn, func(epoch uint64, _ []string, err error) {
 		m.answeringProbe = false
 		if err == nil {
 			m.config.Log.Info("probe answered")
-			m.mirror.ApplyCommit(t.Writes, epoch)
+			m.mirror.ApplyCommit(txn.Writes, epoch)
 		}
 	})
 }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -77,7 +77,7 @@
 // viewTxn returns the transaction that changes the view and removes the members that left their
 // probes unanswered.
 func (m *Membership) viewTxn(next *members.View, unanswered []string) store.Txn {
-	t := store.Txn{
+	txn := store.Txn{
 		Preconditions: []store.Precondition{
 			m.precondition(members.ViewKey),
 			m.precondition(members.MemberPrefix + m.config.Name),
@@ -85,25 +85,25 @@
 		Writes: []store.Write{decide.Put(members.ViewKey, next)},
 	}
 	for _, name := range unanswered {
-		t = m.addRemoval(t, name)
+		txn = m.addRemoval(txn, name)
 	}
 	view := m.cluster.View()
-	t.Writes = m.appendUnresponsiveRemovals(t.Writes, view.Removed(next))
+	txn.Writes = m.appendUnresponsiveRemovals(txn.Writes, view.Removed(next))
 	if view != nil && view.Leader != m.config.Name && !slices.Contains(unanswered, view.Leader) {
-		t.Preconditions = append(t.Preconditions, m.precondition(members.MemberPrefix+view.Leader))
+		txn.Preconditions = append(txn.Preconditions, m.precondition(members.MemberPrefix+view.Leader))
 	}
-	return t
+	return txn
 }
 
 // commitView commits a change of the view. Only one change may be in flight. succeeded is called
 // before the change is applied to the mirror.
-func (m *Membership) commitView(t store.Txn, succeeded func()) {
+func (m *Membership) commitView(txn store.Txn, succeeded func()) {
 	m.changingView = true
-	m.client.Commit(store.PriorityMembership, t, func(epoch uint64, _ []string, err error) {
+	m.client.Commit(store.PriorityMembership, txn, func(epoch uint64, _ []string, err error) {
 		m.changingView = false
 		if err == nil {
 			succeeded()
-			m.mirror.ApplyCommit(t.Writes, epoch)
+			m.mirror.ApplyCommit(txn.Writes, epoch)
 		}
 		m.loop.Wake()
 	})
@@ -112,13 +112,13 @@
 // addRemoval adds the removal of a member that did not answer its probe to a change of the view.
 // The transaction succeeds only if the probe is unchanged, and it deletes the member key, so that
 // the member can only come back as a new incarnation.
-func (m *Membership) addRemoval(t store.Txn, name string) store.Txn {
+func (m *Membership) addRemoval(txn store.Txn, name string) store.Txn {
 	probeKey := standby.ProbePrefix + name
 	memberKey := members.MemberPrefix + name
 	capabilitiesKey := members.CapabilitiesPrefix + name
-	t.Preconditions = append(t.Preconditions, m.precondition(probeKey), m.precondition(memberKey))
-	t.Writes = append(t.Writes, decide.Remove(probeKey), decide.Remove(memberKey), decide.Remove(capabilitiesKey))
-	return t
+	txn.Preconditions = append(txn.Preconditions, m.precondition(probeKey), m.precondition(memberKey))
+	txn.Writes = append(txn.Writes, decide.Remove(probeKey), decide.Remove(memberKey), decide.Remove(capabilitiesKey))
+	return txn
 }
 
 // appendUnresponsiveRemovals adds writes that delete the lists of unresponsive machines of members
@@ -155,7 +155,7 @@
 	}
 	view := m.cluster.View()
 	next := &members.View{Leader: leader, Members: view.Members, Epoch: view.Epoch + 1}
-	t := store.Txn{
+	txn := store.Txn{
 		Preconditions: []store.Precondition{
 			m.precondition(members.ViewKey),
 			m.precondition(members.MemberPrefix + m.config.Name),
@@ -163,7 +163,7 @@
 		},
 		Writes: []store.Write{decide.Put(members.ViewKey, next)},
 	}
-	m.commitView(t, func() {
+	m.commitView(txn, func() {
 		m.config.Log.Info("leadership handed over", "leader", leader, "epoch", next.Epoch, "reason", "lagging")
 	})
 }
@@ -178,7 +178,7 @@
 		return
 	}
 	memberKey := members.MemberPrefix + m.config.Name
-	t := store.Txn{
+	txn := store.Txn{
 		Preconditions: []store.Precondition{
 			m.precondition(memberKey),
 			m.precondition(members.MemberPrefix + leader),
@@ -189,12 +189,12 @@
 		},
 	}
 	if view := m.cluster.View(); view.Leader == m.config.Name {
-		t.Preconditions = append(t.Preconditions, m.precondition(members.ViewKey))
-		t.Writes = append(t.Writes, decide.Put(members.ViewKey, m.viewWithoutSelf(view, leader)))
-		t.Writes = m.appendUnresponsiveRemovals(t.Writes, []string{m.config.Name})
+		txn.Preconditions = append(txn.Preconditions, m.precondition(members.ViewKey))
+		txn.Writes = append(txn.Writes, decide.Put(members.ViewKey, m.viewWithoutSelf(view, leader)))
+		txn.Writes = m.appendUnresponsiveRemovals(txn.Writes, []string{m.config.Name})
 	}
 	m.resigning = true
-	m.commitView(t, func() {
+	m.commitView(txn, func() {
 		m.resigned = true
 		m.config.Log.Info("membership resigned", "leader", leader)
 	})
--- a/internal/peer/gossip.go
+++ b/internal/peer/gossip.go
@@ -61,7 +61,7 @@
 	Err    error // the error of the JSON decoder for an unreadable line, else nil
 }
 
-// Error returns the operation, the object and the reason.
+// Error describes the operation and the reason for the rejection.
 func (e *DecodeError) Error() string {
 	if e.Err != nil {
 		return fmt.Sprintf("decode gossip: %s: %v", e.Reason, e.Err)
--- a/internal/readconsistency/model_test.go
+++ b/internal/readconsistency/model_test.go
@@ -13,19 +13,20 @@
 const modelJobID = "wk-000001"
 
 // model simulates one job in the state service, several controllers that answer a user about it,
-// and the user. Each step is 5 ms long. Reads, mirrors and messages take several steps; messages
+// and the user. Each step is 5 ms long. Reads, watches and messages take several steps; messages
 // may be lost.
 type model struct {
 	t           *rapid.T
 	now         time.Time
-	committed   []stateAt // the states of the job committed to the state service
+	committed   []timedState // the states of the job committed to the state service
 	controllers []*controller
 	pending     []event
-	received    stateAt // the newest state that the user has received
-	partitioned bool    // all messages between controllers are lost
+	received    timedState // the newest state that the user has received
+	partitioned bool       // all messages between controllers are lost
 }
 
-type stateAt struct {
+// timedState is a state of the job and the time at which it was committed or received.
+type timedState struct {
 	final jobs.Final
 	at    time.Time
 }
@@ -35,8 +36,8 @@
 }
 
 type event struct {
-	at time.Time
-	do func()
+	at  time.Time
+	run func()
 }
 
 // progress maps the states of a job to their order: unknown, live, ended.
@@ -44,10 +45,10 @@
 	return map[jobs.JobState]int{"": 0, jobs.Live: 1, jobs.Done: 2, jobs.Cancelled: 2}[state]
 }
 
-// after schedules a call after a drawn number of milliseconds.
-func (m *model) after(minimum, maximum int, do func()) {
+// schedule schedules run after a drawn number of milliseconds.
+func (m *model) schedule(minimum, maximum int, run func()) {
 	delay := time.Duration(rapid.IntRange(minimum, maximum).Draw(m.t, "ms")) * ms
-	m.pending = append(m.pending, event{m.now.Add(delay), do})
+	m.pending = append(m.pending, event{m.now.Add(delay), run})
 }
 
 // runPending runs the scheduled calls that are due.
@@ -56,7 +57,7 @@
 		if e := m.pending[i]; !e.at.After(m.now) {
 			m.pending = append(m.pending[:i], m.pending[i+1:]...)
 			i--
-			e.do()
+			e.run()
 		}
 	}
 }
@@ -74,13 +75,13 @@
 // reads the job instead of answering directly.
 func (m *model) commit(c *controller, final jobs.Final) {
 	sentAt := m.now
-	m.after(0, 60, func() {
+	m.schedule(0, 60, func() {
 		ends := progress(final.State) == 2
 		if progress(final.State) != progress(m.stored().State)+1 || ends && m.received.final.State == "" {
 			return
 		}
-		m.committed = append(m.committed, stateAt{final, m.now})
-		m.after(0, 400, func() {
+		m.committed = append(m.committed, timedState{final, m.now})
+		m.schedule(0, 400, func() {
 			if final.State == jobs.Live && m.now.Sub(sentAt) > tuning.ReadFresh {
 				m.read(c)
 				return
@@ -102,7 +103,7 @@
 		m.pending = append(m.pending, event{m.now.Add(wait), func() { m.answer(c, final) }})
 		return
 	}
-	m.leave(final)
+	m.sendToUser(final)
 }
 
 // sendUnsent sends new acknowledgements to the other controllers.
@@ -113,21 +114,21 @@
 		}
 		for _, other := range m.controllers {
 			if other != c && !m.partitioned {
-				m.after(0, 15, func() { other.log.ApplyPeerAcks(message, m.now) })
+				m.schedule(0, 15, func() { other.log.ApplyPeerAcks(message, m.now) })
 			}
 		}
 	}
 }
 
-// leave makes an answer leave the controller now.
-func (m *model) leave(final jobs.Final) {
+// sendToUser sends an answer to the user now.
+func (m *model) sendToUser(final jobs.Final) {
 	if progress(final.State) < progress(m.received.final.State) {
-		m.t.Fatalf("%q leaves %v after the user received %q",
+		m.t.Fatalf("an answer with state %q leaves %v after the user received %q",
 			final.State, m.now.Sub(m.received.at), m.received.final.State)
 	}
-	m.after(1, 3, func() {
+	m.schedule(1, 3, func() {
 		if progress(final.State) > progress(m.received.final.State) {
-			m.received = stateAt{final, m.now}
+			m.received = timedState{final, m.now}
 		}
 	})
 }
@@ -136,9 +137,9 @@
 // up to date. A state that may become outdated is used only if the read was recent.
 func (m *model) read(c *controller) {
 	sentAt := m.now
-	m.after(0, 60, func() { // the request arrives
+	m.schedule(0, 60, func() { // the request arrives
 		final := m.stored()
-		m.after(0, 60, func() { m.readAnswered(c, final, sentAt) })
+		m.schedule(0, 60, func() { m.readAnswered(c, final, sentAt) })
 	})
 }
 
@@ -153,18 +154,18 @@
 		} // accepted, but not found: a controller reads again, the model tells the user to retry
 	case m.now.Sub(sentAt) > tuning.ReadFresh:
 	case final.State == "":
-		m.leave(final)
+		m.sendToUser(final)
 	default: // live: if the acceptance is new, a later read answers with it
 		if c.log.Acknowledge(modelJobID, final, m.now) == 0 {
-			m.leave(final)
+			m.sendToUser(final)
 			return
 		}
 		m.sendUnsent(c)
 	}
 }
 
-// act performs a drawn action: a commit, a fault, or a question of the user.
-func (m *model) act(action int, c *controller) {
+// performAction performs a drawn action: a commit, a fault, or a question of the user.
+func (m *model) performAction(action int, c *controller) {
 	switch action {
 	case 0:
 		m.commit(c, jobs.Final{State: jobs.Live})
@@ -196,7 +197,7 @@
 			m.now = m.now.Add(5 * ms)
 			m.runPending()
 			c := rapid.SampledFrom(m.controllers).Draw(t, "controller")
-			m.act(rapid.IntRange(0, 15).Draw(t, "action"), c)
+			m.performAction(rapid.IntRange(0, 15).Draw(t, "action"), c)
 		}
 	})
 }
