--- a/internal/membership/probes.go
+++ b/internal/membership/probes.go
@@ -19,10 +19,10 @@
 	}
 }
 
-// PeerAlive records that a peer's gossip arrived.
+// PeerAlive records that gossip of a peer was received.
 func (m *Membership) PeerAlive(name string) { m.standby.PeerAlive(name) }
 
-// ApplyProbe takes in the probe of a member, nil for one that is gone.
+// ApplyProbe applies a change of the probe of a member; value is nil if the probe was deleted.
 func (m *Membership) ApplyProbe(name string, value json.RawMessage) {
 	if probe, ok := standby.DecodeProbe(value); ok {
 		m.probes[name] = probe
@@ -34,15 +34,16 @@
 	m.loop.Wake()
 }
 
-// Standby returns the state of its readiness to lead, and how many probes were answered so far.
+// Standby returns the standby state and the number of probes that have been answered so far.
 func (m *Membership) Standby() (state standby.State, falseAlarms int) {
 	return m.standby.State, m.standby.FalseAlarms
 }
 
-// SuccessionOrder returns its place among those that are to succeed the leader, -1 if it has none.
+// SuccessionOrder returns the position of this controller in the order of succession, -1 if it has
+// none.
 func (m *Membership) SuccessionOrder() int { return m.standby.SuccessionOrder }
 
-// evaluateStandby evaluates the readiness to lead and carries out the actions.
+// evaluateStandby advances the standby state machine and carries out its actions.
 func (m *Membership) evaluateStandby() {
 	m.unansweredProbes = nil
 	since := m.standby.Since
@@ -70,7 +71,7 @@
 	}
 }
 
-// clusterStatus returns what the readiness to lead is evaluated from.
+// clusterStatus returns the input of the standby state machine.
 func (m *Membership) clusterStatus() standby.ClusterStatus {
 	status := standby.ClusterStatus{
 		Now:              m.state.Now,
@@ -100,14 +101,14 @@
 	return status
 }
 
-// probe writes probes of members. What they are based on is in the preconditions: the view, this
-// controller's member key, and the member keys of those that are probed.
+// probe writes probes of members. The transaction's preconditions cover what the decision is based
+// on: the view, the member key of this controller, and the member keys of the probed members.
 func (m *Membership) probe(names []string, timeout time.Duration) {
 	if m.probing {
 		return
 	}
 	names = names[:min(len(names), m.maxRemovals())]
-	t := store.Txn{
+	txn := store.Txn{
 		Preconditions: []store.Precondition{
 			m.precondition(members.ViewKey),
 			m.precondition(members.MemberPrefix + m.config.Name),
@@ -115,15 +116,15 @@
 	}
 	for _, name := range names {
 		key := standby.ProbePrefix + name
-		t.Preconditions = append(t.Preconditions, m.precondition(members.MemberPrefix+name), m.precondition(key))
-		t.Writes = append(t.Writes, decide.Put(key, standby.Probe{
+		txn.Preconditions = append(txn.Preconditions, m.precondition(members.MemberPrefix+name), m.precondition(key))
+		txn.Writes = append(txn.Writes, decide.Put(key, standby.Probe{
 			Incarnation: m.cluster.View().Incarnation(name),
 			By:          m.config.Name,
 			WaitMs:      timeout.Milliseconds(),
 		}))
 	}
 	m.probing = true
-	m.client.Commit(store.PriorityMembership, t, func(epoch uint64, _ []string, err error) {
+	m.client.Commit(store.PriorityMembership, txn, func(epoch uint64, _ []string, err error) {
 		m.probing = false
 		if err == nil {
 			m.config.Log.Info("members probed",
@@ -131,29 +132,29 @@
 				"reason", "connection ended",
 				"timeout_ms", timeout.Milliseconds(),
 			)
-			m.mirror.ApplyCommit(t.Writes, epoch)
+			m.mirror.ApplyCommit(txn.Writes, epoch)
 			m.probeEpoch = epoch
 		}
 		m.loop.Wake()
 	})
 }
 
-// answerProbe removes the probe of this controller.
+// answerProbe deletes the probe of this controller.
 func (m *Membership) answerProbe() {
 	if m.answeringProbe {
 		return
 	}
 	m.answeringProbe = true
 	key := standby.ProbePrefix + m.config.Name
-	t := store.Txn{
+	txn := store.Txn{
 		Preconditions: []store.Precondition{m.precondition(key)},
 		Writes:        []store.Write{decide.Remove(key)},
 	}
-	m.client.Commit(store.PriorityMembership, t, func(epoch uint64, _ []string, err error) {
+	m.client.Commit(store.PriorityMembership, txn, func(epoch uint64, _ []string, err error) {
 		m.answeringProbe = false
 		if err == nil {
 			m.config.Log.Info("probe answered")
-			m.mirror.ApplyCommit(t.Writes, epoch)
+			m.mirror.ApplyCommit(txn.Writes, epoch)
 		}
 	})
 }
