--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -2,13 +2,13 @@
 
 import "slices"
 
-// Account is what the nodes of a tree use. Only the leader's own account says what is in
-// use; copies are for what is being considered.
+// Account holds the usage of each node of a tree. The leader's account is the authoritative one;
+// copies of it are used to evaluate possible decisions.
 type Account struct {
 	tree *Tree
-	used []Amount // by node
-	// charged is what was charged to each key, from which the use of another tree
-	// follows; nil in a copy.
+	used []Amount // by node index
+	// charged is the sum of the charges to each key, from which the usage in another tree can be
+	// computed; nil in a copy.
 	charged map[Key]Amount
 }
 
@@ -21,11 +21,11 @@
 	}
 }
 
-// Tree is the tree that the account is of.
+// Tree returns the tree whose usage the account holds.
 func (a *Account) Tree() *Tree { return a.tree }
 
-// Charge adds count tasks, of amount each, to a key's leaf and to all nodes above it; count
-// may be negative. This is the one place where use changes.
+// Charge adds count tasks of amount each to the usage of a key's leaf and of all its ancestors;
+// count may be negative. Usage changes nowhere else.
 func (a *Account) Charge(key Key, each Amount, count int) {
 	if a.charged != nil {
 		if sum := a.charged[key].Add(each, count); sum == (Amount{}) {
@@ -44,8 +44,7 @@
 	})
 }
 
-// Rebase makes the account one of another tree: what runs is charged where the
-// new tree has it.
+// Rebase moves the account to another tree and recomputes the usage from the charges by key.
 func (a *Account) Rebase(tree *Tree) {
 	a.tree = tree
 	a.used = make([]Amount, len(tree.nodes))
@@ -54,13 +53,14 @@
 	}
 }
 
-// Clone copies the account, to charge in the copy what is only being considered. The copy
-// can't be rebased.
+// Clone returns a copy of the account, to which tentative charges can be made. The copy can't be
+// rebased.
 func (a *Account) Clone() *Account {
 	return &Account{tree: a.tree, used: slices.Clone(a.used)}
 }
 
-// RebasedOn is a copy of the account on another tree. It needs an account that is no copy itself.
+// RebasedOn returns a copy of the account, moved to another tree. The account itself must not be a
+// copy.
 func (a *Account) RebasedOn(tree *Tree) *Account {
 	rebased := &Account{charged: a.charged}
 	rebased.Rebase(tree)
@@ -68,5 +68,5 @@
 	return rebased
 }
 
-// Used is a node's present use.
+// Used returns a node's current usage.
 func (a *Account) Used(node int) Amount { return a.used[node] }
--- a/internal/quota/amount.go
+++ b/internal/quota/amount.go
@@ -1,7 +1,7 @@
-// Package quota keeps what each team uses against a tree of guarantees and
-// limits: organisations, the platform's teams, job classes. It has one writer, the
-// leader, which charges a task when it releases it and uncharges it once it is
-// truly gone. No IO, no clock.
+// Package quota accounts for the resources that each team uses, against a tree of guarantees and
+// limits whose nodes are organisations, the platform's teams and job classes. Only the leader
+// changes the account: it charges a task when it releases it and reverses the charge once the task
+// is certain to be gone. The package does no IO and reads no clock.
 package quota
 
 import (
@@ -10,21 +10,21 @@
 	"strings"
 )
 
-// unit is the smallest amount that counts: amounts are whole numbers of it, so
-// that a million charges and their ends add up to nothing exactly.
+// unit is the resolution of an Amount. Amounts are integer multiples of it, so that a million
+// charges and their reversals add up to exactly zero.
 const unit = 1e-6
 
-// maxAmount limits one task's amount of a resource, far above any machine: a thousand
-// million of them still add up without overflow.
+// maxAmount limits one task's amount of a resource. It is far above the capacity of any machine,
+// and low enough that the sum of a thousand million ordinary tasks does not overflow an int64.
 const maxAmount = 1e9
 
-// Amount is what teams are measured in, in millionths of a core, an accelerator
-// and a GB of memory.
+// Amount is a quantity of each resource, in millionths of a core, of an accelerator and of a GB of
+// memory.
 type Amount struct {
 	Cores, Accelerators, MemoryGB int64
 }
 
-// Of is the amount of so many cores, accelerators and GB of memory.
+// Of returns the Amount for the given numbers of cores, accelerators and GB of memory.
 func Of(cores, accelerators, memoryGB float64) Amount {
 	return Amount{
 		Cores:        toUnits(cores),
@@ -40,12 +40,12 @@
 	return int64(math.Round(min(max(value, -maxAmount), maxAmount) / unit))
 }
 
-// Float gives the amount in cores, accelerators and GB.
+// Float returns the amount in cores, accelerators and GB.
 func (a Amount) Float() (cores, accelerators, memoryGB float64) {
 	return float64(a.Cores) * unit, float64(a.Accelerators) * unit, float64(a.MemoryGB) * unit
 }
 
-// Add adds count times other; count may be negative.
+// Add returns the amount plus count times other; count may be negative.
 func (a Amount) Add(other Amount, count int) Amount {
 	k := int64(count)
 	return Amount{
@@ -55,18 +55,19 @@
 	}
 }
 
-// eachResource calls f with the name of each resource and with what reads it of an amount.
-func eachResource(f func(name string, of func(Amount) int64)) {
+// eachResource calls f for each resource, with its name and a function that returns the resource's
+// value in an amount.
+func eachResource(f func(name string, valueOf func(Amount) int64)) {
 	f("cores", func(a Amount) int64 { return a.Cores })
 	f("accelerators", func(a Amount) int64 { return a.Accelerators })
 	f("memory_gb", func(a Amount) int64 { return a.MemoryGB })
 }
 
-// String names what is not 0.
+// String lists the resources that are not 0.
 func (a Amount) String() string {
 	var texts []string
-	eachResource(func(name string, of func(Amount) int64) {
-		if value := of(a); value != 0 {
+	eachResource(func(name string, valueOf func(Amount) int64) {
+		if value := valueOf(a); value != 0 {
 			texts = append(texts, fmt.Sprintf("%g %s", float64(value)*unit, name))
 		}
 	})
@@ -76,20 +77,20 @@
 	return strings.Join(texts, ", ")
 }
 
-// within tells whether an amount is within a limit; a limit of 0 in a resource is none.
+// within reports whether the amount is within a limit; 0 in a resource means no limit.
 func (a Amount) within(limit Amount) bool {
 	return (limit.Cores == 0 || a.Cores <= limit.Cores) &&
 		(limit.Accelerators == 0 || a.Accelerators <= limit.Accelerators) &&
 		(limit.MemoryGB == 0 || a.MemoryGB <= limit.MemoryGB)
 }
 
-// Covers tells whether an amount is at least as large as other in every resource.
+// Covers reports whether the amount is at least as large as other in every resource.
 func (a Amount) Covers(other Amount) bool {
 	return a.Cores >= other.Cores && a.Accelerators >= other.Accelerators && a.MemoryGB >= other.MemoryGB
 }
 
-// minus takes other away, but leaves no less than nothing.
-func (a Amount) minus(other Amount) Amount {
+// subClamped returns the amount minus other, with 0 for each resource that would be negative.
+func (a Amount) subClamped(other Amount) Amount {
 	return Amount{
 		Cores:        max(a.Cores-other.Cores, 0),
 		Accelerators: max(a.Accelerators-other.Accelerators, 0),
@@ -97,9 +98,8 @@
 	}
 }
 
-// whereSet leaves the amount in the resources in which other is more than 0, and 0 in those
-// in which it is not.
-func (a Amount) whereSet(other Amount) Amount {
+// maskedBy returns the amount with 0 for each resource in which other is not positive.
+func (a Amount) maskedBy(other Amount) Amount {
 	if other.Cores <= 0 {
 		a.Cores = 0
 	}
@@ -112,25 +112,25 @@
 	return a
 }
 
-// Helps tells whether an amount that is no longer used takes anything off an excess.
+// Helps reports whether releasing the amount reduces an excess in at least one resource.
 func (a Amount) Helps(excess Amount) bool {
 	return a.Cores > 0 && excess.Cores > 0 ||
 		a.Accelerators > 0 && excess.Accelerators > 0 ||
 		a.MemoryGB > 0 && excess.MemoryGB > 0
 }
 
-// reaches tells whether an amount is exactly a limit in a resource that has one.
-func (a Amount) reaches(limit Amount) bool {
+// atLimit reports whether the amount equals the limit in at least one resource that has a limit.
+func (a Amount) atLimit(limit Amount) bool {
 	return limit.Cores > 0 && a.Cores == limit.Cores ||
 		limit.Accelerators > 0 && a.Accelerators == limit.Accelerators ||
 		limit.MemoryGB > 0 && a.MemoryGB == limit.MemoryGB
 }
 
-// countFitting is how many times each fits on top of used into a limit, up to count.
+// countFitting returns how many times each can be added to used within a limit, up to count.
 func countFitting(used, each, limit Amount, count int) int {
 	fitting := int64(count)
-	eachResource(func(_ string, of func(Amount) int64) {
-		usedNow, step, maximum := of(used), of(each), of(limit)
+	eachResource(func(_ string, valueOf func(Amount) int64) {
+		usedNow, step, maximum := valueOf(used), valueOf(each), valueOf(limit)
 		switch {
 		case maximum == 0:
 		case usedNow > maximum:
--- a/internal/quota/build.go
+++ b/internal/quota/build.go
@@ -9,26 +9,26 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// builder makes a tree of a document and gathers its faults.
+// builder builds a tree from a document and collects the document's faults.
 type builder struct {
 	tree          *Tree
 	teams         map[string]Team
-	classes       []string        // known ones; none: any
+	classes       []string        // known classes; if empty, any class is accepted
 	organisations map[string]bool // names in use
 	faults        []string
 }
 
-// fail notes a fault at a path of the document.
-func (b *builder) fail(path, format string, args ...any) {
+// addFault records a fault at a path of the document.
+func (b *builder) addFault(path, format string, args ...any) {
 	if len(b.faults) < tuning.MaxFaults {
 		b.faults = append(b.faults, path+": "+fmt.Sprintf(format, args...))
 	}
 }
 
-// Build checks a document against the platform's teams and the known classes
-// (none: any), and makes its tree. The tree is nil if there is any fault; up to
-// tuning.MaxFaults are listed, as operators read them. Teams that the document does not
-// place stand under the root.
+// Build checks a document against the platform's teams and the known classes (if there are none,
+// any class is accepted) and builds its tree. If there are faults, the tree is nil and up to
+// tuning.MaxFaults of them are returned, worded for operators. Teams that the document does not
+// mention become children of the root.
 func Build(document *Document, teams map[string]Team, classes []string) (*Tree, []string) {
 	b := &builder{
 		tree:          newTree(),
@@ -38,7 +38,7 @@
 	}
 	b.tree.nested = true
 	if grace := document.GraceS; grace != nil && (*grace < 0 || *grace > tuning.MaxGrace.Seconds()) {
-		b.fail("grace_s", "%g is outside 0 to %g", *grace, tuning.MaxGrace.Seconds())
+		b.addFault("grace_s", "%g is outside 0 to %g", *grace, tuning.MaxGrace.Seconds())
 	}
 	b.addChildren(0, "", document.Organisations, document.Teams)
 	for _, name := range slices.Sorted(maps.Keys(teams)) {
@@ -53,16 +53,16 @@
 	return b.tree, nil
 }
 
-// addChildren adds organisations, with all below them, and teams to a node.
+// addChildren adds organisations, with their subtrees, and teams below a parent node.
 func (b *builder) addChildren(parent int, parentPath string, organisations []Org, teams []OfTeam) {
 	if b.tree.nodes[parent].depth >= tuning.MaxQuotaDepth-1 && len(organisations) > 0 {
-		b.fail(parentPath, "expected at most %d levels", tuning.MaxQuotaDepth)
+		b.addFault(parentPath, "expected at most %d levels", tuning.MaxQuotaDepth)
 		return
 	}
 	for i := range organisations {
 		organisation := &organisations[i]
 		path := joinPath(parentPath, organisation.Name)
-		if !b.checkRoom(path) {
+		if !b.checkNodeCount(path) {
 			return
 		}
 		b.checkName(path, organisation.Name)
@@ -82,20 +82,20 @@
 	}
 }
 
-// addTeam adds a team, whose guarantee and limit are the platform's, with its classes.
+// addTeam adds a team and its classes. The team's guarantee and limit come from the platform.
 func (b *builder) addTeam(parent int, path string, team *OfTeam) {
 	platform, known := b.teams[team.Name]
 	if !known {
 		names := strings.Join(slices.Sorted(maps.Keys(b.teams)), ", ")
-		b.fail(path, "no team is called %q; expected one of %s", team.Name, names)
+		b.addFault(path, "no team is called %q; expected one of %s", team.Name, names)
 		return
 	}
-	if _, twice := b.tree.teams[team.Name]; twice {
-		b.fail(path, "team %q stands elsewhere already", team.Name)
+	if _, exists := b.tree.teams[team.Name]; exists {
+		b.addFault(path, "team %q stands elsewhere already", team.Name)
 		return
 	}
 	index := b.tree.addTeam(parent, platform)
-	written := b.makeNode(path, nodeSpec{
+	settings := b.makeNode(path, nodeSpec{
 		name:   team.Name,
 		kind:   TeamNode,
 		weight: team.Weight,
@@ -103,13 +103,13 @@
 		lend:   team.Lend,
 	})
 	node := &b.tree.nodes[index]
-	node.Weight = written.Weight
-	node.Borrow = written.Borrow
-	node.Lend = written.Lend
+	node.Weight = settings.Weight
+	node.Borrow = settings.Borrow
+	node.Lend = settings.Lend
 	for i := range team.Classes {
 		class := &team.Classes[i]
 		classPath := joinPath(path, class.Name)
-		if !b.checkRoom(classPath) {
+		if !b.checkNodeCount(classPath) {
 			return
 		}
 		b.addClass(index, classPath, Key{Team: team.Name, Class: class.Name}, class)
@@ -119,10 +119,10 @@
 // addClass adds a class to a team's node.
 func (b *builder) addClass(team int, path string, key Key, class *OfClass) {
 	if len(b.classes) > 0 && !slices.Contains(b.classes, class.Name) {
-		b.fail(path, "no class is called %q; expected one of %s", class.Name, strings.Join(b.classes, ", "))
+		b.addFault(path, "no class is called %q; expected one of %s", class.Name, strings.Join(b.classes, ", "))
 	}
-	if _, twice := b.tree.classes[key]; twice {
-		b.fail(path, "class %q stands here twice", class.Name)
+	if _, exists := b.tree.classes[key]; exists {
+		b.addFault(path, "class %q stands here twice", class.Name)
 		return
 	}
 	b.tree.classes[key] = b.tree.add(team, b.makeNode(path, nodeSpec{
@@ -136,27 +136,27 @@
 	}))
 }
 
-// checkRoom tells whether the tree may have one more node.
-func (b *builder) checkRoom(path string) bool {
+// checkNodeCount reports whether the tree may have one more node, and adds a fault if not.
+func (b *builder) checkNodeCount(path string) bool {
 	if len(b.tree.nodes) >= tuning.MaxQuotaNodes {
-		b.fail(path, "expected at most %d nodes", tuning.MaxQuotaNodes)
+		b.addFault(path, "expected at most %d nodes", tuning.MaxQuotaNodes)
 		return false
 	}
 	return true
 }
 
-// checkName checks an organisation's name, which no other may have.
+// checkName checks an organisation's name, which must be unique in the document.
 func (b *builder) checkName(path, name string) {
 	if name == "" || len(name) > tuning.MaxMatrixText || strings.ContainsAny(name, "/ ") {
-		b.fail(path, "expected a name of 1 to %d bytes without / and spaces", tuning.MaxMatrixText)
+		b.addFault(path, "expected a name of 1 to %d bytes without / and spaces", tuning.MaxMatrixText)
 	}
 	if b.organisations[name] {
-		b.fail(path, "organisation %q stands elsewhere already", name)
+		b.addFault(path, "organisation %q stands elsewhere already", name)
 	}
 	b.organisations[name] = true
 }
 
-// nodeSpec is what a document says of a node; nil for what it leaves out.
+// nodeSpec holds a node's settings as the document gives them; settings that it omits are nil.
 type nodeSpec struct {
 	name      string
 	kind      Kind
@@ -167,8 +167,8 @@
 	limit     *Bounds
 }
 
-// makeNode checks what a document says of a node and sets what it leaves out: weight 1, may
-// borrow and lend, no guarantee and no limit.
+// makeNode checks a node's settings and returns the node. Settings that the document omits get
+// their defaults: weight 1, may borrow and lend, no guarantee and no limit.
 func (b *builder) makeNode(path string, spec nodeSpec) Node {
 	node := Node{
 		Name:       spec.name,
@@ -183,20 +183,20 @@
 		if *spec.weight > 0 && *spec.weight <= tuning.MaxWeight {
 			node.Weight = *spec.weight
 		} else {
-			b.fail(path+".weight", "expected a number above 0, at most %g", tuning.MaxWeight)
+			b.addFault(path+".weight", "expected a number above 0, at most %g", tuning.MaxWeight)
 		}
 	}
-	eachResource(func(name string, of func(Amount) int64) {
-		limit, guarantee := of(node.Max), of(node.Guaranteed)
+	eachResource(func(name string, valueOf func(Amount) int64) {
+		limit, guarantee := valueOf(node.Max), valueOf(node.Guaranteed)
 		if limit > 0 && guarantee > limit {
-			b.fail(path, "its limit of %g %s is below its guarantee of %g",
+			b.addFault(path, "its limit of %g %s is below its guarantee of %g",
 				float64(limit)*unit, name, float64(guarantee)*unit)
 		}
 	})
 	return node
 }
 
-// amount checks and reads a guarantee or limit; nil is none.
+// amount checks a guarantee or limit and returns it as an Amount; nil means none.
 func (b *builder) amount(path string, bounds *Bounds) Amount {
 	if bounds == nil {
 		return Amount{}
@@ -210,14 +210,14 @@
 		{"memory_gb", bounds.MemoryGB},
 	} {
 		if !(resource.value >= 0 && resource.value <= maxAmount) {
-			b.fail(path+"."+resource.name, "expected a number from 0 to %g", maxAmount)
+			b.addFault(path+"."+resource.name, "expected a number from 0 to %g", maxAmount)
 		}
 	}
 	return Of(bounds.Cores, bounds.Accelerators, bounds.MemoryGB)
 }
 
-// checkGuarantees checks that what the children of a node are guaranteed is there: within
-// its own guarantee, or within its limit if it has none.
+// checkGuarantees checks that the guarantees of each node's children add up to no more than the
+// node's own guarantee, or than its limit if it has no guarantee.
 func (b *builder) checkGuarantees() {
 	for i := range b.tree.nodes {
 		node := &b.tree.nodes[i]
@@ -225,14 +225,14 @@
 		for _, k := range node.children {
 			sum = sum.Add(b.tree.nodes[k].Guaranteed, 1)
 		}
-		eachResource(func(name string, of func(Amount) int64) {
-			bound, what := of(node.Guaranteed), "guarantee"
+		eachResource(func(name string, valueOf func(Amount) int64) {
+			bound, boundName := valueOf(node.Guaranteed), "guarantee"
 			if bound == 0 {
-				bound, what = of(node.Max), "limit"
+				bound, boundName = valueOf(node.Max), "limit"
 			}
-			if bound > 0 && of(sum) > bound {
-				b.fail(b.tree.Path(i), "its children are guaranteed %g %s, above its %s of %g",
-					float64(of(sum))*unit, name, what, float64(bound)*unit)
+			if bound > 0 && valueOf(sum) > bound {
+				b.addFault(b.tree.Path(i), "its children are guaranteed %g %s, above its %s of %g",
+					float64(valueOf(sum))*unit, name, boundName, float64(bound)*unit)
 			}
 		})
 	}
--- a/internal/quota/document.go
+++ b/internal/quota/document.go
@@ -7,17 +7,17 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Document is the tree around the platform's teams, as operators write it (HCL)
-// and as it is kept in the state service (JSON).
+// Document describes the quota tree around the platform's teams, as operators write it (HCL) and
+// as it is stored in the state service (JSON).
 type Document struct {
-	// GraceS, in seconds: for so long after a change of the tree, what is over a
-	// limit may end by itself before it is stopped. Nil: tuning.QuotaGrace.
+	// GraceS is how long, in seconds, tasks above a limit may keep running after a change of the
+	// tree before they are stopped. Nil means tuning.QuotaGrace.
 	GraceS        *float64 `hcl:"grace_s,optional" json:"grace_s,omitempty"`
 	Organisations []Org    `hcl:"organisation,block" json:"organisations,omitempty"`
 	Teams         []OfTeam `hcl:"team,block" json:"teams,omitempty"`
 }
 
-// Grace is how long, in seconds, what is over a limit may end by itself before it is stopped.
+// Grace returns how long, in seconds, tasks above a limit may keep running before they are stopped.
 func (d *Document) Grace() float64 {
 	if d.GraceS != nil {
 		return *d.GraceS
@@ -25,8 +25,8 @@
 	return tuning.QuotaGrace.Seconds()
 }
 
-// Bounds are amounts of cores, accelerators and GB of memory, as a guarantee, a limit or a use
-// is written. Its name is part of answers to operators.
+// Bounds holds amounts of cores, accelerators and GB of memory, as written in a guarantee, a limit
+// or a usage. The type's name appears in error messages to operators and must not change.
 type Bounds struct {
 	Cores        float64 `hcl:"cores,optional" json:"cores,omitempty"`
 	Accelerators float64 `hcl:"accelerators,optional" json:"accelerators,omitempty"`
@@ -38,8 +38,8 @@
 	return Bounds{Cores: cores, Accelerators: accelerators, MemoryGB: memoryGB}
 }
 
-// Org is an organisation of other organisations and of teams. Its name, and those of OfTeam
-// and OfClass, are part of answers to operators.
+// Org is an organisation, which consists of other organisations and of teams. The names of Org,
+// OfTeam and OfClass appear in error messages to operators and must not change.
 type Org struct {
 	Name          string   `hcl:"name,label" json:"name"`
 	Weight        *float64 `hcl:"weight,optional" json:"weight,omitempty"`
@@ -51,8 +51,8 @@
 	Teams         []OfTeam `hcl:"team,block" json:"teams,omitempty"`
 }
 
-// OfTeam is a team's place in the tree, and its classes. Its guarantee and limit are the
-// platform's.
+// OfTeam places a team in the tree and lists its classes. The team's guarantee and limit come from
+// the platform.
 type OfTeam struct {
 	Name    string    `hcl:"name,label" json:"name"`
 	Weight  *float64  `hcl:"weight,optional" json:"weight,omitempty"`
@@ -61,7 +61,7 @@
 	Classes []OfClass `hcl:"class,block" json:"classes,omitempty"`
 }
 
-// OfClass is a class of jobs of a team.
+// OfClass is a job class of a team.
 type OfClass struct {
 	Name      string   `hcl:"name,label" json:"name"`
 	Weight    *float64 `hcl:"weight,optional" json:"weight,omitempty"`
@@ -71,27 +71,27 @@
 	Limit     *Bounds  `hcl:"limit,block" json:"limit,omitempty"`
 }
 
-// StoreKey is where the state service keeps the tree that is in force.
+// StoreKey is the key of the tree in force in the state service.
 const StoreKey = "quota"
 
-// Stored is the tree in force as kept in the state service. Every decision has its revision
-// as a precondition, so that none is made by a former tree.
+// Stored is the tree in force, as stored in the state service. Every decision has the revision of
+// this record as a precondition, so that no decision based on an earlier tree is committed.
 type Stored struct {
 	Version int      `json:"v"`
-	Number  int      `json:"n"`  // counts the changes
-	AtMs    int64    `json:"at"` // of the change, Unix time in ms
+	Number  int      `json:"n"`  // incremented by each change of the tree
+	AtMs    int64    `json:"at"` // time of the change, Unix time in ms
 	Doc     Document `json:"doc"`
 }
 
-// storedVersion is the form in which trees are stored.
+// storedVersion is the version of the stored format.
 const storedVersion = 1
 
-// NewStored is a tree's document as it is to be stored.
+// NewStored returns the record to store for a tree's document.
 func NewStored(number int, atMs int64, document Document) Stored {
 	return Stored{Version: storedVersion, Number: number, AtMs: atMs, Doc: document}
 }
 
-// Decode reads a stored tree.
+// Decode decodes a stored tree and checks its version.
 func Decode(body []byte) (*Stored, error) {
 	var stored Stored
 	if err := json.Unmarshal(body, &stored); err != nil {
--- a/internal/quota/fair_share.go
+++ b/internal/quota/fair_share.go
@@ -2,10 +2,11 @@
 
 import "slices"
 
-// FairShares is, for each node from the top down to a leaf, what it uses of the spare capacity for
-// its weight; nil in a tree that has only the platform's teams. What a node with children
-// runs itself counts as one more child, of weight 1: while lists ended at such a node, their
-// order was not transitive, and the order of three jobs depended on which two were compared.
+// FairShares returns the weighted share of spare capacity that each node on the path to a leaf
+// uses, from the child of the root down; nil in a tree that was not built from a document. Tasks
+// charged directly to a node that has children count as one more child, of weight 1. Without that
+// entry the lists differ in length, their order is not transitive, and the order of three jobs
+// depends on which two are compared.
 func (a *Account) FairShares(leaf int) []float64 {
 	if !a.tree.nested {
 		return nil
@@ -28,23 +29,23 @@
 	return shares
 }
 
-// CompareFairShares orders two leaves by what Way gives for them: who has had less goes first. It
-// is progressive filling: each task goes to the side that is behind.
+// CompareFairShares orders two leaves by their FairShares: the one with the smaller share goes
+// first. This is progressive filling, in which each task goes to the side that is behind.
 func CompareFairShares(a, b []float64) int { return slices.Compare(a, b) }
 
-// fairShareOf is what a node uses beyond its guarantee for its weight, by the resource
-// of which it uses the largest share of what its parent has in use.
+// fairShareOf returns a node's dominant share: its usage beyond its guarantee as a part of its
+// parent's usage, in the resource where that part is largest, divided by the node's weight.
 func (a *Account) fairShareOf(i int) float64 {
 	node := &a.tree.nodes[i]
-	return dominantShare(a.used[i].minus(node.Guaranteed), a.used[node.parent]) / node.Weight
+	return dominantShare(a.used[i].subClamped(node.Guaranteed), a.used[node.parent]) / node.Weight
 }
 
-// dominantShare is the part of a whole, by the resource in which it is the largest.
+// dominantShare returns part divided by whole in the resource where the ratio is largest.
 func dominantShare(part, whole Amount) float64 {
 	largest := 0.0
-	eachResource(func(_ string, of func(Amount) int64) {
-		if of(whole) > 0 {
-			largest = max(largest, float64(of(part))/float64(of(whole)))
+	eachResource(func(_ string, valueOf func(Amount) int64) {
+		if valueOf(whole) > 0 {
+			largest = max(largest, float64(valueOf(part))/float64(valueOf(whole)))
 		}
 	})
 	return largest
--- a/internal/quota/guarantee.go
+++ b/internal/quota/guarantee.go
@@ -1,12 +1,12 @@
 package quota
 
-// noNode stands for no node of the tree, such as the entitlement of what lies within no
-// guarantee.
+// noNode is the index that stands for no node, such as the result of Entitled for tasks that are
+// within no guarantee.
 const noNode = -1
 
-// Entitled is the lowest node, from the leaf upward, within whose guarantee count more tasks
-// of amount each lie; -1 if there is none. What is within an organisation's guarantee but
-// beyond its team's is borrowed from the team's siblings.
+// Entitled returns the lowest node, from the leaf upward, within whose guarantee count more tasks of
+// amount each would be; -1 if there is none. Usage within an organisation's guarantee but beyond the
+// team's own is borrowed from the team's siblings.
 func (a *Account) Entitled(leaf int, each Amount, count int) int {
 	entitled := noNode
 	a.tree.walkUp(leaf, func(i int, node *Node) bool {
@@ -19,9 +19,9 @@
 	return entitled
 }
 
-// FairShareOrder is the order in the queue of a leaf's work that is within the guarantee of
-// node entitled: 0 for what lies within its own team's guarantee, then what lies within those
-// further up, the nearest first, last what lies within none.
+// FairShareOrder returns the rank in the queue of a leaf's tasks that are within the guarantee of
+// node entitled; lower ranks go first. It is 0 within the guarantee of the leaf's own team or class,
+// grows with the distance of an ancestor whose guarantee applies, and is highest if none does.
 func (t *Tree) FairShareOrder(entitled, leaf int) int {
 	if entitled == noNode {
 		return len(t.nodes) + 1
@@ -33,16 +33,17 @@
 	return max(t.nodes[team].depth-t.nodes[entitled].depth, 0)
 }
 
-// Yields tells whether a task of an amount, charged to leaf, has to be preempted for one
-// that is within the guarantee of node entitled: without it, all nodes on its side must
-// still have what they are guaranteed. What shares the guarantee does not yield.
+// Yields reports whether a task of an amount, charged to leaf, may be preempted for one that is
+// within the guarantee of node entitled. All nodes from leaf up to below the lowest ancestor that it
+// shares with entitled must still use at least their guarantee without the task. A task in the
+// subtree of entitled shares that guarantee and is not preempted.
 func (a *Account) Yields(entitled, leaf int, amount Amount) bool {
 	if entitled == noNode {
 		return false
 	}
 	yields := true
 	a.tree.walkUp(leaf, func(i int, node *Node) bool {
-		if a.tree.Under(entitled, i) { // the two sides meet here
+		if a.tree.Under(entitled, i) { // i is the lowest common ancestor
 			yields = yields && i != entitled
 			return false
 		}
@@ -52,17 +53,17 @@
 	return yields
 }
 
-// CanSpare tells whether all nodes on a leaf's side still have what they are guaranteed
-// without an amount of its use, up to where its side and that of the leaf which needs the
-// amount meet: what shares a guarantee has no claim against its own side.
-func (a *Account) CanSpare(needs, leaf int, amount Amount) bool {
-	spares := true
+// CanSpare reports whether leaf can give up an amount for the leaf needy: all nodes from leaf up to
+// below their lowest common ancestor must still use at least their guarantee without it. The
+// ancestors that both share lose nothing, so their guarantees are not checked.
+func (a *Account) CanSpare(needy, leaf int, amount Amount) bool {
+	canSpare := true
 	a.tree.walkUp(leaf, func(i int, node *Node) bool {
-		if a.tree.Under(needs, i) {
+		if a.tree.Under(needy, i) {
 			return false
 		}
-		spares = a.used[i].Add(amount, -1).Covers(node.Guaranteed)
-		return spares
+		canSpare = a.used[i].Add(amount, -1).Covers(node.Guaranteed)
+		return canSpare
 	})
-	return spares
+	return canSpare
 }
--- a/internal/quota/limits.go
+++ b/internal/quota/limits.go
@@ -5,25 +5,26 @@
 	"slices"
 )
 
-// Allows tells whether count more tasks, of amount each, are within the limits of a leaf
-// and of all nodes above it.
+// Allows reports whether count more tasks of amount each are within the limits of a leaf and of all
+// its ancestors.
 func (a *Account) Allows(leaf int, each Amount, count int) bool {
 	return a.LimitingNode(leaf, each, count) < 0
 }
 
-// CountAllowed is how many more tasks of amount each, up to count, a leaf may have.
+// CountAllowed returns how many more tasks of amount each, up to count, the limits of a leaf and of
+// its ancestors allow.
 func (a *Account) CountAllowed(leaf int, each Amount, count int) int {
-	below := noNode
+	child := noNode
 	a.tree.walkUp(leaf, func(i int, node *Node) bool {
-		count = countFitting(a.used[i], each, a.limitThrough(below, node), count)
-		below = i
+		count = countFitting(a.used[i], each, a.limitForChild(child, node), count)
+		child = i
 		return count > 0
 	})
 	return count
 }
 
-// LimitReached names the lowest node whose limit keeps a leaf from one more task of an amount, and
-// what it uses of its limit; "" if no limit does.
+// LimitReached describes the lowest node whose limit keeps a leaf from having one more task of an
+// amount, with the node's usage and limit; "" if no limit does.
 func (a *Account) LimitReached(leaf int, amount Amount) string {
 	node := a.LimitingNode(leaf, amount, 1)
 	if node < 0 {
@@ -36,49 +37,49 @@
 	return fmt.Sprintf("%s uses %s of %s", path, a.used[node], a.tree.nodes[node].effectiveLimit())
 }
 
-// LimitingNode is the lowest node, from a leaf upward, whose limit count more tasks of amount each
-// would pass; -1 if there is none.
+// LimitingNode returns the lowest node, from a leaf upward, whose limit count more tasks of amount
+// each would exceed; -1 if there is none.
 func (a *Account) LimitingNode(leaf int, each Amount, count int) int {
-	full, below := noNode, noNode
+	limiting, child := noNode, noNode
 	a.tree.walkUp(leaf, func(i int, node *Node) bool {
-		if !a.used[i].Add(each, count).within(a.limitThrough(below, node)) {
-			full = i
+		if !a.used[i].Add(each, count).within(a.limitForChild(child, node)) {
+			limiting = i
 			return false
 		}
-		below = i
+		child = i
 		return true
 	})
-	return full
+	return limiting
 }
 
-// limitThrough is a node's limit for what comes through one of its children: less what
-// its other children that don't lend have left of their guarantees.
-func (a *Account) limitThrough(through int, node *Node) Amount {
+// limitForChild returns the node's limit for a charge that comes from the given child: the node's
+// limit minus the unused guarantees of its other children that don't lend.
+func (a *Account) limitForChild(child int, node *Node) Amount {
 	limit := node.effectiveLimit()
 	for _, k := range node.children {
-		if child := &a.tree.nodes[k]; k != through && !child.Lend {
-			kept := child.Guaranteed.minus(a.used[k])
+		if sibling := &a.tree.nodes[k]; k != child && !sibling.Lend {
+			reserved := sibling.Guaranteed.subClamped(a.used[k])
 			limit = Amount{
-				Cores:        reserve(limit.Cores, kept.Cores),
-				Accelerators: reserve(limit.Accelerators, kept.Accelerators),
-				MemoryGB:     reserve(limit.MemoryGB, kept.MemoryGB),
+				Cores:        subtractReserved(limit.Cores, reserved.Cores),
+				Accelerators: subtractReserved(limit.Accelerators, reserved.Accelerators),
+				MemoryGB:     subtractReserved(limit.MemoryGB, reserved.MemoryGB),
 			}
 		}
 	}
 	return limit
 }
 
-// reserve takes what is kept for others from a limit. A limit of 0 is none and stays none;
-// one of which nothing is left becomes 1 unit, since 0 would read as none.
-func reserve(limit, kept int64) int64 {
-	if limit == 0 || kept == 0 {
+// subtractReserved returns a limit minus what is reserved for siblings. A limit of 0 means no limit
+// and stays 0. The result is at least 1 unit otherwise, since 0 would mean no limit.
+func subtractReserved(limit, reserved int64) int64 {
+	if limit == 0 || reserved == 0 {
 		return limit
 	}
-	return max(limit-kept, 1)
+	return max(limit-reserved, 1)
 }
 
-// Over lists the nodes whose use is beyond their limit, as after a change of the
-// tree: the lowest first.
+// Over returns the nodes whose usage exceeds their limit, for example after a change of the tree,
+// the deepest first.
 func (a *Account) Over() []int {
 	var nodes []int
 	for i := range a.tree.nodes {
@@ -90,8 +91,8 @@
 	return nodes
 }
 
-// Excess is what a node uses beyond its limit.
+// Excess returns the part of a node's usage that exceeds its limit.
 func (a *Account) Excess(node int) Amount {
 	limit := a.tree.nodes[node].effectiveLimit()
-	return a.used[node].minus(limit).whereSet(limit)
+	return a.used[node].subClamped(limit).maskedBy(limit)
 }
--- a/internal/quota/messages.go
+++ b/internal/quota/messages.go
@@ -6,23 +6,23 @@
 	"fmt"
 )
 
-// Apply is an operator's request to put another tree in force. Base is the number of the tree
-// that it was made from: if another one is in force by then, the request is refused. Its name
-// is part of answers to operators.
+// Apply is an operator's request to replace the tree in force. Base is the number of the tree that
+// the new one is derived from; the request is refused if another tree is in force by then. The
+// type's name appears in error messages to operators and must not change.
 type Apply struct {
 	Base   int      `json:"base"`
 	DryRun bool     `json:"dry_run,omitempty"`
 	Quotas Document `json:"quotas"`
 }
 
-// Refusal is the body of an answer that refuses a tree.
+// Refusal is the body of the response that refuses a tree.
 type Refusal struct {
 	Error  string   `json:"error"`
 	Faults []string `json:"faults,omitempty"`
 }
 
-// ParseApply reads and checks a request. Either the request and its tree are returned, or a
-// refusal with every fault.
+// ParseApply decodes and checks a request. It returns either the request and its tree, or a refusal
+// with the faults.
 func ParseApply(body []byte, teams map[string]Team, classes []string) (*Apply, *Tree, *Refusal) {
 	var request Apply
 	decoder := json.NewDecoder(bytes.NewReader(body))
@@ -37,26 +37,26 @@
 	return &request, tree, nil
 }
 
-// Preview tells operators what a tree means, or would mean, for what runs.
+// Preview tells operators how a tree affects, or would affect, the running tasks.
 type Preview struct {
 	Number int           `json:"number"` // of the tree in force
 	Over   []Over        `json:"over,omitempty"`
 	Stops  []PreviewStop `json:"stops,omitempty"`
 }
 
-// Over is a node whose use is above its limit.
+// Over is a node whose usage exceeds its limit.
 type Over struct {
 	Path string `json:"path"`
 	By   Bounds `json:"by"`
 }
 
-// PreviewStop is a task that would be stopped unless it ends in time.
+// PreviewStop is a task that would be stopped unless it ends within the grace period.
 type PreviewStop struct {
 	Task string `json:"task"`
 	Path string `json:"path"`
 }
 
-// Excesses lists the nodes whose use is above their limits.
+// Excesses returns the nodes whose usage exceeds their limits, the deepest first.
 func (a *Account) Excesses() []Over {
 	var excesses []Over
 	for _, node := range a.Over() {
@@ -65,14 +65,14 @@
 	return excesses
 }
 
-// ShownTree is the answer to an operator's request to show the tree.
+// ShownTree is the response to an operator's request to show the tree.
 type ShownTree struct {
 	Number int    `json:"number"`
 	Nodes  []View `json:"nodes"`
 }
 
-// EncodeTree writes a ShownTree with a line for each node: some receivers accept no lines of
-// more than 64 KiB.
+// EncodeTree returns the JSON of a ShownTree with one line for each node, since some receivers do
+// not accept lines of more than 64 KiB.
 func EncodeTree(number int, nodes []View) []byte {
 	var body bytes.Buffer
 	fmt.Fprintf(&body, `{"number":%d,"nodes":[`, number)
--- a/internal/quota/tree.go
+++ b/internal/quota/tree.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// Team is a team's guarantee and limit as the platform gives them.
+// Team holds a team's guarantee and limit, as the platform's settings give them.
 type Team struct {
 	Name       string
 	Guaranteed Amount
-	Max        Amount // 0 in a resource: no limit
+	Max        Amount // the team's limit; 0 in a resource means no limit
 }
 
-// Kind is what a node of the tree stands for.
+// Kind says what a node of the tree represents.
 type Kind string
 
 // Kinds of nodes.
@@ -24,22 +24,23 @@
 	Class        Kind = "class"
 )
 
-// Node is a node of the tree. What is charged to a node is charged to all nodes above it. A
-// limit of 0 in a resource is none; so is a guarantee of 0.
+// Node is a node of the tree. A charge to a node is also a charge to all its ancestors. In each
+// resource, a limit of 0 means no limit and a guarantee of 0 means no guarantee.
 type Node struct {
 	Name       string
 	Kind       Kind
 	Guaranteed Amount
 	Max        Amount  // its limit
-	Weight     float64 // of its share among its siblings in what is spare
+	Weight     float64 // of the node when spare capacity is shared among siblings
 	Borrow     bool    // may use more than its guarantee
-	Lend       bool    // others may use what it leaves of its guarantee
+	Lend       bool    // other nodes may use the unused part of its guarantee
 	parent     int     // -1 for the root
 	children   []int   // in the order of the document
 	depth      int     // 0 for the root
 }
 
-// effectiveLimit is a node's limit by itself: what does not borrow ends at its guarantee.
+// effectiveLimit returns the node's own limit. For a node that may not borrow, the limit in each
+// resource with a guarantee is that guarantee.
 func (n *Node) effectiveLimit() Amount {
 	if n.Borrow {
 		return n.Max
@@ -57,19 +58,19 @@
 	return limit
 }
 
-// Tree holds the nodes of the quotas. It never changes once it is built: a change of quotas is
-// another tree. Nodes are named by their index, 0 for the root.
+// Tree is the quota tree. It is immutable: a change of quotas builds a new tree. Nodes are
+// identified by their index; the root has index 0.
 type Tree struct {
 	nodes   []Node
-	teams   map[string]int // node by team
-	classes map[Key]int    // node by class
-	nested  bool           // there is more to it than the platform's teams
+	teams   map[string]int // node index by team
+	classes map[Key]int    // node index by team and class
+	nested  bool           // it was built from a document, not from the platform's teams alone
 }
 
-// Key is what a task is charged to: its team and the class of its job.
+// Key identifies what a task is charged to: its team and the class of its job.
 type Key struct{ Team, Class string }
 
-// Flat is the tree of the platform's teams alone.
+// Flat returns the tree in which all of the platform's teams are children of the root.
 func Flat(teams map[string]Team) *Tree {
 	t := newTree()
 	for _, name := range slices.Sorted(maps.Keys(teams)) {
@@ -111,9 +112,9 @@
 	return index
 }
 
-// Leaf is the node that a task is charged to: its class's if its team has one
-// for it, else its team's. Work of a team that the platform no longer names was
-// accepted once and must run: it is charged to the root.
+// Leaf returns the node that a task is charged to: the node of its class if there is one, else the
+// node of its team. Jobs of a team that has been removed from the platform's settings were accepted
+// and must still run, so they are charged to the root.
 func (t *Tree) Leaf(key Key) int {
 	if node, ok := t.classes[key]; ok {
 		return node
@@ -124,16 +125,17 @@
 	return 0
 }
 
-// HasTeam tells whether the platform names a team.
+// HasTeam reports whether a team is in the tree.
 func (t *Tree) HasTeam(team string) bool {
 	_, ok := t.teams[team]
 	return ok
 }
 
-// Nested tells whether there is more to the tree than the platform's teams.
+// Nested reports whether the tree was built from a document, not from the platform's teams alone.
 func (t *Tree) Nested() bool { return t.nested }
 
-// Path names a node after those above it, separated by slashes; "" for the root.
+// Path returns the names of the nodes from below the root down to a node, separated by slashes; ""
+// for the root.
 func (t *Tree) Path(node int) string {
 	var names []string
 	for i := node; i > 0; i = t.nodes[i].parent {
@@ -143,7 +145,7 @@
 	return strings.Join(names, "/")
 }
 
-// Paths are the paths of all nodes, by index.
+// Paths returns the paths of all nodes, by index.
 func (t *Tree) Paths() []string {
 	paths := make([]string, len(t.nodes))
 	for i := range t.nodes {
@@ -152,7 +154,8 @@
 	return paths
 }
 
-// walkUp calls f for a node and those above it, the root last, until f returns false.
+// walkUp calls f for a node and then for each of its ancestors up to the root, until f returns
+// false.
 func (t *Tree) walkUp(from int, f func(i int, node *Node) bool) {
 	for i := from; i >= 0; i = t.nodes[i].parent {
 		if !f(i, &t.nodes[i]) {
@@ -161,7 +164,7 @@
 	}
 }
 
-// Under tells whether a leaf is a node or below it.
+// Under reports whether leaf is in the subtree of node, which includes node itself.
 func (t *Tree) Under(leaf, node int) bool {
 	found := false
 	t.walkUp(leaf, func(i int, _ *Node) bool {
@@ -171,8 +174,8 @@
 	return found
 }
 
-// EverAllows tells whether count tasks, of amount each, would be within all limits of a leaf and of
-// the nodes above it if nothing else ran.
+// EverAllows reports whether count tasks of amount each would be within the limits of a leaf and of
+// all its ancestors if nothing else were running.
 func (t *Tree) EverAllows(leaf int, each Amount, count int) bool {
 	allowed := true
 	t.walkUp(leaf, func(_ int, node *Node) bool {
--- a/internal/quota/view.go
+++ b/internal/quota/view.go
@@ -1,6 +1,7 @@
 package quota
 
-// View is a node for people and scripts. Fields are only ever added.
+// View describes a node for operators and their scripts. For compatibility, fields may be added but
+// never removed or renamed.
 type View struct {
 	Path       string  `json:"path"`
 	Kind       Kind    `json:"kind"`
@@ -9,20 +10,21 @@
 	Guaranteed Bounds  `json:"guaranteed"`
 	Limit      Bounds  `json:"limit"`
 	Borrowed   Bounds  `json:"borrowed"` // used beyond the guarantee
-	Lent       Bounds  `json:"lent"`     // of the guarantee, unused: others may have it
+	Lent       Bounds  `json:"lent"`     // unused part of the guarantee, which other nodes may use
 	Weight     float64 `json:"weight"`
 	Waiting    int     `json:"waiting"` // tasks
 	Why        string  `json:"why,omitempty"`
 }
 
-// Show lists all nodes from the root down. waiting counts tasks by leaf.
+// Show returns the views of all nodes in pre-order, the root first. waiting is the number of
+// waiting tasks by leaf.
 func (a *Account) Show(waiting map[int]int) []View {
 	_, views := a.appendViews(nil, 0, waiting)
 	return views
 }
 
-// appendViews appends the views of a node and of all below it, and counts the tasks that wait
-// there.
+// appendViews appends the views of a node and its descendants. It also returns the number of tasks
+// that wait in this subtree.
 func (a *Account) appendViews(views []View, i int, waiting map[int]int) (int, []View) {
 	position := len(views)
 	views = append(views, a.view(i))
@@ -33,11 +35,11 @@
 		sum += below
 	}
 	views[position].Waiting = sum
-	views[position].Why = a.whyWaiting(i, sum)
+	views[position].Why = a.statusText(i, sum)
 	return sum, views
 }
 
-// view shows a node by itself, without what waits.
+// view returns the view of one node, without Waiting and Why, which depend on its subtree.
 func (a *Account) view(i int) View {
 	node := &a.tree.nodes[i]
 	v := View{
@@ -47,19 +49,19 @@
 		Used:       toBounds(a.used[i]),
 		Guaranteed: toBounds(node.Guaranteed),
 		Limit:      toBounds(node.effectiveLimit()),
-		// Only where there is a guarantee can anything be beyond it.
-		Borrowed: toBounds(a.used[i].minus(node.Guaranteed).whereSet(node.Guaranteed)),
+		// Only usage of a resource that has a guarantee can count as borrowed.
+		Borrowed: toBounds(a.used[i].subClamped(node.Guaranteed).maskedBy(node.Guaranteed)),
 		Weight:   node.Weight,
 	}
 	if node.Lend {
-		v.Lent = toBounds(node.Guaranteed.minus(a.used[i]))
+		v.Lent = toBounds(node.Guaranteed.subClamped(a.used[i]))
 	}
 	return v
 }
 
-// whyWaiting tells people what state a node is in that has so many tasks waiting; "" if there
-// is nothing to say.
-func (a *Account) whyWaiting(i, waiting int) string {
+// statusText describes the state of a node that has the given number of waiting tasks, for
+// operators; "" if there is nothing to report.
+func (a *Account) statusText(i, waiting int) string {
 	node := &a.tree.nodes[i]
 	excess := a.Excess(i)
 	switch {
@@ -67,7 +69,7 @@
 		return "over its limit by " + excess.String()
 	case waiting <= 0:
 		return ""
-	case a.used[i].reaches(node.effectiveLimit()):
+	case a.used[i].atLimit(node.effectiveLimit()):
 		return "at its limit"
 	case node.Guaranteed != (Amount{}) && a.used[i].within(node.Guaranteed):
 		return "within its guarantee, waits for room"
