--- a/internal/quota/account_test.go
+++ b/internal/quota/account_test.go
@@ -13,19 +13,20 @@
 	account.Charge(key, Of(50, 1, 1), 1)
 	if account.Entitled(leaf, Of(50, 1, 1), 1) == noNode || account.Entitled(leaf, gpus(1.5), 1) != noNode ||
 		account.Entitled(tree.Leaf(Key{"free", ""}), Amount{}, 1) != noNode {
-		t.Error("a guarantee of 0 in one resource says nothing of it; no guarantee guarantees nothing")
+		t.Error("a guarantee of 0 in one resource restricts the entitlement, or a team without a guarantee is entitled")
 	}
 	if !account.Allows(leaf, Of(1e6, 3, 0), 1) || account.Allows(leaf, gpus(3.5), 1) ||
 		!account.Allows(tree.Leaf(Key{"free", ""}), gpus(1e6), 1) {
-		t.Error("0 means no limit, 4 means 4")
+		t.Error("a limit of 0 is not treated as no limit, or a limit of 4 is not enforced")
 	}
 	if tree.HasTeam("x") || tree.Leaf(Key{"x", ""}) != 0 || tree.Nested() || account.FairShares(leaf) != nil {
-		t.Error("unknown team, or a nested tree that nobody gave")
+		t.Error("an unknown team is known or not charged to the root, or a flat tree counts as nested")
 	}
 }
 
-// Whatever is charged only if it is allowed, and uncharged in any order: no node is ever above
-// its limit, a child never above its parent, and at the end nothing is left, to the millionth.
+// TestUseNeverExceedsLimits makes a million random charges, each only if it is allowed, and reverses
+// them in random order. No node may ever exceed its limit, no child may use more than its parent, and
+// in the end all usage must be exactly 0, without rounding errors.
 func TestUseNeverExceedsLimits(t *testing.T) {
 	tree := twoOrganisations(t)
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -61,31 +62,31 @@
 				t.Fatalf("%s uses %s of %s", tree.Path(i), account.used[i], tree.nodes[i].effectiveLimit())
 			}
 			if parent := tree.nodes[i].parent; parent >= 0 && !account.used[parent].Covers(account.used[i]) {
-				t.Fatalf("%s uses more than what is above it", tree.Path(i))
+				t.Fatalf("%s uses more than its parent", tree.Path(i))
 			}
 		}
 	}
-	again := NewAccount(tree)
+	recharged := NewAccount(tree)
 	for _, c := range charges {
-		again.Charge(c.key, c.amount, 1)
+		recharged.Charge(c.key, c.amount, 1)
 		account.Charge(c.key, c.amount, -1)
 	}
 	for i := range tree.nodes {
 		if account.used[i] != (Amount{}) {
-			t.Errorf("%s keeps %s of nothing", tree.Path(i), account.used[i])
+			t.Errorf("%s still uses %s after all charges were reversed", tree.Path(i), account.used[i])
 		}
 	}
 	if len(account.charged) != 0 {
-		t.Error("keys are left")
+		t.Error("charges by key are left after all were reversed")
 	}
-	// The use of another tree follows from the charges alone.
+	// Rebase must recompute the usage from the charges by key.
 	other := Flat(map[string]Team{"pricing": {Name: "pricing"}})
-	again.Rebase(other)
+	recharged.Rebase(other)
 	want := Amount{}
 	for _, c := range charges {
 		want = want.Add(c.amount, 1)
 	}
-	if again.used[0] != want {
-		t.Error("a rebase loses charges")
+	if recharged.used[0] != want {
+		t.Error("rebasing loses charges")
 	}
 }
--- a/internal/quota/amount.go
+++ b/internal/quota/amount.go
@@ -14,8 +14,8 @@
 // charges and their reversals add up to exactly zero.
 const unit = 1e-6
 
-// maxAmount limits one task's amount of a resource. It is far above the capacity of any machine,
-// and low enough that the sum of a thousand million ordinary tasks does not overflow an int64.
+// maxAmount is the largest amount of a resource in a task, a guarantee or a limit. It is far above
+// the capacity of any machine, and the sum of 9,000 such amounts still fits in an int64.
 const maxAmount = 1e9
 
 // Amount is a quantity of each resource, in millionths of a core, of an accelerator and of a GB of
--- a/internal/quota/bench_test.go
+++ b/internal/quota/bench_test.go
@@ -6,14 +6,14 @@
 	"github.com/benbjohnson/immutable"
 )
 
-// persistent is an account whose use is a persistent map, which a copy shares: the
-// other way that was weighed (docs/notes/quotas.md).
-type persistent struct {
+// persistentAccount is an account whose usage is in a persistent map that copies share. This is the
+// alternative design that docs/notes/quotas.md compares.
+type persistentAccount struct {
 	tree *Tree
 	used *immutable.Map[int, Amount]
 }
 
-func (p *persistent) charge(key Key, each Amount, count int) {
+func (p *persistentAccount) charge(key Key, each Amount, count int) {
 	p.tree.walkUp(p.tree.Leaf(key), func(i int, _ *Node) bool {
 		before, _ := p.used.Get(i)
 		p.used = p.used.Set(i, before.Add(each, count))
@@ -21,8 +21,8 @@
 	})
 }
 
-// BenchmarkCloneAndCharge is what a scheduling cycle does: a copy, and 100 charges in it, on a
-// tree of 1,000 leaves; once with the copy of a slice, once with a persistent map.
+// BenchmarkCloneAndCharge copies an account of a tree with 1,000 leaves and makes 100 charges in the
+// copy, as a scheduling cycle does. It compares copying a slice with using a persistent map.
 func BenchmarkCloneAndCharge(b *testing.B) {
 	tree, keys := thousandLeaves(b)
 	b.Run("copied", func(b *testing.B) {
@@ -36,7 +36,7 @@
 		}
 	})
 	b.Run("persistent", func(b *testing.B) {
-		p := persistent{tree, immutable.NewMap[int, Amount](nil)}
+		p := persistentAccount{tree, immutable.NewMap[int, Amount](nil)}
 		for _, k := range keys {
 			p.charge(k, gpus(1), 1)
 		}
@@ -57,7 +57,7 @@
 	})
 }
 
-// BenchmarkAllows is the check of one task on its way up the tree.
+// BenchmarkAllows checks one task against the limits of its leaf and of all ancestors.
 func BenchmarkAllows(b *testing.B) {
 	tree, keys := thousandLeaves(b)
 	account := NewAccount(tree)
--- a/internal/quota/build_test.go
+++ b/internal/quota/build_test.go
@@ -52,10 +52,10 @@
 		"x: its children are guaranteed 10 accelerators, above its guarantee of 9",
 	} {
 		if !strings.Contains(text, want) {
-			t.Errorf("not told: %s", want)
+			t.Errorf("fault not reported: %s", want)
 		}
 	}
 	if len(faults) != 12 {
-		t.Errorf("%d faults:\n%s", len(faults), text)
+		t.Errorf("%d faults, want 12:\n%s", len(faults), text)
 	}
 }
--- a/internal/quota/fair_share_test.go
+++ b/internal/quota/fair_share_test.go
@@ -9,10 +9,11 @@
 	"pgregory.net/rapid"
 )
 
-// fill gives out spare places one by one, each to the side that CompareWays puts first.
-func fill(account *Account, keys []Key, places int) map[Key]int {
+// allocateByShares allocates accelerators one by one, each to the key that CompareFairShares puts
+// first.
+func allocateByShares(account *Account, keys []Key, count int) map[Key]int {
 	got := map[Key]int{}
-	for range places {
+	for range count {
 		best := -1
 		for i, k := range keys {
 			leaf := account.tree.Leaf(k)
@@ -32,47 +33,47 @@
 	return got
 }
 
-// solve is progressive filling by its definition: all sides that have room rise
-// together in proportion to their weights, at each level by itself.
-func solve(t *Tree, node int, places float64, keys []Key) map[Key]float64 {
+// progressiveFilling computes progressive filling by its definition: at each level, the shares of
+// all children that are below their limit grow together in proportion to their weights.
+func progressiveFilling(t *Tree, node int, count float64, keys []Key) map[Key]float64 {
 	solution := map[Key]float64{}
 	children := t.nodes[node].children
 	if len(children) == 0 {
 		for _, k := range keys {
 			if t.Leaf(k) == node {
-				solution[k] = places
+				solution[k] = count
 			}
 		}
 		return solution
 	}
 	got := map[int]float64{}
-	for remaining, open := places, children; remaining > 1e-9 && len(open) > 0; {
+	for remaining, open := count, children; remaining > 1e-9 && len(open) > 0; {
 		sum := 0.0
 		for _, i := range open {
 			sum += t.nodes[i].Weight
 		}
 		step := remaining / sum
 		for _, i := range open {
-			step = min(step, (reachableBelow(t, i)-got[i])/t.nodes[i].Weight)
+			step = min(step, (capacityBelow(t, i)-got[i])/t.nodes[i].Weight)
 		}
 		var stillOpen []int
 		for _, i := range open {
 			got[i] += step * t.nodes[i].Weight
 			remaining -= step * t.nodes[i].Weight
-			if reachableBelow(t, i)-got[i] > 1e-9 {
+			if capacityBelow(t, i)-got[i] > 1e-9 {
 				stillOpen = append(stillOpen, i)
 			}
 		}
 		open = stillOpen
 	}
 	for _, i := range children {
-		maps.Copy(solution, solve(t, i, got[i], keys))
+		maps.Copy(solution, progressiveFilling(t, i, got[i], keys))
 	}
 	return solution
 }
 
-// TestProgressiveFilling compares what CompareWays gives out, one place at a time, with
-// the solution by definition, on small trees of three levels without guarantees.
+// TestProgressiveFilling compares allocating accelerators one at a time by CompareFairShares with
+// progressive filling by its definition, on small trees of three levels without guarantees.
 func TestProgressiveFilling(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		teams := map[string]Team{}
@@ -96,28 +97,28 @@
 		if len(faults) > 0 {
 			t.Fatal(faults)
 		}
-		places := rapid.IntRange(0, 60).Draw(t, "places")
-		got, want := fill(NewAccount(tree), keys, places), solve(tree, 0, float64(places), keys)
-		if reachable := reachableBelow(tree, 0); float64(places) > reachable {
-			want = solve(tree, 0, reachable, keys)
+		count := rapid.IntRange(0, 60).Draw(t, "places")
+		got, want := allocateByShares(NewAccount(tree), keys, count), progressiveFilling(tree, 0, float64(count), keys)
+		if capacity := capacityBelow(tree, 0); float64(count) > capacity {
+			want = progressiveFilling(tree, 0, capacity, keys)
 		}
 		for _, k := range keys {
-			// A place is whole, so that each level may be off by less than one.
+			// Accelerators are allocated whole, so that each level may be off by less than one.
 			if difference := float64(got[k]) - want[k]; math.Abs(difference) > 2 {
-				t.Fatalf("%v got %d, by definition %g of %d places: %v, %v", k, got[k], want[k], places, got, want)
+				t.Fatalf("%v got %d, want %g of %d accelerators: got %v, want %v", k, got[k], want[k], count, got, want)
 			}
 		}
 	})
 }
 
-// reachableBelow is how much can be given out below a node at all.
-func reachableBelow(t *Tree, i int) float64 {
+// capacityBelow returns how many accelerators the limits of a node and of its descendants allow.
+func capacityBelow(t *Tree, i int) float64 {
 	node := &t.nodes[i]
 	sum := math.Inf(1)
 	if len(node.children) > 0 {
 		sum = 0
 		for _, k := range node.children {
-			sum += reachableBelow(t, k)
+			sum += capacityBelow(t, k)
 		}
 	}
 	if node.effectiveLimit().Accelerators > 0 {
@@ -126,9 +127,10 @@
 	return sum
 }
 
-// What a team runs outside its classes counts as one more child. While its list of shares ended
-// a level earlier, y came level with both classes and the classes not with each other: which of
-// three jobs went first depended on which two were compared.
+// TestFairShareOrderIsTransitive guards against an order that depends on which two of three jobs are
+// compared. Class y has no node of its own, so its tasks are charged to the team's node. When its
+// list of shares ended one level earlier than those of the other two classes, y compared as equal to
+// both, although these two were not equal to each other.
 func TestFairShareOrderIsTransitive(t *testing.T) {
 	account := NewAccount(twoOrganisations(t))
 	sweep, audit, y := Key{"pricing", "sweep"}, Key{"pricing", "audit"}, Key{"pricing", "y"}
@@ -140,10 +142,10 @@
 		CompareFairShares(shares(audit), shares(y)) >= 0 ||
 		CompareFairShares(shares(y), shares(sweep)) >= 0 ||
 		CompareFairShares(shares(audit), shares(sweep)) >= 0 {
-		t.Errorf("audit %v, then y %v, then sweep %v", shares(audit), shares(y), shares(sweep))
+		t.Errorf("want audit %v before y %v before sweep %v", shares(audit), shares(y), shares(sweep))
 	}
 	account.Charge(y, gpus(1), 2)
 	if CompareFairShares(shares(sweep), shares(y)) >= 0 {
-		t.Errorf("sweep %v, then y %v", shares(sweep), shares(y))
+		t.Errorf("want sweep %v before y %v", shares(sweep), shares(y))
 	}
 }
--- a/internal/quota/golden_messages_test.go
+++ b/internal/quota/golden_messages_test.go
@@ -14,8 +14,8 @@
 	return &value
 }
 
-// goldenQuotaFile sets every field of a tree.
-func goldenQuotaFile() Document {
+// documentWithAllFields returns a document in which every field is set.
+func documentWithAllFields() Document {
 	some, more := &Bounds{Cores: 20.5, Accelerators: 5, MemoryGB: 100}, &Bounds{Cores: 60, Accelerators: 7, MemoryGB: 300}
 	classes := []OfClass{
 		{
@@ -38,22 +38,24 @@
 	}
 }
 
-// golden holds a form to its file, and what is read of the file to the value.
-func golden[T any](t *testing.T, name string, want T) {
+// checkGoldenJSON checks that a value encodes to its golden file and that the file decodes to the
+// value.
+func checkGoldenJSON[T any](t *testing.T, name string, want T) {
 	t.Helper()
 	goldentest.JSON(t, name, want)
 	var got T
 	if err := json.Unmarshal(goldentest.Read(t, name), &got); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%s: read as %+v, not as %+v: %v", name, got, want, err)
+		t.Errorf("%s: decoded %+v, want %+v: %v", name, got, want, err)
 	}
 }
 
-// What operators send and are sent keeps its form, byte for byte.
+// TestGoldenMessages checks that the JSON of requests from operators and of responses to them stays
+// the same, byte for byte.
 func TestGoldenMessages(t *testing.T) {
-	full := Apply{Base: 7, DryRun: true, Quotas: goldenQuotaFile()}
+	full := Apply{Base: 7, DryRun: true, Quotas: documentWithAllFields()}
 	goldentest.Filled(t, full)
-	golden(t, "apply-full.json", full)
-	golden(t, "apply-lean.json", Apply{Base: 1})
+	checkGoldenJSON(t, "apply-full.json", full)
+	checkGoldenJSON(t, "apply-lean.json", Apply{Base: 1})
 	teams := map[string]Team{"pricing": {Name: "pricing"}, "lone": {Name: "lone"}}
 	request, _, refused := ParseApply(goldentest.Read(t, "apply-full.json"), teams, nil)
 	if refused != nil || !reflect.DeepEqual(*request, full) {
@@ -83,19 +85,20 @@
 	goldentest.Filled(t, refusal)
 	goldentest.Filled(t, preview)
 	goldentest.Filled(t, tree)
-	golden(t, "refusal-full.json", refusal)
-	golden(t, "refusal-lean.json", Refusal{})
-	golden(t, "preview-full.json", preview)
-	golden(t, "preview-lean.json", Preview{})
-	golden(t, "tree.json", tree)
+	checkGoldenJSON(t, "refusal-full.json", refusal)
+	checkGoldenJSON(t, "refusal-lean.json", Refusal{})
+	checkGoldenJSON(t, "preview-full.json", preview)
+	checkGoldenJSON(t, "preview-lean.json", Preview{})
+	checkGoldenJSON(t, "tree.json", tree)
 	goldentest.Bytes(t, "tree-lines.json", EncodeTree(tree.Number, tree.Nodes))
 	var back ShownTree
 	if err := json.Unmarshal(goldentest.Read(t, "tree-lines.json"), &back); err != nil || !reflect.DeepEqual(back, tree) {
-		t.Errorf("the tree's lines are read as %+v: %v", back, err)
+		t.Errorf("the encoded tree was decoded as %+v: %v", back, err)
 	}
 }
 
-// What a tree shows of a world, and the faults of a document, are told as ever.
+// TestGoldenTreeViewAndFaults checks that the view of a tree with usage, and the reported faults of
+// a document, stay the same.
 func TestGoldenTreeViewAndFaults(t *testing.T) {
 	account := NewAccount(twoOrganisations(t))
 	account.Charge(Key{Team: "pricing", Class: "sweep"}, Of(2, 1, 8), 7)
--- a/internal/quota/golden_stored_test.go
+++ b/internal/quota/golden_stored_test.go
@@ -7,7 +7,7 @@
 	"github.com/harrierreel/harrierreel/internal/goldentest"
 )
 
-func goldenDocument() Document {
+func storedDocument() Document {
 	grace, weight, yes := 30.5, 2.5, true
 	bounds := func(by float64) *Bounds { return &Bounds{Cores: by + 0.5, Accelerators: by + 1, MemoryGB: by + 2} }
 	teams := []OfTeam{{Name: "vision", Weight: &weight, Borrow: &yes, Lend: &yes, Classes: []OfClass{
@@ -24,7 +24,7 @@
 }
 
 func TestGoldenStored(t *testing.T) {
-	full := NewStored(3, 1700000000001, goldenDocument())
+	full := NewStored(3, 1700000000001, storedDocument())
 	goldentest.Filled(t, full)
 	no, zero := false, 0.0
 	for name, s := range map[string]Stored{
@@ -37,7 +37,7 @@
 	} {
 		goldentest.JSON(t, name, s)
 		if back, err := Decode(goldentest.Read(t, name)); err != nil || !reflect.DeepEqual(*back, s) {
-			t.Errorf("%s: read %+v, %v", name, back, err)
+			t.Errorf("%s: decoded %+v, %v", name, back, err)
 		}
 	}
 	goldentest.Bytes(t, "keys.txt", []byte(StoreKey+"\n"))
--- a/internal/quota/guarantee_test.go
+++ b/internal/quota/guarantee_test.go
@@ -14,21 +14,21 @@
 		if node == noNode {
 			return "none"
 		}
-		return fmt.Sprintf("%s turn %d", tree.Path(node), tree.FairShareOrder(node, leaf(team, class)))
+		return fmt.Sprintf("%s order %d", tree.Path(node), tree.FairShareOrder(node, leaf(team, class)))
 	}
 	for _, step := range []struct {
 		team, class  string
 		accelerators float64
 		want         string
 	}{
-		{"pricing", "sweep", 2, "kenya/pricing/sweep turn 0"},
-		{"pricing", "sweep", 2, "kenya/pricing turn 0"},
-		{"pricing", "sweep", 1, "kenya turn 1"},
-		{"storefront", "x", 8, "kenya/storefront turn 0"},
-		{"storefront", "x", 3, "kenya turn 1"},
+		{"pricing", "sweep", 2, "kenya/pricing/sweep order 0"},
+		{"pricing", "sweep", 2, "kenya/pricing order 0"},
+		{"pricing", "sweep", 1, "kenya order 1"},
+		{"storefront", "x", 8, "kenya/storefront order 0"},
+		{"storefront", "x", 3, "kenya order 1"},
 		{"storefront", "x", 1, "none"},
-		{"stazioni", "z", 6, "italia/stazioni turn 0"},
-		{"stazioni", "z", 4, "italia turn 1"},
+		{"stazioni", "z", 6, "italia/stazioni order 0"},
+		{"stazioni", "z", 4, "italia order 1"},
 		{"stazioni", "z", 1, "none"},
 		{"lone", "w", 1, "none"},
 	} {
@@ -39,8 +39,9 @@
 	}
 }
 
-// What Italia borrowed is preempted for what Kenya is guaranteed; within an organisation nobody
-// loses what it has of the shared guarantee.
+// TestYieldsWhatIsBorrowed checks that what organisation italia has borrowed can be preempted for
+// tasks within the guarantee of organisation kenya, and that within an organisation no team loses
+// its part of the organisation's guarantee to another.
 func TestYieldsWhatIsBorrowed(t *testing.T) {
 	tree := twoOrganisations(t)
 	account := NewAccount(tree)
@@ -53,17 +54,17 @@
 	if !account.Yields(within, stazioni, gpus(1)) ||
 		!account.Yields(within, stazioni, gpus(4)) ||
 		account.Yields(within, stazioni, gpus(5)) {
-		t.Error("italia must yield what it borrowed, and no more")
+		t.Error("italia must yield the 4 that it borrowed, and no more")
 	}
 	if !account.Yields(within, storefront, gpus(2)) || account.Yields(within, storefront, gpus(3)) {
-		t.Error("storefront must yield to pricing's guarantee what it borrowed from it")
+		t.Error("storefront must yield to pricing's guarantee the 2 beyond its own, and no more")
 	}
 	org := account.Entitled(storefront, gpus(1), 1)
 	if tree.Path(org) != "kenya" || account.Yields(org, pricing, Amount{}) || !account.Yields(org, stazioni, gpus(1)) {
-		t.Error("what is borrowed within an organisation takes nothing from a sibling")
+		t.Error("usage within the organisation's guarantee must preempt italia's, and none of a sibling team")
 	}
 	if account.Yields(noNode, stazioni, gpus(1)) {
-		t.Error("beyond all guarantees nobody has to yield")
+		t.Error("nothing must yield to a task that is within no guarantee")
 	}
 	account = NewAccount(tree)
 	account.Charge(Key{"stazioni", "z"}, gpus(1), 10)
@@ -72,17 +73,17 @@
 	}
 }
 
-// Whoever lends keeps what all nodes on its side are guaranteed, up to where its side and
-// the borrower's meet.
+// TestSparesWhatIsNotGuaranteed checks that a lender can spare only what leaves all its ancestors
+// below the lowest common ancestor with the borrower their guarantees.
 func TestSparesWhatIsNotGuaranteed(t *testing.T) {
 	tree := twoOrganisations(t)
 	account := NewAccount(tree)
 	account.Charge(Key{"stazioni", "z"}, gpus(1), 14) // 4 beyond italia's 10
 	storefront, stazioni := tree.Leaf(Key{"storefront", "x"}), tree.Leaf(Key{"stazioni", "z"})
 	if !account.CanSpare(storefront, stazioni, gpus(4)) || account.CanSpare(storefront, stazioni, gpus(5)) {
-		t.Error("italia can spare 4 for kenya")
+		t.Error("italia must be able to spare 4 for kenya, and no more")
 	}
 	if !account.CanSpare(stazioni, stazioni, gpus(14)) {
-		t.Error("what shares a guarantee has no claim against its own side")
+		t.Error("a leaf must be able to spare all of its usage for itself")
 	}
 }
--- a/internal/quota/helpers_test.go
+++ b/internal/quota/helpers_test.go
@@ -19,9 +19,10 @@
 	return &value
 }
 
-// twoOrganisations has two organisations. Kenya: storefront 8 and pricing 4 of 16 guaranteed,
-// 20 at most, pricing with classes. Italia: stazioni 6 of 10 guaranteed. 40 in all
-// are left to the platform's limits.
+// twoOrganisations returns a tree of two organisations, with guarantees and limits in accelerators.
+// Organisation kenya has a guarantee of 16, of which storefront has 8 and pricing 4, and a limit of
+// 20; pricing has classes. Organisation italia has a guarantee of 10, of which stazioni has 6. Team
+// lone is in no organisation and has neither guarantee nor limit. The root has no limit.
 func twoOrganisations(t interface {
 	Helper()
 	Fatal(...any)
@@ -59,7 +60,7 @@
 	return tree
 }
 
-// thousandLeaves is a tree of 1,000 leaves on three levels.
+// thousandLeaves returns a tree with 1,000 leaves on the third level, and their keys.
 func thousandLeaves(tb testing.TB) (*Tree, []Key) {
 	tb.Helper()
 	teams := map[string]Team{}
--- a/internal/quota/limits_test.go
+++ b/internal/quota/limits_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// A job of 100,000 tasks must not be counted one by one on every pass; the count
-// is what counting gives.
-func TestMoreEqualsCountingOneByOne(t *testing.T) {
+// TestCountAllowedEqualsCountingOneByOne checks that CountAllowed, which avoids checking each task of
+// a job of 100,000 on every pass, returns the same number as checking and charging one by one.
+func TestCountAllowedEqualsCountingOneByOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tree := twoOrganisations(t)
 		account := NewAccount(tree)
@@ -37,13 +37,13 @@
 			count++
 		}
 		if got := account.CountAllowed(leaf, a, 30); got != count {
-			t.Fatalf("%d more of %v, counted %d", got, k, count)
+			t.Fatalf("%d more of %v are allowed, want %d", got, k, count)
 		}
 	})
 }
 
-// What does not lend keeps its guarantee free for itself; what does not borrow ends
-// at its guarantee.
+// TestBorrowAndLend checks that the unused guarantee of a class that does not lend stays reserved
+// for it, and that a class that does not borrow is limited to its guarantee.
 func TestBorrowAndLend(t *testing.T) {
 	tree := twoOrganisations(t)
 	account := NewAccount(tree)
@@ -51,11 +51,11 @@
 	sweep := tree.Leaf(Key{"pricing", "sweep"})
 	other := tree.Leaf(Key{"pricing", "y"})
 	if account.CountAllowed(audit, gpus(0.5), 10) != 2 {
-		t.Errorf("audit may have %d halves of its 1", account.CountAllowed(audit, gpus(0.5), 10))
+		t.Errorf("audit may have %d tasks of 0.5, want 2 in its guarantee", account.CountAllowed(audit, gpus(0.5), 10))
 	}
 	account.Charge(Key{"pricing", "y"}, gpus(1), 11)
 	if account.Allows(other, gpus(1), 1) || account.Allows(sweep, gpus(1), 1) || !account.Allows(audit, gpus(1), 1) {
-		t.Error("the last of pricing's 12 is audit's")
+		t.Error("the last of pricing's 12 accelerators must be reserved for audit")
 	}
 	if why := account.LimitReached(sweep, gpus(1)); !strings.HasPrefix(why, "kenya/pricing uses") {
 		t.Error(why)
@@ -67,8 +67,9 @@
 	}
 }
 
-// A guarantee smaller than one task entitles none, and keeps it from nothing; a task
-// that is larger than a limit above it can never run.
+// TestGuaranteeAndLimitBesideOneTask checks that a guarantee smaller than one task neither entitles
+// the task nor keeps it from running, and that a task larger than the limit of an ancestor is never
+// allowed.
 func TestGuaranteeAndLimitBesideOneTask(t *testing.T) {
 	class := OfClass{Name: "c", Guarantee: &Bounds{Accelerators: 0.5}}
 	document := &Document{
@@ -87,7 +88,7 @@
 	if account.Entitled(leaf, gpus(1), 1) != noNode || !account.Allows(leaf, gpus(1), 1) ||
 		!tree.EverAllows(leaf, gpus(3), 1) ||
 		tree.EverAllows(leaf, gpus(4), 1) {
-		t.Error("half a guarantee, or a limit above the team")
+		t.Error("a guarantee below one task entitles or limits it, or the organisation's limit is not applied")
 	}
 	account.Charge(Key{"a", "c"}, gpus(1), 3)
 	if v := account.Show(map[int]int{leaf: 2}); v[1].Path != "o" || v[1].Why != "at its limit" || v[0].Waiting != 2 {
