--- a/internal/quotareclaim/reclaim.go
+++ b/internal/quotareclaim/reclaim.go
@@ -1,6 +1,7 @@
-// Package quotareclaim brings use back under limits of the quota tree that were lowered while
-// work ran, or that others have filled with what they borrowed: it chooses what has to stop,
-// the youngest first. Nothing outside a node that is at its limit is touched. No IO, no clock.
+// Package quotareclaim chooses tasks to stop, the youngest first, in two cases: when usage exceeds a
+// limit of the quota tree that was lowered while tasks ran, and when borrowed usage fills a limit and
+// keeps a job from what it is guaranteed. It stops no task outside the subtree of a node that is at
+// or above its limit. The package does no IO and reads no clock.
 package quotareclaim
 
 import (
@@ -12,15 +13,16 @@
 	"github.com/harrierreel/harrierreel/internal/quota"
 )
 
-// Stop is a task that has to stop, and the node of the tree for whose limit.
+// Stop is a task to stop, and the node of the quota tree whose limit requires it.
 type Stop struct {
 	Task *clusterstate.Task
-	Path string // of the node, as quota.Tree.Path gives it
+	Path string // of the node, as returned by quota.Tree.Path
 }
 
-// Plan lists up to limit tasks (and the rest of a gang) whose end brings every node of an
-// account inside its limits, with what is stopping counted already. Of a gang all tasks go,
-// since the rest could not go on. Tasks that were released but are on no machine go first.
+// Plan returns the tasks to stop so that every node of an account is within its limits. Tasks that
+// are stopping already are counted as gone. At most limit tasks are returned, except that a gang is
+// always stopped whole, since the rest of it could not continue. Tasks that are released but not yet
+// on a machine are stopped first.
 func Plan(state *clusterstate.State, account *quota.Account, limit int) []Stop {
 	nodes := account.Over()
 	if len(nodes) == 0 {
@@ -54,10 +56,11 @@
 	return stops
 }
 
-// PlanForGuarantee lists the tasks whose end lets count more tasks of a job, which are within the
-// guarantee of node entitled, into limits that others have filled with what they borrowed:
-// as few as are needed, the youngest first, with what is stopping counted already. Gangs and
-// services are left alone. Nil if that can't be had, or if what is stopping is enough.
+// PlanForGuarantee returns the tasks to stop so that the limits allow count more tasks of a job. The
+// new tasks are within the guarantee of node entitled, and only borrowed usage keeps them out. Tasks
+// are taken in stop order, the youngest first, until the limits allow the new tasks; tasks that are
+// stopping already are counted as gone. Gangs and services are never stopped. The result is nil if
+// stopping tasks can't achieve this, or if those that are stopping are enough.
 func PlanForGuarantee(
 	state *clusterstate.State,
 	account *quota.Account,
@@ -71,18 +74,18 @@
 	tree := account.Tree()
 	var stops []Stop
 	for _, t := range tasks {
-		full := account.LimitingNode(leaf, spec.Amount(), count)
-		if full < 0 {
+		limiting := account.LimitingNode(leaf, spec.Amount(), count)
+		if limiting < 0 {
 			return stops
 		}
 		other := &t.Job.Record.Spec
 		if other.IsGang() || other.Kind == jobs.Service ||
-			!reduces(state, tree, t, full, spec.Amount()) ||
+			!reduces(state, tree, t, limiting, spec.Amount()) ||
 			!account.Yields(entitled, state.QuotaLeaf(other), other.Amount()) {
 			continue
 		}
 		account.Charge(other.QuotaKey(), other.Amount(), -1)
-		stops = append(stops, Stop{Task: t, Path: tree.Path(full)})
+		stops = append(stops, Stop{Task: t, Path: tree.Path(limiting)})
 	}
 	if account.LimitingNode(leaf, spec.Amount(), count) >= 0 {
 		return nil
@@ -90,8 +93,8 @@
 	return stops
 }
 
-// reduces tells whether stopping a task takes anything off an excess of a node: it is charged
-// there or below, and isn't stopping already.
+// reduces reports whether stopping a task reduces a node's excess: the task is charged in the node's
+// subtree, uses a resource of the excess and isn't stopping already.
 func reduces(
 	state *clusterstate.State,
 	tree *quota.Tree,
@@ -105,7 +108,7 @@
 		spec.Amount().Helps(excess)
 }
 
-// withoutStopping is a copy of an account without the tasks that are stopping.
+// withoutStopping returns a copy of an account without the charges of tasks that are stopping.
 func withoutStopping(account *quota.Account, tasks []*clusterstate.Task) *quota.Account {
 	account = account.Clone()
 	for _, t := range tasks {
@@ -116,8 +119,9 @@
 	return account
 }
 
-// candidates lists the charged tasks of known jobs in the order in which they would be
-// stopped: released ones, then those of the least priority, then the youngest.
+// candidates returns the charged tasks of known jobs in the order in which they would be stopped:
+// first those that are released but not yet on a machine, then by ascending priority, then the
+// youngest first.
 func candidates(state *clusterstate.State) []*clusterstate.Task {
 	var tasks []*clusterstate.Task
 	for _, t := range state.Assigned {
@@ -133,7 +137,8 @@
 	return tasks
 }
 
-// stopsBefore is the order of candidates; it is total, so that every leader chooses alike.
+// stopsBefore reports whether a is stopped before b. It is a total order, so that every leader makes
+// the same choice.
 func stopsBefore(a, b *clusterstate.Task) bool {
 	if (a.State == jobs.Assigned) != (b.State == jobs.Assigned) {
 		return a.State == jobs.Assigned
@@ -148,7 +153,7 @@
 	return a.ID < b.ID
 }
 
-// gangMates lists the tasks of a task's gang, or the task alone if its job is no gang.
+// gangMates returns all tasks of a task's gang, or only the task itself if its job is not a gang.
 func gangMates(t *clusterstate.Task) []*clusterstate.Task {
 	if t.Job.Record.Spec.Kind != jobs.Gang {
 		return []*clusterstate.Task{t}
--- a/internal/quotareclaim/reclaim_test.go
+++ b/internal/quotareclaim/reclaim_test.go
@@ -25,7 +25,8 @@
 	"c": {Name: "c"},
 }
 
-// limitedTree has a and b under one organisation with a limit, c beside it.
+// limitedTree returns a tree with teams a and b in an organisation that has a limit, and team c
+// outside it.
 func limitedTree(t interface {
 	Helper()
 	Fatal(args ...any)
@@ -46,9 +47,9 @@
 	return tree
 }
 
-// enterJob enters a job with a task in each of states; those on a machine are there since
-// second at.
-func enterJob(state *clusterstate.State, jobID, team, kind, priority string, states []jobs.TaskState, at int64) {
+// addJob adds a job to the state, with one task in each of the given task states. Tasks on a machine
+// have been there since Unix time at, in seconds.
+func addJob(state *clusterstate.State, jobID, team, kind, priority string, states []jobs.TaskState, at int64) {
 	state.Now = time.Unix(at, 0)
 	spec := jobs.Spec{
 		ID:           jobID,
@@ -92,11 +93,11 @@
 
 func TestPlan(t *testing.T) {
 	state := clusterstate.New(limitedTree(t, 8), func(string) {})
-	enterJob(state, "wk-1", "a", jobs.JobArray, "standard", placed(3), 10)
-	enterJob(state, "wk-2", "b", jobs.JobArray, "standard", placed(2), 20)
-	enterJob(state, "wk-3", "b", jobs.Gang, "standard", placed(2), 30)
-	enterJob(state, "wk-4", "c", jobs.JobArray, "idle", placed(5), 40)
-	enterJob(state, "wk-5", "a", jobs.JobArray, "idle", placed(1), 5)
+	addJob(state, "wk-1", "a", jobs.JobArray, "standard", placed(3), 10)
+	addJob(state, "wk-2", "b", jobs.JobArray, "standard", placed(2), 20)
+	addJob(state, "wk-3", "b", jobs.Gang, "standard", placed(2), 30)
+	addJob(state, "wk-4", "c", jobs.JobArray, "idle", placed(5), 40)
+	addJob(state, "wk-5", "a", jobs.JobArray, "idle", placed(1), 5)
 	for limit, want := range map[float64]string{
 		8: "",
 		7: "wk-5/0",
@@ -105,11 +106,11 @@
 		4: "wk-5/0 wk-3/0 wk-3/1 wk-2/0",
 	} {
 		if got := taskIDs(Plan(state, state.Account.RebasedOn(limitedTree(t, limit)), 50)); got != want {
-			t.Errorf("limit %g: %s, not %s", limit, got, want)
+			t.Errorf("limit %g: stops %q, want %q", limit, got, want)
 		}
 	}
-	// What is released but on no machine goes first; what is stopping counts.
-	enterJob(state, "wk-6", "a", jobs.JobArray, "prod", []jobs.TaskState{jobs.Assigned, jobs.Stopping}, 1)
+	// A task that is released but not on a machine is stopped first; the stopping task counts as gone.
+	addJob(state, "wk-6", "a", jobs.JobArray, "prod", []jobs.TaskState{jobs.Assigned, jobs.Stopping}, 1)
 	if got := taskIDs(Plan(state, state.Account.RebasedOn(limitedTree(t, 8)), 50)); got != "wk-6/0" {
 		t.Error(got)
 	}
@@ -118,35 +119,35 @@
 		state.Account.RebasedOn(limitedTree(t, 4)),
 		3,
 	); len(got) < 3 ||
-		len(got) > 4 { // a gang goes whole
-		t.Errorf("%d at most", len(got))
+		len(got) > 4 { // 4 if the last one chosen is a gang, which is stopped whole
+		t.Errorf("%d tasks are stopped, want 3 or 4", len(got))
 	}
 }
 
-func TestFor(t *testing.T) {
+func TestPlanForGuarantee(t *testing.T) {
 	state := clusterstate.New(limitedTree(t, 8), func(string) {})
-	enterJob(state, "wk-1", "a", jobs.JobArray, "urgent", placed(5), 10)
-	enterJob(state, "wk-2", "a", jobs.Service, "prod", placed(2), 20)
-	enterJob(state, "wk-3", "b", jobs.JobArray, "standard", placed(1), 30)
+	addJob(state, "wk-1", "a", jobs.JobArray, "urgent", placed(5), 10)
+	addJob(state, "wk-2", "a", jobs.Service, "prod", placed(2), 20)
+	addJob(state, "wk-3", "b", jobs.JobArray, "standard", placed(1), 30)
 	spec := &jobs.Spec{Team: "b", Class: "x", Accelerators: 1}
 	entitled := state.Account.Entitled(state.QuotaLeaf(spec), spec.Amount(), 1)
 	if got := taskIDs(PlanForGuarantee(state, state.Account, entitled, spec, 1)); got != "wk-1/0" && got != "wk-1/4" {
-		t.Errorf("one place: %s", got)
+		t.Errorf("for one task: stops %s", got)
 	}
 	if got := PlanForGuarantee(state, state.Account, entitled, spec, 9); got != nil {
-		t.Errorf("more than can be had: %s", taskIDs(got))
+		t.Errorf("for more tasks than can be allowed: stops %s", taskIDs(got))
 	}
-	// What is stopping counts already.
-	enterJob(state, "wk-4", "a", jobs.JobArray, "urgent", []jobs.TaskState{jobs.Stopping}, 40)
-	enterJob(state, "wk-5", "a", jobs.JobArray, "urgent", nil, 40)
+	// A task that is stopping counts as gone.
+	addJob(state, "wk-4", "a", jobs.JobArray, "urgent", []jobs.TaskState{jobs.Stopping}, 40)
+	addJob(state, "wk-5", "a", jobs.JobArray, "urgent", nil, 40)
 	if got := PlanForGuarantee(state, state.Account, entitled, spec, 1); len(got) != 1 {
-		t.Errorf("with one too many stopping: %s", taskIDs(got))
+		t.Errorf("with one task stopping: stops %s, want one task", taskIDs(got))
 	}
 }
 
-// TestPlanStopsEnoughAndNoMore draws what runs and a limit: what Plan stops is enough, nothing of it is
-// needless but for the rest of a gang, nothing outside the organisation goes, and the
-// order in which things were entered changes nothing.
+// TestPlanStopsEnoughAndNoMore draws running jobs and a limit. Plan must stop enough tasks, none that
+// is not needed except the rest of a gang, and none outside the organisation. The order in which the
+// jobs were added must make no difference.
 func TestPlanStopsEnoughAndNoMore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type entry struct {
@@ -162,34 +163,34 @@
 				taskCount: rapid.IntRange(1, 4).Draw(t, "task count"),
 			})
 		}
-		plan := func(backward bool, limit float64) (*quota.Account, []Stop) {
+		plan := func(reverse bool, limit float64) (*quota.Account, []Stop) {
 			state := clusterstate.New(limitedTree(t, 1000), func(string) {})
 			for n := range entries {
 				i := n
-				if backward {
+				if reverse {
 					i = len(entries) - 1 - n
 				}
 				e := entries[i]
-				enterJob(state, fmt.Sprintf("wk-%d", i), e.team, e.kind, e.priority, placed(e.taskCount), int64(i))
+				addJob(state, fmt.Sprintf("wk-%d", i), e.team, e.kind, e.priority, placed(e.taskCount), int64(i))
 			}
 			account := state.Account.RebasedOn(limitedTree(t, limit))
 			return account, Plan(state, account, 1000)
 		}
 		limit := float64(rapid.IntRange(4, 20).Draw(t, "limit"))
 		account, stops := plan(false, limit)
-		_, again := plan(true, limit)
-		if taskIDs(stops) != taskIDs(again) {
-			t.Fatalf("%s, entered backward %s", taskIDs(stops), taskIDs(again))
+		_, reversed := plan(true, limit)
+		if taskIDs(stops) != taskIDs(reversed) {
+			t.Fatalf("stops %s, but %s with the jobs added in reverse order", taskIDs(stops), taskIDs(reversed))
 		}
 		after := account.Clone()
 		for _, s := range stops {
 			if s.Task.Job.Record.Spec.Team == "c" {
-				t.Fatalf("%s is outside", s.Task.ID)
+				t.Fatalf("%s is stopped, but is outside the organisation", s.Task.ID)
 			}
 			after.Charge(s.Task.Job.Record.Spec.QuotaKey(), s.Task.Job.Record.Spec.Amount(), -1)
 		}
 		if len(after.Over()) > 0 {
-			t.Fatalf("not enough: %v", after.Excesses())
+			t.Fatalf("still above the limit: %v", after.Excesses())
 		}
 		if len(stops) > 0 {
 			last := stops[len(stops)-1].Task.Job
@@ -199,14 +200,14 @@
 				}
 			}
 			if len(after.Over()) == 0 {
-				t.Fatalf("%s need not stop", last.ID)
+				t.Fatalf("%s is stopped needlessly", last.ID)
 			}
 		}
 	})
 }
 
-// drawFullOrganisation draws jobs of a and b until one is not allowed any more, and counts the
-// services among them.
+// drawFullOrganisation draws jobs of teams a and b, up to the first that the limit does not allow,
+// and returns the number of services among them.
 func drawFullOrganisation(t *rapid.T, limit float64) (state *clusterstate.State, services int) {
 	state = clusterstate.New(limitedTree(t, limit), func(string) {})
 	for i := range rapid.IntRange(1, 14).Draw(t, "jobs") {
@@ -216,7 +217,7 @@
 		if !state.Account.Allows(state.QuotaLeaf(&spec), gpus(1), 1) {
 			break
 		}
-		enterJob(state, fmt.Sprintf("wk-%d", i), team, kind, "standard", placed(1), int64(i))
+		addJob(state, fmt.Sprintf("wk-%d", i), team, kind, "standard", placed(1), int64(i))
 		if kind == jobs.Service {
 			services++
 		}
@@ -224,10 +225,10 @@
 	return state, services
 }
 
-// TestForReachesGuarantees draws what runs under a full organisation: whoever is within
-// a guarantee and kept out by a limit alone gets in by what For stops, nobody falls
-// below his own guarantee for it, and gangs and services are left alone.
-func TestForReachesGuarantees(t *testing.T) {
+// TestPlanForGuaranteeReachesGuarantees draws running jobs of an organisation at its limit. For a task
+// within a guarantee that only a limit keeps out, PlanForGuarantee must stop enough to let it start,
+// must not take the other team below its guarantee, and must not stop services.
+func TestPlanForGuaranteeReachesGuarantees(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := float64(rapid.IntRange(4, 12).Draw(t, "limit"))
 		state, services := drawFullOrganisation(t, limit)
@@ -246,7 +247,7 @@
 				after.Charge(s.Task.Job.Record.Spec.QuotaKey(), gpus(1), -1)
 			}
 			if services == 0 && len(stops) != 1 {
-				t.Fatalf("%d stopped for one place", len(stops))
+				t.Fatalf("%d tasks are stopped for one", len(stops))
 			}
 			if len(stops) == 0 {
 				continue
@@ -254,7 +255,7 @@
 			other := map[string]string{"a": "b", "b": "a"}[team]
 			otherUsed := after.Used(after.Tree().Leaf(quota.Key{Team: other}))
 			if !after.Allows(state.QuotaLeaf(spec), gpus(1), 1) || !otherUsed.Covers(teams[other].Guaranteed) {
-				t.Fatal("not enough, or too much")
+				t.Fatal("too few tasks are stopped, or the other team falls below its guarantee")
 			}
 		}
 	})
