--- a/internal/lending/callback.go
+++ b/internal/lending/callback.go
@@ -16,15 +16,16 @@
 type recallCandidate struct {
 	loan Loan
 	task *clusterstate.Task
-	// placeOrder is 0 if the replica finds a place with its image elsewhere, else 1.
+	// placeOrder is 0 if the replica fits on another machine that has its image, else 1.
 	placeOrder int
-	// sameImage counts the tasks with its image on the machine.
+	// sameImage is the number of tasks with the replica's image on its machine.
 	sameImage int
 }
 
-// callBack returns the decisions that call replicas back: one at a time of a service, never
-// below half of its replicas, never the last in its zone. Those that find a place with
-// their image elsewhere go first, then those where the fewest tasks have their image.
+// callBack returns the decisions that call replicas back. Of each service it calls back one replica at
+// a time, never leaving less than half of the replicas placed and never taking the last one in a zone.
+// Replicas that fit on another machine that has their image go first, then those on machines where the
+// fewest tasks use their image.
 func (l *Ledger) callBack(account *quota.Account, waits func(jobID string) bool) []decide.Decision {
 	var decisions []decide.Decision
 	recalling := l.servicesWithRecall()
@@ -40,10 +41,10 @@
 	return decisions
 }
 
-// callBackOne is the decision that stops a replica and notes it in its loan, in one transaction.
+// callBackOne returns the decision that stops a replica and updates its loan in one transaction.
 func (l *Ledger) callBackOne(candidate recallCandidate) (decide.Decision, bool) {
 	number, ok := l.recordNumberOf(candidate.loan.ID)
-	if !ok || l.written[number] || l.locks.Busy(RecordKey(number)) {
+	if !ok || l.written[number] || l.pending.Busy(RecordKey(number)) {
 		return decide.Decision{}, false
 	}
 	next, ok := jobs.NextTask(candidate.task.Task, jobs.TaskEvent{
@@ -74,8 +75,8 @@
 	}, true
 }
 
-// servicesWithRecall is the services with a replica that is being called back, or was a short
-// while ago.
+// servicesWithRecall returns the IDs of the services with a replica that is being called back, or
+// whose room became free less than tuning.CallGap ago.
 func (l *Ledger) servicesWithRecall() map[string]bool {
 	recalling := map[string]bool{}
 	for _, loan := range l.Loans() {
@@ -88,7 +89,7 @@
 	return recalling
 }
 
-// recallCandidates lists the replicas that may be called back now, in the order in which they go.
+// recallCandidates returns the replicas that may be called back now, in the order of preference.
 func (l *Ledger) recallCandidates(
 	account *quota.Account,
 	waits func(jobID string) bool,
@@ -121,8 +122,8 @@
 	return candidates
 }
 
-// recallableTask is the replica of a loan if it has run long enough and is under no transaction,
-// else nil.
+// recallableTask returns the replica of a loan if it has been lent its room for at least
+// tuning.MinLoanTime and is not part of a pending transaction, else nil.
 func (l *Ledger) recallableTask(loan *Loan) *clusterstate.Task {
 	job := l.state.Jobs[loan.Job]
 	if loan.State != Lent || job == nil || !live(job) {
@@ -132,13 +133,13 @@
 		return nil
 	}
 	task := job.Active[loan.TaskIndex]
-	if task == nil || task.State != jobs.Placed || l.locks.Busy(task.StoredIn.Key) {
+	if task == nil || task.State != jobs.Placed || l.pending.Busy(task.StoredIn.Key) {
 		return nil
 	}
 	return task
 }
 
-// recordNumberOf is the number of the record that a loan is in.
+// recordNumberOf returns the number of the record that contains a loan.
 func (l *Ledger) recordNumberOf(id int) (int, bool) {
 	hasID := func(loan Loan) bool { return loan.ID == id }
 	for number, record := range l.records {
@@ -149,7 +150,8 @@
 	return 0, false
 }
 
-// canSpareReplica tells whether a service can do without one replica for a moment.
+// canSpareReplica reports whether a service can do without a replica for a short time: no other replica
+// is stopping, at least half of its replicas stay placed, and the replica is not the last in its zone.
 func (l *Ledger) canSpareReplica(replica *clusterstate.Task) bool {
 	placed, inZone := 0, 0
 	for _, other := range replica.Job.Active {
@@ -168,8 +170,8 @@
 	return placed-1 >= half && inZone > 1
 }
 
-// lenderIsOwed tells whether a lender waits for what it is guaranteed, while the borrower is
-// beyond its own guarantee.
+// lenderIsOwed reports whether a lender waits for what it is guaranteed while the borrower is beyond
+// its own guarantee.
 func (l *Ledger) lenderIsOwed(
 	account *quota.Account,
 	loan *Loan,
--- a/internal/lending/choose.go
+++ b/internal/lending/choose.go
@@ -13,47 +13,48 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Search is a replica that others may lend room to.
+// Search describes a replica for which Choose searches room that other jobs can lend.
 type Search struct {
 	Task     *clusterstate.Task
 	Priority int
-	// Entitled is the node of the quota tree within whose guarantee the replica lies, below 0
-	// for none.
+	// Entitled is the node of the quota tree within whose guarantee the replica is, negative if
+	// there is none.
 	Entitled int
-	// Account is what is charged, without what is on its way out.
+	// Account is the account of the quota tree without stopping tasks and reservations.
 	Account *quota.Account
-	Zones   map[string]int // tasks of its job by zone
-	// OnlyWithImage: only on machines that have its image.
+	Zones   map[string]int // number of tasks of the replica's job by zone
+	// OnlyWithImage restricts the search to machines that have the replica's image.
 	OnlyWithImage bool
-	// MaxStartDelayS is the longest delay until the replica runs, in seconds; 0 for any.
+	// MaxStartDelayS is the longest acceptable delay until the replica runs, in seconds; 0 for any.
 	MaxStartDelayS float64
-	// Open tells whether the replica may go on a machine at all.
+	// Open reports whether the replica may be placed on a machine at all.
 	Open func(machine *clusterstate.Machine) bool
-	// Stopping are the tasks that this pass stops already.
+	// Stopping holds the tasks that the current scheduling pass has already decided to stop.
 	Stopping map[*clusterstate.Task]bool
 
-	// The ledger fills in the rest.
+	// The ledger sets the other fields.
 
-	ready  func(machine *clusterstate.Machine) bool // it is reachable and takes commands now
-	busy   func(key string) bool                    // a record is under a transaction
-	spared func(job *clusterstate.Job) bool         // a job has lent what it may for a while
+	ready  func(machine *clusterstate.Machine) bool // reports whether a machine is reachable and takes commands
+	busy   func(key string) bool                    // reports whether a record is part of a pending transaction
+	exempt func(job *clusterstate.Job) bool         // reports whether a job has lent too much recently
 	now    time.Time
 }
 
-// Plan is who lends on which machine.
+// Plan says which jobs lend room on which machine.
 type Plan struct {
 	Machine string
-	Tasks   []*clusterstate.Task // to stop, gangs whole, with their tasks on other machines
-	From    []Share              // what each job lends of what the replica takes
-	// StartDelayS is the estimate of the seconds until the replica runs there.
+	Tasks   []*clusterstate.Task // tasks to stop; of a gang all tasks, also those on other machines
+	From    []Share              // what each job lends of the replica's accelerators
+	// StartDelayS is the estimated delay until the replica runs, in seconds.
 	StartDelayS float64
-	// LostS is the estimate of the work lost, in seconds of one accelerator.
+	// LostS is the estimated loss of work, in accelerator-seconds.
 	LostS       float64
-	usesOwnTeam bool // it stops lower-priority tasks of the borrower's own team
+	usesOwnTeam bool // the plan stops tasks of the borrower's own team
 }
 
-// Choose finds the machine where lending costs the least. False if there is none, or if room is
-// being freed already; in the second case the plan names only the machine.
+// Choose returns the plan for the machine where lending costs the least. It returns false if there is
+// none, or if stopping tasks are already making enough room on a machine; in the second case the plan
+// has only the machine's name.
 func Choose(state *clusterstate.State, search *Search) (Plan, bool) {
 	need := search.spec().Resources()
 	var best Plan
@@ -78,15 +79,15 @@
 	return best, found
 }
 
-// Holds tells whether a type's image cache can hold a job's image.
+// Holds reports whether the image cache of a machine type can hold a job's image.
 func Holds(spec *jobs.Spec, machineType *jobs.MachineType) bool {
 	return machineType.CacheGB <= 0 || spec.ImageGB <= machineType.CacheGB
 }
 
-// spec is the job of the replica.
+// spec returns the spec of the replica's job.
 func (s *Search) spec() *jobs.Spec { return &s.Task.Job.Record.Spec }
 
-// mayUse tells whether the replica could run on a machine if it were empty.
+// mayUse reports whether the replica could run on a machine if the machine were empty.
 func (s *Search) mayUse(
 	state *clusterstate.State,
 	machine *clusterstate.Machine,
@@ -96,15 +97,15 @@
 	if machine.State != fleet.Up || !s.Open(machine) || !clusterstate.ZoneAllowed(spec, s.Zones, machine.Zone) {
 		return false
 	}
-	// An image that a type's cache cannot hold would be pulled for every start.
+	// An image that does not fit in the cache would be pulled again for every start.
 	if machineType == nil || !machineType.Capacity().Fits(spec.Resources()) || !Holds(spec, machineType) {
 		return false
 	}
 	return !s.OnlyWithImage || state.HasImage(machine.Name, spec.Image)
 }
 
-// cost is what a plan costs in seconds of one accelerator: the work that lenders lose, and the
-// replica's wait. An image that takes minutes to pull outweighs all else.
+// cost returns the cost of a plan in accelerator-seconds: the work that the lenders lose plus the
+// replica's wait. An image pull of minutes outweighs everything else.
 func (s *Search) cost(plan *Plan) float64 {
 	accelerators := max(s.spec().Accelerators, 1)
 	cost := plan.LostS + plan.StartDelayS*tuning.LoanServes*accelerators
@@ -114,7 +115,7 @@
 	return cost
 }
 
-// freeResources is what is free on a machine, with what is on its way out.
+// freeResources returns the resources that are free on a machine, including those of stopping tasks.
 func (s *Search) freeResources(
 	state *clusterstate.State,
 	machine *clusterstate.Machine,
@@ -129,7 +130,7 @@
 	return free
 }
 
-// planFor is the plan for one machine.
+// planFor returns the plan for one machine, and false if stopping tasks there can't make room.
 func (s *Search) planFor(
 	state *clusterstate.State,
 	machine *clusterstate.Machine,
@@ -138,7 +139,7 @@
 ) (Plan, bool) {
 	need := s.spec().Resources()
 	units := s.stopUnits(state, machine)
-	// What loses the least for what it frees here goes first.
+	// The units that lose the least work for the resources that they free here go first.
 	slices.SortFunc(units, func(a, b stopUnit) int {
 		return cmp.Or(
 			cmp.Compare(a.lostPerShare(need), b.lostPerShare(need)),
@@ -154,20 +155,20 @@
 	for _, unit := range chosen {
 		plan.Tasks = append(plan.Tasks, unit.tasks...)
 		plan.addShare(&unit, &left)
-		plan.StartDelayS = max(plan.StartDelayS, unit.leaveDelayS)
+		plan.StartDelayS = max(plan.StartDelayS, unit.exitDelayS)
 		plan.usesOwnTeam = plan.usesOwnTeam || unit.ofBorrowerTeam
 		plan.LostS += unit.lostS
 	}
 	plan.StartDelayS += ImagePullS(state, s.now, machine, machineType, s.spec())
-	// Accelerators freed beyond the need may find no task of their size: whole machines are
-	// not broken up if another place costs less.
+	// Accelerators freed beyond the need may stay idle because no task of their size waits. This cost
+	// avoids splitting up the room of a task that takes a whole machine if another choice is cheaper.
 	plan.LostS += free.Sub(need).Accelerators * tuning.LoanWaste.Seconds()
 	return plan, len(chosen) > 0
 }
 
-// chooseUnits takes units in their order until a need fits, and drops those that the later ones
-// made needless. It returns them and what is free then, which fits the need only if the
-// units were enough.
+// chooseUnits takes units in their order until the need fits, and then drops those that later ones
+// made unnecessary. It returns the chosen units and the resources that are free after stopping them,
+// which fit the need only if the units were enough.
 func (s *Search) chooseUnits(
 	state *clusterstate.State,
 	units []stopUnit,
@@ -179,8 +180,8 @@
 		if free.Fits(need) {
 			break
 		}
-		// Each is weighed with those chosen before it gone: two of which each is within what a
-		// team has beyond its guarantee need not be so together.
+		// Each unit is checked against the account without those chosen before it: a team may have
+		// enough beyond its guarantee to give up either of two units, but not both.
 		if !s.mayStop(state, account, &unit) {
 			continue
 		}
@@ -203,7 +204,8 @@
 	return chosen, free
 }
 
-// addShare notes what a unit lends of the accelerators that are left to lend, by job.
+// addShare adds the accelerators that a unit lends, at most those that are still needed, to the share
+// of its job, and subtracts them from left.
 func (p *Plan) addShare(unit *stopUnit, left *float64) {
 	accelerators := min(unit.freed.Accelerators, *left)
 	*left -= accelerators
@@ -216,8 +218,8 @@
 	p.From[i].Tasks += len(unit.tasks)
 }
 
-// mayStop tells whether a unit may be stopped for the replica by the preemption rules of
-// PROTOCOL: no team goes below its guarantee but for its own tasks of higher priority.
+// mayStop reports whether the preemption rules of PROTOCOL allow stopping a unit for the replica: no
+// team falls below its guarantee, except for its own tasks of higher priority.
 func (s *Search) mayStop(state *clusterstate.State, account *quota.Account, unit *stopUnit) bool {
 	spec := unit.spec()
 	leaf := state.QuotaLeaf(spec)
@@ -228,17 +230,17 @@
 	return account.Yields(s.Entitled, leaf, amount)
 }
 
-// AccountWithoutLeaving is a copy of an account without what is on its way out: what is stopped for one loan
-// is not there for the next.
+// AccountWithoutLeaving returns a copy of an account without the charges of stopping tasks, so that
+// tasks stopped for one loan are not counted again for the next, and without those of reservations.
 func AccountWithoutLeaving(
 	state *clusterstate.State,
 	account *quota.Account,
 	stopping map[*clusterstate.Task]bool,
 ) *quota.Account {
 	rest := account.Clone()
-	// Nor what is only reserved: releases under way, which may fail, and room reserved for a
-	// window that is about to open. A team that seemed beyond its guarantee by those would
-	// lend of what it is guaranteed.
+	// Reservations are releases in progress, which may fail, and room for a window that is about to
+	// open. With their charges a team could seem to be beyond its guarantee, and would have to lend
+	// some of what it is guaranteed.
 	for _, reservation := range state.Reservations {
 		if reservation.QuotaKey != (quota.Key{}) {
 			rest.Charge(reservation.QuotaKey, reservation.Amount, -1)
--- a/internal/lending/facts.go
+++ b/internal/lending/facts.go
@@ -6,7 +6,7 @@
 	"github.com/harrierreel/harrierreel/internal/jobs"
 )
 
-// facts is what the records say about a loan.
+// facts collects what the records currently say about a loan.
 func (l *Ledger) facts(loan *Loan) Facts {
 	facts := Facts{NowMs: l.state.NowMs()}
 	l.addMachineFacts(&facts, l.state.Machines[loan.Machine])
@@ -44,7 +44,8 @@
 	}
 }
 
-// addLenderFacts adds what holds of one lender to what holds of any.
+// addLenderFacts sets the facts that are true of this lender; a fact that is true of any of a loan's
+// lenders stays set.
 func (l *Ledger) addLenderFacts(facts *Facts, loan *Loan, lender *clusterstate.Job) {
 	if l.mayBegin(lender) && l.state.Queued[lender.ID] == lender {
 		facts.LenderWaits = true
--- a/internal/lending/fixture_test.go
+++ b/internal/lending/fixture_test.go
@@ -239,7 +239,7 @@
 // choose plans for the first replica of a job, with no lender spared and no record busy.
 func (f *loanFixture) choose(job *clusterstate.Job, ready func(*clusterstate.Machine) bool) (Plan, bool) {
 	search := f.search(job, 0)
-	search.spared = func(*clusterstate.Job) bool { return false }
+	search.exempt = func(*clusterstate.Job) bool { return false }
 	search.busy = func(string) bool { return false }
 	search.ready = ready
 	search.now = f.state.Now
--- a/internal/lending/image_pull.go
+++ b/internal/lending/image_pull.go
@@ -7,8 +7,8 @@
 	"github.com/harrierreel/harrierreel/internal/jobs"
 )
 
-// ImagePullS is how long a machine takes to have a job's image, in seconds. Pulls on one machine
-// share its rate, so those under way count.
+// ImagePullS returns the estimated seconds until a machine has a job's image. Image pulls on one
+// machine share its pull rate, so those in progress are included.
 func ImagePullS(
 	state *clusterstate.State,
 	now time.Time,
@@ -19,24 +19,24 @@
 	if state.HasImage(machine.Name, spec.Image) || machineType.ImageGBPerS <= 0 {
 		return 0
 	}
-	leftGB := map[string]float64{} // by image
+	leftGB := map[string]float64{} // still to pull, by image
 	for _, task := range state.TasksOnMachine[machine.Name] {
 		if task.Job.Record == nil || task.State != jobs.Placed {
 			continue
 		}
 		other := &task.Job.Record.Spec
-		left := 0.0 // a task that runs has its image
+		left := 0.0 // for a running task, whose image is already on the machine
 		if !task.ObservedRunning {
 			left = max(other.ImageGB-now.Sub(task.StateSince).Seconds()*machineType.ImageGBPerS, 0)
 		}
-		// The oldest task of an image began the pull.
+		// The pull of an image began with its oldest task.
 		if known, pulling := leftGB[other.Image]; !pulling || left < known {
 			leftGB[other.Image] = left
 		}
 	}
 	sumGB := spec.ImageGB
 	for _, left := range leftGB {
-		// Two pulls share the rate until the shorter is done.
+		// Two pulls share the rate until the shorter one is done.
 		sumGB += min(left, spec.ImageGB)
 	}
 	return sumGB / machineType.ImageGBPerS
--- a/internal/lending/ledger.go
+++ b/internal/lending/ledger.go
@@ -15,61 +15,61 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Config is the settings of a ledger.
+// Config holds the settings of a ledger.
 type Config struct {
 	// ValueBytes is the size limit of a value in the state service.
 	ValueBytes int
-	// RepeatAfter is how long a job that lent is not asked to lend again.
+	// RepeatAfter is how long a job that has lent is not asked to lend again.
 	RepeatAfter time.Duration
-	// ByPriority: where nobody can lend, the preemption by priority of PROTOCOL goes on as
-	// without lending, below guarantees too.
+	// ByPriority enables the preemption by priority of PROTOCOL where no job can lend, as without
+	// lending. It also takes teams below their guarantees.
 	ByPriority bool
 	Log        *slog.Logger
 }
 
-// Collaborators are what a ledger needs of its queue.
+// Collaborators holds the interfaces through which a ledger uses the controller's queue.
 type Collaborators struct {
 	Records   TransactionStatus
 	Calendar  StartGate
 	Placement Placement
 }
 
-// TransactionStatus knows which records are under a transaction.
+// TransactionStatus reports which records are part of a pending transaction.
 type TransactionStatus interface {
-	// Busy tells whether a record is under a transaction.
+	// Busy reports whether the record with a key is part of a pending transaction.
 	Busy(key string) bool
 }
 
-// StartGate is the release calendar.
+// StartGate is the part of the release calendar that a ledger uses.
 type StartGate interface {
-	// MayBegin tells whether a job's tasks may start now.
+	// MayBegin reports whether a job's tasks may start now.
 	MayBegin(spec *jobs.Spec) bool
 }
 
-// Placement knows where tasks can go.
+// Placement reports where tasks can be placed.
 type Placement interface {
-	// Ready tells whether a machine is reachable and takes new tasks.
+	// Ready reports whether a machine is reachable and takes new tasks.
 	Ready(machine *clusterstate.Machine) bool
-	// FitsElsewhere tells whether a replica finds room on another machine that has its image.
+	// FitsElsewhere reports whether a replica fits on another machine that has its image.
 	FitsElsewhere(replica *clusterstate.Task) bool
 }
 
-// Ledger is the leader's view of all loans. All that it decides from follows from the records:
-// a new leader reads them and observes each loan anew. It is not safe for concurrent use.
+// Ledger is the leader's view of all loans. All of its decisions follow from the stored records: a new
+// leader reads them and observes each loan again. It is not safe for concurrent use.
 type Ledger struct {
 	// ByPriority is Config.ByPriority.
 	ByPriority bool
 
 	state     *clusterstate.State
 	config    Config
-	locks     TransactionStatus
+	pending   TransactionStatus
 	calendar  StartGate
 	placement Placement
 
-	records   map[int]*LoanRecord // as stored; nil for one that cannot be read
-	progress  map[int]progress    // by loan ID: loans that have advanced since they were stored
-	written   map[int]bool        // records written by this reconciliation
-	requested map[string]int      // tasks that this reconciliation stops for loans, by job
+	records   map[int]*LoanRecord // as stored, by number; nil for an unreadable record
+	progress  map[int]progress    // loans that have advanced since they were stored, by loan ID
+	written   map[int]bool        // numbers of the records written since the last Reconcile began
+	requested map[string]int      // tasks stopped for loans since the last Reconcile began, by job
 	nextID    int
 	counts    Counts
 	loggedAt  time.Time
@@ -79,33 +79,33 @@
 type progress struct {
 	stored  Loan
 	current Loan
-	since   time.Time // of the first step that is not stored
+	since   time.Time // time of the first change that is not stored
 }
 
-// Counts is what has happened to loans under this leader, for the log.
+// Counts holds the numbers of loan events under this leader, for the log.
 type Counts struct {
 	Requested  int
 	Lent       int
 	CalledBack int
 	Returned   int
 	BrokenOff  int
-	// AcceleratorsTaken is the accelerators of all loans begun, AcceleratorsReturned of those
-	// given back, AcceleratorsLost of those whose machine was gone before.
+	// AcceleratorsTaken is the sum of the accelerators of all loans that began, AcceleratorsReturned
+	// of those returned, AcceleratorsLost of those broken off.
 	AcceleratorsTaken    float64
 	AcceleratorsReturned float64
 	AcceleratorsLost     float64
-	// SparedSearches counts the searches that found lenders only among the jobs that had
-	// lent a short while ago.
+	// SparedSearches is the number of searches that found no lender and skipped at least one job
+	// because it had lent recently.
 	SparedSearches int
 }
 
-// NewLedger makes a ledger without loans over a controller's state; ApplyRecord fills it.
+// NewLedger returns a ledger without loans on a controller's state; ApplyRecord adds the loans.
 func NewLedger(state *clusterstate.State, config Config, collaborators Collaborators) *Ledger {
 	return &Ledger{
 		ByPriority: config.ByPriority,
 		state:      state,
 		config:     config,
-		locks:      collaborators.Records,
+		pending:    collaborators.Records,
 		calendar:   collaborators.Calendar,
 		placement:  collaborators.Placement,
 		records:    map[int]*LoanRecord{},
@@ -115,8 +115,9 @@
 	}
 }
 
-// ApplyRecord takes a stored record in, nil for one that is deleted. One that cannot be read is
-// logged and quarantined: its loans are left alone and nothing is written over it.
+// ApplyRecord updates the ledger with a stored record; a nil value means that the record was deleted.
+// A record that cannot be decoded is logged and quarantined: its loans are ignored and the record is
+// never overwritten.
 func (l *Ledger) ApplyRecord(key string, value json.RawMessage) {
 	number, ok := RecordNumber(key)
 	if !ok {
@@ -139,7 +140,7 @@
 	}
 }
 
-// Loans lists the loans by age, as far as they have advanced.
+// Loans returns all loans in their current state, the oldest first.
 func (l *Ledger) Loans() []Loan {
 	var loans []Loan
 	for _, number := range sortedKeys(l.records) {
@@ -155,38 +156,39 @@
 	return loans
 }
 
-// Counts is what has been counted so far.
+// Counts returns the counts so far.
 func (l *Ledger) Counts() Counts { return l.counts }
 
-// progressOf is how far a loan has advanced since it was stored in this form, if it has.
+// progressOf returns the progress of a loan since it was stored. It returns false if there is none, or
+// if the progress was made from another stored state.
 func (l *Ledger) progressOf(stored Loan) (progress, bool) {
-	found, ok := l.progress[stored.ID]
-	same := found.stored.State == stored.State &&
-		found.stored.SinceMs == stored.SinceMs &&
-		found.stored.FreeMs == stored.FreeMs
-	return found, ok && same
+	known, ok := l.progress[stored.ID]
+	same := known.stored.State == stored.State &&
+		known.stored.SinceMs == stored.SinceMs &&
+		known.stored.FreeMs == stored.FreeMs
+	return known, ok && same
 }
 
-// current is a stored loan as far as it has advanced.
+// current returns a stored loan in its current state.
 func (l *Ledger) current(stored Loan) Loan {
-	if found, ok := l.progressOf(stored); ok {
-		return found.current
+	if known, ok := l.progressOf(stored); ok {
+		return known.current
 	}
 	return stored
 }
 
 func live(job *clusterstate.Job) bool { return job.Record != nil && job.Record.State == jobs.Live }
 
-// mayBegin tells whether a job's tasks may start now. While its window is closed, or is only
-// about to open, no room is reserved for it and no replica called back: it could not use the
-// room, and what it needs at the opening is prepared by the queue.
+// mayBegin reports whether a job's tasks may start now. While the job's calendar window is closed or
+// only about to open, no room is reserved for it and no replica is called back for it: it could not
+// use the room, and the queue prepares what it needs when the window opens.
 func (l *Ledger) mayBegin(job *clusterstate.Job) bool {
 	return live(job) && l.calendar.MayBegin(&job.Record.Spec)
 }
 
-// Reconcile advances every loan as far as the records say, and returns the decisions that store
-// it and that call replicas back. waits tells whether a job found no room in the last pass
-// of the queue.
+// Reconcile advances every loan according to the records, and returns the decisions that store the
+// loans and that call replicas back. waits reports whether a job found no room in the last pass of
+// the queue.
 func (l *Ledger) Reconcile(account *quota.Account, waits func(jobID string) bool) []decide.Decision {
 	clear(l.written)
 	clear(l.requested)
@@ -215,7 +217,7 @@
 	return decisions
 }
 
-// advance takes one loan as far as the records say.
+// advance applies Observe to one loan until its state no longer changes.
 func (l *Ledger) advance(stored Loan) {
 	loan := l.current(stored)
 	facts := l.facts(&loan)
@@ -230,7 +232,7 @@
 	}
 }
 
-// setProgress keeps how far a loan has advanced until it is stored.
+// setProgress remembers a loan's current state until it is stored.
 func (l *Ledger) setProgress(stored, current Loan) {
 	since := l.state.Now
 	if earlier, ok := l.progressOf(stored); ok {
@@ -239,7 +241,7 @@
 	l.progress[current.ID] = progress{stored: stored, current: current, since: since}
 }
 
-// count counts and logs a loan's new state.
+// count counts and logs a loan's new state, if it differs from the state before.
 func (l *Ledger) count(before State, loan *Loan) {
 	if before == loan.State {
 		return
@@ -270,7 +272,7 @@
 		"reason", loan.Reason)
 }
 
-// logCounts logs the counts once a tuning.LoanLogEvery, if there was any loan.
+// logCounts logs the counts every tuning.LoanLogEvery, if there has been any loan.
 func (l *Ledger) logCounts() {
 	if l.state.Now.Sub(l.loggedAt) < tuning.LoanLogEvery {
 		return
@@ -291,7 +293,7 @@
 		"spared", l.counts.SparedSearches)
 }
 
-// currentRecord is what a record would be with all its loans as far as they have advanced.
+// currentRecord returns a record with the current state of its loans, without the expired ones.
 func (l *Ledger) currentRecord(number int) *LoanRecord {
 	current := &LoanRecord{}
 	if record := l.records[number]; record != nil {
@@ -302,8 +304,9 @@
 	return current.withoutExpired(l.state.NowMs(), l.config.RepeatAfter)
 }
 
-// recordWrite is the write of a record. As every write it is conditional on the revision that
-// is known, so that a former leader's write fails.
+// recordWrite returns the write that stores a record, or deletes it if it has no loans. Like every
+// write, it is conditional on the known revision of the record, so that the write of a former leader
+// fails.
 func (l *Ledger) recordWrite(number int, record *LoanRecord) store.Write {
 	l.written[number] = true
 	if len(record.Loans) == 0 {
@@ -312,11 +315,12 @@
 	return decide.Put(RecordKey(number), record)
 }
 
-// saveRecord is the decision that stores what has changed in a record. Changes are gathered
-// for tuning.LoanSave, since a new leader finds every step again from the records.
+// saveRecord returns the decision that stores the changes of a record's loans. Changes are collected
+// for up to tuning.LoanSave before they are written, since a new leader can derive each of them again
+// from the other records.
 func (l *Ledger) saveRecord(number int) (decide.Decision, bool) {
 	record := l.records[number]
-	if record == nil || l.written[number] || l.locks.Busy(RecordKey(number)) {
+	if record == nil || l.written[number] || l.pending.Busy(RecordKey(number)) {
 		return decide.Decision{}, false
 	}
 	if !slices.ContainsFunc(record.Loans, l.saveDue) {
@@ -325,11 +329,11 @@
 	return decide.Decision{Writes: []store.Write{l.recordWrite(number, l.currentRecord(number))}}, true
 }
 
-// saveDue tells whether a stored loan's record must be written for it: its progress has waited
-// long enough, or it is over and can be dropped.
+// saveDue reports whether a loan's record must be written: the loan has had unstored changes for
+// tuning.LoanSave, or it is over and has expired, so that it can be removed.
 func (l *Ledger) saveDue(stored Loan) bool {
-	found, changed := l.progressOf(stored)
-	if changed && l.state.Now.Sub(found.since) >= tuning.LoanSave {
+	known, changed := l.progressOf(stored)
+	if changed && l.state.Now.Sub(known.since) >= tuning.LoanSave {
 		return true
 	}
 	ageMs := l.state.NowMs() - stored.BeganMs
--- a/internal/lending/request.go
+++ b/internal/lending/request.go
@@ -12,7 +12,7 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// LoanFor is the loan that makes room for a replica, if there is one.
+// LoanFor returns the loan whose room is being made or is reserved for a replica, if there is one.
 func (l *Ledger) LoanFor(jobID string, taskIndex int) (Loan, bool) {
 	for _, loan := range l.Loans() {
 		if loan.Job == jobID && loan.TaskIndex == taskIndex && loan.ForBorrower() {
@@ -22,10 +22,11 @@
 	return Loan{}, false
 }
 
-// Request is the decision that begins a loan: its record and the stops of all tasks that make room,
-// gangs whole, in one transaction. False if nobody can lend, or no record has room.
+// Request returns the decision that begins a loan: in one transaction, it writes the loan's record and
+// stops all tasks that make room, gangs as a whole. It returns false if no job can lend, or if no loan
+// record can take another loan.
 func (l *Ledger) Request(search *Search) (decide.Decision, Plan, bool) {
-	number, ok := l.openRecord()
+	number, ok := l.recordWithSpace()
 	if !ok {
 		return decide.Decision{}, Plan{}, false
 	}
@@ -62,7 +63,7 @@
 	return decision, plan, true
 }
 
-// newLoan is the loan of a plan, requested now.
+// newLoan returns a plan's loan in state Requested, requested at the current time.
 func (l *Ledger) newLoan(search *Search, plan *Plan) Loan {
 	loan := Loan{
 		ID:        l.nextID,
@@ -78,17 +79,17 @@
 	return loan
 }
 
-// findLenders is the plan of who lends for a search, false if nobody does. A plan may stop no
-// task: then a gang that is leaving gives the room.
+// findLenders returns the plan of who lends for a search, and false if no job can. A plan may stop no
+// task; then the room is that of a gang that is stopping already.
 func (l *Ledger) findLenders(search *Search) (Plan, bool) {
 	lent := l.recentlyLent()
-	anySpared := false
-	search.spared = func(job *clusterstate.Job) bool {
-		spared := lent[job.ID] >= maxLentTasks(&job.Record.Spec)
-		anySpared = anySpared || spared
-		return spared
+	anyExempt := false
+	search.exempt = func(job *clusterstate.Job) bool {
+		exempt := lent[job.ID] >= maxLentTasks(&job.Record.Spec)
+		anyExempt = anyExempt || exempt
+		return exempt
 	}
-	search.busy = l.locks.Busy
+	search.busy = l.pending.Busy
 	search.ready = l.placement.Ready
 	search.now = l.state.Now
 	plan, ok := Choose(l.state, search)
@@ -98,28 +99,29 @@
 	if len(plan.From) > 0 {
 		return plan, true
 	}
-	if anySpared {
+	if anyExempt {
 		l.counts.SparedSearches++
 	}
 	return Plan{}, false
 }
 
-// openRecord is the number of a record that can take another loan now.
-func (l *Ledger) openRecord() (int, bool) {
+// recordWithSpace returns the number of a loan record that can take another loan now. It skips records
+// that are unreadable, already written in this reconciliation or part of a pending transaction.
+func (l *Ledger) recordWithSpace() (int, bool) {
 	for number := range tuning.LoanRecords {
 		record, stored := l.records[number]
 		unreadable := stored && record == nil
-		if unreadable || l.written[number] || l.locks.Busy(RecordKey(number)) {
+		if unreadable || l.written[number] || l.pending.Busy(RecordKey(number)) {
 			continue
 		}
-		if l.currentRecord(number).hasRoom(l.config.ValueBytes) {
+		if l.currentRecord(number).hasSpace(l.config.ValueBytes) {
 			return number, true
 		}
 	}
 	return 0, false
 }
 
-// recentlyLent is how many tasks each job has lent within Config.RepeatAfter.
+// recentlyLent returns the number of tasks that each job has lent within Config.RepeatAfter.
 func (l *Ledger) recentlyLent() map[string]int {
 	lent := maps.Clone(l.requested)
 	for _, loan := range l.Loans() {
@@ -133,8 +135,9 @@
 	return lent
 }
 
-// maxLentTasks is how many of a job's tasks may be lent within Config.RepeatAfter: all of a gang or one
-// task alone, once; of a job array, whose tasks do not need one another, a share.
+// maxLentTasks returns how many lent tasks keep a job from lending again within Config.RepeatAfter:
+// for a job array, whose tasks are independent, a share of its tasks; for any other job 1, so that a
+// gang, which is stopped as a whole, lends only once.
 func maxLentTasks(spec *jobs.Spec) int {
 	if spec.Kind != jobs.JobArray {
 		return 1
@@ -142,10 +145,10 @@
 	return max(1, int(tuning.SweepLends*float64(spec.TaskCount)))
 }
 
-// lends tells whether a job gave room for a loan that is not over.
+// lends reports whether a job is a lender in a loan that is not over.
 func (l *Ledger) lends(jobID string) bool {
-	ofJob := func(share Share) bool { return share.Job == jobID }
+	isJob := func(share Share) bool { return share.Job == jobID }
 	return slices.ContainsFunc(l.Loans(), func(loan Loan) bool {
-		return !loan.State.Over() && slices.ContainsFunc(loan.From, ofJob)
+		return !loan.State.Over() && slices.ContainsFunc(loan.From, isJob)
 	})
 }
--- a/internal/lending/room.go
+++ b/internal/lending/room.go
@@ -11,12 +11,12 @@
 	Job       string
 	Machine   string
 	Resources sharding.Resources
-	// TaskID is the replica that the room is for; empty where it is a lender's.
+	// TaskID is the replica that the room is reserved for; empty if it is reserved for a lender.
 	TaskID string
 }
 
-// Rooms lists the reserved rooms in order of the loans: for replicas while their room is made,
-// then for a while for those that lent it.
+// Rooms returns the reserved rooms in the order of the loans. The room of a loan is reserved for the
+// replica until it is placed, and after the loan is called back, for a limited time, for the lenders.
 func (l *Ledger) Rooms() []KeptRoom {
 	var rooms []KeptRoom
 	for _, loan := range l.Loans() {
@@ -33,7 +33,7 @@
 	return rooms
 }
 
-// replicaRooms is the room of a loan's replica, none once the replica has a place.
+// replicaRooms returns the room reserved for a loan's replica, none once the replica is placed.
 func (l *Ledger) replicaRooms(loan *Loan) []KeptRoom {
 	job := l.state.Jobs[loan.Job]
 	if job == nil || !l.mayBegin(job) || job.Active[loan.TaskIndex] != nil {
@@ -47,8 +47,8 @@
 	}}
 }
 
-// lenderRooms is the rooms of those that lent, one for each task that the accelerators of a
-// share are enough for, and at least one.
+// lenderRooms returns the rooms reserved for a loan's lenders: for each lender as many task-sized
+// rooms as cover the accelerators of its share, and at least one.
 func (l *Ledger) lenderRooms(loan *Loan) []KeptRoom {
 	var rooms []KeptRoom
 	for _, share := range loan.From {
@@ -69,8 +69,9 @@
 	return rooms
 }
 
-// leavingGangShares is what gangs that lend have on a machine and are leaving: a gang that
-// stopped as a whole for one replica gives its other machines to those that wait next.
+// leavingGangShares returns the share of a lending gang that is stopping on a machine, if there is
+// one. A gang that is stopped as a whole for one replica frees its other machines too, and those can
+// be lent to the next waiting replicas without stopping more tasks.
 func (l *Ledger) leavingGangShares(machine string, accelerators float64) []Share {
 	tasks := l.state.TasksOnMachine[machine]
 	for _, taskID := range clusterstate.SortedKeys(tasks) {
--- a/internal/lending/stop_unit.go
+++ b/internal/lending/stop_unit.go
@@ -8,28 +8,28 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// stopUnit is what stops together: one task, or a gang.
+// stopUnit is a set of tasks that can only be stopped together: one task, or all tasks of a gang.
 type stopUnit struct {
 	tasks          []*clusterstate.Task
-	freed          sharding.Resources // on the machine of the plan
+	freed          sharding.Resources // resources freed on the machine of the plan
 	jobID          string
-	lostS          float64 // work lost, in seconds of one accelerator
-	leaveDelayS    float64 // until it has saved and left
+	lostS          float64 // estimated loss of work, in accelerator-seconds
+	exitDelayS     float64 // seconds until the tasks have saved a checkpoint and exited
 	ofBorrowerTeam bool
 }
 
-// minResourceShare keeps the loss for a share defined where a unit frees nothing that is needed.
+// minResourceShare avoids a division by zero in lostPerShare if a unit frees no needed resource.
 const minResourceShare = 1e-9
 
-// spec is the job of a unit.
+// spec returns the spec of the unit's job.
 func (u *stopUnit) spec() *jobs.Spec { return &u.tasks[0].Job.Record.Spec }
 
-// lostPerShare is what a unit loses for the share of a need that it frees.
+// lostPerShare returns the work that a unit loses, divided by the share of the need that it frees.
 func (u *stopUnit) lostPerShare(need sharding.Resources) float64 {
 	return u.lostS / max(u.freed.ShareOf(need), minResourceShare)
 }
 
-// stopUnits lists what could be stopped on a machine.
+// stopUnits returns the units that could be stopped on a machine.
 func (s *Search) stopUnits(state *clusterstate.State, machine *clusterstate.Machine) []stopUnit {
 	var units []stopUnit
 	listedGangs := map[string]bool{}
@@ -56,14 +56,14 @@
 	return units
 }
 
-// mayLend tells whether a job may lend at all: services never do.
+// mayLend reports whether a job may lend to the replica; services never lend.
 func (s *Search) mayLend(job *clusterstate.Job) bool {
-	return live(job) && job.Record.Spec.Kind != jobs.Service && job != s.Task.Job && !s.spared(job)
+	return live(job) && job.Record.Spec.Kind != jobs.Service && job != s.Task.Job && !s.exempt(job)
 }
 
-// gangTasks lists a gang's tasks, nil if it cannot be stopped in order now. A gang that is not
-// whole (a task is lost, or it is stopped already), or with a machine that cannot be ordered
-// in time, would lose its progress since its last checkpoint.
+// gangTasks returns all tasks of a gang, or nil if it cannot be stopped cleanly now. A gang that has
+// lost a task or is stopping already, or that has a task on a machine that takes no commands, could not
+// save a checkpoint and would lose its progress since the last one.
 func (s *Search) gangTasks(state *clusterstate.State, job *clusterstate.Job) []*clusterstate.Task {
 	records := make([]*jobs.Task, 0, len(job.Tasks))
 	tasks := make([]*clusterstate.Task, 0, len(job.Tasks))
@@ -83,7 +83,7 @@
 	return tasks
 }
 
-// estimate fills in what a unit loses and frees; false if it may not be stopped now.
+// estimate sets what a unit loses and frees. It returns false if the unit may not be stopped now.
 func (s *Search) estimate(state *clusterstate.State, machine *clusterstate.Machine, unit *stopUnit) bool {
 	spec := unit.spec()
 	ranS := 0.0
@@ -102,14 +102,14 @@
 	lostS := ranS
 	if spec.CheckpointIntervalS > 0 {
 		lostS = 0
-		unit.leaveDelayS = spec.CheckpointTimeS
+		unit.exitDelayS = spec.CheckpointTimeS
 	}
 	machineType := state.MachineTypes[machine.MachineType]
-	restartS := machineType.BootS // at worst it needs a new machine
+	restartS := machineType.BootS // worst case: the unit needs a new machine
 	if machineType.ImageGBPerS > 0 {
 		restartS += spec.ImageGB / machineType.ImageGBPerS
 	}
-	// A task without accelerators counts by the share of the machine that it takes.
+	// A task without accelerators is weighted by the share of the machine that it takes.
 	accelerators := max(
 		spec.Accelerators,
 		spec.Resources().ShareOf(machineType.Capacity())*machineType.Accelerators,
@@ -119,9 +119,9 @@
 	return true
 }
 
-// remainingS is the estimate of the seconds until a task ends that has run for some. Expected
-// durations are often wrong by half: a task that has run past its own is taken to need a
-// share more (tuning.LoanPast).
+// remainingS estimates the seconds until a task ends that has run for ranS seconds. Expected durations
+// are often wrong by half, so a task that has run longer than expected is assumed to need a fraction
+// tuning.LoanPast of ranS more.
 func remainingS(spec *jobs.Spec, ranS float64) float64 {
 	if remaining := spec.ExpectedDurationS - ranS; remaining >= 0 {
 		return remaining
