--- a/internal/lending/callback_test.go
+++ b/internal/lending/callback_test.go
@@ -9,8 +9,8 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// notPlaced counts the tasks of a job that are not on machines.
-func notPlaced(job *clusterstate.Job) int {
+// countNotPlaced returns the number of a job's tasks that are not placed.
+func countNotPlaced(job *clusterstate.Job) int {
 	count := 0
 	for _, task := range job.Tasks {
 		if task.State != jobs.Placed {
@@ -20,7 +20,7 @@
 	return count
 }
 
-// lendReplicas stores a loan from wk-1 for each of the first replicas of a service, in two records.
+// lendReplicas stores a loan from job wk-1 for each of the first replicas of a service, in two records.
 func (f *loanFixture) lendReplicas(service *clusterstate.Job, replicas int) {
 	records := [2]LoanRecord{}
 	for index := range replicas {
@@ -41,8 +41,8 @@
 	}
 }
 
-// A lender that waits for what it is guaranteed has replicas called back one at a time, and never
-// so many that less than half are up or none is left in a zone.
+// TestReplicasAreCalledBackOneAtATimeDownToHalf checks that replicas are called back for a lender that
+// waits for what it is guaranteed, one at a time, until half of the service's replicas are left.
 func TestReplicasAreCalledBackOneAtATimeDownToHalf(t *testing.T) {
 	f := newLoanFixture(4)
 	machines := []string{"i-0", "i-0", "i-0", "i-0", "i-1", "i-1", "i-2", "i-2", "i-1", "i-2", "i-0", "i-1"}
@@ -51,24 +51,24 @@
 	f.lendReplicas(service, 9)
 	lenderWaits := func(jobID string) bool { return jobID == "wk-1" }
 	f.reconcile(lenderWaits, true)
-	if notPlaced(service) != 0 {
-		t.Fatal("called back before it had served")
+	if countNotPlaced(service) != 0 {
+		t.Fatal("a replica was called back before tuning.MinLoanTime")
 	}
 	for range 30 {
 		f.state.Now = f.state.Now.Add(tuning.MinLoanTime + time.Second)
-		before := notPlaced(service)
+		before := countNotPlaced(service)
 		f.reconcile(nobodyWaits, true)
-		if notPlaced(service) != before {
-			t.Fatal("called back for nobody")
+		if countNotPlaced(service) != before {
+			t.Fatal("a replica was called back although no lender waits")
 		}
 		f.reconcile(lenderWaits, true)
-		if after := notPlaced(service); after > before+1 {
-			t.Fatalf("%d called back at once", after-before)
+		if after := countNotPlaced(service); after > before+1 {
+			t.Fatalf("%d replicas were called back at once", after-before)
 		}
 		f.loseStopping(service)
 	}
-	if got := notPlaced(service); got != 6 {
-		t.Errorf("%d of 12 were called back, not 6", got)
+	if got := countNotPlaced(service); got != 6 {
+		t.Errorf("%d of 12 replicas were called back, want 6", got)
 	}
 }
 
--- a/internal/lending/choose.go
+++ b/internal/lending/choose.go
@@ -53,8 +53,8 @@
 }
 
 // Choose returns the plan for the machine where lending costs the least. It returns false if there is
-// none, or if stopping tasks are already making enough room on a machine; in the second case the plan
-// has only the machine's name.
+// none, or if a machine will have enough room once its stopping tasks are gone; in the second case the
+// plan has only the machine's name.
 func Choose(state *clusterstate.State, search *Search) (Plan, bool) {
 	need := search.spec().Resources()
 	var best Plan
@@ -160,8 +160,8 @@
 		plan.LostS += unit.lostS
 	}
 	plan.StartDelayS += ImagePullS(state, s.now, machine, machineType, s.spec())
-	// Accelerators freed beyond the need may stay idle because no task of their size waits. This cost
-	// avoids splitting up the room of a task that takes a whole machine if another choice is cheaper.
+	// Accelerators freed beyond the need may stay idle because no waiting task fits them. This cost
+	// avoids breaking up a whole machine if another choice is cheaper.
 	plan.LostS += free.Sub(need).Accelerators * tuning.LoanWaste.Seconds()
 	return plan, len(chosen) > 0
 }
--- a/internal/lending/choose_test.go
+++ b/internal/lending/choose_test.go
@@ -11,7 +11,7 @@
 	"github.com/harrierreel/harrierreel/internal/jobs"
 )
 
-// planText is a plan's machine and the tasks that it stops.
+// planText returns a plan's machine and the IDs of the tasks that it stops.
 func planText(plan Plan) string {
 	var taskIDs []string
 	for _, task := range plan.Tasks {
@@ -21,8 +21,8 @@
 	return plan.Machine + " " + strings.Join(taskIDs, " ")
 }
 
-// array submits a job array with one accelerator a task, some of them on one machine.
-func (f *loanFixture) array(jobID, team, priority string, taskCount int, machine string, placed int) {
+// addArray adds a job array with one accelerator per task. The first tasks are placed on the machine.
+func (f *loanFixture) addArray(jobID, team, priority string, taskCount int, machine string, placed int) {
 	f.job(jobID, team, jobs.JobArray, priority, "x", 1, taskCount, slices.Repeat([]string{machine}, placed)...)
 }
 
@@ -38,53 +38,53 @@
 }
 
 var chooseArrayCases = []chooseCase{
-	{"what lost least since its save", 1, func(f *loanFixture) {
-		f.array("wk-1", "train", "standard", 8, "i-0", 4)
+	{"the task that loses the least work", 1, func(f *loanFixture) {
+		f.addArray("wk-1", "train", "standard", 8, "i-0", 4)
 		f.passSeconds(100)
-		f.array("wk-2", "train", "standard", 8, "i-1", 4)
-		f.passSeconds(30) // both have their images
+		f.addArray("wk-2", "train", "standard", 8, "i-1", 4)
+		f.passSeconds(30) // the images of both jobs are pulled by then
 	}, "i-1 wk-2/0"},
-	{"where the image is", 1, func(f *loanFixture) {
-		f.array("wk-1", "train", "standard", 8, "i-0", 4)
+	{"on a machine that has the image", 1, func(f *loanFixture) {
+		f.addArray("wk-1", "train", "standard", 8, "i-0", 4)
 		f.state.Images.Add("i-0", fleet.Image{Name: "weights", GB: 20}, 100)
 		f.passSeconds(100)
-		f.array("wk-2", "train", "standard", 8, "i-1", 4)
+		f.addArray("wk-2", "train", "standard", 8, "i-1", 4)
 	}, "i-0 wk-1/0"},
-	{"not below a guarantee", 1, func(f *loanFixture) {
-		f.array("wk-1", "train", "standard", 4, "i-0", 4)
-		f.array("wk-2", "batch", "standard", 8, "i-1", 4)
+	{"no task that takes its team below its guarantee", 1, func(f *loanFixture) {
+		f.addArray("wk-1", "train", "standard", 4, "i-0", 4)
+		f.addArray("wk-2", "batch", "standard", 8, "i-1", 4)
 	}, "i-1 wk-2/0"},
-	{"its own team's tasks of lower priority last", 1, func(f *loanFixture) {
-		f.array("wk-1", "serve", "idle", 4, "i-0", 4)
-		f.array("wk-2", "batch", "standard", 8, "i-1", 4)
+	{"tasks of the borrower's own team only as a last choice", 1, func(f *loanFixture) {
+		f.addArray("wk-1", "serve", "idle", 4, "i-0", 4)
+		f.addArray("wk-2", "batch", "standard", 8, "i-1", 4)
 	}, "i-1 wk-2/0"},
-	{"but its own team's", 1, func(f *loanFixture) {
-		f.array("wk-1", "serve", "idle", 4, "i-0", 4)
-		f.array("wk-2", "train", "standard", 4, "i-1", 4)
+	{"a task of the borrower's own team if no other may lend", 1, func(f *loanFixture) {
+		f.addArray("wk-1", "serve", "idle", 4, "i-0", 4)
+		f.addArray("wk-2", "train", "standard", 4, "i-1", 4)
 	}, "i-0 wk-1/0"},
-	{"nothing at the end of its run", 1, func(f *loanFixture) {
-		f.array("wk-1", "batch", "idle", 4, "i-0", 4)
+	{"no task that is about to end", 1, func(f *loanFixture) {
+		f.addArray("wk-1", "batch", "idle", 4, "i-0", 4)
 		f.passSeconds(590)
-		f.array("wk-2", "serve", "prod", 4, "i-1", 4)
+		f.addArray("wk-2", "serve", "prod", 4, "i-1", 4)
 	}, ""},
-	{"the fewest accelerators freed in vain", 1, func(f *loanFixture) {
-		f.array("wk-2", "train", "standard", 8, "i-1", 4)
+	{"the task that frees the fewest unneeded accelerators", 1, func(f *loanFixture) {
+		f.addArray("wk-2", "train", "standard", 8, "i-1", 4)
 		f.passSeconds(240)
 		f.job("wk-1", "train", jobs.JobArray, "standard", "x", 4, 2, "i-0")
 		f.passSeconds(30)
 	}, "i-1 wk-2/0"},
-	{"two that go below together", 3, func(f *loanFixture) {
-		f.array("wk-1", "batch", "standard", 3, "i-0", 3)
-		f.array("wk-2", "serve", "prod", 4, "i-1", 3)
+	{"no tasks that together take their team below its guarantee", 3, func(f *loanFixture) {
+		f.addArray("wk-1", "batch", "standard", 3, "i-0", 3)
+		f.addArray("wk-2", "serve", "prod", 4, "i-1", 3)
 	}, ""},
-	{"none while room is being freed", 1, func(f *loanFixture) {
-		f.array("wk-1", "train", "standard", 8, "i-0", 4)
-		f.array("wk-2", "train", "standard", 3, "i-1", 3)
+	{"no task while a machine has room", 1, func(f *loanFixture) {
+		f.addArray("wk-1", "train", "standard", 8, "i-0", 4)
+		f.addArray("wk-2", "train", "standard", 3, "i-1", 3)
 	}, ""},
 }
 
 var chooseGangCases = []chooseCase{
-	{"a gang as a whole", 1, func(f *loanFixture) {
+	{"all tasks of a gang", 1, func(f *loanFixture) {
 		f.job("wk-1", "train", jobs.Gang, "standard", "x", 4, 2, "i-0", "i-1")
 		f.job("wk-2", "train", jobs.JobArray, "standard", "x", 4, 1, "i-2")
 	}, "i-0 wk-1/0 wk-1/1"},
@@ -97,8 +97,8 @@
 		f.job("wk-2", "train", jobs.JobArray, "standard", "x", 4, 1, "i-2")
 		f.setMachine(1, fleet.LegacyUnresponsive)
 	}, ""},
-	{"no gang that would take its team below", 1, func(f *loanFixture) {
-		f.job("wk-1", "train", jobs.Gang, "standard", "x", 4, 2, "i-0", "i-1") // any one task could go
+	{"no gang that takes its team below its guarantee", 1, func(f *loanFixture) {
+		f.job("wk-1", "train", jobs.Gang, "standard", "x", 4, 2, "i-0", "i-1") // one task alone could be stopped
 	}, ""},
 }
 
@@ -106,7 +106,7 @@
 	for _, c := range slices.Concat(chooseArrayCases, chooseGangCases) {
 		t.Run(c.name, func(t *testing.T) {
 			f := newLoanFixture(3)
-			f.setMachine(2, fleet.Warned) // what is there counts for its team, and lends nothing
+			f.setMachine(2, fleet.Warned) // tasks there count as usage of their team, but can't lend
 			c.setUp(f)
 			got := ""
 			replicas := f.job("wk-9", "serve", jobs.Service, "prod", "weights", c.need, 2)
@@ -120,13 +120,14 @@
 	}
 }
 
-// An image that a type's cache cannot hold is never planned there, and pulls share a machine's rate.
+// TestChoosePlansImagePulls checks that the start delay includes the image pull, with pulls in progress
+// that share the machine's rate, and that no plan uses a machine whose cache can't hold the image.
 func TestChoosePlansImagePulls(t *testing.T) {
 	f := newLoanFixture(1)
 	service := f.job("wk-9", "serve", jobs.Service, "prod", "weights", 1, 2)
 	f.job("wk-1", "batch", jobs.JobArray, "standard", "x", 2, 8, "i-0", "i-0")
 	always := func(*clusterstate.Machine) bool { return true }
-	// 20 GB, beside 20 of an image that is being pulled.
+	// 20 GB to pull at 1 GB/s, while another image of 20 GB is being pulled.
 	if plan, ok := f.choose(service, always); !ok || plan.StartDelayS != 40 {
 		t.Error(plan, ok)
 	}
--- a/internal/lending/faults_test.go
+++ b/internal/lending/faults_test.go
@@ -13,30 +13,30 @@
 	"github.com/harrierreel/harrierreel/internal/jobs"
 )
 
-// modelMachines is the machines of the model.
+// modelMachines is the number of machines in a loanModel.
 const modelMachines = 4
 
-// loanModel is a fleet in which jobs, replicas and faults come in any order.
+// loanModel is a fleet in which jobs, replicas and faults occur in any order.
 type loanModel struct {
 	*loanFixture
 	services []*clusterstate.Job
 	lastJob  int
 }
 
-// TestEveryLoanEndsAfterAnyFaults lends in a fleet where anything fails at any time, and then
-// lets it rest: no team goes below its guarantee by a loan, no machine holds more than it has,
-// gangs stop as a whole, and in the end every loan is over and what was taken is given back
-// or gone with its machine.
+// TestEveryLoanEndsAfterAnyFaults runs random steps that lend and fail in a fleet, followed by a time
+// without faults. No loan may take a team below its guarantee, no machine may exceed its capacity, and
+// gangs must be stopped as a whole. In the end every loan must be over, and all accelerators taken must
+// have been returned or lost with their machine.
 func TestEveryLoanEndsAfterAnyFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &loanModel{loanFixture: newLoanFixture(modelMachines), lastJob: 10}
 		t.Repeat(map[string]func(*rapid.T){
 			"":              m.checkCapacity,
-			"fill":          m.fill,
-			"serve":         m.serve,
+			"fill":          m.startJobs,
+			"serve":         m.submitService,
 			"request":       m.requestOne,
 			"reconcile":     m.reconcileSome,
-			"leave":         m.leave,
+			"leave":         m.removeStopping,
 			"place":         m.placeReplicas,
 			"time":          m.passTime,
 			"leader":        func(*rapid.T) { m.changeLeader() },
@@ -44,7 +44,7 @@
 			"machine dies":  m.killMachine,
 			"machine warns": m.warnMachine,
 		})
-		m.rest(t)
+		m.settle(t)
 		m.checkCapacity(t)
 		m.checkAllOver(t)
 	})
@@ -55,15 +55,15 @@
 	return fmt.Sprintf("wk-%d", m.lastJob)
 }
 
-// hasFreeAccelerator tells whether a machine is up and has an accelerator free.
+// hasFreeAccelerator reports whether a machine is up and has a free accelerator.
 func (m *loanModel) hasFreeAccelerator(i int) bool {
 	machine := m.state.Machines[machineName(i)]
 	free := m.state.MachineTypes["g4"].Accelerators - m.state.UsedResources(machineName(i)).Accelerators
 	return machine != nil && machine.State == fleet.Up && free >= 1
 }
 
-// replicas lists the services that are live.
-func (m *loanModel) replicas() []*clusterstate.Job {
+// liveServices returns the services that are live.
+func (m *loanModel) liveServices() []*clusterstate.Job {
 	return slices.DeleteFunc(slices.Clone(m.services), func(job *clusterstate.Job) bool {
 		return m.state.Jobs[job.ID] != job || !live(job)
 	})
@@ -77,7 +77,7 @@
 	return names
 }
 
-// tasksOn lists the tasks on a machine in their order.
+// tasksOn returns the tasks on a machine, sorted by ID.
 func (m *loanModel) tasksOn(machine string) []*clusterstate.Task {
 	var tasks []*clusterstate.Task
 	for _, taskID := range clusterstate.SortedKeys(m.state.TasksOnMachine[machine]) {
@@ -86,8 +86,9 @@
 	return tasks
 }
 
-// fill starts a job on each machine with room, as a gang with the next machine for some.
-func (m *loanModel) fill(t *rapid.T) {
+// startJobs starts a job on each machine with a free accelerator. Some are gangs with a second task on
+// the next machine.
+func (m *loanModel) startJobs(t *rapid.T) {
 	for i := range modelMachines {
 		if !m.hasFreeAccelerator(i) {
 			continue
@@ -103,15 +104,15 @@
 	}
 }
 
-func (m *loanModel) serve(t *rapid.T) {
+func (m *loanModel) submitService(t *rapid.T) {
 	priority := rapid.SampledFrom([]string{"prod", "standard"}).Draw(t, "priority")
 	replicas := rapid.IntRange(1, 4).Draw(t, "replicas")
 	m.services = append(m.services, m.job(m.newJobID(), "serve", jobs.Service, priority, "img-s", 1, replicas))
 }
 
-// requestOne asks for a loan for the first replica that waits without one.
+// requestOne requests a loan for the first waiting replica without one.
 func (m *loanModel) requestOne(t *rapid.T) {
-	for _, job := range m.replicas() {
+	for _, job := range m.liveServices() {
 		for index := range job.Record.Spec.TaskCount {
 			if _, requested := m.ledger.LoanFor(job.ID, index); !requested && job.Active[index] == nil {
 				m.request(t, job, index, rapid.Bool().Draw(t, "committed"))
@@ -125,8 +126,8 @@
 	m.reconcile(allWait, rapid.Bool().Draw(t, "committed"))
 }
 
-// leave has what is stopping gone.
-func (m *loanModel) leave(*rapid.T) {
+// removeStopping makes all stopping tasks end.
+func (m *loanModel) removeStopping(*rapid.T) {
 	for _, machine := range m.machineNames() {
 		for _, task := range m.tasksOn(machine) {
 			if task.State == jobs.Stopping {
@@ -136,9 +137,9 @@
 	}
 }
 
-// placeReplicas puts the replicas on the machines that were vacated for them.
+// placeReplicas places the replicas whose room is vacated.
 func (m *loanModel) placeReplicas(*rapid.T) {
-	for _, job := range m.replicas() {
+	for _, job := range m.liveServices() {
 		for index := range job.Record.Spec.TaskCount {
 			loan, ok := m.ledger.LoanFor(job.ID, index)
 			if !ok || loan.State != Vacated {
@@ -162,7 +163,7 @@
 	}
 }
 
-// killMachine deletes a machine with all tasks on it; another may come in its place.
+// killMachine deletes a machine and all tasks on it; sometimes a new machine takes its name.
 func (m *loanModel) killMachine(t *rapid.T) {
 	i := rapid.IntRange(0, modelMachines-1).Draw(t, "machine")
 	for _, task := range m.tasksOn(machineName(i)) {
@@ -181,11 +182,12 @@
 	}
 }
 
-// rest is a quiet time: what is stopping leaves, the replicas end, time passes.
-func (m *loanModel) rest(t *rapid.T) {
+// settle lets time pass without faults until all loans are over: stopping tasks end and services are
+// cancelled.
+func (m *loanModel) settle(t *rapid.T) {
 	for range 8 {
-		m.leave(t)
-		for _, job := range m.replicas() {
+		m.removeStopping(t)
+		for _, job := range m.liveServices() {
 			m.cancel(job)
 		}
 		m.reconcile(allWait, true)
@@ -197,7 +199,7 @@
 	t.Helper()
 	for _, machine := range m.machineNames() {
 		if used := m.state.UsedResources(machine); !m.state.MachineTypes["g4"].Capacity().Fits(used) {
-			t.Fatalf("%s holds %v", machine, used)
+			t.Fatalf("%s is above its capacity: %v used", machine, used)
 		}
 	}
 }
@@ -218,7 +220,7 @@
 		}
 	}
 	if taken != returned+lost {
-		t.Fatalf("%v taken, %v given back, %v gone with machines", taken, returned, lost)
+		t.Fatalf("%v accelerators taken, but %v returned and %v lost with machines", taken, returned, lost)
 	}
 	if rooms := m.ledger.Rooms(); len(rooms) > 0 {
 		t.Fatalf("room is still reserved: %v", rooms)
--- a/internal/lending/fixture_test.go
+++ b/internal/lending/fixture_test.go
@@ -16,29 +16,29 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// maxTaskRangeBytes is beyond any record of these tests.
+// maxTaskRangeBytes is larger than any record in these tests.
 const maxTaskRangeBytes = 1 << 20
 
-// loanFixture is a small fleet with its records, in which decisions are committed at once.
+// loanFixture is a small fleet with its records. Decisions are committed at once.
 type loanFixture struct {
 	state   *clusterstate.State
 	ledger  *Ledger
 	records map[string]json.RawMessage
 	began   map[int]Loan    // by ID, as first seen
 	ended   map[int]Loan    // by ID, once over
-	closed  map[string]bool // classes that may not begin
+	closed  map[string]bool // job classes that may not start tasks
 }
 
-// Busy: no record is under a transaction for longer than a step.
+// Busy returns false, since no transaction is pending between steps.
 func (f *loanFixture) Busy(string) bool { return false }
 
-// MayBegin tells whether a class's window is not closed.
+// MayBegin reports whether the window of a job's class is open.
 func (f *loanFixture) MayBegin(spec *jobs.Spec) bool { return !f.closed[spec.Class] }
 
-// Ready tells whether a machine is up.
+// Ready reports whether a machine is up.
 func (f *loanFixture) Ready(machine *clusterstate.Machine) bool { return isUp(machine) }
 
-// FitsElsewhere: no replica finds room elsewhere.
+// FitsElsewhere returns false: no replica fits on another machine.
 func (f *loanFixture) FitsElsewhere(*clusterstate.Task) bool { return false }
 
 var teams = map[string]quota.Team{
@@ -47,7 +47,7 @@
 	"batch": {Name: "batch", Guaranteed: quota.Of(0, 2, 0)},
 }
 
-// failer is a *testing.T or a *rapid.T.
+// failer is implemented by *testing.T and *rapid.T.
 type failer interface {
 	Helper()
 	Fatalf(format string, args ...any)
@@ -94,7 +94,7 @@
 	}))
 }
 
-// changeLeader has another controller lead: all that it knows are the records.
+// changeLeader replaces the ledger by that of a new leader, which knows only the records.
 func (f *loanFixture) changeLeader() {
 	f.ledger = NewLedger(f.state,
 		Config{
@@ -109,7 +109,7 @@
 	}
 }
 
-// job submits a job; its tasks are on the machines named, others wait.
+// job adds a job. Its first tasks are placed on the given machines; the others wait.
 func (f *loanFixture) job(
 	jobID, team, kind, priority, image string,
 	accelerators float64,
@@ -149,7 +149,7 @@
 	return f.state.Jobs[jobID]
 }
 
-// service submits a service of team serve with one replica of one accelerator, which waits.
+// service adds a service of team serve with one waiting replica, which needs one accelerator.
 func (f *loanFixture) service(jobID string) *clusterstate.Job {
 	return f.job(jobID, "serve", jobs.Service, "prod", "w", 1, 1)
 }
@@ -167,14 +167,14 @@
 	_, _ = f.state.ApplyTaskRange(key, jobs.EncodeTaskRange(tasks, maxTaskRangeBytes))
 }
 
-// loseTask has a task gone from its machine, if it can be.
+// loseTask applies the event that a task is lost, if its state allows it.
 func (f *loanFixture) loseTask(task *clusterstate.Task) {
 	if next, ok := jobs.NextTask(task.Task, jobs.TaskEvent{Kind: jobs.Lost}); ok {
 		f.setTask(task.Job, task.Index, next)
 	}
 }
 
-// loseStopping has the tasks of a job that are stopping gone.
+// loseStopping makes the stopping tasks of a job end.
 func (f *loanFixture) loseStopping(job *clusterstate.Job) {
 	for _, task := range job.Tasks {
 		if task.State == jobs.Stopping {
@@ -183,7 +183,7 @@
 	}
 }
 
-// cancel cancels a job; its tasks are gone at once.
+// cancel cancels a job; its tasks end at once.
 func (f *loanFixture) cancel(job *clusterstate.Job) {
 	record := *job.Record
 	record.State = jobs.Cancelled
@@ -193,7 +193,7 @@
 	}
 }
 
-// commit applies a decision as a whole if it is committed, and tells that it is settled.
+// commit applies all changes of a decision if committed is true, and then calls its OnSettled.
 func (f *loanFixture) commit(decision decide.Decision, committed bool) {
 	if committed {
 		for _, change := range decision.Changes {
@@ -218,7 +218,7 @@
 	f.commit(decide.Decision{Writes: []store.Write{decide.Put(RecordKey(number), record)}}, true)
 }
 
-// search is the search of room for a replica.
+// search returns the search for room for a replica.
 func (f *loanFixture) search(job *clusterstate.Job, index int) *Search {
 	spec := &job.Record.Spec
 	account := AccountWithoutLeaving(f.state, f.state.Account, nil)
@@ -236,7 +236,7 @@
 	}
 }
 
-// choose plans for the first replica of a job, with no lender spared and no record busy.
+// choose calls Choose for the first replica of a job, with no lender exempt and no record busy.
 func (f *loanFixture) choose(job *clusterstate.Job, ready func(*clusterstate.Machine) bool) (Plan, bool) {
 	search := f.search(job, 0)
 	search.exempt = func(*clusterstate.Job) bool { return false }
@@ -246,8 +246,8 @@
 	return Choose(f.state, search)
 }
 
-// request asks for a loan for a replica and commits it or not. It tells whether one began, and
-// fails if a plan stops what it must not.
+// request requests a loan for a replica and commits it if committed is true. It reports whether a loan
+// began, and fails the test if the plan stops tasks that it must not stop.
 func (f *loanFixture) request(t failer, job *clusterstate.Job, index int, committed bool) bool {
 	t.Helper()
 	search := f.search(job, index)
@@ -261,7 +261,8 @@
 	return committed
 }
 
-// checkPlan fails if a plan stops what it must not. account is what was charged before it.
+// checkPlan fails the test if a plan stops tasks that it must not stop. account is the account before
+// the plan; checkPlan changes it.
 func (f *loanFixture) checkPlan(t failer, search *Search, plan *Plan, account *quota.Account) {
 	t.Helper()
 	stopped := map[string]int{} // by job
@@ -272,26 +273,27 @@
 		spec := &task.Job.Record.Spec
 		account.Charge(spec.QuotaKey(), spec.Amount(), -1)
 		if spec.Kind == jobs.Service || task.State != jobs.Placed {
-			t.Fatalf("%s lends, a %s that is %s", task.ID, spec.Kind, task.State)
+			t.Fatalf("%s of kind %s and in state %s is stopped for a loan", task.ID, spec.Kind, task.State)
 		}
 		if spec.PriorityOrder() <= search.Priority && search.Entitled < 0 {
-			t.Fatalf("%s of priority %s lends to priority %d beyond its guarantee",
+			t.Fatalf("%s of priority %s lends to a replica of priority %d that is beyond its guarantee",
 				task.ID, spec.Priority, search.Priority)
 		}
 		if spec.IsGang() && stopped[task.Job.ID] != spec.TaskCount {
-			t.Fatalf("only some of gang %s stop", task.Job.ID)
+			t.Fatalf("gang %s is not stopped as a whole", task.Job.ID)
 		}
 	}
 	for _, task := range plan.Tasks {
 		spec := &task.Job.Record.Spec
 		used := account.Used(f.state.QuotaLeaf(spec))
 		if spec.Team != search.spec().Team && !used.Covers(teams[spec.Team].Guaranteed) {
-			t.Fatalf("%s goes below its guarantee by a loan: %s", spec.Team, used)
+			t.Fatalf("the loan takes team %s below its guarantee: it uses %s", spec.Team, used)
 		}
 	}
 }
 
-// reconcile has the leader advance all loans.
+// reconcile calls Reconcile, commits its decisions if committed is true, and records which loans have
+// begun and ended.
 func (f *loanFixture) reconcile(waits func(string) bool, committed bool) {
 	for _, decision := range f.ledger.Reconcile(f.state.Account, waits) {
 		f.commit(decision, committed)
@@ -306,7 +308,7 @@
 	}
 }
 
-// place puts a job's task on a machine, if the room is there and reserved for no other.
+// place places a job's task on a machine if it fits beside the room reserved for other jobs.
 func (f *loanFixture) place(job *clusterstate.Job, index int, machine string) {
 	free := f.state.MachineTypes["g4"].Capacity().Sub(f.state.UsedResources(machine))
 	for _, room := range f.ledger.Rooms() {
@@ -329,7 +331,7 @@
 	}
 }
 
-// firstLoan is the oldest loan.
+// firstLoan returns the oldest loan.
 func (f *loanFixture) firstLoan(t *testing.T) Loan {
 	t.Helper()
 	loans := f.ledger.Loans()
--- a/internal/lending/golden_test.go
+++ b/internal/lending/golden_test.go
@@ -34,7 +34,7 @@
 		goldentest.JSON(t, name, record)
 		decoded, err := Decode(goldentest.Read(t, name))
 		if err != nil || !reflect.DeepEqual(*decoded, record) {
-			t.Errorf("%s: read %+v, %v", name, decoded, err)
+			t.Errorf("%s: decoded %+v, %v", name, decoded, err)
 		}
 	}
 }
--- a/internal/lending/ledger_test.go
+++ b/internal/lending/ledger_test.go
@@ -8,8 +8,9 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Room made for a replica whose window is closed is given up at once, and reserved for a lender
-// only if its own window is open.
+// TestRoomIsNotReservedWhileWindowIsClosed checks that room made for a replica is given up as soon as
+// the calendar window of the replica is closed, and is then reserved for a lender only if the lender's
+// window is open.
 func TestRoomIsNotReservedWhileWindowIsClosed(t *testing.T) {
 	f := newLoanFixture(1)
 	f.job("wk-1", "batch", jobs.JobArray, "standard", "b", 1, 4, "i-0", "i-0", "i-0", "i-0")
@@ -25,7 +26,7 @@
 	}
 	f.closed[jobs.Service] = true
 	if rooms := f.ledger.Rooms(); len(rooms) != 0 {
-		t.Error("room is reserved for a replica that may not begin", rooms)
+		t.Error("room is reserved for a replica that may not start", rooms)
 	}
 	f.state.Now = f.state.Now.Add(time.Second)
 	f.reconcile(nobodyWaits, true)
@@ -41,7 +42,8 @@
 	}
 }
 
-// What follows from the records is stored several steps at a time.
+// TestLoanStepsAreStoredTogether checks that state changes that follow from the records are stored
+// together in one write, and that a job that has just lent is not asked to lend again.
 func TestLoanStepsAreStoredTogether(t *testing.T) {
 	f := newLoanFixture(1)
 	f.job("wk-1", "batch", jobs.JobArray, "standard", "x", 1, 7, "i-0", "i-0", "i-0", "i-0")
@@ -67,11 +69,12 @@
 	spared := f.ledger.Counts().SparedSearches
 	began := f.request(t, f.service("wk-8"), 0, true)
 	if began || f.ledger.Counts().SparedSearches != spared+1 {
-		t.Error("wk-1 lends twice within", tuning.LendAgain)
+		t.Error("wk-1 lends twice, or was not counted as spared, within", tuning.LendAgain)
 	}
 }
 
-// A replica that is released to its machine holds the loan until it is there.
+// TestReleasedReplicaHoldsItsLoan checks that a loan keeps its state while its replica is released to
+// the machine but not yet there.
 func TestReleasedReplicaHoldsItsLoan(t *testing.T) {
 	f := newLoanFixture(1)
 	f.job("wk-1", "batch", jobs.JobArray, "standard", "x", 1, 7, "i-0", "i-0", "i-0", "i-0")
@@ -87,7 +90,8 @@
 	}
 }
 
-// Loans that cannot be read are left alone, and none is begun in their record.
+// TestUnreadableLoanRecordIsNotWritten checks that an unreadable record is not overwritten: new loans
+// go to another record, or don't begin if all records are unreadable.
 func TestUnreadableLoanRecordIsNotWritten(t *testing.T) {
 	f := newLoanFixture(1)
 	for number := range tuning.LoanRecords - 1 {
@@ -100,11 +104,12 @@
 	}
 	f.ledger.ApplyRecord(last, []byte(`7`))
 	if f.request(t, f.service("wk-8"), 0, true) {
-		t.Error("a loan was begun over what cannot be read")
+		t.Error("a loan began although all records are unreadable")
 	}
 }
 
-// 4,000 loans stand in records side by side, and one more begins.
+// TestRecordsHold4000Loans checks that the ledger reads 4,000 loans in full records, and that another
+// loan can begin.
 func TestRecordsHold4000Loans(t *testing.T) {
 	const loans = 4000
 	f := newLoanFixture(1)
@@ -128,10 +133,10 @@
 		f.ledger.ApplyRecord(RecordKey(number), jobs.Encode(record))
 	}
 	if got := len(f.ledger.Loans()); got != loans {
-		t.Fatalf("%d loans are read, want %d", got, loans)
+		t.Fatalf("%d loans were read, want %d", got, loans)
 	}
 	f.job("wk-1", "batch", jobs.JobArray, "standard", "x", 1, 7, "i-0", "i-0", "i-0", "i-0")
 	if !f.request(t, f.service("wk-9"), 0, true) {
-		t.Error("no loan begins beside 4,000 others")
+		t.Error("no loan begins in addition to 4,000 others")
 	}
 }
--- a/internal/lending/loan_record_test.go
+++ b/internal/lending/loan_record_test.go
@@ -14,12 +14,12 @@
 		"unstored state": `{"l":[{"i":1,"s":"wanted"}]}`,
 	} {
 		if _, err := Decode([]byte(bad)); err == nil {
-			t.Errorf("%s: read %s", name, bad)
+			t.Errorf("%s: decoded without an error: %s", name, bad)
 		}
 	}
 	for _, key := range []string{"loan/", "loan/x", "loan/-1", "loan/01", "loan/99999", "job/1"} {
 		if _, ok := RecordNumber(key); ok {
-			t.Errorf("%s is a loan record", key)
+			t.Errorf("%s is taken for the key of a loan record", key)
 		}
 	}
 	if number, ok := RecordNumber(RecordKey(3)); !ok || number != 3 {
--- a/internal/lending/loan_test.go
+++ b/internal/lending/loan_test.go
@@ -12,7 +12,7 @@
 
 func TestMain(m *testing.M) { os.Exit(testseed.Main(m)) }
 
-// nextCase is one step of a loan.
+// nextCase is one event applied to a loan, and the state that it must lead to.
 type nextCase struct {
 	loan  Loan
 	event Event
@@ -20,141 +20,141 @@
 	want  State
 }
 
-// nextCases are the steps of the state machine, and what must not be one.
+// nextCases holds transitions of the state machine, and events that must not cause one.
 var nextCases = map[string]nextCase{
-	"begins with its stops": {
+	"a request begins a loan": {
 		loan:  Loan{State: Wanted},
 		event: Request,
 		facts: Facts{},
 		want:  Requested,
 	},
-	"is asked for once": {
+	"a loan is not requested twice": {
 		loan:  Loan{State: Lent},
 		event: Request,
 		facts: Facts{},
 		want:  Lent,
 	},
-	"waits for the lender to leave": {
+	"a loan waits until the lender has left": {
 		loan:  Loan{State: Requested},
 		event: Observe,
 		facts: Facts{LenderLeaving: true, ReplicaWaits: true},
 		want:  Requested,
 	},
-	"is vacated once it has left": {
+	"room is vacated once the lender has left": {
 		loan:  Loan{State: Requested},
 		event: Observe,
 		facts: Facts{ReplicaWaits: true},
 		want:  Vacated,
 	},
-	"is lent when the replica is there": {
+	"room is lent once the replica is on the machine": {
 		loan:  Loan{State: Vacated},
 		event: Observe,
 		facts: Facts{ReplicaOnMachine: true},
 		want:  Lent,
 	},
-	"a replica on its way holds it": {
+	"a released replica keeps its room": {
 		loan:  Loan{State: Vacated},
 		event: Observe,
 		facts: Facts{NowMs: 1e9, ReplicaReleased: true},
 		want:  Vacated,
 	},
-	"a cancelled replica gives it back": {
+	"a cancelled replica gives its room back": {
 		loan:  Loan{State: Requested},
 		event: Observe,
 		facts: Facts{LenderLeaving: true},
 		want:  CalledBack,
 	},
-	"a lender that hangs": {
+	"a lender does not leave in time": {
 		loan:  Loan{State: Requested},
 		event: Observe,
 		facts: Facts{NowMs: tuning.LoanRequestTimeout.Milliseconds() + 1, LenderLeaving: true, ReplicaWaits: true},
 		want:  CalledBack,
 	},
-	"a replica that does not come": {
+	"a replica does not arrive in time": {
 		loan:  Loan{State: Vacated},
 		event: Observe,
 		facts: Facts{NowMs: tuning.LoanVacant.Milliseconds() + 1, ReplicaWaits: true},
 		want:  CalledBack,
 	},
-	"a machine with a notice": {
+	"a warned machine ends a loan without a replica": {
 		loan:  Loan{State: Vacated},
 		event: Observe,
 		facts: Facts{MachineDoubtful: true, ReplicaWaits: true},
 		want:  BrokenOff,
 	},
-	"a replica stays through a notice": {
+	"a replica stays on a warned machine": {
 		loan:  Loan{State: Lent},
 		event: Observe,
 		facts: Facts{MachineDoubtful: true, ReplicaOnMachine: true},
 		want:  Lent,
 	},
-	"a machine that is gone": {
+	"a deleted machine ends a loan": {
 		loan:  Loan{State: Lent},
 		event: Observe,
 		facts: Facts{MachineGone: true, ReplicaOnMachine: true},
 		want:  BrokenOff,
 	},
-	"a replica that ended": {
+	"an ended replica gives its room back": {
 		loan:  Loan{State: Lent},
 		event: Observe,
 		facts: Facts{LenderWaits: true},
 		want:  CalledBack,
 	},
-	"called back": {
+	"a replica on its machine can be called back": {
 		loan:  Loan{State: Lent},
 		event: CallBack,
 		facts: Facts{ReplicaOnMachine: true},
 		want:  CalledBack,
 	},
-	"room that is being made is not": {
+	"vacated room is not called back": {
 		loan:  Loan{State: Vacated},
 		event: CallBack,
 		facts: Facts{},
 		want:  Vacated,
 	},
-	"not before the replica is gone": {
+	"room is not returned while the replica is there": {
 		loan:  Loan{State: CalledBack, FreeMs: 1},
 		event: Observe,
 		facts: Facts{NowMs: 1e9, ReplicaOnMachine: true},
 		want:  CalledBack,
 	},
-	"the room waits for its lender": {
+	"room is reserved for the lender": {
 		loan:  Loan{State: CalledBack, FreeMs: 1},
 		event: Observe,
 		facts: Facts{NowMs: 2, LenderWaits: true},
 		want:  CalledBack,
 	},
-	"but not for ever": {
+	"room is not reserved for the lender forever": {
 		loan:  Loan{State: CalledBack, FreeMs: 1},
 		event: Observe,
 		facts: Facts{NowMs: tuning.LoanReturnReservation.Milliseconds() + 2, LenderWaits: true},
 		want:  Returned,
 	},
-	"a lender that is over needs none": {
+	"a lender without waiting tasks needs no room": {
 		loan:  Loan{State: CalledBack, FreeMs: 1},
 		event: Observe,
 		facts: Facts{NowMs: 2},
 		want:  Returned,
 	},
-	"a lender that is back": {
+	"a lender has a task on the machine again": {
 		loan:  Loan{State: CalledBack, FreeMs: 1},
 		event: Observe,
 		facts: Facts{NowMs: 2, LenderWaits: true, LenderBack: true},
 		want:  Returned,
 	},
-	"what is over stays so": {
+	"a returned loan is final": {
 		loan:  Loan{State: Returned},
 		event: Observe,
 		facts: Facts{MachineGone: true},
 		want:  Returned,
 	},
-	"nothing is called back that is over": {
+	"a loan that is over is not called back": {
 		loan:  Loan{State: BrokenOff},
 		event: CallBack,
 		facts: Facts{ReplicaOnMachine: true},
 		want:  BrokenOff,
 	},
-	"nothing wanted is lent without a stop": {
+	"a wanted loan does not begin by observation": {
 		loan:  Loan{State: Wanted},
 		event: Observe,
 		facts: Facts{ReplicaOnMachine: true},
@@ -162,17 +162,17 @@
 	},
 }
 
-func TestLoanChangesStateOnlyWithCause(t *testing.T) {
+func TestLoanStateTransitions(t *testing.T) {
 	for name, c := range nextCases {
 		if got, _ := Next(c.loan, c.event, c.facts); got.State != c.want {
-			t.Errorf("%s: %s becomes %s, not %s", name, c.loan.State, got.State, c.want)
+			t.Errorf("%s: %s becomes %s, want %s", name, c.loan.State, got.State, c.want)
 		}
 	}
 }
 
-// TestLoanEndsAfterAnyFacts draws any facts, in any order, and then a quiet end: the machine is
-// there, the lender has left, no replica is. Within the stated times every loan is over, and
-// what is over never changes.
+// TestLoanEndsAfterAnyFacts applies random events with random facts to a loan, and then lets time pass
+// in which the machine is up, the lender has left and the replica is not on the machine. The loan must
+// be over within the timeouts, and a loan that is over must never change.
 func TestLoanEndsAfterAnyFacts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nowMs := int64(1)
@@ -187,21 +187,21 @@
 				t.Fatalf("%s becomes %s", before.State, loan.State)
 			}
 			if before.State == Lent && loan.State == Returned {
-				t.Fatal("returned with the replica there")
+				t.Fatal("a lent loan is returned without being called back")
 			}
 		}
-		calm := Facts{
+		quiet := Facts{
 			ReplicaWaits: rapid.Bool().Draw(t, "replica waits"),
 			LenderWaits:  rapid.Bool().Draw(t, "lender waits still"),
 		}
 		longest := max(tuning.LoanRequestTimeout, tuning.LoanVacant, tuning.LoanReturnReservation)
 		for range 8 {
 			nowMs += longest.Milliseconds() + 1
-			calm.NowMs = nowMs
-			loan, _ = Next(loan, Observe, calm)
+			quiet.NowMs = nowMs
+			loan, _ = Next(loan, Observe, quiet)
 		}
 		if !loan.State.Over() {
-			t.Fatalf("still %s", loan.State)
+			t.Fatalf("the loan is not over, but %s", loan.State)
 		}
 	})
 }
