--- a/internal/lending/choose.go
+++ b/internal/lending/choose.go
@@ -49,7 +49,7 @@
 	StartDelayS float64
 	// LostS is the estimated loss of work, in accelerator-seconds.
 	LostS       float64
-	usesOwnTeam bool // the plan stops tasks of the borrower's own team
+	usesOwnTeam bool // Tasks includes tasks of the borrower's own team
 }
 
 // Choose returns the plan for the machine where lending costs the least. It returns false if there is
@@ -237,21 +237,21 @@
 	account *quota.Account,
 	stopping map[*clusterstate.Task]bool,
 ) *quota.Account {
-	rest := account.Clone()
+	remaining := account.Clone()
 	// Reservations are releases in progress, which may fail, and room for a window that is about to
 	// open. With their charges a team could seem to be beyond its guarantee, and would have to lend
 	// some of what it is guaranteed.
 	for _, reservation := range state.Reservations {
 		if reservation.QuotaKey != (quota.Key{}) {
-			rest.Charge(reservation.QuotaKey, reservation.Amount, -1)
+			remaining.Charge(reservation.QuotaKey, reservation.Amount, -1)
 		}
 	}
 	for _, tasks := range state.TasksOnMachine {
 		for _, task := range tasks {
 			if task.Job.Record != nil && (task.State == jobs.Stopping || stopping[task]) {
-				rest.Charge(task.Job.Record.Spec.QuotaKey(), task.Job.Record.Spec.Amount(), -1)
+				remaining.Charge(task.Job.Record.Spec.QuotaKey(), task.Job.Record.Spec.Amount(), -1)
 			}
 		}
 	}
-	return rest
+	return remaining
 }
--- a/internal/lending/ledger.go
+++ b/internal/lending/ledger.go
@@ -21,8 +21,8 @@
 	ValueBytes int
 	// RepeatAfter is how long a job that has lent is not asked to lend again.
 	RepeatAfter time.Duration
-	// ByPriority enables the preemption by priority of PROTOCOL where no job can lend, as without
-	// lending. It also takes teams below their guarantees.
+	// ByPriority enables the preemption by priority of PROTOCOL where no job can lend, as it is
+	// without lending. Such preemption may take teams below their guarantees.
 	ByPriority bool
 	Log        *slog.Logger
 }
--- a/internal/lending/ledger_test.go
+++ b/internal/lending/ledger_test.go
@@ -16,7 +16,7 @@
 	f.job("wk-1", "batch", jobs.JobArray, "standard", "b", 1, 4, "i-0", "i-0", "i-0", "i-0")
 	serve := f.job("wk-2", "serve", jobs.Service, "prod", "s", 1, 1)
 	if !f.request(t, serve, 0, true) {
-		t.Fatal("nobody lends")
+		t.Fatal("no job lends")
 	}
 	lender := f.firstLoan(t).From[0].Job
 	for index, task := range f.state.Jobs[lender].Tasks {
@@ -29,13 +29,13 @@
 		t.Error("room is reserved for a replica that may not start", rooms)
 	}
 	f.state.Now = f.state.Now.Add(time.Second)
-	f.reconcile(nobodyWaits, true)
+	f.reconcile(noneWaits, true)
 	rooms := f.ledger.Rooms()
 	if loan := f.firstLoan(t); loan.State != CalledBack || len(rooms) != 1 || rooms[0].Job != lender {
 		t.Errorf("%+v, reserved %v", loan, rooms)
 	}
 	f.closed[jobs.JobArray] = true
-	f.reconcile(nobodyWaits, true)
+	f.reconcile(noneWaits, true)
 	rooms = f.ledger.Rooms()
 	if loan := f.firstLoan(t); loan.State != Returned || len(rooms) != 0 {
 		t.Errorf("%+v, reserved %v", loan, rooms)
@@ -49,7 +49,7 @@
 	f.job("wk-1", "batch", jobs.JobArray, "standard", "x", 1, 7, "i-0", "i-0", "i-0", "i-0")
 	service := f.service("wk-9")
 	if !f.request(t, service, 0, true) {
-		t.Fatal("nobody lends")
+		t.Fatal("no job lends")
 	}
 	writes := 0
 	for range 400 {
@@ -80,7 +80,7 @@
 	f.job("wk-1", "batch", jobs.JobArray, "standard", "x", 1, 7, "i-0", "i-0", "i-0", "i-0")
 	service := f.service("wk-9")
 	if !f.request(t, service, 0, true) {
-		t.Fatal("nobody lends")
+		t.Fatal("no job lends")
 	}
 	f.loseStopping(f.state.Jobs["wk-1"])
 	f.setTask(service, 0, jobs.Task{State: jobs.Assigned, Controller: "n0", Zone: "a", PreferredMachine: "i-0"})
--- a/internal/lending/loan.go
+++ b/internal/lending/loan.go
@@ -39,8 +39,8 @@
 	return false
 }
 
-// Loan is room for one replica, made by stopping tasks of other jobs on one machine. Its field tags
-// define the stored format and must not change.
+// Loan is the lending of room on one machine to one replica. The room is made by stopping tasks of
+// other jobs. The field tags define the stored format and must not change.
 type Loan struct {
 	ID        int     `json:"i"`
 	State     State   `json:"s"`
@@ -116,7 +116,7 @@
 	return loan, false
 }
 
-// withState returns the loan in a new state.
+// withState returns the loan in a new state, and true because it changed.
 func (l Loan) withState(state State, reason string, facts Facts) (Loan, bool) {
 	l.State, l.SinceMs, l.Reason = state, facts.NowMs, reason
 	return l, true
--- a/internal/quota/build.go
+++ b/internal/quota/build.go
@@ -18,7 +18,7 @@
 	faults        []string
 }
 
-// addFault records a fault at a path of the document.
+// addFault records a fault at a path of the document, up to tuning.MaxFaults in all.
 func (b *builder) addFault(path, format string, args ...any) {
 	if len(b.faults) < tuning.MaxFaults {
 		b.faults = append(b.faults, path+": "+fmt.Sprintf(format, args...))
--- a/internal/quota/guarantee_test.go
+++ b/internal/quota/guarantee_test.go
@@ -73,9 +73,9 @@
 	}
 }
 
-// TestSparesWhatIsNotGuaranteed checks that a lender can spare only what leaves all its ancestors
-// below the lowest common ancestor with the borrower their guarantees.
-func TestSparesWhatIsNotGuaranteed(t *testing.T) {
+// TestCanSpareWhatIsNotGuaranteed checks that a leaf can spare only usage beyond its own guarantee and
+// those of its ancestors, up to the lowest common ancestor with the borrower.
+func TestCanSpareWhatIsNotGuaranteed(t *testing.T) {
 	tree := twoOrganisations(t)
 	account := NewAccount(tree)
 	account.Charge(Key{"stazioni", "z"}, gpus(1), 14) // 4 beyond italia's 10
--- a/internal/quota/limits_test.go
+++ b/internal/quota/limits_test.go
@@ -28,7 +28,7 @@
 				1,
 			)
 		}
-		k := rapid.SampledFrom(keys).Draw(t, "more of")
+		k := rapid.SampledFrom(keys).Draw(t, "key to count")
 		a := Of(1, rapid.SampledFrom([]float64{0, 0.3, 1, 2.5}).Draw(t, "each"), 1)
 		leaf, count := tree.Leaf(k), 0
 		attempt := account.Clone()
@@ -67,10 +67,10 @@
 	}
 }
 
-// TestGuaranteeAndLimitBesideOneTask checks that a guarantee smaller than one task neither entitles
-// the task nor keeps it from running, and that a task larger than the limit of an ancestor is never
-// allowed.
-func TestGuaranteeAndLimitBesideOneTask(t *testing.T) {
+// TestGuaranteeAndLimitSmallerThanOneTask checks that a guarantee smaller than one task neither
+// entitles the task nor keeps it from running, and that a task larger than the limit of an ancestor is
+// never allowed.
+func TestGuaranteeAndLimitSmallerThanOneTask(t *testing.T) {
 	class := OfClass{Name: "c", Guarantee: &Bounds{Accelerators: 0.5}}
 	document := &Document{
 		Organisations: []Org{{
