--- a/internal/lending/callback_test.go
+++ b/internal/lending/callback_test.go
@@ -57,7 +57,7 @@
 	for range 30 {
 		f.state.Now = f.state.Now.Add(tuning.MinLoanTime + time.Second)
 		before := countNotPlaced(service)
-		f.reconcile(noneWaits, true)
+		f.reconcile(noneWait, true)
 		if countNotPlaced(service) != before {
 			t.Fatal("a replica was called back although no lender waits")
 		}
--- a/internal/lending/fixture_test.go
+++ b/internal/lending/fixture_test.go
@@ -53,8 +53,8 @@
 	Fatalf(format string, args ...any)
 }
 
-func allWait(string) bool   { return true }
-func noneWaits(string) bool { return false }
+func allWait(string) bool  { return true }
+func noneWait(string) bool { return false }
 
 func newLoanFixture(machines int) *loanFixture {
 	f := &loanFixture{
--- a/internal/lending/ledger_test.go
+++ b/internal/lending/ledger_test.go
@@ -29,13 +29,13 @@
 		t.Error("room is reserved for a replica that may not start", rooms)
 	}
 	f.state.Now = f.state.Now.Add(time.Second)
-	f.reconcile(noneWaits, true)
+	f.reconcile(noneWait, true)
 	rooms := f.ledger.Rooms()
 	if loan := f.firstLoan(t); loan.State != CalledBack || len(rooms) != 1 || rooms[0].Job != lender {
 		t.Errorf("%+v, reserved %v", loan, rooms)
 	}
 	f.closed[jobs.JobArray] = true
-	f.reconcile(noneWaits, true)
+	f.reconcile(noneWait, true)
 	rooms = f.ledger.Rooms()
 	if loan := f.firstLoan(t); loan.State != Returned || len(rooms) != 0 {
 		t.Errorf("%+v, reserved %v", loan, rooms)
--- a/internal/quotareclaim/reclaim_test.go
+++ b/internal/quotareclaim/reclaim_test.go
@@ -207,7 +207,7 @@
 }
 
 // drawFullOrganisation draws jobs of teams a and b, up to the first that the limit does not allow,
-// and returns the number of services among them.
+// and returns the state and the number of services among them.
 func drawFullOrganisation(t *rapid.T, limit float64) (state *clusterstate.State, services int) {
 	state = clusterstate.New(limitedTree(t, limit), func(string) {})
 	for i := range rapid.IntRange(1, 14).Draw(t, "jobs") {
