--- a/internal/callerrors/callerrors.go
+++ b/internal/callerrors/callerrors.go
@@ -1,6 +1,6 @@
-// Package callerrors counts refused calls by kind, so that the log has a line about them
-// once a minute instead of once a call: the calls that other services refused this
-// controller, and those that it refused users and agents. It has no IO and no clock.
+// Package callerrors counts refused calls by kind, so that they are logged in one line a minute
+// instead of one line a call. It covers this controller's calls that other services refused, and
+// requests of users and agents that this controller refused. It does no IO and reads no clock.
 package callerrors
 
 import (
@@ -12,10 +12,10 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Party is the other side of a call. Its value is what the log calls it.
+// Party is the other side of a call. Its value is its name in the log.
 type Party string
 
-// The parties.
+// The parties of calls.
 const (
 	Store         Party = "state"             // calls to the state service
 	Cloud         Party = "cloud"             // calls to the cloud
@@ -25,10 +25,10 @@
 	Peers         Party = "other controllers" // lines that other controllers sent
 )
 
-// The answers that are no fault of the program, by party. Any other means that the request
-// should not have been made (PROTOCOL, by its tables of answers).
+// The response statuses that do not indicate a fault of this program, by party. According to the
+// tables of responses in PROTOCOL, any other status means that the request should not have been made.
 var (
-	// expectedStatuses say no more than what the state of things is. They are not counted.
+	// expectedStatuses occur in normal operation and are not counted.
 	expectedStatuses = map[Party][]int{
 		Store:         {200, 404, 409, 410},
 		Cloud:         {200},
@@ -37,33 +37,33 @@
 		Users:         {200, 201, 404},
 		Peers:         {200},
 	}
-	// overloadStatuses come of load, of outages or of what others send.
+	// overloadStatuses are caused by load, by outages or by invalid requests of others.
 	overloadStatuses = map[Party][]int{
 		Store: {429, 503},
 		Cloud: {429, 503},
-		// What users send wrong is theirs to correct.
+		// Invalid requests are for the users to correct.
 		Users:         {400, 405, 409, 413, 422, 429, 503},
 		AgentRequests: {503},
-		Peers:         {400}, // whoever sends such lines is no controller of these settings
+		Peers:         {400}, // the sender is not a controller of this cluster, or has other settings
 	}
 )
 
-// kind is what refusals are counted by.
+// kind is the category that refusals are counted by.
 type kind struct {
 	party  Party
-	call   string // method and target, without what names one job, key or machine
+	call   string // method and target, without IDs of single jobs, keys or machines
 	status int
-	// leaseEnded: the state service no longer knows the lease, which ran out. That is
-	// nobody's fault.
+	// leaseEnded tells that the state service no longer knows the lease because it has expired,
+	// which does not indicate a fault.
 	leaseEnded bool
 }
 
-// unexpected tells whether the call should never have been made.
+// unexpected reports whether the call should never have been made.
 func (k kind) unexpected() bool {
 	return !k.leaseEnded && !slices.Contains(overloadStatuses[k.party], k.status)
 }
 
-// String names the kind in the log.
+// String returns the kind's name in the log.
 func (k kind) String() string {
 	call := k.call
 	if k.leaseEnded {
@@ -72,24 +72,24 @@
 	return fmt.Sprintf("%s %s %d", k.party, call, k.status)
 }
 
-// Counter counts refused calls between two reports. The zero value is ready for use, by one
-// goroutine.
+// Counter counts refused calls between two reports. The zero value is ready to use. A Counter must
+// not be used concurrently.
 type Counter struct {
-	// Unexpected counts the refusals since the start of calls that should never have been
-	// made, Refused counts all.
+	// Unexpected counts the refused calls since the start that should never have been made. Refused
+	// counts all refused calls since the start.
 	Unexpected int
 	Refused    int
 
 	counts map[kind]int
-	// samples holds the beginning of the first answer of each kind.
+	// samples holds the beginning of the first response body of each kind.
 	samples map[kind]string
-	// others counts the refusals of kinds beyond tuning.MaxErrorKinds.
-	others     int
+	// otherKinds counts the refusals of further kinds once there are tuning.MaxErrorKinds.
+	otherKinds int
 	lastReport time.Time
 }
 
-// Note counts an answer, if it is a refusal. A status of 0 stands for no answer, which is
-// not one.
+// Note counts a response if it is a refusal. A status of 0 means that there was no response, which
+// is not counted.
 func (c *Counter) Note(party Party, method, target string, status int, body []byte) {
 	if status == 0 || slices.Contains(expectedStatuses[party], status) {
 		return
@@ -115,7 +115,7 @@
 	}
 	if c.counts[refusal] == 0 {
 		if len(c.counts) >= tuning.MaxErrorKinds {
-			c.others++
+			c.otherKinds++
 			return
 		}
 		c.samples[refusal] = string(body[:min(len(body), tuning.ErrorSampleBytes)])
@@ -123,28 +123,30 @@
 	c.counts[refusal]++
 }
 
-// targetWords bounds the words of a target that a kind keeps.
-const targetWords = 3
+// maxTargetSegments is the maximum number of path segments of a target that a kind keeps.
+const maxTargetSegments = 3
 
-// genericTarget is a target without what names one job, key or machine.
+// genericTarget returns a target's path without the segments that may be IDs: it keeps only segments
+// of lowercase letters, at most maxTargetSegments of them.
 func genericTarget(target string) string {
 	path, _, _ := strings.Cut(target, "?")
-	var words []string
-	for word := range strings.SplitSeq(strings.Trim(path, "/"), "/") {
-		if len(words) < targetWords && isLowercaseWord(word) {
-			words = append(words, word)
+	var segments []string
+	for segment := range strings.SplitSeq(strings.Trim(path, "/"), "/") {
+		if len(segments) < maxTargetSegments && isLowercaseWord(segment) {
+			segments = append(segments, segment)
 		}
 	}
-	return "/" + strings.Join(words, "/")
+	return "/" + strings.Join(segments, "/")
 }
 
-func isLowercaseWord(word string) bool {
-	return word != "" && !strings.ContainsFunc(word, func(r rune) bool { return r < 'a' || r > 'z' })
+func isLowercaseWord(segment string) bool {
+	return segment != "" && !strings.ContainsFunc(segment, func(r rune) bool { return r < 'a' || r > 'z' })
 }
 
-// Report is the report of what was refused since the last one, once that is
-// tuning.CallErrorsLogEvery ago: calls that should never have been made, and those refused
-// because of load or outages. Both are empty where there was nothing, or it is too early.
+// Report returns the log lines about the calls refused since the last report, and starts a new
+// period: one line for calls that should never have been made, and one for calls refused because of
+// load or outages. A line is empty if there were no such calls. Both are empty if the last report is
+// less than tuning.CallErrorsLogEvery ago.
 func (c *Counter) Report(now time.Time) (unexpected, overload string) {
 	if c.lastReport.IsZero() {
 		c.lastReport = now
@@ -162,11 +164,11 @@
 			overloadKinds = append(overloadKinds, fmt.Sprintf("%v: %d", refusal, count))
 		}
 	}
-	if c.others > 0 {
-		overloadKinds = append(overloadKinds, fmt.Sprintf("of other kinds: %d", c.others))
+	if c.otherKinds > 0 {
+		overloadKinds = append(overloadKinds, fmt.Sprintf("of other kinds: %d", c.otherKinds))
 	}
 	slices.Sort(unexpectedKinds)
 	slices.Sort(overloadKinds)
-	c.counts, c.samples, c.others = nil, nil, 0
+	c.counts, c.samples, c.otherKinds = nil, nil, 0
 	return strings.Join(unexpectedKinds, "; "), strings.Join(overloadKinds, "; ")
 }
--- a/internal/compression/compression.go
+++ b/internal/compression/compression.go
@@ -1,5 +1,5 @@
-// Package compression makes the compressors (zstd) of what is stored: records of the state
-// service and snapshots of it. It has no IO and no clock.
+// Package compression creates the zstd compressors for stored data: records of the state service
+// and snapshots of it. It does no IO and reads no clock.
 package compression
 
 import (
@@ -8,21 +8,21 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// smallWindowBytes is the window of a compressor of small records, the whole of one.
+// smallWindowBytes is the window size for small records, large enough for a whole record.
 const smallWindowBytes = 64 << 10
 
-// SmallRecords are the options for records of some KiB: little memory, and a checksum
-// (XXH64). Callers must not change the slice.
+// SmallRecords are the options for records of a few KiB: low memory use, and a checksum (XXH64).
+// Callers must not modify the slice.
 var SmallRecords = []zstd.EOption{
 	zstd.WithWindowSize(smallWindowBytes),
 	zstd.WithLowerEncoderMem(true),
 	zstd.WithEncoderCRC(true),
 }
 
-// New returns a function that gives a compressor and its inverse, made at its first call.
-// Both are safe for concurrent use of EncodeAll and DecodeAll. maxDecodedBytes bounds what
-// anything may decode to. The options must be constant and valid: a fault in them is one of
-// the program, and panics.
+// New returns a function that returns an encoder and a decoder, which it creates at its first call.
+// Their methods EncodeAll and DecodeAll are safe for concurrent use. maxDecodedBytes is the limit on
+// the size of decoded data. The options must be constant and valid: invalid ones are a programming
+// error and cause a panic.
 func New(maxDecodedBytes uint64, options ...zstd.EOption) func() (*zstd.Encoder, *zstd.Decoder) {
 	return sync.OnceValues(func() (*zstd.Encoder, *zstd.Decoder) {
 		options := append([]zstd.EOption{zstd.WithEncoderConcurrency(1)}, options...)
--- a/internal/compression/compression_test.go
+++ b/internal/compression/compression_test.go
@@ -32,7 +32,7 @@
 func TestChecksumFindsChangedRecord(t *testing.T) {
 	encoder, decoder := New(1<<20, SmallRecords...)()
 	encoded := encoder.EncodeAll([]byte("a record of a few words, and no repetition"), nil)
-	encoded[len(encoded)-1] ^= 1 // of the checksum
+	encoded[len(encoded)-1] ^= 1 // a byte of the checksum
 	if _, err := decoder.DecodeAll(encoded, nil); err == nil {
 		t.Error("a record with a wrong checksum was decoded")
 	}
--- a/internal/http1/client.go
+++ b/internal/http1/client.go
@@ -8,25 +8,25 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Client sends requests to one address over a bounded set of kept
-// connections. It is safe for concurrent use.
+// Client sends requests to one address over a bounded pool of keep-alive connections. It is safe
+// for concurrent use.
 type Client struct {
 	Addr    string
-	MaxIdle int // connections kept; 0: each is closed after its response
-	MaxBody int // bytes of a response's body
+	MaxIdle int // number of idle connections kept open; 0 closes each after its response
+	MaxBody int // limit on a response's body, in bytes
 
 	mu   sync.Mutex
 	idle []idleConn
 }
 
-// idleConn is a kept connection.
+// idleConn is an open connection without a request in progress.
 type idleConn struct {
 	conn  net.Conn
 	since time.Time
 }
 
-// Do sends a request and returns the response. Any error means that the outcome
-// is unknown to the caller.
+// Do sends a request and returns the response. After an error it is unknown whether the server
+// processed the request.
 func (c *Client) Do(method, target string, body []byte, timeout time.Duration) (*Message, error) {
 	deadline := time.Now().Add(timeout)
 	conn, err := c.get(timeout)
@@ -48,8 +48,8 @@
 	return m, nil
 }
 
-// receive reads one response. The connection is reusable if the server keeps it open and
-// nothing follows the response.
+// receive reads one response. The connection is reusable if the server keeps it open and no bytes
+// follow the response.
 func (c *Client) receive(conn net.Conn) (m *Message, reusable bool, err error) {
 	buf := make([]byte, 0, 4096)
 	for {
@@ -72,7 +72,7 @@
 	}
 }
 
-// get returns a kept connection that is not too old, or a new one.
+// get returns an idle connection, or a new one if there is none.
 func (c *Client) get(timeout time.Duration) (net.Conn, error) {
 	if conn := c.takeIdle(); conn != nil {
 		return conn, nil
@@ -80,8 +80,8 @@
 	return net.DialTimeout("tcp4", c.Addr, min(timeout, tuning.DialTimeout))
 }
 
-// takeIdle returns the connection kept last, nil if there is none, and closes those that
-// have been idle for too long.
+// takeIdle removes and returns the most recently used idle connection, or nil if there is none. It
+// closes connections that have been idle for too long.
 func (c *Client) takeIdle() net.Conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/http1/connection.go
+++ b/internal/http1/connection.go
@@ -10,26 +10,26 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// clientConn is the state of one accepted connection. At most one request is in progress:
-// evio overwrites output that is still unsent when more is handed to it, so a second
-// response must never be produced before the first is sent. Bytes that arrive meanwhile
-// (pipelining, which the protocol rules out) end the connection after the response.
+// clientConn is the state of one accepted connection. At most one request is in progress at a time:
+// evio overwrites unsent output when it is given more, so a second response must never be produced
+// before the first is sent. If bytes arrive while a request is in progress (pipelining, which the
+// protocol forbids), the connection is closed after the response.
 type clientConn struct {
 	mu           sync.Mutex
-	in           []byte    // received, not yet a whole request or line
-	out          []byte    // response, not yet sent
+	in           []byte    // received bytes that are not yet a complete request or line
+	out          []byte    // response that has not been sent yet
 	busy         bool      // a request is in progress
-	pipelined    bool      // bytes came while a request was in progress
-	closing      bool      // close once out is sent
-	closed       bool      // evio has closed it
-	guest        bool      // has sent a guest's request
-	requestSince time.Time // when the first bytes in `in` came
-	lastActive   time.Time // when anything was received or sent
+	pipelined    bool      // bytes arrived while a request was in progress
+	closing      bool      // close the connection once out is sent
+	closed       bool      // evio has closed the connection
+	fromUser     bool      // has sent a user's request
+	requestSince time.Time // when the first bytes in `in` arrived
+	lastActive   time.Time // when bytes were last received or sent
 }
 
-// stale reports whether a connection is to be closed: it holds part of a request
-// for too long, or nothing has come for so long that the other side must be gone. A machine
-// that is taken away does not close its connections; kept, they would use up MaxConns.
+// stale reports whether a connection is to be closed because a request has been incomplete for too
+// long, or because the connection has been idle for so long that the client must be gone. A machine
+// that the cloud takes away does not close its connections; left open, they would use up MaxConns.
 func (cc *clientConn) stale(now time.Time) bool {
 	if cc.busy || cc.closing {
 		return false
@@ -40,8 +40,8 @@
 	return now.Sub(cc.lastActive) > tuning.IdleClient
 }
 
-// takeOutput returns the response that is ready and what happens to the connection
-// afterwards.
+// takeOutput returns the response that is ready to send, and whether evio has to close the
+// connection afterwards.
 func (cc *clientConn) takeOutput() ([]byte, evio.Action) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
@@ -53,8 +53,8 @@
 	return out, evio.None
 }
 
-// receive adds received bytes. It returns a request, which is then in progress, once it is
-// whole; an error ends the connection.
+// receive adds received bytes. Once they form a complete request, it returns the request, which is
+// then in progress. After an error the connection is closed.
 func (cc *clientConn) receive(in []byte) (*Message, error) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
@@ -82,9 +82,8 @@
 	return m, nil
 }
 
-// respond hands the response to request m to the connection. It wakes c while it holds
-// the lock: once closed has run, the descriptor that Wake writes to may be
-// another connection's.
+// respond queues the response to request m for sending. It wakes c while holding the lock: after
+// Server.closed has run, the file descriptor that Wake writes to may belong to another connection.
 func (cc *clientConn) respond(c evio.Conn, m *Message, r Reply) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
@@ -98,7 +97,7 @@
 	c.Wake()
 }
 
-// receiveLines adds received bytes and hands each line that is complete to handle.
+// receiveLines adds received bytes and calls handle with each complete line.
 func (cc *clientConn) receiveLines(in []byte, handle func(line []byte)) evio.Action {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
@@ -117,7 +116,7 @@
 		cc.in = rest
 	}
 	if len(cc.in) > tuning.MaxPeerLine {
-		handle(bytes.Clone(cc.in)) // to be counted as malformed
+		handle(bytes.Clone(cc.in)) // handle counts it as malformed
 		return evio.Close
 	}
 	return evio.None
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -1,5 +1,5 @@
-// Package http1 implements the project's HTTP/1.1: one parser for requests and
-// responses, a server built on evio, and a client built on net.
+// Package http1 implements the subset of HTTP/1.1 that the project uses: one parser for requests
+// and responses, a server built on evio, and a client built on net.
 package http1
 
 import (
@@ -7,20 +7,19 @@
 	"strconv"
 )
 
-// Message is a parsed request or response. For a request Method and Target
-// are set, for a response Status.
+// Message is a parsed request or response. Method and Target are set for a request, Status for a
+// response.
 type Message struct {
 	Method string
 	Target string
 	Status int
 	Body   []byte
-	Close  bool // the sender wants the connection closed afterwards
-	// RetryAfter is the number of seconds after which a response asks for a repetition,
-	// 0 if it doesn't.
+	Close  bool // the sender asks to close the connection after this message
+	// RetryAfter is the value of a response's Retry-After header in seconds, 0 if there is none.
 	RetryAfter int
 }
 
-// Errors of Parse. Each of them ends the connection.
+// Errors returned by Parse. After any of them the connection must be closed.
 var (
 	ErrMalformed = errors.New("malformed message")
 	ErrTooLarge  = errors.New("message too large")
@@ -34,21 +33,21 @@
 	out = append(out, target...)
 	out = append(out, " HTTP/1.1\r\nHost: "...)
 	out = append(out, host...)
-	return appendRest(out, body, closing, 0)
+	return appendHeadersAndBody(out, body, closing, 0)
 }
 
-// AppendResponse appends a response to out and returns the extended slice. retryAfter is
-// in seconds; 0 leaves the header out.
+// AppendResponse appends a response to out and returns the extended slice. closing announces that
+// the server closes the connection. retryAfter is in seconds; 0 omits the header.
 func AppendResponse(out []byte, status int, body []byte, closing bool, retryAfter int) []byte {
 	out = append(out, "HTTP/1.1 "...)
 	out = strconv.AppendInt(out, int64(status), 10)
 	out = append(out, ' ')
-	out = append(out, reason(status)...)
-	return appendRest(out, body, closing, retryAfter)
+	out = append(out, reasonPhrase(status)...)
+	return appendHeadersAndBody(out, body, closing, retryAfter)
 }
 
-// appendRest appends the headers that requests and responses share, and the body.
-func appendRest(out, body []byte, closing bool, retryAfter int) []byte {
+// appendHeadersAndBody appends the headers common to requests and responses, and the body.
+func appendHeadersAndBody(out, body []byte, closing bool, retryAfter int) []byte {
 	if len(body) > 0 {
 		out = append(out, "\r\nContent-Type: application/json"...)
 	}
@@ -65,7 +64,7 @@
 	return append(out, body...)
 }
 
-// The status codes that the project answers with.
+// Status codes of the project's responses.
 const (
 	statusOK                 = 200
 	statusCreated            = 201
@@ -79,9 +78,9 @@
 	statusServiceUnavailable = 503
 )
 
-// reason returns the reason phrase of a status code. net/http has both, too, but brings
-// its own client and server into the program.
-func reason(status int) string {
+// reasonPhrase returns the reason phrase of a status code. net/http has the codes and phrases too,
+// but importing it links its client and server into the program.
+func reasonPhrase(status int) string {
 	switch status {
 	case statusOK:
 		return "OK"
--- a/internal/http1/parse.go
+++ b/internal/http1/parse.go
@@ -7,7 +7,7 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Kind says which start line Parse expects.
+// Kind is a kind of message, which determines the start line that Parse expects.
 type Kind int
 
 // The two kinds of message.
@@ -16,9 +16,9 @@
 	Response
 )
 
-// Parse reads one message from the start of buf. It returns the message and
-// the number of bytes used, or a nil message when more bytes are needed.
-// maxBody bounds the body, in bytes.
+// Parse parses one message at the start of buf. It returns the message and the number of bytes it
+// takes up, or a nil message when more bytes are needed. maxBody is the limit on the body's size, in
+// bytes.
 func Parse(kind Kind, buf []byte, maxBody int) (*Message, int, error) {
 	end, err := headEnd(buf)
 	if err != nil || end < 0 {
@@ -53,8 +53,8 @@
 	return m, bodyStart + bodyFraming.length, nil
 }
 
-// headEnd returns the length of the head without the empty line that ends it, or -1 when
-// more bytes are needed.
+// headEnd returns the length of the start line and headers, without the empty line that ends them,
+// or -1 when more bytes are needed.
 func headEnd(buf []byte) (int, error) {
 	end := bytes.Index(buf, []byte("\r\n\r\n"))
 	if end > tuning.MaxHeadBytes || (end < 0 && len(buf) > tuning.MaxHeadBytes) {
@@ -63,8 +63,8 @@
 	if end >= 0 {
 		return end, nil
 	}
-	// A bare LF in the head is refused early, so that a peer speaking
-	// another protocol is not waited for.
+	// A bare LF in the head is rejected immediately, rather than waiting for more bytes from a client
+	// that speaks another protocol.
 	if i := bytes.IndexByte(buf, '\n'); i >= 0 && (i == 0 || buf[i-1] != '\r') {
 		return 0, ErrMalformed
 	}
@@ -74,7 +74,7 @@
 func parseRequestLine(line []byte, m *Message) error {
 	method, rest, hasTarget := bytes.Cut(line, []byte(" "))
 	target, version, hasVersion := bytes.Cut(rest, []byte(" "))
-	if !hasTarget || !hasVersion || len(method) == 0 || !token(method) || !validTarget(target) {
+	if !hasTarget || !hasVersion || len(method) == 0 || !isToken(method) || !validTarget(target) {
 		return ErrMalformed
 	}
 	switch string(version) {
@@ -117,22 +117,22 @@
 	return nil
 }
 
-// framing says where a body ends.
+// framing describes how the end of a message's body is determined.
 type framing struct {
 	length    int
 	hasLength bool
 	chunked   bool
 }
 
-// parseHeaders reads the headers that the project uses into m and the framing, and passes
-// over all others that are well-formed.
+// parseHeaders parses the headers that the project uses into m and the returned framing. It skips
+// all other well-formed headers.
 func parseHeaders(kind Kind, headers []byte, m *Message) (framing, error) {
 	var body framing
 	for len(headers) > 0 {
 		var line []byte
 		line, headers, _ = bytes.Cut(headers, []byte("\r\n"))
 		name, value, ok := bytes.Cut(line, []byte(":"))
-		if !ok || len(name) == 0 || !token(name) || bytes.ContainsAny(value, "\r\n\x00") {
+		if !ok || len(name) == 0 || !isToken(name) || bytes.ContainsAny(value, "\r\n\x00") {
 			return body, ErrMalformed
 		}
 		if err := parseHeader(kind, name, bytes.Trim(value, " \t"), m, &body); err != nil {
@@ -148,21 +148,21 @@
 func parseHeader(kind Kind, name, value []byte, m *Message, body *framing) error {
 	switch {
 	case equalFold(name, "content-length"):
-		length, err := contentLength(value)
+		length, err := parseDecimal(value)
 		if err != nil || (body.hasLength && length != body.length) {
 			return ErrMalformed
 		}
 		body.length = length
 		body.hasLength = true
 	case equalFold(name, "transfer-encoding"):
-		// Requests must carry their length; responses may be chunked.
+		// Requests must have a Content-Length; only responses may be chunked.
 		if kind == Request || !equalFold(value, "chunked") {
 			return ErrMalformed
 		}
 		body.chunked = true
 	case equalFold(name, "retry-after"):
-		// A date, which is allowed too, counts as none: the project's own servers send seconds.
-		if delay, err := contentLength(value); err == nil && kind == Response {
+		// A date, which HTTP also allows, is ignored: the project's own servers send seconds.
+		if delay, err := parseDecimal(value); err == nil && kind == Response {
 			m.RetryAfter = delay
 		}
 	case equalFold(name, "connection"):
@@ -173,7 +173,8 @@
 	return nil
 }
 
-// parseChunks reads a chunked body into m. used is the number of bytes before body.
+// parseChunks parses a chunked body into m. used is the number of bytes of the message before the
+// body. It returns the same values as Parse.
 func parseChunks(m *Message, body []byte, used, maxBody int) (*Message, int, error) {
 	m.Body = nil
 	for {
@@ -207,8 +208,8 @@
 	}
 }
 
-// contentLength parses a non-negative decimal number of at most nine digits.
-func contentLength(b []byte) (int, error) {
+// parseDecimal parses a non-negative decimal number of at most nine digits.
+func parseDecimal(b []byte) (int, error) {
 	if len(b) == 0 || len(b) > 9 {
 		return 0, ErrMalformed
 	}
@@ -222,8 +223,8 @@
 	return n, nil
 }
 
-// token reports whether b holds only characters that RFC 9110 allows in a token.
-func token(b []byte) bool {
+// isToken reports whether b consists only of characters that RFC 9110 allows in a token.
+func isToken(b []byte) bool {
 	for _, c := range b {
 		switch {
 		case c >= 'a' && c <= 'z', c >= 'A' && c <= 'Z', c >= '0' && c <= '9':
@@ -235,7 +236,7 @@
 	return true
 }
 
-// equalFold reports whether b is lower, in whatever case.
+// equalFold reports whether b equals lower, ignoring case.
 func equalFold(b []byte, lower string) bool {
 	return len(b) == len(lower) && bytes.EqualFold(b, []byte(lower))
 }
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -22,12 +22,12 @@
 	Close      bool // close the connection afterwards
 }
 
-// Unavailable returns a 503 that says why, and when to come back (tuning.RetryAfter).
+// Unavailable returns a 503 response that gives the reason and a Retry-After of tuning.RetryAfter.
 func Unavailable(why string) Reply {
 	return Reply{Status: statusServiceUnavailable, Body: ErrorBody(why), RetryAfter: tuning.RetryAfter}
 }
 
-// ErrorBody returns the body of a response that says what is wrong.
+// ErrorBody returns the body of an error response that gives the reason.
 func ErrorBody(why string) []byte {
 	b, err := json.Marshal(map[string]string{"error": why})
 	if err != nil {
@@ -36,38 +36,39 @@
 	return b
 }
 
-// Server listens for HTTP on one address and for JSON lines on another. Its exported
-// fields are set before Run, except Down, which may be read at any time.
+// Server serves HTTP on one address and receives JSON lines from peers on another. Its exported
+// fields are set before Run, except Restarts, which may be read at any time.
 type Server struct {
 	APIAddr  string // address of the HTTP listener
-	PeerAddr string // address of the listener for lines; may be empty
+	PeerAddr string // address of the listener for peers' lines; may be empty
 	MaxConns int
-	// IsUserRequest, if set, reports whether a request is a guest's: users come in any number,
-	// workers do not. While more of their connections are open than the limit that follows, each of
-	// them ends with its response, so that users who keep theirs open leave room for workers. Beyond
-	// tuning.CrowdedShare of MaxConns everybody's does.
+	// IsUserRequest, if set, reports whether a request comes from a user, as opposed to a worker. The
+	// number of users is unbounded, that of workers is not. While more than MaxUserConns connections
+	// of users are open, each of them is closed after its response, so that users who keep
+	// connections open leave room for workers. While more than tuning.CrowdedShare of MaxConns are
+	// open, every connection is closed after its response.
 	IsUserRequest func(m *Message) bool
 	MaxUserConns  int
-	// Handle is called on the listener's goroutine, so it must not block. It must
-	// call respond exactly once, now or later, from any goroutine.
+	// Handle is called on the listener's goroutine, so it must not block. It must call respond
+	// exactly once, immediately or later, from any goroutine.
 	Handle func(m *Message, respond func(Reply))
 	// HandlePeerLine is called on the listener's goroutine for every line that a peer sends.
 	HandlePeerLine func(line []byte)
-	// Listening, if set, is called whenever the listener has been set up.
+	// Listening, if set, is called each time the listener has been opened.
 	Listening func()
 
-	// Restarts counts how often the listener had to be set up again.
+	// Restarts counts how often the listener had to be reopened.
 	Restarts atomic.Int64
 
-	openConns  atomic.Int64
-	guestConns atomic.Int64 // connections that sent a guest's request
+	openConns atomic.Int64
+	userConns atomic.Int64 // open connections that have sent a user's request
 
 	mu    sync.Mutex
 	conns map[evio.Conn]*clientConn
 }
 
-// Run serves until stop is closed. evio's accept loop ends on errors such as
-// EMFILE and ECONNABORTED; Run then sets the listener up anew.
+// Run serves until stop is closed. evio's accept loop ends on errors such as EMFILE and
+// ECONNABORTED; Run then opens the listener again.
 func (s *Server) Run(stop <-chan struct{}) {
 	for {
 		err := s.serve(stop)
@@ -88,7 +89,7 @@
 	s.conns = map[evio.Conn]*clientConn{}
 	s.mu.Unlock()
 	s.openConns.Store(0)
-	s.guestConns.Store(0)
+	s.userConns.Store(0)
 	events := evio.Events{
 		NumLoops: 1,
 		Closed:   s.closed,
@@ -122,11 +123,11 @@
 	return err
 }
 
-// superviseConns does what evio's own tick would: it closes stale connections and, once
-// stop is closed, ends the listener by a connection that opened answers with a shutdown.
-// That tick must not be used: its goroutine outlives a listener that has ended and
-// then writes eight bytes to the number of a descriptor that it no longer has,
-// which may by then be a connection to the key-value store (docs/incidents/stray-bytes.md).
+// superviseConns closes stale connections periodically. Once stop is closed, it shuts down the
+// listener by connecting to it, which makes the Opened event return a shutdown. It replaces evio's own
+// tick, which must not be used: the tick's goroutine outlives the listener and then writes eight bytes
+// to a file descriptor that is already closed. The descriptor's number may have been reused, for
+// instance by a connection to the key-value store (docs/incidents/stray-bytes.md).
 func (s *Server) superviseConns(stop, ended <-chan struct{}) {
 	tick := time.NewTicker(tuning.ListenerTick)
 	defer tick.Stop()
@@ -147,7 +148,7 @@
 	}
 }
 
-// requestShutdown opens a connection, on which opened ends the listener.
+// requestShutdown connects to the listener, so that its Opened event shuts it down.
 func (s *Server) requestShutdown() {
 	if c, err := net.DialTimeout("tcp4", s.APIAddr, tuning.DialTimeout); err == nil {
 		_ = c.Close()
@@ -163,8 +164,8 @@
 	s.conns[c] = cc
 	s.mu.Unlock()
 	if int(open) > s.MaxConns {
-		// Beyond the limit a connection is closed at once: running out of
-		// descriptors would end evio's accept loop.
+		// Connections beyond the limit are closed at once: running out of file descriptors would
+		// end evio's accept loop.
 		return nil, opts, evio.Close
 	}
 	return nil, opts, evio.None
@@ -178,8 +179,8 @@
 	if cc, ok := c.Context().(*clientConn); ok {
 		cc.mu.Lock()
 		cc.closed = true
-		if cc.guest {
-			s.guestConns.Add(-1)
+		if cc.fromUser {
+			s.userConns.Add(-1)
 		}
 		cc.mu.Unlock()
 	}
@@ -221,26 +222,26 @@
 	if m == nil {
 		return nil, evio.None
 	}
-	crowded := s.crowded(cc, m)
+	closesAfter := s.closesAfter(cc, m)
 	s.Handle(m, func(r Reply) {
-		r.Close = r.Close || crowded
+		r.Close = r.Close || closesAfter
 		cc.respond(c, m, r)
 	})
 	return nil, evio.None
 }
 
-// crowded reports whether the connection ends with the response to m, to leave room for
-// others: where nearly all connections are open, everybody's does. A controller that stands
-// alone has more machines than it may have connections, and those that found none free would
-// lose their leases.
-func (s *Server) crowded(cc *clientConn, m *Message) bool {
+// closesAfter reports whether the connection is to be closed after the response to m, to leave room
+// for other clients: if it is a user's and too many users' connections are open, or if nearly all
+// allowed connections are open. A controller that runs alone serves more machines than it may have
+// connections; machines that could not connect would lose their leases.
+func (s *Server) closesAfter(cc *clientConn, m *Message) bool {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
-	if !cc.guest && s.IsUserRequest != nil && s.IsUserRequest(m) {
-		cc.guest = true
-		s.guestConns.Add(1)
+	if !cc.fromUser && s.IsUserRequest != nil && s.IsUserRequest(m) {
+		cc.fromUser = true
+		s.userConns.Add(1)
 	}
-	if cc.guest && int(s.guestConns.Load()) > s.MaxUserConns {
+	if cc.fromUser && int(s.userConns.Load()) > s.MaxUserConns {
 		return true
 	}
 	return float64(s.openConns.Load()) > float64(s.MaxConns)*tuning.CrowdedShare
