--- a/internal/api/answers.go
+++ b/internal/api/answers.go
@@ -110,6 +110,7 @@
 	nextAt      time.Time // when the mirror was at next
 }
 
+// advance records the epoch that the mirror has reached now.
 func (a *agedEpoch) advance(epoch uint64, now time.Time) {
 	if now.Sub(a.nextAt) >= tuning.AckYoung {
 		a.epoch, a.next, a.nextAt = a.next, epoch, now
--- a/internal/api/golden_test.go
+++ b/internal/api/golden_test.go
@@ -245,19 +245,19 @@
 	tr.exchange("faults", "POST", "/pipelines", faults)
 	tr.exchange("can never run", "POST", "/pipelines", goldenRunWith(`run-1`, `run-2`, `"cores":1`, `"cores":100`))
 	tr.exchange("no such team", "POST", "/pipelines", goldenRunWith(`run-1`, `run-2`, `"owner":"team"`, `"owner":"x"`))
-	var long []string
-	for i := range 150 { // of incompressible image names
+	var elements []string
+	for i := range 150 { // with incompressible image names
 		var image strings.Builder
 		for k := range 3 {
 			fmt.Fprintf(&image, "%x", sha256.Sum256([]byte{byte(i), byte(k)}))
 		}
-		long = append(long, fmt.Sprintf(`{"name":"s%d","cores":1,"memory_gb":1,"bundle":"%s"}`, i, image.String()))
+		elements = append(elements, fmt.Sprintf(`{"name":"s%d","cores":1,"memory_gb":1,"bundle":"%s"}`, i, image.String()))
 	}
 	tr.exchange(
 		"too long",
 		"POST",
 		"/pipelines",
-		`{"id":"run-2","pipeline":{"name":"p","owner":"team","steps":[`+strings.Join(long, ",")+`]}}`,
+		`{"id":"run-2","pipeline":{"name":"p","owner":"team","steps":[`+strings.Join(elements, ",")+`]}}`,
 	)
 	tr.txnResponse = `409 {"failed":["view"],"epoch":8}`
 	tr.exchange("another view", "POST", "/pipelines", goldenRunWith(`run-1`, `run-2`))
@@ -423,11 +423,11 @@
 		`{"base":4,"quotas":{"organisations":[{"name":7}]}}`)
 	tr.exchange("no JSON", "POST", "/quota", "nonsense")
 	tr.exchange("another method", "DELETE", "/quota", "")
-	var long []string
+	var elements []string
 	for i := range 200 {
-		long = append(long, fmt.Sprintf(`{"name":"organisation-with-a-long-name-%d","weight":2}`, i))
+		elements = append(elements, fmt.Sprintf(`{"name":"organisation-with-a-long-name-%d","weight":2}`, i))
 	}
-	tr.exchange("too long", "POST", "/quota", `{"base":4,"quotas":{"organisations":[`+strings.Join(long, ",")+`]}}`)
+	tr.exchange("too long", "POST", "/quota", `{"base":4,"quotas":{"organisations":[`+strings.Join(elements, ",")+`]}}`)
 	tr.fake.ready = false
 	tr.exchange("not able", "POST", "/quota", `{"base":4,"quotas":{}}`)
 }
--- a/internal/api/job_reads.go
+++ b/internal/api/job_reads.go
@@ -71,7 +71,7 @@
 	})
 }
 
-// readFinal reads a job's final record. accepted tells that the job has a live record that cannot be
+// readFinal reads a job's final record. accepted is true if the job has a live record that cannot be
 // decoded. The final record is written in the transaction that ends the job, so a job without one
 // has not ended and is reported as live: refusing its user forever would amount to losing the job.
 func (s *Server) readFinal(jobID string, accepted bool, done func(jobs.Final, error)) {
--- a/internal/api/queries.go
+++ b/internal/api/queries.go
@@ -88,6 +88,8 @@
 	s.addQuery(pendingQuery{answer: answer, respond: respond, arrivedAt: s.state.Now})
 }
 
+// addQuery adds a query to those that wait for the next epoch read, or refuses it if the mirror is
+// not available or too many queries are waiting.
 func (s *Server) addQuery(query pendingQuery) {
 	if s.client.Unavailable() || !s.watch.MirrorLive() {
 		query.respond(unavailable())
--- a/internal/api/quotas.go
+++ b/internal/api/quotas.go
@@ -15,7 +15,7 @@
 // quotas holds a controller's state of the quota tree.
 type quotas struct {
 	teams map[string]quota.Team // from the platform's settings, by name
-	// enabled tells that the operators have enabled quotas; decisions are then conditional on the
+	// enabled is true if the operators have enabled quotas. Decisions are then conditional on the
 	// revision of the quota tree.
 	enabled       bool
 	stored        *quota.Stored // the tree in force; nil until a tree that fits the teams has been read
--- a/internal/api/read_batcher.go
+++ b/internal/api/read_batcher.go
@@ -55,6 +55,7 @@
 	return first
 }
 
+// take removes and returns the request at index i.
 func (q *readQueue) take(i int) pendingRead {
 	read := q.waiting[i]
 	q.waiting = append(q.waiting[:i], q.waiting[i+1:]...)
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -43,7 +43,7 @@
 
 // View is the current membership view of the cluster, as this controller knows it.
 type View interface {
-	// MayDecide reports whether this controller may take decisions for users.
+	// MayDecide reports whether this controller may make decisions for users.
 	MayDecide() bool
 	// OutsideView reports whether this controller is not a member of the view.
 	OutsideView() bool
@@ -75,7 +75,7 @@
 	Commit(decisions []decide.Decision)
 }
 
-// LoopWaker makes the event loop look for decisions to take.
+// LoopWaker wakes the event loop, which then looks for decisions to make.
 type LoopWaker interface {
 	Wake()
 }
--- a/internal/callerrors/callerrors.go
+++ b/internal/callerrors/callerrors.go
@@ -53,7 +53,7 @@
 	party  Party
 	call   string // method and target, without IDs of single jobs, keys or machines
 	status int
-	// leaseEnded tells that the state service no longer knows the lease because it has expired,
+	// leaseEnded is true if the state service no longer knows the lease because it has expired,
 	// which does not indicate a fault.
 	leaseEnded bool
 }
--- a/internal/http1/server_test.go
+++ b/internal/http1/server_test.go
@@ -170,7 +170,7 @@
 // Users who keep many connections open must not use up the connections that workers need.
 func TestUserConnectionsLeaveRoomForWorkers(t *testing.T) {
 	s, _ := serve(t, 100, func(s *Server) {
-		s.IsUserRequest = func(m *Message) bool { return m.Target == "/user" }
+		s.IsUserRequest = func(m *Message) bool { return m.Target == "/guest" }
 		s.MaxUserConns = 2
 	})
 	closes := func(target string) bool {
@@ -182,7 +182,7 @@
 		}
 		return m.Close
 	}
-	for i, target := range []string{"/user", "/user", "/worker", "/user", "/worker"} {
+	for i, target := range []string{"/guest", "/guest", "/worker", "/guest", "/worker"} {
 		if got, want := closes(target), i == 3; got != want {
 			t.Errorf("request %d, %s: connection closed: %v", i, target, got)
 		}
