--- a/internal/api/status.go
+++ b/internal/api/status.go
@@ -5,7 +5,7 @@
 	"github.com/harrierreel/harrierreel/internal/jobs"
 )
 
-// status is the body of an answer about a job.
+// status is the body of a response about a job.
 type status struct {
 	JobID   string `json:"uid"`
 	Status  string `json:"status"`
@@ -14,37 +14,37 @@
 	Late    string `json:"late,omitempty"` // why its deadline cannot be met
 }
 
-// statusOf is the body of the answer about a job. Counts of tasks are for display: those of a
-// live job come from memory and may be behind.
-func (s *Server) statusOf(jobID string, final jobs.Final, counts bool) []byte {
-	answer := status{JobID: jobID, Status: string(final.State)}
-	done, running := final.DoneCount, 0
-	if final.State == jobs.Live {
+// statusOf returns the body of a response about a job. withCounts adds the counts of tasks, which
+// are for display only: those of a live job come from memory and may be out of date.
+func (s *Server) statusOf(jobID string, found jobs.Final, withCounts bool) []byte {
+	response := status{JobID: jobID, Status: string(found.State)}
+	done, running := found.DoneCount, 0
+	if found.State == jobs.Live {
 		if job := s.state.Jobs[jobID]; job != nil {
 			done, running = job.DoneCount, job.PlacedCount
-			if counts {
-				answer.Late = s.missedDeadline(job)
+			if withCounts {
+				response.Late = s.missedDeadline(job)
 			}
 		}
-		answer.Status = "pending"
+		response.Status = "pending"
 		if running > 0 {
-			answer.Status = "running"
+			response.Status = "running"
 		}
 	}
-	if counts {
-		answer.Done, answer.Running = &done, &running
+	if withCounts {
+		response.Done, response.Running = &done, &running
 	}
-	return jobs.Encode(answer)
+	return jobs.Encode(response)
 }
 
-// missedDeadline says why a job's deadline cannot be met any more; empty if it can, or if the
-// job has none.
+// missedDeadline returns the reason why a job's deadline can no longer be met. It returns "" if it
+// still can, or if the job has no deadline.
 func (s *Server) missedDeadline(job *clusterstate.Job) string {
 	if job.Record == nil || job.Record.Spec.DeadlineS == nil {
 		return ""
 	}
 	progress := jobs.Progress{Retrying: len(job.Retrying), Done: job.DoneCount}
-	if !job.TasksUnreadable { // otherwise tasks that no known record names may have begun
+	if !job.TasksUnreadable { // otherwise tasks without a readable record may have started
 		progress.NeverRun = job.Record.Spec.TaskCount - len(job.Tasks)
 	}
 	return job.Record.DeadlineMissed(progress, s.state.Now)
