--- a/internal/jobs/deadline.go
+++ b/internal/jobs/deadline.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Progress counts a job's tasks by how far they are.
+// Progress counts a job's tasks by their progress. Running tasks are in no count.
 type Progress struct {
-	NeverRun int // never began
-	Retrying int // began, and wait to begin again
+	NeverRun int // never started
+	Retrying int // started before, and wait to be started again
 	Done     int // completed
 }
 
-// DeadlineMissed tells the user why a live job's deadline cannot be met any more, judged by the
-// user's estimate of a task's run time; "" while it can be, and for a job without one. It
-// leaves out what a task needs besides (free capacity, an image), so that its answer is certain
-// as far as the estimate is right.
+// DeadlineMissed returns a message for the user that explains why a live job can no longer meet
+// its deadline, based on the user's estimate of a task's run time. It returns "" while the
+// deadline can be met, and for a job without one. Waiting for capacity and pulling the image are
+// not counted, so a deadline reported as missed cannot be met unless the estimate is too high.
 func (r *Record) DeadlineMissed(progress Progress, now time.Time) string {
 	spec := &r.Spec
 	if spec.DeadlineS == nil || spec.Kind == Service || r.State != Live || progress.Done >= spec.TaskCount {
@@ -26,8 +26,8 @@
 	if !now.Before(deadline) {
 		return fmt.Sprintf("its deadline passed %s ago with %d tasks left", formatSeconds(now.Sub(deadline)), remaining)
 	}
-	// A task that began did so after the job was accepted; one that made checkpoints may
-	// have any part of its run behind it.
+	// A task that has started did so after the job was accepted. A retrying task that writes
+	// checkpoints may already have completed any part of its run.
 	earliest := time.UnixMilli(r.AcceptedMs)
 	if progress.NeverRun > 0 || progress.Retrying > 0 && spec.CheckpointIntervalS == 0 {
 		earliest = now
@@ -44,5 +44,5 @@
 	)
 }
 
-// formatSeconds gives a duration in whole seconds.
+// formatSeconds formats a duration in whole seconds.
 func formatSeconds(d time.Duration) string { return fmt.Sprintf("%.0f s", d.Seconds()) }
--- a/internal/jobs/deadline_test.go
+++ b/internal/jobs/deadline_test.go
@@ -6,33 +6,33 @@
 )
 
 const (
-	latenessText   = "its deadline passed 20 s ago with 3 tasks left"
-	impossibleText = "its deadline in 40 s cannot be met: " +
+	passedMessage      = "its deadline passed 20 s ago with 3 tasks left"
+	unreachableMessage = "its deadline in 40 s cannot be met: " +
 		"by expect_s it is done in 50 s at the earliest, with 3 tasks left"
 )
 
 func seconds(s float64) *float64 { return &s }
 
-// arrayWithDeadline is a job array of four tasks of 50 s that is due in 100 s.
+// arrayWithDeadline returns a job array of four tasks of 50 s with a deadline of 100 s.
 func arrayWithDeadline() Spec {
 	return Spec{Kind: JobArray, TaskCount: 4, ExpectedDurationS: 50, DeadlineS: seconds(100)}
 }
 
-// gangWithDeadline is the same as a gang.
+// gangWithDeadline returns the same job as a gang.
 func gangWithDeadline() Spec {
 	spec := arrayWithDeadline()
 	spec.Kind = Gang
 	return spec
 }
 
-// arrayWithCheckpoints also saves its progress.
+// arrayWithCheckpoints returns the same job array with checkpoints.
 func arrayWithCheckpoints() Spec {
 	spec := arrayWithDeadline()
 	spec.CheckpointIntervalS = 10
 	return spec
 }
 
-// deadlineTests are jobs in all states, with what is said of their deadlines; "" for nothing.
+// deadlineTests are jobs in all states, with the message expected for their deadlines; "" for none.
 var deadlineTests = map[string]struct {
 	state    JobState
 	spec     Spec
@@ -46,7 +46,7 @@
 		progress: Progress{NeverRun: 3, Done: 1},
 		afterS:   1000,
 	},
-	"a service": {
+	"service": {
 		state:    Live,
 		spec:     Spec{Kind: Service, TaskCount: 4, DeadlineS: seconds(10)},
 		progress: Progress{NeverRun: 3, Done: 1},
@@ -58,7 +58,7 @@
 		progress: Progress{NeverRun: 3, Done: 1},
 		afterS:   120,
 	},
-	"its last task done": {
+	"all tasks done": {
 		state:    Live,
 		spec:     arrayWithDeadline(),
 		progress: Progress{Done: 4},
@@ -69,14 +69,14 @@
 		spec:     arrayWithDeadline(),
 		progress: Progress{Done: 1},
 		afterS:   120,
-		want:     latenessText,
+		want:     passedMessage,
 	},
-	"a task that never began": {
+	"a task never started": {
 		state:    Live,
 		spec:     arrayWithDeadline(),
 		progress: Progress{NeverRun: 1, Done: 1},
 		afterS:   60,
-		want:     impossibleText,
+		want:     unreachableMessage,
 	},
 	"just in time": {
 		state:    Live,
@@ -84,49 +84,49 @@
 		progress: Progress{NeverRun: 3, Done: 1},
 		afterS:   50,
 	},
-	"all run": {
+	"all are running": {
 		state:    Live,
 		spec:     gangWithDeadline(),
 		progress: Progress{Done: 1},
 		afterS:   60,
 	},
-	"one retries without checkpoints": {
+	"one task retries without checkpoints": {
 		state:    Live,
 		spec:     arrayWithDeadline(),
 		progress: Progress{Retrying: 1, Done: 1},
 		afterS:   60,
-		want:     impossibleText,
+		want:     unreachableMessage,
 	},
-	"one retries from a checkpoint": {
+	"one task retries from a checkpoint": {
 		state:    Live,
 		spec:     arrayWithCheckpoints(),
 		progress: Progress{Retrying: 1, Done: 1},
 		afterS:   60,
 	},
-	"one retries from a checkpoint, one never began": {
+	"one task retries from a checkpoint, one never started": {
 		state:    Live,
 		spec:     arrayWithCheckpoints(),
 		progress: Progress{Retrying: 1, NeverRun: 1, Done: 1},
 		afterS:   60,
-		want:     impossibleText,
+		want:     unreachableMessage,
 	},
-	"never possible": {
+	"estimate above the deadline from the start": {
 		state:  Live,
 		spec:   Spec{Kind: JobArray, TaskCount: 3, ExpectedDurationS: 60, DeadlineS: seconds(50)},
 		afterS: 10,
-		want:   impossibleText,
+		want:   unreachableMessage,
 	},
 }
 
-// A deadline is called missed only once the estimate rules it out, and never for what has
-// none, has ended or saves its progress.
+// A deadline is reported as missed only once the estimate rules it out, and never for a job that
+// has no deadline or has ended. Retries from a checkpoint do not rule it out.
 func TestDeadlineMissed(t *testing.T) {
 	for name, c := range deadlineTests {
 		t.Run(name, func(t *testing.T) {
 			r := Record{State: c.state, AcceptedMs: 1e12, Spec: c.spec}
 			got := r.DeadlineMissed(c.progress, time.UnixMilli(1e12).Add(Seconds(c.afterS)))
 			if got != c.want {
-				t.Errorf("%q, not %q", got, c.want)
+				t.Errorf("got %q, want %q", got, c.want)
 			}
 		})
 	}
--- a/internal/jobs/field_reader.go
+++ b/internal/jobs/field_reader.go
@@ -6,21 +6,21 @@
 	"strings"
 )
 
-// fieldReader copies a submission's fields into a specification. It keeps the first fault
-// of each field, in the order in which fields are read.
-type fieldReader struct{ faults []FieldError }
+// fieldReader validates the fields of a submission and copies them into a specification. It
+// keeps the first error of each field, in the order in which the fields are read.
+type fieldReader struct{ errors []FieldError }
 
-// fail notes a fault unless the field has one already.
+// fail records an error unless the field already has one.
 func (r *fieldReader) fail(field, reason string) {
-	if !slices.ContainsFunc(r.faults, func(f FieldError) bool { return f.Field == field }) {
-		r.faults = append(r.faults, FieldError{field, reason})
+	if !slices.ContainsFunc(r.errors, func(f FieldError) bool { return f.Field == field }) {
+		r.errors = append(r.errors, FieldError{field, reason})
 	}
 }
 
-// identity reads what the job is and whose.
+// identity reads the fields that identify and classify the job.
 func (r *fieldReader) identity(spec *Spec, fields *raw) {
 	spec.ID = r.text("uid", fields.ID)
-	if len(r.faults) == 0 && !ValidID(spec.ID) {
+	if len(r.errors) == 0 && !ValidID(spec.ID) {
 		r.fail("uid", "must look like wk-000412")
 	}
 	spec.Class = r.text("jobclass", fields.Class)
@@ -34,7 +34,7 @@
 	spec.TaskCount = int(taskCount)
 }
 
-// resources reads what a task needs.
+// resources reads the resources and the image that a task needs.
 func (r *fieldReader) resources(spec *Spec, fields *raw) {
 	spec.Cores = r.amount("cores", fields.Cores)
 	spec.Accelerators = r.amount("accelerators", fields.Accelerators)
@@ -43,7 +43,7 @@
 	spec.ImageGB = r.amount("pull_gb", fields.ImageGB)
 }
 
-// placement reads where tasks may run.
+// placement reads the constraints on where tasks may run.
 func (r *fieldReader) placement(spec *Spec, fields *raw) {
 	if fields.MachineTypes != nil {
 		spec.MachineTypes = r.machineTypes(*fields.MachineTypes)
@@ -71,7 +71,7 @@
 	return machineTypes
 }
 
-// timing reads durations and the deadline, in seconds.
+// timing reads the durations and the deadline, all in seconds.
 func (r *fieldReader) timing(spec *Spec, fields *raw) {
 	spec.ExpectedDurationS = r.amount("expect_s", fields.ExpectedDurationS)
 	spec.CheckpointIntervalS = r.amount("snapshot_s", fields.CheckpointIntervalS)
@@ -82,7 +82,7 @@
 	}
 }
 
-// text reads a name of 1 to maxName bytes.
+// text reads a string of 1 to maxName bytes.
 func (r *fieldReader) text(field string, value *string) string {
 	if value == nil {
 		r.fail(field, "is missing")
@@ -94,7 +94,7 @@
 	return *value
 }
 
-// oneOf reads one of several words.
+// oneOf reads a string that must be one of the allowed values.
 func (r *fieldReader) oneOf(field string, value *string, allowed ...string) string {
 	if value == nil {
 		r.fail(field, "is missing")
@@ -106,7 +106,7 @@
 	return *value
 }
 
-// flag reads a truth value.
+// flag reads a boolean.
 func (r *fieldReader) flag(field string, value *bool) bool {
 	if value == nil {
 		r.fail(field, "is missing")
--- a/internal/jobs/final_cache.go
+++ b/internal/jobs/final_cache.go
@@ -1,25 +1,25 @@
 package jobs
 
-// FinalCache keeps final states of jobs, which never change, up to a limit. Those entered
-// first are evicted first; they can be read from the store again.
+// FinalCache caches the final states of jobs, which never change. When it is full, the oldest
+// entry is evicted; evicted states can be read from the store again.
 type FinalCache struct {
 	limit  int
 	states map[string]Final
 	order  []string
 }
 
-// NewFinalCache returns an empty cache for up to limit jobs.
+// NewFinalCache returns an empty cache that holds up to limit jobs.
 func NewFinalCache(limit int) *FinalCache {
 	return &FinalCache{limit: limit, states: map[string]Final{}}
 }
 
-// Get returns a job's final state if the cache has it.
+// Get returns a job's final state, and whether the cache holds it.
 func (c *FinalCache) Get(jobID string) (Final, bool) {
 	final, ok := c.states[jobID]
 	return final, ok
 }
 
-// Put enters a job's state if it is final and not known yet.
+// Put adds a job's state. It ignores states that are not final and jobs already in the cache.
 func (c *FinalCache) Put(jobID string, final Final) {
 	if _, ok := c.states[jobID]; ok || (final.State != Done && final.State != Cancelled) {
 		return
--- a/internal/jobs/final_cache_test.go
+++ b/internal/jobs/final_cache_test.go
@@ -12,10 +12,10 @@
 		t.Errorf("wk-2: %v %v", f, ok)
 	}
 	if _, ok := c.Get("wk-1"); ok {
-		t.Error("a live state is kept")
+		t.Error("a live state is cached")
 	}
 	c.Put("wk-4", Final{State: Done})
 	if _, ok := c.Get("wk-2"); ok || len(c.order) != 2 {
-		t.Errorf("kept %v", c.order)
+		t.Errorf("cached jobs: %v, want two without wk-2", c.order)
 	}
 }
--- a/internal/jobs/golden_record_test.go
+++ b/internal/jobs/golden_record_test.go
@@ -33,12 +33,12 @@
 	minimal := Record{State: Live, Spec: Spec{ID: goldenJobID, Priority: "prod", TaskCount: 1}}
 	for name, r := range map[string]Record{"job.json": full, "job-least.json": minimal} {
 		goldentest.JSON(t, name, r)
-		back, err := DecodeRecord(goldenJobID, goldentest.Read(t, name))
-		if err != nil || !reflect.DeepEqual(*back, r) {
-			t.Errorf("%s: read %+v, %v", name, back, err)
+		decoded, err := DecodeRecord(goldenJobID, goldentest.Read(t, name))
+		if err != nil || !reflect.DeepEqual(*decoded, r) {
+			t.Errorf("%s: read %+v, %v", name, decoded, err)
 			continue
 		}
-		goldentest.Bytes(t, name, Encode(back))
+		goldentest.Bytes(t, name, Encode(decoded))
 	}
 }
 
@@ -68,25 +68,25 @@
 		want  []Task
 	}{{"slice.json", 1 << 20, tasks}, {"slice-lean.json", 1, lean}} {
 		goldentest.Bytes(t, c.name, EncodeTaskRange(tasks, c.limit))
-		back, err := DecodeTaskRange(goldentest.Read(t, c.name))
-		if err != nil || !reflect.DeepEqual(back, c.want) {
-			t.Errorf("%s: read %+v, %v", c.name, back, err)
+		decoded, err := DecodeTaskRange(goldentest.Read(t, c.name))
+		if err != nil || !reflect.DeepEqual(decoded, c.want) {
+			t.Errorf("%s: read %+v, %v", c.name, decoded, err)
 			continue
 		}
-		goldentest.Bytes(t, c.name, EncodeTaskRange(back, 1<<20))
+		goldentest.Bytes(t, c.name, EncodeTaskRange(decoded, 1<<20))
 	}
 }
 
-// TestGoldenTaskFirstVersion is the first form of a task's record, which is still read.
+// TestGoldenTaskFirstVersion checks that the first version of a task's record can still be read.
 func TestGoldenTaskFirstVersion(t *testing.T) {
 	for name, task := range map[string]Task{"task-first.json": goldenTask(), "task-first-least.json": {State: Pending}} {
 		goldentest.JSON(t, name, task)
-		back, err := DecodeTaskRange(goldentest.Read(t, name))
-		if err != nil || !reflect.DeepEqual(back, []Task{task}) {
-			t.Errorf("%s: read %+v, %v", name, back, err)
+		decoded, err := DecodeTaskRange(goldentest.Read(t, name))
+		if err != nil || !reflect.DeepEqual(decoded, []Task{task}) {
+			t.Errorf("%s: read %+v, %v", name, decoded, err)
 			continue
 		}
-		goldentest.Bytes(t, name, Encode(back[0]))
+		goldentest.Bytes(t, name, Encode(decoded[0]))
 	}
 }
 
--- a/internal/jobs/golden_spec_test.go
+++ b/internal/jobs/golden_spec_test.go
@@ -10,7 +10,7 @@
 	"github.com/harrierreel/harrierreel/internal/goldentest"
 )
 
-// goldenSpec sets every field of a specification.
+// goldenSpec returns a specification with every field set.
 func goldenSpec() Spec {
 	due := 900.25
 	return Spec{
@@ -37,14 +37,14 @@
 	}
 }
 
-// leanSpec leaves out what a record leaves out.
-func leanSpec() Spec {
+// minimalSpec returns a specification without any field that a record may omit.
+func minimalSpec() Spec {
 	return Spec{ID: "wk-000413", Class: "c", Team: "t", Kind: JobArray, Priority: "idle", TaskCount: 1, Image: "b"}
 }
 
-// Submissions keep their form: what is sent, what is read of it and what is said of faults.
+// The encoding of submissions does not change, and decoding one returns the same specification.
 func TestGoldenSubmissions(t *testing.T) {
-	full, lean := goldenSpec(), leanSpec()
+	full, lean := goldenSpec(), minimalSpec()
 	goldentest.Filled(t, full)
 	for name, want := range map[string]*Spec{"spec-full.json": &full, "spec-lean.json": &lean} {
 		goldentest.JSON(t, name, *want)
@@ -58,12 +58,12 @@
 	}
 }
 
-func TestGoldenSubmissionFaults(t *testing.T) {
+func TestGoldenSubmissionErrors(t *testing.T) {
 	var out strings.Builder
-	note := func(body []byte) {
-		_, faults := CheckSpec(body)
+	record := func(body []byte) {
+		_, fieldErrors := CheckSpec(body)
 		fmt.Fprintf(&out, "%s\n", body)
-		for _, f := range faults {
+		for _, f := range fieldErrors {
 			fmt.Fprintf(&out, "  %s\n", f.Error())
 		}
 		if _, err := ParseSpec(body); err != nil {
@@ -78,9 +78,9 @@
 			`"expect_s":-1,"snapshot_s":-1,"stash_s":-1,"due_s":-1}`,
 		`{"builds":[` + strings.Repeat(`"b",`, maxMachineTypes) + `""]}`,
 	} {
-		note([]byte(body))
+		record([]byte(body))
 	}
-	// Each field with a value of a wrong kind: the answer names it.
+	// Each field with a value of the wrong type: the error names the field.
 	for _, name := range []string{
 		"uid",
 		"jobclass",
@@ -103,12 +103,12 @@
 		"stash_s",
 		"due_s",
 	} {
-		note(Encode(map[string]any{name: map[string]any{}}))
+		record(Encode(map[string]any{name: map[string]any{}}))
 	}
 	goldentest.Bytes(t, "submission-faults.txt", []byte(out.String()))
 }
 
-// The cloud's machine types keep their form.
+// The encoding of the cloud's machine types does not change.
 func TestGoldenMachineTypesRoundTrip(t *testing.T) {
 	full := MachineType{
 		Name:         "g4",
--- a/internal/jobs/ids.go
+++ b/internal/jobs/ids.go
@@ -5,15 +5,15 @@
 	"strings"
 )
 
-// Key prefixes in the state service. Live records and final ones are kept apart, so that a
-// controller that starts reads only what is live.
+// Key prefixes in the state service. Final records have a prefix of their own, so that a
+// controller reads only records of live jobs when it starts.
 const (
-	JobPrefix   = "job/"   // followed by the job's id: its Record
-	TaskPrefix  = "task/"  // TaskRangeKey: a task range
-	FinalPrefix = "final/" // followed by the job's id: its Final
+	JobPrefix   = "job/"   // JobPrefix + job ID: Record
+	TaskPrefix  = "task/"  // see TaskRangeKey: a task range
+	FinalPrefix = "final/" // FinalPrefix + job ID: Final
 )
 
-// ValidID tells whether an id has the form of job ids: wk- and 1 to 19 digits.
+// ValidID reports whether jobID has the form of a job ID: wk- and 1 to 19 digits.
 func ValidID(jobID string) bool {
 	digits, ok := strings.CutPrefix(jobID, "wk-")
 	if !ok || len(digits) == 0 || len(digits) > 19 {
@@ -27,10 +27,10 @@
 	return true
 }
 
-// TaskID is the id of a task: its job's id and its index.
+// TaskID returns the ID of a task: the job's ID and the task's index.
 func TaskID(jobID string, index int) string { return jobID + "/" + strconv.Itoa(index) }
 
-// SplitTaskID is the inverse of TaskID; false for what TaskID never returns.
+// SplitTaskID is the inverse of TaskID. ok is false if taskID is not a task's ID.
 func SplitTaskID(taskID string) (jobID string, index int, ok bool) {
 	jobID, digits, found := strings.Cut(taskID, "/")
 	if !found || !ValidID(jobID) || len(digits) > 6 {
@@ -43,5 +43,5 @@
 	return jobID, index, true
 }
 
-// TaskRangeKey is the key of the task range that begins with firstTask.
+// TaskRangeKey returns the key of the task range that begins with task firstTask.
 func TaskRangeKey(jobID string, firstTask int) string { return TaskPrefix + TaskID(jobID, firstTask) }
--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// JobState is the state of a job, as stored.
+// JobState is the state of a job. Its values are stored.
 type JobState string
 
 // States of a job. Cancelled and Done are final: they never change, and are also written
@@ -16,7 +16,7 @@
 	Done      JobState = "done"
 )
 
-// JobEvent is what can happen to a job. Events are not stored.
+// JobEvent is an event that may change the state of a job. Events are not stored.
 type JobEvent string
 
 // Events of a job.
@@ -25,8 +25,8 @@
 	TasksAllDone JobEvent = "tasks all done"
 )
 
-// NextJob is the one place where a job changes state. It returns the state unchanged and
-// false if the event is not possible in it.
+// NextJob returns the state that follows an event. It returns the state unchanged and false
+// if the event is not allowed in that state. All changes of a job's state go through it.
 func NextJob(state JobState, event JobEvent) (JobState, bool) {
 	if state != Live {
 		return state, false
@@ -40,33 +40,34 @@
 	return state, false
 }
 
-// Record is a job as stored.
+// Record is the stored record of a job.
 type Record struct {
 	State      JobState `json:"s"`
-	AcceptedMs int64    `json:"at"`            // acceptance, Unix time in ms
+	AcceptedMs int64    `json:"at"`            // when it was accepted, Unix time in ms
 	EndMs      int64    `json:"end,omitempty"` // when it was cancelled or done, Unix time in ms
-	DoneCount  int      `json:"n,omitempty"`   // tasks done by then
+	DoneCount  int      `json:"n,omitempty"`   // tasks that were done at EndMs
 	Spec       Spec     `json:"spec"`
 }
 
-// CompletionBytes is how many bytes a job's end adds to its record at most: the longer state,
-// the time and the count of tasks. Whoever accepts a job leaves so much room in its record.
+// CompletionBytes is the maximum number of bytes by which a job's record grows when the job
+// ends: the longer state, the time and the task count. A job is only accepted if its record
+// leaves that much space.
 const CompletionBytes = len("cancelled") + len(`,"end":9223372036854775807,"n":100000`)
 
-// Final is what is kept of a job for ever, under FinalPrefix.
+// Final is the summary of an ended job that is kept permanently under FinalPrefix.
 type Final struct {
 	State     JobState `json:"s"`
 	DoneCount int      `json:"n,omitempty"` // tasks done
 }
 
-// DecodeRecord reads the record of job jobID and checks it.
+// DecodeRecord decodes and validates the record of job jobID.
 func DecodeRecord(jobID string, body []byte) (*Record, error) {
 	var r Record
 	if err := json.Unmarshal(body, &r); err != nil {
 		return nil, err
 	}
 	if r.Spec.ID != jobID || r.Spec.TaskCount < 1 || r.Spec.TaskCount > MaxTasks || r.Spec.PriorityOrder() < 0 {
-		return nil, fmt.Errorf("record of %s does not hold its job", jobID)
+		return nil, fmt.Errorf("record of %s holds an invalid specification or one of another job", jobID)
 	}
 	switch r.State {
 	case Live, Cancelled, Done:
@@ -75,8 +76,8 @@
 	return nil, fmt.Errorf("record of %s has unknown state %q", jobID, r.State)
 }
 
-// Encode writes a record. The records of this package can always be encoded; null stands
-// for a value that can't.
+// Encode returns the JSON encoding of a record, or null for a value that cannot be encoded.
+// The records of this package always can.
 func Encode(v any) json.RawMessage {
 	body, err := json.Marshal(v)
 	if err != nil {
--- a/internal/jobs/job_test.go
+++ b/internal/jobs/job_test.go
@@ -18,10 +18,10 @@
 	f.Add([]byte(validSubmission))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if r, err := DecodeRecord("wk-1", b); err == nil && r.Spec.ID != "wk-1" {
-			t.Error("another job's record")
+			t.Error("accepted the record of another job")
 		}
 		if x, err := DecodeTask(b); err == nil && x.OnMachine() && x.Machine == "" {
-			t.Error("on no machine")
+			t.Error("accepted a placed task without a machine")
 		}
 		_, _ = ParseSpec(b)
 	})
--- a/internal/jobs/machine_type.go
+++ b/internal/jobs/machine_type.go
@@ -7,27 +7,27 @@
 	"github.com/harrierreel/harrierreel/internal/sharding"
 )
 
-// MachineType is a machine type of the cloud's catalogue, as the cloud sends it.
+// MachineType is an entry of the cloud's catalogue of machine types, as the cloud sends it.
 type MachineType struct {
 	Name         string   `json:"name"`
 	Cores        float64  `json:"cores"`
 	Accelerators float64  `json:"accelerators"`
 	MemoryGB     float64  `json:"memory_gb"`
-	CacheGB      float64  `json:"cache_gb"`      // for images
-	ImageGBPerS  float64  `json:"pull_gb_per_s"` // at which images are pulled
-	Hourly       float64  `json:"hourly"`        // price of an hour
-	SpotHourly   float64  `json:"low_price"`     // price of an hour as a spot instance
-	BootS        float64  `json:"ready_s"`       // seconds from launch to ready
-	Zones        []string `json:"sites"`         // that offer it
+	CacheGB      float64  `json:"cache_gb"`      // size of the image cache
+	ImageGBPerS  float64  `json:"pull_gb_per_s"` // rate at which images are pulled
+	Hourly       float64  `json:"hourly"`        // price per hour
+	SpotHourly   float64  `json:"low_price"`     // price per hour of a spot instance
+	BootS        float64  `json:"ready_s"`       // seconds from launch until it is ready
+	Zones        []string `json:"sites"`         // in which it is available
 }
 
-// Capacity is all that a machine of this type has.
+// Capacity returns the total resources of a machine of this type.
 func (m *MachineType) Capacity() sharding.Resources {
 	return sharding.Resources{Cores: m.Cores, Accelerators: m.Accelerators, MemoryGB: m.MemoryGB}
 }
 
-// CanEverRun explains to the user why a job can never run, or returns "". A job array needs
-// room for one task at a time, gangs and services for all of theirs at once.
+// CanEverRun returns a message for the user that explains why a job can never run, or "" if it
+// can. A job array needs quota for one task at a time, gangs and services for all tasks at once.
 func CanEverRun(spec *Spec, tree *quota.Tree, machineTypes map[string]*MachineType) string {
 	if !tree.HasTeam(spec.Team) {
 		return "unknown team"
@@ -45,7 +45,8 @@
 	return ""
 }
 
-// fitsSomeMachineType tells whether a task fits an allowed machine type that its zone offers.
+// fitsSomeMachineType reports whether a task fits an allowed machine type that is available in
+// the job's zone.
 func fitsSomeMachineType(spec *Spec, machineTypes map[string]*MachineType) bool {
 	for _, m := range machineTypes {
 		inZone := spec.Zone == "" || slices.Contains(m.Zones, spec.Zone)
--- a/internal/jobs/machine_type_test.go
+++ b/internal/jobs/machine_type_test.go
@@ -16,18 +16,18 @@
 		change func(*Spec)
 		ok     bool
 	}{
-		"array counts one task":   {func(*Spec) {}, true},
-		"gang counts all":         {func(s *Spec) { s.Kind = Gang }, false},
-		"service counts all":      {func(s *Spec) { s.Kind, s.TaskCount = Service, 4 }, true},
-		"unknown team":            {func(s *Spec) { s.Team = "x" }, false},
-		"unknown type":            {func(s *Spec) { s.MachineTypes = []string{"g9"} }, false},
-		"type not in that zone":   {func(s *Spec) { s.Zone = "b" }, false},
-		"too big for any machine": {func(s *Spec) { s.Accelerators = 5 }, false},
+		"array needs quota for one task":    {func(*Spec) {}, true},
+		"gang needs quota for all tasks":    {func(s *Spec) { s.Kind = Gang }, false},
+		"service needs quota for all tasks": {func(s *Spec) { s.Kind, s.TaskCount = Service, 4 }, true},
+		"unknown team":                      {func(s *Spec) { s.Team = "x" }, false},
+		"unknown machine type":              {func(s *Spec) { s.MachineTypes = []string{"g9"} }, false},
+		"machine type not in the zone":      {func(s *Spec) { s.Zone = "b" }, false},
+		"too large for any machine":         {func(s *Spec) { s.Accelerators = 5 }, false},
 	} {
 		s := base
 		c.change(&s)
-		if why := CanEverRun(&s, tree, machineTypes); (why == "") != c.ok {
-			t.Errorf("%s: %q", name, why)
+		if reason := CanEverRun(&s, tree, machineTypes); (reason == "") != c.ok {
+			t.Errorf("%s: %q", name, reason)
 		}
 	}
 }
--- a/internal/jobs/submission.go
+++ b/internal/jobs/submission.go
@@ -5,8 +5,8 @@
 	"encoding/json"
 )
 
-// raw is a submission as received: a nil field was absent or null, which differs from
-// zero. Its name is part of the answers that name a field of a wrong type.
+// raw is a decoded submission. A nil field was missing or null, which differs from zero. The
+// name of this type is part of the error message for a field of the wrong type.
 type raw struct {
 	ID                  *string   `json:"uid"`
 	Class               *string   `json:"jobclass"`
@@ -30,24 +30,24 @@
 	DeadlineS           *float64  `json:"due_s"`
 }
 
-// ParseSpec reads a submission. The error is a FieldError, the first one if there are
-// several.
+// ParseSpec decodes and validates a submission. The error is a FieldError, the first one if
+// there are several.
 func ParseSpec(body []byte) (*Spec, error) {
-	s, faults := CheckSpec(body)
-	if len(faults) > 0 {
-		return nil, faults[0]
+	s, fieldErrors := CheckSpec(body)
+	if len(fieldErrors) > 0 {
+		return nil, fieldErrors[0]
 	}
 	return s, nil
 }
 
-// FieldError is what is wrong with one field of a submission. Field is the protocol's name.
+// FieldError is an invalid field of a submission. Field is the field's name in the protocol.
 type FieldError struct{ Field, Reason string }
 
-// Error is the text that users are answered with.
+// Error returns the message that is sent to the user.
 func (e FieldError) Error() string { return e.Field + ": " + e.Reason }
 
-// defaultFields are the values of the fields that a job in a pipeline or calendar file may
-// leave out.
+// defaultFields holds the default values of the fields that a job in a pipeline or calendar
+// file may omit.
 var defaultFields = map[string]any{
 	"accelerators": 0,
 	"pull_gb":      0,
@@ -59,7 +59,7 @@
 	"loaner":       false,
 }
 
-// FillDefaults sets the usual values where a file leaves fields of a job out.
+// FillDefaults sets the fields of a job that a file omits to their default values.
 func FillDefaults(fields map[string]any) {
 	for f, v := range defaultFields {
 		if fields[f] == nil {
@@ -68,20 +68,20 @@
 	}
 }
 
-// Submission is the request that submits the job. A record leaves out what is zero; a
-// request may not.
+// Submission returns the body of the request that submits the job. Unlike a record, a request
+// has to include fields that are zero.
 func (s *Spec) Submission() []byte {
 	fields := map[string]any{}
 	if err := json.Unmarshal(Encode(s), &fields); err != nil {
-		panic(err) // our own encoding
+		panic(err) // cannot happen: Encode has produced the JSON
 	}
 	FillDefaults(fields)
 	return Encode(fields)
 }
 
-// CheckSpec reads a submission and names every fault, in the order of the protocol's
-// fields; the specification is nil if there is any. Only fields that may be null may be
-// missing: a job that lacks another was not meant as it would run
+// CheckSpec decodes and validates a submission. It returns all errors, in the order of the
+// protocol's fields; the specification is nil if there are any. Only fields that may be null
+// may be missing: a job without one of the others would not run as its user intended
 // (docs/incidents/lacking-fields.md).
 func CheckSpec(body []byte) (*Spec, []FieldError) {
 	trimmed := bytes.TrimLeft(body, " \t\r\n")
@@ -98,8 +98,8 @@
 	reader.resources(spec, &fields)
 	reader.placement(spec, &fields)
 	reader.timing(spec, &fields)
-	if len(reader.faults) > 0 {
-		return nil, reader.faults
+	if len(reader.errors) > 0 {
+		return nil, reader.errors
 	}
 	return spec, nil
 }
--- a/internal/jobs/submission_test.go
+++ b/internal/jobs/submission_test.go
@@ -20,17 +20,17 @@
 		t.Fatalf("%+v %v", s, err)
 	}
 	for name, c := range map[string]struct{ field, old, new string }{
-		"id of another form":         {"uid", `"wk-000412"`, `"job-1"`},
-		"no tasks":                   {"pieces", `"pieces":16`, `"pieces":0`},
-		"a fraction of a task":       {"pieces", `"pieces":16`, `"pieces":1.5`},
-		"too many tasks":             {"pieces", `"pieces":16`, `"pieces":100001`},
-		"unknown kind":               {"shape", `"ensemble"`, `"heap"`},
-		"unknown priority":           {"rank", `"urgent"`, `"highest"`},
-		"negative cores":             {"cores", `8.0`, `-1`},
-		"memory missing":             {"memory_gb", `"memory_gb":64.0,`, ``},
-		"empty team":                 {"owner", `"vision"`, `""`},
-		"image missing":              {"bundle", `"bundle":"img-07",`, ``},
-		"no machine type is allowed": {"builds", `["g8"]`, `[]`},
+		"malformed job ID":            {"uid", `"wk-000412"`, `"job-1"`},
+		"no tasks":                    {"pieces", `"pieces":16`, `"pieces":0`},
+		"fractional task count":       {"pieces", `"pieces":16`, `"pieces":1.5`},
+		"too many tasks":              {"pieces", `"pieces":16`, `"pieces":100001`},
+		"unknown kind":                {"shape", `"ensemble"`, `"heap"`},
+		"unknown priority":            {"rank", `"urgent"`, `"highest"`},
+		"negative cores":              {"cores", `8.0`, `-1`},
+		"memory missing":              {"memory_gb", `"memory_gb":64.0,`, ``},
+		"empty team":                  {"owner", `"vision"`, `""`},
+		"image missing":               {"bundle", `"bundle":"img-07",`, ``},
+		"empty list of machine types": {"builds", `["g8"]`, `[]`},
 	} {
 		body := strings.Replace(validSubmission, c.old, c.new, 1)
 		if _, err := ParseSpec([]byte(body)); err == nil || !strings.HasPrefix(err.Error(), c.field+":") {
@@ -39,13 +39,13 @@
 	}
 	for _, body := range []string{"", "null", "[]", `"x"`, "{", `{"uid":5}`} {
 		if _, err := ParseSpec([]byte(body)); err == nil {
-			t.Errorf("%q was taken", body)
+			t.Errorf("%q was accepted", body)
 		}
 	}
 }
 
-// A field that may not be null may not be missing, whatever its value would mean; a record
-// leaves out what is zero, a submission made of it doesn't.
+// A field that may not be null may not be missing either, even if zero would be a valid value.
+// A record omits fields that are zero; a submission made from it includes them.
 func TestMissingFieldsAreNamed(t *testing.T) {
 	fields := map[string]any{}
 	if err := json.Unmarshal([]byte(validSubmission), &fields); err != nil {
--- a/internal/jobs/task.go
+++ b/internal/jobs/task.go
@@ -7,33 +7,33 @@
 	"slices"
 )
 
-// TaskState is the state of a task, as stored.
+// TaskState is the state of a task. Its values are stored.
 type TaskState string
 
-// States of a task. A task in no task range is pending and has never run.
+// States of a task. A task without a stored task range is pending and has never run.
 const (
-	Pending  TaskState = "pending"  // waits; attempts up to Attempt are used up
-	Assigned TaskState = "released" // charged to its team and given to a controller to place
+	Pending  TaskState = "pending"  // waits to be placed; attempt numbers up to Attempt are used
+	Assigned TaskState = "released" // charged to its team and assigned to a controller for placement
 	Placed   TaskState = "placed"   // committed to a machine and attempt
-	Stopping TaskState = "stopping" // placed, and to be stopped
+	Stopping TaskState = "stopping" // placed on a machine, about to be stopped
 	Finished TaskState = "done"     // completed
 )
 
-// Task is a task as stored.
+// Task is the stored record of a task.
 type Task struct {
 	State            TaskState `json:"s"`
-	Controller       string    `json:"part,omitempty"`  // that is to place it
+	Controller       string    `json:"part,omitempty"`  // that places it
 	Zone             string    `json:"site,omitempty"`  // chosen by the leader
-	PreferredMachine string    `json:"want,omitempty"`  // where the leader expects free capacity
+	PreferredMachine string    `json:"want,omitempty"`  // on which the leader expects free capacity
 	Machine          string    `json:"host,omitempty"`  // that it is placed on
-	Attempt          uint64    `json:"try,omitempty"`   // highest attempt used
-	Failures         int       `json:"fails,omitempty"` // attempts that failed
-	FailedOn         []string  `json:"bad,omitempty"`   // machines that it failed on, oldest first
-	NotBeforeMs      int64     `json:"after,omitempty"` // Unix time in ms before which it isn't placed
+	Attempt          uint64    `json:"try,omitempty"`   // highest attempt number used
+	Failures         int       `json:"fails,omitempty"` // number of failed attempts
+	FailedOn         []string  `json:"bad,omitempty"`   // machines on which it failed, oldest first
+	NotBeforeMs      int64     `json:"after,omitempty"` // earliest next placement, Unix time in ms
 	Reason           string    `json:"why,omitempty"`   // why it is being stopped
 }
 
-// DecodeTask reads a task record and checks it.
+// DecodeTask decodes and validates a task record.
 func DecodeTask(body []byte) (*Task, error) {
 	var t Task
 	if err := json.Unmarshal(body, &t); err != nil {
@@ -45,21 +45,21 @@
 	return &t, nil
 }
 
-// Check tells what is wrong with a task's record.
+// Check returns an error if the record is invalid.
 func (t *Task) Check() error {
 	switch t.State {
 	case Pending, Assigned, Finished:
 		return nil
 	case Placed, Stopping:
 		if t.Machine == "" || t.Attempt == 0 {
-			return errors.New("placed task without machine or try")
+			return errors.New("placed task without machine or attempt")
 		}
 		return nil
 	}
 	return fmt.Errorf("unknown task state %q", t.State)
 }
 
-// Equal tells whether two records say the same.
+// Equal reports whether two records are equal.
 func (t *Task) Equal(other *Task) bool {
 	return t.State == other.State &&
 		t.Controller == other.Controller &&
@@ -73,11 +73,11 @@
 		slices.Equal(t.FailedOn, other.FailedOn)
 }
 
-// OnMachine tells whether the task may be on a machine.
+// OnMachine reports whether the task may be running on a machine.
 func (t *Task) OnMachine() bool { return t.State == Placed || t.State == Stopping }
 
-// Charged tells whether the task counts against its team's quota.
+// Charged reports whether the task counts against its team's quota.
 func (t *Task) Charged() bool { return t.OnMachine() || t.State == Assigned }
 
-// isPending tells whether the task waits; the zero Task does.
+// isPending reports whether the task waits to be placed. The zero Task is pending.
 func (t *Task) isPending() bool { return t.State == Pending || t.State == "" }
--- a/internal/jobs/task_range.go
+++ b/internal/jobs/task_range.go
@@ -6,18 +6,18 @@
 	"slices"
 )
 
-// taskRangeVersion is the form in which task ranges are stored.
+// taskRangeVersion is the version of the stored encoding of task ranges.
 const taskRangeVersion = 1
 
-// storedTaskRange is a task range as stored: the records of consecutive tasks of a job.
-// The first form kept one task in each record, without a version; it is still read.
+// storedTaskRange is the stored form of a task range: the records of consecutive tasks of a
+// job. The first version stored a single task, without a version number; it can still be read.
 type storedTaskRange struct {
 	Version int    `json:"v"`
 	Tasks   []Task `json:"t"`
 }
 
-// EncodeTaskRange writes a task range. A record may not be longer than limit bytes: what
-// only helps to choose machines is left out where it would not fit.
+// EncodeTaskRange encodes a task range. If the encoding exceeds limit bytes, it omits FailedOn,
+// which only helps to choose machines, and Reason.
 func EncodeTaskRange(tasks []Task, limit int) json.RawMessage {
 	body := Encode(storedTaskRange{taskRangeVersion, tasks})
 	if len(body) <= limit {
@@ -31,7 +31,7 @@
 	return Encode(storedTaskRange{taskRangeVersion, trimmed})
 }
 
-// DecodeTaskRange reads the tasks of a task range and checks them.
+// DecodeTaskRange decodes and validates the tasks of a task range.
 func DecodeTaskRange(body []byte) ([]Task, error) {
 	var stored storedTaskRange
 	if err := json.Unmarshal(body, &stored); err != nil {
@@ -45,9 +45,9 @@
 		}
 		return []Task{*t}, nil
 	case stored.Version != taskRangeVersion:
-		return nil, fmt.Errorf("unknown version %d of a slice", stored.Version)
+		return nil, fmt.Errorf("unknown version %d of a task range", stored.Version)
 	case len(stored.Tasks) == 0 || len(stored.Tasks) > MaxTasks:
-		return nil, fmt.Errorf("a slice of %d tasks", len(stored.Tasks))
+		return nil, fmt.Errorf("task range of %d tasks", len(stored.Tasks))
 	}
 	for i := range stored.Tasks {
 		if err := stored.Tasks[i].Check(); err != nil {
--- a/internal/jobs/task_range_test.go
+++ b/internal/jobs/task_range_test.go
@@ -19,14 +19,14 @@
 	}
 	trimmed, err := DecodeTaskRange(EncodeTaskRange(in, 100))
 	if err != nil || trimmed[1].FailedOn != nil || trimmed[1].Attempt != 2 || trimmed[0].Machine != "i-1" {
-		t.Errorf("what does not fit is left out, and nothing else: %+v %v", trimmed, err)
+		t.Errorf("only FailedOn and Reason should be omitted where space is short: %+v %v", trimmed, err)
 	}
-	// The first form held one task.
+	// The first version held a single task.
 	first, err := DecodeTaskRange([]byte(`{"s":"placed","host":"i-7","try":3}`))
 	if err != nil || len(first) != 1 || first[0].Machine != "i-7" {
 		t.Error(first, err)
 	}
-	for _, bad := range []string{
+	for _, invalid := range []string{
 		`{"s":"placed"}`,
 		`{"v":2,"t":[{"s":"pending"}]}`,
 		`{"v":1,"t":[]}`,
@@ -35,8 +35,8 @@
 		`null`,
 		`{}`,
 	} {
-		if _, err := DecodeTaskRange([]byte(bad)); err == nil {
-			t.Errorf("%s was taken", bad)
+		if _, err := DecodeTaskRange([]byte(invalid)); err == nil {
+			t.Errorf("%s was accepted", invalid)
 		}
 	}
 }
--- a/internal/jobs/task_transition.go
+++ b/internal/jobs/task_transition.go
@@ -2,55 +2,55 @@
 
 import "slices"
 
-// TaskEvent is what can happen to a task. Each kind of event reads only the fields that
-// its constant names.
+// TaskEvent is an event that may change the state of a task. Each kind of event uses only the
+// fields listed at its constant.
 type TaskEvent struct {
 	Kind             TaskEventKind
-	Controller       string // that is to place the task
+	Controller       string // that places the task
 	Zone             string
-	PreferredMachine string // where the leader expects free capacity
+	PreferredMachine string // on which the leader expects free capacity
 	Machine          string
 	Attempt          uint64
-	NotBeforeMs      int64  // Unix time in ms before which the task isn't placed again
-	Reason           string // why it is being stopped, as users read it
+	NotBeforeMs      int64  // earliest next placement, Unix time in ms
+	Reason           string // why it is being stopped, shown to users
 }
 
 // TaskEventKind names a task event. Kinds are not stored.
 type TaskEventKind string
 
-// Kinds of task events, with the fields of TaskEvent that they read.
+// Kinds of task events, with the fields of TaskEvent that each uses.
 const (
-	// Assign: the leader charges the task and names the controller that places it
-	// (Controller, Zone, PreferredMachine).
+	// Assign: the leader charges the task to its team and assigns it to the controller that
+	// places it (Controller, Zone, PreferredMachine).
 	Assign TaskEventKind = "release"
-	// Unassign: the controller did not place it.
+	// Unassign: the controller did not place the task.
 	Unassign TaskEventKind = "take back"
-	// Place: machine and attempt are chosen (Machine, Zone, Attempt).
+	// Place: the task is placed on a machine under a new attempt number (Machine, Zone, Attempt).
 	Place TaskEventKind = "place"
-	// PlaceAgain: lost by its machine and placed there once more (Attempt).
+	// PlaceAgain: the machine lost the task, which is placed there again (Attempt).
 	PlaceAgain TaskEventKind = "anew"
-	// Stop: it is to be stopped (Reason).
+	// Stop: the task is to be stopped (Reason).
 	Stop TaskEventKind = "stop"
-	// Complete: the agent reported it done.
+	// Complete: the agent reported the task done.
 	Complete TaskEventKind = "complete"
-	// Lost: no longer on its machine, through no fault of its own (NotBeforeMs).
+	// Lost: the task is no longer on its machine, which does not count as a failure (NotBeforeMs).
 	Lost TaskEventKind = "gone"
-	// Fail: it failed on its machine (NotBeforeMs).
+	// Fail: the task failed on its machine (NotBeforeMs).
 	Fail TaskEventKind = "fail"
 )
 
-// maxFailedOn limits the machines that are remembered against a task, so that its record
-// stays short; the oldest are forgotten first.
+// maxFailedOn limits Task.FailedOn so that the record stays short. The oldest machines are
+// dropped first.
 const maxFailedOn = 4
 
-// NextTask is the one place where a task changes state. It returns the task unchanged and
-// false if the event is not possible in its state.
+// NextTask returns the task as it is after an event. It returns the task unchanged and false
+// if the event is not allowed in its state. All changes of a task's state go through it.
 func NextTask(t Task, e TaskEvent) (Task, bool) {
 	switch e.Kind {
 	case Assign:
-		return releaseTask(t, e)
+		return assignTask(t, e)
 	case Unassign:
-		return takeTaskBack(t)
+		return unassignTask(t)
 	case Place:
 		return placeTask(t, e)
 	case PlaceAgain:
@@ -60,14 +60,14 @@
 	case Complete:
 		return completeTask(t)
 	case Lost:
-		return loseTask(t, e)
+		return markTaskLost(t, e)
 	case Fail:
 		return failTask(t, e)
 	}
 	return t, false
 }
 
-func releaseTask(t Task, e TaskEvent) (Task, bool) {
+func assignTask(t Task, e TaskEvent) (Task, bool) {
 	if !t.isPending() {
 		return t, false
 	}
@@ -78,7 +78,7 @@
 	return t, true
 }
 
-func takeTaskBack(t Task) (Task, bool) {
+func unassignTask(t Task) (Task, bool) {
 	if t.State != Assigned {
 		return t, false
 	}
@@ -89,7 +89,7 @@
 	return t, true
 }
 
-// placeTask refuses an attempt that is not above every earlier one: an attempt number is
+// placeTask rejects an attempt number that is not above all earlier ones: attempt numbers are
 // never reused.
 func placeTask(t Task, e TaskEvent) (Task, bool) {
 	if (t.State != Assigned && !t.isPending()) || e.Attempt <= t.Attempt {
@@ -104,7 +104,8 @@
 	return t, true
 }
 
-// placeTaskAgain is Lost and Place in one, with the same guard on the attempt.
+// placeTaskAgain combines Lost and Place on the same machine, with the same check of the
+// attempt number as placeTask.
 func placeTaskAgain(t Task, e TaskEvent) (Task, bool) {
 	if t.State != Placed || e.Attempt <= t.Attempt {
 		return t, false
@@ -129,7 +130,7 @@
 	return Task{State: Finished, Attempt: t.Attempt}, true
 }
 
-func loseTask(t Task, e TaskEvent) (Task, bool) {
+func markTaskLost(t Task, e TaskEvent) (Task, bool) {
 	if !t.OnMachine() {
 		return t, false
 	}
@@ -155,8 +156,8 @@
 	}, true
 }
 
-// appendFailedOn adds a machine to those that a task failed on. It copies the list, which
-// other versions of the task share.
+// appendFailedOn adds a machine to the list of those on which a task failed. It copies the
+// list because other copies of the task share it.
 func appendFailedOn(failedOn []string, machine string) []string {
 	if slices.Contains(failedOn, machine) {
 		return failedOn
@@ -168,8 +169,8 @@
 	return failedOn
 }
 
-// Withdraw is the transition of a task that has to be preempted or stopped: one that is
-// released but on no machine is taken back, one that is on a machine is to be stopped.
+// Withdraw returns the transition for a task that has to be preempted or stopped: an assigned
+// task that is on no machine yet is unassigned, a task on a machine is to be stopped.
 func Withdraw(t Task, reason string) (Task, bool) {
 	if t.State == Assigned {
 		return NextTask(t, TaskEvent{Kind: Unassign})
--- a/internal/jobs/trust.go
+++ b/internal/jobs/trust.go
@@ -6,18 +6,19 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Trust is what a job's failures say of it. It is derived from its tasks' records alone, so
-// that a new leader comes to the same result and nothing has to be stored for it.
+// Trust is how far a job is trusted not to cause the failures of its tasks itself. It is derived
+// from the tasks' records alone, so a new leader comes to the same result and nothing more has
+// to be stored.
 type Trust string
 
-// Degrees of trust in a live job.
+// Levels of trust in a live job.
 const (
 	Trusted Trust = "trusted"
-	Probing Trust = "probing" // failed everywhere so far: one attempt at a time
+	Probing Trust = "probing" // its tasks failed on every machine so far: one attempt at a time
 )
 
-// TrustOf tells how far to trust a job whose tasks failed on failedMachines different
-// machines. proven: one of its tasks is done, or has run for a while.
+// TrustOf returns the trust in a job whose tasks failed on failedMachines different machines.
+// proven is whether one of its tasks is done or has run for a while.
 func TrustOf(failedMachines int, proven bool) Trust {
 	if failedMachines >= tuning.ErrorsBlame && !proven {
 		return Probing
@@ -25,13 +26,13 @@
 	return Trusted
 }
 
-// maxBackoffDoublings keeps the doubled pause from overflowing; tuning.BackoffMax is reached
-// before it.
+// maxBackoffDoublings prevents the backoff from overflowing. tuning.BackoffMax is reached with
+// fewer doublings.
 const maxBackoffDoublings = 10
 
-// Backoff is the pause before a task that has failed so often is placed again: it doubles
+// Backoff returns the delay before a task with that many failures is placed again. It doubles
 // with each failure, up to tuning.BackoffMax.
 func Backoff(failures int) time.Duration {
-	pause := tuning.Backoff << min(failures, maxBackoffDoublings)
-	return min(pause, tuning.BackoffMax)
+	delay := tuning.Backoff << min(failures, maxBackoffDoublings)
+	return min(delay, tuning.BackoffMax)
 }
--- a/internal/jobs/trust_test.go
+++ b/internal/jobs/trust_test.go
@@ -15,7 +15,7 @@
 		"far above the limit, but proven": {9, true, Trusted},
 	} {
 		if got := TrustOf(c.failedMachines, c.proven); got != c.want {
-			t.Errorf("%s: %s, not %s", name, got, c.want)
+			t.Errorf("%s: got %s, want %s", name, got, c.want)
 		}
 	}
 }
