--- a/internal/fleet/claims.go
+++ b/internal/fleet/claims.go
@@ -9,19 +9,19 @@
 	"strings"
 )
 
-// ClaimsKey is the key of the machines claimed for gangs that are being placed. All of
-// them stand in one value: with a write for each machine, claiming and releasing those of
-// a large gang took the leader's whole write rate for seconds.
+// ClaimsKey is the key of the machines claimed for gangs that are being placed. All claims are
+// stored in one value: with one write per machine, claiming and releasing the machines of a large
+// gang used up the leader's write rate for seconds.
 //
-// Only the leader writes it. An owner's placement has its revision as a precondition, so
-// that a placement decided before a claim is not committed after it.
+// Only the leader writes this key. A placement by a machine's owner has the key's revision as a
+// precondition, so that a placement decided before a claim is not committed after it.
 const ClaimsKey = "claims"
 
-// Claims is the claimed machines, by job.
+// Claims holds the claimed machines, by job.
 type Claims map[string][]string
 
-// DecodeClaims reads the value of ClaimsKey, or of one that continues it. Nothing is
-// claimed where there is no value.
+// DecodeClaims decodes the value of ClaimsKey or of a key that continues it. Without a value,
+// nothing is claimed.
 func DecodeClaims(value []byte) (Claims, error) {
 	if value == nil {
 		return nil, nil
@@ -33,54 +33,54 @@
 	return claims, nil
 }
 
-// continuations stands in the first value, in place of a job, for the numbers of the values
-// that continue the claims. All are written in one transaction, so that the revision of the
-// first speaks for them.
+// continuationsEntry is an entry of the first value that holds, in place of a job's machines, the
+// numbers of the values that continue the claims. All values are written in one transaction, so
+// the revision of the first one covers them all.
 //
-// A controller of the former version takes it for a job of that name, which claims machines
-// that do not exist, and knows the claims of the first value alone. To a machine claimed in
-// a further value it may give a task, and the machine then lacks room for the gang's, as if
-// the task had been placed a moment before the claim. When such a controller leads, it
-// writes the first value without this entry, and the further values count for nothing.
-const continuations = "more"
+// A controller of the previous version takes the entry for a job of that name that claims machines
+// which do not exist, and knows only the claims of the first value. It may place a task on a machine
+// claimed in a further value; the machine then lacks capacity for the gang's task, as if the other
+// task had been placed just before the claim. When such a controller leads, it writes the first
+// value without this entry, and the further values are ignored.
+const continuationsEntry = "more"
 
-// ClaimsKeyOf is the key of the value with a number, from 1.
+// ClaimsKeyOf returns the key of the value with the given number, from 1.
 func ClaimsKeyOf(number int) string {
 	if number == 1 {
 		return ClaimsKey
 	}
-	return ClaimsKey + "/" + continuations + ":" + strconv.Itoa(number)
+	return ClaimsKey + "/" + continuationsEntry + ":" + strconv.Itoa(number)
 }
 
-// ClaimsNumber is the number of the value that a key holds, 0 if it holds none.
+// ClaimsNumber returns the number of the value stored under a key, 0 if it is not a key of claims.
 func ClaimsNumber(key string) int {
 	if key == ClaimsKey {
 		return 1
 	}
-	digits, found := strings.CutPrefix(key, ClaimsKey+"/"+continuations+":")
+	digits, found := strings.CutPrefix(key, ClaimsKey+"/"+continuationsEntry+":")
 	if number, err := strconv.Atoi(digits); found && err == nil && number > 1 {
 		return number
 	}
 	return 0
 }
 
-// JoinClaims is what the values, by number, say together. Values that the first does not
-// name count for nothing.
+// JoinClaims returns the claims of all values, which are given by number. Values that the first one
+// does not refer to are ignored.
 func JoinClaims(values map[int]Claims) Claims {
 	first := values[1]
-	if first[continuations] == nil {
+	if first[continuationsEntry] == nil {
 		return first
 	}
 	joined := Claims{}
 	add := func(claims Claims) {
 		for jobID, machines := range claims {
-			if jobID != continuations {
+			if jobID != continuationsEntry {
 				joined[jobID] = append(slices.Clone(joined[jobID]), machines...)
 			}
 		}
 	}
 	add(first)
-	for _, digits := range first[continuations] {
+	for _, digits := range first[continuationsEntry] {
 		if number, err := strconv.Atoi(digits); err == nil {
 			add(values[number])
 		}
@@ -88,8 +88,8 @@
 	return joined
 }
 
-// Divide is the values that hold the claims, of up to limit bytes each. A job's machines
-// keep their order.
+// Divide splits the claims into values of up to limit bytes each. It keeps the order of a job's
+// machines.
 func (c Claims) Divide(limit int) []Claims {
 	size := len("{}")
 	for jobID, machines := range c {
@@ -98,8 +98,8 @@
 	if size <= limit {
 		return []Claims{c}
 	}
-	// The first value also has to hold the numbers of the others.
-	numberBytes := claimBytes(continuations, slices.Repeat([]string{"100"}, size/max(limit/2, 1)+1))
+	// The first value also holds the numbers of the others.
+	numberBytes := claimBytes(continuationsEntry, slices.Repeat([]string{"100"}, size/max(limit/2, 1)+1))
 	values := []Claims{{}}
 	free := limit - len("{}") - numberBytes
 	for _, jobID := range slices.Sorted(maps.Keys(c)) {
@@ -121,12 +121,12 @@
 		}
 	}
 	for i := range values[1:] {
-		values[0][continuations] = append(values[0][continuations], strconv.Itoa(i+2))
+		values[0][continuationsEntry] = append(values[0][continuationsEntry], strconv.Itoa(i+2))
 	}
 	return values
 }
 
-// claimBytes is the number of bytes that a job's machines take in a value at most.
+// claimBytes returns the maximum number of bytes that a job's machines take in an encoded value.
 func claimBytes(jobID string, machines []string) int {
 	total := entryBytes(jobID) + len(":[]")
 	for _, machine := range machines {
@@ -135,7 +135,7 @@
 	return total
 }
 
-// ByMachine is the job that each claimed machine is claimed for.
+// ByMachine returns, by machine, the job for which it is claimed.
 func (c Claims) ByMachine() map[string]string {
 	jobOf := map[string]string{}
 	for jobID, machines := range c {
--- a/internal/fleet/draining.go
+++ b/internal/fleet/draining.go
@@ -2,37 +2,40 @@
 
 import "sort"
 
-// Draining is the stage of each draining machine, by name, from 1. The autoscaler's
-// summary carries it, so that owners and a new leader know it.
+// Draining holds the drain stage of each draining machine, from 1, by name. It is stored in the
+// autoscaler's summary, from which owners and a new leader read it.
 type Draining map[string]int
 
-// DrainCandidate is a machine in use, which may be drained.
+// DrainCandidate is a machine in use that may be drained.
 type DrainCandidate struct {
 	Machine     string
-	UsedShare   float64 // the share of it in use, 0 when it is empty
+	UsedShare   float64 // share of its capacity in use, 0 if it is empty
 	HourlyPrice float64
 }
 
-// DrainStep moves the draining of a group on by one step. surplus is how many machines of
-// the group are not needed over the whole plan, with draining ones not counted as supply;
-// it is negative when machines are short. A machine drains for at most stages steps, and
-// returns to use for want of machines only up to the stage lastRevivable. The results are
-// the next stages, the machines to return to the cloud now, and those that return to use.
-// The candidates are reordered.
+// DrainStep advances the draining of a group by one step of the plan.
+//
+// surplus is the number of machines of the group that no step of the plan needs, where draining
+// machines do not count as supply. It is negative if machines are short. A machine drains for at
+// most the given number of stages. If machines are short, machines up to stage lastRevivable return
+// to use.
+//
+// DrainStep returns the next stages, the empty machines to delete now (emptied), and the machines
+// that return to use (revived). It reorders candidates.
 func DrainStep(
-	now Draining,
+	current Draining,
 	candidates []DrainCandidate,
 	surplus, stages, lastRevivable int,
 ) (next Draining, emptied, revived []string) {
-	next, emptied, revived = continueDraining(now, candidates, max(-surplus, 0), stages, lastRevivable)
-	startDraining(next, now, candidates, surplus)
+	next, emptied, revived = continueDraining(current, candidates, max(-surplus, 0), stages, lastRevivable)
+	startDraining(next, current, candidates, surplus)
 	return next, emptied, revived
 }
 
-// continueDraining moves the machines on that drain already. shortage is how many of them
+// continueDraining advances the machines that already drain. shortage is the number of them that
 // are needed again.
 func continueDraining(
-	now Draining,
+	current Draining,
 	candidates []DrainCandidate,
 	shortage, stages, lastRevivable int,
 ) (next Draining, emptied, revived []string) {
@@ -41,9 +44,9 @@
 	for _, candidate := range candidates {
 		usedShare[candidate.Machine] = candidate.UsedShare
 	}
-	for _, machine := range fullestFirst(now, usedShare) {
+	for _, machine := range fullestFirst(current, usedShare) {
 		used, known := usedShare[machine]
-		stage := now[machine]
+		stage := current[machine]
 		switch {
 		case !known:
 			continue // no longer in use
@@ -61,8 +64,8 @@
 	return next, emptied, revived
 }
 
-// fullestFirst is the draining machines in the order in which they return to use: the
-// fullest would be the last to become empty.
+// fullestFirst returns the draining machines in the order in which they return to use: the fullest
+// first, since they would be the last to become empty.
 func fullestFirst(draining Draining, usedShare map[string]float64) []string {
 	var machines []string
 	for machine := range draining {
@@ -78,9 +81,9 @@
 	return machines
 }
 
-// startDraining begins to drain surplus machines that do not drain yet: the emptiest
-// first, and of those the most expensive.
-func startDraining(next, now Draining, candidates []DrainCandidate, surplus int) {
+// startDraining starts to drain surplus machines that do not drain yet: the emptiest first, and
+// the more expensive first among equally empty ones.
+func startDraining(next, current Draining, candidates []DrainCandidate, surplus int) {
 	if surplus <= 0 {
 		return
 	}
@@ -98,7 +101,7 @@
 		if surplus == 0 {
 			return
 		}
-		if _, drains := now[candidate.Machine]; drains {
+		if _, drains := current[candidate.Machine]; drains {
 			continue
 		}
 		next[candidate.Machine] = 1
--- a/internal/fleet/draining_test.go
+++ b/internal/fleet/draining_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestDrainStartsWithTheEmptiest(t *testing.T) {
+func TestDrainStartsWithEmptiestMachines(t *testing.T) {
 	candidates := []DrainCandidate{{"a", 0.5, 1}, {"b", 0.1, 1}, {"c", 0.9, 1}}
 	next, emptied, revived := DrainStep(Draining{}, candidates, 2, 3, 2)
 	if !reflect.DeepEqual(next, Draining{"a": 1, "b": 1}) || emptied != nil || revived != nil {
@@ -13,29 +13,29 @@
 	}
 }
 
-func TestDrainReturnsEmptyMachinesAndRevivesTheRestAfterTheLastStage(t *testing.T) {
-	now := Draining{"a": 1, "b": 2, "c": 3, "d": 3}
+func TestDrainDeletesEmptyMachinesAndRevivesOthersAfterLastStage(t *testing.T) {
+	current := Draining{"a": 1, "b": 2, "c": 3, "d": 3}
 	candidates := []DrainCandidate{{"a", 0, 1}, {"b", 0.2, 1}, {"c", 0.1, 1}, {"d", 0, 1}}
-	next, emptied, revived := DrainStep(now, candidates, 0, 3, 2)
+	next, emptied, revived := DrainStep(current, candidates, 0, 3, 2)
 	if !reflect.DeepEqual(next, Draining{"b": 3}) {
-		t.Errorf("machines that go on draining: %v", next)
+		t.Errorf("machines that continue draining: %v", next)
 	}
 	if !reflect.DeepEqual(emptied, []string{"a", "d"}) || !reflect.DeepEqual(revived, []string{"c"}) {
 		t.Errorf("emptied %v, revived %v", emptied, revived)
 	}
 }
 
-func TestDrainRevivesForAShortageOnlyInTheFirstTwoStages(t *testing.T) {
-	now := Draining{"a": 1, "b": 2, "c": 3}
+func TestDrainRevivesForShortageOnlyInFirstTwoStages(t *testing.T) {
+	current := Draining{"a": 1, "b": 2, "c": 3}
 	candidates := []DrainCandidate{{"a", 0.1, 1}, {"b", 0.3, 1}, {"c", 0, 1}}
-	_, emptied, revived := DrainStep(now, candidates, -1, 3, 2)
+	_, emptied, revived := DrainStep(current, candidates, -1, 3, 2)
 	if !reflect.DeepEqual(revived, []string{"b"}) {
 		t.Errorf("one machine is short, so the fullest should be revived: %v", revived)
 	}
 	if !reflect.DeepEqual(emptied, []string{"c"}) {
 		t.Errorf("no machine should be revived for a shortage in the third stage: %v", emptied)
 	}
-	next, _, revived := DrainStep(now, candidates, -5, 3, 2)
+	next, _, revived := DrainStep(current, candidates, -5, 3, 2)
 	if len(revived) != 2 || len(next) != 0 {
 		t.Errorf("revived %v, next %v", revived, next)
 	}
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -24,8 +24,8 @@
 	goldentest.Filled(t, full)
 	for name, record := range map[string]MachineRecord{"host.json": full, "host-least.json": {State: Up}} {
 		goldentest.JSON(t, name, record)
-		if back, err := Decode(goldentest.Read(t, name)); err != nil || *back != record {
-			t.Errorf("%s: read %+v, %v", name, back, err)
+		if decoded, err := Decode(goldentest.Read(t, name)); err != nil || *decoded != record {
+			t.Errorf("%s: read %+v, %v", name, decoded, err)
 		}
 	}
 }
@@ -35,41 +35,42 @@
 	goldentest.Filled(t, full)
 	for name, claims := range map[string]Claims{"claims.json": full, "claims-least.json": {}} {
 		goldentest.JSON(t, name, claims)
-		if back, err := DecodeClaims(goldentest.Read(t, name)); err != nil || !reflect.DeepEqual(back, claims) {
-			t.Errorf("%s: read %+v, %v", name, back, err)
+		if decoded, err := DecodeClaims(goldentest.Read(t, name)); err != nil || !reflect.DeepEqual(decoded, claims) {
+			t.Errorf("%s: read %+v, %v", name, decoded, err)
 		}
 	}
 }
 
-// The list is written as entries and read as an UnresponsiveSet.
+// Checks the stored form of a list of unresponsive machines, and that it decodes to an
+// UnresponsiveSet.
 func TestGoldenUnresponsiveList(t *testing.T) {
 	now := time.Unix(1700000000, 0)
 	entries := []string{UnresponsiveEntry("m-1", false), UnresponsiveEntry("m-2", true)}
 	want := UnresponsiveSet{"m-1": {Since: now}, "m-2": {Since: now, OutboundPartitioned: true}}
 	goldentest.JSON(t, "quiet.json", entries)
-	back, err := joinOnlyList(goldentest.Read(t, "quiet.json"), nil, now)
-	if err != nil || !reflect.DeepEqual(back, want) {
-		t.Errorf("read %+v, %v", back, err)
+	decoded, err := joinOnlyList(goldentest.Read(t, "quiet.json"), nil, now)
+	if err != nil || !reflect.DeepEqual(decoded, want) {
+		t.Errorf("read %+v, %v", decoded, err)
 	}
 	value, err := json.Marshal(
 		[]string{
-			UnresponsiveEntry("m-1", back["m-1"].OutboundPartitioned),
-			UnresponsiveEntry("m-2", back["m-2"].OutboundPartitioned),
+			UnresponsiveEntry("m-1", decoded["m-1"].OutboundPartitioned),
+			UnresponsiveEntry("m-2", decoded["m-2"].OutboundPartitioned),
 		},
 	)
 	if err != nil {
 		t.Fatal(err)
 	}
 	goldentest.Bytes(t, "quiet.json", value)
-	// With no machine to list, a nil list is written.
+	// Without unresponsive machines a nil list is stored.
 	goldentest.JSON(t, "quiet-least.json", []string(nil))
-	if back, err := joinOnlyList(goldentest.Read(t, "quiet-least.json"), nil, now); err != nil || len(back) != 0 {
-		t.Errorf("read %+v, %v", back, err)
+	if decoded, err := joinOnlyList(goldentest.Read(t, "quiet-least.json"), nil, now); err != nil || len(decoded) != 0 {
+		t.Errorf("read %+v, %v", decoded, err)
 	}
 }
 
 func TestGoldenStoredNames(t *testing.T) {
-	words := []string{
+	names := []string{
 		MachinePrefix,
 		ClaimsKey,
 		UnresponsivePrefix,
@@ -81,6 +82,6 @@
 		string(Deleted),
 		Group{MachineType: "g2"}.String(),
 		Group{MachineType: "g2", Spot: true}.String(),
-	} // groups name histories in the autoscaler's summary
-	goldentest.Bytes(t, "words.txt", []byte(strings.Join(words, "\n")+"\n"))
+	} // group names are keys of the histories in the autoscaler's summary
+	goldentest.Bytes(t, "words.txt", []byte(strings.Join(names, "\n")+"\n"))
 }
--- a/internal/fleet/images_test.go
+++ b/internal/fleet/images_test.go
@@ -11,12 +11,12 @@
 		images.Add("i-1", Image{Name: name, GB: 4}, 10)
 	}
 	if !images.Has("i-1", "c") || !images.Has("i-1", "a") || images.Has("i-1", "b") || images.Has("i-2", "a") {
-		t.Errorf("kept %v", images["i-1"])
+		t.Errorf("cached images: %v", images["i-1"])
 	}
 }
 
-// A machine does not hold an image whose fetch was given up, unless it was nearly complete,
-// and seeing the image again does not restart its fetch.
+// A machine does not hold an image whose fetch was abandoned, unless the fetch was nearly complete.
+// A second task with the image does not restart the fetch.
 func TestImagesForgetAbandonedFetch(t *testing.T) {
 	start := time.Unix(1000, 0)
 	for _, c := range []struct {
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -1,6 +1,6 @@
-// Package fleet holds what is known of the machines: the state machine of their records,
-// the lists of unresponsive ones, claims for gangs, draining, failures and cached images.
-// It has no IO and no clock.
+// Package fleet models the machines of the cluster: the state machine of their records, the
+// lists of unresponsive machines, claims for gangs, draining, failures and cached images. It
+// does no I/O and reads no clock.
 package fleet
 
 import (
@@ -13,45 +13,44 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// MachinePrefix is the prefix of machine records in the state service.
+// MachinePrefix is the key prefix of machine records in the state service.
 const MachinePrefix = "host/"
 
-// State is the state of a machine's record. A machine gets its record with the first
-// heartbeat of its agent under our fencing token, or with the decision to delete it.
+// State is the state of a machine's record. A machine gets its record when its agent sends the
+// first heartbeat under this cluster's fencing token, or when the leader decides to delete it.
 // Until then its state is empty. The values are stored.
 type State string
 
 // States of a machine.
 const (
-	Up State = "up" // its owner receives its heartbeats
-	// LegacyUnresponsive: its owner has received no heartbeat for some time. Earlier versions wrote it;
-	// this one lists such machines under UnresponsivePrefix and only reads it.
+	Up State = "up" // its owner receives heartbeats from it
+	// LegacyUnresponsive: its owner has received no heartbeat for some time. This state is read but
+	// no longer written: such machines are now listed under UnresponsivePrefix.
 	LegacyUnresponsive State = "silent"
-	Warned             State = "warned"   // the cloud has announced that it will take it away
+	Warned             State = "warned"   // the cloud has announced its preemption
 	Faulty             State = "faulty"   // tasks fail on it
-	Deleting           State = "deleting" // to be deleted; no task may be placed on it
-	// Deleted: the delete was answered 200, nothing runs on it any more. Earlier versions wrote it; this
-	// one keeps the record Deleting until it removes it, and only reads it.
+	Deleting           State = "deleting" // to be deleted; no task is placed on it any more
+	// Deleted: the cloud answered the delete request with 200, so nothing runs on it any more. This
+	// state is read but no longer written: records now stay Deleting until they are removed.
 	Deleted State = "deleted"
 )
 
-// Event is what can happen to a machine.
+// Event is an event that may change the state of a machine.
 type Event string
 
 // Events of a machine.
 const (
 	HeartbeatReceived Event = "heard"   // a heartbeat arrived
-	HeartbeatsMissed  Event = "unheard" // no heartbeat arrived for some time; of earlier versions
-	PreemptionNotice  Event = "notice"  // the cloud announced that it will take the machine away
+	HeartbeatsMissed  Event = "unheard" // no heartbeat arrived for some time; used by earlier versions
+	PreemptionNotice  Event = "notice"  // the cloud announced the machine's preemption
 	Unhealthy         Event = "sick"    // tasks fail on it
 	Decommission      Event = "condemn" // the leader decided to delete it
-	DeleteConfirmed   Event = "removed" // the delete was answered 200; of earlier versions
+	DeleteConfirmed   Event = "removed" // the delete was answered with 200; used by earlier versions
 )
 
-// Next is the state that follows on an event, and whether the event changes the state.
-// It is the only place where a machine's record changes state: nothing leads out of
-// Deleting but the confirmed delete, so that no task is placed on a machine that may
-// be gone.
+// Next returns the state that follows an event, and whether the event changes the state. All
+// changes of a machine's state go through it. Only a confirmed delete leads out of Deleting, so
+// that no task is placed on a machine that may be gone.
 func Next(state State, event Event) (State, bool) {
 	switch event {
 	case HeartbeatReceived:
@@ -73,7 +72,8 @@
 	return state, false
 }
 
-// moveFrom leads to the target from one of the sources, and leaves any other state.
+// moveFrom returns target if state is one of the sources, and otherwise state unchanged. The result
+// is false if the state is unchanged.
 func moveFrom(state, target State, sources ...State) (State, bool) {
 	if slices.Contains(sources, state) {
 		return target, true
@@ -81,27 +81,27 @@
 	return state, false
 }
 
-// ValidName tells whether the name of a machine, or of a machine type, can be part of a
-// key of the state service: keys have at most 200 bytes and no spaces.
+// ValidName reports whether the name of a machine or machine type can be part of a key of the
+// state service, where keys have at most 200 bytes and no spaces.
 func ValidName(name string) bool {
 	return name != "" && len(name) <= tuning.MaxMachineName &&
 		!strings.ContainsFunc(name, func(r rune) bool { return unicode.IsSpace(r) || unicode.IsControl(r) })
 }
 
-// MachineRecord is a machine's record, as it is stored under MachinePrefix.
+// MachineRecord is the record of a machine that is stored under MachinePrefix.
 type MachineRecord struct {
 	State       State  `json:"s"`
 	Endpoint    string `json:"endpoint,omitempty"`
 	MachineType string `json:"build,omitempty"`
 	Zone        string `json:"site,omitempty"`
 	Spot        bool   `json:"loaner,omitempty"`
-	Claim       string `json:"claim,omitempty"` // the gang that the leader places here
+	Claim       string `json:"claim,omitempty"` // gang that the leader is placing here
 	Reason      string `json:"why,omitempty"`   // why it is deleted
-	SinceMs     int64  `json:"since,omitempty"` // when it got this state, Unix time in milliseconds
+	SinceMs     int64  `json:"since,omitempty"` // start of this state, Unix time in ms
 }
 
-// Decode reads a machine record. It is an error if the value is no JSON, or the state is
-// none of those above.
+// Decode decodes a machine record. It returns an error if the value is not valid JSON or the
+// state is unknown.
 func Decode(value []byte) (*MachineRecord, error) {
 	var record MachineRecord
 	if err := json.Unmarshal(value, &record); err != nil {
@@ -114,7 +114,7 @@
 	return nil, fmt.Errorf("decode machine record: unknown state %q", record.State)
 }
 
-// ListedMachine is a machine in the cloud's list.
+// ListedMachine is an entry of the cloud's list of machines.
 type ListedMachine struct {
 	Name        string  `json:"uid"`
 	Endpoint    string  `json:"endpoint"`
@@ -122,18 +122,19 @@
 	Zone        string  `json:"site"`
 	Spot        bool    `json:"loaner"`
 	Status      string  `json:"status"`
-	AgeS        float64 `json:"age_s"` // seconds since its start, at the time that the list describes
+	AgeS        float64 `json:"age_s"` // seconds since its start, when the list was taken
 }
 
-// Group is what is scaled separately: the machines of a type, either spot or not. Spot
-// machines take only tasks that allow them, so the two cannot stand in for one another.
+// Group identifies the machines that are scaled together: those of one type, either spot or not.
+// Spot and other machines are scaled separately because only tasks that allow spot instances can
+// run on them.
 type Group struct {
 	MachineType string
 	Spot        bool
 }
 
-// String is the group's name in the autoscaler's stored summary: the type, with a plus
-// for spot machines.
+// String returns the group's name in the autoscaler's stored summary: the machine type, with a
+// plus sign appended for spot machines.
 func (g Group) String() string {
 	if g.Spot {
 		return g.MachineType + "+"
--- a/internal/fleet/machine_test.go
+++ b/internal/fleet/machine_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// Every event in every state, with the states that each may lead to.
+// Checks every event in every state against the state that follows.
 func TestNextMachineStateExhaustively(t *testing.T) {
 	states := []State{"", Up, LegacyUnresponsive, Warned, Faulty, Deleting, Deleted}
 	for event, targets := range map[Event][]State{
--- a/internal/fleet/unresponsive.go
+++ b/internal/fleet/unresponsive.go
@@ -13,70 +13,74 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// UnresponsivePrefix is the prefix of the lists of machines from which their owners receive
-// no heartbeats, one list for each controller. A machine's own record does not say it: a
-// partition that cuts off hundreds at once would take hundreds of writes, at the time when
-// writes are needed most.
+// UnresponsivePrefix is the key prefix of the lists of unresponsive machines: those from which
+// their owner receives no heartbeats. Each controller has a list for the machines that it owns.
+// The machine records do not store this: a partition that cuts off hundreds of machines would
+// cause hundreds of writes at the time when writes are needed most.
 const UnresponsivePrefix = "quiet/"
 
-// outboundMark stands before the names of machines on such a list that answer commands though
-// they send no heartbeats. A controller of an earlier version knows no machine of that name.
-const outboundMark = "mute:"
+// outboundPrefix precedes, in a list, the name of a machine that answers commands although its
+// heartbeats do not arrive. Controllers of earlier versions take the prefixed name for that of an
+// unknown machine.
+const outboundPrefix = "mute:"
 
-// Unresponsiveness is what an owner says of a machine that sends it no heartbeats: since when,
-// and whether it answers commands all the same.
+// Unresponsiveness is an owner's report on a machine from which it receives no heartbeats: since
+// when, and whether the machine still answers commands.
 type Unresponsiveness struct {
 	Since               time.Time
 	OutboundPartitioned bool
 }
 
-// UnresponsiveSet is one owner's unresponsive machines, by name.
+// UnresponsiveSet holds one owner's unresponsive machines, by name.
 type UnresponsiveSet map[string]Unresponsiveness
 
-// UnresponsiveEntry is a machine's entry in a stored list.
+// UnresponsiveEntry returns a machine's entry in a stored list.
 func UnresponsiveEntry(machine string, outboundPartitioned bool) string {
 	if outboundPartitioned {
-		return outboundMark + machine
+		return outboundPrefix + machine
 	}
 	return machine
 }
 
-// UnresponsiveList is what one key says. An owner has further ones where the first cannot hold
-// all of its unresponsive machines.
+// UnresponsiveList is the list stored under one key. An owner has further lists if the first
+// cannot hold all of its unresponsive machines.
 type UnresponsiveList struct {
-	// OutboundPartitioned is by machine whether it answers commands.
+	// OutboundPartitioned holds, by machine, whether it still answers commands.
 	OutboundPartitioned map[string]bool
-	// SinceEpoch is the epoch that ties an owner's lists to one another, 0 where there is but one.
+	// SinceEpoch is the epoch that links the lists of one owner, 0 if there is only one list.
 	SinceEpoch uint64
 }
 
-// UnresponsiveLists is an owner's lists by number, from 1.
+// UnresponsiveLists holds an owner's lists by number, from 1.
 type UnresponsiveLists map[int]UnresponsiveList
 
-// continuationMark stands in the names of further lists' keys and before Since in all of an
-// owner's lists.
+// continuationPrefix precedes the number in the keys of further lists, and SinceEpoch in the
+// entry that links the lists of an owner.
 //
-// A controller of the former version reads the first list as ever, with a machine of the
-// name "more:EPOCH" in it that does not exist, and takes a further list for that of a
-// controller of the name "OWNER/more:2", to which it sends no request: it knows what it would
-// know if the list were cut off there, as it was in that version. It also removes the first
-// list alone when the owner leaves the view. The others then count for nothing, and not when
-// the owner is back with another first list either: Since is an epoch of the view in which
-// the owner was without further lists, and each time that it leaves the epoch goes up.
-const continuationMark = "more:"
-
-// UnresponsiveKey is the key of an owner's list, by its number from 1.
+// A controller of the previous version can still read the first list: it sees an additional
+// machine named "more:EPOCH", which does not exist. It takes a further list for that of a
+// controller named "OWNER/more:2", to which it sends no requests. It thus knows as much as with a
+// list truncated at that point, as lists were in that version.
+//
+// When the owner leaves the view, such a controller removes only the first list. The further
+// lists are then ignored, even if the owner returns and writes a new first list: SinceEpoch is an
+// epoch of the view in which the owner had no further lists, and the epoch increases each time the
+// owner leaves.
+const continuationPrefix = "more:"
+
+// UnresponsiveKey returns the key of an owner's list with the given number, from 1.
 func UnresponsiveKey(owner string, number int) string {
 	if number == 1 {
 		return UnresponsivePrefix + owner
 	}
-	return UnresponsivePrefix + owner + "/" + continuationMark + strconv.Itoa(number)
+	return UnresponsivePrefix + owner + "/" + continuationPrefix + strconv.Itoa(number)
 }
 
-// ParseUnresponsiveKey is the owner and the number of a key without UnresponsivePrefix.
+// ParseUnresponsiveKey returns the owner and the list number of a key, given without
+// UnresponsivePrefix.
 func ParseUnresponsiveKey(name string) (owner string, number int) {
-	if slash := strings.LastIndex(name, "/"+continuationMark); slash >= 0 {
-		number, err := strconv.Atoi(name[slash+1+len(continuationMark):])
+	if slash := strings.LastIndex(name, "/"+continuationPrefix); slash >= 0 {
+		number, err := strconv.Atoi(name[slash+1+len(continuationPrefix):])
 		if err == nil && number > 1 {
 			return name[:slash], number
 		}
@@ -84,7 +88,7 @@
 	return name, 1
 }
 
-// DecodeUnresponsiveList reads the value of a key.
+// DecodeUnresponsiveList decodes a stored list.
 func DecodeUnresponsiveList(value []byte) (UnresponsiveList, error) {
 	var entries []string
 	if err := json.Unmarshal(value, &entries); err != nil {
@@ -92,17 +96,17 @@
 	}
 	list := UnresponsiveList{OutboundPartitioned: map[string]bool{}}
 	for _, entry := range entries {
-		if epoch, found := strings.CutPrefix(entry, continuationMark); found {
+		if epoch, found := strings.CutPrefix(entry, continuationPrefix); found {
 			list.SinceEpoch, _ = strconv.ParseUint(epoch, 10, 64)
 			continue
 		}
-		machine, outboundPartitioned := strings.CutPrefix(entry, outboundMark)
+		machine, outboundPartitioned := strings.CutPrefix(entry, outboundPrefix)
 		list.OutboundPartitioned[machine] = outboundPartitioned
 	}
 	return list, nil
 }
 
-// Entries is a list as it is stored.
+// Entries returns the entries of the list as they are stored.
 func (l UnresponsiveList) Entries() []string {
 	var entries []string
 	for _, machine := range slices.Sorted(maps.Keys(l.OutboundPartitioned)) {
@@ -114,23 +118,23 @@
 	return entries
 }
 
-// epochEntry is the entry that ties a list to the owner's others.
+// epochEntry returns the entry that links a list to the owner's other lists.
 func epochEntry(epoch uint64) string {
-	return continuationMark + strconv.FormatUint(epoch, 10)
+	return continuationPrefix + strconv.FormatUint(epoch, 10)
 }
 
-// Equal tells whether two lists say the same.
+// Equal reports whether two lists are equal.
 func (l UnresponsiveList) Equal(other UnresponsiveList) bool {
 	return l.SinceEpoch == other.SinceEpoch && maps.Equal(l.OutboundPartitioned, other.OutboundPartitioned)
 }
 
-// belongsToFirst tells whether a list is the first, or continues it.
+// belongsToFirst reports whether a list is the first one or continues it.
 func (ls UnresponsiveLists) belongsToFirst(number int) bool {
 	return number == 1 || ls[1].SinceEpoch != 0 && ls[number].SinceEpoch == ls[1].SinceEpoch
 }
 
-// Join is what an owner's lists say together. A machine that was unresponsive before keeps
-// the time since which it is; for others it is now.
+// Join returns the machines of all the owner's lists. A machine that is in before keeps its Since
+// time; the others are unresponsive since now.
 func (ls UnresponsiveLists) Join(before UnresponsiveSet, now time.Time) UnresponsiveSet {
 	joined := UnresponsiveSet{}
 	for _, number := range slices.Sorted(maps.Keys(ls)) {
@@ -148,10 +152,11 @@
 	return joined
 }
 
-// Divide is the lists that an owner should have for its unresponsive machines (by name,
-// whether they answer commands), with values of up to limit bytes: one list as long as that
-// holds them. Where there are more, a machine stays on its list, since each list is written
-// by itself. What tuning.MaxUnresponsiveLists cannot hold follows as others leave.
+// Divide returns the lists that an owner has to store for its unresponsive machines, which are
+// given by name with whether they answer commands. Each list takes up to limit bytes. There is a
+// single list as long as it holds all machines. Otherwise a machine stays on its present list,
+// because each list is written separately. Machines that do not fit on tuning.MaxUnresponsiveLists
+// lists are added once others are removed.
 func (ls UnresponsiveLists) Divide(unresponsive map[string]bool, epoch uint64, limit int) UnresponsiveLists {
 	size := len("[]")
 	for machine, outboundPartitioned := range unresponsive {
@@ -173,7 +178,7 @@
 	return division.lists
 }
 
-// listDivision spreads unresponsive machines over lists of limited size.
+// listDivision distributes unresponsive machines over lists of limited size.
 type listDivision struct {
 	unresponsive map[string]bool
 	lists        UnresponsiveLists
@@ -194,16 +199,17 @@
 	return d
 }
 
-// keep leaves the machines of a former list on the list of that number, as far as it holds them.
-func (d *listDivision) keep(number int, former UnresponsiveList) {
-	for _, machine := range slices.Sorted(maps.Keys(former.OutboundPartitioned)) {
+// keep puts the machines of a previous list that are still unresponsive on the list with the same
+// number, as far as they fit.
+func (d *listDivision) keep(number int, previous UnresponsiveList) {
+	for _, machine := range slices.Sorted(maps.Keys(previous.OutboundPartitioned)) {
 		if _, remains := d.unresponsive[machine]; remains && !d.placed[machine] {
 			d.add(number, machine)
 		}
 	}
 }
 
-// addRemaining puts the machines that are on no list yet on the first ones with free space.
+// addRemaining puts each machine that is on no list yet on the first list with free space.
 func (d *listDivision) addRemaining() {
 	number := 1
 	for _, machine := range slices.Sorted(maps.Keys(d.unresponsive)) {
@@ -215,7 +221,7 @@
 	}
 }
 
-// add puts a machine on a list, and tells whether there was space for it.
+// add puts a machine on a list and reports whether there was space for it.
 func (d *listDivision) add(number int, machine string) bool {
 	needed := entryBytes(UnresponsiveEntry(machine, d.unresponsive[machine]))
 	if needed > d.freeBytes[number] {
@@ -227,8 +233,8 @@
 	return true
 }
 
-// entryBytes is the number of bytes that an entry takes in a value at most: quotes, a comma,
-// and six bytes for whatever JSON may escape.
+// entryBytes returns the maximum number of bytes that an entry takes in an encoded list: quotes, a
+// comma, and six bytes for each byte that JSON may escape.
 func entryBytes(entry string) int {
 	total := len(`"",`) + len(entry)
 	for _, c := range []byte(entry) {
--- a/internal/fleet/unresponsive_test.go
+++ b/internal/fleet/unresponsive_test.go
@@ -11,7 +11,7 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// joinOnlyList reads an owner's only list, following on what it said before.
+// joinOnlyList decodes an owner's only list. before is the set decoded from the owner's previous list.
 func joinOnlyList(value []byte, before UnresponsiveSet, now time.Time) (UnresponsiveSet, error) {
 	list, err := DecodeUnresponsiveList(value)
 	return UnresponsiveLists{1: list}.Join(before, now), err
@@ -29,11 +29,11 @@
 		t.Error(set, err)
 	}
 	if _, err := DecodeUnresponsiveList([]byte(`{}`)); err == nil {
-		t.Error("a value that is no list was accepted")
+		t.Error("a value that is not a list was accepted")
 	}
 }
 
-// listStore keeps an owner's lists as the state service does, and reads them back.
+// listStore stores an owner's lists by key, as the state service does.
 type listStore struct {
 	t      *testing.T
 	values map[string][]byte
@@ -65,8 +65,8 @@
 	return lists
 }
 
-// check checks that the stored lists name the machines they should, each in a value of up to
-// limit bytes.
+// check checks that the stored lists hold exactly the given machines, and that each value has at
+// most limit bytes.
 func (s *listStore) check(unresponsive map[string]bool, limit int) {
 	s.t.Helper()
 	for key, value := range s.values {
@@ -83,9 +83,9 @@
 	}
 }
 
-// All unresponsive machines of an owner are listed, whatever size a value may have: in one
-// list of the former form as long as that holds them. Machines stay on their list when others
-// come and go.
+// All unresponsive machines of an owner are listed, for any maximum size of a value. As long as one
+// list holds them all, it has the form of the previous version. Machines stay on their list when
+// others are added and removed.
 func TestUnresponsiveListsHoldAllMachines(t *testing.T) {
 	names := map[string]func(i int) string{
 		"usual": func(i int) string { return fmt.Sprintf("i-%06d", i) },
@@ -122,9 +122,9 @@
 			stored.check(unresponsive, c.limit)
 			before := stored.read()
 			if again := before.Divide(unresponsive, 9, c.limit); !maps.EqualFunc(again, before, UnresponsiveList.Equal) {
-				t.Error("the same machines are divided otherwise")
+				t.Error("the same machines are divided differently")
 			}
-			// One responds again, one that sorts before all does not: at most one list changes for each.
+			// Remove one machine and add one that sorts before all others: each changes at most one list.
 			for machine := range unresponsive {
 				delete(unresponsive, machine)
 				break
@@ -145,9 +145,9 @@
 	}
 }
 
-// readAsFormerVersion reads all values as a controller of the former version does: each as
-// the list of one owner, by its name, of machines that answer commands or don't.
-func readAsFormerVersion(t *testing.T, values map[string][]byte) map[string]map[string]bool {
+// readAsPreviousVersion decodes all values as a controller of the previous version does: each as the
+// list of one owner. The result holds, by owner and machine, whether the machine answers commands.
+func readAsPreviousVersion(t *testing.T, values map[string][]byte) map[string]map[string]bool {
 	t.Helper()
 	owners := map[string]map[string]bool{}
 	for key, value := range values {
@@ -165,7 +165,7 @@
 	return owners
 }
 
-// twoThousandUnresponsive are more machines than one list of 8 KB holds.
+// twoThousandUnresponsive returns more machines than one list of 8 KB holds.
 func twoThousandUnresponsive() map[string]bool {
 	unresponsive := map[string]bool{}
 	for i := range 2000 {
@@ -174,13 +174,13 @@
 	return unresponsive
 }
 
-// A controller of the former version reads the first list, and takes the further ones for
-// those of controllers that do not exist.
-func TestUnresponsiveListsReadByFormerVersion(t *testing.T) {
+// A controller of the previous version reads the first list, and takes the further lists for those
+// of controllers that do not exist.
+func TestUnresponsiveListsReadByPreviousVersion(t *testing.T) {
 	unresponsive := twoThousandUnresponsive()
 	stored := &listStore{t: t}
 	stored.write(UnresponsiveLists{}.Divide(unresponsive, 7, 8<<10))
-	owners := readAsFormerVersion(t, stored.values)
+	owners := readAsPreviousVersion(t, stored.values)
 	for machine, outboundPartitioned := range owners["n1"] {
 		want, known := unresponsive[machine]
 		if machine != "more:7" && (!known || want != outboundPartitioned) {
@@ -192,9 +192,9 @@
 	}
 }
 
-// A controller of the former version removes the first list alone, and then the others count
-// for nothing, also when the owner is back.
-func TestUnresponsiveListsWithoutTheirFirstCountForNothing(t *testing.T) {
+// A controller of the previous version removes only the first list. The further lists are then
+// ignored, even after the owner has returned.
+func TestFurtherUnresponsiveListsAreIgnoredWithoutTheFirst(t *testing.T) {
 	unresponsive := twoThousandUnresponsive()
 	stored := &listStore{t: t}
 	stored.write(UnresponsiveLists{}.Divide(unresponsive, 7, 8<<10))
@@ -206,13 +206,13 @@
 	}
 	lists[1] = UnresponsiveList{OutboundPartitioned: map[string]bool{"i-9": false}}
 	if len(lists.Join(nil, now)) != 1 {
-		t.Error("lists from before the owner left the view count")
+		t.Error("further lists from before the owner left the view are not ignored")
 	}
 	if next := lists.Divide(unresponsive, 9, 8<<10); next[1].SinceEpoch != 9 || len(next.Join(nil, now)) != 2000 {
 		t.Errorf("since epoch %d, %d machines", next[1].SinceEpoch, len(next.Join(nil, now)))
 	}
 	lists[1] = UnresponsiveList{OutboundPartitioned: map[string]bool{"i-9": false}, SinceEpoch: 9}
 	if len(lists.Join(nil, now)) != 1 {
-		t.Error("further lists of another epoch count")
+		t.Error("further lists of another epoch are not ignored")
 	}
 }
