--- a/internal/autoscaler/forecast.go
+++ b/internal/autoscaler/forecast.go
@@ -7,23 +7,24 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Forecast is the mean and variance of demand, in machines, steps ahead from 1.
+// Forecast returns the mean and variance of demand, in machines, stepsAhead steps after the last
+// value of history.
 //
-// The mean starts at the last value and follows the recent trend, which counts for less the
-// further ahead it is carried, by the factor damping a step: demand comes in bursts, and a
-// line carried on for twelve steps turns each into far too many or too few machines.
+// The mean is the last value plus a damped linear trend: each step ahead adds the trend's slope
+// times one more factor of damping. Demand comes in bursts, and an undamped trend extrapolated over
+// twelve steps turns each burst into far too many or too few machines.
 //
-// grain is the demand of one typical task. Arrivals at random make counts of tasks vary at
-// least as much as their mean, which a short quiet history does not show; so the variance is
-// at least the last value times grain.
-func Forecast(history []float64, stepsAhead int, damping, grain float64) (mean, variance float64) {
+// unitDemand is the demand of one typical task. If tasks arrive at random, the variance of their
+// number is at least its mean, which a short quiet history does not show. The variance is therefore
+// at least the last value times unitDemand.
+func Forecast(history []float64, stepsAhead int, damping, unitDemand float64) (mean, variance float64) {
 	count := len(history)
 	if count == 0 {
 		return 0, 0
 	}
 	last := history[count-1]
 	if count < 3 {
-		return last, last * grain
+		return last, last * unitDemand
 	}
 	steps := make([]float64, count)
 	for i := range steps {
@@ -34,7 +35,7 @@
 	for i := range steps {
 		residuals[i] = history[i] - intercept - slope*steps[i]
 	}
-	variance = math.Max(stat.Variance(residuals, nil), math.Max(last, 0)*grain)
+	variance = math.Max(stat.Variance(residuals, nil), math.Max(last, 0)*unitDemand)
 	dampedSteps, weight := 0.0, 1.0
 	for range stepsAhead {
 		weight *= damping
@@ -43,7 +44,7 @@
 	return math.Max(last+slope*dampedSteps, 0), variance
 }
 
-// Sample draws count samples of normally distributed demand, none below zero.
+// Sample draws count samples of demand from a normal distribution. Negative samples become zero.
 func Sample(mean, variance float64, count int, rng *rand.Rand) []float64 {
 	deviation := math.Sqrt(variance)
 	samples := make([]float64, count)
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -1,7 +1,7 @@
-// Package autoscaler plans the size of one group of machines from a forecast with its
-// uncertainty, as the project's design takes it from the MagicScaler paper: a receding
-// horizon, sampled demand, and the least supply whose mean shortfall stays within a share
-// of expected demand. It has no IO and no clock; chance comes from the caller's generator.
+// Package autoscaler plans the size of one group of machines from a probabilistic forecast of
+// demand. The method is that of the MagicScaler paper: planning over a receding horizon with
+// sampled demand, and the minimum supply whose mean shortfall stays within a share of the expected
+// demand. It does no I/O and reads no clock; random numbers come from the caller's generator.
 package autoscaler
 
 import (
@@ -11,16 +11,16 @@
 
 // Params are the autoscaler's settings.
 type Params struct {
-	Steps      int     // steps planned, F in the paper
-	Samples    int     // samples of demand a step, M in the paper
-	Tolerance  float64 // mean shortfall allowed per expected demand, d in the paper
-	TrendSteps int     // steps of history to which the trend is fitted
-	Damping    float64 // the factor that each step further ahead puts on the trend
-	Grain      float64 // demand of a typical task, in machines, for the least variance
+	Steps      int     // number of steps planned (F in the paper)
+	Samples    int     // samples of demand per step (M in the paper)
+	Tolerance  float64 // allowed mean shortfall as a share of expected demand (d in the paper)
+	TrendSteps int     // number of past steps to which the trend is fitted
+	Damping    float64 // factor by which the trend weakens with each step ahead
+	Grain      float64 // demand of a typical task, in machines; sets the minimum variance
 }
 
-// Plan is the least supply, in machines, for each of the coming steps. history is the demand
-// of the past steps, the newest last; unmet and owned are as for Shortfall.
+// Plan returns the minimum supply, in machines, for each of the coming steps. history is the demand
+// of the past steps, the newest last. unmet and owned are as for Shortfall.
 func Plan(history []float64, unmet, owned float64, params Params, rng *rand.Rand) []float64 {
 	if len(history) > params.TrendSteps {
 		history = history[len(history)-params.TrendSteps:]
@@ -34,39 +34,39 @@
 	return plan
 }
 
-// Action is what the first step of a plan asks for.
+// Action is the change that the first step of a plan requires.
 type Action struct {
 	ScaleOut int // machines to request now
-	Surplus  int // machines that no step of the plan needs; negative if some are short
+	Surplus  int // machines that no step of the plan needs; negative if machines are short
 }
 
-// Act turns a plan into the first step's action. Machines requested now help from the step
-// bootSteps on, so scaling out looks as far as that, and scaling in over the whole plan.
-// demand is the present demand; supply counts running, booting and requested machines,
-// without those that drain. A new leader, whose history may be short, scales out for present
-// demand only.
+// Act returns the action for the first step of a plan. Machines requested now are available after
+// bootSteps steps, so scaling out considers the plan up to that step. Scaling in considers the whole
+// plan. demand is the present demand; supply is the number of running, booting and requested
+// machines, without those that drain. A new leader, whose history may be short, scales out only for
+// the present demand.
 func Act(plan []float64, demand float64, supply, bootSteps int, newLeader bool) Action {
-	present := wholeMachines(demand)
-	untilBooted, overPlan := present, present
+	present := machinesFor(demand)
+	untilBooted, wholePlan := present, present
 	for step, planned := range plan {
-		needed := wholeMachines(planned)
+		needed := machinesFor(planned)
 		if step <= bootSteps {
 			untilBooted = max(untilBooted, needed)
 		}
-		overPlan = max(overPlan, needed)
+		wholePlan = max(wholePlan, needed)
 	}
 	if newLeader {
 		untilBooted = present
 	}
 	return Action{
 		ScaleOut: max(0, untilBooted-supply),
-		Surplus:  supply - overPlan,
+		Surplus:  supply - wholePlan,
 	}
 }
 
-// roundingError, in machines, is what sums of shares may exceed a whole number by without
-// one machine more being needed.
-const roundingError = 1e-9
+// roundingTolerance is the excess over a whole number of machines that is attributed to rounding in
+// sums of shares, and requires no further machine.
+const roundingTolerance = 1e-9
 
-// wholeMachines is the number of machines that hold a demand.
-func wholeMachines(demand float64) int { return int(math.Ceil(demand - roundingError)) }
+// machinesFor returns the number of whole machines that a demand requires.
+func machinesFor(demand float64) int { return int(math.Ceil(demand - roundingTolerance)) }
--- a/internal/autoscaler/supply.go
+++ b/internal/autoscaler/supply.go
@@ -7,9 +7,9 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Shortfall is the mean over the samples of demand that a supply leaves unmet. unmet is
-// demand that waits already, owned the capacity that is there before supply is added; all
-// are in machines.
+// Shortfall returns the mean, over the samples of demand, of the demand that a supply does not meet.
+// unmet is demand that is already waiting, owned the capacity that exists before the supply is
+// added. All quantities are in machines.
 func Shortfall(samples []float64, unmet, owned, supply float64) float64 {
 	if len(samples) == 0 {
 		return 0
@@ -21,10 +21,10 @@
 	return sum / float64(len(samples))
 }
 
-// MinSupply is the least supply whose mean shortfall is at most tolerance times expected
-// demand. The mean shortfall falls piecewise linearly in the supply, with its bends at the
-// samples, so the segment that holds the bound is searched and solved (the paper's
-// algorithm 3).
+// MinSupply returns the minimum supply whose mean shortfall is at most tolerance times the expected
+// demand. The mean shortfall is a piecewise linear, decreasing function of the supply with
+// breakpoints at the samples, so MinSupply finds the segment in which it reaches the bound and
+// solves for the supply there (algorithm 3 of the paper).
 func MinSupply(samples []float64, unmet, owned, tolerance float64) float64 {
 	count := len(samples)
 	if count == 0 {
--- a/internal/autoscaler/supply_test.go
+++ b/internal/autoscaler/supply_test.go
@@ -6,15 +6,15 @@
 	"testing"
 )
 
-func near(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
+func approxEqual(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
 
-func TestShortfallByHand(t *testing.T) {
+func TestShortfallOfKnownSamples(t *testing.T) {
 	samples := []float64{2, 4, 6}
-	// Unmet 1, owned 2: needs are 1, 3, 5; against supply 2: 0, 1, 3.
-	if got := Shortfall(samples, 1, 2, 2); !near(got, 4.0/3) {
+	// With unmet 1 and owned 2 the needs are 1, 3 and 5, of which a supply of 2 leaves 0, 1 and 3.
+	if got := Shortfall(samples, 1, 2, 2); !approxEqual(got, 4.0/3) {
 		t.Errorf("shortfall %v", got)
 	}
-	// Owned capacity beyond all demand leaves nothing, before supply is counted.
+	// Owned capacity above all demand leaves no shortfall even without supply.
 	if got := Shortfall(samples, 0, 10, 0); got != 0 {
 		t.Errorf("shortfall with owned capacity %v", got)
 	}
@@ -23,26 +23,26 @@
 	}
 }
 
-func TestMinSupplyByHand(t *testing.T) {
+func TestMinSupplyOfKnownSamples(t *testing.T) {
 	samples := []float64{2, 4, 6}
 	for _, c := range []struct {
 		name                          string
 		unmet, owned, tolerance, want float64
 	}{
-		{"no shortfall allowed: the largest sample", 0, 0, 0, 6},
-		// The bound is 2; at supply 2 the shortfall is (0+2+4)/3 = 2.
-		{"half of expected demand may be short", 0, 0, 0.5, 2},
-		{"unmet demand adds to every sample", 1, 0, 0, 7},
-		{"owned capacity is taken off", 0, 2, 0, 4},
-		{"all demand may be short", 0, 0, 1, 0},
+		{"no shortfall allowed, supply is the largest sample", 0, 0, 0, 6},
+		// The bound is 2, and with a supply of 2 the shortfall is (0+2+4)/3 = 2.
+		{"shortfall of half the expected demand allowed", 0, 0, 0.5, 2},
+		{"unmet demand is added to every sample", 1, 0, 0, 7},
+		{"owned capacity is subtracted", 0, 2, 0, 4},
+		{"shortfall of all demand allowed", 0, 0, 1, 0},
 	} {
-		if got := MinSupply(samples, c.unmet, c.owned, c.tolerance); !near(got, c.want) {
+		if got := MinSupply(samples, c.unmet, c.owned, c.tolerance); !approxEqual(got, c.want) {
 			t.Errorf("%s: got %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-func TestMinSupplyIsTheLeastWithinTheBound(t *testing.T) {
+func TestMinSupplyIsMinimalWithinBound(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
 		samples := Sample(10*rng.Float64(), 9*rng.Float64(), 100, rng)
@@ -56,7 +56,7 @@
 			t.Fatalf("shortfall %v above the bound %v", got, tolerance*mean)
 		}
 		if supply > 1e-3 && Shortfall(samples, unmet, owned, supply-1e-3) <= tolerance*mean-1e-6 {
-			t.Fatalf("supply %v is not the least", supply)
+			t.Fatalf("supply %v is not minimal", supply)
 		}
 	}
 }
