--- a/internal/autoscaler/forecast.go
+++ b/internal/autoscaler/forecast.go
@@ -10,9 +10,9 @@
 // Forecast returns the mean and variance of demand, in machines, stepsAhead steps after the last
 // value of history.
 //
-// The mean is the last value plus a damped linear trend: each step ahead adds the trend's slope
-// times one more factor of damping. Demand comes in bursts, and an undamped trend extrapolated over
-// twelve steps turns each burst into far too many or too few machines.
+// The mean is the last value plus a damped linear trend: the i-th step ahead adds the slope times
+// the i-th power of damping. Demand comes in bursts, and an undamped trend extrapolated over twelve
+// steps turns each burst into far too many or too few machines.
 //
 // unitDemand is the demand of one typical task. If tasks arrive at random, the variance of their
 // number is at least its mean, which a short quiet history does not show. The variance is therefore
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -17,7 +17,7 @@
 const MachinePrefix = "host/"
 
 // State is the state of a machine's record. A machine gets its record when its agent sends the
-// first heartbeat under this cluster's fencing token, or when the leader decides to delete it.
+// first heartbeat under its owner's fencing token, or when the leader decides to delete it.
 // Until then its state is empty. The values are stored.
 type State string
 
--- a/internal/provisioning/catalog.go
+++ b/internal/provisioning/catalog.go
@@ -12,7 +12,7 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// readCatalog reads the catalogue and stores the machine types that changed.
+// readCatalog reads the cloud's catalogue and stores the machine types that have changed.
 func (p *Provisioner) readCatalog() {
 	c := &p.cloud
 	c.readingCatalog = true
@@ -32,13 +32,13 @@
 	})
 }
 
-// rereadCatalogSoon has the catalogue read again before its usual time.
+// rereadCatalogSoon schedules the next reading of the catalogue after tuning.CatalogAgain.
 func (p *Provisioner) rereadCatalogSoon() {
 	p.cloud.catalogAt = p.state.Now.Add(tuning.CatalogAgain - tuning.CatalogEvery)
 }
 
-// machineTypeChanges is the decisions that store the types that differ from the stored ones.
-// Prices move and concern the leader alone, so they are left out of what all controllers know.
+// machineTypeChanges returns the decisions that store the machine types that differ from the stored
+// ones. Prices change often and only the leader needs them, so they are not stored.
 func (p *Provisioner) machineTypeChanges(machineTypes map[string]*jobs.MachineType) []decide.Decision {
 	var decisions []decide.Decision
 	for _, name := range clusterstate.SortedKeys(machineTypes) {
@@ -52,7 +52,7 @@
 			Writes: []store.Write{decide.Put(MachineTypePrefix+name, unpriced)},
 			Urgent: true,
 			OnSettled: func(committed bool) {
-				// Until a type is stored no job that needs it is accepted.
+				// Jobs that need a machine type are not accepted until it is stored.
 				if !committed {
 					p.rereadCatalogSoon()
 				}
@@ -62,8 +62,8 @@
 	return decisions
 }
 
-// decodeCatalog reads the answer to a request for the catalogue, nil if it is none. Types
-// whose names cannot be part of a key are left out.
+// decodeCatalog decodes the response to a request for the catalogue. It returns nil if the request
+// failed or the response is invalid. Machine types whose names cannot be part of a key are left out.
 func decodeCatalog(status int, body []byte, err error) map[string]*jobs.MachineType {
 	var answer struct {
 		MachineTypes []*jobs.MachineType `json:"builds"`
--- a/internal/provisioning/cloud.go
+++ b/internal/provisioning/cloud.go
@@ -84,8 +84,8 @@
 }
 
 // call sends a request within the cloud's rate, or later. If too many wait already it is
-// answered as one that the cloud refuses for its rate.
-func (p *Provisioner) call(method, target string, body []byte, done answerFunc) {
+// answered as one that the cloud recentlyRefused for its rate.
+func (p *Provisioner) call(method, target string, body []byte, done responseFunc) {
 	c := &p.cloud
 	if len(c.waitingCalls) >= tuning.CloudQueue {
 		done(http.StatusTooManyRequests, nil, nil)
@@ -95,13 +95,13 @@
 }
 
 // callFirst sends a request before all that wait.
-func (p *Provisioner) callFirst(method, target string, body []byte, done answerFunc) {
+func (p *Provisioner) callFirst(method, target string, body []byte, done responseFunc) {
 	c := &p.cloud
 	c.waitingCalls = slices.Insert(c.waitingCalls, 0, p.newCall(method, target, body, done))
 }
 
 // newCall is the function that sends a request made by the leader of the present epoch.
-func (p *Provisioner) newCall(method, target string, body []byte, done answerFunc) func() {
+func (p *Provisioner) newCall(method, target string, body []byte, done responseFunc) func() {
 	_, epoch := p.collaborators.Leadership.IsLeader()
 	return func() {
 		answered := func(status int, answer []byte, err error) {
--- a/internal/provisioning/decommission.go
+++ b/internal/provisioning/decommission.go
@@ -13,15 +13,15 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Decommission finds machines to delete, deletes them, and frees the tasks on those whose
-// delete was answered 200.
+// Decommission finds the machines to delete, sends delete requests for them, and frees the tasks on
+// machines whose delete request the cloud has answered with 200.
 func (p *Provisioner) Decommission() {
 	if p.state.Now.Sub(p.decommissionedAt) < tuning.DecommissionEvery {
 		return
 	}
 	p.decommissionedAt = p.state.Now
-	// Machines with cancelled tasks first: the time in which a cancelled task must have ended
-	// depends on it.
+	// Machines with cancelled tasks come first: deleting them in time ensures that cancelled tasks
+	// end within their time limit.
 	decisions := p.decommissionCancelled()
 	decisions = append(decisions, p.decommissionListed()...)
 	p.giveUpUnresponsive()
@@ -31,11 +31,11 @@
 	p.deleteMachines(toDelete)
 }
 
-// decommissionRecorded is the decisions on faulty and deleted machines, and the names of the
-// machines to delete.
+// decommissionRecorded returns the decisions on faulty and deleted machines with a record, and the
+// names of the machines to delete.
 func (p *Provisioner) decommissionRecorded() (decisions []decide.Decision, toDelete []string) {
 	c := &p.cloud
-	// Tasks on many machines are freed together: those of one task range share a write.
+	// Tasks on many machines are freed together, because the tasks of one task range share a write.
 	free := p.collaborators.Budget.Allows(0, 1) || p.state.Now.Sub(c.freedAt) > tuning.AssignLateAfter
 	if free {
 		c.freedAt = p.state.Now
@@ -44,7 +44,7 @@
 		switch {
 		case machine.State == fleet.Faulty:
 			decisions = append(decisions, p.transition(machine.Name, "faulty")...)
-		case c.deleteConfirmed[machine.Name], machine.State == fleet.Deleted: // the latter by an earlier version
+		case c.deleteConfirmed[machine.Name], machine.State == fleet.Deleted: // Deleted was set by an earlier version
 			if free {
 				decisions = append(decisions, p.freeDeleted(machine)...)
 			}
@@ -58,14 +58,14 @@
 	return decisions, toDelete
 }
 
-// transition is the decisions that have a machine with a record deleted.
+// transition returns the decisions that mark a machine with a record for deletion.
 func (p *Provisioner) transition(machine, reason string) []decide.Decision {
 	return p.collaborators.Transitions.TransitionMachine(machine, fleet.Decommission, reason)
 }
 
-// decommissionUnrecorded is the decisions on tasks recorded on a machine without a record: its
-// delete was answered and the record removed, or the record cannot be read. It is deleted
-// again; the cloud ignores unknown names.
+// decommissionUnrecorded returns the decisions on machines without a record on which tasks are still
+// recorded: the delete request was answered and the record removed, or the record cannot be read.
+// Such a machine is deleted again; the cloud ignores unknown names.
 func (p *Provisioner) decommissionUnrecorded() []decide.Decision {
 	var decisions []decide.Decision
 	for name := range p.state.TasksOnMachine {
@@ -76,9 +76,9 @@
 	return decisions
 }
 
-// freeDeleted is the decisions that free the tasks of a machine whose delete was answered
-// 200, and remove its record. A leader that does not know of the answer any more deletes
-// the machine again.
+// freeDeleted returns the decisions that free the tasks of a machine whose delete request was
+// answered with 200, and then remove its record. The answer is not stored: a new leader deletes the
+// machine again.
 func (p *Provisioner) freeDeleted(machine *clusterstate.Machine) []decide.Decision {
 	var decisions []decide.Decision
 	key := fleet.MachinePrefix + machine.Name
@@ -105,14 +105,15 @@
 	return decisions
 }
 
-// mayRemoveRecord tells whether writes are left to remove a deleted machine's record. It is
-// in no hurry: no task is placed by it any more.
+// mayRemoveRecord reports whether the write budget allows removing a deleted machine's record. The
+// removal is not urgent, since no task is placed on the machine any more.
 func (p *Provisioner) mayRemoveRecord(machine string) bool {
-	late := p.state.Now.Sub(p.cloud.deletedAt[machine]) > tuning.RecordLate
-	return p.collaborators.Budget.HasSpareWrites() || p.collaborators.Leadership.Reconciled() && late
+	overdue := p.state.Now.Sub(p.cloud.deletedAt[machine]) > tuning.RecordLate
+	return p.collaborators.Budget.HasSpareWrites() || p.collaborators.Leadership.Reconciled() && overdue
 }
 
-// recordToDelete is the decision that gives a machine without a record one, to delete it.
+// recordToDelete returns the decision that creates a record in state Deleting for a machine without
+// a record. It returns nil if the machine has a record or its key is in a transaction.
 func (p *Provisioner) recordToDelete(machine, reason string) []decide.Decision {
 	key := fleet.MachinePrefix + machine
 	if p.state.Machines[machine] != nil || p.collaborators.Commits.Busy(key) {
@@ -141,8 +142,8 @@
 	}}
 }
 
-// decommissionListed gives up machines that never came up or have stopped, by the cloud's
-// list. Those without a record get one by the decisions that it returns.
+// decommissionListed gives up machines that, according to the cloud's list, never came up or have
+// stopped. It returns the decisions that create records for those without one.
 func (p *Provisioner) decommissionListed() []decide.Decision {
 	var decisions []decide.Decision
 	for name, listed := range p.cloud.listed {
@@ -169,24 +170,24 @@
 	return decisions
 }
 
-// neverCameUp tells whether a machine without a record has had time enough to boot.
+// neverCameUp reports whether a machine without a record has not come up within its boot limit.
 func (p *Provisioner) neverCameUp(listed fleet.ListedMachine) bool {
 	age := jobs.Seconds(listed.AgeS) + p.state.Now.Sub(p.cloud.listedAt)
 	return age > p.bootLimit(listed.MachineType) && !p.collaborators.Machines.HasSession(listed.Name)
 }
 
-// decommissionCancelled is the decisions to delete machines that still hold a cancelled task
-// when its time runs out: perhaps nobody can reach them.
+// decommissionCancelled returns the decisions to delete machines that still hold a cancelled task
+// shortly before its time limit: it may be that no controller can reach them.
 func (p *Provisioner) decommissionCancelled() []decide.Decision {
 	machines := map[string]bool{}
 	for _, job := range p.state.Closed {
-		wait, due := p.cancelDeleteDue(job)
+		onlyUnreachable, due := p.cancelDeleteDue(job)
 		if !due {
 			continue
 		}
 		for _, task := range job.Active {
-			spared := wait && p.reachesOwner(task.Machine)
-			if task.OnMachine() && !spared {
+			keep := onlyUnreachable && p.reachesOwner(task.Machine)
+			if task.OnMachine() && !keep {
 				machines[task.Machine] = true
 			}
 		}
@@ -201,30 +202,32 @@
 	return decisions
 }
 
-// cancelDeleteDue tells whether a job was cancelled so long ago that machines which still
-// hold its tasks must be deleted; wait, whether those are spared that reach their owner.
-func (p *Provisioner) cancelDeleteDue(job *clusterstate.Job) (wait, due bool) {
+// cancelDeleteDue reports whether a job was cancelled so long ago that machines which still hold its
+// tasks have to be deleted (due), and whether only those that cannot reach their owner are deleted
+// for now (onlyUnreachable).
+func (p *Provisioner) cancelDeleteDue(job *clusterstate.Job) (onlyUnreachable, due bool) {
 	cluster := &p.config.Cluster
 	limitMs := cluster.CancelDelete().Milliseconds()
-	overMs := jobs.Seconds(cluster.Workers.CancelS).Milliseconds()
+	endMs := jobs.Seconds(cluster.Workers.CancelS).Milliseconds()
 	ageMs := p.state.NowMs() - job.Record.EndMs
-	// What was over before a new leader began, or while the state service was unavailable,
-	// has ended with its lease or before, and the machine's heartbeats say so: it is not
-	// deleted for a record that nobody could free (docs/incidents/deleted-after-outage.md).
+	// A task whose time limit passed before a new leader took over, or while the state service was
+	// unavailable, has ended with its lease at the latest, and the machine's heartbeats report this.
+	// The machine is not deleted for a record that could not be written in the meantime
+	// (docs/incidents/deleted-after-outage.md).
 	writable := p.writableFor()
 	justWritable := writable < cluster.Workers.UnresponsiveAfter()
-	if job.Record.State != jobs.Cancelled || ageMs <= limitMs || justWritable && ageMs > overMs {
+	if job.Record.State != jobs.Cancelled || ageMs <= limitMs || justWritable && ageMs > endMs {
 		return false, false
 	}
-	// Nor is one whose time has come meanwhile, while its owner, which hears it, may be about
-	// to write what it heard, unless that is all the time that a delete has left
-	// (docs/incidents/deleted-on-return.md).
-	lastMs := cluster.LatestCancelDelete().Milliseconds()
-	return writable < tuning.CancelSettle && (ageMs < lastMs || ageMs > overMs), true
+	// A machine whose delete became due in the meantime is not deleted either while its owner, which
+	// receives its heartbeats, may be about to record them, unless the time left is needed for the
+	// delete itself (docs/incidents/deleted-on-return.md).
+	latestMs := cluster.LatestCancelDelete().Milliseconds()
+	return writable < tuning.CancelSettle && (ageMs < latestMs || ageMs > endMs), true
 }
 
-// writableFor is for how long writes could be made: since this controller came to lead, or
-// since the state service was back.
+// writableFor returns for how long this leader has been able to write: since it became the leader, or
+// since the state service was last unavailable.
 func (p *Provisioner) writableFor() time.Duration {
 	if p.unavailableAt.After(p.Since) {
 		return p.state.Now.Sub(p.unavailableAt)
@@ -232,8 +235,8 @@
 	return p.state.Now.Sub(p.Since)
 }
 
-// reachesOwner tells whether a machine's owner is in contact with it, be it by the answers
-// to commands alone.
+// reachesOwner reports whether a machine's owner is in contact with it, even if only through the
+// machine's responses to commands.
 func (p *Provisioner) reachesOwner(name string) bool {
 	machine := p.state.Machines[name]
 	if machine == nil {
--- a/internal/provisioning/delete.go
+++ b/internal/provisioning/delete.go
@@ -9,17 +9,17 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// deleteMachines sends a delete request for so many of the machines as it may name, unless it
-// is better to wait for more.
+// deleteMachines sends a delete request for as many of the machines as one request may name. It sends
+// none while it is better to wait for further machines to delete.
 func (p *Provisioner) deleteMachines(names []string) {
 	c := &p.cloud
 	now := p.state.Now
-	if len(names) == 0 || len(names) < tuning.MaxDeleteNames && now.Sub(c.deleteSentAt) < p.deleteEvery() {
+	if len(names) == 0 || len(names) < tuning.MaxDeleteNames && now.Sub(c.deleteSentAt) < p.deleteInterval() {
 		return
 	}
 	c.deleteSentAt = now
-	// Machines with cancelled tasks first, whose time runs out, then those with others, which
-	// wait for the answer.
+	// Machines with cancelled tasks come first, because their time limit is close, then those with
+	// other tasks, which cannot be freed before the response.
 	sort.SliceStable(names, func(i, j int) bool {
 		return p.deletePriority(names[i]) > p.deletePriority(names[j])
 	})
@@ -29,19 +29,19 @@
 	}
 	body := jobs.Encode(map[string][]string{"hosts": names})
 	p.callFirst(http.MethodPost, "/hosts/delete", body, func(status int, _ []byte, err error) {
-		p.deleteAnswered(names, status, err)
+		p.handleDeleteResponse(names, status, err)
 	})
 }
 
-// deleteAnswered takes in the cloud's answer to a delete request.
-func (p *Provisioner) deleteAnswered(names []string, status int, err error) {
+// handleDeleteResponse handles the cloud's response to a delete request.
+func (p *Provisioner) handleDeleteResponse(names []string, status int, err error) {
 	c := &p.cloud
 	for _, name := range names {
 		if err != nil {
 			continue
 		}
-		// One that was refused was not carried out, and is sent again with the next: the
-		// cloud may be back long before an unanswered one would be repeated.
+		// A refused request was not carried out, so its machines go into the next one: the cloud may
+		// be available again long before an unanswered request would be repeated.
 		delete(c.deletingAt, name)
 		if status == http.StatusOK {
 			c.deleteConfirmed[name] = true
@@ -49,10 +49,10 @@
 			delete(c.listed, name)
 		}
 	}
-	p.decommissionedAt = time.Time{} // the tasks on them are freed at once
+	p.decommissionedAt = time.Time{} // frees the tasks on them at once
 }
 
-// deletePriority is the order in which machines are deleted, the highest first.
+// deletePriority returns a machine's priority for deletion. The highest are deleted first.
 func (p *Provisioner) deletePriority(machine string) int {
 	const empty, holdsTasks, holdsCancelledTask = 0, 1, 2
 	priority := empty
@@ -65,8 +65,8 @@
 	return priority
 }
 
-// deleteEvery is the pause between two delete requests, so that deletes share requests where
-// the cloud allows few.
-func (p *Provisioner) deleteEvery() time.Duration {
+// deleteInterval returns the time between two delete requests. It makes deletes share requests if the
+// cloud's rate limit is low.
+func (p *Provisioner) deleteInterval() time.Duration {
 	return jobs.Seconds(1 / (p.config.Cluster.Cloud.RPS * tuning.DeleteShare))
 }
--- a/internal/provisioning/follow.go
+++ b/internal/provisioning/follow.go
@@ -30,7 +30,7 @@
 	}
 	started := p.state.Now
 	f.running, f.startedAt = true, started
-	send := func(target string, done answerFunc) {
+	send := func(target string, done responseFunc) {
 		p.collaborators.Cloud.Send(http.MethodGet, target, nil, tuning.CloudTimeout, done)
 	}
 	send("/catalog", func(status int, body []byte, err error) {
--- a/internal/provisioning/golden_edges_test.go
+++ b/internal/provisioning/golden_edges_test.go
@@ -76,7 +76,7 @@
 	var out bytes.Buffer
 	var got map[string]fleet.ListedMachine
 	read := false
-	send := func(target string, done answerFunc) {
+	send := func(target string, done responseFunc) {
 		page := pages[0]
 		pages = pages[1:]
 		fmt.Fprintf(&out, "GET %s\n%s\n", target, page)
@@ -112,7 +112,7 @@
 			l := newLeader(t)
 			l.applyMachine("i-8", fleet.MachineRecord{State: fleet.Deleting, MachineType: "g4", Zone: "a"})
 			l.applyMachine("i-9", fleet.MachineRecord{State: fleet.Deleting, MachineType: "g4", Zone: "b"})
-			l.send = func(method, target string, body []byte, timeout time.Duration, done answerFunc) {
+			l.send = func(method, target string, body []byte, timeout time.Duration, done responseFunc) {
 				answer := goldenAnswer(method, target, launchAnswer)
 				out.Write(http1.AppendRequest(nil, method, target, "cloud:1", body, false))
 				fmt.Fprintf(&out, "\nwithin %s -> %s\n\n", timeout, answer)
--- a/internal/provisioning/leader_test.go
+++ b/internal/provisioning/leader_test.go
@@ -35,7 +35,7 @@
 	committed    []decide.Decision
 
 	// send takes the place of the cloud, if it is not nil.
-	send       func(method, target string, body []byte, timeout time.Duration, done answerFunc)
+	send       func(method, target string, body []byte, timeout time.Duration, done responseFunc)
 	listed     []fleet.ListedMachine
 	requestIDs []string // of the launch requests that the cloud got
 	deleted    []string // machines that the cloud deleted
@@ -158,7 +158,7 @@
 }
 
 // Cloud.
-func (l *leader) Send(method, target string, body []byte, timeout time.Duration, done answerFunc) {
+func (l *leader) Send(method, target string, body []byte, timeout time.Duration, done responseFunc) {
 	switch {
 	case l.send != nil:
 		l.send(method, target, body, timeout, done)
@@ -176,7 +176,7 @@
 	}
 }
 
-func (l *leader) launch(body []byte, done answerFunc) {
+func (l *leader) launch(body []byte, done responseFunc) {
 	var request launchRequest
 	_ = json.Unmarshal(body, &request)
 	l.requestIDs = append(l.requestIDs, request.LaunchRequestID)
--- a/internal/provisioning/machine_list.go
+++ b/internal/provisioning/machine_list.go
@@ -11,9 +11,9 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// listEvery is the pause between two readings of the cloud's list: its pages may take only
+// listInterval is the pause between two readings of the cloud's list: its pages may take only
 // a share of the cloud's rate.
-func (p *Provisioner) listEvery() time.Duration {
+func (p *Provisioner) listInterval() time.Duration {
 	pages := float64(1 + len(p.cloud.listed)/tuning.CloudPage)
 	return max(tuning.ListEvery, jobs.Seconds(pages/(p.config.Cluster.Cloud.RPS*tuning.ListShare)))
 }
@@ -27,7 +27,7 @@
 func (p *Provisioner) readList() {
 	p.cloud.readingList = true
 	started := p.state.Now
-	send := func(target string, done answerFunc) { p.call(http.MethodGet, target, nil, done) }
+	send := func(target string, done responseFunc) { p.call(http.MethodGet, target, nil, done) }
 	readPages(send, func(machines map[string]fleet.ListedMachine, complete bool) {
 		p.cloud.readingList = false
 		if complete {
@@ -69,7 +69,7 @@
 // it to done; complete is false if a page was not answered. Machines whose names cannot be
 // part of a key are left out.
 func readPages(
-	send func(target string, done answerFunc),
+	send func(target string, done responseFunc),
 	done func(machines map[string]fleet.ListedMachine, complete bool),
 ) {
 	machines := map[string]fleet.ListedMachine{}
--- a/internal/provisioning/packing.go
+++ b/internal/provisioning/packing.go
@@ -11,32 +11,33 @@
 	"github.com/harrierreel/harrierreel/internal/sharding"
 )
 
-// bin is a machine on which waiting tasks are packed.
+// bin is a machine onto which waiting tasks are packed.
 type bin struct {
 	pool
 	free sharding.Resources
 	up   bool
 }
 
-// packing places the waiting tasks whole on machines that boot and on such as would have to
-// be requested: shares of a machine alone would not see that free capacity can be too
-// scattered for a task.
+// packing assigns whole waiting tasks to booting machines and to machines that would have to be
+// requested. Adding up shares of machines would not be enough, because free capacity may be too
+// fragmented for a task.
 type packing struct {
 	provisioner *Provisioner
 	bins        []bin
-	zonesOf     map[*clusterstate.Job]map[string]int // tasks by zone, those packed included
-	// demand, by group in machines, to which the packed tasks are added.
+	zonesOf     map[*clusterstate.Job]map[string]int // tasks by zone, including packed ones
+	// demand is by group, in machines. The packed tasks are added to it.
 	demand map[fleet.Group]float64
-	// machines is the supply with the machines to request, by pool, needed the latter alone.
+	// machines is the supply including the machines to request, by pool. needed is the machines to
+	// request alone.
 	machines map[pool]int
 	needed   map[fleet.Group]int
-	// onUpMachines is how many tasks of each entry go on machines that are up.
+	// onUpMachines is the number of tasks of each entry that fit on machines that are up.
 	onUpMachines map[*queue.Waiting]int
 }
 
-// packQueue packs the waiting tasks and adds them to demand. They go on the machines that
-// boot, then on the cheapest that can be requested. Those that the last scheduling cycle did
-// not come to go on machines that are up first.
+// packQueue packs the waiting tasks and adds them to demand. Tasks are packed onto booting machines
+// first, then onto the cheapest machines that can be requested. Tasks that the last scheduling cycle
+// did not examine are packed onto machines that are up before that.
 func (p *Provisioner) packQueue(
 	machines supply,
 	demand map[fleet.Group]float64,
@@ -63,7 +64,7 @@
 	return k
 }
 
-// addUpMachines adds the machines in use that do not drain, with their free capacity.
+// addUpMachines adds a bin for each machine in use that does not drain, with its free capacity.
 func (k *packing) addUpMachines() {
 	p := k.provisioner
 	accumulated := p.collaborators.Queue.AccumulatedCapacity()
@@ -92,21 +93,21 @@
 	}
 }
 
-// zones is the tasks of an entry's job by zone, those packed included.
+// zones returns the number of tasks of an entry's job by zone, including packed ones.
 func (k *packing) zones(entry *queue.Waiting) map[string]int {
 	job := entry.Task.Job
 	zones := k.zonesOf[job]
 	if zones == nil {
 		zones = k.provisioner.state.TasksByZone(job)
 		if entry.Zone != "" {
-			zones[entry.Zone]++ // where its capacity accumulates
+			zones[entry.Zone]++ // zone in which its capacity accumulates
 		}
 		k.zonesOf[job] = zones
 	}
 	return zones
 }
 
-// packOnBins packs the tasks of an entry on the bins, and returns how many are left.
+// packOnBins packs the tasks of an entry onto the existing bins and returns how many are left.
 func (k *packing) packOnBins(entry *queue.Waiting, zones map[string]int) int {
 	spec := &entry.Task.Job.Record.Spec
 	left := entry.Count
@@ -125,7 +126,7 @@
 	return left
 }
 
-// packOnNewMachines packs so many tasks of an entry on machines that are to be requested.
+// packOnNewMachines packs the remaining tasks of an entry onto machines that are to be requested.
 func (k *packing) packOnNewMachines(entry *queue.Waiting, zones map[string]int, left int) {
 	record := entry.Task.Job.Record
 	for left > 0 {
@@ -141,7 +142,7 @@
 	}
 }
 
-// fill packs up to so many tasks on one bin, and returns how many.
+// fill packs up to limit tasks onto one bin and returns how many it has packed.
 func (k *packing) fill(b *bin, spec *jobs.Spec, zones map[string]int, limit int) int {
 	share := spec.Resources().ShareOf(k.provisioner.cloud.catalog[b.MachineType].Capacity())
 	packed := 0
--- a/internal/provisioning/plan.go
+++ b/internal/provisioning/plan.go
@@ -14,7 +14,7 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// planStep is one step of the plan: what is known at its start, and what follows from it.
+// planStep is one planning step: the inputs at its start, and its results.
 type planStep struct {
 	provisioner *Provisioner
 	supply      supply
@@ -25,10 +25,10 @@
 
 	summary   Summary
 	scaleOuts []scaleOut
-	emptied   []string // drained machines, to be deleted
+	emptied   []string // drained machines that are empty and will be deleted
 }
 
-// plan plans each group and acts on the first step of its plan.
+// plan plans each group and carries out the first step of its plan.
 func (p *Provisioner) plan() {
 	p.cloud.steps++
 	step := &planStep{
@@ -54,7 +54,7 @@
 	p.collaborators.Commits.Commit(step.decisions())
 }
 
-// waiting is what the queue has no capacity for, or has not examined.
+// waiting returns the tasks for which the queue found no capacity or that it has not examined yet.
 func (p *Provisioner) waiting() []*queue.Waiting {
 	return append(p.collaborators.Queue.StillWaiting(), p.collaborators.Queue.NotExamined()...)
 }
@@ -73,7 +73,7 @@
 		"spare", p.collaborators.Budget.HasSpareWrites())
 }
 
-// groups is all groups of the catalogue, by name.
+// groups returns all groups of the catalogue, sorted by name.
 func (p *Provisioner) groups() []fleet.Group {
 	var groups []fleet.Group
 	for name := range p.cloud.catalog {
@@ -85,8 +85,8 @@
 	return groups
 }
 
-// countDemand adds up the used capacity by group, and lists the machines that may drain.
-// What accumulates for gangs counts as used.
+// countDemand sums the used capacity by group and collects the machines that may drain. Capacity
+// that is being accumulated for gangs counts as used.
 func (s *planStep) countDemand() {
 	p := s.provisioner
 	accumulated := p.collaborators.Queue.AccumulatedCapacity()
@@ -109,7 +109,7 @@
 	}
 }
 
-// planGroup plans one group: its machines to request, to drain and to return.
+// planGroup plans one group: the machines to request, to drain and to delete.
 func (s *planStep) planGroup(group fleet.Group) {
 	p := s.provisioner
 	machines, demand := s.supply.ofGroup(group), s.demand[group]
@@ -120,7 +120,7 @@
 	action := s.act(group, history, machines)
 	surplus := action.Surplus
 	if waiting := s.waitingFor(group); waiting > 0 {
-		// Draining while tasks wait that could go there gains nothing.
+		// Draining is pointless while tasks wait that could run on these machines.
 		surplus = min(surplus, -int(math.Ceil(waiting)))
 	}
 	next, emptied, revived := fleet.DrainStep(
@@ -146,13 +146,13 @@
 	}
 }
 
-// history is a group's demand in the newest steps, this one the last.
+// history returns a group's demand in the latest steps, ending with this one.
 func (s *planStep) history(group fleet.Group) []float64 {
 	history := append(slices.Clone(s.provisioner.Summary.History[group.String()]), s.demand[group])
 	return history[max(0, len(history)-tuning.SummaryHistory):]
 }
 
-// act is the autoscaler's first step for a group.
+// act returns the autoscaler's action for a group in this step.
 func (s *planStep) act(group fleet.Group, history []float64, machines int) autoscaler.Action {
 	p := s.provisioner
 	operator := &p.config.Operator
@@ -162,7 +162,7 @@
 		Tolerance:  operator.Tolerance,
 		TrendSteps: operator.TrendSteps,
 		Damping:    tuning.TrendDamping,
-		Grain:      tuning.GrainShare * p.grain(group),
+		Grain:      tuning.GrainShare * p.meanJobDemand(group),
 	}, p.config.Rand)
 	bootSteps := 0
 	if machineType := p.cloud.catalog[group.MachineType]; machineType != nil {
@@ -172,7 +172,7 @@
 	return autoscaler.Act(plan, s.demand[group], machines, bootSteps, newLeader)
 }
 
-// draining is the machines of a group that drain, with their stages.
+// draining returns the draining machines of a group with their stages.
 func (s *planStep) draining(group fleet.Group) fleet.Draining {
 	draining := fleet.Draining{}
 	for _, candidate := range s.candidates[group] {
@@ -183,9 +183,10 @@
 	return draining
 }
 
-// waitingFor is how many machines of a group the waiting tasks that may go there would fill,
-// by share, without those that go on machines that are up. A gang that accumulates capacity
-// is left out: its need is demand, as is what it has accumulated, and no more is kept for it.
+// waitingFor returns how many machines of a group the waiting tasks that may run there would fill,
+// without the tasks that fit on machines that are up. A gang that accumulates capacity is left out:
+// both its need and the capacity accumulated for it are already part of demand, and no further
+// capacity is kept for it.
 func (s *planStep) waitingFor(group fleet.Group) float64 {
 	machineType := s.provisioner.state.MachineTypes[group.MachineType]
 	if machineType == nil {
@@ -197,14 +198,14 @@
 		if entry.Accumulates || !spec.AllowsMachineType(group.MachineType) || group.Spot && !spec.Spot {
 			continue
 		}
-		if share := spec.Resources().ShareOf(machineType.Capacity()); share <= 1+roundingError {
+		if share := spec.Resources().ShareOf(machineType.Capacity()); share <= 1+roundingTolerance {
 			sum += share * float64(entry.Count-s.packing.onUpMachines[entry])
 		}
 	}
 	return sum
 }
 
-// decisions stores the summary and has the drained machines deleted.
+// decisions returns the decisions that store the summary and delete the drained machines.
 func (s *planStep) decisions() []decide.Decision {
 	var decisions []decide.Decision
 	for _, write := range s.provisioner.summaryWrites(s.summary) {
@@ -213,16 +214,16 @@
 	for _, name := range s.emptied {
 		for _, decision := range s.provisioner.collaborators.Transitions.TransitionMachine(
 			name, fleet.Decommission, "drained") {
-			decision.Urgent = true // the summary names it as draining no more
+			decision.Urgent = true // the summary no longer lists it as draining
 			decisions = append(decisions, decision)
 		}
 	}
 	return decisions
 }
 
-// grain is the machines of a group that one job there takes on average, weighted by demand:
-// a job's tasks come together.
-func (p *Provisioner) grain(group fleet.Group) float64 {
+// meanJobDemand returns the average demand of a job in a group, in machines, weighted by demand. Jobs
+// are used as the unit of arrivals because the tasks of a job arrive together.
+func (p *Provisioner) meanJobDemand(group fleet.Group) float64 {
 	machineType := p.state.MachineTypes[group.MachineType]
 	if machineType == nil {
 		return 0
--- a/internal/provisioning/pool.go
+++ b/internal/provisioning/pool.go
@@ -12,10 +12,10 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// roundingError is what sums of shares and prices may be off by.
-const roundingError = 1e-9
+// roundingTolerance is the tolerated rounding error of sums of shares and prices.
+const roundingTolerance = 1e-9
 
-// pool is one thing that the cloud offers: the machines of a group in a zone.
+// pool identifies the machines of a group in one zone, the unit in which the cloud offers capacity.
 type pool struct {
 	fleet.Group
 	zone string
@@ -27,17 +27,17 @@
 
 func compareGroups(a, b fleet.Group) int { return cmp.Compare(a.String(), b.String()) }
 
-// poolOf is the pool of a machine with a record.
+// poolOf returns the pool of a machine.
 func poolOf(machine *clusterstate.Machine) pool {
 	return pool{groupOf(machine), machine.Zone}
 }
 
-// groupOf is the group of a machine with a record.
+// groupOf returns the group of a machine.
 func groupOf(machine *clusterstate.Machine) fleet.Group {
 	return fleet.Group{MachineType: machine.MachineType, Spot: machine.Spot}
 }
 
-// price is what a machine of a group costs an hour.
+// price returns the price per hour of a machine of a group.
 func (p *Provisioner) price(group fleet.Group) float64 {
 	machineType := p.cloud.catalog[group.MachineType]
 	if machineType == nil {
@@ -49,28 +49,28 @@
 	return machineType.Hourly
 }
 
-// refuses tells whether the cloud had no capacity in a pool a short while ago.
-func (p *Provisioner) refuses(candidate pool) bool {
+// recentlyRefused reports whether the cloud recently refused a launch request for a pool.
+func (p *Provisioner) recentlyRefused(candidate pool) bool {
 	return p.state.Now.Before(p.cloud.refusedUntil[candidate.String()])
 }
 
-// poolPrice is a pool with what a task costs there an hour.
+// poolPrice is a pool with the price of running a task there for an hour.
 type poolPrice struct {
 	pool
 	taskPrice float64
 }
 
-// poolsFor is the pools that a task may use, in no order. zones is the tasks of its job by
-// zone, which some jobs limit.
+// poolsFor returns the pools in which a task may run, in no particular order. zones holds the number
+// of its job's tasks by zone, which some jobs limit.
 func (p *Provisioner) poolsFor(spec *jobs.Spec, zones map[string]int) []poolPrice {
 	var pools []poolPrice
 	for name, machineType := range p.cloud.catalog {
 		share := spec.Resources().ShareOf(machineType.Capacity())
-		if share > 1+roundingError || !spec.AllowsMachineType(name) {
+		if share > 1+roundingTolerance || !spec.AllowsMachineType(name) {
 			continue
 		}
-		// Only whole tasks fit on a machine: that is what a task really costs there.
-		tasksPerMachine := math.Floor(1/share + roundingError)
+		// A machine's price is divided among the whole tasks that fit on it.
+		tasksPerMachine := math.Floor(1/share + roundingTolerance)
 		for _, spot := range []bool{false, true} {
 			if spot && (!spec.Spot || machineType.SpotHourly <= 0) {
 				continue
@@ -86,19 +86,20 @@
 	return pools
 }
 
-// cheapest is the pool where a waiting task costs least, of those that the cloud has not
-// just refused; of equally cheap ones that with the fewest machines. It is none for a task
-// that can wait, if it costs much more there than it would if the cloud had what it refused.
+// cheapest returns the pool with the lowest price for a waiting task, among the pools that the cloud
+// has not recently refused. Of equally cheap pools it returns the one with the fewest machines. It
+// returns false if there is no such pool, or if the task can wait and the cheapest pool costs more
+// than tuning.PatientPrice times as much as the cheapest one including the refused pools.
 func (p *Provisioner) cheapest(record *jobs.Record, zones map[string]int, counts map[pool]int) (pool, bool) {
 	best, found, bestPrice, lowestPrice := pool{}, false, math.Inf(1), math.Inf(1)
 	for _, candidate := range p.poolsFor(&record.Spec, zones) {
 		lowestPrice = min(lowestPrice, candidate.taskPrice)
-		if p.refuses(candidate.pool) {
+		if p.recentlyRefused(candidate.pool) {
 			continue
 		}
-		cheaper := candidate.taskPrice < bestPrice-roundingError
-		asCheap := candidate.taskPrice < bestPrice+roundingError
-		if cheaper || asCheap && found && fewerMachines(candidate.pool, best, counts) {
+		cheaper := candidate.taskPrice < bestPrice-roundingTolerance
+		equal := candidate.taskPrice < bestPrice+roundingTolerance
+		if cheaper || equal && found && hasFewerMachines(candidate.pool, best, counts) {
 			best, found, bestPrice = candidate.pool, true, candidate.taskPrice
 		}
 	}
@@ -108,17 +109,18 @@
 	return best, found
 }
 
-// fewerMachines orders equally cheap pools: by their machines, then by name.
-func fewerMachines(a, b pool, counts map[pool]int) bool {
+// hasFewerMachines reports whether a precedes b in the order of equally cheap pools: by number of
+// machines, then by name.
+func hasFewerMachines(a, b pool, counts map[pool]int) bool {
 	if counts[a] != counts[b] {
 		return counts[a] < counts[b]
 	}
 	return comparePools(a, b) < 0
 }
 
-// canWaitForPrice tells whether a task has time left before a machine of the pool must be
-// requested for it. A gang that is overdue has none: it accumulates capacity that stands idle
-// until it is whole.
+// canWaitForPrice reports whether a task can still wait before a machine of the pool has to be
+// requested for it. An overdue gang cannot: the capacity that it accumulates is idle until there is
+// enough for all of its tasks.
 func (p *Provisioner) canWaitForPrice(record *jobs.Record, candidate pool) bool {
 	spec := &record.Spec
 	job := p.state.Jobs[spec.ID]
@@ -130,17 +132,18 @@
 	return p.collaborators.Queue.StartBy(record, false)-p.state.NowMs() > margin.Milliseconds()
 }
 
-// bootOverdue is the age from which a machine that has not come up is overdue, and no supply.
+// bootOverdue returns the age from which a machine that has not come up is overdue and no longer
+// counts as supply.
 func (p *Provisioner) bootOverdue(machineType string) time.Duration {
 	return p.bootTime(machineType, tuning.BootLate)
 }
 
-// bootLimit is the age from which a machine that has not come up is given up.
+// bootLimit returns the age from which a machine that has not come up is given up.
 func (p *Provisioner) bootLimit(machineType string) time.Duration {
 	return p.bootTime(machineType, tuning.BootSlack)
 }
 
-// bootTime is a multiple of a machine type's boot time, or the least that any type is given.
+// bootTime returns a machine type's boot time times factor, but at least tuning.MinBootSlack.
 func (p *Provisioner) bootTime(machineType string, factor float64) time.Duration {
 	if known := p.state.MachineTypes[machineType]; known != nil {
 		return max(tuning.MinBootSlack, jobs.Seconds(known.BootS*factor))
@@ -148,7 +151,7 @@
 	return tuning.MinBootSlack
 }
 
-// sortedPools is the pools of a map, by name.
+// sortedPools returns the keys of a map, sorted by name.
 func sortedPools(counts map[pool]int) []pool {
 	pools := make([]pool, 0, len(counts))
 	for candidate := range counts {
--- a/internal/provisioning/provisioner.go
+++ b/internal/provisioning/provisioner.go
@@ -1,8 +1,8 @@
-// Package provisioning scales the machines out and in: it reads the cloud's list and
-// catalogue, requests what the autoscaler's plan and the queue need, gives machines up,
-// deletes them and frees their tasks. Only the leader uses it, except FollowCloud and
-// ApplySummary, which every controller may call. Requests to the cloud and decisions come
-// out; it has no IO and no clock.
+// Package provisioning scales the cluster out and in: it reads the cloud's machine list and
+// catalogue, requests the machines that the autoscaler's plan and the queue need, gives up and
+// deletes machines, and frees their tasks. Only the leader uses it, except for FollowCloud and
+// ApplySummary, which every controller may call. Its output is cloud requests and decisions; it
+// does no I/O and reads no clock.
 package provisioning
 
 import (
@@ -22,94 +22,98 @@
 
 // Keys in the state service.
 const (
-	// MachineTypePrefix is the prefix of the machine types that all controllers know.
+	// MachineTypePrefix is the key prefix of the machine types, which all controllers read.
 	MachineTypePrefix = "build/"
 	// SummaryKey is the key of the autoscaler's summary, or of its first part.
 	SummaryKey = "scaler"
 )
 
-// Config is the provisioner's settings and its log.
+// Config holds the provisioner's settings and its logger.
 type Config struct {
 	Operator   settings.Operator
 	Cluster    settings.Cluster
-	ValueBytes int // bytes that a value of the state service may have
+	ValueBytes int // maximum size of a value in the state service
 	Log        *slog.Logger
 	Rand       *rand.Rand // for the autoscaler's samples
 }
 
 // Cloud sends requests to the cloud.
 type Cloud interface {
-	// Send sends a request. Its answer comes back on the loop, by done.
-	Send(method, target string, body []byte, timeout time.Duration, done answerFunc)
+	// Send sends a request and calls done with the response on the event loop.
+	Send(method, target string, body []byte, timeout time.Duration, done responseFunc)
 }
 
-// answerFunc takes an answer of the cloud: its status and body, or the error why there is none.
-type answerFunc = func(status int, body []byte, err error)
+// responseFunc handles a response of the cloud: its status and body, or the error if there is none.
+type responseFunc = func(status int, body []byte, err error)
 
-// Leadership is this controller's place as the leader.
+// Leadership reports on this controller's role as the leader.
 type Leadership interface {
-	// IsLeader tells whether this controller leads, and under which epoch.
+	// IsLeader reports whether this controller is the leader, and in which epoch.
 	IsLeader() (bool, uint64)
-	// MayScaleOut tells whether all is checked that a leader must know before it requests machines.
+	// MayScaleOut reports whether the checks that a leader has to make before it requests machines
+	// are complete.
 	MayScaleOut() bool
-	// Reconciled tells whether reconciliation is over. Until then writes are needed for more
-	// than records that nobody reads.
+	// Reconciled reports whether reconciliation is complete. Until then writes are needed for more
+	// important things than removing records that are no longer read.
 	Reconciled() bool
 }
 
 // Loop is the controller's event loop.
 type Loop interface {
-	// Wake has the loop look for work again.
+	// Wake makes the loop check for work.
 	Wake()
 }
 
-// CommitQueue takes decisions to commit.
+// CommitQueue queues decisions to be committed.
 type CommitQueue interface {
-	// Commit takes decisions; each is told whether it was committed.
+	// Commit queues decisions. Each is notified whether it was committed.
 	Commit(decisions []decide.Decision)
-	// Busy tells whether a key is part of a transaction under way.
+	// Busy reports whether a key is part of a transaction in flight.
 	Busy(key string) bool
 }
 
-// Budget is what the client of the state service may send at present.
+// Budget is the write budget of the state service's client.
 type Budget interface {
-	// Allows tells whether so many writes may leave now, after those spent already.
+	// Allows reports whether the given number of writes may be sent now, in addition to those
+	// already spent.
 	Allows(spent, writes int) bool
-	// HasSpareWrites tells whether writes are left for what is in no hurry.
+	// HasSpareWrites reports whether writes are left for work that is not urgent.
 	HasSpareWrites() bool
-	// Unavailable tells whether the state service does not answer.
+	// Unavailable reports whether the state service does not respond.
 	Unavailable() bool
-	// Waiting is the number of calls that wait to be sent.
+	// Waiting returns the number of calls that wait to be sent.
 	Waiting() int
 }
 
-// Records tells which records are stored.
+// Records provides the revisions of stored records.
 type Records interface {
-	// Revision is a key's newest revision, 0 if it is not there.
+	// Revision returns a key's latest revision, 0 if the key does not exist.
 	Revision(key string) uint64
 }
 
-// Transitions makes the decisions on tasks and machines.
+// Transitions builds decisions that change the state of tasks and machines.
 type Transitions interface {
-	// TaskLost is the decision for a task whose machine is gone, to be retried after the pause.
-	TaskLost(task *clusterstate.Task, kind jobs.TaskEventKind, pause time.Duration) decide.Decision
-	// TransitionMachine is the decisions that an event of a machine asks for.
+	// TaskLost returns the decision for a task whose machine is gone. The task may be placed again
+	// after the delay.
+	TaskLost(task *clusterstate.Task, kind jobs.TaskEventKind, delay time.Duration) decide.Decision
+	// TransitionMachine returns the decisions for an event of a machine.
 	TransitionMachine(machine string, event fleet.Event, reason string) []decide.Decision
 }
 
-// Machines tells what is known of machines beyond their records.
+// Machines provides information on machines that is not in their records.
 type Machines interface {
-	// InUse tells whether a machine is up and sends heartbeats.
+	// InUse reports whether a machine is up and its heartbeats arrive.
 	InUse(machine *clusterstate.Machine) bool
-	// UnresponsivenessOf is what its owner says of a machine that sends no heartbeats.
+	// UnresponsivenessOf returns its owner's report on a machine, and whether the machine is
+	// unresponsive.
 	UnresponsivenessOf(machine *clusterstate.Machine) (fleet.Unresponsiveness, bool)
-	// LastHeard is when this controller last heard a machine of another owner.
+	// LastHeard returns when this controller last heard from a machine of another owner.
 	LastHeard(machine string) time.Time
-	// HasSession tells whether this controller has a session with a machine's agent.
+	// HasSession reports whether this controller has a session with a machine's agent.
 	HasSession(machine string) bool
 }
 
-// Collaborators is what the provisioner needs of the controller.
+// Collaborators are the parts of the controller that the provisioner depends on.
 type Collaborators struct {
 	Queue       *queue.Queue
 	Cloud       Cloud
@@ -122,28 +126,30 @@
 	Machines    Machines
 }
 
-// Provisioner is what a leader knows of the cloud.
+// Provisioner manages the cluster's machines for the leader. It holds the leader's knowledge of the
+// cloud.
 type Provisioner struct {
 	state         *clusterstate.State
 	config        Config
 	collaborators Collaborators
 
-	// Summary is the newest that was written, joined of summaryParts, by number.
+	// Summary is the latest stored summary, joined from summaryParts, which are by number.
 	Summary      Summary
 	summaryParts map[int]Summary
-	// Since is when this controller came to lead, or last stood still. The controller sets it.
+	// Since is when this controller became the leader, or last resumed after its process had
+	// stalled. The controller sets it.
 	Since time.Time
 
-	unavailableAt    time.Time // when the state service last did not answer
+	unavailableAt    time.Time // when the state service was last unavailable
 	cloud            cloudState
 	followed         followedCloud
-	decommissionedAt time.Time // when machines to delete were last looked for
-	// partitionedAt is when so many machines were last unresponsive that the network was the
-	// likelier cause.
+	decommissionedAt time.Time // when Decommission last ran
+	// partitionedAt is when so many machines were last unresponsive that a network partition was
+	// the likelier cause.
 	partitionedAt time.Time
 }
 
-// New makes a provisioner over the cluster's state.
+// New returns a provisioner for the cluster's state.
 func New(state *clusterstate.State, config Config, collaborators Collaborators) *Provisioner {
 	p := &Provisioner{
 		state:         state,
@@ -155,34 +161,34 @@
 	return p
 }
 
-// Reset forgets what only a leader keeps: a new one starts from the records, the summary
-// and the cloud's list.
+// Reset discards the state that is kept only while leading. A new leader starts from the records,
+// the summary and the cloud's machine list.
 func (p *Provisioner) Reset() {
 	p.cloud.reset()
 	p.decommissionedAt = time.Time{}
 	p.Since = p.state.Now
-	// What the former leader requested and the list still lacks.
+	// Launch requests of the previous leader, whose machines may not be listed yet.
 	p.cloud.requests, p.cloud.requestsKnown = slices.Clone(p.Summary.Requests), true
 	p.useFollowedCloud()
 }
 
-// CatalogKnown tells whether the catalogue of machine types is known, with its prices.
+// CatalogKnown reports whether the catalogue of machine types and prices is known.
 func (p *Provisioner) CatalogKnown() bool { return p.cloud.catalog != nil }
 
-// ListKnown tells whether the cloud's list was read since this controller came to lead.
+// ListKnown reports whether this leader knows the cloud's machine list.
 func (p *Provisioner) ListKnown() bool { return !p.cloud.listedAt.IsZero() }
 
-// RequestsKnown tells whether the machines that the former leader requested are counted, by the
-// summary, where the list lacks them.
+// RequestsKnown reports whether the launch requests of the previous leader have been taken over from
+// the summary, so that machines missing from the list are counted.
 func (p *Provisioner) RequestsKnown() bool { return p.cloud.requestsKnown }
 
-// GivenUp tells whether a machine is given up, or deleted already.
+// GivenUp reports whether a machine is given up or has been deleted.
 func (p *Provisioner) GivenUp(machine string) bool {
 	return p.cloud.givenUp[machine] != "" || p.cloud.deleteConfirmed[machine]
 }
 
-// Reconcile does what is due: it reads the catalogue and the list, plans, and sends the
-// waiting requests.
+// Reconcile does the work that is due: it reads the catalogue and the machine list, plans, and
+// sends waiting requests.
 func (p *Provisioner) Reconcile() {
 	c := &p.cloud
 	now := p.state.Now
@@ -193,7 +199,7 @@
 	if !c.readingCatalog && (c.catalog == nil || now.Sub(c.catalogAt) > tuning.CatalogEvery) {
 		p.readCatalog()
 	}
-	if !c.readingList && (c.listedAt.IsZero() || now.Sub(c.listedAt) > p.listEvery()) {
+	if !c.readingList && (c.listedAt.IsZero() || now.Sub(c.listedAt) > p.listInterval()) {
 		p.readList()
 	}
 	if p.planDue() {
@@ -204,7 +210,7 @@
 	p.sendWaitingCalls()
 }
 
-// planDue tells whether the next step of the plan is due and all is known for it.
+// planDue reports whether the next plan step is due and everything that it needs is known.
 func (p *Provisioner) planDue() bool {
 	c := &p.cloud
 	return c.catalog != nil && !c.listedAt.IsZero() &&
--- a/internal/provisioning/scale_out.go
+++ b/internal/provisioning/scale_out.go
@@ -14,23 +14,24 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// launchRequest is a request for machines that may not be in the cloud's list yet.
+// launchRequest is a request for machines that may not be in the cloud's list yet. It is stored in
+// the summary.
 type launchRequest struct {
 	LaunchRequestID string   `json:"hire"`
 	MachineType     string   `json:"build"`
 	Zone            string   `json:"site"`
 	Spot            bool     `json:"loaner,omitempty"`
 	Count           int      `json:"count"`
-	AtMs            int64    `json:"at"`              // when it was made, Unix time in milliseconds
-	Machines        []string `json:"hosts,omitempty"` // by the cloud's answer
+	AtMs            int64    `json:"at"`              // when it was made, Unix time in ms
+	Machines        []string `json:"hosts,omitempty"` // from the cloud's response
 }
 
-// pool is where the machines are requested.
+// pool returns the pool in which the machines are requested.
 func (r *launchRequest) pool() pool {
 	return pool{fleet.Group{MachineType: r.MachineType, Spot: r.Spot}, r.Zone}
 }
 
-// body is the request as the cloud takes it.
+// body returns the body of the request to the cloud.
 func (r *launchRequest) body() []byte {
 	return jobs.Encode(map[string]any{
 		"hire":   r.LaunchRequestID,
@@ -47,12 +48,12 @@
 	count int
 }
 
-// scaleOutsFor splits a number of machines of a group over zones: first as the queue needs
-// them, then evenly.
+// scaleOutsFor distributes a number of machines of a group over zones: first according to the needs
+// of the queue, then evenly.
 func (p *Provisioner) scaleOutsFor(group fleet.Group, wanted int, counts map[pool]int) []scaleOut {
 	var pools []pool
 	for _, zone := range p.cloud.catalog[group.MachineType].Zones {
-		if candidate := (pool{group, zone}); !p.refuses(candidate) {
+		if candidate := (pool{group, zone}); !p.recentlyRefused(candidate) {
 			pools = append(pools, candidate)
 		}
 	}
@@ -81,11 +82,11 @@
 	return scaleOuts
 }
 
-// startScaleOuts sends the launch requests of one step, and forgets those whose machines
-// must have booted by now.
+// startScaleOuts sends the launch requests of one step, and drops earlier requests whose machines
+// have exceeded their boot limit.
 func (p *Provisioner) startScaleOuts(scaleOuts []scaleOut) {
 	c := &p.cloud
-	scaleOuts = p.withinRate(scaleOuts)
+	scaleOuts = p.limitToRate(scaleOuts)
 	var recent []launchRequest
 	for _, request := range c.requests {
 		if p.state.NowMs()-request.AtMs <= p.bootLimit(request.MachineType).Milliseconds() {
@@ -97,18 +98,19 @@
 	p.sendScaleOuts(scaleOuts)
 }
 
-// withinRate cuts the scale-outs to what the cloud's rate allows in a step, the rest being
-// for the list and for deletes. The largest go first.
-func (p *Provisioner) withinRate(scaleOuts []scaleOut) []scaleOut {
+// limitToRate limits the scale-outs to the number of launch requests that the cloud's rate limit
+// allows in a step; the rest of the rate is reserved for the list and for deletes. The largest
+// scale-outs are kept.
+func (p *Provisioner) limitToRate(scaleOuts []scaleOut) []scaleOut {
 	share := p.config.Cluster.Cloud.RPS * tuning.CloudBudget * tuning.LaunchShare
 	limit := max(1, int(share*p.config.Operator.StepS))
 	sort.SliceStable(scaleOuts, func(i, j int) bool { return scaleOuts[i].count > scaleOuts[j].count })
 	return scaleOuts[:min(limit, len(scaleOuts))]
 }
 
-// sendScaleOuts sends one round of a step's launch requests. An ID is made of the view's
-// epoch, which has one leader, and a counter of that leader's, so that none is ever used
-// twice; only the same request is sent again under it.
+// sendScaleOuts sends one round of a step's launch requests. A request's ID consists of the view's
+// epoch, which has a single leader, and a counter kept by that leader. IDs are thus unique, and
+// only retries of the same request share one.
 func (p *Provisioner) sendScaleOuts(scaleOuts []scaleOut) {
 	c := &p.cloud
 	_, epoch := p.collaborators.Leadership.IsLeader()
@@ -128,9 +130,9 @@
 	}
 }
 
-// requestEnded continues the step once all its launch requests are answered: what the cloud
-// refused is requested in the next best pool, within the same step.
-func (p *Provisioner) requestEnded(fellShort bool) {
+// finishLaunchRequest continues the step once all its launch requests have ended: machines that the
+// cloud refused are requested in the next best pool, within the same step.
+func (p *Provisioner) finishLaunchRequest(fellShort bool) {
 	c := &p.cloud
 	c.openRequests--
 	c.shortfall = c.shortfall || fellShort
@@ -150,61 +152,61 @@
 	for _, group := range groups {
 		scaleOuts = append(scaleOuts, p.scaleOutsFor(group, packing.needed[group], machines.all)...)
 	}
-	p.sendScaleOuts(p.withinRate(scaleOuts))
+	p.sendScaleOuts(p.limitToRate(scaleOuts))
 }
 
-// sendLaunchRequest sends a request, after so many retries.
+// sendLaunchRequest sends a request. retries is the number of times that it has been retried so far.
 func (p *Provisioner) sendLaunchRequest(request launchRequest, retries int) {
 	p.config.Log.Info("machines requested",
 		"launch_request_id", request.LaunchRequestID,
 		"pool", request.pool().String(),
 		"count", request.Count)
 	p.call(http.MethodPost, "/hosts", request.body(), func(status int, body []byte, err error) {
-		p.launchRequestAnswered(request, retries, status, body, err)
+		p.handleLaunchResponse(request, retries, status, body, err)
 	})
 }
 
-// launchRequestAnswered takes in the cloud's answer to a launch request.
-func (p *Provisioner) launchRequestAnswered(
+// handleLaunchResponse handles the cloud's response to a launch request.
+func (p *Provisioner) handleLaunchResponse(
 	request launchRequest, retries int, status int, body []byte, err error,
 ) {
-	var answer struct {
+	var response struct {
 		Machines []string `json:"hosts"`
 		Error    string   `json:"error"`
 	}
 	switch {
-	case err == nil && status == http.StatusOK && json.Unmarshal(body, &answer) == nil:
-		p.machinesLaunched(request, answer.Machines)
+	case err == nil && status == http.StatusOK && json.Unmarshal(body, &response) == nil:
+		p.recordLaunched(request, response.Machines)
 	case err == nil && status == http.StatusServiceUnavailable:
-		_ = json.Unmarshal(body, &answer)
-		p.config.Log.Info("machine request refused", "pool", request.pool().String(), "error", answer.Error)
+		_ = json.Unmarshal(body, &response)
+		p.config.Log.Info("machine request refused", "pool", request.pool().String(), "error", response.Error)
 		p.dropRequest(request.LaunchRequestID)
-		noCapacity := answer.Error == "no capacity"
+		noCapacity := response.Error == "no capacity"
 		if noCapacity {
-			p.refuse(request.pool())
+			p.markRefused(request.pool())
 		}
-		p.requestEnded(noCapacity)
+		p.finishLaunchRequest(noCapacity)
 	case retries < tuning.MaxLaunchRetries && !errors.Is(err, errLeaderChanged) &&
 		(err != nil || status == http.StatusTooManyRequests):
 		p.sendLaunchRequest(request, retries+1)
 	case status == http.StatusBadRequest:
-		// Requested alike at every step it would be refused at every step: the catalogue
-		// may have changed, and is read again.
-		p.refuse(request.pool())
+		// The same request would be refused at every step. The catalogue may have changed, so it is
+		// read again.
+		p.markRefused(request.pool())
 		p.cloud.catalogAt = time.Time{}
 		p.dropRequest(request.LaunchRequestID)
-		p.requestEnded(true)
+		p.finishLaunchRequest(true)
 	case status == http.StatusTooManyRequests:
 		p.dropRequest(request.LaunchRequestID)
-		p.requestEnded(false)
+		p.finishLaunchRequest(false)
 	default:
-		p.requestEnded(false) // unanswered: counted as supply until its boot time has passed
+		p.finishLaunchRequest(false) // unanswered: counts as supply until its boot limit
 	}
 }
 
-// machinesLaunched notes the machines that the cloud has launched for a request, which may be
-// fewer than requested.
-func (p *Provisioner) machinesLaunched(request launchRequest, machines []string) {
+// recordLaunched records the machines that the cloud has launched for a request, which may be fewer
+// than requested.
+func (p *Provisioner) recordLaunched(request launchRequest, machines []string) {
 	c := &p.cloud
 	for i := range c.requests {
 		if c.requests[i].LaunchRequestID == request.LaunchRequestID {
@@ -213,13 +215,13 @@
 	}
 	fellShort := len(machines) < request.Count
 	if fellShort {
-		p.refuse(request.pool())
+		p.markRefused(request.pool())
 	}
-	p.requestEnded(fellShort)
+	p.finishLaunchRequest(fellShort)
 }
 
-// refuse keeps from requesting machines in a pool for a while.
-func (p *Provisioner) refuse(refused pool) {
+// markRefused prevents launch requests in a pool for tuning.NoCapacity.
+func (p *Provisioner) markRefused(refused pool) {
 	p.cloud.refusedUntil[refused.String()] = p.state.Now.Add(tuning.NoCapacity)
 }
 
--- a/internal/provisioning/scale_out_test.go
+++ b/internal/provisioning/scale_out_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// What the cloud refuses for want of capacity is not requested again at once, and not never.
+// What the cloud recentlyRefused for want of capacity is not requested again at once, and not never.
 func TestRefusedRequestIsRetriedLater(t *testing.T) {
 	l := newLeader(t)
 	l.noCapacity = true
--- a/internal/provisioning/unresponsive.go
+++ b/internal/provisioning/unresponsive.go
@@ -6,10 +6,10 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// giveUp gives a machine up that is not heard any more. That is not recorded: the cloud's
-// answer to its delete is all that frees its tasks, and a leader that does not know of it any
-// more finds the machine unresponsive and deletes it again. After a wave of losses one write
-// less for each machine is much.
+// giveUp marks a machine that is no longer reachable for deletion. This is not stored: only the
+// cloud's response to the delete request frees the machine's tasks, and a new leader finds the
+// machine unresponsive and deletes it again. When many machines are lost at once, saving one write
+// per machine matters.
 func (p *Provisioner) giveUp(machine *clusterstate.Machine, reason string) {
 	if p.cloud.givenUp[machine.Name] != "" || machine.State == fleet.Deleting || machine.State == fleet.Deleted {
 		return
@@ -21,7 +21,7 @@
 		"reason", reason)
 }
 
-// healthCounts counts unresponsive machines of the whole cluster, of zones and of owners.
+// healthCounts counts the unresponsive machines of the whole cluster, by zone and by owner.
 type healthCounts struct {
 	all    fleet.ZoneHealth
 	zones  map[string]fleet.ZoneHealth
@@ -42,7 +42,7 @@
 	return counts
 }
 
-// withMachine is a count with one machine more.
+// withMachine returns a count with one more machine.
 func withMachine(health fleet.ZoneHealth, unresponsive bool) fleet.ZoneHealth {
 	health.All++
 	if unresponsive {
@@ -51,9 +51,9 @@
 	return health
 }
 
-// giveUpUnresponsive gives up machines that neither their owner nor this controller has heard
-// for long. Absence from the cloud's list proves nothing by itself, but makes waiting
-// pointless.
+// giveUpUnresponsive gives up machines from which neither their owner nor this controller has heard
+// for some time. Absence from the cloud's list proves nothing by itself, but such machines are given
+// up sooner.
 func (p *Provisioner) giveUpUnresponsive() {
 	counts := p.countHealth()
 	if counts.all.Unresponsive == 0 {
@@ -72,7 +72,7 @@
 	}
 }
 
-// reasonToGiveUp is why an unresponsive machine is to be given up, empty while it is not.
+// reasonToGiveUp returns why an unresponsive machine is to be given up, or "" if it is not.
 func (p *Provisioner) reasonToGiveUp(
 	machine *clusterstate.Machine, state fleet.Unresponsiveness, counts healthCounts,
 ) string {
@@ -85,16 +85,16 @@
 	if partitioned {
 		p.partitionedAt = now
 	}
-	// A new leader first waits whether the agents come to it.
-	justLeads := now.Sub(p.Since) < workers.UnresponsiveAfter()
-	few := !partitioned && !justLeads
+	// A new leader first gives the agents time to contact it.
+	newLeader := now.Sub(p.Since) < workers.UnresponsiveAfter()
+	few := !partitioned && !newLeader
 	unresponsiveFor := min(now.Sub(state.Since), now.Sub(p.Since))
 	switch {
 	case state.OutboundPartitioned:
-		// It answers, so it has not stopped, and the ends of its tasks are known without its
-		// delete: it is given up once all of them have ended with its lease, and only where
-		// few machines are outbound-partitioned and have been for a while: of many that come
-		// back, the last were deleted (docs/incidents/mute-machines.md).
+		// The machine answers commands, so it has not stopped, and its owner learns which tasks have
+		// ended without deleting it. It is given up once all its tasks have ended with its lease, and
+		// only if few machines have been unresponsive for a while: when many outbound-partitioned
+		// machines recovered, the last of them were deleted (docs/incidents/mute-machines.md).
 		if few && unresponsiveFor > workers.LeaseOverAfter() && now.Sub(p.partitionedAt) > workers.UnresponsiveAfter() {
 			return "reaches no controller"
 		}
@@ -108,7 +108,7 @@
 	return ""
 }
 
-// vanished tells whether a machine was on the cloud's list and is no more.
+// vanished reports whether a machine was on the cloud's list and no longer is.
 func (p *Provisioner) vanished(machine string) bool {
 	_, listed := p.cloud.listed[machine]
 	return !listed && !p.cloud.unlistedAt[machine].IsZero()
