--- a/internal/provisioning/cancelled_test.go
+++ b/internal/provisioning/cancelled_test.go
@@ -10,7 +10,7 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// cancelled is the record of a job that was cancelled some time ago.
+// cancelled returns the record of a job that was cancelled the given time ago.
 func (l *leader) cancelled(jobID string, tasks int, ago time.Duration) jobs.Record {
 	return jobs.Record{
 		State: jobs.Cancelled,
@@ -19,9 +19,10 @@
 	}
 }
 
-// A machine whose record of a cancelled task nobody could free, since the state service was
-// unavailable, has the time to be freed; but not where cancel_s is not over.
-func TestCancelledTaskAfterAnOutage(t *testing.T) {
+// While the state service is unavailable, the end of a cancelled task cannot be recorded. If cancel_s
+// has passed, the machine is not deleted until there has been time to record it. If cancel_s has not
+// passed, the machine is deleted in time.
+func TestDeleteForCancelledTaskAfterOutage(t *testing.T) {
 	cluster := newLeader(t).config.Cluster
 	unresponsiveAfter := cluster.Workers.UnresponsiveAfter()
 	late, last := cluster.CancelDelete()+time.Second, cluster.LatestCancelDelete()+time.Second
@@ -29,16 +30,16 @@
 		name           string
 		cancelledAgo   time.Duration
 		outageEndedAgo time.Duration
-		unresponsive   bool // for the machine's owner
+		unresponsive   bool // the owner receives no heartbeats
 		deleted        bool
 	}{
-		{"over, and the outage just ended", 70 * time.Second, time.Second, false, false},
-		{"over, and the outage ended long ago", 70 * time.Second, unresponsiveAfter + time.Second, false, true},
-		{"not over, heard, and the outage just ended", late, time.Second, false, false},
-		{"not over, heard, and the owners have had time", late, tuning.CancelSettle + time.Second, false, true},
-		{"not over, and not heard", late, time.Second, true, true},
-		{"not over, and that is all the time left for a delete", last, time.Second, false, true},
-		{"cancelled just now", 10 * time.Second, time.Second, true, false},
+		{"cancel_s over, outage just ended", 70 * time.Second, time.Second, false, false},
+		{"cancel_s over, outage ended long ago", 70 * time.Second, unresponsiveAfter + time.Second, false, true},
+		{"cancel_s not over, responsive, outage just ended", late, time.Second, false, false},
+		{"cancel_s not over, responsive, time to record has passed", late, tuning.CancelSettle + time.Second, false, true},
+		{"cancel_s not over, unresponsive", late, time.Second, true, true},
+		{"cancel_s not over, remaining time needed for the delete", last, time.Second, false, true},
+		{"cancelled recently", 10 * time.Second, time.Second, true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l := newLeader(t)
@@ -61,23 +62,24 @@
 	}
 }
 
-// Once writes can be made again, a machine that its owner hears is given a moment to have what
-// was cancelled on it written off, except for the time that a delete itself still needs; one
-// that its owner does not hear is deleted at once.
-func TestCancelledTaskOnceWritesAreBack(t *testing.T) {
-	cancel := time.Minute
+// Once writes are possible again, a machine with a cancelled task is not deleted until its owner has
+// had time to record the end of the task, provided that the owner receives its heartbeats and the
+// remaining time is not needed for the delete itself. A machine without heartbeats is deleted at
+// once.
+func TestDeleteForCancelledTaskOnceWritable(t *testing.T) {
+	cancelTimeout := time.Minute
 	for _, c := range []struct {
 		name         string
 		cancelledAgo time.Duration
-		newLeader    bool // the leader has just begun
+		newLeader    bool // the leader has just taken over
 		outage       bool // the state service was unavailable until now
-		waits        bool
+		deferred     bool
 	}{
-		{"a leader begins", cancel * 7 / 10, true, false, true},
-		{"the state service is back", cancel * 7 / 10, false, true, true},
-		{"a delete has no time left", cancel - 4*time.Second, true, true, false},
-		{"long over, the state service is back", 2 * cancel, false, true, true},
-		{"a leader that has led for long", cancel * 7 / 10, false, false, false},
+		{"leader takes over", cancelTimeout * 7 / 10, true, false, true},
+		{"state service available again", cancelTimeout * 7 / 10, false, true, true},
+		{"remaining time needed for the delete", cancelTimeout - 4*time.Second, true, true, false},
+		{"timeout long over, state service available again", 2 * cancelTimeout, false, true, true},
+		{"leader for a long time", cancelTimeout * 7 / 10, false, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l := newLeader(t)
@@ -93,18 +95,18 @@
 			l.place("wk-9", "i-heard", "i-unresponsive")
 			l.unavailable = false
 			l.run(int((tuning.CancelSettle - time.Second).Seconds()))
-			if got := slices.Contains(l.deleted, "i-unresponsive"); got != (c.cancelledAgo < cancel) {
-				t.Errorf("the unresponsive machine deleted: %v", got)
+			if got := slices.Contains(l.deleted, "i-unresponsive"); got != (c.cancelledAgo < cancelTimeout) {
+				t.Errorf("unresponsive machine deleted: %v", got)
 			}
-			if got := slices.Contains(l.deleted, "i-heard"); got == c.waits {
-				t.Errorf("the machine that is heard deleted: %v", got)
+			if got := slices.Contains(l.deleted, "i-heard"); got == c.deferred {
+				t.Errorf("responsive machine deleted: %v", got)
 			}
 			l.run(3)
-			if c.cancelledAgo > cancel {
+			if c.cancelledAgo > cancelTimeout {
 				l.run(int(l.config.Cluster.Workers.UnresponsiveAfter().Seconds()))
 			}
 			if !slices.Contains(l.deleted, "i-heard") || !slices.Contains(l.deleted, "i-unresponsive") {
-				t.Errorf("not both were deleted in the end: %v", l.deleted)
+				t.Errorf("both machines should have been deleted in the end, got %v", l.deleted)
 			}
 		})
 	}
--- a/internal/provisioning/cloud.go
+++ b/internal/provisioning/cloud.go
@@ -12,40 +12,42 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// errLeaderChanged answers a request of a leader that leads no more.
-var errLeaderChanged = errors.New("request to the cloud: the leader has changed")
+// errLeaderChanged is the result of a cloud request made by a controller that is no longer the
+// leader of the same epoch.
+var errLeaderChanged = errors.New("cloud request: leader has changed")
 
-// cloudState is the leader's knowledge of the cloud. It is lost with the leader.
+// cloudState is the leader's knowledge of the cloud. It is kept in memory only and lost when the
+// leader changes.
 type cloudState struct {
 	catalog        map[string]*jobs.MachineType
 	catalogAt      time.Time
 	readingCatalog bool
 
 	listed       map[string]fleet.ListedMachine
-	listedAt     time.Time // start of the newest complete reading of the list
+	listedAt     time.Time // start of the latest complete reading of the list
 	readingList  bool
-	unlistedAt   map[string]time.Time // when machines were found to be on the list no more
-	deletedAt    map[string]time.Time // machines deleted, which lists may still show
-	callTokens   float64              // requests that may leave now
+	unlistedAt   map[string]time.Time // when machines were first missing from the list
+	deletedAt    map[string]time.Time // when machines were deleted; lists may still contain them
+	callTokens   float64              // requests that may be sent now
 	tokensAt     time.Time            // when the tokens were last refilled
 	waitingCalls []func()
 
 	plannedAt       time.Time
-	steps           int                  // steps planned since this leader began
-	requestCount    int                  // launch requests made, for their IDs
-	refusedUntil    map[string]time.Time // pools without capacity
-	deletingAt      map[string]time.Time // delete requests under way
-	deleteSentAt    time.Time            // last delete request
-	deleteConfirmed map[string]bool      // machines whose delete was answered 200
-	givenUp         map[string]string    // machines that are given up, and why
+	steps           int                  // steps planned since this leader took over
+	requestCount    int                  // number of launch requests made; part of their IDs
+	refusedUntil    map[string]time.Time // pools for which the cloud refused requests
+	deletingAt      map[string]time.Time // when delete requests in flight were sent
+	deleteSentAt    time.Time            // when the last delete request was sent
+	deleteConfirmed map[string]bool      // machines whose delete was answered with 200
+	givenUp         map[string]string    // machines that are given up, with the reason
 	freedAt         time.Time            // when tasks on deleted machines were last freed
 
 	requests        []launchRequest
-	requestsKnown   bool         // requests has what the former leader requested
-	plannedMachines map[pool]int // machines by pool that the queue asks for
-	round           int          // of this step's launch requests
-	openRequests    int          // launch requests of this step under way
-	shortfall       bool         // one of them was refused or filled in part
+	requestsKnown   bool         // requests includes those of the previous leader
+	plannedMachines map[pool]int // machines that the queue needs, by pool
+	round           int          // current round of this step's launch requests
+	openRequests    int          // launch requests of this step in flight
+	shortfall       bool         // one of this step's requests was refused or only partly fulfilled
 }
 
 func (c *cloudState) reset() {
@@ -60,7 +62,8 @@
 	}
 }
 
-// refillCallTokens lets requests leave at this controller's share of the cloud's rate.
+// refillCallTokens refills the token bucket for requests at the leader's share of the cloud's rate
+// limit.
 func (p *Provisioner) refillCallTokens() {
 	c := &p.cloud
 	rate := p.config.Cluster.Cloud.RPS * tuning.CloudBudget
@@ -72,7 +75,7 @@
 	c.tokensAt = p.state.Now
 }
 
-// sendWaitingCalls sends the requests that the tokens allow.
+// sendWaitingCalls sends as many waiting requests as there are tokens.
 func (p *Provisioner) sendWaitingCalls() {
 	c := &p.cloud
 	for len(c.waitingCalls) > 0 && c.callTokens >= 1 {
@@ -83,8 +86,8 @@
 	}
 }
 
-// call sends a request within the cloud's rate, or later. If too many wait already it is
-// answered as one that the cloud recentlyRefused for its rate.
+// call queues a request, which is sent once the cloud's rate limit allows it. If too many requests
+// are waiting, it calls done with status 429, as if the cloud had refused the request.
 func (p *Provisioner) call(method, target string, body []byte, done responseFunc) {
 	c := &p.cloud
 	if len(c.waitingCalls) >= tuning.CloudQueue {
@@ -94,26 +97,26 @@
 	c.waitingCalls = append(c.waitingCalls, p.newCall(method, target, body, done))
 }
 
-// callFirst sends a request before all that wait.
+// callFirst queues a request in front of all waiting ones.
 func (p *Provisioner) callFirst(method, target string, body []byte, done responseFunc) {
 	c := &p.cloud
 	c.waitingCalls = slices.Insert(c.waitingCalls, 0, p.newCall(method, target, body, done))
 }
 
-// newCall is the function that sends a request made by the leader of the present epoch.
+// newCall returns a function that sends a request for the leader of the current epoch.
 func (p *Provisioner) newCall(method, target string, body []byte, done responseFunc) func() {
 	_, epoch := p.collaborators.Leadership.IsLeader()
 	return func() {
-		answered := func(status int, answer []byte, err error) {
+		handleResponse := func(status int, response []byte, err error) {
 			p.collaborators.Loop.Wake()
-			// A controller that no longer leads does nothing with the answer.
+			// A controller that no longer leads discards the response.
 			leads, current := p.collaborators.Leadership.IsLeader()
 			if leads && (current == epoch || method == http.MethodGet) {
-				done(status, answer, err)
+				done(status, response, err)
 				return
 			}
 			done(0, nil, errLeaderChanged)
 		}
-		p.collaborators.Cloud.Send(method, target, body, tuning.CloudTimeout, answered)
+		p.collaborators.Cloud.Send(method, target, body, tuning.CloudTimeout, handleResponse)
 	}
 }
--- a/internal/provisioning/decommission_test.go
+++ b/internal/provisioning/decommission_test.go
@@ -10,8 +10,8 @@
 	"github.com/harrierreel/harrierreel/internal/jobs"
 )
 
-// A machine that never comes up, one that stopped, one that is unresponsive for long and one
-// without a record that holds tasks are deleted; healthy ones are not.
+// Machines that never came up, have stopped, have been unresponsive for a long time, or have tasks
+// but no record are deleted. Healthy machines are not.
 func TestDecommissionDeletesOnlyFailedMachines(t *testing.T) {
 	l := newLeader(t)
 	for _, name := range []string{"i-1", "i-2", "i-3", "i-4", "i-5", "i-6"} {
@@ -50,7 +50,8 @@
 	}
 }
 
-// A controller that has lost contact with the agents must not have all its machines deleted.
+// A controller that loses contact with most agents, as in a network partition, must not delete their
+// machines.
 func TestManyUnresponsiveMachinesAreNotDeleted(t *testing.T) {
 	l := newLeader(t)
 	for i := range 20 {
@@ -62,6 +63,6 @@
 	}
 	l.run(9)
 	if len(l.deleted) > 0 {
-		t.Errorf("deleted %v", l.deleted)
+		t.Errorf("deleted %v, want none", l.deleted)
 	}
 }
--- a/internal/provisioning/follow.go
+++ b/internal/provisioning/follow.go
@@ -9,20 +9,20 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// followedCloud is what a controller that may be the next leader knows of the cloud.
+// followedCloud is the knowledge of the cloud kept by a controller that may be the next leader.
 type followedCloud struct {
 	catalog   map[string]*jobs.MachineType
 	catalogAt time.Time
 	listed    map[string]fleet.ListedMachine
-	listedAt  time.Time // start of the reading of the list
-	startedAt time.Time // of the newest attempt
+	listedAt  time.Time // start of the reading of listed
+	startedAt time.Time // start of the latest attempt
 	running   bool
 }
 
-// FollowCloud reads the catalogue and the cloud's list now and then, for a controller that
-// would be among the first to lead. order is its place among those, from 0, so that they
-// do not send requests at the same time. Its requests are few beside the leader's: the
-// pages of the list each half minute.
+// FollowCloud periodically reads the catalogue and the cloud's list, for a controller that is among
+// the next candidates for leader. order is its position among the candidates, from 0, which staggers
+// their requests. It sends few requests compared with the leader: one for the catalogue and one for
+// each page of the list, every half minute.
 func (p *Provisioner) FollowCloud(order int) {
 	f := &p.followed
 	if f.running || !p.followDue(order) {
@@ -49,7 +49,7 @@
 	})
 }
 
-// followDue tells whether the cloud is to be read again, or for the first time.
+// followDue reports whether the next reading of the cloud is due.
 func (p *Provisioner) followDue(order int) bool {
 	if p.followed.startedAt.IsZero() {
 		return p.state.Now.Sub(p.Since) >= time.Duration(order+1)*tuning.WarmEvery/2
@@ -57,10 +57,10 @@
 	return p.state.Now.Sub(p.followed.startedAt) >= tuning.WarmEvery
 }
 
-// useFollowedCloud has a new leader start from what it has followed: the catalogue, and the
-// list if its reading was started so long after the former leader's last launch request that
-// it has all requested machines. An older one could lack some, which would be requested a
-// second time.
+// useFollowedCloud makes a new leader start from the catalogue and the list that it read while
+// following. The list is used only if its reading started long enough after the previous leader's
+// last launch request for it to contain all requested machines. Machines missing from an older list
+// would be requested a second time.
 func (p *Provisioner) useFollowedCloud() {
 	f, c := &p.followed, &p.cloud
 	now := p.state.Now
--- a/internal/provisioning/follow_test.go
+++ b/internal/provisioning/follow_test.go
@@ -8,14 +8,14 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// A controller that follows the cloud leads with the catalogue that it has read, and with the
-// list if its reading was started long enough after the former leader's last launch request;
-// an older list lacks requested machines, and is read again before any are requested.
-func TestNewLeaderStartsFromTheFollowedCloud(t *testing.T) {
+// A new leader that has followed the cloud starts from the catalogue that it has read. It starts from
+// the list only if the reading began long enough after the previous leader's last launch request: an
+// older list may lack requested machines and has to be read again before any are requested.
+func TestNewLeaderStartsFromFollowedCloud(t *testing.T) {
 	for _, c := range []struct {
-		name              string
-		requestedBefore   time.Duration // the list was read
-		startsFromTheList bool
+		name            string
+		requestedBefore time.Duration // time from the launch request to the reading of the list
+		usesList        bool
 	}{
 		{"requested shortly before", 5 * time.Second, false},
 		{"requested long before", time.Minute, true},
@@ -38,14 +38,14 @@
 				AtMs:            l.followed.listedAt.Add(-c.requestedBefore).UnixMilli(),
 			}}
 			l.Reset()
-			if !l.CatalogKnown() || l.ListKnown() != c.startsFromTheList || !l.RequestsKnown() {
-				t.Errorf("priced %v, listed %v, counted %v", l.CatalogKnown(), l.ListKnown(), l.RequestsKnown())
+			if !l.CatalogKnown() || l.ListKnown() != c.usesList || !l.RequestsKnown() {
+				t.Errorf("catalogue known %v, list known %v, requests known %v", l.CatalogKnown(), l.ListKnown(), l.RequestsKnown())
 			}
-			// What was followed long ago is not used.
+			// A catalogue and a list read long ago are not used.
 			l.FollowCloud(0)
 			l.state.Now = l.state.Now.Add(10 * tuning.WarmEvery)
 			if l.Reset(); l.CatalogKnown() || l.ListKnown() {
-				t.Error("what was read long ago is used")
+				t.Error("an outdated catalogue or list is used")
 			}
 		})
 	}
--- a/internal/provisioning/golden_edges_test.go
+++ b/internal/provisioning/golden_edges_test.go
@@ -22,7 +22,7 @@
 	`"pull_gb_per_s":0.5,"hourly":2,"low_price":0,"ready_s":10,"sites":["a"]},` +
 	`{"name":"no name"},null]}`
 
-// The cloud's catalogue is read as ever.
+// The decoding of the cloud's catalogue does not change.
 func TestGoldenCatalog(t *testing.T) {
 	goldentest.Bytes(t, "catalog.json", []byte(goldenCatalog))
 	want := map[string]*jobs.MachineType{
@@ -55,7 +55,7 @@
 	}
 }
 
-// The cloud's list is requested and read, page by page, as ever.
+// The requests for the pages of the cloud's list, and their decoding, do not change.
 func TestGoldenList(t *testing.T) {
 	full := fleet.ListedMachine{
 		Name:        "i-0001",
@@ -96,9 +96,9 @@
 	}
 }
 
-// Requests to the cloud keep their form, and its answers lead to the same state.
+// Requests to the cloud do not change, nor does the state after each kind of response.
 func TestGoldenCloud(t *testing.T) {
-	for name, launchAnswer := range map[string]string{
+	for name, launchResponse := range map[string]string{
 		"whole":       `200 {"hosts":["i-1","i-2","i-3"]}`,
 		"part":        `200 {"hosts":["i-1"]}`,
 		"no-capacity": `503 {"error":"no capacity"}`,
@@ -113,12 +113,12 @@
 			l.applyMachine("i-8", fleet.MachineRecord{State: fleet.Deleting, MachineType: "g4", Zone: "a"})
 			l.applyMachine("i-9", fleet.MachineRecord{State: fleet.Deleting, MachineType: "g4", Zone: "b"})
 			l.send = func(method, target string, body []byte, timeout time.Duration, done responseFunc) {
-				answer := goldenAnswer(method, target, launchAnswer)
+				response := goldenResponse(method, target, launchResponse)
 				out.Write(http1.AppendRequest(nil, method, target, "cloud:1", body, false))
-				fmt.Fprintf(&out, "\nwithin %s -> %s\n\n", timeout, answer)
+				fmt.Fprintf(&out, "\nwithin %s -> %s\n\n", timeout, response)
 				status := 0
-				_, _ = fmt.Sscan(answer, &status)
-				done(status, []byte(answer[len("200 "):]), nil)
+				_, _ = fmt.Sscan(response, &status)
+				done(status, []byte(response[len("200 "):]), nil)
 			}
 			l.submit("wk-000001", 12)
 			l.run(2)
@@ -134,15 +134,15 @@
 	}
 }
 
-// goldenAnswer is the cloud's answer to a request: its status and body.
-func goldenAnswer(method, target, launchAnswer string) string {
+// goldenResponse returns the cloud's response to a request: its status and body.
+func goldenResponse(method, target, launchResponse string) string {
 	switch {
 	case target == "/catalog":
 		return `200 ` + goldenCatalog
 	case target == "/hosts/delete":
 		return `200 {}`
 	case method == "POST":
-		return launchAnswer
+		return launchResponse
 	}
 	return `200 {"hosts":[` +
 		`{"uid":"i-8","build":"g4","site":"a","status":"running","age_s":500},` +
--- a/internal/provisioning/leader_test.go
+++ b/internal/provisioning/leader_test.go
@@ -19,28 +19,28 @@
 	"github.com/harrierreel/harrierreel/internal/settings"
 )
 
-// testCatalog is the catalogue of a cloud with one machine type.
+// testCatalog is a catalogue with one machine type.
 const testCatalog = `{"builds":[{"name":"g4","cores":32,"accelerators":4,"memory_gb":256,"cache_gb":100,` +
 	`"pull_gb_per_s":1,"hourly":10,"low_price":3,"ready_s":20,"sites":["a","b"]}]}`
 
-// leader is a leader's provisioner with all its collaborators. Its cloud answers at once, as
-// the test says; its decisions are committed at once.
+// leader is the provisioner of a leader and implements all its collaborators. Its cloud responds
+// immediately, as configured by the test, and its decisions are committed immediately.
 type leader struct {
 	*Provisioner
 	t            *testing.T
 	leads        bool
 	epoch        uint64
-	unavailable  bool // the state service does not answer
+	unavailable  bool // the state service does not respond
 	unresponsive map[string]fleet.Unresponsiveness
 	committed    []decide.Decision
 
-	// send takes the place of the cloud, if it is not nil.
+	// send replaces the simulated cloud if it is not nil.
 	send       func(method, target string, body []byte, timeout time.Duration, done responseFunc)
 	listed     []fleet.ListedMachine
-	requestIDs []string // of the launch requests that the cloud got
+	requestIDs []string // of the launch requests that the cloud received
 	deleted    []string // machines that the cloud deleted
-	noCapacity bool     // the cloud has no more machines
-	malformed  bool     // the cloud calls launch requests malformed
+	noCapacity bool     // the cloud refuses launch requests for lack of capacity
+	malformed  bool     // the cloud refuses launch requests as malformed
 }
 
 func newLeader(t *testing.T) *leader {
@@ -58,10 +58,10 @@
 		MaxWritesPerS: 100,
 		Log:           log,
 	}, queue.Collaborators{
-		Budget:   queueSide{},
-		Commits:  queueSide{},
-		Machines: queueSide{},
-		Cluster:  queueSide{},
+		Budget:   queueDependencies{},
+		Commits:  queueDependencies{},
+		Machines: queueDependencies{},
+		Cluster:  queueDependencies{},
 	})
 	l.Provisioner = New(state,
 		Config{
@@ -90,24 +90,24 @@
 	return l
 }
 
-// Leadership.
+// Methods of Leadership.
 func (l *leader) IsLeader() (bool, uint64) { return l.leads, l.epoch }
 func (l *leader) MayScaleOut() bool        { return true }
 func (l *leader) Reconciled() bool         { return true }
 
-// Loop.
+// Methods of Loop.
 func (l *leader) Wake() {}
 
-// Budget.
+// Methods of Budget.
 func (l *leader) Allows(int, int) bool { return true }
 func (l *leader) HasSpareWrites() bool { return true }
 func (l *leader) Unavailable() bool    { return l.unavailable }
 func (l *leader) Waiting() int         { return 0 }
 
-// Records.
+// Methods of Records.
 func (l *leader) Revision(string) uint64 { return 0 }
 
-// Machines.
+// Methods of Machines.
 func (l *leader) InUse(machine *clusterstate.Machine) bool {
 	return machine.State == fleet.Up && !l.GivenUp(machine.Name)
 }
@@ -120,7 +120,7 @@
 func (l *leader) LastHeard(string) time.Time { return time.Time{} }
 func (l *leader) HasSession(string) bool     { return false }
 
-// Transitions.
+// Methods of Transitions.
 func (l *leader) TaskLost(task *clusterstate.Task, _ jobs.TaskEventKind, _ time.Duration) decide.Decision {
 	pending := jobs.Task{State: jobs.Pending, Attempt: task.Attempt}
 	return decide.Decision{Changes: decide.TransitionTask(task, pending)}
@@ -132,7 +132,7 @@
 	return []decide.Decision{{OnSettled: func(bool) { l.applyMachine(machine, record) }}}
 }
 
-// CommitQueue.
+// Methods of CommitQueue.
 func (l *leader) Busy(string) bool { return false }
 
 func (l *leader) Commit(decisions []decide.Decision) {
@@ -157,7 +157,7 @@
 	}
 }
 
-// Cloud.
+// Methods of Cloud.
 func (l *leader) Send(method, target string, body []byte, timeout time.Duration, done responseFunc) {
 	switch {
 	case l.send != nil:
@@ -194,7 +194,8 @@
 	}
 }
 
-// run lets so many seconds pass.
+// run advances the clock by the given number of seconds, running the queue and the provisioner every
+// 200 ms.
 func (l *leader) run(seconds int) {
 	for range seconds * 5 {
 		l.state.Now = l.state.Now.Add(200 * time.Millisecond)
@@ -224,7 +225,7 @@
 	})
 }
 
-// testSpec is the specification of a job array.
+// testSpec returns the specification of a job array.
 func testSpec(jobID string, tasks int) jobs.Spec {
 	return jobs.Spec{
 		ID:                jobID,
@@ -241,7 +242,7 @@
 	}
 }
 
-// submit adds a job that waits.
+// submit adds a waiting job.
 func (l *leader) submit(jobID string, tasks int) {
 	l.t.Helper()
 	l.applyJob(jobs.Record{State: jobs.Live, AcceptedMs: l.state.NowMs(), Spec: testSpec(jobID, tasks)})
@@ -254,7 +255,7 @@
 	}
 }
 
-// place records a job's tasks as placed on machines, one on each.
+// place records a job's tasks as placed, one on each of the machines.
 func (l *leader) place(jobID string, machines ...string) {
 	l.t.Helper()
 	var tasks []jobs.Task
@@ -266,14 +267,14 @@
 	}
 }
 
-// queueSide lets the queue under the provisioner do all that it wants.
-type queueSide struct{}
+// queueDependencies implements the collaborators of the queue. They permit everything.
+type queueDependencies struct{}
 
-func (queueSide) Busy(string) bool                                        { return false }
-func (queueSide) Commit([]decide.Decision)                                {}
-func (queueSide) Allows(int, int) bool                                    { return true }
-func (queueSide) HasSpareWrites() bool                                    { return true }
-func (queueSide) Ready(m *clusterstate.Machine) bool                      { return m.State == fleet.Up }
-func (queueSide) CanPlace(*clusterstate.Task, *clusterstate.Machine) bool { return true }
-func (queueSide) UsesBatches() bool                                       { return false }
-func (queueSide) HasLeftView(string) bool                                 { return false }
+func (queueDependencies) Busy(string) bool                                        { return false }
+func (queueDependencies) Commit([]decide.Decision)                                {}
+func (queueDependencies) Allows(int, int) bool                                    { return true }
+func (queueDependencies) HasSpareWrites() bool                                    { return true }
+func (queueDependencies) Ready(m *clusterstate.Machine) bool                      { return m.State == fleet.Up }
+func (queueDependencies) CanPlace(*clusterstate.Task, *clusterstate.Machine) bool { return true }
+func (queueDependencies) UsesBatches() bool                                       { return false }
+func (queueDependencies) HasLeftView(string) bool                                 { return false }
--- a/internal/provisioning/machine_list.go
+++ b/internal/provisioning/machine_list.go
@@ -11,19 +11,19 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// listInterval is the pause between two readings of the cloud's list: its pages may take only
-// a share of the cloud's rate.
+// listInterval returns the time between two readings of the cloud's list. The requests for its pages
+// may use only a share of the cloud's rate limit.
 func (p *Provisioner) listInterval() time.Duration {
 	pages := float64(1 + len(p.cloud.listed)/tuning.CloudPage)
 	return max(tuning.ListEvery, jobs.Seconds(pages/(p.config.Cluster.Cloud.RPS*tuning.ListShare)))
 }
 
-// listDelay is the time after its request at which a machine must be in the cloud's list.
+// listDelay returns the time after its launch request by which a machine must be in the cloud's list.
 func (p *Provisioner) listDelay() time.Duration {
 	return jobs.Seconds(2*p.config.Cluster.Cloud.ListLagS) + tuning.ListSlack
 }
 
-// readList reads the whole list.
+// readList reads the whole list of machines.
 func (p *Provisioner) readList() {
 	p.cloud.readingList = true
 	started := p.state.Now
@@ -36,7 +36,7 @@
 	})
 }
 
-// applyList takes in a complete list, whose reading started at a time.
+// applyList applies a complete list. started is when its reading started.
 func (p *Provisioner) applyList(machines map[string]fleet.ListedMachine, started time.Time) {
 	c := &p.cloud
 	now := p.state.Now
@@ -48,16 +48,16 @@
 	for name := range machines {
 		delete(c.unlistedAt, name)
 		if _, deleted := c.deletedAt[name]; deleted {
-			delete(machines, name) // the list is older than the delete
+			delete(machines, name) // the list predates the delete
 		}
 	}
-	forgetOld(c.deletedAt, now)
+	removeExpired(c.deletedAt, now)
 	c.listed, c.listedAt = machines, started
-	forgetOld(c.unlistedAt, now)
+	removeExpired(c.unlistedAt, now)
 }
 
-// forgetOld removes machines that are gone for so long that no list shows them any more.
-func forgetOld(goneAt map[string]time.Time, now time.Time) {
+// removeExpired removes machines that have been gone for so long that no list contains them any more.
+func removeExpired(goneAt map[string]time.Time, now time.Time) {
 	for name, at := range goneAt {
 		if now.Sub(at) > tuning.ForgetGone {
 			delete(goneAt, name)
@@ -65,9 +65,9 @@
 	}
 }
 
-// readPages reads the whole list, page by page, by the requests that send makes, and hands
-// it to done; complete is false if a page was not answered. Machines whose names cannot be
-// part of a key are left out.
+// readPages reads the whole list page by page, using send for the requests, and passes it to done.
+// complete is false if the request for a page failed. Machines whose names cannot be part of a key
+// are left out.
 func readPages(
 	send func(target string, done responseFunc),
 	done func(machines map[string]fleet.ListedMachine, complete bool),
--- a/internal/provisioning/plan_test.go
+++ b/internal/provisioning/plan_test.go
@@ -7,7 +7,7 @@
 	"github.com/harrierreel/harrierreel/internal/fleet"
 )
 
-// 4,000 machines that nobody needs drain together, and are then decommissioned.
+// 4,000 machines that are not needed drain at the same time and are then deleted.
 func TestDrain4000Machines(t *testing.T) {
 	l := newLeader(t)
 	for i := range 4000 {
@@ -19,7 +19,7 @@
 		drainingAtOnce = max(drainingAtOnce, len(l.Summary.Draining))
 	}
 	if drainingAtOnce != 4000 {
-		t.Errorf("%d machines drain at once", drainingAtOnce)
+		t.Errorf("at most %d machines drained at the same time, want 4000", drainingAtOnce)
 	}
 	deleting := 0
 	for _, machine := range l.state.Machines {
@@ -28,6 +28,6 @@
 		}
 	}
 	if deleting != 4000 || len(l.Summary.Draining) != 0 {
-		t.Errorf("%d machines are being deleted, %d still drain", deleting, len(l.Summary.Draining))
+		t.Errorf("%d machines are being deleted, want 4000; %d still drain", deleting, len(l.Summary.Draining))
 	}
 }
--- a/internal/provisioning/scale_out_test.go
+++ b/internal/provisioning/scale_out_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-// Machines are requested for what waits, under IDs that are never used twice; a new leader's
-// IDs differ.
+// Machines are requested for waiting tasks, under IDs that are never reused, not even by a new
+// leader.
 func TestLaunchRequestIDsAreNeverReused(t *testing.T) {
 	l := newLeader(t)
 	l.submit("wk-1", 40)
 	l.run(15)
 	if len(l.requestIDs) == 0 || len(l.state.MachineTypes) != 1 {
-		t.Fatalf("requested %v", l.requestIDs)
+		t.Fatalf("launch requests: %v", l.requestIDs)
 	}
 	first := len(l.requestIDs)
 	l.epoch = 4
@@ -30,7 +30,7 @@
 	}
 }
 
-// What the cloud recentlyRefused for want of capacity is not requested again at once, and not never.
+// A request that the cloud refuses for lack of capacity is repeated, but not at once.
 func TestRefusedRequestIsRetriedLater(t *testing.T) {
 	l := newLeader(t)
 	l.noCapacity = true
@@ -47,7 +47,7 @@
 	}
 }
 
-// A request that the cloud calls malformed is not sent alike at every step.
+// A request that the cloud refuses as malformed is not repeated at every step.
 func TestMalformedRequestIsNotRepeatedAtOnce(t *testing.T) {
 	l := newLeader(t)
 	l.malformed = true
@@ -60,6 +60,6 @@
 	l.malformed = false
 	l.run(90)
 	if len(l.requestIDs) == requests {
-		t.Error("no request once the cloud takes them")
+		t.Error("no request once the cloud accepts them")
 	}
 }
--- a/internal/provisioning/summary.go
+++ b/internal/provisioning/summary.go
@@ -15,27 +15,27 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Summary is what the autoscaler stores once a step: enough for owners to know what drains
-// and for a new leader to continue.
+// Summary is the state that the autoscaler stores at every step. Owners read from it which machines
+// drain, and a new leader continues from it.
 type Summary struct {
 	Step     uint64               `json:"step"`
 	History  map[string][]float64 `json:"history,omitempty"` // demand in machines, by group
 	Draining fleet.Draining       `json:"drain,omitempty"`
-	// Requests is the launch requests whose machines may not be listed yet, the oldest first.
+	// Requests holds the launch requests whose machines may not be listed yet, the oldest first.
 	Requests []launchRequest `json:"asked,omitempty"`
 }
 
-// continuationPrefix is the prefix of the keys, with numbers from 2, in which the summary
-// continues where one value does not hold all draining machines and launch requests. A
-// controller of the former version does not read them: it knows what it would know if the
-// summary were cut off there, as it was in that version. What such a leader leaves of them
-// behind counts for nothing after one step.
+// continuationPrefix is the prefix of the keys of further parts, numbered from 2. They are used if
+// one value cannot hold all draining machines and launch requests. A controller of the previous
+// version does not read them: it knows as much as with a summary truncated at that point, as
+// summaries were in that version. Further parts that remain while such a controller leads are
+// ignored after one step.
 const continuationPrefix = SummaryKey + "/more:"
 
-// IsSummaryKey tells whether a key holds a part of the summary.
+// IsSummaryKey reports whether a key is that of a part of the summary.
 func IsSummaryKey(key string) bool { return summaryNumber(key) > 0 }
 
-// summaryKey is the key of a part of the summary, by its number from 1.
+// summaryKey returns the key of the part of the summary with the given number, from 1.
 func summaryKey(number int) string {
 	if number == 1 {
 		return SummaryKey
@@ -43,7 +43,7 @@
 	return continuationPrefix + strconv.Itoa(number)
 }
 
-// summaryNumber is which part of the summary a key holds, 0 for none.
+// summaryNumber returns the number of the part of the summary stored under a key, 0 for other keys.
 func summaryNumber(key string) int {
 	if key == SummaryKey {
 		return 1
@@ -55,8 +55,8 @@
 	return 0
 }
 
-// ApplySummary takes in a part of the summary, nil if it was removed. One that cannot be read
-// changes nothing, nor does it if the first is removed.
+// ApplySummary applies a changed part of the summary. value is nil if the part was removed. Values that
+// cannot be decoded and the removal of the first part are ignored.
 func (p *Provisioner) ApplySummary(key string, value json.RawMessage) {
 	number := summaryNumber(key)
 	var part Summary
@@ -73,9 +73,10 @@
 	}
 }
 
-// joinedWith is the summary that begins with this part. The parts are written each by itself:
-// one that is a step older or newer counts until it follows, so that no machine is taken for
-// one that drains no more in between; what is older was left by another leader.
+// joinedWith returns the summary of which s is the first part. The parts are written separately.
+// Parts of the previous and the next step are therefore included, so that no draining machine is
+// missing while the parts are being updated. Parts of other steps were left by an earlier leader
+// and are ignored.
 func (s Summary) joinedWith(parts map[int]Summary) Summary {
 	if len(parts) == 1 {
 		return s
@@ -108,10 +109,11 @@
 	return s
 }
 
-// summaryWrites is the writes that store the summary: one value where that holds it, else the
-// last part first, and the removal of parts that are not needed any more last. What
-// tuning.MaxSummaryParts cannot hold is left out: the oldest launch requests, whose machines
-// the cloud's list will have by now, and draining that has just begun.
+// summaryWrites returns the writes that store the summary: first the parts, starting with the last
+// one, then the removal of parts that are no longer needed. A summary that fits into one value has a
+// single part. If tuning.MaxSummaryParts cannot hold everything, the oldest launch requests, whose
+// machines should be on the cloud's list by now, and the machines that have just started to drain
+// are omitted.
 func (p *Provisioner) summaryWrites(summary Summary) []store.Write {
 	parts := summary.divide(p.config.ValueBytes)
 	var writes []store.Write
@@ -126,9 +128,9 @@
 	return writes
 }
 
-// divide divides a summary into parts of up to limit bytes. The first, which is all that a
-// controller of the former version reads, has the history, then the machines that have
-// drained for longest, then the newest launch requests.
+// divide splits a summary into parts of up to limit bytes. The first part, which is the only one that a
+// controller of the previous version reads, holds the history, then the machines that have been
+// draining longest, then the latest launch requests.
 func (s Summary) divide(limit int) []Summary {
 	if len(jobs.Encode(s)) <= limit {
 		return []Summary{s}
@@ -140,12 +142,12 @@
 	})
 	for _, machine := range machines {
 		entryBytes := len(jobs.Encode(machine)) + len(":,") + len(strconv.Itoa(s.Draining[machine]))
-		if part := division.partWithRoom(entryBytes); part != nil {
+		if part := division.partWithSpace(entryBytes); part != nil {
 			part.Draining[machine] = s.Draining[machine]
 		}
 	}
 	for _, request := range slices.Backward(s.Requests) {
-		if part := division.partWithRoom(len(jobs.Encode(request)) + len(",")); part != nil {
+		if part := division.partWithSpace(len(jobs.Encode(request)) + len(",")); part != nil {
 			part.Requests = append(part.Requests, request)
 		}
 	}
@@ -155,14 +157,14 @@
 	return division.parts
 }
 
-// summaryDivision is the parts of a summary that have been filled so far.
+// summaryDivision holds the parts of a summary while it is being split.
 type summaryDivision struct {
-	limit     int // bytes of a part
+	limit     int // maximum size of a part in bytes
 	parts     []Summary
-	freeBytes int // of the last part
+	freeBytes int // in the last part
 }
 
-// fieldNameBytes is the bytes that the names of the lists in a part take.
+// fieldNameBytes is the number of bytes for the field names of a part's collections.
 const fieldNameBytes = len(`"drain":{},"asked":[],`)
 
 func (d *summaryDivision) addPart(part Summary) {
@@ -170,9 +172,9 @@
 	d.freeBytes = d.limit - len(jobs.Encode(part)) - fieldNameBytes
 }
 
-// partWithRoom is the last part if it has room for so many bytes more, else a further one;
-// nil if there may be no more parts.
-func (d *summaryDivision) partWithRoom(bytes int) *Summary {
+// partWithSpace returns the last part if it has space for the given number of bytes, or else a new
+// part. It returns nil if no more parts are allowed.
+func (d *summaryDivision) partWithSpace(bytes int) *Summary {
 	if bytes > d.freeBytes && len(d.parts) < tuning.MaxSummaryParts {
 		d.addPart(Summary{Step: d.parts[0].Step, Draining: fleet.Draining{}})
 	}
--- a/internal/provisioning/summary_test.go
+++ b/internal/provisioning/summary_test.go
@@ -14,8 +14,8 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// testSummary has so many draining machines and launch requests, which name 4,000 machines
-// together.
+// testSummary returns a summary with the given number of draining machines and of launch requests. The
+// requests hold up to 4,000 machines together.
 func testSummary(draining, requests int) Summary {
 	summary := Summary{Step: 5, History: map[string][]float64{"g4": {1, 2, 3}}, Draining: fleet.Draining{}}
 	for i := range draining {
@@ -35,8 +35,8 @@
 	return summary
 }
 
-// applyWrites applies the writes of a summary, checks that each fits into a value, and
-// returns the first part, which is all that a controller of the former version reads.
+// applyWrites applies the writes of a summary, checks that each fits into a value, and returns the
+// first part, which is the only one that a controller of the previous version reads.
 func (l *leader) applyWrites(writes []store.Write) (first Summary) {
 	l.t.Helper()
 	for _, write := range writes {
@@ -53,20 +53,20 @@
 	return first
 }
 
-// sameSummary tells whether two summaries have the same draining machines and requests.
+// sameSummary reports whether two summaries have the same draining machines and requests.
 func sameSummary(a, b Summary) bool {
 	return maps.Equal(a.Draining, b.Draining) &&
 		slices.EqualFunc(a.Requests, b.Requests, func(a, b launchRequest) bool { return reflect.DeepEqual(a, b) })
 }
 
-// The summary fits into values whatever it holds, and nothing of it is lost: 4,000 machines
-// that drain at once and as many just requested.
-func TestSummaryIsStoredWholeInLimitedValues(t *testing.T) {
+// A summary is stored in values of limited size without loss, even with 4,000 draining and 4,000
+// requested machines.
+func TestSummaryIsSplitWithoutLoss(t *testing.T) {
 	for _, c := range []struct {
-		name                       string
-		draining, requests, limit  int
-		parts                      int
-		firstDrains, firstRequests bool
+		name                               string
+		draining, requests, limit          int
+		parts                              int
+		firstHasDraining, firstHasRequests bool
 	}{
 		{"empty", 0, 0, 8 << 10, 1, false, false},
 		{"one value", 300, 5, 8 << 10, 1, true, true},
@@ -89,12 +89,12 @@
 					len(l.Summary.Draining), len(l.Summary.Requests), l.Summary.Step)
 			}
 			if first.Step != 5 || len(first.History) != 1 ||
-				(len(first.Draining) > 0) != c.firstDrains || (len(first.Requests) > 0) != c.firstRequests {
+				(len(first.Draining) > 0) != c.firstHasDraining || (len(first.Requests) > 0) != c.firstHasRequests {
 				t.Errorf("the first value has step %d, %d machines that drain, %d requests",
 					first.Step, len(first.Draining), len(first.Requests))
 			}
-			// Of a smaller summary, the parts that it does not need go, and nothing of them
-			// counts meanwhile or later.
+			// A smaller summary removes the parts that it does not need. They are ignored once its
+			// first part is written.
 			for i, write := range l.summaryWrites(Summary{Step: 6, Draining: fleet.Draining{"i-1": 2}}) {
 				if (i == 0) != (write.Put == SummaryKey) {
 					t.Errorf("write %d is of %s", i, write.Put+write.Remove)
@@ -108,9 +108,9 @@
 	}
 }
 
-// What a leader of the former version leaves of further parts counts for nothing: it writes
-// the first alone.
-func TestSummaryPartsLeftByFormerVersionCountForNothing(t *testing.T) {
+// A leader of the previous version writes only the first part. The further parts that it leaves
+// behind are ignored after one step.
+func TestSummaryPartsLeftByPreviousVersionAreIgnored(t *testing.T) {
 	l := newLeader(t)
 	summary := Summary{Step: 5, Draining: fleet.Draining{}}
 	for i := range 4000 {
@@ -126,7 +126,7 @@
 	l.ApplySummary("scaler", jobs.Encode(Summary{Step: 7, Draining: fleet.Draining{"i-1": 1}}))
 	writes := l.summaryWrites(Summary{Step: 8})
 	if len(writes) != 7 || writes[0].Put != "scaler" || writes[6].Remove != "scaler/more:7" {
-		t.Errorf("%d writes clear them", len(writes))
+		t.Errorf("%d writes to remove the further parts, want 7 in all", len(writes))
 	}
 	before := l.Summary.Step
 	l.ApplySummary("scaler", []byte("7"))
--- a/internal/provisioning/supply.go
+++ b/internal/provisioning/supply.go
@@ -9,10 +9,10 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// supply is the machines that count as supply, by pool.
+// supply is the number of machines that count as supply, by pool.
 type supply struct {
 	all     map[pool]int
-	booting map[pool]int // those of all that are not up yet
+	booting map[pool]int // the machines in all that are not up yet
 }
 
 func (s supply) addBooting(machines pool, count int) {
@@ -20,7 +20,7 @@
 	s.booting[machines] += count
 }
 
-// ofGroup is the number of machines of a group.
+// ofGroup returns the number of machines of a group.
 func (s supply) ofGroup(group fleet.Group) int {
 	sum := 0
 	for machines, count := range s.all {
@@ -31,8 +31,8 @@
 	return sum
 }
 
-// countSupply counts the machines with a record in use, those listed and booting in time,
-// and those requested and not yet listed until their boot time has passed.
+// countSupply counts the machines in use that do not drain, the listed machines that are booting and
+// not overdue, and the requested machines that are not listed yet, up to their boot limit.
 func (p *Provisioner) countSupply() supply {
 	counted := supply{all: map[pool]int{}, booting: map[pool]int{}}
 	for name, machine := range p.state.Machines {
@@ -44,8 +44,8 @@
 	}
 	sinceList := p.state.Now.Sub(p.cloud.listedAt)
 	for name, listed := range p.cloud.listed {
-		// An overdue one may never come; a replacement is requested before the queue
-		// suffers, and the late one is used or returned if it comes.
+		// An overdue machine may never come up. It does not count, so that a replacement is
+		// requested before tasks are delayed. If it does come up, it is used or drained.
 		if p.state.Machines[name] == nil && (listed.Status == "booting" || listed.Status == "running") &&
 			jobs.Seconds(listed.AgeS)+sinceList <= p.bootOverdue(listed.MachineType) {
 			group := fleet.Group{MachineType: listed.MachineType, Spot: listed.Spot}
@@ -59,7 +59,7 @@
 // countRequested adds the requested machines that are not listed yet.
 func (p *Provisioner) countRequested(counted supply) {
 	c := &p.cloud
-	attributed := map[string]bool{} // machines that came of some request
+	attributed := map[string]bool{} // machines assigned to a request
 	for _, request := range c.requests {
 		for _, name := range request.Machines {
 			attributed[name] = true
@@ -67,36 +67,37 @@
 	}
 	for i := range c.requests {
 		request := &c.requests[i]
-		// A list read long enough after the request has what there is: a machine that it
-		// lacks was returned or lost meanwhile, perhaps by an earlier leader, and must
-		// not count.
+		// A list read long enough after the request contains all of its machines that still
+		// exist. A machine that is missing from it has been deleted in the meantime, perhaps by an
+		// earlier leader, or lost, and must not count.
 		if c.listedAt.UnixMilli()-request.AtMs > p.listDelay().Milliseconds() ||
 			p.state.NowMs()-request.AtMs > p.bootLimit(request.MachineType).Milliseconds() {
 			continue
 		}
 		for _, name := range request.Machines {
-			if p.isYetUnknown(name) {
+			if p.neverSeen(name) {
 				counted.addBooting(request.pool(), 1)
 			}
 		}
 		if len(request.Machines) == 0 {
-			// Unanswered, or answered to a leader that has ended. Its machines come all the
-			// same: left out of those that boot, machines for the queue would be requested a
-			// second time (docs/incidents/rented-twice.md).
+			// The request is unanswered, or was answered to a leader that no longer runs. Its
+			// machines are launched all the same. If they did not count as booting, machines for the
+			// queue would be requested a second time (docs/incidents/rented-twice.md).
 			counted.addBooting(request.pool(), request.Count-p.countArrived(request, attributed))
 		}
 	}
 }
 
-// isYetUnknown tells whether a machine was never listed, had a record or was deleted.
-func (p *Provisioner) isYetUnknown(name string) bool {
+// neverSeen reports whether a machine has not been listed, has no record and has not been deleted.
+func (p *Provisioner) neverSeen(name string) bool {
 	c := &p.cloud
 	_, listed := c.listed[name]
 	return !listed && p.state.Machines[name] == nil && c.unlistedAt[name].IsZero() && c.deletedAt[name].IsZero()
 }
 
-// countArrived counts the listed machines that an unanswered request may have brought, by
-// their pool and age, each for one request only.
+// countArrived returns the number of listed machines that an unanswered request may have launched,
+// judging by their pool and age. It adds them to attributed, so that each counts for one request
+// only.
 func (p *Provisioner) countArrived(request *launchRequest, attributed map[string]bool) int {
 	c := &p.cloud
 	listLag := jobs.Seconds(2 * p.config.Cluster.Cloud.ListLagS)
@@ -108,7 +109,7 @@
 			listed.Zone != request.Zone || listed.Spot != request.Spot {
 			continue
 		}
-		// The age is that at the time which the list describes.
+		// The age is as of the time when the list was taken.
 		startedAt := c.listedAt.Add(-jobs.Seconds(listed.AgeS))
 		if startedAt.After(requestedAt.Add(-tuning.ListSlack)) &&
 			startedAt.Add(-listLag).Before(requestedAt.Add(tuning.ListSlack)) {
