--- a/internal/provisioning/decommission.go
+++ b/internal/provisioning/decommission.go
@@ -43,7 +43,7 @@
 	for _, machine := range p.state.MachinesByName() {
 		switch {
 		case machine.State == fleet.Faulty:
-			decisions = append(decisions, p.transition(machine.Name, "faulty")...)
+			decisions = append(decisions, p.markForDeletion(machine.Name, "faulty")...)
 		case c.deleteConfirmed[machine.Name], machine.State == fleet.Deleted: // Deleted was set by an earlier version
 			if free {
 				decisions = append(decisions, p.freeDeleted(machine)...)
@@ -58,8 +58,8 @@
 	return decisions, toDelete
 }
 
-// transition returns the decisions that mark a machine with a record for deletion.
-func (p *Provisioner) transition(machine, reason string) []decide.Decision {
+// markForDeletion returns the decisions that mark a machine with a record for deletion.
+func (p *Provisioner) markForDeletion(machine, reason string) []decide.Decision {
 	return p.collaborators.Transitions.TransitionMachine(machine, fleet.Decommission, reason)
 }
 
@@ -194,7 +194,7 @@
 	}
 	var decisions []decide.Decision
 	for _, name := range clusterstate.SortedKeys(machines) {
-		for _, decision := range p.transition(name, "holds a cancelled task") {
+		for _, decision := range p.markForDeletion(name, "holds a cancelled task") {
 			decision.Urgent = true
 			decisions = append(decisions, decision)
 		}
@@ -242,6 +242,6 @@
 	if machine == nil {
 		return false
 	}
-	state, unresponsive := p.collaborators.Machines.UnresponsivenessOf(machine)
-	return !unresponsive || state.OutboundPartitioned
+	report, unresponsive := p.collaborators.Machines.UnresponsivenessOf(machine)
+	return !unresponsive || report.OutboundPartitioned
 }
--- a/internal/provisioning/delete.go
+++ b/internal/provisioning/delete.go
@@ -9,8 +9,8 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// deleteMachines sends a delete request for as many of the machines as one request may name. It sends
-// none while it is better to wait for further machines to delete.
+// deleteMachines sends a delete request for as many of the machines as one request may name. If the
+// machines do not fill a request, it sends at most one per deleteInterval.
 func (p *Provisioner) deleteMachines(names []string) {
 	c := &p.cloud
 	now := p.state.Now
--- a/internal/provisioning/packing.go
+++ b/internal/provisioning/packing.go
@@ -22,9 +22,9 @@
 // requested. Adding up shares of machines would not be enough, because free capacity may be too
 // fragmented for a task.
 type packing struct {
-	provisioner *Provisioner
-	bins        []bin
-	zonesOf     map[*clusterstate.Job]map[string]int // tasks by zone, including packed ones
+	provisioner   *Provisioner
+	bins          []bin
+	tasksByZoneOf map[*clusterstate.Job]map[string]int // tasks by zone, including packed ones
 	// demand is by group, in machines. The packed tasks are added to it.
 	demand map[fleet.Group]float64
 	// machines is the supply including the machines to request, by pool. needed is the machines to
@@ -44,21 +44,21 @@
 	waiting []*queue.Waiting,
 ) *packing {
 	k := &packing{
-		provisioner:  p,
-		zonesOf:      map[*clusterstate.Job]map[string]int{},
-		demand:       demand,
-		machines:     maps.Clone(machines.all),
-		needed:       map[fleet.Group]int{},
-		onUpMachines: map[*queue.Waiting]int{},
+		provisioner:   p,
+		tasksByZoneOf: map[*clusterstate.Job]map[string]int{},
+		demand:        demand,
+		machines:      maps.Clone(machines.all),
+		needed:        map[fleet.Group]int{},
+		onUpMachines:  map[*queue.Waiting]int{},
 	}
 	if slices.ContainsFunc(waiting, func(w *queue.Waiting) bool { return w.NotExamined }) {
 		k.addUpMachines()
 	}
 	k.addBootingMachines(machines.booting)
 	for _, entry := range waiting {
-		zones := k.zones(entry)
-		left := k.packOnBins(entry, zones)
-		k.packOnNewMachines(entry, zones, left)
+		tasksByZone := k.tasksByZone(entry)
+		left := k.packOnBins(entry, tasksByZone)
+		k.packOnNewMachines(entry, tasksByZone, left)
 	}
 	p.cloud.plannedMachines = k.machines
 	return k
@@ -93,22 +93,22 @@
 	}
 }
 
-// zones returns the number of tasks of an entry's job by zone, including packed ones.
-func (k *packing) zones(entry *queue.Waiting) map[string]int {
+// tasksByZone returns the number of tasks of an entry's job by zone, including packed ones.
+func (k *packing) tasksByZone(entry *queue.Waiting) map[string]int {
 	job := entry.Task.Job
-	zones := k.zonesOf[job]
-	if zones == nil {
-		zones = k.provisioner.state.TasksByZone(job)
+	tasksByZone := k.tasksByZoneOf[job]
+	if tasksByZone == nil {
+		tasksByZone = k.provisioner.state.TasksByZone(job)
 		if entry.Zone != "" {
-			zones[entry.Zone]++ // zone in which its capacity accumulates
+			tasksByZone[entry.Zone]++ // zone in which its capacity accumulates
 		}
-		k.zonesOf[job] = zones
+		k.tasksByZoneOf[job] = tasksByZone
 	}
-	return zones
+	return tasksByZone
 }
 
 // packOnBins packs the tasks of an entry onto the existing bins and returns how many are left.
-func (k *packing) packOnBins(entry *queue.Waiting, zones map[string]int) int {
+func (k *packing) packOnBins(entry *queue.Waiting, tasksByZone map[string]int) int {
 	spec := &entry.Task.Job.Record.Spec
 	left := entry.Count
 	for i := 0; i < len(k.bins) && left > 0; i++ {
@@ -117,7 +117,7 @@
 			!b.free.Fits(spec.Resources()) {
 			continue
 		}
-		packed := k.fill(b, spec, zones, left)
+		packed := k.fill(b, spec, tasksByZone, left)
 		left -= packed
 		if b.up && packed > 0 {
 			k.onUpMachines[entry] += packed
@@ -127,29 +127,29 @@
 }
 
 // packOnNewMachines packs the remaining tasks of an entry onto machines that are to be requested.
-func (k *packing) packOnNewMachines(entry *queue.Waiting, zones map[string]int, left int) {
+func (k *packing) packOnNewMachines(entry *queue.Waiting, tasksByZone map[string]int, left int) {
 	record := entry.Task.Job.Record
 	for left > 0 {
-		cheapest, found := k.provisioner.cheapest(record, zones, k.machines)
+		cheapest, found := k.provisioner.cheapest(record, tasksByZone, k.machines)
 		if !found {
 			return
 		}
 		k.machines[cheapest]++
 		k.needed[cheapest.Group]++
 		b := bin{pool: cheapest, free: k.provisioner.cloud.catalog[cheapest.MachineType].Capacity()}
-		left -= k.fill(&b, &record.Spec, zones, left)
+		left -= k.fill(&b, &record.Spec, tasksByZone, left)
 		k.bins = append(k.bins, b)
 	}
 }
 
 // fill packs up to limit tasks onto one bin and returns how many it has packed.
-func (k *packing) fill(b *bin, spec *jobs.Spec, zones map[string]int, limit int) int {
+func (k *packing) fill(b *bin, spec *jobs.Spec, tasksByZone map[string]int, limit int) int {
 	share := spec.Resources().ShareOf(k.provisioner.cloud.catalog[b.MachineType].Capacity())
 	packed := 0
-	for packed < limit && b.free.Fits(spec.Resources()) && clusterstate.ZoneAllowed(spec, zones, b.zone) {
+	for packed < limit && b.free.Fits(spec.Resources()) && clusterstate.ZoneAllowed(spec, tasksByZone, b.zone) {
 		b.free = b.free.Sub(spec.Resources())
 		k.demand[b.Group] += share
-		zones[b.zone]++
+		tasksByZone[b.zone]++
 		packed++
 	}
 	return packed
--- a/internal/provisioning/plan.go
+++ b/internal/provisioning/plan.go
@@ -117,7 +117,7 @@
 	if demand > 0 || machines > 0 || len(p.Summary.History[group.String()]) > 0 {
 		s.summary.History[group.String()] = roundToThousandths(history)
 	}
-	action := s.act(group, history, machines)
+	action := s.firstAction(group, history, machines)
 	surplus := action.Surplus
 	if waiting := s.waitingFor(group); waiting > 0 {
 		// Draining is pointless while tasks wait that could run on these machines.
@@ -153,7 +153,7 @@
 }
 
 // act returns the autoscaler's action for a group in this step.
-func (s *planStep) act(group fleet.Group, history []float64, machines int) autoscaler.Action {
+func (s *planStep) firstAction(group fleet.Group, history []float64, machines int) autoscaler.Action {
 	p := s.provisioner
 	operator := &p.config.Operator
 	plan := autoscaler.Plan(history, 0, 0, autoscaler.Params{
--- a/internal/provisioning/pool.go
+++ b/internal/provisioning/pool.go
@@ -60,9 +60,9 @@
 	taskPrice float64
 }
 
-// poolsFor returns the pools in which a task may run, in no particular order. zones holds the number
-// of its job's tasks by zone, which some jobs limit.
-func (p *Provisioner) poolsFor(spec *jobs.Spec, zones map[string]int) []poolPrice {
+// poolsFor returns the pools in which a task may run, in no particular order. tasksByZone holds the
+// number of the job's tasks by zone, which some jobs limit.
+func (p *Provisioner) poolsFor(spec *jobs.Spec, tasksByZone map[string]int) []poolPrice {
 	var pools []poolPrice
 	for name, machineType := range p.cloud.catalog {
 		share := spec.Resources().ShareOf(machineType.Capacity())
@@ -77,7 +77,7 @@
 			}
 			group := fleet.Group{MachineType: name, Spot: spot}
 			for _, zone := range machineType.Zones {
-				if spec.Allows(name, zone, spot) && clusterstate.ZoneAllowed(spec, zones, zone) {
+				if spec.Allows(name, zone, spot) && clusterstate.ZoneAllowed(spec, tasksByZone, zone) {
 					pools = append(pools, poolPrice{pool{group, zone}, p.price(group) / tasksPerMachine})
 				}
 			}
@@ -90,9 +90,9 @@
 // has not recently refused. Of equally cheap pools it returns the one with the fewest machines. It
 // returns false if there is no such pool, or if the task can wait and the cheapest pool costs more
 // than tuning.PatientPrice times as much as the cheapest one including the refused pools.
-func (p *Provisioner) cheapest(record *jobs.Record, zones map[string]int, counts map[pool]int) (pool, bool) {
+func (p *Provisioner) cheapest(record *jobs.Record, tasksByZone map[string]int, counts map[pool]int) (pool, bool) {
 	best, found, bestPrice, lowestPrice := pool{}, false, math.Inf(1), math.Inf(1)
-	for _, candidate := range p.poolsFor(&record.Spec, zones) {
+	for _, candidate := range p.poolsFor(&record.Spec, tasksByZone) {
 		lowestPrice = min(lowestPrice, candidate.taskPrice)
 		if p.recentlyRefused(candidate.pool) {
 			continue
@@ -127,8 +127,8 @@
 	if job != nil && spec.IsGang() && p.collaborators.Queue.Overdue(job) {
 		return false
 	}
-	boot := p.cloud.catalog[candidate.MachineType].BootS
-	margin := jobs.Seconds(boot+spec.ExpectedDurationS/2) + 2*jobs.Seconds(p.config.Operator.StepS)
+	bootS := p.cloud.catalog[candidate.MachineType].BootS
+	margin := jobs.Seconds(bootS+spec.ExpectedDurationS/2) + 2*jobs.Seconds(p.config.Operator.StepS)
 	return p.collaborators.Queue.StartBy(record, false)-p.state.NowMs() > margin.Milliseconds()
 }
 
--- a/internal/provisioning/unresponsive.go
+++ b/internal/provisioning/unresponsive.go
@@ -61,12 +61,12 @@
 	}
 	workers := p.config.Cluster.Workers
 	for _, machine := range p.state.MachinesByName() {
-		state, unresponsive := p.collaborators.Machines.UnresponsivenessOf(machine)
+		report, unresponsive := p.collaborators.Machines.UnresponsivenessOf(machine)
 		lastHeard := p.collaborators.Machines.LastHeard(machine.Name)
 		if !unresponsive || p.state.Now.Sub(lastHeard) < workers.PeerHeardWithin() {
 			continue
 		}
-		if reason := p.reasonToGiveUp(machine, state, counts); reason != "" {
+		if reason := p.reasonToGiveUp(machine, report, counts); reason != "" {
 			p.giveUp(machine, reason)
 		}
 	}
@@ -74,33 +74,33 @@
 
 // reasonToGiveUp returns why an unresponsive machine is to be given up, or "" if it is not.
 func (p *Provisioner) reasonToGiveUp(
-	machine *clusterstate.Machine, state fleet.Unresponsiveness, counts healthCounts,
+	machine *clusterstate.Machine, report fleet.Unresponsiveness, counts healthCounts,
 ) string {
 	now := p.state.Now
 	workers := p.config.Cluster.Workers
-	many := counts.all.Partitioned(3, tuning.MaxUnresponsiveShare)
+	clusterPartitioned := counts.all.Partitioned(3, tuning.MaxUnresponsiveShare)
 	zonePartitioned := counts.zones[machine.Zone].Partitioned(tuning.MinPartitionSample, tuning.PartitionShare)
 	ownerPartitioned := counts.owners[machine.Owner].Partitioned(tuning.MinPartitionSample, tuning.PartitionShare)
-	partitioned := many || zonePartitioned || ownerPartitioned
+	partitioned := clusterPartitioned || zonePartitioned || ownerPartitioned
 	if partitioned {
 		p.partitionedAt = now
 	}
 	// A new leader first gives the agents time to contact it.
 	newLeader := now.Sub(p.Since) < workers.UnresponsiveAfter()
-	few := !partitioned && !newLeader
-	unresponsiveFor := min(now.Sub(state.Since), now.Sub(p.Since))
+	isolated := !partitioned && !newLeader
+	unresponsiveFor := min(now.Sub(report.Since), now.Sub(p.Since))
 	switch {
-	case state.OutboundPartitioned:
+	case report.OutboundPartitioned:
 		// The machine answers commands, so it has not stopped, and its owner learns which tasks have
 		// ended without deleting it. It is given up once all its tasks have ended with its lease, and
 		// only if few machines have been unresponsive for a while: when many outbound-partitioned
 		// machines recovered, the last of them were deleted (docs/incidents/mute-machines.md).
-		if few && unresponsiveFor > workers.LeaseOverAfter() && now.Sub(p.partitionedAt) > workers.UnresponsiveAfter() {
+		if isolated && unresponsiveFor > workers.LeaseOverAfter() && now.Sub(p.partitionedAt) > workers.UnresponsiveAfter() {
 			return "reaches no controller"
 		}
 	case p.vanished(machine.Name) && unresponsiveFor > tuning.DecommissionEvery:
 		return "silent and no longer listed"
-	case few && unresponsiveFor > tuning.UnresponsiveRecheck:
+	case isolated && unresponsiveFor > tuning.UnresponsiveRecheck:
 		return "silent"
 	case !zonePartitioned && unresponsiveFor > workers.LeaseOverAfter():
 		return "silent beyond its lease"
