--- a/internal/jobs/golden_record_test.go
+++ b/internal/jobs/golden_record_test.go
@@ -60,13 +60,13 @@
 		{State: Placed, Machine: "m", Attempt: 1},
 		{State: Finished, Attempt: 4},
 	}
-	lean := append([]Task{}, tasks...)
-	lean[0].FailedOn, lean[0].Reason = nil, ""
+	trimmed := append([]Task{}, tasks...)
+	trimmed[0].FailedOn, trimmed[0].Reason = nil, ""
 	for _, c := range []struct {
 		name  string
 		limit int
 		want  []Task
-	}{{"slice.json", 1 << 20, tasks}, {"slice-lean.json", 1, lean}} {
+	}{{"slice.json", 1 << 20, tasks}, {"slice-lean.json", 1, trimmed}} {
 		goldentest.Bytes(t, c.name, EncodeTaskRange(tasks, c.limit))
 		decoded, err := DecodeTaskRange(goldentest.Read(t, c.name))
 		if err != nil || !reflect.DeepEqual(decoded, c.want) {
--- a/internal/jobs/golden_spec_test.go
+++ b/internal/jobs/golden_spec_test.go
@@ -44,12 +44,12 @@
 
 // The encoding of submissions does not change, and decoding one returns the same specification.
 func TestGoldenSubmissions(t *testing.T) {
-	full, lean := goldenSpec(), minimalSpec()
+	full, minimal := goldenSpec(), minimalSpec()
 	goldentest.Filled(t, full)
-	for name, want := range map[string]*Spec{"spec-full.json": &full, "spec-lean.json": &lean} {
+	for name, want := range map[string]*Spec{"spec-full.json": &full, "spec-lean.json": &minimal} {
 		goldentest.JSON(t, name, *want)
 	}
-	for name, want := range map[string]*Spec{"submission-full.json": &full, "submission-lean.json": &lean} {
+	for name, want := range map[string]*Spec{"submission-full.json": &full, "submission-lean.json": &minimal} {
 		goldentest.Bytes(t, name, want.Submission())
 		got, err := ParseSpec(goldentest.Read(t, name))
 		if err != nil || !reflect.DeepEqual(got, want) {
--- a/internal/jobs/submission_test.go
+++ b/internal/jobs/submission_test.go
@@ -46,7 +46,7 @@
 
 // A field that may not be null may not be missing either, even if zero would be a valid value.
 // A record omits fields that are zero; a submission made from it includes them.
-func TestMissingFieldsAreNamed(t *testing.T) {
+func TestMissingFieldsAreReported(t *testing.T) {
 	fields := map[string]any{}
 	if err := json.Unmarshal([]byte(validSubmission), &fields); err != nil {
 		t.Fatal(err)
--- a/internal/provisioning/packing.go
+++ b/internal/provisioning/packing.go
@@ -39,7 +39,7 @@
 // first, then onto the cheapest machines that can be requested. Tasks that the last scheduling cycle
 // did not examine are packed onto machines that are up before that.
 func (p *Provisioner) packQueue(
-	machines supply,
+	counted supply,
 	demand map[fleet.Group]float64,
 	waiting []*queue.Waiting,
 ) *packing {
@@ -47,14 +47,14 @@
 		provisioner:   p,
 		tasksByZoneOf: map[*clusterstate.Job]map[string]int{},
 		demand:        demand,
-		machines:      maps.Clone(machines.all),
+		machines:      maps.Clone(counted.all),
 		needed:        map[fleet.Group]int{},
 		onUpMachines:  map[*queue.Waiting]int{},
 	}
 	if slices.ContainsFunc(waiting, func(w *queue.Waiting) bool { return w.NotExamined }) {
 		k.addUpMachines()
 	}
-	k.addBootingMachines(machines.booting)
+	k.addBootingMachines(counted.booting)
 	for _, entry := range waiting {
 		tasksByZone := k.tasksByZone(entry)
 		left := k.packOnBins(entry, tasksByZone)
@@ -84,10 +84,10 @@
 }
 
 func (k *packing) addBootingMachines(booting map[pool]int) {
-	for _, machines := range sortedPools(booting) {
-		if machineType := k.provisioner.cloud.catalog[machines.MachineType]; machineType != nil {
-			for range booting[machines] {
-				k.bins = append(k.bins, bin{pool: machines, free: machineType.Capacity()})
+	for _, candidate := range sortedPools(booting) {
+		if machineType := k.provisioner.cloud.catalog[candidate.MachineType]; machineType != nil {
+			for range booting[candidate] {
+				k.bins = append(k.bins, bin{pool: candidate, free: machineType.Capacity()})
 			}
 		}
 	}
--- a/internal/provisioning/scale_out.go
+++ b/internal/provisioning/scale_out.go
@@ -141,8 +141,8 @@
 	}
 	c.round++
 	c.shortfall = false
-	machines := p.countSupply()
-	packing := p.packQueue(machines, map[fleet.Group]float64{}, p.waiting())
+	counted := p.countSupply()
+	packing := p.packQueue(counted, map[fleet.Group]float64{}, p.waiting())
 	var groups []fleet.Group
 	for group := range packing.needed {
 		groups = append(groups, group)
@@ -150,7 +150,7 @@
 	slices.SortFunc(groups, compareGroups)
 	var scaleOuts []scaleOut
 	for _, group := range groups {
-		scaleOuts = append(scaleOuts, p.scaleOutsFor(group, packing.needed[group], machines.all)...)
+		scaleOuts = append(scaleOuts, p.scaleOutsFor(group, packing.needed[group], counted.all)...)
 	}
 	p.sendScaleOuts(p.limitToRate(scaleOuts))
 }
--- a/internal/provisioning/supply.go
+++ b/internal/provisioning/supply.go
@@ -15,16 +15,16 @@
 	booting map[pool]int // the machines in all that are not up yet
 }
 
-func (s supply) addBooting(machines pool, count int) {
-	s.all[machines] += count
-	s.booting[machines] += count
+func (s supply) addBooting(target pool, count int) {
+	s.all[target] += count
+	s.booting[target] += count
 }
 
 // ofGroup returns the number of machines of a group.
 func (s supply) ofGroup(group fleet.Group) int {
 	sum := 0
-	for machines, count := range s.all {
-		if machines.Group == group {
+	for candidate, count := range s.all {
+		if candidate.Group == group {
 			sum += count
 		}
 	}
