--- a/internal/provisioning/machine_list.go
+++ b/internal/provisioning/machine_list.go
@@ -56,7 +56,7 @@
 	removeExpired(c.unlistedAt, now)
 }
 
-// removeExpired removes machines that have been gone for so long that no list contains them any more.
+// removeExpired removes machines that have been gone for so long that no list can still contain them.
 func removeExpired(goneAt map[string]time.Time, now time.Time) {
 	for name, at := range goneAt {
 		if now.Sub(at) > tuning.ForgetGone {
--- a/internal/provisioning/pool.go
+++ b/internal/provisioning/pool.go
@@ -37,7 +37,8 @@
 	return fleet.Group{MachineType: machine.MachineType, Spot: machine.Spot}
 }
 
-// price returns the price per hour of a machine of a group.
+// price returns the price per hour of a machine of a group, or +Inf if its type is not in the
+// catalogue.
 func (p *Provisioner) price(group fleet.Group) float64 {
 	machineType := p.cloud.catalog[group.MachineType]
 	if machineType == nil {
--- a/internal/provisioning/supply.go
+++ b/internal/provisioning/supply.go
@@ -31,8 +31,8 @@
 	return sum
 }
 
-// countSupply counts the machines in use that do not drain, the listed machines that are booting and
-// not overdue, and the requested machines that are not listed yet, up to their boot limit.
+// countSupply counts the machines in use that do not drain, the listed machines that have no record
+// yet and are not overdue, and the requested machines that are not listed yet, up to their boot limit.
 func (p *Provisioner) countSupply() supply {
 	counted := supply{all: map[pool]int{}, booting: map[pool]int{}}
 	for name, machine := range p.state.Machines {
