--- a/internal/fleet/draining.go
+++ b/internal/fleet/draining.go
@@ -17,8 +17,8 @@
 //
 // surplus is the number of machines of the group that no step of the plan needs, where draining
 // machines do not count as supply. It is negative if machines are short. A machine drains for at
-// most the given number of stages. If machines are short, machines up to stage lastRevivable return
-// to use.
+// most the given number of stages. If machines are short, draining machines return to use, but only
+// up to stage lastRevivable.
 //
 // DrainStep returns the next stages, the empty machines to delete now (emptied), and the machines
 // that return to use (revived). It reorders candidates.
--- a/internal/fleet/unresponsive.go
+++ b/internal/fleet/unresponsive.go
@@ -133,8 +133,8 @@
 	return number == 1 || ls[1].SinceEpoch != 0 && ls[number].SinceEpoch == ls[1].SinceEpoch
 }
 
-// Join returns the machines of all the owner's lists. A machine that is in before keeps its Since
-// time; the others are unresponsive since now.
+// Join returns the machines of all lists that belong to the first one. Machines that are already in
+// before keep their Since time; for the others it is now.
 func (ls UnresponsiveLists) Join(before UnresponsiveSet, now time.Time) UnresponsiveSet {
 	joined := UnresponsiveSet{}
 	for _, number := range slices.Sorted(maps.Keys(ls)) {
--- a/internal/jobs/task.go
+++ b/internal/jobs/task.go
@@ -22,10 +22,10 @@
 // Task is the stored record of a task.
 type Task struct {
 	State            TaskState `json:"s"`
-	Controller       string    `json:"part,omitempty"`  // that places it
+	Controller       string    `json:"part,omitempty"`  // controller that places it
 	Zone             string    `json:"site,omitempty"`  // chosen by the leader
-	PreferredMachine string    `json:"want,omitempty"`  // on which the leader expects free capacity
-	Machine          string    `json:"host,omitempty"`  // that it is placed on
+	PreferredMachine string    `json:"want,omitempty"`  // machine on which the leader expects free capacity
+	Machine          string    `json:"host,omitempty"`  // machine on which it is placed
 	Attempt          uint64    `json:"try,omitempty"`   // highest attempt number used
 	Failures         int       `json:"fails,omitempty"` // number of failed attempts
 	FailedOn         []string  `json:"bad,omitempty"`   // machines on which it failed, oldest first
--- a/internal/jobs/task_transition.go
+++ b/internal/jobs/task_transition.go
@@ -6,9 +6,9 @@
 // fields listed at its constant.
 type TaskEvent struct {
 	Kind             TaskEventKind
-	Controller       string // that places the task
+	Controller       string // controller that places the task
 	Zone             string
-	PreferredMachine string // on which the leader expects free capacity
+	PreferredMachine string // machine on which the leader expects free capacity
 	Machine          string
 	Attempt          uint64
 	NotBeforeMs      int64  // earliest next placement, Unix time in ms
