--- a/internal/provisioning/packing.go
+++ b/internal/provisioning/packing.go
@@ -11,59 +11,60 @@
 	"github.com/harrierreel/harrierreel/internal/sharding"
 )
 
-// bin is a machine on which waiting tasks are packed.
+// bin is a machine onto which waiting tasks are packed.
 type bin struct {
 	pool
 	free sharding.Resources
 	up   bool
 }
 
-// packing places the waiting tasks whole on machines that boot and on such as would have to
-// be requested: shares of a machine alone would not see that free capacity can be too
-// scattered for a task.
+// packing assigns whole waiting tasks to booting machines and to machines that would have to be
+// requested. Adding up shares of machines would not be enough, because free capacity may be too
+// fragmented for a task.
 type packing struct {
-	provisioner *Provisioner
-	bins        []bin
-	zonesOf     map[*clusterstate.Job]map[string]int // tasks by zone, those packed included
-	// demand, by group in machines, to which the packed tasks are added.
+	provisioner   *Provisioner
+	bins          []bin
+	tasksByZoneOf map[*clusterstate.Job]map[string]int // tasks by zone, including packed ones
+	// demand is by group, in machines. The packed tasks are added to it.
 	demand map[fleet.Group]float64
-	// machines is the supply with the machines to request, by pool, needed the latter alone.
+	// machines is the supply including the machines to request, by pool. needed is the machines to
+	// request alone.
 	machines map[pool]int
 	needed   map[fleet.Group]int
-	// onUpMachines is how many tasks of each entry go on machines that are up.
+	// onUpMachines is the number of tasks of each entry that fit on machines that are up.
 	onUpMachines map[*queue.Waiting]int
 }
 
-// packQueue packs the waiting tasks and adds them to demand. They go on the machines that
-// boot, then on the cheapest that can be requested. Those that the last scheduling cycle did
-// not come to go on machines that are up first.
+// packQueue packs the waiting tasks and adds them to demand. Tasks are packed onto booting machines
+// first, then onto the cheapest machines that can be requested. Tasks that the last scheduling cycle
+// did not examine are packed onto machines that are up before that.
 func (p *Provisioner) packQueue(
-	machines supply,
+	counted supply,
 	demand map[fleet.Group]float64,
 	waiting []*queue.Waiting,
 ) *packing {
 	k := &packing{
-		provisioner:  p,
-		zonesOf:      map[*clusterstate.Job]map[string]int{},
-		demand:       demand,
-		machines:     maps.Clone(machines.all),
-		needed:       map[fleet.Group]int{},
-		onUpMachines: map[*queue.Waiting]int{},
+		provisioner:   p,
+		tasksByZoneOf: map[*clusterstate.Job]map[string]int{},
+		demand:        demand,
+		machines:      maps.Clone(counted.all),
+		needed:        map[fleet.Group]int{},
+		onUpMachines:  map[*queue.Waiting]int{},
 	}
 	if slices.ContainsFunc(waiting, func(w *queue.Waiting) bool { return w.NotExamined }) {
 		k.addUpMachines()
 	}
-	k.addBootingMachines(machines.booting)
+	k.addBootingMachines(counted.booting)
 	for _, entry := range waiting {
-		zones := k.zones(entry)
-		left := k.packOnBins(entry, zones)
-		k.packOnNewMachines(entry, zones, left)
+		tasksByZone := k.tasksByZone(entry)
+		left := k.packOnBins(entry, tasksByZone)
+		k.packOnNewMachines(entry, tasksByZone, left)
 	}
 	p.cloud.plannedMachines = k.machines
 	return k
 }
 
-// addUpMachines adds the machines in use that do not drain, with their free capacity.
+// addUpMachines adds a bin for each machine in use that does not drain, with its free capacity.
 func (k *packing) addUpMachines() {
 	p := k.provisioner
 	accumulated := p.collaborators.Queue.AccumulatedCapacity()
@@ -83,31 +84,31 @@
 }
 
 func (k *packing) addBootingMachines(booting map[pool]int) {
-	for _, machines := range sortedPools(booting) {
-		if machineType := k.provisioner.cloud.catalog[machines.MachineType]; machineType != nil {
-			for range booting[machines] {
-				k.bins = append(k.bins, bin{pool: machines, free: machineType.Capacity()})
+	for _, candidate := range sortedPools(booting) {
+		if machineType := k.provisioner.cloud.catalog[candidate.MachineType]; machineType != nil {
+			for range booting[candidate] {
+				k.bins = append(k.bins, bin{pool: candidate, free: machineType.Capacity()})
 			}
 		}
 	}
 }
 
-// zones is the tasks of an entry's job by zone, those packed included.
-func (k *packing) zones(entry *queue.Waiting) map[string]int {
+// tasksByZone returns the number of tasks of an entry's job by zone, including packed ones.
+func (k *packing) tasksByZone(entry *queue.Waiting) map[string]int {
 	job := entry.Task.Job
-	zones := k.zonesOf[job]
-	if zones == nil {
-		zones = k.provisioner.state.TasksByZone(job)
+	tasksByZone := k.tasksByZoneOf[job]
+	if tasksByZone == nil {
+		tasksByZone = k.provisioner.state.TasksByZone(job)
 		if entry.Zone != "" {
-			zones[entry.Zone]++ // where its capacity accumulates
+			tasksByZone[entry.Zone]++ // zone in which its capacity accumulates
 		}
-		k.zonesOf[job] = zones
+		k.tasksByZoneOf[job] = tasksByZone
 	}
-	return zones
+	return tasksByZone
 }
 
-// packOnBins packs the tasks of an entry on the bins, and returns how many are left.
-func (k *packing) packOnBins(entry *queue.Waiting, zones map[string]int) int {
+// packOnBins packs the tasks of an entry onto the existing bins and returns how many are left.
+func (k *packing) packOnBins(entry *queue.Waiting, tasksByZone map[string]int) int {
 	spec := &entry.Task.Job.Record.Spec
 	left := entry.Count
 	for i := 0; i < len(k.bins) && left > 0; i++ {
@@ -116,7 +117,7 @@
 			!b.free.Fits(spec.Resources()) {
 			continue
 		}
-		packed := k.fill(b, spec, zones, left)
+		packed := k.fill(b, spec, tasksByZone, left)
 		left -= packed
 		if b.up && packed > 0 {
 			k.onUpMachines[entry] += packed
@@ -125,30 +126,30 @@
 	return left
 }
 
-// packOnNewMachines packs so many tasks of an entry on machines that are to be requested.
-func (k *packing) packOnNewMachines(entry *queue.Waiting, zones map[string]int, left int) {
+// packOnNewMachines packs the remaining tasks of an entry onto machines that are to be requested.
+func (k *packing) packOnNewMachines(entry *queue.Waiting, tasksByZone map[string]int, left int) {
 	record := entry.Task.Job.Record
 	for left > 0 {
-		cheapest, found := k.provisioner.cheapest(record, zones, k.machines)
+		cheapest, found := k.provisioner.cheapest(record, tasksByZone, k.machines)
 		if !found {
 			return
 		}
 		k.machines[cheapest]++
 		k.needed[cheapest.Group]++
 		b := bin{pool: cheapest, free: k.provisioner.cloud.catalog[cheapest.MachineType].Capacity()}
-		left -= k.fill(&b, &record.Spec, zones, left)
+		left -= k.fill(&b, &record.Spec, tasksByZone, left)
 		k.bins = append(k.bins, b)
 	}
 }
 
-// fill packs up to so many tasks on one bin, and returns how many.
-func (k *packing) fill(b *bin, spec *jobs.Spec, zones map[string]int, limit int) int {
+// fill packs up to limit tasks onto one bin and returns how many it has packed.
+func (k *packing) fill(b *bin, spec *jobs.Spec, tasksByZone map[string]int, limit int) int {
 	share := spec.Resources().ShareOf(k.provisioner.cloud.catalog[b.MachineType].Capacity())
 	packed := 0
-	for packed < limit && b.free.Fits(spec.Resources()) && clusterstate.ZoneAllowed(spec, zones, b.zone) {
+	for packed < limit && b.free.Fits(spec.Resources()) && clusterstate.ZoneAllowed(spec, tasksByZone, b.zone) {
 		b.free = b.free.Sub(spec.Resources())
 		k.demand[b.Group] += share
-		zones[b.zone]++
+		tasksByZone[b.zone]++
 		packed++
 	}
 	return packed
