--- a/internal/calendar/cluster_view.go
+++ b/internal/calendar/cluster_view.go
@@ -6,15 +6,16 @@
 	"github.com/harrierreel/harrierreel/internal/quota"
 )
 
-// clusterView is the Cluster of one reconciliation. Attempts are counted once.
+// clusterView implements Cluster for one reconciliation. Attempts are counted once, on first use.
 type clusterView struct {
 	service  *Service
 	attempts map[quota.Key]int
 	unknown  int // attempts whose class is unknown
 }
 
-// Settled tells whether the records are known up to the newest change of the calendar: a commit of
-// this controller's own is known before what others committed earlier.
+// Settled reports whether the mirror has caught up with the newest known change of the calendar's
+// keys. It may lag behind: a controller's own commit is applied to the mirror at once, before
+// earlier commits of other controllers have arrived.
 func (v *clusterView) Settled() bool {
 	mirror := v.service.mirror
 	newest := mirror.Revision(StoreKey)
@@ -24,9 +25,10 @@
 	return mirror.Epoch >= newest
 }
 
-// Attempts counts what is released to a controller, may be on a machine, or is under a transaction
-// of this controller's. A task's record is removed only when a report under our fencing token
-// or an answered delete has proven it gone, so no task without a record counts here.
+// Attempts counts the attempts that are released to a controller, may be on a machine, or are part
+// of a pending transaction of this controller. Tasks without a record need not be counted: a record
+// is removed only after a report under our fencing token or a confirmed deletion of the machine has
+// proven that the task is gone.
 func (v *clusterView) Attempts(ofClass func(quota.Key) bool) int {
 	if v.attempts == nil {
 		v.countAttempts()
@@ -45,7 +47,7 @@
 	state := v.service.state
 	for jobID, job := range state.Jobs {
 		count := len(job.Active)
-		// Nobody knows which tasks a record holds that can't be read.
+		// An unreadable record may contain any task, so it counts as one.
 		if job.TasksUnreadable || job.RecordUnreadable || state.MayBeQuarantined(jobID) {
 			count++
 		}
@@ -58,7 +60,7 @@
 		}
 	}
 	if state.MayBeQuarantined("") {
-		v.unknown++ // a record that does not even say which jobs it is about
+		v.unknown++ // an unreadable record that can't be attributed to a job
 	}
 	for taskID, reservation := range state.Reservations {
 		if !strings.HasPrefix(taskID, ReservationPrefix) && reservation.Task.Job.Record != nil {
--- a/internal/calendar/document.go
+++ b/internal/calendar/document.go
@@ -1,39 +1,41 @@
-// Package calendar is the release calendar: windows of time in which classes of jobs may run, and
-// tracks, on which the tasks of no two windows are ever on machines at once. It holds the
-// operators' document (document.go) and its checks (document_check.go), when windows are
-// planned (plan.go), the state machine of an occurrence (occurrence.go), what is kept in the
-// state service (record.go), the keeper that decides the next changes (keeper.go,
-// track_draft.go), which classes may begin (gate.go), what is shown to operators (show.go),
-// and what joins it to a controller (service.go, guard.go, stops.go, cluster_view.go). It has
-// no IO and reads no clock.
+// Package calendar implements the release calendar: recurring time windows in which classes of jobs
+// may run, grouped into tracks. Tasks of two different windows of one track are never on machines
+// at the same time.
+//
+// The package contains the operators' document (document.go) and its validation
+// (document_check.go), the computation of planned times (plan.go), the state machine of an
+// occurrence (occurrence.go), the records in the state service (record.go), the keeper that decides
+// the next state changes (keeper.go, track_draft.go), the check of which classes may start
+// (gate.go), the output for operators (show.go), and the integration with a controller (service.go,
+// guard.go, stops.go, cluster_view.go). It does no I/O and reads no clock.
 package calendar
 
 import (
 	"slices"
 	"time"
-	_ "time/tzdata" // zones must not depend on what the machine has installed
+	_ "time/tzdata" // embedded, so that zones do not depend on the machine's installation
 
 	"github.com/teambition/rrule-go"
 
 	"github.com/harrierreel/harrierreel/internal/quota"
 )
 
-// Document is the calendar as operators write it (HCL) and as it is kept in the state
-// service (JSON). Of two documents the one with the higher revision is in force.
+// Document is the calendar as operators write it (HCL) and as it is stored in the state service
+// (JSON). The document with the highest revision is in force.
 type Document struct {
 	Revision int        `hcl:"revision" json:"n"`
 	Zone     string     `hcl:"zone" json:"z"`
 	Tracks   []TrackDoc `hcl:"track,block" json:"t"`
 }
 
-// TrackDoc is windows that must never overlap.
+// TrackDoc is a group of windows that must never overlap.
 type TrackDoc struct {
 	Name    string      `hcl:"name,label" json:"n"`
 	Windows []WindowDoc `hcl:"window,block" json:"w"`
 }
 
-// WindowDoc is a window as written: times are local ones of its zone, durations as in
-// "2h30m". One of Length and Until says when it ends.
+// WindowDoc is a window as written in the document. Times are local to the window's zone; durations
+// are written like "2h30m". Exactly one of Length and Until defines the end.
 type WindowDoc struct {
 	Name    string        `hcl:"name,label" json:"n"`
 	Team    string        `hcl:"team" json:"t"`
@@ -50,47 +52,47 @@
 	Need    *quota.Bounds `hcl:"need,block" json:"d,omitempty"`
 }
 
-// What happens to tasks at a window's end (at_end), and to a window that did not open in time
-// (missed).
+// Values of at_end (what happens to tasks at the end of a window) and of missed (what happens to an
+// occurrence that did not open in time).
 const (
-	AtEndFinish = "finish" // nothing begins any more, what runs ends by itself
-	AtEndStop   = "stop"   // what runs is stopped with a save and waits again
-	MissedSkip  = "skip"   // it is left out
-	MissedRun   = "run"    // it opens later, for its whole length
+	AtEndFinish = "finish" // no task starts any more, running tasks finish by themselves
+	AtEndStop   = "stop"   // running tasks are checkpointed and stopped, and wait again
+	MissedSkip  = "skip"   // the occurrence is skipped
+	MissedRun   = "run"    // the occurrence opens late, for its full length
 )
 
-// Window is a window of a checked document.
+// Window is a window of a validated document.
 type Window struct {
 	Name    string
 	Track   string
 	Team    string
 	Classes []string
-	Stop    bool          // at its end
-	RunLate bool          // when it was missed
-	Length  time.Duration // 0: until a time of the clock
-	Slip    time.Duration // how late it may open
-	Late    time.Duration // how much later than that a missed one may
+	Stop    bool          // stop running tasks at the end
+	RunLate bool          // open late if the opening was missed
+	Length  time.Duration // 0: the window ends at a time of day (until)
+	Slip    time.Duration // how much after its start it may open
+	Late    time.Duration // how much after Slip a missed occurrence may still open
 	Need    quota.Bounds
 
-	until      clock
+	until      timeOfDay
 	zone       *time.Location
-	rule       *rrule.RRule // in local time without a zone
-	firstStart time.Time    // first occurrence at the earliest, local time without a zone
-	planned    cache
+	rule       *rrule.RRule // evaluated on local times, represented as UTC
+	firstStart time.Time    // earliest first occurrence, a local time represented as UTC
+	planned    spanCache
 }
 
-// Has tells whether a class of a team belongs to a window.
+// Has reports whether the window is for a class of a team.
 func (w *Window) Has(class quota.Key) bool {
 	return w.Team == class.Team && slices.Contains(w.Classes, class.Class)
 }
 
-// Track is windows of a checked document that never overlap.
+// Track is a group of windows of a validated document that never overlap.
 type Track struct {
 	Name    string
 	Windows []*Window
 }
 
-// Plan is a checked document.
+// Plan is a validated document in the form that the keeper works with.
 type Plan struct {
 	Doc      Document
 	Revision int
@@ -99,7 +101,7 @@
 	trackOf  map[quota.Key]*Track
 }
 
-// TrackOf is the track that a class's windows are on, nil for a class without any.
+// TrackOf returns the track of a class's windows, or nil if the class has no windows.
 func (p *Plan) TrackOf(class quota.Key) *Track {
 	if p == nil {
 		return nil
@@ -107,7 +109,7 @@
 	return p.trackOf[class]
 }
 
-// window is a track's window by name, nil if it has none such.
+// window returns the track's window with the given name, or nil.
 func (t *Track) window(name string) *Window {
 	for _, w := range t.Windows {
 		if w.Name == name {
@@ -117,14 +119,14 @@
 	return nil
 }
 
-// Latest is the latest of the windows' first times: from then on all of them recur. A controller
-// checks a document from this time on, so that a file that it took at one start is not refused
-// at another.
+// Latest returns the latest start among the windows: from then on all of them recur. A controller
+// validates a document from this time on, not from the current time, so that a file accepted at one
+// start is not rejected at a later one.
 func (d *Document) Latest() time.Time {
 	var latest time.Time
 	for _, track := range d.Tracks {
 		for i := range track.Windows {
-			start, err := time.Parse(startForm, track.Windows[i].Start)
+			start, err := time.Parse(startLayout, track.Windows[i].Start)
 			if err == nil && start.After(latest) {
 				latest = start
 			}
--- a/internal/calendar/document_check.go
+++ b/internal/calendar/document_check.go
@@ -14,41 +14,42 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Forms of the times in a document and in messages.
+// Layouts of the times in a document and in messages.
 const (
-	startForm = "2006-01-02T15:04"
-	clockForm = "15:04"
-	timeForm  = "2006-01-02 15:04 MST"
+	startLayout     = "2006-01-02T15:04"
+	timeOfDayLayout = "15:04"
+	timeLayout      = "2006-01-02 15:04 MST"
 )
 
-// maxNeed bounds what a window may expect to need, so that no typing error counts as a number.
+// maxNeed bounds the resources that a window may declare as needed, to catch typing errors.
 const maxNeed = 1e9
 
-var nameForm = regexp.MustCompile(`^[A-Za-z][A-Za-z0-9_.-]{0,39}$`)
+var namePattern = regexp.MustCompile(`^[A-Za-z][A-Za-z0-9_.-]{0,39}$`)
 
-// Known is what a document is checked against; nil teams and no classes: any.
+// Known lists the teams and classes that a document may refer to. Nil Teams and empty Classes allow
+// any name.
 type Known struct {
 	Teams   map[string]quota.Team
 	Classes []string
 }
 
-// documentCheck makes a plan of a document and gathers all that is wrong with it.
+// documentCheck builds the plan of a document and collects the document's errors.
 type documentCheck struct {
 	plan   *Plan
 	known  Known
 	faults []string
 }
 
-// fail notes what is wrong at a place of the document.
+// fail records an error at a path of the document.
 func (c *documentCheck) fail(path, format string, args ...any) {
 	if len(c.faults) < tuning.MaxFaults {
 		c.faults = append(c.faults, path+": "+fmt.Sprintf(format, args...))
 	}
 }
 
-// Build checks a document and makes its plan. The plan is nil if anything is wrong; then all of it
-// is listed, each with its place. from is the wall-clock time from which windows are checked
-// for overlaps.
+// Build validates a document and returns its plan. If the document is invalid, the plan is nil and
+// all errors are returned, each with its path. Windows are checked for overlaps from the wall-clock
+// time from.
 func Build(document *Document, known Known, from time.Time) (*Plan, []string) {
 	check := &documentCheck{known: known, plan: newPlan(document)}
 	check.checkDocument()
@@ -66,7 +67,7 @@
 	return &Plan{Doc: *document, Revision: document.Revision, trackOf: map[quota.Key]*Track{}}
 }
 
-// checkDocument checks all that does not depend on dates.
+// checkDocument checks everything that does not depend on dates.
 func (c *documentCheck) checkDocument() {
 	document := &c.plan.Doc
 	if document.Revision < 1 {
@@ -94,9 +95,9 @@
 	}
 }
 
-// checkName checks a name, and that it is the first such of those used.
+// checkName checks that a name is valid and not used yet, and adds it to the used ones.
 func (c *documentCheck) checkName(path, name string, used map[string]bool) {
-	if !nameForm.MatchString(name) {
+	if !namePattern.MatchString(name) {
 		c.fail(path, "%q is no name; expected a letter, then letters, digits, . _ and -, 40 at most", name)
 	}
 	if used[name] {
@@ -105,7 +106,8 @@
 	used[name] = true
 }
 
-// checkZone returns the time zone of a name, UTC for one that is wrong.
+// checkZone returns the time zone with the given name. An invalid name is reported, and UTC is
+// returned.
 func (c *documentCheck) checkZone(path, name string) *time.Location {
 	if name == "" || name == "Local" {
 		c.fail(path, "expected a time zone, as Africa/Nairobi")
@@ -167,8 +169,9 @@
 	}
 }
 
-// checkClasses checks whose tasks a window is for. A class belongs to one track: with windows on
-// two, one of them could open beside what the other let begin.
+// checkClasses checks the team and the classes of a window. All windows of a class must be on one
+// track: otherwise a window of one track could open while tasks that a window of the other track
+// started are still running.
 func (c *documentCheck) checkClasses(path string, track *Track, doc *WindowDoc) {
 	_, knownTeam := c.known.Teams[doc.Team]
 	if c.known.Teams != nil && !knownTeam || doc.Team == "" {
@@ -198,9 +201,9 @@
 	return len(c.known.Classes) == 0 || slices.Contains(c.known.Classes, class)
 }
 
-// checkTimes checks when a window begins and ends.
+// checkTimes checks the begin, the end and the tolerances of a window.
 func (c *documentCheck) checkTimes(path string, window *Window, doc *WindowDoc) {
-	start, err := time.Parse(startForm, doc.Start)
+	start, err := time.Parse(startLayout, doc.Start)
 	if err != nil {
 		c.fail(path+".start", "%q is no local time; expected one as 2026-01-31T22:30", doc.Start)
 	}
@@ -213,11 +216,11 @@
 	case (doc.Length == "") == (doc.Until == ""):
 		c.fail(path, "expected either length or until")
 	case doc.Until != "":
-		until, err := time.Parse(clockForm, doc.Until)
+		until, err := time.Parse(timeOfDayLayout, doc.Until)
 		if err != nil {
 			c.fail(path+".until", "%q is no time of the clock; expected one as 05:30", doc.Until)
 		}
-		window.until = clock{hour: until.Hour(), minute: until.Minute(), set: true}
+		window.until = timeOfDay{hour: until.Hour(), minute: until.Minute(), set: true}
 	case window.Length < tuning.MinWindow || window.Length > tuning.MaxWindow:
 		c.fail(path+".length", "%q is outside %s to %s", doc.Length, tuning.MinWindow, tuning.MaxWindow)
 	case window.Slip > tuning.MinSlip && window.Slip+tuning.MinWindow > window.Length:
@@ -225,7 +228,7 @@
 	}
 }
 
-// checkRule checks the rule by which a window recurs from its first start.
+// checkRule checks the recurrence rule (RFC 5545) of a window.
 func (c *documentCheck) checkRule(path string, window *Window, rule string) {
 	option, err := rrule.StrToROption(strings.TrimPrefix(rule, "RRULE:"))
 	switch {
@@ -255,7 +258,7 @@
 	return duration
 }
 
-// checkNeed checks what a window expects to need against its team's limit.
+// checkNeed checks the declared need of a window against its team's limit.
 func (c *documentCheck) checkNeed(path string, doc *WindowDoc) {
 	team := c.known.Teams[doc.Team]
 	cores, accelerators, memory := team.Max.Float()
@@ -269,7 +272,7 @@
 	} {
 		resourcePath := path + ".need." + resource.name
 		switch {
-		case !(resource.need >= 0 && resource.need < maxNeed): // NaN is neither
+		case !(resource.need >= 0 && resource.need < maxNeed): // also rejects NaN
 			c.fail(resourcePath, "expected a number that is not negative")
 		case resource.max > 0 && resource.need > resource.max:
 			c.fail(resourcePath, "%g is above %s's limit of %g", resource.need, doc.Team, resource.max)
@@ -277,8 +280,8 @@
 	}
 }
 
-// checkClockChanges checks that no change of the clock leaves a window that ends by the clock too
-// little time.
+// checkClockChanges checks that no daylight-saving change makes a window that ends at a time of day
+// too short. It also limits how often a window may recur.
 func (c *documentCheck) checkClockChanges(from time.Time) {
 	for _, track := range c.plan.Tracks {
 		for _, window := range track.Windows {
@@ -288,30 +291,30 @@
 				c.fail(path, "comes %d times or more in 400 days", tuning.MaxOccurrences)
 			}
 			if window.until.set {
-				c.checkSpansLast(track.Name+"."+window.Name, window, spans)
+				c.checkSpanLengths(track.Name+"."+window.Name, window, spans)
 			}
 		}
 	}
 }
 
-// checkSpansLast notes the first span of a window that is too short.
-func (c *documentCheck) checkSpansLast(path string, window *Window, spans []Span) {
+// checkSpanLengths reports the first planned occurrence of a window that is too short.
+func (c *documentCheck) checkSpanLengths(path string, window *Window, spans []Span) {
 	for _, span := range spans {
 		left := span.End.Sub(span.Begin)
 		if left >= tuning.MinWindow+window.Slip {
 			continue
 		}
 		c.fail(path, "the change of the clock on %s leaves it %s, less than %s and its slip",
-			span.Begin.Format(timeForm), left, tuning.MinWindow)
+			span.Begin.Format(timeLayout), left, tuning.MinWindow)
 		return
 	}
 }
 
-// checkCollisions notes the windows of a track that overlap by plan.
+// checkCollisions reports the windows of a track whose planned times overlap.
 func (c *documentCheck) checkCollisions(from time.Time) {
 	for _, track := range c.plan.Tracks {
 		for _, collision := range track.collisions(from, from.Add(tuning.CalendarAhead)) {
-			c.fail(track.Name, "%s meets %s on %s", collision.First, collision.Second, collision.At.Format(timeForm))
+			c.fail(track.Name, "%s meets %s on %s", collision.First, collision.Second, collision.At.Format(timeLayout))
 		}
 	}
 }
--- a/internal/calendar/document_test.go
+++ b/internal/calendar/document_test.go
@@ -190,7 +190,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			plan := buildPlan(t, fmt.Sprintf(romeDocument, c.end))
-			from, err := time.Parse(startForm, c.from)
+			from, err := time.Parse(startLayout, c.from)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/calendar/gate.go
+++ b/internal/calendar/gate.go
@@ -6,21 +6,21 @@
 	"github.com/harrierreel/harrierreel/internal/quota"
 )
 
-// Verdict says whether tasks of a class may begin.
+// Verdict says whether tasks of a class may start.
 type Verdict int
 
-// Verdicts on a class.
+// Verdicts.
 const (
 	Free    Verdict = iota // the class has no windows
 	Allowed                // its occurrence is open
-	Soon                   // it is about to open: its waiting jobs count as queued room
-	Shut                   // its tasks may not begin
+	Soon                   // its occurrence is about to open: waiting jobs count as demand
+	Shut                   // its tasks may not start
 )
 
-// Gate judges a class, and lists the keys of the records that the verdict depends on. A release
-// or a placement that is conditional on their revisions fails once an occurrence has been
-// closed meanwhile, however late it comes. On the document's own revision every decision is
-// conditional.
+// Gate returns whether a class may start tasks, and the keys of the records that this verdict
+// depends on. A release or placement is committed on condition that the revisions of these keys are
+// unchanged, so it fails if an occurrence was closed in the meantime, however late it arrives. The
+// key of the document is not listed: every decision is conditional on it anyway.
 func (k *Keeper) Gate(now Now, class quota.Key) (Verdict, []string) {
 	ownTrack := k.Plan().TrackOf(class)
 	open, keys := k.holdersOf(class)
@@ -48,8 +48,8 @@
 			return Shut, nil
 		}
 	}
-	// Not past its end either, though nobody has closed it yet: all controllers may have been
-	// away.
+	// An occurrence past its end may still be stored as open if no controller was running to close
+	// it.
 	if now.Ms < open.Opened-2*now.OffMs || now.Ms >= open.End-now.OffMs {
 		return Shut, nil
 	}
@@ -57,9 +57,9 @@
 	return Allowed, keys
 }
 
-// holdersOf is an occurrence that lets a class begin, nil for none, and the keys of all such. One
-// that is closing is returned first. From before the revision in force it may be on another
-// track than the class's own.
+// holdersOf returns an open or closing occurrence that includes a class, or nil, and the keys of the
+// tracks of all such occurrences found. A closing one takes precedence. An occurrence that opened
+// under an earlier revision may be on another track than the class is on now.
 func (k *Keeper) holdersOf(class quota.Key) (*Occurrence, []string) {
 	var holder *Occurrence
 	var keys []string
@@ -76,7 +76,8 @@
 	return holder, keys
 }
 
-// soonVerdict tells whether a class without an open window has one that is about to open.
+// soonVerdict returns Soon if a class without an open window has one that is about to open, else
+// Shut.
 func (r *Record) soonVerdict(track *Track, class quota.Key) Verdict {
 	for _, occurrence := range r.Occurrences {
 		soon := occurrence.State == Preparing || occurrence.State == Slipped
@@ -87,8 +88,8 @@
 	return Shut
 }
 
-// NextOpening is when a class's next occurrence is planned to begin, a time of day in ms; 0 if
-// none is.
+// NextOpening returns the planned begin of a class's next occurrence, a wall-clock time in Unix ms,
+// or 0 if none is planned.
 func (k *Keeper) NextOpening(class quota.Key) int64 {
 	track := k.Plan().TrackOf(class)
 	if track == nil || k.tracks[track.Name] == nil {
--- a/internal/calendar/guard.go
+++ b/internal/calendar/guard.go
@@ -10,9 +10,9 @@
 	"github.com/harrierreel/harrierreel/internal/quota"
 )
 
-// Guard drops the decisions by which tasks would begin whose window is not open, and makes the
-// others conditional on its being open. Every decision of this controller comes through here,
-// so none can be forgotten.
+// Guard drops the decisions that would start tasks outside their window, and makes decisions that
+// start tasks in an open window conditional on the window's still being open. All decisions of this
+// controller pass through Guard, whichever component made them.
 func (s *Service) Guard(decisions []decide.Decision) []decide.Decision {
 	if s == nil {
 		return decisions
@@ -20,7 +20,7 @@
 	guard := guard{service: s, now: s.now(), results: map[quota.Key]gateResult{}}
 	admitted := make([]decide.Decision, 0, len(decisions))
 	for _, decision := range decisions {
-		keys, ok := guard.judge(&decision)
+		keys, ok := guard.check(&decision)
 		if !ok {
 			decision.Drop()
 			continue
@@ -33,24 +33,24 @@
 	return admitted
 }
 
-// guard judges the decisions of one moment.
+// guard checks a batch of decisions at one point in time, and caches the verdicts.
 type guard struct {
 	service *Service
 	now     Now
 	results map[quota.Key]gateResult
 }
 
-// gateResult is what the gate says of a class.
+// gateResult is the result of Keeper.Gate for a class.
 type gateResult struct {
 	verdict Verdict
 	keys    []string
 }
 
-// judge tells whether a decision may be taken, and the keys that this depends on.
-func (g *guard) judge(decision *decide.Decision) ([]string, bool) {
+// check reports whether a decision is allowed, and returns the keys that this depends on.
+func (g *guard) check(decision *decide.Decision) ([]string, bool) {
 	allowed := true
 	var keys []string
-	for _, job := range g.jobsThatBegin(decision) {
+	for _, job := range g.jobsStarting(decision) {
 		result := g.gate(job.Record.Spec.QuotaKey())
 		allowed = allowed && (result.verdict == Free || result.verdict == Allowed)
 		for _, key := range result.keys {
@@ -62,7 +62,7 @@
 	return keys, allowed
 }
 
-// gate judges a class, once in a moment.
+// gate returns the cached result for a class, or computes it.
 func (g *guard) gate(class quota.Key) gateResult {
 	result, known := g.results[class]
 	if !known {
@@ -72,14 +72,13 @@
 	return result
 }
 
-// jobsThatBegin lists the jobs of which an attempt begins by a decision, in whatever way it does:
-// by a change of a task, by an entry of a batch or by a new task range. A job may be listed
-// more than once.
-func (g *guard) jobsThatBegin(decision *decide.Decision) []*clusterstate.Job {
-	var begin []*clusterstate.Job
+// jobsStarting returns the jobs of which a decision starts an attempt: by a task change, by a batch
+// entry or by a new task range. A job may be listed more than once.
+func (g *guard) jobsStarting(decision *decide.Decision) []*clusterstate.Job {
+	var starting []*clusterstate.Job
 	add := func(job *clusterstate.Job) {
 		if job != nil && job.Record != nil {
-			begin = append(begin, job)
+			starting = append(starting, job)
 		}
 	}
 	known := g.service.state.Jobs
@@ -102,10 +101,10 @@
 			add(known[jobID])
 		}
 	}
-	return begin
+	return starting
 }
 
-// holdsMachine tells whether a task is released or placed.
+// holdsMachine reports whether a task is released to a controller or placed on a machine.
 func holdsMachine(task *jobs.Task) bool {
 	return task.State == jobs.Assigned || task.State == jobs.Placed
 }
--- a/internal/calendar/keeper.go
+++ b/internal/calendar/keeper.go
@@ -9,63 +9,62 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Now is the time at which the keeper is asked, all in ms: the time of day, how far it may be off,
-// and how long machines take to boot.
+// Now is the current time and its tolerances, all in ms.
 type Now struct {
-	Ms        int64
-	OffMs     int64
-	PrepareMs int64
+	Ms        int64 // wall-clock time since the Unix epoch
+	OffMs     int64 // maximum error of the wall clock
+	PrepareMs int64 // how long before an opening machines must be requested, so that they are up
 }
 
-// Cluster is what the keeper must know of tasks.
+// Cluster tells the keeper which tasks may be on machines.
 type Cluster interface {
-	// Settled tells whether everything is known that was committed before the newest known
+	// Settled reports whether everything is known that was committed before the newest known
 	// change of the calendar's keys.
 	Settled() bool
-	// Attempts counts the attempts of some classes that may be on machines, those released to
-	// a controller and those under a transaction included. An attempt whose class is unknown
-	// counts.
+	// Attempts counts the attempts that may be on machines and whose class satisfies ofClass.
+	// Attempts released to a controller or part of a pending transaction are included, and so is
+	// every attempt whose class is unknown.
 	Attempts(ofClass func(quota.Key) bool) int
 }
 
-// Change is a track's next record, to be committed as a whole, conditional on the view, on the
-// document in force and on the track's record.
+// Change is the next record of a track. It is committed atomically, on condition that the view, the
+// document in force and the track's record are unchanged.
 type Change struct {
 	Track string
 	Value json.RawMessage // nil: the record is deleted
 	Moves []Move
-	// Urgent: something opens or ends with it. What is only planned or prepared waits for its
-	// turn in the budget of transactions.
+	// Urgent says that an occurrence opens or ends with the change. Changes that only plan or
+	// prepare are subject to the transaction budget.
 	Urgent bool
 }
 
-// Move is an occurrence that changes state, for the log.
+// Move is a state change of an occurrence, for the log.
 type Move struct {
 	Window   string
 	Begin    int64
 	From, To State
 }
 
-// Keeper knows the document in force and the occurrences, and decides what becomes of them. Only
-// the leader commits what it decides. It is not safe for concurrent use.
+// Keeper holds the document in force and the tracks' occurrences, and decides the occurrences' state
+// changes. Only the leader commits these decisions. It is not safe for concurrent use.
 type Keeper struct {
-	filePlan *Plan // of this controller's own file
-	plan     *Plan // in force, nil until one was read
+	filePlan *Plan // plan of this controller's own file
+	plan     *Plan // plan in force, nil until one has been read
 	tracks   map[string]*Record
-	holders  map[string]*Occurrence // occurrences that have their track, by track
-	// quarantined is the tracks whose records can't be read.
+	holders  map[string]*Occurrence // the open or closing occurrence of each track
+	// quarantined is the set of tracks whose records can't be read.
 	quarantined map[string]bool
-	// blocked is the windows whose time has come, but whose track is not proven free, by
-	// track, as of the last reconciliation.
+	// blocked contains, by track, the occurrences that are due to open but whose track is not
+	// proven free of other tasks, as of the last reconciliation.
 	blocked    map[string]Move
-	limitBytes int   // of a record
-	lastMs     int64 // time of day of the last reconciliation
-	nextMs     int64 // time of day at which the next one is needed
-	changed    bool  // something was read since the last one
+	limitBytes int   // size limit of a record
+	lastMs     int64 // wall-clock time of the last reconciliation
+	nextMs     int64 // wall-clock time at which the next one is needed
+	changed    bool  // a record was read since the last reconciliation
 }
 
-// NewKeeper makes a keeper that knows a controller's own file, and writes records of at most so
-// many bytes.
+// NewKeeper returns a keeper for the plan of a controller's own file. limitBytes is the size limit of
+// the records that it writes.
 func NewKeeper(file *Plan, limitBytes int) *Keeper {
 	return &Keeper{
 		filePlan:    file,
@@ -78,8 +77,8 @@
 	}
 }
 
-// Plan is the plan that classes are judged by: the one in force, or that of the file until there
-// is one.
+// Plan returns the plan that applies to classes: the one in force or, before there is one, that of
+// this controller's file.
 func (k *Keeper) Plan() *Plan {
 	if k.plan != nil {
 		return k.plan
@@ -87,8 +86,8 @@
 	return k.filePlan
 }
 
-// ApplyDocument takes the document in force in, nil for one that is deleted. One that can't be
-// read is an error, and the plan is kept.
+// ApplyDocument applies the stored document in force; nil means that it was deleted. If it can't be
+// read, an error is returned and the previous plan is kept.
 func (k *Keeper) ApplyDocument(value json.RawMessage) error {
 	k.changed = true
 	if value == nil {
@@ -107,8 +106,9 @@
 	return nil
 }
 
-// ApplyTrack takes a track's record in, nil for one that is deleted. One that can't be read is an
-// error: nothing of its track begins, and nothing is decided about it.
+// ApplyTrack applies the stored record of a track; nil means that it was deleted. If it can't be
+// read, an error is returned and the track is quarantined: no task of the track's classes starts,
+// and no decision about the track is made.
 func (k *Keeper) ApplyTrack(track string, value json.RawMessage) error {
 	k.changed = true
 	delete(k.quarantined, track)
@@ -129,10 +129,10 @@
 	return nil
 }
 
-// Touch makes the next reconciliation look at all tracks.
+// Touch makes the next reconciliation examine all tracks.
 func (k *Keeper) Touch() { k.changed = true }
 
-// trackNames lists the tracks that are planned or stored.
+// trackNames returns the sorted names of the tracks that are in the plan or have a record.
 func (k *Keeper) trackNames() []string {
 	names := map[string]bool{}
 	for name := range k.tracks {
@@ -144,8 +144,8 @@
 	return slices.Sorted(maps.Keys(names))
 }
 
-// Reconcile decides what becomes of the occurrences now. It does nothing while nothing has
-// changed and no occurrence is due.
+// Reconcile returns the changes that are due now. It does nothing while no record has changed and no
+// occurrence is due.
 func (k *Keeper) Reconcile(now Now, cluster Cluster) []Change {
 	if k.plan == nil || !k.changed && now.Ms >= k.lastMs && now.Ms < k.nextMs {
 		return nil
@@ -160,31 +160,31 @@
 			continue
 		}
 		if len(changes) == tuning.CalendarChanges {
-			k.wakeAt(now, now.Ms+1) // the others have their turn next
+			k.wakeAt(now, now.Ms+1) // the remaining tracks follow in the next reconciliation
 			break
 		}
 		if change := k.decideTrack(name, now, cluster); change != nil {
 			changes = append(changes, *change)
-			k.wakeAt(now, now.Ms+1) // should it not be committed, it is decided again
+			k.wakeAt(now, now.Ms+1) // if the commit fails, the change is decided again
 		}
 	}
 	return changes
 }
 
-// wakeAt has the keeper reconcile again at a time, if it is still to come.
+// wakeAt schedules a reconciliation at a time, if that is in the future.
 func (k *Keeper) wakeAt(now Now, atMs int64) {
 	if atMs > now.Ms {
 		k.nextMs = min(k.nextMs, max(atMs, now.Ms+tuning.CalendarPollEvery.Milliseconds()))
 	}
 }
 
-// decideTrack is the change of one track, nil for none.
+// decideTrack returns the change of one track, or nil.
 func (k *Keeper) decideTrack(name string, now Now, cluster Cluster) *Change {
 	draft := k.newTrackDraft(name, now, cluster)
 	draft.applyRevision()
 	draft.closeEnded()
 	draft.advanceWaiting()
-	draft.planAhead() // before one opens, so that a late one sees what comes after it
+	draft.planAhead() // before opening, so that a late occurrence is checked against the ones after it
 	draft.openDue()
 	if draft.expired() {
 		return &Change{Track: name, Moves: draft.moves}
--- a/internal/calendar/log.go
+++ b/internal/calendar/log.go
@@ -7,10 +7,10 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// logTime is a time of day in ms as the log has it.
+// logTime formats a wall-clock time in Unix ms for the log.
 func logTime(ms int64) string { return time.UnixMilli(ms).UTC().Format(time.RFC3339) }
 
-// logMove logs that an occurrence changed state.
+// logMove logs a state change of an occurrence.
 func (s *Service) logMove(track string, move Move) {
 	s.config.Log.Info("window changed state",
 		"track", track,
@@ -20,7 +20,7 @@
 		"to", string(move.To))
 }
 
-// logBlocked logs the windows that must wait for their track, each once.
+// logBlocked logs each occurrence that is blocked by other tasks of its track, once.
 func (s *Service) logBlocked() {
 	for _, track := range clusterstate.SortedKeys(s.keeper.blocked) {
 		move := s.keeper.blocked[track]
@@ -36,7 +36,7 @@
 	}
 }
 
-// logLateJobs logs the jobs that wait for a window and cannot end by their deadline, each once.
+// logLateJobs logs each job that waits for a window and can't meet its deadline, once.
 func (s *Service) logLateJobs(now Now) {
 	if s.state.Now.Sub(s.lateCheckedAt) < tuning.CalendarLateCheckEvery {
 		return
--- a/internal/calendar/occurrence.go
+++ b/internal/calendar/occurrence.go
@@ -2,79 +2,79 @@
 
 import "github.com/harrierreel/harrierreel/internal/quota"
 
-// State is the state of an occurrence of a window.
+// State is the state of an occurrence.
 type State string
 
-// States of an occurrence. Closed and skipped ones never change again.
+// States of an occurrence. Closed and Skipped are final.
 const (
 	Planned   State = "planned"
-	Preparing State = "preparing" // its waiting jobs count as queued room
-	Open      State = "open"      // its tasks may begin
-	Closing   State = "closing"   // none of its tasks begins, some may still be on machines
-	Closed    State = "closed"    // none of its tasks is on any machine
-	Slipped   State = "slipped"   // missed, and may still open
+	Preparing State = "preparing" // machines are being prepared: waiting jobs count as demand
+	Open      State = "open"      // its tasks may start
+	Closing   State = "closing"   // no task starts any more, some may still be on machines
+	Closed    State = "closed"    // no task is on any machine
+	Slipped   State = "slipped"   // missed, but may still open late
 	Skipped   State = "skipped"   // never opened
 )
 
-// Final tells whether a state never changes again.
+// Final reports whether the state never changes again.
 func (s State) Final() bool { return s == Closed || s == Skipped }
 
-// Holds tells whether an occurrence in this state has its track.
+// Holds reports whether an occurrence in this state occupies its track.
 func (s State) Holds() bool { return s == Open || s == Closing }
 
-// Waits tells whether an occurrence in this state has not begun.
+// Waits reports whether an occurrence in this state may still open.
 func (s State) Waits() bool { return s == Planned || s == Preparing || s == Slipped }
 
-// known tells whether a state is one of those that exist.
-func (s State) known() bool { return s.Final() || s.Holds() || s.Waits() }
+// valid reports whether s is a defined state.
+func (s State) valid() bool { return s.Final() || s.Holds() || s.Waits() }
 
-// Occurrence is one time of a window, as stored: its tags must not change. Times are times of day
-// in ms.
+// Occurrence is one occurrence of a window, as stored: the JSON tags must not change. Times are
+// wall-clock times in Unix ms.
 type Occurrence struct {
 	Window   string `json:"w"`
 	Begin    int64  `json:"b"`
-	End      int64  `json:"e"` // as planned; of one that opened late when it is to end
+	End      int64  `json:"e"` // the planned end, or the actual end if it opened late
 	State    State  `json:"s"`
 	Revision int    `json:"r"`
-	AtMs     int64  `json:"at,omitempty"` // of its last change
+	AtMs     int64  `json:"at,omitempty"` // time of the last state change
 	Opened   int64  `json:"o,omitempty"`
-	// Team, Classes and Stop are what it lets begin and how it ends, kept from when it opens:
-	// it ends under the revision that it began with.
+	// Team, Classes and Stop say which classes may start and what happens at the end. They are
+	// copied from the window at opening: an occurrence ends under the revision that it opened with.
 	Team    string   `json:"t,omitempty"`
 	Classes []string `json:"c,omitempty"`
 	Stop    bool     `json:"x,omitempty"`
 }
 
-// Has tells whether an occurrence lets a class of a team begin.
+// Has reports whether the occurrence lets a class of a team start tasks.
 func (o *Occurrence) Has(class quota.Key) bool {
 	window := Window{Team: o.Team, Classes: o.Classes}
 	return window.Has(class)
 }
 
-// EventKind names an event of an occurrence.
+// EventKind is the kind of an Event.
 type EventKind string
 
 // Events of an occurrence.
 const (
-	Prepare EventKind = "prepare" // it begins as soon as machines take to boot
-	Begin   EventKind = "begin"   // its time has come and its track is proven free
-	Miss    EventKind = "miss"    // it did not open in time, and may still
-	Drop    EventKind = "drop"    // it did not open in time, or another revision does not have it
-	Finish  EventKind = "finish"  // its time is over
-	Emptied EventKind = "emptied" // none of its tasks is on any machine, by proof
+	Prepare EventKind = "prepare" // it begins within the time that machines take to boot
+	Begin   EventKind = "begin"   // its time has come and its track is proven free of tasks
+	Miss    EventKind = "miss"    // it did not open in time, but may still open late
+	Drop    EventKind = "drop"    // it did not open in time, or the new revision does not contain it
+	Finish  EventKind = "finish"  // its end is reached
+	Emptied EventKind = "emptied" // no task of it is on any machine, which has been proven
 )
 
-// Event is what can happen to an occurrence.
+// Event is an event of an occurrence.
 type Event struct {
 	Kind  EventKind
 	NowMs int64
-	EndMs int64   // of Begin: when it is to end
-	As    *Window // of Begin: what it is
+	EndMs int64   // Begin only: the end of the occurrence
+	As    *Window // Begin only: the window that opens
 }
 
-// Next is the state machine of an occurrence: nothing else changes its state. It only ever goes
-// forward, so that a clock that is set back opens or closes nothing twice. It tells whether the
-// occurrence changed.
+// Next applies an event to an occurrence and reports whether the occurrence changed. It is the only
+// place where an occurrence changes state. States only move forward, so that a clock that is set
+// back can't open or close an occurrence twice.
 func Next(occurrence Occurrence, event Event) (Occurrence, bool) {
 	state := occurrence.State
 	switch {
--- a/internal/calendar/plan.go
+++ b/internal/calendar/plan.go
@@ -8,60 +8,62 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// clock is a time of the clock.
-type clock struct {
+// timeOfDay is a time of day.
+type timeOfDay struct {
 	hour, minute int
 	set          bool
 }
 
-// Span is when a window is planned to be.
+// Span is a planned occurrence of a window.
 type Span struct {
 	Window     *Window
 	Begin, End time.Time
 }
 
-// cache is the last answer of a window's rule: the next question is mostly the same.
-type cache struct {
+// spanCache is the last computed list of spans of a window. Successive queries are mostly for about
+// the same range.
+type spanCache struct {
 	from, to time.Time
 	spans    []Span
 }
 
-// at is the moment of a local time in a zone. A local time that a change of the clock leaves out
-// is as much later as the clock is put forward, and of two alike the first counts, as RFC
-// 5545 has it.
-func at(local time.Time, zone *time.Location) time.Time {
-	// Offsets of a day before and a day after: more than any change of the clock, so one of
-	// them holds at the local time if it exists.
-	early := withOffsetOf(local, -26*time.Hour, zone)
-	late := withOffsetOf(local, 26*time.Hour, zone)
+// resolveLocal returns the instant of a local time in a zone, following RFC 5545: a local time
+// skipped by a daylight-saving change is shifted by the size of the gap, and of two instants with
+// the same local time the first one is taken.
+func resolveLocal(local time.Time, zone *time.Location) time.Time {
+	// The offsets in effect a day before and a day after. 26 hours exceed any offset change, so one
+	// of the two applies at the local time if that exists.
+	early := withOffsetNear(local, -26*time.Hour, zone)
+	late := withOffsetNear(local, 26*time.Hour, zone)
 	switch {
-	case showsLocal(late, local) && late.Before(early):
+	case showsLocalTime(late, local) && late.Before(early):
 		return late
-	case showsLocal(early, local):
+	case showsLocalTime(early, local):
 		return early
-	case showsLocal(late, local):
+	case showsLocalTime(late, local):
 		return late
 	}
-	return early // left out: counted with the offset from before
+	return early // skipped local time: the offset before the change applies
 }
 
-// withOffsetOf is the moment of a local time by the offset that a zone has some time from it.
-func withOffsetOf(local time.Time, distance time.Duration, zone *time.Location) time.Time {
+// withOffsetNear returns the instant of a local time under the offset that the zone has at the
+// given distance from it.
+func withOffsetNear(local time.Time, distance time.Duration, zone *time.Location) time.Time {
 	_, offset := local.Add(distance).In(zone).Zone()
 	return time.Unix(local.Unix()-int64(offset), 0).In(zone)
 }
 
-// showsLocal tells whether clocks show a local time at a moment.
-func showsLocal(moment, local time.Time) bool {
-	_, offset := moment.Zone()
-	return moment.Unix()+int64(offset) == local.Unix()
+// showsLocalTime reports whether the local time at an instant equals local.
+func showsLocalTime(instant, local time.Time) bool {
+	_, offset := instant.Zone()
+	return instant.Unix()+int64(offset) == local.Unix()
 }
 
-// between lists when a window is planned to begin in a stretch of time.
+// between returns the window's planned occurrences that begin in [from, to).
 func (w *Window) between(from, to time.Time) []Span {
 	known := &w.planned
 	if known.from.IsZero() || from.Before(known.from) || to.After(known.to) {
-		*known = w.compute(from, to.Add(24*time.Hour)) // a day more, for the next questions
+		*known = w.compute(from, to.Add(24*time.Hour)) // one more day, for the next queries
 	}
 	var spans []Span
 	for _, span := range known.spans {
@@ -72,12 +74,13 @@
 	return spans
 }
 
-// maxOffset is more than any zone's offset: the rule counts in local time.
+// maxOffset exceeds the UTC offset of any zone. Rules are evaluated in local time, so ranges in UTC
+// are widened by it.
 const maxOffset = 25 * time.Hour
 
-// compute lists when a window begins in a stretch of time.
-func (w *Window) compute(from, to time.Time) cache {
-	computed := cache{from: from, to: to}
+// compute evaluates the window's rule for occurrences that begin in [from, to).
+func (w *Window) compute(from, to time.Time) spanCache {
+	computed := spanCache{from: from, to: to}
 	next := w.rule.Iterator()
 	var last time.Time
 	for len(computed.spans) < tuning.MaxOccurrences {
@@ -88,7 +91,7 @@
 		if local.Before(from.UTC().Add(-maxOffset)) {
 			continue
 		}
-		begin := at(local, w.zone)
+		begin := resolveLocal(local, w.zone)
 		if begin.Before(from) || !begin.Before(to) || len(computed.spans) > 0 && !begin.After(last) {
 			continue
 		}
@@ -98,7 +101,7 @@
 	return computed
 }
 
-// end is when a window ends that begins at a local time.
+// end returns the end of an occurrence that begins at the given local time and instant.
 func (w *Window) end(local, begin time.Time) time.Time {
 	if !w.until.set {
 		return begin.Add(w.Length)
@@ -107,13 +110,14 @@
 	if !end.After(local) {
 		end = end.AddDate(0, 0, 1)
 	}
-	return at(end, w.zone)
+	return resolveLocal(end, w.zone)
 }
 
-// lastOpening is the time after which an occurrence does not open any more.
+// lastOpening returns the time after which the occurrence does not open any more.
 func (s Span) lastOpening() time.Time { return s.Begin.Add(s.Window.Slip + s.Window.Late) }
 
-// Between lists when a track's windows are planned to begin, in order.
+// Between returns the planned occurrences of the track's windows that begin in [from, to), ordered
+// by begin.
 func (t *Track) Between(from, to time.Time) []Span {
 	var spans []Span
 	for _, window := range t.Windows {
@@ -128,23 +132,23 @@
 	return spans
 }
 
-// Collision is two windows of a track that are planned for the same time.
+// Collision is a pair of windows of a track whose planned times overlap.
 type Collision struct {
 	First, Second string
 	At            time.Time
 }
 
-// collisions lists the pairs of windows that overlap by plan, each once.
+// collisions returns the pairs of windows whose planned times overlap, each pair once.
 func (t *Track) collisions(from, to time.Time) []Collision {
 	var collisions []Collision
 	type pair struct{ first, second string }
-	listed := map[pair]bool{}
-	var last Span // that ends last so far
+	reported := map[pair]bool{}
+	var last Span // the span with the latest end so far
 	for _, span := range t.Between(from.Add(-tuning.MaxWindow), to) {
 		if last.Window != nil && span.Begin.Before(last.End) {
 			both := pair{first: last.Window.Name, second: span.Window.Name}
-			if !listed[both] {
-				listed[both] = true
+			if !reported[both] {
+				reported[both] = true
 				collisions = append(collisions, Collision{First: both.first, Second: both.second, At: span.Begin})
 			}
 		}
@@ -155,7 +159,7 @@
 	return collisions
 }
 
-// Collisions lists the windows that overlap by plan, each pair once.
+// Collisions returns the pairs of windows whose planned times overlap, each pair once.
 func (p *Plan) Collisions(from, to time.Time) []Collision {
 	var collisions []Collision
 	for _, track := range p.Tracks {
--- a/internal/calendar/record.go
+++ b/internal/calendar/record.go
@@ -19,10 +19,10 @@
 	TrackPrefix = StoreKey + "/"
 )
 
-// storedVersion is the form in which both are stored.
+// storedVersion is the format version of both records.
 const storedVersion = 1
 
-// Errors of what is stored.
+// Errors of stored records.
 var (
 	errUnknownVersion   = errors.New("unknown version")
 	errRevisionMismatch = errors.New("the revision is not that of the document")
@@ -31,8 +31,8 @@
 	errTwoHolders       = errors.New("two occurrences hold the track")
 )
 
-// stored is the document in force as kept: compressed, for 200 windows must fit into one value.
-// Every decision is conditional on its revision in the store.
+// stored is the stored form of the document in force. The document is compressed, because 200 windows
+// must fit into one value. Every decision is conditional on this key's revision in the store.
 type stored struct {
 	Version  int    `json:"v"`
 	Revision int    `json:"n"`
@@ -41,7 +41,7 @@
 
 var compressor = compression.New(tuning.MaxCalendarBytes)
 
-// EncodeDocument writes the document that is in force.
+// EncodeDocument returns the stored form of the document in force.
 func EncodeDocument(document *Document) json.RawMessage {
 	encoder, _ := compressor()
 	compressed := encoder.EncodeAll(jobs.Encode(document), nil)
@@ -52,7 +52,7 @@
 	})
 }
 
-// DecodeDocument reads the document in force. A version that is not known is an error.
+// DecodeDocument decodes the stored document in force. An unknown version is an error.
 func DecodeDocument(value []byte) (*Document, error) {
 	var outer stored
 	if err := json.Unmarshal(value, &outer); err != nil {
@@ -80,8 +80,8 @@
 	return &document, nil
 }
 
-// Compile makes the plan of a stored document without looking for overlaps: it was checked before
-// it was put in force.
+// Compile returns the plan of a stored document. It does not check for overlaps: that was done before
+// the document was put in force.
 func Compile(document *Document) (*Plan, error) {
 	check := &documentCheck{plan: newPlan(document)}
 	check.checkDocument()
@@ -91,20 +91,20 @@
 	return check.plan, nil
 }
 
-// Record is a track's occurrences as stored: those that wait, in order, the one that holds the
-// track, and the last few that ended.
+// Record is the stored record of a track's occurrences: the waiting ones, the one that holds the
+// track, and the last few that ended, ordered by begin.
 type Record struct {
 	Version int `json:"v"`
-	// DoneMs is the planned begin of the last one that has begun or ended, a time of day in ms:
-	// none up to there is ever planned again.
+	// DoneMs is the latest planned begin of an occurrence that has opened or was skipped, in Unix
+	// ms. No occurrence up to this time is planned again.
 	DoneMs      int64        `json:"d"`
 	Occurrences []Occurrence `json:"o"`
 }
 
-// TrackKey is the key of a track's occurrences.
+// TrackKey returns the key of a track's record.
 func TrackKey(track string) string { return TrackPrefix + track }
 
-// DecodeRecord reads a track's occurrences and checks them.
+// DecodeRecord decodes and validates a track's record.
 func DecodeRecord(value []byte) (*Record, error) {
 	var record Record
 	if err := json.Unmarshal(value, &record); err != nil {
@@ -115,7 +115,7 @@
 	}
 	holders := 0
 	for _, occurrence := range record.Occurrences {
-		if !occurrence.State.known() {
+		if !occurrence.State.valid() {
 			return nil, fmt.Errorf("decode track: %w %q of %s", errUnknownState, occurrence.State, occurrence.Window)
 		}
 		if occurrence.State.Holds() {
@@ -128,8 +128,8 @@
 	return &record, nil
 }
 
-// encode writes a track's occurrences in at most so many bytes. Where they would not fit, the
-// oldest of what ended goes first, then the last of what is planned: it is planned again.
+// encode returns the record's stored form. If it exceeds limitBytes, the oldest ended occurrences are
+// removed first, then the latest planned ones: these are planned again later.
 func (r *Record) encode(limitBytes int) json.RawMessage {
 	r.Version = storedVersion
 	for {
@@ -137,7 +137,7 @@
 		if len(value) <= limitBytes && r.ended() <= tuning.MaxEndedOccurrences {
 			return value
 		}
-		index, ok := r.dispensable()
+		index, ok := r.evictable()
 		if !ok {
 			return value
 		}
@@ -145,7 +145,7 @@
 	}
 }
 
-// ended counts the occurrences that never change again.
+// ended returns the number of occurrences in a final state.
 func (r *Record) ended() int {
 	count := 0
 	for _, occurrence := range r.Occurrences {
@@ -156,8 +156,9 @@
 	return count
 }
 
-// dispensable is the index of the occurrence that a record can best do without.
-func (r *Record) dispensable() (int, bool) {
+// evictable returns the index of the occurrence to remove first when the record is too large. It
+// returns false if none may be removed.
+func (r *Record) evictable() (int, bool) {
 	oldestEnded := slices.IndexFunc(r.Occurrences, func(o Occurrence) bool { return o.State.Final() })
 	if oldestEnded >= 0 {
 		return oldestEnded, true
@@ -166,7 +167,7 @@
 	return last, last >= 0 && r.Occurrences[last].State == Planned
 }
 
-// holder is the occurrence that has the track, nil for none.
+// holder returns the open or closing occurrence, or nil.
 func (r *Record) holder() *Occurrence {
 	for i := range r.Occurrences {
 		if r.Occurrences[i].State.Holds() {
--- a/internal/calendar/service.go
+++ b/internal/calendar/service.go
@@ -15,25 +15,26 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// ReservationPrefix begins the IDs of reservations that only keep room for a window that is about to open.
+// ReservationPrefix is the prefix of the IDs of reservations that only keep capacity free for a window
+// that is about to open.
 const ReservationPrefix = "kept "
 
-// Config is the settings of a Service.
+// Config contains the settings of a Service.
 type Config struct {
-	// ClockOffMs is how far a controller's time of day may be off, in ms.
+	// ClockOffMs is the maximum error of a controller's wall clock, in ms.
 	ClockOffMs float64
 	// ValueBytes is the size limit of a record.
 	ValueBytes int
-	// MaxTxnWrites is how many puts and deletes a transaction takes.
+	// MaxTxnWrites is the maximum number of puts and deletes in a transaction.
 	MaxTxnWrites int
 	// ScalerStepS is the time between two steps of the scaler, in seconds.
 	ScalerStepS float64
-	// FreshSteps is for how many steps a new leader prepares nothing.
+	// FreshSteps is the number of scaler steps during which a new leader prepares no windows.
 	FreshSteps int
 	Log        *slog.Logger
 }
 
-// Collaborators are what a Service needs of its controller.
+// Collaborators are the parts of the controller that a Service depends on.
 type Collaborators struct {
 	Mirror   *store.Mirror
 	Clock    WallClock
@@ -41,30 +42,30 @@
 	Machines MachineOwner
 }
 
-// WallClock tells the time of day.
+// WallClock reads the wall clock.
 type WallClock interface {
-	// WallMs is the time of day in ms.
+	// WallMs returns the wall-clock time in Unix ms.
 	WallMs() int64
 }
 
-// CommitQueue takes decisions to be committed.
+// CommitQueue commits decisions.
 type CommitQueue interface {
-	// Busy tells whether a record is under a transaction.
+	// Busy reports whether a pending transaction includes a record.
 	Busy(key string) bool
-	// Commit takes decisions.
+	// Commit queues decisions for commit.
 	Commit(decisions []decide.Decision)
 }
 
-// MachineOwner knows which machines answer, and changes their state.
+// MachineOwner tracks which machines respond, and changes their state.
 type MachineOwner interface {
-	// UnresponsiveSince tells since when a machine has not answered, false if it does.
+	// UnresponsiveSince returns since when a machine has not responded, or false if it responds.
 	UnresponsiveSince(machine *clusterstate.Machine) (time.Time, bool)
-	// TransitionMachine returns the decision that an event changes a machine's record, none if
-	// it does not.
+	// TransitionMachine returns the decisions that apply an event to a machine's record, none if
+	// the event changes nothing.
 	TransitionMachine(machine string, event fleet.Event, reason string) []decide.Decision
 }
 
-// Service joins the keeper to a controller. A nil one does nothing: the calendar is turned off.
+// Service connects the keeper to a controller. A nil Service does nothing: the calendar is disabled.
 type Service struct {
 	state    *clusterstate.State
 	config   Config
@@ -77,21 +78,21 @@
 	leadingSince    time.Time // zero if this controller does not lead
 	stopsCheckedAt  time.Time
 	lateCheckedAt   time.Time
-	logged          map[string]bool // windows and jobs that were logged
-	overruledLogged bool            // it was logged that another document is in force
-	// documentUnreadable: the document in force can't be read, so it is neither replaced nor
-	// followed.
+	logged          map[string]bool // windows and jobs that were logged already
+	overruledLogged bool            // the log says already that another document is in force
+	// documentUnreadable says that the document in force can't be read. It is then neither
+	// replaced nor applied.
 	documentUnreadable bool
 }
 
-// New makes the service of a controller's own file; nil for none.
+// New returns the service for a controller's own calendar file, or nil without a file.
 func New(state *clusterstate.State, file *Document, config Config, collaborators Collaborators) *Service {
 	if file == nil {
 		return nil
 	}
 	plan, err := Compile(file)
 	if err != nil {
-		config.Log.Error("calendar file rejected", "error", err) // it was checked when it was read
+		config.Log.Error("calendar file rejected", "error", err) // not expected: it was validated when it was read
 		return nil
 	}
 	return &Service{
@@ -106,8 +107,8 @@
 	}
 }
 
-// Keys are the keys that every decision is conditional on because of the calendar, and the
-// prefixes to read.
+// Keys returns the calendar keys that every decision is conditional on. They are also the prefixes
+// to read.
 func (s *Service) Keys() []string {
 	if s == nil {
 		return nil
@@ -115,8 +116,8 @@
 	return []string{StoreKey}
 }
 
-// PreconditionCount is how many conditions more a decision may have because of the calendar: the
-// document, and the tracks of two revisions.
+// PreconditionCount returns how many preconditions the calendar may add to a decision: the document,
+// and the track of the class under two revisions.
 func (s *Service) PreconditionCount() int {
 	if s == nil {
 		return 0
@@ -124,7 +125,8 @@
 	return 3
 }
 
-// Changed takes a change of the calendar's keys in. It tells whether the key is one.
+// Changed applies a change of a key of the state service. It reports whether the key belongs to the
+// calendar.
 func (s *Service) Changed(key string, value json.RawMessage) bool {
 	track, isTrack := strings.CutPrefix(key, TrackPrefix)
 	if key != StoreKey && !isTrack {
@@ -147,8 +149,8 @@
 	return true
 }
 
-// now is the time for the keeper. Machines are rented at the scaler's next step, and boot for as
-// long as the slowest known type.
+// now returns the time for the keeper. Its preparation time allows for the wait until the next scaler
+// step and for the boot time of the slowest known machine type.
 func (s *Service) now() Now {
 	prepare := tuning.MinPrepare
 	for _, machineType := range s.state.MachineTypes {
@@ -162,7 +164,8 @@
 	}
 }
 
-// Gate judges a job's class for the queue. A new leader prepares nothing yet.
+// Gate returns the verdict on a job's class for the queue. A new leader prepares no windows at first:
+// it returns Shut instead of Soon.
 func (s *Service) Gate(spec *jobs.Spec) Verdict {
 	if s == nil {
 		return Free
@@ -175,7 +178,7 @@
 	return verdict
 }
 
-// Pass does what only the leader does, while it leads.
+// Pass runs the leader's part of the calendar. It is called on each pass while this controller leads.
 func (s *Service) Pass() {
 	if s == nil {
 		return
@@ -201,7 +204,7 @@
 	s.commits.Commit(decisions)
 }
 
-// Reset forgets what only a leader keeps.
+// Reset clears the state that only a leader has.
 func (s *Service) Reset() {
 	if s == nil {
 		return
@@ -210,9 +213,9 @@
 	s.logged = map[string]bool{}
 }
 
-// Reconcile puts this controller's own file in force if its revision is the highest. Any
-// controller in the view may: each decision of all is conditional on the document's revision
-// in the store. A document that can't be read is neither replaced nor followed.
+// Reconcile puts this controller's own file in force if its revision is the highest. Any controller
+// in the view may do so, because every decision is conditional on the document's revision in the
+// store. A document that can't be read is neither replaced nor applied.
 func (s *Service) Reconcile(inView bool) {
 	if s == nil || !inView || s.documentUnreadable {
 		return
@@ -232,7 +235,7 @@
 	}
 }
 
-// sameDocument tells whether two plans are of the same document.
+// sameDocument reports whether two plans have equal documents.
 func sameDocument(a, b *Plan) bool {
 	return bytes.Equal(jobs.Encode(a.Doc), jobs.Encode(b.Doc))
 }
@@ -254,7 +257,7 @@
 	}})
 }
 
-// logOverruled logs that another document than this controller's file is in force.
+// logOverruled logs that the document in force differs from this controller's file.
 func (s *Service) logOverruled(reason string) {
 	s.overruledLogged = true
 	s.config.Log.Error("calendar file overruled",
@@ -263,7 +266,7 @@
 		"reason", reason)
 }
 
-// recordDecision is the decision that a track's record changes.
+// recordDecision returns the decision that commits a change of a track's record.
 func (s *Service) recordDecision(change *Change) decide.Decision {
 	key := TrackKey(change.Track)
 	write := store.Write{Put: key, Value: change.Value}
@@ -271,7 +274,7 @@
 		write = decide.Remove(key)
 	}
 	return decide.Decision{
-		// A window that closes must not queue behind other decisions: its end is a rule.
+		// The end of a window is a guarantee: closing must not queue behind other decisions.
 		Urgent: change.Urgent,
 		Writes: []store.Write{write},
 		OnSettled: func(committed bool) {
--- a/internal/calendar/show.go
+++ b/internal/calendar/show.go
@@ -12,8 +12,8 @@
 	"github.com/harrierreel/harrierreel/internal/store"
 )
 
-// lateOpening is by how much an occurrence opens later than planned before operators are shown it,
-// and lateRounding what the delay is rounded to.
+// lateOpening is the delay of an opening above which it is shown to operators, and lateRounding the
+// unit that the delay is rounded to.
 const (
 	lateOpening  = time.Second
 	lateRounding = 100 * time.Millisecond
@@ -21,8 +21,8 @@
 
 var errNoCalendar = errors.New("no calendar is in force")
 
-// Shown is an occurrence for people and scripts. Fields are only ever added. Times are in the
-// window's zone.
+// Shown is an occurrence as printed for operators and read by scripts: fields are only ever added.
+// Times are in the window's zone.
 type Shown struct {
 	Track    string    `json:"track"`
 	Window   string    `json:"window"`
@@ -35,11 +35,11 @@
 	Note     string    `json:"note,omitempty"`
 }
 
-// Preview lists what a plan would do in a stretch of time, with a note on what overlaps by plan.
+// Preview returns the planned occurrences that begin in [from, to), with a note on those that overlap.
 func (p *Plan) Preview(from, to time.Time) []Shown {
 	var all []Shown
 	for _, track := range p.Tracks {
-		var last Span // that ends last so far
+		var last Span // the span with the latest end so far
 		for _, span := range track.Between(from, to) {
 			all = append(all, Shown{
 				Track:    track.Name,
@@ -61,7 +61,8 @@
 	return all
 }
 
-// planNote is what is particular of a planned span; last is the one before it that ends last.
+// planNote returns a note on a planned span that overlaps an earlier one or follows a change of the
+// UTC offset. last is the earlier span with the latest end.
 func planNote(span, last Span) string {
 	if last.Window != nil && span.Begin.Before(last.End) {
 		return "meets " + last.Window.Name
@@ -86,8 +87,8 @@
 	})
 }
 
-// Read takes in the calendar's keys as listed from the state service, and lists the occurrences
-// that are stored. Without a document in force it is an error.
+// Read applies the calendar's keys as listed from the state service, and returns the keeper and the
+// stored occurrences. It fails if no document is in force.
 func Read(items []store.Item) (*Keeper, []Shown, error) {
 	keeper := NewKeeper(nil, 0)
 	for _, item := range items {
@@ -118,7 +119,7 @@
 	return keeper, all, nil
 }
 
-// show is an occurrence of a track for operators.
+// show returns an occurrence of a track in the form shown to operators.
 func (p *Plan) show(trackName string, occurrence *Occurrence) Shown {
 	shown := Shown{
 		Track:    trackName,
@@ -144,7 +145,7 @@
 	return shown
 }
 
-// window is a window by its track and name, nil for none such.
+// window returns the window with the given track and name, or nil.
 func (p *Plan) window(trackName, name string) *Window {
 	for _, track := range p.Tracks {
 		if track.Name == trackName {
@@ -154,7 +155,7 @@
 	return nil
 }
 
-// Late is a job that waits for its window and cannot end by its deadline.
+// Late is a job that waits for its window and can't meet its deadline.
 type Late struct {
 	JobID string    `json:"uid"`
 	Team  string    `json:"team"`
@@ -163,8 +164,9 @@
 	Opens time.Time `json:"opens"` // zero if nothing is planned
 }
 
-// LateJobs lists the jobs among some records that cannot end by their deadline because of their
-// windows, as planned now, at a time of day in ms. Records that can't be read are left out.
+// LateJobs returns the jobs among the given records that can't meet their deadline because of their
+// windows, as currently planned. nowMs is the wall-clock time in Unix ms. Unreadable records are
+// ignored.
 func (k *Keeper) LateJobs(items []store.Item, nowMs int64) []Late {
 	var all []Late
 	for _, item := range items {
@@ -191,8 +193,8 @@
 	return all
 }
 
-// late tells whether a job that waits for its window cannot end by its deadline: when its window
-// opens next, 0 for never, and when the job is due, times of day in ms.
+// late reports whether a job that waits for its window can't meet its deadline. It also returns the
+// window's next opening (0 if none is planned) and the deadline, wall-clock times in Unix ms.
 func (k *Keeper) late(now Now, record *jobs.Record) (opensMs, dueMs int64, late bool) {
 	if record.Spec.DeadlineS == nil {
 		return 0, 0, false
@@ -207,7 +209,8 @@
 	return opensMs, dueMs, opensMs == 0 || endsMs > dueMs
 }
 
-// OverlappingTracks lists the tracks on which classes that no one window has together are on machines.
+// OverlappingTracks returns the names of the tracks that have classes on machines which no single
+// window includes together.
 func (p *Plan) OverlappingTracks(onMachines map[quota.Key]bool) []string {
 	var names []string
 	for _, track := range p.Tracks {
@@ -224,7 +227,7 @@
 	return names
 }
 
-// hasWindowOf tells whether one window of a track has all of some classes.
+// hasWindowOf reports whether a single window of the track includes all of the classes.
 func (t *Track) hasWindowOf(classes []quota.Key) bool {
 	return slices.ContainsFunc(t.Windows, func(window *Window) bool {
 		return !slices.ContainsFunc(classes, func(class quota.Key) bool { return !window.Has(class) })
--- a/internal/calendar/stops.go
+++ b/internal/calendar/stops.go
@@ -12,9 +12,9 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// stopDecisions takes back what was released and may not begin any more, and stops what is on
-// machines of windows that end so. Services have no end of their own, so they are stopped at
-// every end.
+// stopDecisions returns the decisions that withdraw released tasks which may no longer start, and
+// that stop placed tasks of closing windows with at_end = "stop". Services never finish by
+// themselves, so they are stopped at the end of every window.
 func (s *Service) stopDecisions(now Now) []decide.Decision {
 	var decisions []decide.Decision
 	for _, taskID := range clusterstate.SortedKeys(s.state.Assigned) {
@@ -41,23 +41,24 @@
 	return decisions
 }
 
-// jobsOf lists the jobs with tasks that an occurrence let begin, by their IDs.
+// jobsOf returns the live jobs with active tasks whose class an occurrence includes, sorted by ID.
 func (s *Service) jobsOf(occurrence *Occurrence) []*clusterstate.Job {
-	var ofWindow []*clusterstate.Job
+	var jobsOfWindow []*clusterstate.Job
 	for _, job := range s.state.Jobs {
 		if len(job.Active) == 0 || job.Record == nil || job.Record.State != jobs.Live {
 			continue
 		}
 		if occurrence.Has(job.Record.Spec.QuotaKey()) {
-			ofWindow = append(ofWindow, job)
+			jobsOfWindow = append(jobsOfWindow, job)
 		}
 	}
-	slices.SortFunc(ofWindow, func(a, b *clusterstate.Job) int { return strings.Compare(a.ID, b.ID) })
-	return ofWindow
+	slices.SortFunc(jobsOfWindow, func(a, b *clusterstate.Job) int { return strings.Compare(a.ID, b.ID) })
+	return jobsOfWindow
 }
 
-// closeJob withdraws a job's tasks at its window's end, if they must go: of a gang that is not
-// whole on machines no more tasks will come, so the rest goes too.
+// closeJob returns the decisions that withdraw a job's tasks at the end of its window, if they must
+// stop. A gang that is only partly placed is withdrawn too: its missing tasks can't start any more.
+// If trackWanted is set, unresponsive machines that hold up the track are deleted.
 func (s *Service) closeJob(job *clusterstate.Job, occurrence *Occurrence, trackWanted bool) []decide.Decision {
 	var decisions []decide.Decision
 	var placed []*clusterstate.Task
@@ -81,8 +82,9 @@
 	return append(decisions, s.withdrawTasks("window "+occurrence.Window+" ended", placed...)...)
 }
 
-// withdrawTasks is the decisions that withdraw some tasks of a job. Those of a gang are one
-// decision if it fits a transaction: a gang saves only if all its tasks are stopped at once.
+// withdrawTasks returns the decisions that withdraw some tasks of a job. The tasks of a gang are
+// withdrawn by one decision if it fits into a transaction: a gang is checkpointed only if all its
+// tasks stop at once.
 func (s *Service) withdrawTasks(reason string, tasks ...*clusterstate.Task) []decide.Decision {
 	var single []decide.Decision
 	var whole decide.Decision
@@ -91,7 +93,7 @@
 		next, ok := jobs.Withdraw(task.Task, reason)
 		if !ok || s.commits.Busy(task.StoredIn.Key) {
 			if gang {
-				return nil // at the next check, as a whole
+				return nil // retried as a whole at the next check
 			}
 			continue
 		}
@@ -105,7 +107,7 @@
 	return single
 }
 
-// anotherWindowDue tells whether another window of a track is due, or about to be.
+// anotherWindowDue reports whether another window of a track is due or about to open.
 func (s *Service) anotherWindowDue(track string) bool {
 	record := s.keeper.tracks[track]
 	return record != nil && slices.ContainsFunc(record.Occurrences, func(occurrence Occurrence) bool {
@@ -113,8 +115,8 @@
 	})
 }
 
-// deleteUnresponsive has an unresponsive machine deleted while a task on it, which is to stop,
-// blocks the next window: only the delete proves that the task is gone.
+// deleteUnresponsive deletes an unresponsive machine if a stopping task on it blocks the next window:
+// only the deletion proves that the task is gone.
 func (s *Service) deleteUnresponsive(task *clusterstate.Task) []decide.Decision {
 	now := s.state.Now
 	machine := s.state.Machines[task.Machine]
--- a/internal/calendar/track_draft.go
+++ b/internal/calendar/track_draft.go
@@ -9,13 +9,13 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// trackDraft is a track's next record in the making.
+// trackDraft builds the next record of a track.
 type trackDraft struct {
 	keeper    *Keeper
 	now       Now
 	cluster   Cluster
-	track     *Track  // nil: the plan in force does not have it
-	committed *Record // as stored
+	track     *Track  // nil if the plan in force does not contain the track
+	committed *Record // the stored record
 	record    Record
 	moves     []Move
 	changed   bool
@@ -44,7 +44,7 @@
 	return draft
 }
 
-// apply applies an event to an occurrence of the draft.
+// apply applies an event to an occurrence of the draft, and records the state change.
 func (d *trackDraft) apply(occurrence *Occurrence, event Event) {
 	event.NowMs = d.now.Ms
 	next, ok := Next(*occurrence, event)
@@ -64,8 +64,8 @@
 	d.changed = true
 }
 
-// expired tells whether the record of a track that is planned no more may be deleted: nothing of
-// it could be run late any more should it come back.
+// expired reports whether the record of a track that the plan no longer contains may be deleted. It is
+// kept until no occurrence could still open late if a later revision added the track again.
 func (d *trackDraft) expired() bool {
 	if d.track != nil || len(d.record.Occurrences) == 0 {
 		return false
@@ -78,8 +78,9 @@
 	return d.now.Ms-d.record.DoneMs > 3*tuning.MaxWindow.Milliseconds()
 }
 
-// applyRevision adapts what only waits to the revision in force. What is planned is planned anew;
-// what has come further is dropped unless the revision has the same.
+// applyRevision adapts the waiting occurrences to the revision in force. Planned ones are removed, to
+// be planned again; Preparing and Slipped ones are dropped unless the revision contains the same
+// occurrence.
 func (d *trackDraft) applyRevision() {
 	revision := d.keeper.plan.Revision
 	d.record.Occurrences = slices.DeleteFunc(d.record.Occurrences, func(occurrence Occurrence) bool {
@@ -103,7 +104,7 @@
 	}
 }
 
-// plannedSpan is when the plan in force has an occurrence.
+// plannedSpan returns the span of an occurrence in the plan in force, if the plan contains it.
 func (d *trackDraft) plannedSpan(occurrence *Occurrence) (Span, bool) {
 	if d.track == nil {
 		return Span{}, false
@@ -120,9 +121,10 @@
 	return spans[0], true
 }
 
-// closeEnded closes what is open once its time may be over, and notes as closed what is proven to
-// be on no machine. The proof counts only for what was closing in the committed record: up to
-// that commit tasks may have begun, and none after it.
+// closeEnded moves open occurrences to Closing once their end may have been reached, and closing ones
+// to Closed once it is proven that none of their tasks is on a machine. The proof is valid only for
+// occurrences that are Closing in the committed record: tasks may start until that commit, and none
+// after it.
 func (d *trackDraft) closeEnded() {
 	for i := range d.record.Occurrences {
 		occurrence := &d.record.Occurrences[i]
@@ -141,7 +143,8 @@
 	}
 }
 
-// advanceWaiting prepares what is about to open and gives up what did not open in time.
+// advanceWaiting prepares occurrences that are about to open, and marks as missed or drops those that
+// did not open in time.
 func (d *trackDraft) advanceWaiting() {
 	if d.track == nil {
 		return
@@ -157,8 +160,8 @@
 func (d *trackDraft) advanceOne(occurrence *Occurrence, window *Window) {
 	prepareMs := occurrence.Begin - d.now.PrepareMs
 	beginMs := occurrence.Begin + d.now.OffMs
-	onTimeMs := beginMs + window.Slip.Milliseconds() // the last moment at which it is not missed
-	lateMs := onTimeMs + window.Late.Milliseconds()  // the last at which a missed one may open
+	onTimeMs := beginMs + window.Slip.Milliseconds() // the last time at which it is not missed
+	lateMs := onTimeMs + window.Late.Milliseconds()  // the last time at which a missed one may open
 	for _, atMs := range []int64{prepareMs, beginMs, onTimeMs + 1, lateMs + 1} {
 		d.keeper.wakeAt(d.now, atMs)
 	}
@@ -176,19 +179,20 @@
 	}
 }
 
-// openDue opens the next occurrence whose time has come, if nothing else may be on the track.
+// openDue opens the next due occurrence, if no other task may be on the track.
 func (d *trackDraft) openDue() {
 	if d.track == nil || d.record.holder() != nil {
 		return
 	}
-	// What was missed before must not go in between once one is due on time.
+	// An occurrence that is due on time takes precedence over missed ones.
 	if !d.openFirst(false) {
 		d.openFirst(true)
 	}
 }
 
-// openFirst opens the first occurrence that is due, among those that were missed or among the
-// others. It tells whether none may be opened after it.
+// openFirst opens the first due occurrence, among the missed ones if late is set, else among the
+// others. It reports whether no further occurrence may be opened: one was opened, or one that is due
+// on time is blocked.
 func (d *trackDraft) openFirst(late bool) bool {
 	for i := range d.record.Occurrences {
 		occurrence := &d.record.Occurrences[i]
@@ -219,9 +223,9 @@
 	return false
 }
 
-// due tells whether an occurrence's time has come, and when it is to end: the clock's error counts
-// against it at both ends. A late one has its whole length, where that ends before the next
-// one of the track begins.
+// due reports whether an occurrence is due, and returns its end. The clock error shortens it at both
+// ends. A late occurrence gets its full length, and is due only if that ends before the next
+// occurrence of the track begins.
 func (d *trackDraft) due(occurrence *Occurrence, late bool) (endMs int64, due bool) {
 	if !late {
 		begun := d.now.Ms >= occurrence.Begin+d.now.OffMs
@@ -238,10 +242,10 @@
 	return endMs, true
 }
 
-// trackIsFree tells whether no attempt of the track's other classes may be on any machine, now or
-// later. What the plan has on this track begins only in an open occurrence, and there is none,
-// neither here nor, from before the revision, on another track. So once it is free it stays
-// so until the occurrence is committed as open.
+// trackIsFree reports whether no attempt of the track's other classes is or can get on any machine.
+// Classes of this track start tasks only in an open occurrence. There is none on this track, nor one
+// that includes these classes on another track, opened under an earlier revision. So a track that is
+// free stays free until the occurrence is committed as open.
 func (d *trackDraft) trackIsFree(window *Window) bool {
 	isOther := func(class quota.Key) bool {
 		return !window.Has(class) && d.keeper.plan.TrackOf(class) == d.track
@@ -259,8 +263,8 @@
 	return d.cluster.Settled() && d.cluster.Attempts(isOther) == 0
 }
 
-// planAhead plans the next occurrences: with every change of the track, and by a change of its own
-// once few are left.
+// planAhead adds the next planned occurrences: whenever the track's record changes anyway, or when
+// too few planned occurrences are left.
 func (d *trackDraft) planAhead() {
 	if d.track == nil {
 		return
@@ -300,18 +304,18 @@
 	slices.SortStableFunc(d.record.Occurrences, func(a, b Occurrence) int { return cmp.Compare(a.Begin, b.Begin) })
 }
 
-// mayPlan tells whether a span is still to come, or may still open late.
+// mayPlan reports whether a span is in the future or may still open late.
 func (d *trackDraft) mayPlan(span Span) bool {
 	now := time.UnixMilli(d.now.Ms)
 	if span.Begin.UnixMilli() <= d.record.DoneMs || now.After(span.lastOpening()) {
 		return false
 	}
-	// On a new track nothing was missed: what was before the calendar does not count.
+	// On a new track nothing was missed: times before the track existed do not count.
 	newTrack := len(d.committed.Occurrences) == 0 && d.committed.DoneMs == 0
 	return !newTrack || !now.After(span.Begin.Add(span.Window.Slip))
 }
 
-// occurrenceKey names an occurrence among those of its track.
+// occurrenceKey returns a key that is unique among the occurrences of a track.
 func occurrenceKey(window string, beginMs int64) string {
 	return window + time.UnixMilli(beginMs).UTC().Format(" 20060102150405.000")
 }
