--- a/internal/pipefile/fault.go
+++ b/internal/pipefile/fault.go
@@ -8,9 +8,9 @@
 	"github.com/harrierreel/harrierreel/internal/pipelines"
 )
 
-// Fault is one thing that is wrong in a file. Line and Column count from 1 and
-// are 0 where the file as a whole is meant. Path leads to the value in the document,
-// as in steps[2].needs[0]; Want says what was expected there.
+// Fault is a validation error of a file. Line and Column count from 1; they are 0 if the fault concerns
+// the file as a whole. Path is the place in the document, as in steps[2].needs[0], and Want says what
+// was expected there.
 type Fault struct {
 	File   string `json:"file"`
 	Line   int    `json:"line"`
@@ -19,8 +19,8 @@
 	Want   string `json:"want"`
 }
 
-// Error is the fault as users read it: FILE:LINE:COLUMN: PATH: WANT, without what is
-// not known.
+// Error returns the fault in the form shown to users, FILE:LINE:COLUMN: PATH: WANT, without the parts
+// that are not known.
 func (f Fault) Error() string {
 	out := f.File
 	if f.Line > 0 {
@@ -32,14 +32,14 @@
 	return out + ": " + f.Want
 }
 
-// wholeFile is a fault that has no place in the file.
+// wholeFile returns a fault that concerns the file as a whole.
 func wholeFile(name, want string) []Fault { return []Fault{{File: name, Want: want}} }
 
-// position is a place in a file, counted from 1; zero if it is not known.
+// position is a position in a file, counted from 1. The zero value means unknown.
 type position struct{ line, column int }
 
-// Place adds to the faults of a document their positions in its file, and sorts them
-// by these. A fault of something that is missing stands where it should be.
+// Place returns the faults of a document with their positions in the file, sorted by position. The
+// fault of a missing field gets the position of the value that should contain it.
 func (f *File) Place(faults []pipelines.Fault) []Fault {
 	var out []Fault
 	for _, fault := range faults {
@@ -61,8 +61,8 @@
 	return out
 }
 
-// positionOf is where a fault's name or value stands, or else the nearest value
-// around it that the file has.
+// positionOf returns the position of the name or value that a fault concerns. If the file does not
+// contain it, the position of the innermost enclosing value is returned.
 func (f *File) positionOf(fault pipelines.Fault) position {
 	if at, ok := f.names[fault.Path]; ok && fault.AtName {
 		return at
@@ -74,7 +74,7 @@
 	}
 }
 
-// parentPath cuts a path's last field or index off.
+// parentPath returns a path without its last field or index.
 func parentPath(path string) string {
 	return path[:max(strings.LastIndexAny(path, ".["), 0)]
 }
--- a/internal/pipefile/file.go
+++ b/internal/pipefile/file.go
@@ -1,6 +1,5 @@
-// Package pipefile reads a pipeline file, YAML in the manner of CI files, and
-// reports every fault with its line and column. What a pipeline may hold is
-// checked by package pipelines.
+// Package pipefile reads pipeline files, which are YAML in the style of CI configuration, and reports
+// all faults with line and column. The content of a pipeline is validated by package pipelines.
 package pipefile
 
 import (
@@ -18,16 +17,16 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// File is a file that was read.
+// File is a parsed file.
 type File struct {
 	Name   string
-	Doc    map[string]any      // its document; nil if that is no mapping
-	Plan   *pipelines.Plan     // set by Load and Parse only
-	values map[string]position // by path in the document, where its value stands
-	names  map[string]position // by path of a field, where its name stands
+	Doc    map[string]any      // the document, nil if it is not a mapping
+	Plan   *pipelines.Plan     // set only by Load and Parse
+	values map[string]position // positions of the values, by path in the document
+	names  map[string]position // positions of the fields' names, by path in the document
 }
 
-// Load reads and checks a pipeline file; "-" is standard input.
+// Load reads and validates a pipeline file. The name "-" stands for standard input.
 func Load(name string) (*File, []Fault) {
 	text, faults := readText(name)
 	if len(faults) > 0 {
@@ -36,8 +35,8 @@
 	return Parse(name, text)
 }
 
-// LoadJob reads and checks a file with one job, its fields as in a submission. A
-// job ID that is missing is taken from newJobID.
+// LoadJob reads and validates a file with one job, which has the fields of a job submission. If the
+// file has no job ID, newJobID supplies it.
 func LoadJob(name string, newJobID func() string) (*jobs.Spec, []Fault) {
 	text, faults := readText(name)
 	if len(faults) > 0 {
@@ -61,7 +60,7 @@
 	return spec, f.Place(out)
 }
 
-// Parse reads and checks a pipeline file's text; the name is that of its faults.
+// Parse parses and validates the text of a pipeline file. name is the file name used in faults.
 func Parse(name string, text []byte) (*File, []Fault) {
 	f, faults := parseYAML(name, text)
 	if len(faults) > 0 {
@@ -75,24 +74,24 @@
 	return f, nil
 }
 
-// Submission is the body of a request that runs the file under an ID.
+// Submission returns the body of the request that runs the pipeline under the given run ID.
 func (f *File) Submission(id string) []byte {
 	return jobs.Encode(map[string]any{"id": id, "pipeline": f.Doc})
 }
 
-// readText reads a file's text, up to its limit and one byte more, so that a longer
-// one is told from one that just fits.
+// readText reads a file. It stops one byte beyond the size limit, so that a file that is too long can
+// be distinguished from one that just fits.
 func readText(name string) ([]byte, []Fault) {
 	in := os.Stdin
 	if name != "-" {
 		file, err := os.Open(name)
 		if err != nil {
 			if pathError, ok := errors.AsType[*os.PathError](err); ok {
-				err = pathError.Err // the fault names the file already
+				err = pathError.Err // the fault contains the file name already
 			}
 			return nil, wholeFile(name, "can't be opened: "+err.Error())
 		}
-		defer func() { _ = file.Close() }() // it was only read
+		defer func() { _ = file.Close() }() // the file was only read
 		in = file
 	}
 	text, err := io.ReadAll(io.LimitReader(in, tuning.MaxPipelineBytes+1))
@@ -102,7 +101,7 @@
 	return text, nil
 }
 
-// parseYAML reads the one document of a file.
+// parseYAML parses a file, which must contain exactly one document.
 func parseYAML(name string, text []byte) (*File, []Fault) {
 	if len(text) > tuning.MaxPipelineBytes {
 		return nil, wholeFile(name, fmt.Sprintf("expected at most %d bytes", tuning.MaxPipelineBytes))
@@ -134,7 +133,7 @@
 	return f, nil
 }
 
-// syntaxFault is what the YAML parser found wrong, at its position if it named one.
+// syntaxFault converts an error of the YAML parser to a fault, with its position if it has one.
 func syntaxFault(name string, err error) Fault {
 	syntax, ok := errors.AsType[yaml.Error](err)
 	if !ok {
@@ -148,7 +147,7 @@
 	return fault
 }
 
-// untyped keeps a missing document from becoming a typed nil.
+// untyped converts a nil map to an untyped nil.
 func untyped(doc map[string]any) any {
 	if doc == nil {
 		return nil
--- a/internal/pipefile/reader.go
+++ b/internal/pipefile/reader.go
@@ -9,12 +9,12 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// reader turns YAML's nodes into plain values and notes their positions.
+// reader converts YAML nodes to plain values and records their positions.
 type reader struct {
 	file    *File
 	anchors map[string]ast.Node
 	faults  []Fault
-	nodes   int // read so far, aliases' contents each time
+	nodes   int // nodes read so far, with an alias' content counted at each use
 	depth   int
 }
 
@@ -33,7 +33,7 @@
 	if n == nil || n.GetToken() == nil || n.GetToken().Position == nil {
 		return position{}
 	}
-	// A block of fields begins where its first name stands.
+	// A block mapping begins at its first key.
 	switch m := n.(type) {
 	case *ast.MappingNode:
 		if len(m.Values) > 0 && !m.IsFlowStyle {
@@ -46,8 +46,8 @@
 	return position{p.Line, p.Column}
 }
 
-// value reads a node. Since aliases are followed, a small file could expand to a huge
-// one: the limits of nodes and depth bound it.
+// value converts a node. Because aliases are followed, a small file could expand to a huge document:
+// the limits on nodes and depth prevent that.
 func (r *reader) value(n ast.Node, path string) any {
 	if _, ok := r.file.values[path]; !ok {
 		r.file.values[path] = nodePosition(n)
@@ -87,7 +87,7 @@
 	return r.scalar(n, path)
 }
 
-// scalar reads a node that holds no others.
+// scalar converts a node without children.
 func (r *reader) scalar(n ast.Node, path string) any {
 	switch n := n.(type) {
 	case *ast.NullNode:
@@ -110,8 +110,7 @@
 	return nil
 }
 
-// fields reads a mapping. A field of its own takes precedence over one that `<<`
-// merges in.
+// fields converts a mapping. Its own fields take precedence over those merged in with `<<`.
 func (r *reader) fields(values []*ast.MappingValueNode, path string) map[string]any {
 	out, merged := map[string]any{}, map[string]any{}
 	for _, v := range values {
@@ -129,7 +128,7 @@
 	return out
 }
 
-// merge adds to a mapping the fields that a `<<` names.
+// merge adds the fields referenced by a `<<` key to merged.
 func (r *reader) merge(v *ast.MappingValueNode, path string, merged map[string]any) {
 	fields, ok := r.value(v.Value, path).(map[string]any)
 	if !ok {
@@ -141,7 +140,7 @@
 	}
 }
 
-// field reads a field and its value into a mapping.
+// field converts a field and adds it to a mapping.
 func (r *reader) field(v *ast.MappingValueNode, path string, out map[string]any) {
 	key := fieldName(v.Key)
 	fieldPath := key
@@ -156,14 +155,14 @@
 	r.file.values[fieldPath] = name
 	r.file.names[fieldPath] = name
 	out[key] = r.value(v.Value, fieldPath)
-	// A fault of a value is shown where the value stands, if that is on the line of
-	// its name.
+	// Faults of a value get the value's position if it is on the same line as the name, else the
+	// name's position.
 	if value := nodePosition(v.Value); value.line == name.line && value.column > 0 {
 		r.file.values[fieldPath] = value
 	}
 }
 
-// fieldName is a key's text; keys other than strings are taken as written.
+// fieldName returns the text of a key. Keys other than strings are taken as written.
 func fieldName(key ast.MapKeyNode) string {
 	if s, ok := key.(*ast.StringNode); ok {
 		return s.Value
--- a/internal/pipelines/change.go
+++ b/internal/pipelines/change.go
@@ -8,22 +8,22 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Change is a decision about a run, to be committed whole, conditional on the
-// run's record and on each job's. Every controller may decide about a run it
-// believes to own: the record's revision lets one of them through.
+// Change is a decision about a run. It is committed atomically, on condition that the records of the
+// run and of the jobs concerned are unchanged. Several controllers may decide about a run that each
+// believes to own: the condition on the record's revision lets only one of them succeed.
 type Change struct {
-	ID     string // of the run
+	ID     string // ID of the run
 	Record json.RawMessage
-	Over   bool        // the record moves to where ended runs are kept
+	Over   bool        // the run ends: its record moves to EndedRunPrefix
 	Submit []jobs.Spec // jobs to accept
 	Cancel []string    // IDs of jobs to cancel
-	Absent []string    // IDs of jobs in no record, which must still be so
-	Steps  int         // that ended with it, for the log
+	Absent []string    // IDs of jobs that must have no record at commit
+	Steps  int         // number of steps that end with the change, for the log
 	Urgent bool        // a user waits for it
 }
 
-// Ops is how many records a change writes: the run's, its removal from among the live
-// ones, one for each job that it accepts and two for each that it cancels.
+// Ops returns the number of puts and deletes of the change: the run's record, its deletion from
+// among the live runs if it ends, one for each submitted job and two for each cancelled one.
 func (c *Change) Ops() int {
 	n := 1 + len(c.Submit) + 2*len(c.Cancel)
 	if c.Over {
@@ -32,15 +32,15 @@
 	return n
 }
 
-// draft is a run's next record in the making.
+// draft builds the next record of a run and the change that commits it.
 type draft struct {
 	run    *run
 	state  RunState
 	steps  []StepRun
 	change Change
-	moved  bool // something that must be kept
+	moved  bool // the draft contains something that must be committed
 	nowMs  int64
-	bytes  int // that the change takes so far
+	bytes  int // estimated size of the change so far
 }
 
 func newDraft(r *run, nowMs int64) *draft {
@@ -54,7 +54,7 @@
 	}
 }
 
-// apply applies an event to a step; false if it changes nothing.
+// apply applies an event to a step and reports whether the step changed.
 func (d *draft) apply(i int, e StepEvent) bool {
 	e.NowMs = d.nowMs
 	e.Repeats = d.run.plan.Steps[i].Repeats
@@ -65,21 +65,20 @@
 	return ok
 }
 
-// move applies an event to a step and has the run's record kept if it changes
-// anything.
+// move applies an event to a step and, if the step changes, marks the draft for commit.
 func (d *draft) move(i int, e StepEvent) {
 	d.moved = d.apply(i, e) || d.moved
 }
 
-// fits tells whether more records fit into the change's transaction.
+// fits reports whether more operations and bytes fit into the change's transaction.
 func (d *draft) fits(limits Limits, ops, bytes int) bool {
 	return d.change.Ops()+1+ops <= limits.TxnOps && d.bytes+bytes <= tuning.TxnBytes
 }
 
-// finish turns a draft into its change, nil if there is nothing to keep.
+// finish returns the draft's change, or nil if there is nothing to commit.
 func (d *draft) finish() *Change {
 	former := d.run.record
-	state := conclude(d.run.plan, d.state, d.steps)
+	state := runStateAfter(d.run.plan, d.state, d.steps)
 	if !d.moved && state == former.State {
 		return nil
 	}
--- a/internal/pipelines/encoding.go
+++ b/internal/pipelines/encoding.go
@@ -13,8 +13,8 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// causes numbers the causes in records; new ones are added at the end, and none is
-// moved: stored records hold the numbers.
+// causes defines the numbers of the causes in stored records. New causes must be appended, and the
+// order must not change.
 var causes = []Cause{
 	NoCause,
 	WhenFalse,
@@ -28,10 +28,10 @@
 	JobForgotten,
 }
 
-// recordVersion is the form in which runs are stored.
+// recordVersion is the format version of stored runs.
 const recordVersion = 1
 
-// stored is a run's record as JSON. Document and steps are packed.
+// stored is the JSON form of a run's record. Doc and Steps are packed.
 type stored struct {
 	Version int             `json:"v"`
 	State   RunState        `json:"s"`
@@ -43,12 +43,12 @@
 	Steps   string          `json:"t"`
 }
 
-var coder = compression.New(tuning.MaxUnpacked, compression.SmallRecords...)
+var codec = compression.New(tuning.MaxUnpacked, compression.SmallRecords...)
 
-// pack gives JSON that holds b: b itself if it is JSON and not longer than a
-// text with its compressed form.
+// pack returns the shorter JSON form of b, which is JSON itself: b as it is, or a string with its
+// compressed form in base64.
 func pack(b []byte) json.RawMessage {
-	encoder, _ := coder()
+	encoder, _ := codec()
 	compressed := base64.StdEncoding.EncodeToString(encoder.EncodeAll(b, nil))
 	if len(compressed)+2 >= len(b) {
 		return b
@@ -72,12 +72,12 @@
 	if err != nil {
 		return nil, err
 	}
-	_, decoder := coder()
+	_, decoder := codec()
 	return decoder.DecodeAll(compressed, nil)
 }
 
-// stepStates numbers the states in records; new ones are added at the end, and none is
-// moved: stored records hold the numbers.
+// stepStates defines the numbers of the step states in stored records. New states must be appended,
+// and the order must not change.
 var stepStates = []StepState{
 	Waiting,
 	Ready,
@@ -90,8 +90,8 @@
 	Cancelled,
 }
 
-// packSteps writes the steps' states as numbers, times counted from the run's
-// acceptance in ms.
+// packSteps encodes and compresses the steps of a run. States and causes are written as numbers, and
+// times in ms relative to the acceptance of the run or of the step's job.
 func packSteps(steps []StepRun, atMs int64) string {
 	var b []byte
 	for _, s := range steps {
@@ -102,12 +102,12 @@
 		b = binary.AppendUvarint(b, packTime(s.EndMs, start))
 		b = binary.AppendUvarint(b, packTime(s.DoubtedSinceMs, start))
 	}
-	encoder, _ := coder()
+	encoder, _ := codec()
 	return base64.StdEncoding.EncodeToString(encoder.EncodeAll(b, nil))
 }
 
-// packTime counts a time from another one, 0 for none; a time before that counts as
-// the same.
+// packTime returns a time relative to fromMs, plus one so that 0 stands for an unset time. A time
+// before fromMs is encoded as fromMs.
 func packTime(ms, fromMs int64) uint64 {
 	if ms == 0 {
 		return 0
@@ -115,7 +115,7 @@
 	return uint64(max(ms-fromMs, 0)) + 1
 }
 
-// unpackTime is the reverse of packTime.
+// unpackTime is the inverse of packTime.
 func unpackTime(packed uint64, fromMs int64) int64 {
 	if packed == 0 {
 		return 0
@@ -144,7 +144,7 @@
 	return out, nil
 }
 
-// unpackStep reads one step and returns what follows it.
+// unpackStep decodes one step and returns the remaining bytes.
 func unpackStep(b []byte, atMs int64) (StepRun, []byte, error) {
 	if len(b) < 2 || int(b[0]) >= len(stepStates) || int(b[1]) >= len(causes) {
 		return StepRun{}, nil, errSteps
@@ -168,11 +168,11 @@
 	return s, b, nil
 }
 
-// maxPackedNumber bounds repeats and times in ms, so that sums with times of day stay
-// within 64 bits.
+// maxPackedNumber bounds repeats and times in ms, so that their sums with wall-clock times fit into
+// 64 bits.
 const maxPackedNumber = 1 << 50
 
-// Encode writes a run's record.
+// Encode returns the stored form of the record.
 func (r *Record) Encode() json.RawMessage {
 	if r.packedDoc == nil {
 		r.packedDoc = pack(r.Document)
@@ -189,8 +189,8 @@
 	})
 }
 
-// Decode reads a run's record and checks it. Unknown fields are ignored; a
-// version that is not known is an error, and the record is left alone.
+// Decode decodes and validates a run's record. Unknown fields are ignored; an unknown version is an
+// error.
 func Decode(b []byte) (*Record, error) {
 	var s stored
 	if err := json.Unmarshal(b, &s); err != nil {
@@ -203,7 +203,7 @@
 	return s.record(doc, s.Doc)
 }
 
-// record checks a run as stored, whose document is unpacked already.
+// record validates a stored run and returns its record. doc is the unpacked document.
 func (s *stored) record(doc []byte, packedDoc json.RawMessage) (*Record, error) {
 	if s.Version != recordVersion {
 		return nil, fmt.Errorf("unknown version %d of a run", s.Version)
--- a/internal/pipelines/explain.go
+++ b/internal/pipelines/explain.go
@@ -7,8 +7,8 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// explain says in words why a step is where it is; waitsFor is what its job waits for,
-// "" for nothing.
+// explain returns a description of a step's state for users. waitsFor describes what the step's job
+// waits for, or is "".
 func (p *Plan) explain(i int, record *Record, status *StepStatus, waitsFor string) string {
 	run, step := record.Steps[i], &p.Steps[i]
 	var parts []string
@@ -39,7 +39,7 @@
 	return strings.Join(parts, "; ")
 }
 
-// condition is the step's condition as its file writes it.
+// condition returns the step's condition as written in the file, success() by default.
 func (s *Step) condition() string {
 	if s.When == nil {
 		return "success()"
@@ -47,7 +47,7 @@
 	return s.When.Text
 }
 
-// explainWaiting names the steps that have not ended and that a step needs.
+// explainWaiting describes a waiting step, with the needed steps that have not ended.
 func (p *Plan) explainWaiting(step *Step, record *Record) string {
 	var open []string
 	for _, need := range p.Groups[step.Group].Needs {
@@ -56,7 +56,7 @@
 		}
 	}
 	if more := len(open) - tuning.MaxNamedSteps; more > 0 {
-		// A status has a line for each step, and no line may be above 64 KiB.
+		// A status has one line for each step, and no line may exceed 64 KiB.
 		open = append(open[:tuning.MaxNamedSteps], fmt.Sprintf("%d more", more))
 	}
 	if len(open) == 0 {
@@ -65,7 +65,7 @@
 	return fmt.Sprintf("waits for %s to end; runs then when %s", strings.Join(open, ", "), step.condition())
 }
 
-// explainLive says how far a live job is and what may end it.
+// explainLive describes the progress of a live job and the limits that may end it.
 func explainLive(run StepRun, step *Step, status *StepStatus, waitsFor string) []string {
 	parts := []string{fmt.Sprintf(
 		"job %s: %d of %d tasks on machines, %d done",
--- a/internal/pipelines/fields.go
+++ b/internal/pipelines/fields.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// kind is what a field holds, in the words that users get.
+// kind is the kind of value that a field takes. Users see these texts.
 type kind string
 
 const (
@@ -23,8 +23,7 @@
 	list    kind = "a list"
 )
 
-// jobFields are handed to the job as they stand; their names are those of a
-// submission.
+// jobFields are passed to the job unchanged. Their names are those of a job submission.
 var jobFields = map[string]kind{
 	"jobclass":     text,
 	"shape":        text,
@@ -53,7 +52,7 @@
 		"timeout_s":     number,
 		"doubt_s":       number,
 	}
-	// ownFields can't have defaults.
+	// ownFields are the fields that can't have defaults.
 	ownFields = map[string]kind{
 		"name":   text,
 		"needs":  names,
@@ -78,8 +77,8 @@
 	return out
 }
 
-// fields checks that a table has only known fields, each of its kind. Texts
-// that hold ${{ }} may become anything and are checked once they are filled in.
+// fields checks that a mapping has only known fields with values of the right kind. Texts that contain
+// ${{ }} may become any value and are checked after the replacement.
 func (c *compiler) fields(path string, fields map[string]any, known map[string]kind) {
 	for _, name := range slices.Sorted(maps.Keys(fields)) {
 		at := fieldPath(path, name)
@@ -115,7 +114,7 @@
 	return s
 }
 
-// isKind tells whether a value is of a kind. A null stands for an absent field.
+// isKind reports whether a value is of a kind. null counts as an absent field.
 func isKind(want kind, value any) bool {
 	if value == nil {
 		return true
@@ -150,8 +149,8 @@
 	return ok
 }
 
-// toNumber reads a number in any of the forms that the parsers give; false if it is
-// none, or not finite.
+// toNumber converts any of the number types that the parsers return. It returns false for other
+// values, NaN and infinities.
 func toNumber(value any) (float64, bool) {
 	switch n := value.(type) {
 	case float64:
@@ -166,7 +165,7 @@
 	return 0, false
 }
 
-// describe names a value in a fault.
+// describe returns a value's description for a fault.
 func describe(value any) string {
 	switch v := value.(type) {
 	case string:
@@ -182,10 +181,10 @@
 	return fmt.Sprint(value)
 }
 
-// maxDescribed is how many bytes of a text a fault repeats: enough to find it.
+// maxDescribed is how many bytes of a text a fault quotes: enough to find it.
 const maxDescribed = 40
 
-// someNames lists a few names: a fault is read by a person.
+// someNames joins at most maxListed names, to keep faults readable.
 func someNames(all []string) string {
 	if len(all) > maxListed {
 		return strings.Join(all[:maxListed], ", ") + ", ..."
@@ -193,5 +192,5 @@
 	return strings.Join(all, ", ")
 }
 
-// maxListed is how many names a fault lists.
+// maxListed is the maximum number of names in a fault.
 const maxListed = 10
--- a/internal/pipelines/keeper.go
+++ b/internal/pipelines/keeper.go
@@ -11,69 +11,67 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// JobView is what a controller knows of a live job, or of one whose record has
-// not been cleared yet.
+// JobView is a controller's view of a job that is live or whose record has not been removed yet.
 type JobView struct {
 	State         jobs.JobState
-	Running, Done int  // tasks
-	Probing       bool // fails everywhere so far (jobs.TrustOf)
+	Running, Done int  // numbers of tasks
+	Probing       bool // has failed on every machine so far (jobs.TrustOf)
 }
 
-// Cluster is what the keeper may ask about jobs. Its answers may lag behind the state
-// service: what is decided from them is conditional on the records.
+// Cluster gives the keeper information about jobs. It may lag behind the state service, so decisions
+// based on it are conditional on the records.
 type Cluster interface {
-	// Job is a job with a record in the mirror.
+	// Job returns the view of a job that has a record in the mirror.
 	Job(jobID string) (JobView, bool)
-	// Why says in words what a live job waits for, "" for nothing.
+	// Why returns a description of what a live job waits for, or "".
 	Why(jobID string) string
-	// Final is a job's final state, if it is in memory.
+	// Final returns a job's final state, if it is in memory.
 	Final(jobID string) (jobs.JobState, bool)
-	// Infeasible explains why a job can never run, or returns "".
+	// Infeasible returns the reason why a job can never run, or "".
 	Infeasible(spec *jobs.Spec) string
 }
 
-// Limits bound what the controllers take on.
+// Limits are the limits on runs and on their records.
 type Limits struct {
-	Runs       int // live at once
-	Steps      int // of live runs, not ended
-	ValueBytes int // of a record
-	TxnOps     int // puts and deletes of a transaction
+	Runs       int // live runs
+	Steps      int // steps of live runs that have not ended
+	ValueBytes int // size of a record
+	TxnOps     int // puts and deletes in a transaction
 }
 
-// run is a live run in memory.
+// run is the in-memory state of a live run.
 type run struct {
 	id     string
 	record *Record
-	plan   *Plan    // while owned
-	jobIDs []string // of each step's present job, while owned; "" without one
-	// How long the steps' jobs have run and have been failing everywhere is measured
-	// by the monotonic clock from where this controller took the run over, so that no
-	// jump of the time of day ends a step. By index of the step, like what follows.
-	jobClocks   map[int]time.Time
-	doubtClocks map[int]time.Time
-	readAt      map[int]time.Time // when a read of its job was last requested
-	missing     map[int]bool      // jobs that a read found in no record
-	unexamined  bool              // not looked at as a whole since it was loaded
-	heldUntil   time.Time         // until then a user's cancellation goes first
-}
-
-// Keeper holds the live runs and moves those that its controller owns. It is not safe
-// for concurrent use.
+	plan   *Plan    // nil unless owned
+	jobIDs []string // current job of each step, "" for none; nil unless owned
+	// Since when the steps' jobs have been running and have been failing on every machine, by
+	// index of the step. The times are on the monotonic clock from when this controller took the
+	// run over, so that a jump of the wall clock can't end a step.
+	jobStarts   map[int]time.Time
+	doubtStarts map[int]time.Time
+	readAt      map[int]time.Time // when a read of the step's job was last requested
+	missing     map[int]bool      // steps whose job was found to have no record
+	unexamined  bool              // not fully examined since it was loaded
+	heldUntil   time.Time         // until then a user's cancellation takes precedence
+}
+
+// Keeper holds the live runs and advances those that its controller owns. It is not safe for
+// concurrent use.
 type Keeper struct {
 	limits      Limits
 	runs        map[string]*run
 	quarantined map[string]bool   // runs whose records can't be read
-	runOfJob    map[string]string // ID of an owned run's job to that of the run
-	dirty       map[string]bool   // runs to be looked at
+	runOfJob    map[string]string // maps the jobs of owned runs to the IDs of the runs
+	dirty       map[string]bool   // runs to examine
 	lastSweep   time.Time
-	budget      *rate.Limiter    // of changes
-	openSteps   int              // steps that have not ended
-	plans       map[string]*Plan // by checksum of the document, for status of others' runs
-	planOrder   []string         // keys of plans, the oldest first
+	budget      *rate.Limiter    // limits the rate of changes
+	openSteps   int              // steps of all runs that have not ended
+	plans       map[string]*Plan // by checksum of the document, for the status of runs that others own
+	planOrder   []string         // keys of plans, oldest first
 }
 
-// NewKeeper makes an empty keeper. Until SetRate is called it makes one change a
-// second.
+// NewKeeper returns an empty keeper. Until SetRate is called, its rate is one operation per second.
 func NewKeeper(l Limits) *Keeper {
 	return &Keeper{
 		limits:      l,
@@ -86,13 +84,13 @@
 	}
 }
 
-// SetRate sets how many changes a second the runs may take.
+// SetRate sets how many operations per second the runs may use.
 func (k *Keeper) SetRate(now time.Time, perSecond float64) {
 	k.budget.SetLimitAt(now, rate.Limit(perSecond))
 }
 
-// Changed takes a run's record in, nil for one that was removed. A record that
-// can't be read is an error: it is quarantined, and other runs go on.
+// Changed applies a run's record; nil means that it was removed. If the record can't be read, an error
+// is returned and the run is quarantined; other runs are not affected.
 func (k *Keeper) Changed(id string, value json.RawMessage) error {
 	old := k.runs[id]
 	k.forgetJobs(old)
@@ -112,7 +110,7 @@
 	}
 	r := newRun(id, record)
 	if old != nil && old.record.Checksum == record.Checksum {
-		r.takeFrom(old)
+		r.inheritFrom(old)
 	}
 	k.runs[id] = r
 	k.openSteps += record.openSteps()
@@ -124,34 +122,34 @@
 	return &run{
 		id:          id,
 		record:      record,
-		jobClocks:   map[int]time.Time{},
-		doubtClocks: map[int]time.Time{},
+		jobStarts:   map[int]time.Time{},
+		doubtStarts: map[int]time.Time{},
 		readAt:      map[int]time.Time{},
 		missing:     map[int]bool{},
 		unexamined:  true,
 	}
 }
 
-// takeFrom keeps what holds on from a run's former record. The clocks of a job that is
-// still the same go on.
-func (r *run) takeFrom(old *run) {
+// inheritFrom copies the state that stays valid from the run under its previous record. The start
+// times of unchanged jobs are kept.
+func (r *run) inheritFrom(old *run) {
 	r.plan = old.plan
 	r.heldUntil = old.heldUntil
 	for i, step := range r.record.Steps {
 		if i >= len(old.record.Steps) || old.record.Steps[i].Repeat != step.Repeat || !step.State.HasJob() {
 			continue
 		}
-		if t, ok := old.jobClocks[i]; ok {
-			r.jobClocks[i] = t
+		if t, ok := old.jobStarts[i]; ok {
+			r.jobStarts[i] = t
 		}
-		if t, ok := old.doubtClocks[i]; ok && step.DoubtedSinceMs != 0 {
-			r.doubtClocks[i] = t
+		if t, ok := old.doubtStarts[i]; ok && step.DoubtedSinceMs != 0 {
+			r.doubtStarts[i] = t
 		}
 	}
 }
 
-// decodeReusing is Decode, but does not unpack a document that the run's former record
-// holds already.
+// decodeReusing is like Decode, but reuses the document of the run's previous record if it is the
+// same.
 func decodeReusing(value json.RawMessage, old *run) (*Record, error) {
 	if old != nil {
 		var s stored
@@ -172,14 +170,14 @@
 	r.jobIDs = nil
 }
 
-// JobChanged notes that something became known of a job.
+// JobChanged marks the run of a job dirty because the job has changed.
 func (k *Keeper) JobChanged(jobID string) {
 	if id, ok := k.runOfJob[jobID]; ok {
 		k.dirty[id] = true
 	}
 }
 
-// JobMissing notes that a read found a job in no record at all.
+// JobMissing records that a read found no record of a job.
 func (k *Keeper) JobMissing(jobID string) {
 	if r := k.runs[k.runOfJob[jobID]]; r != nil {
 		r.missing[slices.Index(r.jobIDs, jobID)] = true
@@ -187,18 +185,18 @@
 	}
 }
 
-// Touch has a run looked at again.
+// Touch marks a run dirty.
 func (k *Keeper) Touch(id string) { k.dirty[id] = true }
 
-// OwnersChanged has every run looked at again: some have another owner now.
+// OwnersChanged marks all runs dirty because some have another owner now.
 func (k *Keeper) OwnersChanged() {
 	for id := range k.runs {
 		k.dirty[id] = true
 	}
 }
 
-// Known is the record of a live run with this ID, nil if there is none, and whether
-// its record is quarantined since it can't be read.
+// Known returns the record of the live run with the given ID, or nil, and whether the run is
+// quarantined because its record can't be read.
 func (k *Keeper) Known(id string) (record *Record, quarantined bool) {
 	if r := k.runs[id]; r != nil {
 		return r.record, false
@@ -206,13 +204,13 @@
 	return nil, k.quarantined[id]
 }
 
-// Room tells whether one more run with so many steps can be held.
+// Room reports whether there is room for one more run with the given number of steps.
 func (k *Keeper) Room(steps int) bool {
 	return len(k.runs) < k.limits.Runs && k.openSteps+steps <= k.limits.Steps
 }
 
-// load makes a run's plan and the IDs of its jobs. A document that this version
-// refuses, though one accepted it, is quarantined.
+// load sets a run's plan and the IDs of its jobs. If this version rejects a document that another
+// version has accepted, load quarantines the run and returns false.
 func (k *Keeper) load(r *run) bool {
 	if r.plan == nil {
 		r.plan = k.planOf(r.record)
@@ -236,8 +234,8 @@
 	return true
 }
 
-// planOf is the plan of a record's document, from a small cache; nil if the document
-// is refused.
+// planOf returns the plan of a record's document, from a small cache, or nil if the document is
+// invalid.
 func (k *Keeper) planOf(record *Record) *Plan {
 	if p, ok := k.plans[record.Checksum]; ok {
 		return p
--- a/internal/pipelines/matrix.go
+++ b/internal/pipelines/matrix.go
@@ -10,8 +10,7 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// expand makes the steps of a group: one, or one for each combination of its
-// matrix.
+// expand adds the steps of a group to the plan: one, or one for each combination of its matrix.
 func (c *compiler) expand(p *Plan, group int, written, defaults map[string]any) {
 	path := indexPath("steps", group)
 	merged := maps.Clone(defaults)
@@ -46,8 +45,8 @@
 	}
 }
 
-// combinations lists a matrix' combinations, the last name turning fastest; one
-// empty combination without a matrix.
+// combinations returns the combinations of a matrix' values, varying the last name fastest. Without a
+// matrix it returns one empty combination.
 func (c *compiler) combinations(path string, rawMatrix any) []map[string]any {
 	matrix, _ := rawMatrix.(map[string]any)
 	out := []map[string]any{nil}
@@ -81,7 +80,7 @@
 	return out
 }
 
-// matrixValue checks one value of a matrix.
+// matrixValue checks one value of a matrix and reports whether it is valid.
 func (c *compiler) matrixValue(path string, value any) bool {
 	switch value.(type) {
 	case map[string]any, []any, nil:
@@ -97,13 +96,13 @@
 
 var placeholder = regexp.MustCompile(`\$\{\{\s*([^}]*?)\s*\}\}`)
 
-// substitution is what placeholders of a step stand for.
+// substitution contains the values for the placeholders of a step.
 type substitution struct {
 	matrix         map[string]any
 	pipeline, step string
 }
 
-// value is what a placeholder's name stands for; false if it is unknown.
+// value returns the value of a placeholder's name, or false if the name is unknown.
 func (s substitution) value(name string) (any, bool) {
 	switch key, isMatrix := strings.CutPrefix(name, "matrix."); {
 	case name == "pipeline.name":
@@ -116,9 +115,9 @@
 	return "", false
 }
 
-// fill puts the matrix' values into ${{ matrix.NAME }}. A text that is nothing
-// but one placeholder takes the value's own kind, so that cores may come from a
-// matrix.
+// fill replaces placeholders such as ${{ matrix.NAME }} in a value. A text that consists of a single
+// placeholder is replaced by the value with its own type, so that a number such as cores can come
+// from a matrix.
 func (c *compiler) fill(path string, value any, s substitution) any {
 	switch v := value.(type) {
 	case []any:
--- a/internal/pipelines/needs.go
+++ b/internal/pipelines/needs.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// needs resolves what each step needs, and finds circles.
+// needs resolves the needs of each step, and reports cycles.
 func (c *compiler) needs(p *Plan, rawSteps []any) {
-	index := map[string]int{} // of a name's first group
+	index := map[string]int{} // index of the first group of each name
 	for i := range p.Groups {
 		if _, twice := index[p.Groups[i].Name]; !twice && p.Groups[i].Name != "" {
 			index[p.Groups[i].Name] = i
@@ -27,10 +27,10 @@
 			}
 		}
 	}
-	c.circles(p)
+	c.findCycles(p)
 }
 
-// need adds to a group one that it needs, by name.
+// need adds the group with the given name to the needs of a group.
 func (c *compiler) need(p *Plan, group int, path, name string, index map[string]int) {
 	needed, ok := index[name]
 	switch {
@@ -44,25 +44,25 @@
 	}
 }
 
-// searchState is how far the search for circles has come with a group.
+// searchState is the state of a group in the search for cycles.
 type searchState uint8
 
 const (
 	unvisited searchState = iota
-	onTrail               // its needs are being visited
+	onPath                // on the current path: its needs are being visited
 	visited
 )
 
-// search is a depth-first search through the groups' needs.
+// search is a depth-first search for cycles in the groups' needs.
 type search struct {
 	compiler *compiler
 	plan     *Plan
 	states   []searchState
-	trail    []int // groups from the first one to the present one
+	path     []int // groups from the start of the search to the current one
 }
 
-// circles reports each circle of needs once, and fills in the ancestors.
-func (c *compiler) circles(p *Plan) {
+// findCycles reports each cycle of needs once, and sets the groups' ancestors.
+func (c *compiler) findCycles(p *Plan) {
 	s := search{compiler: c, plan: p, states: make([]searchState, len(p.Groups))}
 	for g := range p.Groups {
 		if s.states[g] == unvisited {
@@ -71,15 +71,15 @@
 	}
 }
 
-// descend visits a group and all that it needs.
+// descend visits a group and all groups that it needs.
 func (s *search) descend(g int) {
-	s.states[g] = onTrail
-	s.trail = append(s.trail, g)
+	s.states[g] = onPath
+	s.path = append(s.path, g)
 	ancestors := map[int]bool{}
 	for _, need := range s.plan.Groups[g].Needs {
 		switch s.states[need] {
-		case onTrail:
-			s.reportCircle(g, need)
+		case onPath:
+			s.reportCycle(g, need)
 			continue
 		case unvisited:
 			s.descend(need)
@@ -91,14 +91,14 @@
 		}
 	}
 	s.plan.Groups[g].Ancestors = slices.Sorted(maps.Keys(ancestors))
-	s.trail = s.trail[:len(s.trail)-1]
+	s.path = s.path[:len(s.path)-1]
 	s.states[g] = visited
 }
 
-// reportCircle reports that a group needs one that the trail came through.
-func (s *search) reportCircle(group, need int) {
+// reportCycle reports that a group needs another one that is on the current path.
+func (s *search) reportCycle(group, need int) {
 	var names []string
-	for _, g := range s.trail[slices.Index(s.trail, need):] {
+	for _, g := range s.path[slices.Index(s.path, need):] {
 		names = append(names, s.plan.Groups[g].Name)
 	}
 	s.compiler.circular = true
--- a/internal/pipelines/plan.go
+++ b/internal/pipelines/plan.go
@@ -1,7 +1,7 @@
-// Package pipelines runs pipeline files: the specification of steps that depend on
-// one another and its checks, the state machine of a run and of its steps, a run's
-// record, and the keeper that moves the runs a controller owns. It does no IO and
-// reads no clock: events come in, changes go out.
+// Package pipelines runs pipelines: graphs of steps, each of which is a job. It contains the
+// validation of pipeline documents, the state machines of a run and of its steps, a run's record,
+// and the keeper that advances the runs that a controller owns. It does no I/O and reads no clock:
+// it receives events and returns changes to commit.
 package pipelines
 
 import (
@@ -14,31 +14,30 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Step is one step of a plan; a step with a matrix in the file stands for
-// several of them.
+// Step is one step of a plan. A step with a matrix in the file expands to several of them.
 type Step struct {
-	Name         string         // unique: the file's name, with the matrix' values behind it
+	Name         string         // unique: the name in the file plus the values of the matrix
 	Group        int            // index of the step in Plan.Groups
-	Matrix       map[string]any // its values of the matrix, nil without one
+	Matrix       map[string]any // this step's values of the matrix, nil without one
 	When         *Condition     // nil: success()
 	AllowFailure bool
-	Repeats      int       // times that it may be retried
-	TimeoutS     float64   // seconds from its job's acceptance, 0: none
-	DoubtS       float64   // seconds that its job may fail everywhere
-	Spec         jobs.Spec // of its job, without an ID
-	path         string    // where it stands in the document
+	Repeats      int       // maximum number of retries
+	TimeoutS     float64   // seconds from its job's acceptance, 0 for no timeout
+	DoubtS       float64   // seconds that its job may keep failing on every machine
+	Spec         jobs.Spec // the job's spec, without an ID
+	path         string    // path in the document
 }
 
-// Group is a step as written in the file.
+// Group is a step as written in the file, before its matrix is expanded.
 type Group struct {
 	Name      string
-	Needs     []int // groups, in the file's order
-	Steps     []int // of the plan
-	Ancestors []int // all groups that it needs, and that those need
+	Needs     []int // indices of the groups that it needs, in the file's order
+	Steps     []int // indices in Plan.Steps
+	Ancestors []int // indices of all groups that it needs, directly or indirectly
 }
 
-// Plan is a checked document. Groups stand in an order in which none needs a
-// later one; unfold relies on that.
+// Plan is a validated document. Its groups are in topological order: none needs a later one, which
+// advanceSteps relies on.
 type Plan struct {
 	Name, Owner string
 	Groups      []Group
@@ -49,13 +48,12 @@
 
 const wantName = "expected letters, digits, - and _, a letter first, 64 at most"
 
-// compiler gathers faults, each once: a matrix would repeat them.
+// compiler collects the faults of a document, each once: a matrix would repeat them.
 type compiler struct {
 	faults    []Fault
 	reported  map[Fault]bool
 	stepNames map[string]bool
-	// circular: some steps need one another, so that it is not known which come
-	// before a step.
+	// circular says that the needs contain a cycle, so that the ancestors of steps are not known.
 	circular bool
 }
 
@@ -70,8 +68,8 @@
 	}
 }
 
-// Compile checks a document, as read from YAML or JSON, and makes its plan. The
-// plan is nil if there is any fault; every fault is reported.
+// Compile validates a document, as decoded from YAML or JSON, and returns its plan. If the document
+// is invalid, the plan is nil and all faults are returned.
 func Compile(doc any) (*Plan, []Fault) {
 	c := &compiler{reported: map[Fault]bool{}, stepNames: map[string]bool{}}
 	top, ok := doc.(map[string]any)
@@ -118,7 +116,7 @@
 	return Compile(doc)
 }
 
-// groups reads the steps' names.
+// groups adds a group for each step and checks the steps' names.
 func (c *compiler) groups(p *Plan, rawSteps []any) {
 	taken := map[string]bool{}
 	for i, raw := range rawSteps {
@@ -144,11 +142,10 @@
 	}
 }
 
-// sort brings the groups into an order in which none needs a later one, as
-// near to the file's as that allows.
+// sort puts the groups into topological order, staying close to the file's order.
 func (p *Plan) sort() {
 	order := p.topologicalOrder()
-	position := make([]int, len(p.Groups)) // new index by old one
+	position := make([]int, len(p.Groups)) // new index by old index
 	for i, g := range order {
 		position[g] = i
 	}
@@ -174,8 +171,8 @@
 	p.Groups, p.Steps = groups, steps
 }
 
-// topologicalOrder lists the groups so that none needs a later one. Their needs
-// must hold no circle.
+// topologicalOrder returns the indices of the groups in an order in which none needs a later one. The
+// needs must not contain a cycle.
 func (p *Plan) topologicalOrder() []int {
 	listed := make([]bool, len(p.Groups))
 	unlisted := func(g int) bool { return !listed[g] }
--- a/internal/pipelines/progress.go
+++ b/internal/pipelines/progress.go
@@ -1,7 +1,7 @@
 package pipelines
 
-// groupOutcome sums up the steps of a group; false while one has not ended.
-// A failure that the file allows counts as success.
+// groupOutcome returns the combined outcome of a group's steps, or false while one has not ended. A
+// failure that the file allows (allow_failure) counts as success.
 func groupOutcome(p *Plan, group int, steps []StepRun) (outcome, bool) {
 	out, skippedSteps := succeeded, 0
 	for _, i := range p.Groups[group].Steps {
@@ -22,15 +22,15 @@
 	return out, true
 }
 
-// unfold moves the steps on as far as what has ended allows: those whose needs
-// have all ended become ready or are skipped. Groups stand in an order in which none
-// needs a later one, so that one pass settles whole chains of skipped steps.
-func unfold(p *Plan, steps []StepRun, nowMs int64) (changed bool) {
+// advanceSteps makes the waiting steps whose needs have all ended ready, or skips them. It reports
+// whether a step changed. Groups are in topological order, so one pass handles whole chains of
+// skipped steps.
+func advanceSteps(p *Plan, steps []StepRun, nowMs int64) (changed bool) {
 	outcomes := make([]outcome, len(p.Groups)) // "" for a group that has not ended
 	for g := range p.Groups {
 		if f, met := factsOf(p, g, outcomes); met {
 			for _, i := range p.Groups[g].Steps {
-				changed = settle(&p.Steps[i], &steps[i], f, nowMs) || changed
+				changed = evaluateWaiting(&p.Steps[i], &steps[i], f, nowMs) || changed
 			}
 		}
 		outcomes[g], _ = groupOutcome(p, g, steps)
@@ -38,8 +38,8 @@
 	return changed
 }
 
-// factsOf is what the conditions of a group may depend on; false while a group that
-// it needs has not ended.
+// factsOf returns the inputs of a group's conditions, or false while a group that it needs has not
+// ended.
 func factsOf(p *Plan, group int, outcomes []outcome) (facts, bool) {
 	f := facts{success: true, outcomes: map[string]outcome{}}
 	for _, need := range p.Groups[group].Needs {
@@ -55,8 +55,9 @@
 	return f, true
 }
 
-// settle makes a waiting step ready or skips it, as its condition says.
-func settle(step *Step, run *StepRun, f facts, nowMs int64) (changed bool) {
+// evaluateWaiting makes a waiting step ready if its condition holds, and skips it otherwise. It
+// reports whether the step changed.
+func evaluateWaiting(step *Step, run *StepRun, f facts, nowMs int64) (changed bool) {
 	if run.State != Waiting {
 		return false
 	}
@@ -72,8 +73,8 @@
 	return changed
 }
 
-// conclude is a run's state once its steps have ended; until then it stays.
-func conclude(p *Plan, state RunState, steps []StepRun) RunState {
+// runStateAfter returns a run's final state if all its steps have ended, else the unchanged state.
+func runStateAfter(p *Plan, state RunState, steps []StepRun) RunState {
 	event := AllEnded
 	for i, s := range steps {
 		if !s.State.Over() {
--- a/internal/pipelines/reconcile.go
+++ b/internal/pipelines/reconcile.go
@@ -9,10 +9,11 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Reconcile decides what can be decided about the runs that are owned and not busy, that
-// is under a transaction. room tells whether so many changes can be made now; a run
-// that finds none is looked at again. reads lists the IDs of jobs that the cluster
-// does not know, to be read from the state service.
+// Reconcile examines the dirty runs and returns the changes to commit. owned reports whether this
+// controller owns a run, busy whether a pending transaction includes the run, and room whether a
+// number of operations can be committed now. A run whose change finds no room stays dirty. reads
+// contains the IDs of jobs that the cluster does not know: the caller reads them from the state
+// service.
 func (k *Keeper) Reconcile(
 	now time.Time,
 	nowMs int64,
@@ -35,7 +36,7 @@
 			k.release(r)
 			continue
 		}
-		if busy(id) || r.held(now) {
+		if busy(id) || r.heldForCancellation(now) {
 			continue
 		}
 		if !k.load(r) {
@@ -48,7 +49,7 @@
 			delete(k.dirty, id)
 			continue
 		}
-		// A change without room stays dirty.
+		// Without room the run stays dirty.
 		ops := change.Ops()
 		if room(spent+ops) && k.budget.AllowN(now, min(ops, k.budget.Burst())) {
 			delete(k.dirty, id)
@@ -59,8 +60,7 @@
 	return changes, reads
 }
 
-// sweep has all owned runs looked at from time to time: clocks run out without any
-// event.
+// sweep periodically marks all owned runs dirty: timeouts expire without any event.
 func (k *Keeper) sweep(now time.Time) {
 	if now.Sub(k.lastSweep) < tuning.RunSweep {
 		return
@@ -73,21 +73,21 @@
 	}
 }
 
-// release forgets what is held of a run for its owner only.
+// release clears the state of a run that only its owner keeps.
 func (k *Keeper) release(r *run) {
 	delete(k.dirty, r.id)
 	k.forgetJobs(r)
 	r.plan = nil
-	r.jobClocks = map[int]time.Time{}
-	r.doubtClocks = map[int]time.Time{}
+	r.jobStarts = map[int]time.Time{}
+	r.doubtStarts = map[int]time.Time{}
 }
 
-// held tells whether the run waits for its user's cancellation.
-func (r *run) held(now time.Time) bool {
+// heldForCancellation reports whether the run waits for a user's cancellation to be committed.
+func (r *run) heldForCancellation(now time.Time) bool {
 	return now.Before(r.heldUntil) && r.record.State == RunLive
 }
 
-// examine decides about one run, and lists jobs of it that must be read.
+// examine returns the change of a run, or nil, and the IDs of its jobs that must be read.
 func (k *Keeper) examine(r *run, now time.Time, nowMs int64, cluster Cluster) (*Change, []string) {
 	d := newDraft(r, nowMs)
 	var reads []string
@@ -96,25 +96,25 @@
 			reads = append(reads, jobID)
 		}
 	}
-	// Steps wait only for steps that end, which moves the run.
+	// A step waits only for other steps to end, and each step's end sets d.moved.
 	if (d.moved || r.unexamined) && d.state == RunLive {
-		d.moved = unfold(r.plan, d.steps, nowMs) || d.moved
+		d.moved = advanceSteps(r.plan, d.steps, nowMs) || d.moved
 	}
 	if d.state == RunLive {
 		k.submit(d, cluster)
 		if d.moved {
-			// A job that can't be submitted ends its step, which may end others.
-			unfold(r.plan, d.steps, nowMs)
+			// A job that can't be submitted ends its step, so that others may become ready or skipped.
+			advanceSteps(r.plan, d.steps, nowMs)
 		}
 	}
 	change := d.finish()
-	// Only once nothing came of it: a change may be lost, and then the run must
-	// be looked at as a whole again.
+	// If there is a change, its commit may fail: then the whole run must be examined again.
 	r.unexamined = change != nil
 	return change, reads
 }
 
-// examineJob takes in what became of a step's job; true if it must be read.
+// examineJob applies the state of a step's job. It reports whether the job must be read from the state
+// service.
 func (k *Keeper) examineJob(d *draft, i int, now time.Time, cluster Cluster) (read bool) {
 	jobID := d.run.jobIDs[i]
 	view, ok := cluster.Job(jobID)
@@ -131,18 +131,18 @@
 	case jobs.Cancelled:
 		d.move(i, StepEvent{Kind: JobEnded})
 		return false
-	case jobs.Live: // and any state that this version does not know
+	case jobs.Live: // unknown states are handled like Live
 	}
 	k.examineLive(d, i, view, now)
 	return false
 }
 
-// examineUnknown is for a step whose job the cluster does not know; true if it must
-// be read.
+// examineUnknown handles a step whose job the cluster does not know. It reports whether the job must
+// be read from the state service.
 func (d *draft) examineUnknown(i int, now time.Time) (read bool) {
 	if d.run.missing[i] {
-		// Its record may only not have come yet: the change is conditional on the job
-		// being in none.
+		// The job's record may exist but not have arrived here yet, so the change is
+		// conditional on the job having no record.
 		d.change.Absent = append(d.change.Absent, d.run.jobIDs[i])
 		d.moved = d.apply(i, StepEvent{Kind: Closed}) ||
 			d.apply(i, StepEvent{Kind: GiveUp, Cause: JobForgotten}) ||
@@ -156,14 +156,14 @@
 	return true
 }
 
-// examineLive takes in what is seen of a live job, and gives it up if it takes too
-// long or fails everywhere for too long.
+// examineLive applies the observed state of a live job, and gives the job up if it exceeds its timeout
+// or has been failing on every machine for too long.
 func (k *Keeper) examineLive(d *draft, i int, view JobView, now time.Time) {
 	if d.steps[i].State == Cancelling {
 		k.cancel(d, i, StepEvent{Kind: Closed})
 		return
 	}
-	// That it runs is kept with the next change, not by one of its own.
+	// Running is saved with the next change and causes none by itself.
 	if view.Running > 0 {
 		d.apply(i, StepEvent{Kind: Start})
 	}
@@ -173,8 +173,8 @@
 		d.apply(i, StepEvent{Kind: Trust})
 	}
 	step := &d.run.plan.Steps[i]
-	ran := d.measure(d.run.jobClocks, i, d.steps[i].AcceptedMs, now)
-	doubted := d.measure(d.run.doubtClocks, i, d.steps[i].DoubtedSinceMs, now)
+	ran := d.elapsed(d.run.jobStarts, i, d.steps[i].AcceptedMs, now)
+	doubted := d.elapsed(d.run.doubtStarts, i, d.steps[i].DoubtedSinceMs, now)
 	switch {
 	case step.TimeoutS > 0 && ran.Seconds() > step.TimeoutS:
 		k.cancel(d, i, StepEvent{Kind: GiveUp, Cause: TimedOut})
@@ -183,22 +183,23 @@
 	}
 }
 
-// measure tells for how long something lasts that began at a time of day, 0 for
-// not at all. Only when the run is taken over does the time of day count, and
-// never for less than nothing; from then on the monotonic clock measures, so that
-// no jump of the other ends a step.
-func (d *draft) measure(clocks map[int]time.Time, i int, fromMs int64, now time.Time) time.Duration {
+// elapsed returns the time since a wall-clock time, or 0 if fromMs is 0. The wall clock is used only
+// once, when the run is taken over, and a negative difference counts as 0. From then on the
+// monotonic clock is used, so that a jump of the wall clock can't end a step. starts caches the start
+// times on the monotonic clock, by index of the step.
+func (d *draft) elapsed(starts map[int]time.Time, i int, fromMs int64, now time.Time) time.Duration {
 	if fromMs == 0 {
-		delete(clocks, i)
+		delete(starts, i)
 		return 0
 	}
-	if _, ok := clocks[i]; !ok {
-		clocks[i] = now.Add(-time.Duration(max(d.nowMs-fromMs, 0)) * time.Millisecond)
+	if _, ok := starts[i]; !ok {
+		starts[i] = now.Add(-time.Duration(max(d.nowMs-fromMs, 0)) * time.Millisecond)
 	}
-	return now.Sub(clocks[i])
+	return now.Sub(starts[i])
 }
 
-// cancel has a step's job cancelled with this change, if it fits into it.
+// cancel applies an event that ends a step's job and adds the job's cancellation to the change, if it
+// fits.
 func (k *Keeper) cancel(d *draft, i int, e StepEvent) {
 	if d.fits(k.limits, 2, tuning.JobRecordBytes) && d.apply(i, e) {
 		d.change.Cancel = append(d.change.Cancel, d.run.jobIDs[i])
@@ -207,8 +208,8 @@
 	}
 }
 
-// submit accepts the jobs of the steps that are ready, as many as one transaction
-// holds: a matrix of hundreds goes out over several changes.
+// submit adds the jobs of ready steps to the change, as many as fit into one transaction: a matrix of
+// hundreds of steps takes several changes.
 func (k *Keeper) submit(d *draft, cluster Cluster) {
 	for i := range d.steps {
 		if d.steps[i].State != Ready {
@@ -239,10 +240,10 @@
 	}
 }
 
-// CancelRun is the change that cancels a run: nothing of it is submitted from
-// then on, since every submission is conditional on the record that this
-// changes. Jobs that do not fit into the transaction are cancelled by the
-// run's owner. Nil if the run is being cancelled already, or can't be read.
+// CancelRun returns the change that cancels a run. After its commit no job of the run is submitted,
+// since every submission is conditional on the record that it changes. Jobs that do not fit into the
+// transaction are cancelled by the run's owner. CancelRun returns nil if the run is unknown, is
+// already being cancelled, or can't be read.
 func (k *Keeper) CancelRun(id string, now time.Time, nowMs int64, cluster Cluster) *Change {
 	r := k.runs[id]
 	if r == nil || !k.load(r) {
@@ -255,8 +256,8 @@
 	}
 	d.state = next
 	d.moved = true
-	// Should a change of the run be under way here, none follows it: a run that
-	// submits a matrix would otherwise always be busy when its user asks.
+	// No further change of the run is made until then: a run that submits a matrix would
+	// otherwise be busy whenever its user tries to cancel it.
 	r.heldUntil = now.Add(tuning.CancelFirst)
 	for i := range d.steps {
 		d.apply(i, StepEvent{Kind: Abort})
--- a/internal/pipelines/request.go
+++ b/internal/pipelines/request.go
@@ -9,20 +9,21 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Request is a submission of a run.
+// Request is a validated submission of a run.
 type Request struct {
 	ID       string
-	Document []byte // the document's JSON, its fields in order
+	Document []byte // the document as JSON, its fields sorted
 	Plan     *Plan
 }
 
-// Refusal is the body of an answer that refuses a submission.
+// Refusal is the response body for a rejected submission.
 type Refusal struct {
 	Error  string  `json:"error"`
 	Faults []Fault `json:"faults,omitempty"`
 }
 
-// ParseRequest reads a submission's body. The refusal holds every fault.
+// ParseRequest decodes and validates a submission's body. The Refusal of an invalid one contains all
+// faults.
 func ParseRequest(body []byte) (*Request, *Refusal) {
 	var r struct {
 		ID       string `json:"id"`
@@ -41,13 +42,13 @@
 	return &Request{ID: r.ID, Document: jobs.Encode(r.Pipeline), Plan: p}, nil
 }
 
-// FeasibilityFaults names the steps that can never run, each by its place in the document; judge
-// explains why a job can never run, or returns "".
-func (p *Plan) FeasibilityFaults(judge func(*jobs.Spec) string) []Fault {
+// FeasibilityFaults returns a fault for each step that can never run, with the step's path in the
+// document. infeasible returns the reason why a job can never run, or "".
+func (p *Plan) FeasibilityFaults(infeasible func(*jobs.Spec) string) []Fault {
 	var out []Fault
 	for i := range p.Steps {
 		step := &p.Steps[i]
-		reason := judge(&step.Spec)
+		reason := infeasible(&step.Spec)
 		if reason == "" {
 			continue
 		}
@@ -59,9 +60,9 @@
 	return out
 }
 
-// Accept is the change that accepts a run; the jobs of its first steps go with
-// it, as many as one transaction holds. A record that could become too long for the
-// state service is an error.
+// Accept returns the change that accepts a run and submits the jobs of its first steps, as many as fit
+// into one transaction. It fails if the run's record could exceed the value limit of the state
+// service.
 func (k *Keeper) Accept(q *Request, salt string, nowMs int64, cluster Cluster) (*Change, error) {
 	record := NewRecord(q.Plan, q.Document, salt, nowMs)
 	if size := record.MaxBytes(); size > k.limits.ValueBytes {
@@ -73,7 +74,7 @@
 	}
 	d := newDraft(&run{id: q.ID, record: record, plan: q.Plan}, nowMs)
 	d.moved = true
-	unfold(q.Plan, d.steps, nowMs)
+	advanceSteps(q.Plan, d.steps, nowMs)
 	k.submit(d, cluster)
 	return d.finish(), nil
 }
--- a/internal/pipelines/run.go
+++ b/internal/pipelines/run.go
@@ -3,7 +3,7 @@
 // RunState is the state of a run.
 type RunState string
 
-// States of a run. A run that is being cancelled starts nothing any more.
+// States of a run. A run that is being cancelled starts no more steps.
 const (
 	RunLive       RunState = "running"
 	RunCancelling RunState = "cancelling"
@@ -12,10 +12,10 @@
 	RunCancelled  RunState = "cancelled"
 )
 
-// Over tells whether a run has ended.
+// Over reports whether the run has ended.
 func (s RunState) Over() bool { return s == RunSucceeded || s == RunFailed || s == RunCancelled }
 
-// RunEvent is what can happen to a run.
+// RunEvent is an event of a run.
 type RunEvent string
 
 // Events of a run.
@@ -25,7 +25,8 @@
 	AllEndedBad RunEvent = "all steps ended, one badly"
 )
 
-// NextRun is the one place where a run changes state.
+// NextRun applies an event to a run and reports whether its state changed. It is the only place where
+// a run changes state.
 func NextRun(s RunState, e RunEvent) (RunState, bool) {
 	switch {
 	case s == RunLive && e == CancelRun:
--- a/internal/pipelines/status.go
+++ b/internal/pipelines/status.go
@@ -6,7 +6,7 @@
 	"github.com/harrierreel/harrierreel/internal/jobs"
 )
 
-// Status is what users get of a run. Fields are only ever added.
+// Status is the status of a run as shown to users. Fields are only ever added.
 type Status struct {
 	ID        string       `json:"id"`
 	Name      string       `json:"name"`
@@ -16,11 +16,11 @@
 	Steps     []StepStatus `json:"steps"`
 }
 
-// StepStatus is what users get of a step.
+// StepStatus is the status of a step as shown to users.
 type StepStatus struct {
 	Name         string    `json:"name"`
 	Status       StepState `json:"status"`
-	JobID        string    `json:"job"`    // ID of its present job, or of the one it will have
+	JobID        string    `json:"job"`    // ID of its current or next job
 	Repeat       int       `json:"repeat"` // counted from 0
 	Why          Cause     `json:"why,omitempty"`
 	AllowFailure bool      `json:"allow_failure,omitempty"`
@@ -32,8 +32,8 @@
 	Explain      string    `json:"explain,omitempty"`
 }
 
-// Encode writes a status with a line for each step: receivers may take no
-// longer lines than 64 KiB.
+// Encode returns the status as JSON with one line for each step, because receivers may not accept lines
+// longer than 64 KiB.
 func (s Status) Encode() []byte {
 	steps := s.Steps
 	s.Steps = []StepStatus{}
@@ -51,7 +51,7 @@
 	return b.Bytes()
 }
 
-// StatusOf describes a run, ended or not; false if its document can't be read.
+// StatusOf returns the status of a live or ended run, or false if its document can't be read.
 func (k *Keeper) StatusOf(id string, record *Record, nowMs int64, cluster Cluster, explain bool) (Status, bool) {
 	p := k.planOf(record)
 	if p == nil || len(p.Steps) != len(record.Steps) {
@@ -74,7 +74,7 @@
 	return out, true
 }
 
-// stepStatus describes a step, without an explanation.
+// stepStatus returns the status of a step, without an explanation.
 func (p *Plan) stepStatus(i int, id string, record *Record, nowMs int64, cluster Cluster) StepStatus {
 	run, step := record.Steps[i], &p.Steps[i]
 	out := StepStatus{
@@ -104,8 +104,8 @@
 	return out
 }
 
-// elapsedSeconds is the time from a start until an end, or until now without one; 0
-// before the start. It is never negative, though the time of day may jump.
+// elapsedSeconds returns the time from startMs until endMs, or until now if endMs is 0. It returns 0 if
+// startMs is 0. The result is never negative, even if the wall clock was set back.
 func elapsedSeconds(startMs, endMs, nowMs int64) float64 {
 	if startMs == 0 {
 		return 0
--- a/internal/pipelines/step.go
+++ b/internal/pipelines/step.go
@@ -5,8 +5,8 @@
 
 // States of a step.
 const (
-	Waiting    StepState = "waiting"   // for the steps that it needs
-	Ready      StepState = "ready"     // its job may be submitted
+	Waiting    StepState = "waiting"   // until all steps that it needs have ended
+	Ready      StepState = "ready"     // its job can be submitted
 	Submitted  StepState = "submitted" // its job is accepted
 	Running    StepState = "running"   // tasks of its job were seen on machines
 	Succeeded  StepState = "succeeded"
@@ -16,18 +16,18 @@
 	Cancelled  StepState = "cancelled"
 )
 
-// Over tells whether a step has ended.
+// Over reports whether the step has ended.
 func (s StepState) Over() bool {
 	return s == Succeeded || s == Failed || s == Skipped || s == Cancelled
 }
 
-// HasJob tells whether a job of the step may be live.
+// HasJob reports whether a job of the step may be live.
 func (s StepState) HasJob() bool { return s == Submitted || s == Running || s == Cancelling }
 
-// Cause is the cause of a step's present state, or of its last repeat.
+// Cause is the cause of a step's current state or of its last retry.
 type Cause string
 
-// Causes, in the words that users get; records hold their numbers.
+// Causes. Users see these texts; records contain the causes' numbers.
 const (
 	NoCause      Cause = ""
 	WhenFalse    Cause = "its condition did not hold"
@@ -41,26 +41,26 @@
 	JobForgotten Cause = "its job is in no record"
 )
 
-// StepRun is a step's part of a run's record.
+// StepRun is the state of a step in a run's record.
 type StepRun struct {
 	State  StepState
-	Repeat int // job under way, or the last one, counted from 0
+	Repeat int // number of the current or last attempt, counted from 0
 	Cause  Cause
-	// Times of day in ms, 0 for not yet.
-	AcceptedMs     int64 // when its present job was accepted
-	EndMs          int64 // when it ended
-	DoubtedSinceMs int64 // since when its job fails everywhere
+	// Wall-clock times in Unix ms, 0 if not set.
+	AcceptedMs     int64 // when its current job was accepted
+	EndMs          int64 // when the step ended
+	DoubtedSinceMs int64 // since when its job has been failing on every machine
 }
 
-// StepEvent is what can happen to a step.
+// StepEvent is an event of a step.
 type StepEvent struct {
 	Kind    StepEventKind
 	Cause   Cause
 	NowMs   int64
-	Repeats int // times that it may be retried
+	Repeats int // maximum number of retries
 }
 
-// StepEventKind names a step's event.
+// StepEventKind is the kind of a StepEvent.
 type StepEventKind string
 
 // Events of a step.
@@ -74,14 +74,14 @@
 	Trust      StepEventKind = "job no longer fails everywhere"
 	JobDone    StepEventKind = "job done"
 	JobEnded   StepEventKind = "job cancelled by somebody"
-	GiveUp     StepEventKind = "job given up" // and cancelled with this change
+	GiveUp     StepEventKind = "job given up" // and cancelled by the same change
 	Abort      StepEventKind = "run cancelled"
 	Closed     StepEventKind = "job cancelled for the run"
 )
 
-// NextStep is the one place where a step changes state; false if the event changes
-// nothing. A step that ended never changes again, and a job is submitted only from
-// Ready: so no step ever has two live jobs.
+// NextStep applies an event to a step and reports whether the step changed. It is the only place
+// where a step changes state. A step that has ended never changes again, and a job is submitted only
+// from Ready, so no step ever has two live jobs.
 func NextStep(s StepRun, e StepEvent) (StepRun, bool) {
 	switch e.Kind {
 	case NeedsMet, NeedsUnmet:
@@ -100,10 +100,10 @@
 	return s, false
 }
 
-// jobLive tells whether the step's job is under way and not being cancelled.
+// jobLive reports whether the step's job is live and not being cancelled.
 func (s StepRun) jobLive() bool { return s.State == Submitted || s.State == Running }
 
-// ended is the step as it ends now.
+// ended returns the step in the given final state.
 func (s StepRun) ended(state StepState, why Cause, e StepEvent) (StepRun, bool) {
 	s.State = state
 	s.Cause = why
@@ -112,7 +112,7 @@
 	return s, true
 }
 
-// afterNeeds is for a waiting step once all that it needs has ended.
+// afterNeeds handles a waiting step once all steps that it needs have ended.
 func (s StepRun) afterNeeds(e StepEvent) (StepRun, bool) {
 	if s.State != Waiting {
 		return s, false
@@ -124,7 +124,7 @@
 	return s, true
 }
 
-// afterSubmission is for a ready step whose job was accepted or can't be.
+// afterSubmission handles a ready step whose job was submitted or can't be submitted.
 func (s StepRun) afterSubmission(e StepEvent) (StepRun, bool) {
 	if s.State != Ready {
 		return s, false
@@ -138,7 +138,7 @@
 	return s, true
 }
 
-// afterObservation notes what is seen of a live job.
+// afterObservation handles an observation of a live job.
 func (s StepRun) afterObservation(e StepEvent) (StepRun, bool) {
 	switch {
 	case e.Kind == Start && s.State == Submitted:
@@ -153,13 +153,13 @@
 	return s, true
 }
 
-// afterJobEnd is for a step whose job ended, by itself or since it was cancelled.
+// afterJobEnd handles a step whose job is done or was cancelled.
 func (s StepRun) afterJobEnd(e StepEvent) (StepRun, bool) {
 	switch {
 	case e.Kind == JobDone && s.State.HasJob():
 		return s.ended(Succeeded, NoCause, e)
 	case e.Kind == JobEnded && s.jobLive():
-		// Whoever cancelled it did not want it repeated.
+		// The job was cancelled on purpose, so it is not retried.
 		return s.ended(Cancelled, JobAborted, e)
 	case e.Kind != JobDone && s.State == Cancelling:
 		return s.ended(Cancelled, RunAborted, e)
@@ -167,8 +167,8 @@
 	return s, false
 }
 
-// afterGivingUp is for a live job that failed or took too long: it is repeated as
-// often as the file allows.
+// afterGivingUp handles a live job that failed or took too long: it is retried as often as the file
+// allows.
 func (s StepRun) afterGivingUp(e StepEvent) (StepRun, bool) {
 	if !s.jobLive() {
 		return s, false
@@ -184,7 +184,7 @@
 	return s, true
 }
 
-// afterAbort is for a step of a run that is cancelled.
+// afterAbort handles a step of a run that is cancelled.
 func (s StepRun) afterAbort(e StepEvent) (StepRun, bool) {
 	switch {
 	case s.State == Waiting || s.State == Ready:
--- a/internal/pipelines/step_spec.go
+++ b/internal/pipelines/step_spec.go
@@ -10,15 +10,15 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// rawStep is one step as written, its placeholders filled in.
+// rawStep is one step as written in the document, with its placeholders replaced.
 type rawStep struct {
 	path   string
 	fields map[string]any
 	matrix map[string]any
-	faulty map[string]bool // fields whose kind was reported already
+	faulty map[string]bool // fields whose wrong kind was reported already
 }
 
-// step checks one step and adds it to the plan.
+// step validates one step and adds it to the plan.
 func (c *compiler) step(p *Plan, group int, raw rawStep) {
 	s := Step{
 		Name:   p.Groups[group].Name + matrixSuffix(raw.matrix),
@@ -27,8 +27,7 @@
 		DoubtS: tuning.StepDoubt.Seconds(),
 		path:   raw.path,
 	}
-	// Job IDs are derived from names: values that read the same would make two steps
-	// with one job.
+	// Job IDs are derived from step names: two steps with the same name would share a job.
 	if c.stepNames[s.Name] && len(raw.matrix) > 0 {
 		c.fail(
 			fieldPath(raw.path, "matrix"),
@@ -55,7 +54,7 @@
 	p.Steps = append(p.Steps, s)
 }
 
-// matrixSuffix tells the steps of a matrix apart, as in [x=1,y=2].
+// matrixSuffix returns the suffix that distinguishes the names of a matrix' steps, as in [x=1,y=2].
 func matrixSuffix(values map[string]any) string {
 	if len(values) == 0 {
 		return ""
@@ -67,7 +66,7 @@
 	return "[" + strings.Join(parts, ",") + "]"
 }
 
-// seconds reads a duration; without the field, its default stays.
+// seconds reads a duration in seconds into out. Without the field, out keeps its default.
 func (c *compiler) seconds(raw rawStep, name string, out *float64) {
 	v, ok := toNumber(raw.fields[name])
 	if !ok {
@@ -79,8 +78,8 @@
 	}
 }
 
-// jobSpec checks a step's job as a submission is checked; nil if it is faulty. Its
-// ID is left open.
+// jobSpec returns the spec of a step's job, validated like a submitted job but without an ID. It
+// returns nil if the job is invalid.
 func (c *compiler) jobSpec(p *Plan, raw rawStep) *jobs.Spec {
 	job := map[string]any{
 		"uid":      "wk-0",
@@ -105,8 +104,8 @@
 	}
 	spec, faults := jobs.CheckSpec(jobs.Encode(job))
 	for _, f := range faults {
-		// What is wrong with the pipeline's name or owner, or with the field's
-		// kind, was reported already.
+		// An invalid name or owner of the pipeline, and a field of the wrong kind, were
+		// reported already.
 		if job[f.Field] != "" && !raw.faulty[f.Field] {
 			c.fail(fieldPath(raw.path, f.Field), "%s", f.Reason)
 		}
--- a/internal/pipelines/when.go
+++ b/internal/pipelines/when.go
@@ -14,13 +14,13 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Condition is a compiled `when`. It is a value: nothing in it changes.
+// Condition is a compiled `when` expression. It is immutable.
 type Condition struct {
 	Text    string // as written
 	program *vm.Program
 }
 
-// outcome of a group of steps, as `when` sees it.
+// outcome is the outcome of a group of steps, as seen by `when` expressions.
 type outcome string
 
 const (
@@ -30,15 +30,15 @@
 	cancelled outcome = "cancelled"
 )
 
-// facts is what a condition may depend on.
+// facts contains the inputs of a condition.
 type facts struct {
-	success  bool               // all that the step needs succeeded
-	failure  bool               // one of its ancestors failed
-	outcomes map[string]outcome // of its ancestors
+	success  bool               // all steps that the step needs have succeeded
+	failure  bool               // at least one of its ancestors has failed
+	outcomes map[string]outcome // outcomes of its ancestors, by name
 	matrix   map[string]any
 }
 
-// environment is what the names in a condition stand for.
+// environment returns the names that are defined in a condition.
 func (f facts) environment() map[string]any {
 	steps := map[string]any{}
 	for name, o := range f.outcomes {
@@ -57,8 +57,8 @@
 	}
 }
 
-// holds evaluates a condition. One that fails to evaluate does not hold; its
-// step is skipped and the error says why. Without a condition, success() counts.
+// holds evaluates a condition. If the evaluation fails, the condition does not hold and an error is
+// returned. A nil condition stands for success().
 func (w *Condition) holds(f facts) (bool, error) {
 	if w == nil {
 		return f.success, nil
@@ -71,16 +71,15 @@
 	return ok, nil
 }
 
-// mentions gathers the steps that a condition speaks of, and what is wrong with
-// how it does.
-type mentions struct {
+// stepReferences collects the steps that a condition refers to, and whether a reference is malformed.
+type stepReferences struct {
 	steps []string
-	bare  int // uses of `steps` other than steps.NAME
-	wrong string
+	bare  int    // uses of `steps` other than steps.NAME
+	fault string // of a malformed reference
 }
 
 // Visit is called by ast.Walk for each node, the inner ones first.
-func (m *mentions) Visit(node *ast.Node) {
+func (m *stepReferences) Visit(node *ast.Node) {
 	switch n := (*node).(type) {
 	case *ast.IdentifierNode:
 		if isSteps(n) {
@@ -91,27 +90,27 @@
 			m.bare--
 			name, ok := n.Property.(*ast.StringNode)
 			if !ok {
-				m.wrong = "expected steps.NAME.outcome with a step's name written out"
+				m.fault = "expected steps.NAME.outcome with a step's name written out"
 				return
 			}
 			m.steps = append(m.steps, name.Value)
 		}
 		if inner, ok := n.Node.(*ast.MemberNode); ok && isSteps(inner.Node) {
 			if member, ok := n.Property.(*ast.StringNode); !ok || member.Value != "outcome" {
-				m.wrong = "a step has only .outcome: succeeded, failed, skipped or cancelled"
+				m.fault = "a step has only .outcome: succeeded, failed, skipped or cancelled"
 			}
 		}
 	}
 }
 
-// isSteps tells whether a node is the name `steps`.
+// isSteps reports whether a node is the identifier `steps`.
 func isSteps(n ast.Node) bool {
 	id, ok := n.(*ast.IdentifierNode)
 	return ok && id.Value == "steps"
 }
 
-// compileWhen reads a condition of a step whose ancestors are named. The error is the
-// text of a fault, which users get as it stands.
+// compileWhen compiles a condition that may refer to the named ancestors. The error's text is shown to
+// users as a fault.
 func compileWhen(text string, ancestors []string) (*Condition, error) {
 	if len(text) > tuning.MaxWhen {
 		return nil, fmt.Errorf("expected at most %d bytes", tuning.MaxWhen)
@@ -120,16 +119,16 @@
 	if err != nil {
 		return nil, errors.New("expected an expression: " + firstLine(err))
 	}
-	var m mentions
-	ast.Walk(&tree.Node, &m)
+	var references stepReferences
+	ast.Walk(&tree.Node, &references)
 	switch {
-	case m.wrong != "":
-		return nil, errors.New(m.wrong)
-	case m.bare > 0:
+	case references.fault != "":
+		return nil, errors.New(references.fault)
+	case references.bare > 0:
 		return nil, errors.New("expected steps.NAME.outcome")
 	}
 	sample := facts{outcomes: map[string]outcome{}}
-	for _, name := range m.steps {
+	for _, name := range references.steps {
 		if !slices.Contains(ancestors, name) {
 			return nil, fmt.Errorf(
 				"speaks of the step %q, which this step does not need, so that it may not have ended; expected one of: %s",
@@ -158,7 +157,7 @@
 	return line
 }
 
-// conditions compiles every `when` and refuses those that can never hold.
+// conditions compiles all `when` expressions and reports those that can never hold.
 func (c *compiler) conditions(p *Plan, rawSteps []any) {
 	for i := range p.Groups {
 		rawStep, _ := rawSteps[i].(map[string]any)
@@ -173,7 +172,7 @@
 			c.fail(path, "%s", err)
 			continue
 		}
-		satisfiable := len(p.Groups[i].Steps) == 0 // such a group is faulty otherwise
+		satisfiable := len(p.Groups[i].Steps) == 0 // a group without steps has other faults
 		for _, s := range p.Groups[i].Steps {
 			p.Steps[s].When = condition
 			satisfiable = satisfiable || p.canHold(i, &p.Steps[s])
@@ -188,14 +187,14 @@
 	}
 }
 
-// needsFaulty tells whether a fault was found in what a group needs, so that its
-// ancestors are not known.
+// needsFaulty reports whether a fault was found in the needs of a group, so that its ancestors are not
+// known.
 func (c *compiler) needsFaulty(group int) bool {
 	path := fieldPath(indexPath("steps", group), "needs")
 	return slices.ContainsFunc(c.faults, func(f Fault) bool { return strings.HasPrefix(f.Path, path) })
 }
 
-// ancestorNames names the steps that a group needs, and those that these need.
+// ancestorNames returns the sorted names of the steps that a group needs, directly or indirectly.
 func (p *Plan) ancestorNames(group int) []string {
 	var out []string
 	for _, a := range p.Groups[group].Ancestors {
@@ -214,8 +213,8 @@
 
 var allOutcomes = []outcome{succeeded, failed, skipped, cancelled}
 
-// canHold tries a condition on every combination of its ancestors' outcomes, as long
-// as they are few; with more it is taken to hold for some.
+// canHold reports whether a step's condition holds for some combination of its ancestors' outcomes. With
+// more than tuning.OutcomeCombinations ancestors it returns true without trying.
 func (p *Plan) canHold(group int, s *Step) bool {
 	ancestors := p.Groups[group].Ancestors
 	if len(ancestors) > tuning.OutcomeCombinations {
@@ -235,7 +234,7 @@
 	return false
 }
 
-// factsOfCombination is the n-th combination of outcomes of a group's ancestors.
+// factsOfCombination returns the facts for the n-th combination of the outcomes of a group's ancestors.
 func (p *Plan) factsOfCombination(group, n int) facts {
 	f := facts{success: true, outcomes: map[string]outcome{}}
 	for _, ancestor := range p.Groups[group].Ancestors {
