--- a/internal/calendar/cost_test.go
+++ b/internal/calendar/cost_test.go
@@ -8,13 +8,13 @@
 	"github.com/harrierreel/harrierreel/internal/quota"
 )
 
-// emptyCluster is a cluster without tasks.
+// emptyCluster is a Cluster without tasks.
 type emptyCluster struct{}
 
 func (emptyCluster) Settled() bool                     { return true }
 func (emptyCluster) Attempts(func(quota.Key) bool) int { return 0 }
 
-// keeperOf200Windows keeps a calendar of 200 windows, four on each track, one after the other.
+// keeperOf200Windows returns a keeper for a calendar of 50 tracks with four consecutive windows each.
 func keeperOf200Windows(tb testing.TB) *Keeper {
 	tb.Helper()
 	document := &Document{Revision: 1, Zone: "Africa/Nairobi"}
@@ -43,13 +43,13 @@
 	return keeper
 }
 
-// testNow is a moment for a keeper whose clock may be off by half a second.
+// testNow returns a Now with a clock error of half a second.
 func testNow(at time.Time) Now {
 	return Now{Ms: at.UnixMilli(), OffMs: 500, PrepareMs: 60_000}
 }
 
-// TestDayOf200WindowsTakesFewChanges: a day of 200 windows takes under 0.2 changes a second, and no
-// record more than a value.
+// TestDayOf200WindowsTakesFewChanges checks that a day of 200 windows takes at most 0.2 changes per
+// second, and that no record exceeds 4 KiB.
 func TestDayOf200WindowsTakesFewChanges(t *testing.T) {
 	t.Parallel()
 	keeper := keeperOf200Windows(t)
@@ -76,7 +76,7 @@
 	}
 }
 
-// settledKeeper is a keeper that has planned all, and a moment at which nothing is due.
+// settledKeeper returns a keeper that has planned all occurrences, and a time at which nothing is due.
 func settledKeeper(b *testing.B) (*Keeper, Now) {
 	b.Helper()
 	keeper := keeperOf200Windows(b)
@@ -89,7 +89,7 @@
 	return keeper, now
 }
 
-// BenchmarkReconcileWhenNothingIsDue is what each pass of the leader pays.
+// BenchmarkReconcileWhenNothingIsDue measures the cost on each pass of the leader.
 func BenchmarkReconcileWhenNothingIsDue(b *testing.B) {
 	keeper, now := settledKeeper(b)
 	for b.Loop() {
@@ -97,7 +97,7 @@
 	}
 }
 
-// BenchmarkReconcileAllTracks is what a reconciliation of all 50 tracks costs, as twice a minute.
+// BenchmarkReconcileAllTracks measures a reconciliation of all 50 tracks, as it happens twice a minute.
 func BenchmarkReconcileAllTracks(b *testing.B) {
 	keeper, now := settledKeeper(b)
 	for b.Loop() {
@@ -106,7 +106,7 @@
 	}
 }
 
-// BenchmarkGate is what a job in the queue costs at each pass.
+// BenchmarkGate measures the cost of each queued job on each pass.
 func BenchmarkGate(b *testing.B) {
 	keeper := keeperOf200Windows(b)
 	for b.Loop() {
--- a/internal/calendar/document_test.go
+++ b/internal/calendar/document_test.go
@@ -11,7 +11,7 @@
 	"github.com/harrierreel/harrierreel/internal/quota"
 )
 
-// parseDocument reads a calendar block.
+// parseDocument parses a file with a calendar block.
 func parseDocument(t *testing.T, text string) *Document {
 	t.Helper()
 	var file struct {
@@ -87,7 +87,8 @@
 	}
 }
 
-// TestCheckListsEveryFault: all that is wrong in a file at once, each with its place.
+// TestCheckListsEveryFault checks that all errors of a document are reported at once, each with its
+// path.
 func TestCheckListsEveryFault(t *testing.T) {
 	bad := strings.NewReplacer(
 		`team = "shop"`, `team = "shoe"`,
@@ -101,7 +102,7 @@
 	).Replace(goodDocument)
 	_, faults := Build(parseDocument(t, bad), knownTeams, day)
 	text := strings.Join(faults, "\n")
-	for _, place := range []string{
+	for _, path := range []string{
 		"revision:",
 		"zone:",
 		"markets.export.team:",
@@ -111,8 +112,8 @@
 		"markets.weekend.classes[0]:",
 		"markets.weekend.late:",
 	} {
-		if !strings.Contains(text, place) {
-			t.Errorf("%s is not listed in\n%s", place, text)
+		if !strings.Contains(text, path) {
+			t.Errorf("%s is not reported in\n%s", path, text)
 		}
 	}
 	if len(faults) != 8 {
@@ -120,8 +121,8 @@
 	}
 }
 
-// TestCheckNamesWhatIsWrong: one thing that is wrong, with its place.
-func TestCheckNamesWhatIsWrong(t *testing.T) {
+// TestCheckReportsFault checks the message for documents with a single error.
+func TestCheckReportsFault(t *testing.T) {
 	for _, c := range []struct{ name, old, new, want string }{
 		{
 			name: "windows overlap at the end",
@@ -179,9 +180,9 @@
   }
 }`
 
-// TestWindowsOnNightsOf23And25Hours: on 29 March 2026 Rome's clocks leave out 02:00 to 03:00, on 25
-// October they have it twice.
-func TestWindowsOnNightsOf23And25Hours(t *testing.T) {
+// TestWindowsAcrossDaylightSavingChanges checks windows on days of 23 and 25 hours: in Rome, the local
+// times from 02:00 to 03:00 do not exist on 29 March 2026 and occur twice on 25 October.
+func TestWindowsAcrossDaylightSavingChanges(t *testing.T) {
 	for _, c := range []struct{ name, end, from, want string }{
 		{"length, 23 hours", `length = "2h"`, "2026-03-28T12:00", "03-29T01:30-03:30,03-30T00:30-02:30"},
 		{"length, 25 hours", `length = "2h"`, "2026-10-24T12:00", "10-25T00:30-02:30,10-26T01:30-03:30"},
@@ -199,7 +200,7 @@
 				got = append(got, span.Begin.UTC().Format("01-02T15:04-")+span.End.UTC().Format("15:04"))
 			}
 			if strings.Join(got, ",") != c.want {
-				t.Errorf("%v, not %s", got, c.want)
+				t.Errorf("got %v, want %s", got, c.want)
 			}
 		})
 	}
@@ -209,7 +210,8 @@
 	}
 }
 
-// oneWindowTrack is a track with a window, by the number of the track and of the class, and the hour.
+// oneWindowTrack is a format for a track with one window: number of the track, number of the class,
+// hour of the start.
 const oneWindowTrack = `
   track "t%d" {
     window "w" {
@@ -222,9 +224,9 @@
   }
 `
 
-// TestTenThousandOccurrencesOfOneValue: a calendar of 200 windows, which fits into a value, is
-// checked with all its nights.
-func TestTenThousandOccurrencesOfOneValue(t *testing.T) {
+// TestCalendarOf200WindowsFitsIntoOneValue checks that a calendar of 200 windows fits into one value of
+// the state service, and that its 10,000 occurrences of 50 days are planned.
+func TestCalendarOf200WindowsFitsIntoOneValue(t *testing.T) {
 	var text strings.Builder
 	text.WriteString("calendar {\n revision = 1\n zone = \"Africa/Nairobi\"\n")
 	for i := range 200 {
@@ -248,9 +250,10 @@
 	}
 }
 
-// TestNothingBeginsPastItsEnd: where nobody has closed a window, because all were away, its time
-// alone shuts it; and on a track that nobody can read nothing begins at all.
-func TestNothingBeginsPastItsEnd(t *testing.T) {
+// TestGateIsShutPastTheEndAndOnUnreadableTracks checks that no task starts after the end of an
+// occurrence that is still stored as open because no controller was running to close it, and that no
+// task starts on a track whose record can't be read.
+func TestGateIsShutPastTheEndAndOnUnreadableTracks(t *testing.T) {
 	keeper := NewKeeper(buildPlan(t, goodDocument), testValueBytes)
 	class := quota.Key{Team: "shop", Class: "export"}
 	if err := keeper.ApplyTrack("markets", exportOpen().encode(testValueBytes)); err != nil {
@@ -258,17 +261,17 @@
 	}
 	for at, want := range map[int64]Verdict{2000: Allowed, 8499: Allowed, 8500: Shut, 20000: Shut} {
 		if verdict, _ := keeper.Gate(Now{Ms: at, OffMs: 500}, class); verdict != want {
-			t.Errorf("at %d: %d, not %d", at, verdict, want)
+			t.Errorf("at %d ms: got verdict %d, want %d", at, verdict, want)
 		}
 	}
 	verdict, keys := keeper.Gate(Now{Ms: 2000}, quota.Key{Team: "shop", Class: "match"})
 	if verdict != Free || keys != nil {
-		t.Error("a class without windows is judged", verdict, keys)
+		t.Error("a class without windows is not free:", verdict, keys)
 	}
 	if err := keeper.ApplyTrack("markets", []byte(`{"v":7}`)); err == nil {
-		t.Error("an unknown version was read")
+		t.Error("a record of an unknown version was accepted")
 	}
 	if verdict, _ := keeper.Gate(Now{Ms: 2000}, class); verdict != Shut {
-		t.Error("tasks begin on a track that nobody can read", verdict)
+		t.Error("tasks may start on a track whose record can't be read:", verdict)
 	}
 }
--- a/internal/calendar/explore_test.go
+++ b/internal/calendar/explore_test.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// maxStates bounds an exploration: one that comes to it has not seen every state.
+// maxStates bounds an exploration. An exploration that reaches it is incomplete.
 const maxStates = 200_000
 
-// twoWindows is a track with a window after the other, some minutes long each.
+// twoWindows returns a plan with one track of two consecutive windows, each a few minutes long.
 func twoWindows(t *testing.T, revision int) *Plan {
 	t.Helper()
 	return buildPlan(t, fmt.Sprintf(`
@@ -39,7 +39,7 @@
 }`, revision))
 }
 
-// number is a number for a value.
+// number returns a unique number for a value.
 func (m *model) number(value string) int {
 	if _, ok := m.numbers[value]; !ok {
 		m.numbers[value] = len(m.numbers)
@@ -47,8 +47,8 @@
 	return m.numbers[value]
 }
 
-// fingerprint is the model's state with its revisions by their order only: how many commits came
-// before does not matter.
+// fingerprint returns a string that identifies the model's state. Revisions are replaced by their
+// rank, so that states that differ only in the number of earlier commits are equal.
 func (m *model) fingerprint() string {
 	order := m.revisionOrder()
 	var text strings.Builder
@@ -65,8 +65,8 @@
 	for _, controller := range m.Controllers {
 		put(controller.Known)
 	}
-	flight := make([]string, len(m.Flight))
-	for i, transaction := range m.Flight {
+	flight := make([]string, len(m.InFlight))
+	for i, transaction := range m.InFlight {
 		conditions := []string{}
 		for _, key := range slices.Sorted(maps.Keys(transaction.Revisions)) {
 			conditions = append(conditions, fmt.Sprint(key, order[transaction.Revisions[key]]))
@@ -80,7 +80,7 @@
 	return text.String()
 }
 
-// revisionOrder is the place of each revision that occurs in the model among all that do.
+// revisionOrder returns the rank of each revision in the model's state.
 func (m *model) revisionOrder() map[int]int {
 	revisions := map[int]bool{0: true}
 	add := func(store modelStore) {
@@ -93,7 +93,7 @@
 	for _, controller := range m.Controllers {
 		add(controller.Known)
 	}
-	for _, transaction := range m.Flight {
+	for _, transaction := range m.InFlight {
 		for _, revision := range transaction.Revisions {
 			revisions[revision] = true
 		}
@@ -105,7 +105,7 @@
 	return order
 }
 
-// next lists the states that may follow.
+// next returns all possible successor states.
 func (m *model) next(instants []int64) []*model {
 	var states []*model
 	attempt := func(step func(c *model) bool) {
@@ -116,7 +116,7 @@
 	for i := range m.Controllers {
 		m.nextOfController(i, attempt)
 	}
-	for number := range m.Flight {
+	for number := range m.InFlight {
 		attempt(func(c *model) bool { c.deliver(number, true); return true })
 	}
 	for _, class := range m.classes {
@@ -134,13 +134,13 @@
 	return states
 }
 
-// nextOfController tries what a controller may do next.
+// nextOfController tries all possible steps of a controller.
 func (m *model) nextOfController(i int, attempt func(step func(c *model) bool)) {
 	known := &m.Controllers[i].Known
 	if m.leads(i) {
 		attempt(func(c *model) bool { return c.reconcile(i) })
 		for _, class := range m.classes {
-			if len(m.Flight) < 2 && known.Running[class] == 0 {
+			if len(m.InFlight) < 2 && known.Running[class] == 0 {
 				attempt(func(c *model) bool { return c.release(i, class) })
 			}
 		}
@@ -150,14 +150,15 @@
 	}
 }
 
-// nextOfLeader tries to have the lead pass on, or the leader restart, once in a run.
+// nextOfLeader tries a change of leader and a restart of the leader. Only one of them happens on each
+// path.
 func (m *model) nextOfLeader(attempt func(step func(c *model) bool)) {
 	if m.LeaderChanges >= 1 {
 		return
 	}
 	attempt(func(c *model) bool { c.changeLeader((m.Leader + 1) % len(m.Controllers)); return true })
 	ofLeader := func(t modelTransaction) bool { return t.By == m.Leader && !t.Lost }
-	if slices.ContainsFunc(m.Flight, ofLeader) {
+	if slices.ContainsFunc(m.InFlight, ofLeader) {
 		attempt(func(c *model) bool {
 			c.restart(m.Leader)
 			c.LeaderChanges++
@@ -166,31 +167,32 @@
 	}
 }
 
-// explore goes through every state that the model can come to, and returns how many there are and
-// what went wrong first.
-func explore(first *model, instants []int64) (states int, broken string) {
+// explore visits every reachable state of the model, and returns the number of states and the first
+// violation.
+func explore(first *model, instants []int64) (states int, violation string) {
 	visited := map[string]bool{first.fingerprint(): true}
 	stack := []*model{first}
 	for len(stack) > 0 && len(visited) < maxStates {
 		m := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
-		for _, following := range m.next(instants) {
-			if following.broken != "" {
-				return len(visited), following.broken
+		for _, successor := range m.next(instants) {
+			if successor.violation != "" {
+				return len(visited), successor.violation
 			}
-			if id := following.fingerprint(); !visited[id] {
+			if id := successor.fingerprint(); !visited[id] {
 				visited[id] = true
-				stack = append(stack, following)
+				stack = append(stack, successor)
 			}
 		}
 	}
 	return len(visited), ""
 }
 
-// TestNoOverlapInAnyExploredState: two windows of a track, three controllers, the lead passing on at
-// any step while the old leader goes on, the leader ending and back at once at any step,
-// transactions that arrive as late as they like. Without any of three guards it finds tasks of
-// both windows on machines at once.
+// TestNoOverlapInAnyExploredState explores all states of a model with two windows of a track and three
+// controllers. At any step leadership may move while the old leader carries on, the leader may
+// restart, and transactions may arrive arbitrarily late. Tasks of both windows must never be on
+// machines at once, and the exploration must find such a state if any of the three guards is
+// disabled.
 func TestNoOverlapInAnyExploredState(t *testing.T) {
 	begin := time.Date(2026, 3, 2, 1, 0, 0, 0, time.UTC).UnixMilli()
 	instants := []int64{begin + 1000, begin + 121_000}
@@ -199,19 +201,19 @@
 			t.Parallel()
 			controllers := 3
 			if missing != noneMissing {
-				controllers = 2 // enough to find it
+				controllers = 2 // enough to find a violation
 			}
 			classes := []string{"export", "match"}
 			m := newModel([]*Plan{twoWindows(t, 1)}, classes, controllers, begin-10_000, 500)
 			m.missing = missing
-			// Begun with the calendar in force.
+			// Start with the calendar in force.
 			m.reconcile(0)
 			m.deliver(0, true)
 			m.catchUp(0)
-			states, broken := explore(m, instants)
-			t.Logf("%d states, %q", states, broken)
-			if (broken != "") != (missing != noneMissing) || states >= maxStates {
-				t.Errorf("guard left out: %q; found: %q", missing, broken)
+			states, violation := explore(m, instants)
+			t.Logf("%d states, violation %q", states, violation)
+			if (violation != "") != (missing != noneMissing) || states >= maxStates {
+				t.Errorf("disabled guard: %q; violation: %q", missing, violation)
 			}
 		})
 	}
--- a/internal/calendar/golden_edges_test.go
+++ b/internal/calendar/golden_edges_test.go
@@ -46,7 +46,8 @@
 }
 `
 
-// A calendar's file is read, and what it plans is shown, as ever.
+// TestGoldenFile checks that a calendar file is decoded, and its preview printed, as in the golden
+// files.
 func TestGoldenFile(t *testing.T) {
 	goldentest.Bytes(t, "full.hcl", []byte(goldenFile))
 	want := &Document{Revision: 3, Zone: "Africa/Nairobi", Tracks: []TrackDoc{{Name: "markets", Windows: []WindowDoc{
@@ -75,9 +76,9 @@
 			Missed:  "skip",
 		},
 	}}}}
-	goldentest.Filled(t, want, "t.0.w.0.u") // one of length and until; the other window has it
+	goldentest.Filled(t, want, "t.0.w.0.u") // a window has either length or until; the other window has until
 	if got := parseDocument(t, string(goldentest.Read(t, "full.hcl"))); !reflect.DeepEqual(got, want) {
-		t.Errorf("read as %+v", got)
+		t.Errorf("decoded as %+v", got)
 	}
 	plan := buildPlan(t, goldenFile)
 	var out bytes.Buffer
@@ -94,7 +95,7 @@
 	goldentest.Bytes(t, "planned.jsonl", out.Bytes())
 }
 
-// What operators are shown keeps its form, byte for byte.
+// TestGoldenShown checks that the output for operators is unchanged, byte for byte.
 func TestGoldenShown(t *testing.T) {
 	at := time.Date(2026, 3, 28, 22, 0, 0, 0, time.UTC)
 	full := Shown{
@@ -118,7 +119,7 @@
 	goldentest.JSON(t, "states.json", []State{Planned, Preparing, Open, Closing, Closed, Slipped, Skipped})
 }
 
-// faultyDocument has something wrong in each of its fields.
+// faultyDocument returns a document with an error in each field.
 func faultyDocument() *Document {
 	return &Document{Zone: "Nowhere", Tracks: []TrackDoc{
 		{Name: "1st", Windows: []WindowDoc{
@@ -172,7 +173,7 @@
 	}}
 }
 
-// overlappingDocument is right but for two windows that overlap.
+// overlappingDocument returns a document that is valid except for two windows that overlap.
 func overlappingDocument() *Document {
 	return &Document{Revision: 1, Zone: "Africa/Nairobi", Tracks: []TrackDoc{{Name: "k", Windows: []WindowDoc{
 		{Name: "a", Team: "shop", Classes: []string{"export"}, Start: "2026-01-05T22:00", Rule: "FREQ=MONTHLY", Length: "3h"},
@@ -187,7 +188,7 @@
 	}}}}
 }
 
-// What is wrong with a document is listed in the same words as ever.
+// TestGoldenFaults checks that the error messages of invalid documents are unchanged.
 func TestGoldenFaults(t *testing.T) {
 	_, faults := Build(faultyDocument(), knownTeams, day)
 	_, overlaps := Build(overlappingDocument(), knownTeams, day)
--- a/internal/calendar/golden_test.go
+++ b/internal/calendar/golden_test.go
@@ -41,7 +41,7 @@
 		goldentest.Bytes(t, file, EncodeDocument(&d))
 		back, err := DecodeDocument(goldentest.Read(t, file))
 		if err != nil || !reflect.DeepEqual(*back, d) {
-			t.Errorf("%s: read %+v, %v", file, back, err)
+			t.Errorf("%s: decoded as %+v, %v", file, back, err)
 			continue
 		}
 		goldentest.Bytes(t, file, EncodeDocument(back))
@@ -86,7 +86,7 @@
 		goldentest.JSON(t, name, r)
 		back, err := DecodeRecord(goldentest.Read(t, name))
 		if err != nil || !reflect.DeepEqual(*back, r) {
-			t.Errorf("%s: read %+v, %v", name, back, err)
+			t.Errorf("%s: decoded as %+v, %v", name, back, err)
 			continue
 		}
 		goldentest.Bytes(t, name, back.encode(1<<20))
--- a/internal/calendar/model_check_test.go
+++ b/internal/calendar/model_check_test.go
@@ -8,7 +8,7 @@
 	"github.com/harrierreel/harrierreel/internal/quota"
 )
 
-// checkWrite checks how a track's record changed.
+// checkWrite checks a change of a track's record.
 func (m *model) checkWrite(key, oldValue, newValue string) {
 	track, isTrack := strings.CutPrefix(key, TrackPrefix)
 	if !isTrack || newValue == "" {
@@ -16,7 +16,7 @@
 	}
 	record, err := DecodeRecord([]byte(newValue))
 	if err != nil {
-		m.broken = err.Error()
+		m.violation = err.Error()
 		return
 	}
 	before := map[string]State{}
@@ -32,7 +32,7 @@
 			m.checkOpening(track, occurrence)
 		}
 		if end := m.Ended[id]; end != "" && end != occurrence.State {
-			m.broken = fmt.Sprintf("%s was %s and is %s", id, end, occurrence.State)
+			m.violation = fmt.Sprintf("%s changed from the final state %s to %s", id, end, occurrence.State)
 		}
 		if occurrence.State.Final() {
 			m.Ended[id] = occurrence.State
@@ -44,24 +44,25 @@
 	return occurrence.Window + strconv.FormatInt(occurrence.Begin, 10)
 }
 
-// checkOpening checks that an occurrence opens once, alone on its track and not before its time.
+// checkOpening checks that an occurrence opens only once, not before its time, and while no other
+// class of its track is running.
 func (m *model) checkOpening(track string, occurrence *Occurrence) {
 	id := modelID(occurrence)
 	m.Opened[id]++
 	if m.Opened[id] > 1 {
-		m.broken = id + " opened twice"
+		m.violation = id + " opened twice"
 	}
 	for class, count := range m.Store.Running {
 		if count > 0 && !occurrence.Has(classKey(class)) && m.trackOf(class) == track {
-			m.broken = id + " opened beside " + class
+			m.violation = id + " opened while tasks are running of class " + class
 		}
 	}
 	if m.Now < occurrence.Begin {
-		m.broken = id + " opened before its time"
+		m.violation = id + " opened before its time"
 	}
 }
 
-// trackOf is the track that a class belongs to by the document in force.
+// trackOf returns the name of a class's track in the document in force, or "".
 func (m *model) trackOf(class string) string {
 	if track := m.plans[m.Store.Items[StoreKey].Value].TrackOf(classKey(class)); track != nil {
 		return track.Name
@@ -69,8 +70,9 @@
 	return ""
 }
 
-// checkBegin looks for two windows of a track on machines after an attempt began. What is open from
-// before a revision ends under the one that it began with.
+// checkBegin checks, after an attempt of a class has started, that tasks of two windows of its track
+// are not on machines at once. Occurrences that opened under an earlier revision are exempt: they end
+// under the revision that they opened with.
 func (m *model) checkBegin(class string) {
 	plan := m.plans[m.Store.Items[StoreKey].Value]
 	onMachines := map[quota.Key]bool{}
@@ -90,21 +92,21 @@
 		}
 	}
 	if plan != nil && len(plan.OverlappingTracks(onMachines)) > 0 {
-		m.broken = fmt.Sprintf("%v of a track on machines at once", onMachines)
+		m.violation = fmt.Sprintf("classes %v of one track on machines at once", onMachines)
 	}
 }
 
-// checkAllEnded checks that no occurrence of hours ago is still to end.
+// checkAllEnded checks that every occurrence that began more than 8 hours ago has ended.
 func (m *model) checkAllEnded() {
-	const hours8Ms = 8 * 3600_000
+	const eightHoursMs = 8 * 3600_000
 	for key, item := range m.Store.Items {
 		record, err := DecodeRecord([]byte(item.Value))
 		if err != nil || !strings.HasPrefix(key, TrackPrefix) {
 			continue
 		}
 		for _, occurrence := range record.Occurrences {
-			if !occurrence.State.Final() && occurrence.Begin < m.Now-hours8Ms && m.broken == "" {
-				m.broken = fmt.Sprintf("%s of %s never ended: %s",
+			if !occurrence.State.Final() && occurrence.Begin < m.Now-eightHoursMs && m.violation == "" {
+				m.violation = fmt.Sprintf("%s of %s never ended: %s",
 					occurrence.Window, logTime(occurrence.Begin), occurrence.State)
 			}
 		}
--- a/internal/calendar/model_test.go
+++ b/internal/calendar/model_test.go
@@ -10,9 +10,9 @@
 	"github.com/harrierreel/harrierreel/internal/quota"
 )
 
-// The model: the state service, controllers with mirrors that lag, transactions that arrive late or
-// never, and tasks. It has only what the protocol has: a transaction is committed if the
-// revisions that it names are the newest.
+// This file contains a model of the protocol: the state service, controllers with lagging mirrors,
+// transactions that arrive late or never, and tasks. A transaction is committed if the revisions that
+// it names are the newest ones.
 
 // modelItem is a value of the state service.
 type modelItem struct {
@@ -20,61 +20,61 @@
 	Value    string
 }
 
-// modelStore is the state service, or what a controller knows of it.
+// modelStore is the content of the state service, or a controller's copy of it.
 type modelStore struct {
 	Epoch   int
 	Items   map[string]modelItem
-	Running map[string]int // attempts by class, as their records say
+	Running map[string]int // attempts by class, according to their records
 }
 
 func (s modelStore) clone() modelStore {
 	return modelStore{Epoch: s.Epoch, Items: maps.Clone(s.Items), Running: maps.Clone(s.Running)}
 }
 
-// modelTransaction is a transaction under way.
+// modelTransaction is a transaction that was sent but has not arrived.
 type modelTransaction struct {
-	By        int
-	Revisions map[string]int // that it is conditional on
-	Key       string         // written, "" for none
+	By        int            // index of its controller
+	Revisions map[string]int // revisions that it is conditional on, by key
+	Key       string         // key that it writes, "" for none
 	Value     string
-	Class     string // of an attempt that begins, "" for none
-	Lost      bool   // its controller knows nothing of it any more
+	Class     string // class of the attempt that it starts, "" for none
+	Lost      bool   // its controller has restarted and does not know of it
 }
 
 // modelController is a controller.
 type modelController struct {
 	Known modelStore
-	File  int // its own document, by index
+	File  int // index of its own document
 }
 
-// missingGuard is a guard that is left out, to see the model find it.
+// missingGuard names a guard that is disabled, to check that the model detects the violation.
 type missingGuard string
 
 const (
 	noneMissing     missingGuard = ""
-	revisionMissing missingGuard = "stamp"   // releases are not conditional on their track
-	proofMissing    missingGuard = "proof"   // windows open without a look at tasks
-	settledMissing  missingGuard = "settled" // what is looked at may be older than the end's commit
+	revisionMissing missingGuard = "stamp"   // releases are not conditional on the track's record
+	proofMissing    missingGuard = "proof"   // windows open without the proof that the track is free
+	settledMissing  missingGuard = "settled" // the proof may be older than the commit that started closing
 )
 
 type model struct {
 	Now           int64
 	Store         modelStore
 	Controllers   []modelController
-	Flight        []modelTransaction
-	Leader        int // that the view names
-	LeaderChanges int // of the lead, and restarts of a leader
+	InFlight      []modelTransaction
+	Leader        int // index of the leader in the view
+	LeaderChanges int // changes of leader, and restarts of the leader
 	Opened        map[string]int
 	Ended         map[string]State
 
 	documents []*Plan
-	plans     map[string]*Plan // by what the state service holds of the document
+	plans     map[string]*Plan // by the document's value in the state service
 	records   map[string]*Record
-	numbers   map[string]int // of values, to tell states apart by
+	numbers   map[string]int // numbers of the values, for fingerprints
 	classes   []string
 	offMs     int64
-	broken    string // what went wrong first or last
-	missing   missingGuard
+	violation string       // a violation of the rules, "" for none
+	missing   missingGuard // the disabled guard
 }
 
 const viewKey = "view"
@@ -109,7 +109,7 @@
 	c := *m
 	c.Store = m.Store.clone()
 	c.Controllers = slices.Clone(m.Controllers)
-	c.Flight = slices.Clone(m.Flight)
+	c.InFlight = slices.Clone(m.InFlight)
 	for i := range c.Controllers {
 		c.Controllers[i].Known = m.Controllers[i].Known.clone()
 	}
@@ -118,12 +118,12 @@
 	return &c
 }
 
-// leads tells whether a controller believes that it leads.
+// leads reports whether a controller believes that it is the leader.
 func (m *model) leads(i int) bool {
 	return m.Controllers[i].Known.Items[viewKey].Value == strconv.Itoa(i)
 }
 
-// keeper is the keeper of a controller that has just read its mirror.
+// keeper returns a new keeper with the content of a controller's mirror.
 func (m *model) keeper(i int) *Keeper {
 	keeper := NewKeeper(m.documents[m.Controllers[i].File], testValueBytes)
 	known := &m.Controllers[i].Known
@@ -148,7 +148,7 @@
 	return keeper
 }
 
-// modelCluster is what a controller knows of tasks.
+// modelCluster implements Cluster for a controller of the model.
 type modelCluster struct {
 	model      *model
 	controller int
@@ -175,10 +175,10 @@
 			sum += count
 		}
 	}
-	for _, transaction := range c.model.Flight {
+	for _, transaction := range c.model.InFlight {
 		own := transaction.By == c.controller && !transaction.Lost
 		if own && transaction.Class != "" && ofClass(classKey(transaction.Class)) {
-			sum++ // its own transaction without an answer
+			sum++ // its own pending transaction
 		}
 	}
 	return sum
@@ -188,17 +188,17 @@
 
 func (m *model) time() Now { return Now{Ms: m.Now, OffMs: m.offMs, PrepareMs: 60_000} }
 
-// send puts a transaction on its way, conditional on what its controller knows.
+// send sends a transaction, conditional on the revisions that its controller knows.
 func (m *model) send(i int, transaction modelTransaction, keys ...string) {
 	transaction.By = i
 	transaction.Revisions = map[string]int{}
 	for _, key := range append(keys, viewKey, StoreKey) {
 		transaction.Revisions[key] = m.Controllers[i].Known.Items[key].Revision
 	}
-	m.Flight = append(m.Flight, transaction)
+	m.InFlight = append(m.InFlight, transaction)
 }
 
-// putInForce has a controller put its own file in force if its revision is higher.
+// putInForce makes a controller put its own file in force if its revision is higher.
 func (m *model) putInForce(i int) bool {
 	keeper := m.keeper(i)
 	if keeper.plan != nil && keeper.plan.Revision >= keeper.filePlan.Revision {
@@ -208,12 +208,12 @@
 	return true
 }
 
-// reconcile has a controller that believes to lead decide.
+// reconcile makes a controller that believes it is the leader reconcile and send its changes.
 func (m *model) reconcile(i int) bool {
 	keeper := m.keeper(i)
-	for _, transaction := range m.Flight {
+	for _, transaction := range m.InFlight {
 		if transaction.By == i && !transaction.Lost && transaction.Key != "" {
-			return false // its record is under a transaction
+			return false // a transaction for the record is pending
 		}
 	}
 	if keeper.plan == nil {
@@ -227,13 +227,13 @@
 	return len(changes) > 0
 }
 
-// release has a controller that believes to lead give a task of a class a machine.
+// release makes a controller that believes it is the leader start an attempt of a class.
 func (m *model) release(i int, class string) bool {
 	verdict, keys := m.keeper(i).Gate(m.time(), classKey(class))
 	if verdict != Free && verdict != Allowed {
 		return false
 	}
-	for _, transaction := range m.Flight {
+	for _, transaction := range m.InFlight {
 		if transaction.By == i && !transaction.Lost && transaction.Class == class {
 			return false
 		}
@@ -245,11 +245,11 @@
 	return true
 }
 
-// deliver has a transaction come to the state service; its answer, if it is not lost, shows its
-// controller its own writes ahead of its watch.
+// deliver makes a transaction arrive at the state service. The answer, unless it is lost, applies the
+// transaction's writes to its controller's copy ahead of the watch.
 func (m *model) deliver(number int, answered bool) {
-	transaction := m.Flight[number]
-	m.Flight = slices.Delete(m.Flight, number, number+1)
+	transaction := m.InFlight[number]
+	m.InFlight = slices.Delete(m.InFlight, number, number+1)
 	for key, revision := range transaction.Revisions {
 		if m.Store.Items[key].Revision != revision {
 			return
@@ -257,28 +257,28 @@
 	}
 	m.Store.Epoch++
 	known := &m.Controllers[transaction.By].Known
-	shown := answered && !transaction.Lost
+	applied := answered && !transaction.Lost
 	if key := transaction.Key; key != "" {
 		m.checkWrite(key, m.Store.Items[key].Value, transaction.Value)
 		m.Store.Items[key] = modelItem{Revision: m.Store.Epoch, Value: transaction.Value}
-		if shown {
+		if applied {
 			known.Items[key] = m.Store.Items[key]
 		}
 	}
 	if class := transaction.Class; class != "" {
 		m.Store.Running[class]++
 		m.checkBegin(class)
-		if shown {
+		if applied {
 			known.Running[class]++
 		}
 	}
 }
 
-// catchUp has a controller's watch bring everything.
+// catchUp makes a controller's watch deliver all changes.
 func (m *model) catchUp(i int) { m.Controllers[i].Known = m.Store.clone() }
 
-// changeLeader has another controller lead, whose watch may be behind its own commit of the view. The old
-// one may be frozen and think that it still does.
+// changeLeader makes another controller the leader. Its watch may be behind its own commit of the
+// view. The old leader may be frozen and believe that it still leads.
 func (m *model) changeLeader(to int) {
 	m.LeaderChanges++
 	m.Store.Epoch++
@@ -287,18 +287,18 @@
 	m.Controllers[to].Known.Items[viewKey] = m.Store.Items[viewKey]
 }
 
-// restart has a controller end and come back at once: it reads everything anew and knows nothing of
-// what it has sent, which may still arrive.
+// restart restarts a controller. It reads everything anew and does not know of the transactions that it
+// sent, which may still arrive.
 func (m *model) restart(i int) {
 	m.catchUp(i)
-	for number := range m.Flight {
-		if m.Flight[number].By == i {
-			m.Flight[number].Lost = true
+	for number := range m.InFlight {
+		if m.InFlight[number].By == i {
+			m.InFlight[number].Lost = true
 		}
 	}
 }
 
-// end has an attempt end and its record say so.
+// end ends an attempt and updates its record.
 func (m *model) end(class string) {
 	m.Store.Epoch++
 	m.Store.Running[class]--
--- a/internal/calendar/nights_test.go
+++ b/internal/calendar/nights_test.go
@@ -11,38 +11,40 @@
 
 var nightClasses = []string{"export", "match", "weekend"}
 
-// TestNoOverlapInRandomNights plays nights by chance: up to five controllers with several documents,
-// the lead passing on, crashes, lost answers, lagging mirrors, tasks that run over.
+// TestNoOverlapInRandomNights simulates random nights with up to five controllers and several
+// documents, changes of leader, crashes, lost answers, lagging mirrors and tasks that run past the end
+// of their window.
 func TestNoOverlapInRandomNights(t *testing.T) {
 	t.Parallel()
 	documents := []*Plan{nightPlan(t, 1, 10, AtEndFinish), nightPlan(t, 2, 25, AtEndStop), movedPlan(t)}
 	rapid.Check(t, func(t *rapid.T) {
 		choose := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "choice") }
-		if broken := playNight(choose, documents, noneMissing); broken != "" {
-			t.Fatal(broken)
+		if violation := simulateNight(choose, documents, noneMissing); violation != "" {
+			t.Fatal(violation)
 		}
 	})
 }
 
-// TestRandomNightsFindOverlapWithoutProof: the same nights find what is wrong without the proof that
-// a track is free.
+// TestRandomNightsFindOverlapWithoutProof checks that such nights find overlaps if windows open without
+// the proof that their track is free.
 func TestRandomNightsFindOverlapWithoutProof(t *testing.T) {
 	t.Parallel()
 	documents := []*Plan{nightPlan(t, 1, 10, AtEndFinish), nightPlan(t, 2, 25, AtEndStop)}
 	found := 0
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 1))
-		if playNight(random.IntN, documents, proofMissing) != "" {
+		if simulateNight(random.IntN, documents, proofMissing) != "" {
 			found++
 		}
 	}
 	if found == 0 {
-		t.Error("nothing was found")
+		t.Error("no violation was found")
 	}
 }
 
-// nightDocument has two windows on a track and one beside them on another, by revision, the
-// minute at which the second begins, and slip and at_end of all.
+// nightDocument is a format for a calendar with two windows on one track and a third one on another.
+// Its arguments are the revision, the start minute of the second window, and slip and at_end of all
+// windows.
 const nightDocument = `
 calendar {
   revision = %[1]d
@@ -87,7 +89,7 @@
 	return buildPlan(t, fmt.Sprintf(nightDocument, revision, 30+5*revision, slipMinutes, atEnd))
 }
 
-// movedPlan has the classes on other tracks.
+// movedPlan returns a plan in which the first window has moved to the other track.
 func movedPlan(t *testing.T) *Plan {
 	t.Helper()
 	document := nightPlan(t, 3, 20, AtEndFinish).Doc
@@ -104,9 +106,9 @@
 	return plan
 }
 
-// playNight is a night of chance, and then a day of quiet in which everything ends. It returns what
-// went wrong, "" for nothing.
-func playNight(choose func(n int) int, documents []*Plan, missing missingGuard) string {
+// simulateNight simulates a random night, followed by a day without faults in which everything ends. It
+// returns a violation, or "".
+func simulateNight(choose func(n int) int, documents []*Plan, missing missingGuard) string {
 	begin := time.Date(2026, 3, 2, 0, 58, 0, 0, time.UTC).UnixMilli()
 	m := newModel(documents, nightClasses, 2+choose(4), begin, 1000)
 	m.missing = missing
@@ -117,12 +119,12 @@
 		}
 		m.randomStep(choose, i)
 	}
-	m.rest()
+	m.quietDay()
 	m.checkAllEnded()
-	return m.broken
+	return m.violation
 }
 
-// randomStep is one thing that happens, mostly to a controller.
+// randomStep makes one random step, mostly of controller i.
 func (m *model) randomStep(choose func(n int) int, i int) {
 	switch choose(12) {
 	case 0:
@@ -136,8 +138,8 @@
 			m.release(i, m.classes[choose(len(m.classes))])
 		}
 	case 5, 6:
-		if len(m.Flight) > 0 {
-			m.deliver(choose(len(m.Flight)), choose(5) > 0)
+		if len(m.InFlight) > 0 {
+			m.deliver(choose(len(m.InFlight)), choose(5) > 0)
 		}
 	case 7:
 		class := m.classes[choose(len(m.classes))]
@@ -153,7 +155,7 @@
 	}
 }
 
-// randomFault is one of the rarer things that go wrong, or nothing.
+// randomFault injects one of the rarer faults, or none.
 func (m *model) randomFault(choose func(n int) int, i int) {
 	switch choose(12) {
 	case 0:
@@ -162,16 +164,17 @@
 		m.restart(i)
 		m.Controllers[i].File = choose(len(m.documents))
 	case 6:
-		m.Now -= int64(choose(3)) * 1000 // a clock that is set back
+		m.Now -= int64(choose(3)) * 1000 // the clock is set back
 	}
 }
 
-// rest is a quiet day: everything arrives, all attempts end, one controller leads.
-func (m *model) rest() {
+// quietDay simulates a day without faults: all transactions arrive, all attempts end, and one
+// controller leads.
+func (m *model) quietDay() {
 	m.changeLeader(0)
 	for range 120 {
 		m.catchUp(0)
-		for len(m.Flight) > 0 {
+		for len(m.InFlight) > 0 {
 			m.deliver(0, true)
 		}
 		m.catchUp(0)
--- a/internal/calendar/service_test.go
+++ b/internal/calendar/service_test.go
@@ -19,7 +19,7 @@
 // testValueBytes is the size limit of a value in the tests.
 const testValueBytes = 8 << 10
 
-// idleController commits nothing, and hears every machine.
+// idleController discards all commits, and all its machines respond.
 type idleController struct{ state *clusterstate.State }
 
 func (c idleController) WallMs() int64            { return c.state.NowMs() }
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// newTestService is a service with jobs of two classes, one of which has windows.
+// newTestService returns a service with jobs of two classes, one of which has windows.
 func newTestService(t *testing.T) *Service {
 	t.Helper()
 	state := clusterstate.New(quota.Flat(nil), func(string) {})
@@ -75,7 +75,7 @@
 	return jobs.EncodeTaskRange([]jobs.Task{task}, testValueBytes)
 }
 
-// exportOpen is a record of the track "markets" with the window "export" open.
+// exportOpen returns a record of the track "markets" in which the window "export" is open.
 func exportOpen() *Record {
 	return &Record{Occurrences: []Occurrence{{
 		Window:  "export",
@@ -88,45 +88,45 @@
 	}}}
 }
 
-// TestGuardDropsTasksOfShutWindows: whatever way a task is to begin by, it is dropped while its
-// window is shut, and its decision carries the track's key while it is open; tasks without
-// windows pass as they are.
+// TestGuardDropsTasksOfShutWindows checks that every kind of decision that starts a task is dropped
+// while the task's window is shut, and is conditional on the track's key while the window is open.
+// Other decisions and tasks without windows must pass unchanged.
 func TestGuardDropsTasksOfShutWindows(t *testing.T) {
 	service := newTestService(t)
 	released := service.state.Assigned["wk-1/0"]
 	placed, _ := jobs.NextTask(released.Task, jobs.TaskEvent{Kind: jobs.Place, Machine: "i-1", Attempt: 1})
-	takenBack, _ := jobs.NextTask(released.Task, jobs.TaskEvent{Kind: jobs.Unassign})
+	unassigned, _ := jobs.NextTask(released.Task, jobs.TaskEvent{Kind: jobs.Unassign})
 	onMachine := &clusterstate.Task{Task: placed, ID: "wk-1/0", Job: released.Job, StoredIn: released.StoredIn}
 	placedAgain, _ := jobs.NextTask(placed, jobs.TaskEvent{Kind: jobs.PlaceAgain, Attempt: 2})
 	batched := taskbatch.Entry{JobID: "wk-1", Index: 3, Task: jobs.Task{State: jobs.Assigned}}
-	begins := []decide.Decision{
+	starts := []decide.Decision{
 		{Changes: decide.TransitionTask(released, placed)},
 		{Changes: decide.TransitionTask(onMachine, placedAgain)},
 		{BatchEntries: []decide.BatchEntry{{Controller: "n1", Entry: batched}}},
 		{Writes: []store.Write{{Put: jobs.TaskRangeKey("wk-1", 4), Value: encodeTask(placed)}}},
 	}
 	dropped := 0
-	for i := range begins {
-		begins[i].OnSettled = func(bool) { dropped++ }
+	for i := range starts {
+		starts[i].OnSettled = func(bool) { dropped++ }
 	}
 	others := []decide.Decision{
-		{Changes: decide.TransitionTask(released, takenBack)},
+		{Changes: decide.TransitionTask(released, unassigned)},
 		{Writes: []store.Write{{Put: jobs.TaskRangeKey("wk-2", 0), Value: encodeTask(placed)}}},
 		{Writes: []store.Write{{Remove: jobs.TaskRangeKey("wk-1", 4)}}},
 	}
-	admitted := service.Guard(slices.Concat(begins, others))
-	if len(admitted) != len(others) || dropped != len(begins) {
-		t.Errorf("%d decisions pass, %d are dropped", len(admitted), dropped)
+	admitted := service.Guard(slices.Concat(starts, others))
+	if len(admitted) != len(others) || dropped != len(starts) {
+		t.Errorf("%d decisions admitted, %d dropped", len(admitted), dropped)
 	}
 	service.Changed(TrackKey("markets"), exportOpen().encode(testValueBytes))
-	admitted = service.Guard(slices.Concat(begins, others))
+	admitted = service.Guard(slices.Concat(starts, others))
 	for i, decision := range admitted {
-		carries := slices.Contains(decision.ReadSet, TrackKey("markets"))
-		if carries != (i < len(begins)) {
-			t.Errorf("%s carries the track's key: %v", decision.String(), carries)
+		conditional := slices.Contains(decision.ReadSet, TrackKey("markets"))
+		if conditional != (i < len(starts)) {
+			t.Errorf("%s is conditional on the track's key: %v", decision.String(), conditional)
 		}
 	}
-	if len(admitted) != len(begins)+len(others) {
+	if len(admitted) != len(starts)+len(others) {
 		t.Error(len(admitted))
 	}
 }
--- a/internal/pipefile/golden_test.go
+++ b/internal/pipefile/golden_test.go
@@ -13,7 +13,7 @@
 
 const goldenFiles = "testdata/golden/"
 
-// A pipeline file that sets every field makes the same request and the same steps as ever.
+// TestGoldenPipeline checks the request and the plan of a pipeline file that sets every field.
 func TestGoldenPipeline(t *testing.T) {
 	f, faults := Load(goldenFiles + "full.yaml")
 	if len(faults) > 0 {
@@ -47,7 +47,7 @@
 	goldentest.Bytes(t, "full-plan.txt", out.Bytes())
 }
 
-// A job's file makes the same request as ever.
+// TestGoldenJob checks the spec and the request of job files.
 func TestGoldenJob(t *testing.T) {
 	deadline := 900.25
 	full := &jobs.Spec{
@@ -87,16 +87,16 @@
 	for name, want := range map[string]*jobs.Spec{"job": full, "job-lean": lean} {
 		got, faults := LoadJob(goldenFiles+name+".yaml", func() string { return "wk-7" })
 		if len(faults) > 0 || !reflect.DeepEqual(got, want) {
-			t.Fatalf("%s: read as %+v: %v", name, got, faults)
+			t.Fatalf("%s: decoded as %+v: %v", name, got, faults)
 		}
 		goldentest.Bytes(t, name+"-request.json", got.Submission())
 	}
 }
 
-// Faults are reported in the same words and forms as ever.
+// TestGoldenFaults checks the texts and JSON of all faults.
 func TestGoldenFaults(t *testing.T) {
 	var out bytes.Buffer
-	note := func(file string, faults []Fault) {
+	add := func(file string, faults []Fault) {
 		fmt.Fprintf(&out, "## %s\n", filepath.ToSlash(file))
 		for _, f := range faults {
 			fmt.Fprintf(&out, "%s\n%s\n", f.Error(), jobs.Encode(f))
@@ -108,11 +108,11 @@
 	}
 	for _, file := range files {
 		_, faults := Load(file)
-		note(file, faults)
+		add(file, faults)
 	}
 	for _, name := range []string{"job-faults.yaml", "job-values.yaml", "none.yaml"} {
 		_, faults := LoadJob(goldenFiles+name, func() string { return "wk-7" })
-		note(name, faults)
+		add(name, faults)
 	}
 	goldentest.Bytes(t, "faults.txt", out.Bytes())
 	goldentest.JSON(t, "fault.json", Fault{File: "a.yaml", Line: 3, Column: 4, Path: "steps[0]", Want: "expected a name"})
--- a/internal/pipefile/pipefile_test.go
+++ b/internal/pipefile/pipefile_test.go
@@ -10,8 +10,8 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// TestEveryFaultIsReportedAtItsPosition checks, for each file of testdata, that exactly the faults that
-// its last lines name are reported, each at its line and column.
+// TestEveryFaultIsReportedAtItsPosition checks, for each file in testdata, that exactly the faults in its
+// "#! " comments are reported, each at its line and column.
 func TestEveryFaultIsReportedAtItsPosition(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.yaml")
 	if err != nil || len(files) == 0 {
@@ -32,17 +32,17 @@
 		for _, f := range faults {
 			at := strings.TrimSpace(fmt.Sprintf("%d:%d %s", f.Line, f.Column, f.Path))
 			if !want[at] {
-				t.Errorf("%s: not expected: %s: %s", file, at, f.Want)
+				t.Errorf("%s: unexpected fault: %s: %s", file, at, f.Want)
 			}
 			delete(want, at)
 		}
 		for at := range want {
-			t.Errorf("%s: not reported: %s", file, at)
+			t.Errorf("%s: fault not reported: %s", file, at)
 		}
 	}
 }
 
-func TestGoodFileBecomesPlan(t *testing.T) {
+func TestParseReturnsPlan(t *testing.T) {
 	f, faults := Parse("x", []byte(`
 name: good
 owner: team
@@ -72,7 +72,7 @@
 	}
 }
 
-// nestedAliases is a small file whose aliases expand to 10 to the power of 8 values.
+// nestedAliases returns a small file whose aliases expand to 10^8 values.
 func nestedAliases() string {
 	var out strings.Builder
 	out.WriteString("a: &a [x,x,x,x,x,x,x,x,x,x]\n")
@@ -83,8 +83,9 @@
 	return out.String()
 }
 
-// What is too large or too deep is refused before it takes memory.
-func TestTooLargeOrNoPipelineIsRefused(t *testing.T) {
+// TestTooLargeOrInvalidFilesAreRejected checks that files without a pipeline are rejected, and that files
+// that are too large or too deeply nested are rejected before they take much memory.
+func TestTooLargeOrInvalidFilesAreRejected(t *testing.T) {
 	for name, text := range map[string]string{
 		"too long":       strings.Repeat("#", tuning.MaxPipelineBytes+1),
 		"nested aliases": nestedAliases(),
@@ -108,14 +109,14 @@
 	})
 }
 
-// FuzzParse: no file makes the program panic.
+// FuzzParse checks that no file causes a panic, and that a file without a plan has faults.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("name: a\nowner: b\nsteps:\n" +
 		"  - {name: a, cores: 1, memory_gb: 1, bundle: x, when: always(), matrix: {a: [1]}}\n"))
 	f.Add([]byte("a: &a\n  <<: *a\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if file, faults := Parse("x", b); file == nil && len(faults) == 0 {
-			t.Error("neither a file nor a fault")
+			t.Error("Parse returned neither a file nor faults")
 		}
 	})
 }
--- a/internal/pipelines/any_order_test.go
+++ b/internal/pipelines/any_order_test.go
@@ -11,22 +11,22 @@
 	"github.com/harrierreel/harrierreel/internal/jobs"
 )
 
-// eventPlay is one run with two controllers that both believe to own it.
-type eventPlay struct {
+// simulation simulates one run with two controllers that both believe they own it.
+type simulation struct {
 	store       *storeModel
 	controllers []*testController
 	plan        *Plan
 	limits      Limits
 }
 
-func newEventPlay(t *rapid.T) *eventPlay {
+func newSimulation(t *rapid.T) *simulation {
 	doc := []byte(documents[rapid.IntRange(0, len(documents)-1).Draw(t, "document")])
 	plan, faults := CompileJSON(doc)
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
 	start := time.Unix(1_900_000_000, 0)
-	e := &eventPlay{
+	e := &simulation{
 		store: &storeModel{
 			run:         NewRecord(plan, doc, "salt", 1e12).Encode(),
 			revision:    1,
@@ -51,8 +51,8 @@
 	return e
 }
 
-// restart starts a controller anew, with nothing in memory.
-func (e *eventPlay) restart(t *rapid.T, c *testController) {
+// restart restarts a controller with empty memory.
+func (e *simulation) restart(t *rapid.T, c *testController) {
 	c.keeper = NewKeeper(e.limits)
 	c.revision = 0
 	c.keeper.SetRate(c.now, 1000)
@@ -60,12 +60,12 @@
 }
 
 // anyController draws one of the controllers.
-func (e *eventPlay) anyController(t *rapid.T) *testController {
+func (e *simulation) anyController(t *rapid.T) *testController {
 	return e.controllers[rapid.IntRange(0, 1).Draw(t, "controller")]
 }
 
-// anyLiveJob draws one of the live jobs, or skips the event without one.
-func (e *eventPlay) anyLiveJob(t *rapid.T) string {
+// anyLiveJob draws one of the live jobs. It skips the event if there is none.
+func (e *simulation) anyLiveJob(t *rapid.T) string {
 	var live []string
 	for _, jobID := range slices.Sorted(maps.Keys(e.store.jobs)) {
 		if e.store.jobs[jobID] == jobs.Live {
@@ -78,25 +78,25 @@
 	return rapid.SampledFrom(live).Draw(t, "job")
 }
 
-// answer lets a controller know of its change, or loses the answer.
-func (e *eventPlay) answer(t *rapid.T, c *testController, change *Change, applied bool) {
+// answer delivers the answer to a controller's change, or loses it.
+func (e *simulation) answer(t *rapid.T, c *testController, change *Change, applied bool) {
 	if applied && rapid.IntRange(0, 3).Draw(t, "answer") > 0 {
 		c.sync(t, e.store)
 		return
 	}
-	c.keeper.Touch(change.ID) // lost, refused, or without answer
+	c.keeper.Touch(change.ID) // the change was lost or refused, or its answer was lost
 }
 
-// pass lets a controller decide; its changes may all be lost.
-func (e *eventPlay) pass(t *rapid.T, c *testController, lose bool) {
+// pass makes a controller reconcile and commit its changes. If lose is set, all changes are lost.
+func (e *simulation) pass(t *rapid.T, c *testController, lose bool) {
 	changes, _ := c.pass()
 	for i := range changes {
 		e.answer(t, c, &changes[i], !lose && e.store.commit(t, c, &changes[i], e.plan))
 	}
 }
 
-// cancelRun has a user cancel the run, now and then.
-func (e *eventPlay) cancelRun(t *rapid.T) {
+// cancelRun makes a user cancel the run in one of ten calls.
+func (e *simulation) cancelRun(t *rapid.T) {
 	if rapid.IntRange(0, 9).Draw(t, "rare") > 0 {
 		return
 	}
@@ -106,8 +106,8 @@
 	}
 }
 
-// events are what may happen, in any order.
-func (e *eventPlay) events() map[string]func(*rapid.T) {
+// events returns the events, which may happen in any order.
+func (e *simulation) events() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
 		"pass":         func(t *rapid.T) { e.pass(t, e.anyController(t), false) },
 		"changes lost": func(t *rapid.T) { e.pass(t, e.anyController(t), true) },
@@ -136,8 +136,8 @@
 	}
 }
 
-// expectEnd lets all jobs end; the run must end then.
-func (e *eventPlay) expectEnd(t *rapid.T) {
+// expectEnd finishes all jobs, and fails if the run does not end.
+func (e *simulation) expectEnd(t *rapid.T) {
 	for range 200 {
 		if e.store.over {
 			return
@@ -155,12 +155,12 @@
 	t.Fatalf("the run never ends: %s", e.store.run)
 }
 
-// Events come in any order at two controllers that both believe to own the run: late
-// copies, changes that are lost or whose answers are, ends, restarts, jumps of the time
-// of day, jobs that fail or are cancelled.
-func TestRunKeepsItsRulesUnderEventsInAnyOrder(t *testing.T) {
+// TestRunInvariantsUnderEventsInAnyOrder checks the invariants of a run while events happen in any order
+// at two controllers that both believe they own it: lagging mirrors, lost changes and answers,
+// restarts, jumps of the wall clock, and jobs that finish, fail or are cancelled.
+func TestRunInvariantsUnderEventsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		e := newEventPlay(t)
+		e := newSimulation(t)
 		t.Repeat(e.events())
 		e.expectEnd(t)
 	})
--- a/internal/pipelines/bench_test.go
+++ b/internal/pipelines/bench_test.go
@@ -12,7 +12,8 @@
 	"github.com/harrierreel/harrierreel/internal/jobs"
 )
 
-// thousandRuns is 1,000 runs of five steps with a job under way each, as records.
+// thousandRuns returns the records of 1,000 runs with five steps and one live job each, and the jobs'
+// states.
 func thousandRuns(b *testing.B) (map[string]json.RawMessage, map[string]jobs.JobState) {
 	b.Helper()
 	var steps []string
@@ -50,8 +51,8 @@
 	return k
 }
 
-// BenchmarkSweep is the look at 1,000 owned runs of which nothing is new, as it
-// is taken each second, with the memory that a live run takes when owned.
+// BenchmarkSweep measures the periodic examination of 1,000 owned runs of which nothing has changed, and
+// the memory taken by an owned live run.
 func BenchmarkSweep(b *testing.B) {
 	records, live := thousandRuns(b)
 	var before, after runtime.MemStats
@@ -78,8 +79,8 @@
 	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(len(records)), "B/run")
 }
 
-// BenchmarkTakeOver is reading 1,000 runs' records and deciding what they need,
-// as a controller does that takes all of them over.
+// BenchmarkTakeOver measures decoding the records of 1,000 runs and examining the runs, as a controller
+// does when it takes all of them over.
 func BenchmarkTakeOver(b *testing.B) {
 	records, live := thousandRuns(b)
 	for b.Loop() {
@@ -91,7 +92,7 @@
 	}
 }
 
-// BenchmarkCompile is checking a file with a matrix of 200 steps.
+// BenchmarkCompile measures the compilation of a document with a matrix of 200 steps.
 func BenchmarkCompile(b *testing.B) {
 	doc := []byte(`{"name":"p","owner":"t","steps":[{"name":"a",` + step + `},
 		{"name":"m","needs":"a","when":"steps.a.outcome == 'succeeded'","matrix":{
--- a/internal/pipelines/golden_test.go
+++ b/internal/pipelines/golden_test.go
@@ -9,7 +9,7 @@
 	"github.com/harrierreel/harrierreel/internal/goldentest"
 )
 
-// goldenRecord has a step in each state and with each cause.
+// goldenRecord returns a record with a step in each state and a step with each cause.
 func goldenRecord(doc string) Record {
 	r := Record{
 		State:      RunFailed,
@@ -61,7 +61,7 @@
 		goldentest.Bytes(t, name, again.Encode())
 		back.packedDoc = nil // packed anew
 		if !reflect.DeepEqual(*back, want) {
-			t.Errorf("%s: read %+v, want %+v", name, *back, want)
+			t.Errorf("%s: decoded as %+v, want %+v", name, *back, want)
 		}
 		goldentest.Bytes(t, name, back.Encode())
 
--- a/internal/pipelines/keeper_test.go
+++ b/internal/pipelines/keeper_test.go
@@ -9,9 +9,9 @@
 	"github.com/harrierreel/harrierreel/internal/jobs"
 )
 
-// A jump of the time of day by an hour must not end a step that may take 30 s;
-// 30 s by the monotonic clock must.
-func TestTimeoutCountsByTheMonotonicClock(t *testing.T) {
+// TestTimeoutUsesMonotonicClock checks that a jump of the wall clock by an hour does not end a step with
+// a timeout of 30 s, but that 30 s on the monotonic clock do.
+func TestTimeoutUsesMonotonicClock(t *testing.T) {
 	c, _ := newController(t, timedDocument)
 	c.advance(t)
 	c.advance(t)
@@ -20,7 +20,7 @@
 		c.advance(t)
 	}
 	if step := c.step(t, 0); !step.State.HasJob() {
-		t.Fatalf("after a jump it is %+v", step)
+		t.Fatalf("after a jump of the wall clock the step is %+v", step)
 	}
 	c.nowMs -= 7200_000
 	ended := false
@@ -30,13 +30,13 @@
 		}
 	}
 	if !ended {
-		t.Fatal("not ended after its time")
+		t.Fatal("the run has not ended after the step's timeout")
 	}
 }
 
-// A step that took too long is repeated with a job of its own, as often as its file
-// allows.
-func TestRepeatIsANewJob(t *testing.T) {
+// TestRetryIsANewJob checks that a step that exceeds its timeout is retried with a new job, as often as
+// its document allows.
+func TestRetryIsANewJob(t *testing.T) {
 	const doc = `{"name":"p","owner":"t","steps":[{"name":"a","timeout_s":30,"repeats":1,` + step + `}]}`
 	c, p := newController(t, doc)
 	var last Change
@@ -59,28 +59,28 @@
 	}
 }
 
-// A look at a run that is under a transaction must not restart its clocks: the time
-// of day, which the next would then count from, may have jumped.
-func TestClocksGoOnWhileTheRunIsUnderATransaction(t *testing.T) {
+// TestTimeoutsContinueWhileTheRunIsBusy checks that reconciling a run with a pending transaction does not
+// reset its start times: they would be computed anew from the wall clock, which may have jumped.
+func TestTimeoutsContinueWhileTheRunIsBusy(t *testing.T) {
 	c, _ := newController(t, timedDocument)
 	c.advance(t)
 	c.advance(t)
 	c.nowMs += 3600_000
 	c.keeper.Touch("run-1")
 	if changes, _ := c.keeper.Reconcile(c.now, c.nowMs, yes, yes, enoughRoom, c); len(changes) > 0 {
-		t.Fatalf("decided on a run under a transaction: %+v", changes)
+		t.Fatalf("changes of a run with a pending transaction: %+v", changes)
 	}
 	for range 20 {
 		c.advance(t)
 	}
 	if step := c.step(t, 0); !step.State.HasJob() {
-		t.Fatalf("after a jump it is %+v", step)
+		t.Fatalf("after a jump of the wall clock the step is %+v", step)
 	}
 }
 
-// Whoever takes a run over counts what went before, but never less than nothing
-// if its own clock is behind.
-func TestNewOwnerCountsTheTimeBefore(t *testing.T) {
+// TestNewOwnerCountsElapsedTime checks that a new owner of a run counts the time before it took over, and
+// counts it as zero, not as negative, if its own wall clock is behind.
+func TestNewOwnerCountsElapsedTime(t *testing.T) {
 	former, _ := newController(t, timedDocument)
 	former.advance(t)
 	record, _ := former.keeper.Known("run-1")
@@ -110,14 +110,14 @@
 				}
 			}
 			if seconds < test.seconds || seconds > test.seconds+2 {
-				t.Errorf("ended after %d s, not %d", seconds, test.seconds)
+				t.Errorf("ended after %d s, want %d", seconds, test.seconds)
 			}
 		})
 	}
 }
 
-// A job that is in no record fails its step, on the condition that it still is
-// in none; an ID that another job has is not taken.
+// TestMissingAndForeignJobsFailTheirStep checks that a step fails if its job has no record, on condition
+// that there is still none at commit, or if another job has its job's ID.
 func TestMissingAndForeignJobsFailTheirStep(t *testing.T) {
 	c, p := newController(t, plainDocument)
 	jobID := JobID("run-1", "salt", p.Steps[0].Name, 0)
@@ -145,16 +145,16 @@
 	})
 }
 
-// While a user's cancellation is under way, the owner submits nothing that
-// would make it fail.
-func TestUsersCancellationGoesBeforeSubmissions(t *testing.T) {
+// TestUserCancellationPrecedesSubmissions checks that the owner submits no jobs while a user's cancellation
+// is pending, because the submission would make the cancellation fail.
+func TestUserCancellationPrecedesSubmissions(t *testing.T) {
 	c, _ := newController(t, wideDocument)
 	c.advance(t)
 	change := c.keeper.CancelRun("run-1", c.now, c.nowMs, c)
 	if change == nil || !change.Urgent || len(change.Submit) > 0 {
 		t.Fatalf("%+v", change)
 	}
-	// It was refused, since another change came between; the user repeats it.
+	// The commit was refused because of another change, and the user is expected to retry.
 	if changes := c.advance(t); len(changes) > 0 {
 		t.Fatalf("%+v", changes)
 	}
@@ -162,11 +162,11 @@
 		c.advance(t)
 	}
 	if len(c.jobs) < 20 {
-		t.Errorf("%d jobs after the user never came back", len(c.jobs))
+		t.Errorf("%d jobs after the cancellation was not retried", len(c.jobs))
 	}
 }
 
-// Changes beyond the runs' share wait, and none is lost.
+// TestChangesBeyondTheRateWait checks that changes beyond the rate limit are delayed and not lost.
 func TestChangesBeyondTheRateWait(t *testing.T) {
 	c, p := newController(t, wideDocument)
 	c.keeper.SetRate(c.now, 5)
@@ -175,6 +175,6 @@
 		c.advance(t)
 	}
 	if seconds < 10 || seconds > 20 {
-		t.Errorf("64 jobs went out in %d s at 5 changes a second", seconds)
+		t.Errorf("64 jobs were submitted in %d s at 5 changes per second", seconds)
 	}
 }
--- a/internal/pipelines/model_test.go
+++ b/internal/pipelines/model_test.go
@@ -11,11 +11,11 @@
 	"github.com/harrierreel/harrierreel/internal/jobs"
 )
 
-// step is what every step of the tests' documents needs.
+// step contains the required job fields of every step in the tests' documents.
 const step = `"cores":1,"memory_gb":1,"bundle":"b"`
 
-// documents that the properties are tried on: chains, diamonds, conditions,
-// repeats, failures that are allowed, a matrix.
+// documents are the documents for the randomized tests: chains, diamonds, conditions, retries, allowed
+// failures and a matrix.
 var documents = []string{
 	`{"name":"p","owner":"t","steps":[
 		{"name":"a",` + step + `},
@@ -37,7 +37,7 @@
 const wideDocument = `{"name":"p","owner":"t","steps":[
 	{"name":"a","matrix":{"x":[1,2,3,4,5,6,7,8],"y":[1,2,3,4,5,6,7,8]},` + step + `}]}`
 
-// timedDocument has one step that may take 30 s.
+// timedDocument has one step with a timeout of 30 s.
 const timedDocument = `{"name":"p","owner":"t","steps":[{"name":"a","timeout_s":30,` + step + `}]}`
 
 // plainDocument has one step.
@@ -49,16 +49,16 @@
 
 func enoughRoom(int) bool { return true }
 
-// storeModel is the state service: a run, its jobs, and who saw what of them.
+// storeModel is a model of the state service with one run and its jobs.
 type storeModel struct {
 	run         json.RawMessage
 	over        bool
 	revision    int
 	jobs        map[string]jobs.JobState
-	submissions map[string]int // of each job ID that took effect
+	submissions map[string]int // number of committed submissions of each job ID
 }
 
-// testController is a controller with its own, perhaps older, copy of the store.
+// testController is a controller with its own, possibly outdated, copy of the store.
 type testController struct {
 	keeper   *Keeper
 	revision int
@@ -76,18 +76,18 @@
 func (c *testController) Why(string) string                  { return "" }
 func (c *testController) Infeasible(*jobs.Spec) string       { return "" }
 
-// pass lets the keeper decide about all its runs.
+// pass reconciles all runs.
 func (c *testController) pass() (changes []Change, reads []string) {
 	return c.keeper.Reconcile(c.now, c.nowMs, yes, no, enoughRoom, c)
 }
 
-// wait lets time pass on both clocks.
+// wait advances both clocks.
 func (c *testController) wait(d time.Duration) {
 	c.now = c.now.Add(d)
 	c.nowMs += d.Milliseconds()
 }
 
-// sync brings the controller's copy up to date.
+// sync updates the controller's copy of the store.
 func (c *testController) sync(t *rapid.T, m *storeModel) {
 	c.jobs = maps.Clone(m.jobs)
 	if c.revision == m.revision {
@@ -106,13 +106,13 @@
 	}
 }
 
-// allows tells whether the conditions of a controller's change hold.
+// allows reports whether the preconditions of a controller's change hold.
 func (m *storeModel) allows(c *testController, change *Change) bool {
 	if c.revision != m.revision || m.over {
 		return false
 	}
 	for _, spec := range change.Submit {
-		if _, there := m.jobs[spec.ID]; there {
+		if _, exists := m.jobs[spec.ID]; exists {
 			return false
 		}
 	}
@@ -124,7 +124,8 @@
 	return true
 }
 
-// commit applies a change if its conditions hold, and checks what it does.
+// commit applies a change if its preconditions hold, and checks the result. It reports whether the
+// change was committed.
 func (m *storeModel) commit(t *rapid.T, c *testController, change *Change, p *Plan) bool {
 	if !m.allows(c, change) {
 		return false
@@ -138,7 +139,7 @@
 		t.Fatal(err)
 	}
 	if before.State != RunLive && len(change.Submit) > 0 {
-		t.Fatalf("submits while the run is %s", before.State)
+		t.Fatalf("jobs submitted while the run is %s", before.State)
 	}
 	m.run = change.Record
 	m.over = change.Over
@@ -153,7 +154,7 @@
 		}
 	}
 	if change.Over != after.State.Over() {
-		t.Fatalf("moved away: %v, but it is %s", change.Over, after.State)
+		t.Fatalf("Over is %v, but the run is %s", change.Over, after.State)
 	}
 	if change.Ops() > c.keeper.limits.TxnOps {
 		t.Fatalf("%d writes in one transaction", change.Ops())
@@ -162,8 +163,8 @@
 	return true
 }
 
-// check holds a run's records against the rules: an ended step stays as it is, none
-// starts before what it needs has ended, and none has two live jobs.
+// check checks the invariants of a run: an ended step never changes state, no step starts before the
+// steps that it needs have ended, and no step has two live jobs.
 func (m *storeModel) check(t *rapid.T, before, after *Record, p *Plan) {
 	for i, s := range after.Steps {
 		if former := before.Steps[i]; former.State.Over() && s.State != former.State {
@@ -191,7 +192,7 @@
 	}
 }
 
-// newController is a controller with one run of a document, and its plan.
+// newController returns a controller with one run of a document, and the run's plan.
 func newController(t *testing.T, doc string) (*testController, *Plan) {
 	t.Helper()
 	p, faults := CompileJSON([]byte(doc))
@@ -212,7 +213,7 @@
 	return c, p
 }
 
-// advance lets a second pass and commits what the keeper decides.
+// advance advances the clocks by one second, reconciles, and commits the changes.
 func (c *testController) advance(t *testing.T) []Change {
 	t.Helper()
 	c.wait(time.Second)
@@ -235,7 +236,7 @@
 	return changes
 }
 
-// step is the state of a step of the one run.
+// step returns the state of a step of the run.
 func (c *testController) step(t *testing.T, i int) StepRun {
 	t.Helper()
 	record, _ := c.keeper.Known("run-1")
--- a/internal/pipelines/record_test.go
+++ b/internal/pipelines/record_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// Records of earlier versions must stay readable: the files are never changed,
-// one is added with each version.
+// TestRecordsOfEarlierVersionsAreRead checks that records of all earlier versions stay readable. The
+// files in testdata must never change; each version adds one.
 func TestRecordsOfEarlierVersionsAreRead(t *testing.T) {
 	for v := 1; v <= recordVersion; v++ {
 		b, err := os.ReadFile(fmt.Sprintf("testdata/run-v%d.json", v))
@@ -66,24 +66,25 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if k.Changed("run-1", json.RawMessage(bad)) == nil {
-				t.Errorf("%s was read", bad)
+				t.Errorf("%s was accepted", bad)
 			}
 			if _, quarantined := k.Known("run-1"); !quarantined {
 				t.Errorf("%s is not quarantined", bad)
 			}
 		})
 	}
-	// A record that can be read with a document that can't is quarantined as well.
+	// A readable record with an invalid document is quarantined as well.
 	if err := k.Changed("run-1", good); err != nil {
 		t.Fatal(err)
 	}
 	k.Reconcile(time.Now(), 1, yes, no, enoughRoom, &testController{})
 	if _, quarantined := k.Known("run-1"); !quarantined || k.openSteps != 0 {
-		t.Errorf("quarantined %v, %d steps open", quarantined, k.openSteps)
+		t.Errorf("quarantined: %v, %d open steps", quarantined, k.openSteps)
 	}
 }
 
-// FuzzDecode: no record makes a controller panic, or unpack without bound.
+// FuzzDecode checks that no record causes a panic or unbounded decompression, and that decoded records
+// can be encoded and decoded again.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(`{"v":1,"s":"running","doc":{},"t":""}`))
 	f.Add([]byte(NewRecord(&Plan{Steps: make([]Step, 2)}, []byte(documents[0]), "s", 1).Encode()))
@@ -93,7 +94,7 @@
 			return
 		}
 		if again, err := Decode(r.Encode()); err != nil || len(again.Steps) != len(r.Steps) {
-			t.Errorf("written anew it can't be read: %v", err)
+			t.Errorf("can't be decoded after encoding: %v", err)
 		}
 	})
 }
