--- a/internal/calendar/cost_test.go
+++ b/internal/calendar/cost_test.go
@@ -70,9 +70,9 @@
 		}
 	}
 	rate := float64(changes) / at.Sub(day).Seconds()
-	t.Logf("%d openings, %d changes, %.4f a second, the largest record %d bytes", opened, changes, rate, largest)
+	t.Logf("%d openings, %d changes, %.4f changes per second, the largest record %d bytes", opened, changes, rate, largest)
 	if rate > 0.2 || largest > 4<<10 || opened < 195 {
-		t.Errorf("%d openings, %.3f changes a second, %d bytes", opened, rate, largest)
+		t.Errorf("%d openings, %.3f changes per second, the largest record %d bytes", opened, rate, largest)
 	}
 }
 
--- a/internal/calendar/document_check.go
+++ b/internal/calendar/document_check.go
@@ -54,7 +54,7 @@
 	check := &documentCheck{known: known, plan: newPlan(document)}
 	check.checkDocument()
 	if len(check.faults) == 0 {
-		check.checkClockChanges(from)
+		check.checkPlannedSpans(from)
 		check.checkCollisions(from)
 	}
 	if len(check.faults) > 0 {
@@ -201,7 +201,7 @@
 	return len(c.known.Classes) == 0 || slices.Contains(c.known.Classes, class)
 }
 
-// checkTimes checks the begin, the end and the tolerances of a window.
+// checkTimes checks the start, the end and the tolerances of a window.
 func (c *documentCheck) checkTimes(path string, window *Window, doc *WindowDoc) {
 	start, err := time.Parse(startLayout, doc.Start)
 	if err != nil {
@@ -280,9 +280,9 @@
 	}
 }
 
-// checkClockChanges checks that no daylight-saving change makes a window that ends at a time of day
-// too short. It also limits how often a window may recur.
-func (c *documentCheck) checkClockChanges(from time.Time) {
+// checkPlannedSpans checks the planned occurrences of all windows: that there are not too many, and that
+// no daylight-saving change makes a window that ends at a time of day too short.
+func (c *documentCheck) checkPlannedSpans(from time.Time) {
 	for _, track := range c.plan.Tracks {
 		for _, window := range track.Windows {
 			spans := window.between(from, from.Add(tuning.CalendarAhead))
--- a/internal/calendar/document_test.go
+++ b/internal/calendar/document_test.go
@@ -79,7 +79,7 @@
 	}
 	want := "weekend 01T00:00-02:30,export 01T22:00-00:00,export 02T22:00-00:00"
 	if strings.Join(got, ",") != want || len(spans) != 9 {
-		t.Errorf("%v, %d in all", got, len(spans))
+		t.Errorf("got %v as the first of %d spans", got, len(spans))
 	}
 	decoded, err := DecodeDocument(EncodeDocument(&plan.Doc))
 	if err != nil || fmt.Sprint(decoded.Tracks[0].Windows[1]) != fmt.Sprint(plan.Doc.Tracks[0].Windows[1]) {
@@ -121,7 +121,7 @@
 	}
 }
 
-// TestCheckReportsFault checks the message for documents with a single error.
+// TestCheckReportsFault checks the messages for documents with a single error.
 func TestCheckReportsFault(t *testing.T) {
 	for _, c := range []struct{ name, old, new, want string }{
 		{
@@ -137,7 +137,7 @@
 			want: "markets.export.need.accelerators: 41 is above shop's limit of 40",
 		},
 		{
-			name: "windows overlap at the begin",
+			name: "windows overlap at the start",
 			old:  `"2026-01-03T03:00"`,
 			new:  `"2026-01-03T02:30"`,
 			want: "export meets weekend on",
--- a/internal/calendar/log.go
+++ b/internal/calendar/log.go
@@ -20,7 +20,7 @@
 		"to", string(move.To))
 }
 
-// logBlocked logs each occurrence that is blocked by other tasks of its track, once.
+// logBlocked logs each occurrence that can't open because its track is not proven free, once.
 func (s *Service) logBlocked() {
 	for _, track := range clusterstate.SortedKeys(s.keeper.blocked) {
 		move := s.keeper.blocked[track]
--- a/internal/calendar/model_check_test.go
+++ b/internal/calendar/model_check_test.go
@@ -44,8 +44,8 @@
 	return occurrence.Window + strconv.FormatInt(occurrence.Begin, 10)
 }
 
-// checkOpening checks that an occurrence opens only once, not before its time, and while no other
-// class of its track is running.
+// checkOpening checks that an occurrence opens only once, not before its time, and while no task of its
+// track is running whose class the occurrence does not include.
 func (m *model) checkOpening(track string, occurrence *Occurrence) {
 	id := modelID(occurrence)
 	m.Opened[id]++
--- a/internal/calendar/record.go
+++ b/internal/calendar/record.go
@@ -128,8 +128,9 @@
 	return &record, nil
 }
 
-// encode returns the record's stored form. If it exceeds limitBytes, the oldest ended occurrences are
-// removed first, then the latest planned ones: these are planned again later.
+// encode returns the record's stored form. If it exceeds limitBytes or has too many ended occurrences,
+// the oldest ended ones are removed first, then the latest planned ones: these are planned again
+// later.
 func (r *Record) encode(limitBytes int) json.RawMessage {
 	r.Version = storedVersion
 	for {
--- a/internal/calendar/show.go
+++ b/internal/calendar/show.go
@@ -35,7 +35,8 @@
 	Note     string    `json:"note,omitempty"`
 }
 
-// Preview returns the planned occurrences that begin in [from, to), with a note on those that overlap.
+// Preview returns the planned occurrences that begin in [from, to), with a note on those that overlap
+// or follow a change of the UTC offset.
 func (p *Plan) Preview(from, to time.Time) []Shown {
 	var all []Shown
 	for _, track := range p.Tracks {
@@ -61,8 +62,7 @@
 	return all
 }
 
-// planNote returns a note on a planned span that overlaps an earlier one or follows a change of the
-// UTC offset. last is the earlier span with the latest end.
+// planNote returns the note on a planned span for Preview, or "". last is the earlier span with the latest end.
 func planNote(span, last Span) string {
 	if last.Window != nil && span.Begin.Before(last.End) {
 		return "meets " + last.Window.Name
--- a/internal/calendar/track_draft.go
+++ b/internal/calendar/track_draft.go
@@ -223,8 +223,8 @@
 	return false
 }
 
-// due reports whether an occurrence is due, and returns its end. The clock error shortens it at both
-// ends. A late occurrence gets its full length, and is due only if that ends before the next
+// due reports whether an occurrence is due, and returns its end. The maximum clock error is deducted at
+// both ends. A late occurrence gets its full length, and is due only if that ends before the next
 // occurrence of the track begins.
 func (d *trackDraft) due(occurrence *Occurrence, late bool) (endMs int64, due bool) {
 	if !late {
@@ -263,8 +263,8 @@
 	return d.cluster.Settled() && d.cluster.Attempts(isOther) == 0
 }
 
-// planAhead adds the next planned occurrences: whenever the track's record changes anyway, or when
-// too few planned occurrences are left.
+// planAhead adds the next planned occurrences, whenever the track's record changes anyway or too few
+// waiting occurrences are left.
 func (d *trackDraft) planAhead() {
 	if d.track == nil {
 		return
--- a/internal/pipefile/pipefile_test.go
+++ b/internal/pipefile/pipefile_test.go
@@ -63,12 +63,12 @@
 	}
 	p := f.Plan
 	if len(p.Steps) != 6 || p.Steps[0].Name != "first" || p.Steps[0].Spec.Cores != 4 || p.Steps[5].Name != "last" {
-		t.Fatalf("%+v", p.Steps)
+		t.Fatalf("unexpected steps: %+v", p.Steps)
 	}
 	s := p.Steps[4]
 	if s.Name != "mid[gpus=2,zone=b]" || s.Spec.Accelerators != 2 || s.Spec.Zone != "b" ||
 		s.Spec.Image != "img-mid" || s.Spec.Class != "nightly" || s.Spec.Team != "team" {
-		t.Errorf("%+v", s)
+		t.Errorf("unexpected step: %+v", s)
 	}
 }
 
@@ -98,7 +98,7 @@
 		t.Run(name, func(t *testing.T) {
 			f, faults := Parse(name, []byte(text))
 			if f != nil || len(faults) == 0 || len(faults) > tuning.MaxFaults {
-				t.Errorf("%d faults", len(faults))
+				t.Errorf("got a file or an unexpected number of faults: %d", len(faults))
 			}
 		})
 	}
--- a/internal/pipefile/reader.go
+++ b/internal/pipefile/reader.go
@@ -14,7 +14,7 @@
 	file    *File
 	anchors map[string]ast.Node
 	faults  []Fault
-	nodes   int // nodes read so far, with an alias' content counted at each use
+	nodes   int // nodes read so far, with an alias's content counted at each use
 	depth   int
 }
 
--- a/internal/pipelines/any_order_test.go
+++ b/internal/pipelines/any_order_test.go
@@ -26,7 +26,7 @@
 		t.Fatal(faults)
 	}
 	start := time.Unix(1_900_000_000, 0)
-	e := &simulation{
+	s := &simulation{
 		store: &storeModel{
 			run:         NewRecord(plan, doc, "salt", 1e12).Encode(),
 			revision:    1,
@@ -45,30 +45,30 @@
 			TxnOps:     rapid.IntRange(4, 16).Draw(t, "ops"),
 		},
 	}
-	for _, c := range e.controllers {
-		e.restart(t, c)
+	for _, c := range s.controllers {
+		s.restart(t, c)
 	}
-	return e
+	return s
 }
 
 // restart restarts a controller with empty memory.
-func (e *simulation) restart(t *rapid.T, c *testController) {
-	c.keeper = NewKeeper(e.limits)
+func (s *simulation) restart(t *rapid.T, c *testController) {
+	c.keeper = NewKeeper(s.limits)
 	c.revision = 0
 	c.keeper.SetRate(c.now, 1000)
-	c.sync(t, e.store)
+	c.sync(t, s.store)
 }
 
 // anyController draws one of the controllers.
-func (e *simulation) anyController(t *rapid.T) *testController {
-	return e.controllers[rapid.IntRange(0, 1).Draw(t, "controller")]
+func (s *simulation) anyController(t *rapid.T) *testController {
+	return s.controllers[rapid.IntRange(0, 1).Draw(t, "controller")]
 }
 
 // anyLiveJob draws one of the live jobs. It skips the event if there is none.
-func (e *simulation) anyLiveJob(t *rapid.T) string {
+func (s *simulation) anyLiveJob(t *rapid.T) string {
 	var live []string
-	for _, jobID := range slices.Sorted(maps.Keys(e.store.jobs)) {
-		if e.store.jobs[jobID] == jobs.Live {
+	for _, jobID := range slices.Sorted(maps.Keys(s.store.jobs)) {
+		if s.store.jobs[jobID] == jobs.Live {
 			live = append(live, jobID)
 		}
 	}
@@ -79,80 +79,80 @@
 }
 
 // answer delivers the answer to a controller's change, or loses it.
-func (e *simulation) answer(t *rapid.T, c *testController, change *Change, applied bool) {
+func (s *simulation) answer(t *rapid.T, c *testController, change *Change, applied bool) {
 	if applied && rapid.IntRange(0, 3).Draw(t, "answer") > 0 {
-		c.sync(t, e.store)
+		c.sync(t, s.store)
 		return
 	}
 	c.keeper.Touch(change.ID) // the change was lost or refused, or its answer was lost
 }
 
 // pass makes a controller reconcile and commit its changes. If lose is set, all changes are lost.
-func (e *simulation) pass(t *rapid.T, c *testController, lose bool) {
+func (s *simulation) pass(t *rapid.T, c *testController, lose bool) {
 	changes, _ := c.pass()
 	for i := range changes {
-		e.answer(t, c, &changes[i], !lose && e.store.commit(t, c, &changes[i], e.plan))
+		s.answer(t, c, &changes[i], !lose && s.store.commit(t, c, &changes[i], s.plan))
 	}
 }
 
 // cancelRun makes a user cancel the run in one of ten calls.
-func (e *simulation) cancelRun(t *rapid.T) {
+func (s *simulation) cancelRun(t *rapid.T) {
 	if rapid.IntRange(0, 9).Draw(t, "rare") > 0 {
 		return
 	}
-	c := e.anyController(t)
+	c := s.anyController(t)
 	if change := c.keeper.CancelRun("run-1", c.now, c.nowMs, c); change != nil {
-		e.answer(t, c, change, e.store.commit(t, c, change, e.plan))
+		s.answer(t, c, change, s.store.commit(t, c, change, s.plan))
 	}
 }
 
 // events returns the events, which may happen in any order.
-func (e *simulation) events() map[string]func(*rapid.T) {
+func (s *simulation) events() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
-		"pass":         func(t *rapid.T) { e.pass(t, e.anyController(t), false) },
-		"changes lost": func(t *rapid.T) { e.pass(t, e.anyController(t), true) },
-		"sync":         func(t *rapid.T) { e.anyController(t).sync(t, e.store) },
-		"job done":     func(t *rapid.T) { e.store.jobs[e.anyLiveJob(t)] = jobs.Done },
+		"pass":         func(t *rapid.T) { s.pass(t, s.anyController(t), false) },
+		"changes lost": func(t *rapid.T) { s.pass(t, s.anyController(t), true) },
+		"sync":         func(t *rapid.T) { s.anyController(t).sync(t, s.store) },
+		"job done":     func(t *rapid.T) { s.store.jobs[s.anyLiveJob(t)] = jobs.Done },
 		"job cancelled by a user": func(t *rapid.T) {
 			if rapid.IntRange(0, 5).Draw(t, "rare") == 0 {
-				e.store.jobs[e.anyLiveJob(t)] = jobs.Cancelled
+				s.store.jobs[s.anyLiveJob(t)] = jobs.Cancelled
 			}
 		},
 		"job doubted or trusted": func(t *rapid.T) {
-			c, jobID := e.anyController(t), e.anyLiveJob(t)
+			c, jobID := s.anyController(t), s.anyLiveJob(t)
 			c.doubted[jobID] = !c.doubted[jobID]
 		},
 		"time passes": func(t *rapid.T) {
 			seconds := rapid.IntRange(1, 100).Draw(t, "seconds")
-			for _, c := range e.controllers {
+			for _, c := range s.controllers {
 				c.wait(time.Duration(seconds) * time.Second)
 			}
 		},
 		"time of day jumps": func(t *rapid.T) {
-			e.anyController(t).nowMs += int64(rapid.IntRange(-5000, 5000).Draw(t, "ms"))
+			s.anyController(t).nowMs += int64(rapid.IntRange(-5000, 5000).Draw(t, "ms"))
 		},
-		"restart":       func(t *rapid.T) { e.restart(t, e.anyController(t)) },
-		"run cancelled": e.cancelRun,
+		"restart":       func(t *rapid.T) { s.restart(t, s.anyController(t)) },
+		"run cancelled": s.cancelRun,
 	}
 }
 
 // expectEnd finishes all jobs, and fails if the run does not end.
-func (e *simulation) expectEnd(t *rapid.T) {
+func (s *simulation) expectEnd(t *rapid.T) {
 	for range 200 {
-		if e.store.over {
+		if s.store.over {
 			return
 		}
-		for jobID, state := range e.store.jobs {
+		for jobID, state := range s.store.jobs {
 			if state == jobs.Live {
-				e.store.jobs[jobID] = jobs.Done
+				s.store.jobs[jobID] = jobs.Done
 			}
 		}
-		c := e.controllers[0]
+		c := s.controllers[0]
 		c.wait(time.Second)
-		c.sync(t, e.store)
-		e.pass(t, c, false)
+		c.sync(t, s.store)
+		s.pass(t, c, false)
 	}
-	t.Fatalf("the run never ends: %s", e.store.run)
+	t.Fatalf("the run never ends: %s", s.store.run)
 }
 
 // TestRunInvariantsUnderEventsInAnyOrder checks the invariants of a run while events happen in any order
@@ -160,8 +160,8 @@
 // restarts, jumps of the wall clock, and jobs that finish, fail or are cancelled.
 func TestRunInvariantsUnderEventsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		e := newSimulation(t)
-		t.Repeat(e.events())
-		e.expectEnd(t)
+		s := newSimulation(t)
+		t.Repeat(s.events())
+		s.expectEnd(t)
 	})
 }
--- a/internal/pipelines/encoding.go
+++ b/internal/pipelines/encoding.go
@@ -189,8 +189,8 @@
 	})
 }
 
-// Decode decodes and validates a run's record. Unknown fields are ignored; an unknown version is an
-// error.
+// Decode decodes and validates a run's record. Unknown fields are ignored. An unknown version is
+// an error, so that the record is left unchanged.
 func Decode(b []byte) (*Record, error) {
 	var s stored
 	if err := json.Unmarshal(b, &s); err != nil {
--- a/internal/pipelines/keeper.go
+++ b/internal/pipelines/keeper.go
@@ -65,9 +65,9 @@
 	runOfJob    map[string]string // maps the jobs of owned runs to the IDs of the runs
 	dirty       map[string]bool   // runs to examine
 	lastSweep   time.Time
-	budget      *rate.Limiter    // limits the rate of changes
+	budget      *rate.Limiter    // limits the operations per second
 	openSteps   int              // steps of all runs that have not ended
-	plans       map[string]*Plan // by checksum of the document, for the status of runs that others own
+	plans       map[string]*Plan // cache by document checksum, for the status of runs that others own
 	planOrder   []string         // keys of plans, oldest first
 }
 
--- a/internal/pipelines/keeper_test.go
+++ b/internal/pipelines/keeper_test.go
@@ -47,7 +47,7 @@
 	}
 	for repeat := range 2 {
 		if jobID := JobID("run-1", "salt", p.Steps[0].Name, repeat); c.jobs[jobID] != jobs.Cancelled {
-			t.Errorf("the job of repeat %d is %q", repeat, c.jobs[jobID])
+			t.Errorf("the job of attempt %d is %q, want it cancelled", repeat, c.jobs[jobID])
 		}
 	}
 	record, err := Decode(last.Record)
@@ -55,7 +55,7 @@
 		t.Fatalf("%d jobs, %v", len(c.jobs), err)
 	}
 	if s := record.Steps[0]; s.State != Failed || s.Repeat != 1 || s.Cause != TimedOut {
-		t.Errorf("%+v", s)
+		t.Errorf("got step %+v, want it failed after one retry", s)
 	}
 }
 
@@ -126,7 +126,7 @@
 		delete(c.jobs, jobID)
 		c.keeper.JobChanged(jobID)
 		if _, reads := c.pass(); !slices.Equal(reads, []string{jobID}) {
-			t.Fatalf("reads %v", reads)
+			t.Fatalf("got reads of %v, want only the unknown job", reads)
 		}
 		c.keeper.JobMissing(jobID)
 		changes := c.advance(t)
--- a/internal/pipelines/matrix.go
+++ b/internal/pipelines/matrix.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// combinations returns the combinations of a matrix' values, varying the last name fastest. Without a
+// combinations returns the combinations of a matrix's values, varying the last name fastest. Without a
 // matrix it returns one empty combination.
 func (c *compiler) combinations(path string, rawMatrix any) []map[string]any {
 	matrix, _ := rawMatrix.(map[string]any)
--- a/internal/pipelines/model_test.go
+++ b/internal/pipelines/model_test.go
@@ -65,7 +65,7 @@
 	jobs     map[string]jobs.JobState
 	doubted  map[string]bool
 	now      time.Time // the monotonic clock
-	nowMs    int64     // the time of day
+	nowMs    int64     // the wall clock
 }
 
 func (c *testController) Job(jobID string) (JobView, bool) {
--- a/internal/pipelines/record_test.go
+++ b/internal/pipelines/record_test.go
@@ -20,7 +20,7 @@
 				for repeat := range 3 {
 					jobID := JobID(id, salt, name, repeat)
 					if len(jobID) != 21 || !jobs.ValidID(jobID) || taken[jobID] || jobID != JobID(id, salt, name, repeat) {
-						t.Errorf("%s for %s %s %s %d", jobID, id, salt, name, repeat)
+						t.Errorf("invalid or repeated job ID %s of run %s, salt %s, step %s, attempt %d", jobID, id, salt, name, repeat)
 					}
 					taken[jobID] = true
 				}
@@ -44,10 +44,10 @@
 		s := r.Steps[1]
 		if r.State != RunLive || r.AcceptedMs != 1e12 || len(r.Steps) != 3 || r.Steps[0].State != Succeeded ||
 			s != (StepRun{State: Running, Repeat: 1, Cause: InDoubt, AcceptedMs: 1e12 + 5000, DoubtedSinceMs: 1e12 + 9000}) {
-			t.Errorf("version %d: %+v", v, r)
+			t.Errorf("version %d: decoded as %+v", v, r)
 		}
 		if p, faults := CompileJSON(r.Document); p == nil {
-			t.Errorf("version %d: %v", v, faults)
+			t.Errorf("version %d: faults of the document: %v", v, faults)
 		}
 	}
 }
@@ -109,7 +109,7 @@
 			}
 			got, err := unpackSteps(packSteps(want, at), at)
 			if err != nil || !slices.Equal(got, want) {
-				t.Fatalf("%+v became %+v: %v", want, got, err)
+				t.Fatalf("packed %+v, unpacked %+v: %v", want, got, err)
 			}
 		}
 	}
--- a/internal/pipelines/step.go
+++ b/internal/pipelines/step.go
@@ -5,9 +5,9 @@
 
 // States of a step.
 const (
-	Waiting    StepState = "waiting"   // until all steps that it needs have ended
+	Waiting    StepState = "waiting"   // some step that it needs has not ended
 	Ready      StepState = "ready"     // its job can be submitted
-	Submitted  StepState = "submitted" // its job is accepted
+	Submitted  StepState = "submitted" // its job has been accepted
 	Running    StepState = "running"   // tasks of its job were seen on machines
 	Succeeded  StepState = "succeeded"
 	Failed     StepState = "failed"
