--- a/internal/calendar/guard.go
+++ b/internal/calendar/guard.go
@@ -64,8 +64,8 @@
 
 // gate returns the cached result for a class, or computes it.
 func (g *guard) gate(class quota.Key) gateResult {
-	result, known := g.results[class]
-	if !known {
+	result, cached := g.results[class]
+	if !cached {
 		result.verdict, result.keys = g.service.keeper.Gate(g.now, class)
 		g.results[class] = result
 	}
@@ -81,7 +81,7 @@
 			starting = append(starting, job)
 		}
 	}
-	known := g.service.state.Jobs
+	jobsByID := g.service.state.Jobs
 	for _, change := range decision.Changes {
 		newState := change.Next.State != change.Task.State
 		newAttempt := change.Next.Attempt != change.Task.Attempt
@@ -92,13 +92,13 @@
 	}
 	for _, batch := range decision.BatchEntries {
 		if holdsMachine(&batch.Entry.Task) {
-			add(known[batch.Entry.JobID])
+			add(jobsByID[batch.Entry.JobID])
 		}
 	}
 	for _, write := range decision.Writes {
 		jobID, _, isRange := jobs.SplitTaskID(strings.TrimPrefix(write.Put, jobs.TaskPrefix))
 		if isRange {
-			add(known[jobID])
+			add(jobsByID[jobID])
 		}
 	}
 	return starting
--- a/internal/calendar/plan.go
+++ b/internal/calendar/plan.go
@@ -61,12 +61,12 @@
 
 // between returns the window's planned occurrences that begin in [from, to).
 func (w *Window) between(from, to time.Time) []Span {
-	known := &w.planned
-	if known.from.IsZero() || from.Before(known.from) || to.After(known.to) {
-		*known = w.compute(from, to.Add(24*time.Hour)) // one more day, for the next queries
+	cached := &w.planned
+	if cached.from.IsZero() || from.Before(cached.from) || to.After(cached.to) {
+		*cached = w.compute(from, to.Add(24*time.Hour)) // one more day, for the next queries
 	}
 	var spans []Span
-	for _, span := range known.spans {
+	for _, span := range cached.spans {
 		if !span.Begin.Before(from) && span.Begin.Before(to) {
 			spans = append(spans, span)
 		}
--- a/internal/calendar/stops.go
+++ b/internal/calendar/stops.go
@@ -58,8 +58,8 @@
 
 // closeJob returns the decisions that withdraw a job's tasks at the end of its window, if they must
 // stop. A gang that is only partly placed is withdrawn too: its missing tasks can't start any more.
-// If trackWanted is set, unresponsive machines that hold up the track are deleted.
-func (s *Service) closeJob(job *clusterstate.Job, occurrence *Occurrence, trackWanted bool) []decide.Decision {
+// If trackNeeded is set, unresponsive machines that hold up the track are deleted.
+func (s *Service) closeJob(job *clusterstate.Job, occurrence *Occurrence, trackNeeded bool) []decide.Decision {
 	var decisions []decide.Decision
 	var placed []*clusterstate.Task
 	for _, index := range slices.Sorted(maps.Keys(job.Active)) {
@@ -67,7 +67,7 @@
 		if task.State == jobs.Placed {
 			placed = append(placed, task)
 		}
-		if trackWanted && task.State == jobs.Stopping {
+		if trackNeeded && task.State == jobs.Stopping {
 			decisions = append(decisions, s.deleteUnresponsive(task)...)
 		}
 	}
@@ -86,8 +86,8 @@
 // withdrawn by one decision if it fits into a transaction: a gang is checkpointed only if all its
 // tasks stop at once.
 func (s *Service) withdrawTasks(reason string, tasks ...*clusterstate.Task) []decide.Decision {
-	var single []decide.Decision
-	var whole decide.Decision
+	var perTask []decide.Decision
+	var wholeGang decide.Decision
 	gang := len(tasks) > 1 && tasks[0].Job.Record.Spec.IsGang()
 	for _, task := range tasks {
 		next, ok := jobs.Withdraw(task.Task, reason)
@@ -98,13 +98,13 @@
 			continue
 		}
 		changes := decide.TransitionTask(task, next)
-		whole.Changes = append(whole.Changes, changes...)
-		single = append(single, decide.Decision{Changes: changes})
+		wholeGang.Changes = append(wholeGang.Changes, changes...)
+		perTask = append(perTask, decide.Decision{Changes: changes})
 	}
-	if gang && len(whole.Changes) > 0 && len(whole.Keys()) <= s.config.MaxTxnWrites/2 {
-		return []decide.Decision{whole}
+	if gang && len(wholeGang.Changes) > 0 && len(wholeGang.Keys()) <= s.config.MaxTxnWrites/2 {
+		return []decide.Decision{wholeGang}
 	}
-	return single
+	return perTask
 }
 
 // anotherWindowDue reports whether another window of a track is due or about to open.
--- a/internal/pipelines/change.go
+++ b/internal/pipelines/change.go
@@ -77,19 +77,19 @@
 
 // finish returns the draft's change, or nil if there is nothing to commit.
 func (d *draft) finish() *Change {
-	former := d.run.record
+	previous := d.run.record
 	state := runStateAfter(d.run.plan, d.state, d.steps)
-	if !d.moved && state == former.State {
+	if !d.moved && state == previous.State {
 		return nil
 	}
-	record := *former
+	record := *previous
 	record.State = state
 	record.Steps = d.steps
 	if d.change.Over = state.Over(); d.change.Over {
 		record.EndMs = d.nowMs
 	}
 	for i := range d.steps {
-		if d.steps[i].State.Over() && !former.Steps[i].State.Over() {
+		if d.steps[i].State.Over() && !previous.Steps[i].State.Over() {
 			d.change.Steps++
 		}
 	}
--- a/internal/pipelines/explain.go
+++ b/internal/pipelines/explain.go
@@ -49,20 +49,20 @@
 
 // explainWaiting describes a waiting step, with the needed steps that have not ended.
 func (p *Plan) explainWaiting(step *Step, record *Record) string {
-	var open []string
+	var unfinished []string
 	for _, need := range p.Groups[step.Group].Needs {
 		if _, over := groupOutcome(p, need, record.Steps); !over {
-			open = append(open, p.Groups[need].Name)
+			unfinished = append(unfinished, p.Groups[need].Name)
 		}
 	}
-	if more := len(open) - tuning.MaxNamedSteps; more > 0 {
+	if more := len(unfinished) - tuning.MaxNamedSteps; more > 0 {
 		// A status has one line for each step, and no line may exceed 64 KiB.
-		open = append(open[:tuning.MaxNamedSteps], fmt.Sprintf("%d more", more))
+		unfinished = append(unfinished[:tuning.MaxNamedSteps], fmt.Sprintf("%d more", more))
 	}
-	if len(open) == 0 {
+	if len(unfinished) == 0 {
 		return fmt.Sprintf("all it needs has ended; its condition %s is looked at next", step.condition())
 	}
-	return fmt.Sprintf("waits for %s to end; runs then when %s", strings.Join(open, ", "), step.condition())
+	return fmt.Sprintf("waits for %s to end; runs then when %s", strings.Join(unfinished, ", "), step.condition())
 }
 
 // explainLive describes the progress of a live job and the limits that may end it.
--- a/internal/pipelines/keeper_test.go
+++ b/internal/pipelines/keeper_test.go
@@ -81,9 +81,9 @@
 // TestNewOwnerCountsElapsedTime checks that a new owner of a run counts the time before it took over, and
 // counts it as zero, not as negative, if its own wall clock is behind.
 func TestNewOwnerCountsElapsedTime(t *testing.T) {
-	former, _ := newController(t, timedDocument)
-	former.advance(t)
-	record, _ := former.keeper.Known("run-1")
+	previous, _ := newController(t, timedDocument)
+	previous.advance(t)
+	record, _ := previous.keeper.Known("run-1")
 	for _, test := range []struct {
 		name     string
 		behindMs int64
@@ -94,10 +94,10 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			owner := &testController{
-				keeper: NewKeeper(former.keeper.limits),
-				jobs:   maps.Clone(former.jobs),
+				keeper: NewKeeper(previous.keeper.limits),
+				jobs:   maps.Clone(previous.jobs),
 				now:    time.Unix(5, 0),
-				nowMs:  former.nowMs + 20_000 - 3*test.behindMs,
+				nowMs:  previous.nowMs + 20_000 - 3*test.behindMs,
 			}
 			owner.keeper.SetRate(owner.now, 1000)
 			if err := owner.keeper.Changed("run-1", record.Encode()); err != nil {
--- a/internal/pipelines/model_test.go
+++ b/internal/pipelines/model_test.go
@@ -167,8 +167,8 @@
 // steps that it needs have ended, and no step has two live jobs.
 func (m *storeModel) check(t *rapid.T, before, after *Record, p *Plan) {
 	for i, s := range after.Steps {
-		if former := before.Steps[i]; former.State.Over() && s.State != former.State {
-			t.Fatalf("%s went from %s to %s", p.Steps[i].Name, former.State, s.State)
+		if previous := before.Steps[i]; previous.State.Over() && s.State != previous.State {
+			t.Fatalf("%s went from %s to %s", p.Steps[i].Name, previous.State, s.State)
 		}
 		if s.State != Waiting && s.State != Cancelled {
 			for _, need := range p.Groups[p.Steps[i].Group].Needs {
--- a/internal/pipelines/step.go
+++ b/internal/pipelines/step.go
@@ -104,9 +104,9 @@
 func (s StepRun) jobLive() bool { return s.State == Submitted || s.State == Running }
 
 // ended returns the step in the given final state.
-func (s StepRun) ended(state StepState, why Cause, e StepEvent) (StepRun, bool) {
+func (s StepRun) ended(state StepState, cause Cause, e StepEvent) (StepRun, bool) {
 	s.State = state
-	s.Cause = why
+	s.Cause = cause
 	s.EndMs = e.NowMs
 	s.DoubtedSinceMs = 0
 	return s, true
