--- a/internal/pipelines/record_test.go
+++ b/internal/pipelines/record_test.go
@@ -20,7 +20,7 @@
 				for repeat := range 3 {
 					jobID := JobID(id, salt, name, repeat)
 					if len(jobID) != 21 || !jobs.ValidID(jobID) || taken[jobID] || jobID != JobID(id, salt, name, repeat) {
-						t.Errorf("%s for %s %s %s %d", jobID, id, salt, name, repeat)
+						t.Errorf("invalid or repeated job ID %s of run %s, salt %s, step %s, attempt %d", jobID, id, salt, name, repeat)
 					}
 					taken[jobID] = true
 				}
@@ -29,8 +29,8 @@
 	}
 }
 
-// Records of earlier versions must stay readable: the files are never changed,
-// one is added with each version.
+// TestRecordsOfEarlierVersionsAreRead checks that records of all earlier versions stay readable. The
+// files in testdata must never change; each version adds one.
 func TestRecordsOfEarlierVersionsAreRead(t *testing.T) {
 	for v := 1; v <= recordVersion; v++ {
 		b, err := os.ReadFile(fmt.Sprintf("testdata/run-v%d.json", v))
@@ -44,10 +44,10 @@
 		s := r.Steps[1]
 		if r.State != RunLive || r.AcceptedMs != 1e12 || len(r.Steps) != 3 || r.Steps[0].State != Succeeded ||
 			s != (StepRun{State: Running, Repeat: 1, Cause: InDoubt, AcceptedMs: 1e12 + 5000, DoubtedSinceMs: 1e12 + 9000}) {
-			t.Errorf("version %d: %+v", v, r)
+			t.Errorf("version %d: decoded as %+v", v, r)
 		}
 		if p, faults := CompileJSON(r.Document); p == nil {
-			t.Errorf("version %d: %v", v, faults)
+			t.Errorf("version %d: faults of the document: %v", v, faults)
 		}
 	}
 }
@@ -66,24 +66,25 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if k.Changed("run-1", json.RawMessage(bad)) == nil {
-				t.Errorf("%s was read", bad)
+				t.Errorf("%s was accepted", bad)
 			}
 			if _, quarantined := k.Known("run-1"); !quarantined {
 				t.Errorf("%s is not quarantined", bad)
 			}
 		})
 	}
-	// A record that can be read with a document that can't is quarantined as well.
+	// A readable record with an invalid document is quarantined as well.
 	if err := k.Changed("run-1", good); err != nil {
 		t.Fatal(err)
 	}
 	k.Reconcile(time.Now(), 1, yes, no, enoughRoom, &testController{})
 	if _, quarantined := k.Known("run-1"); !quarantined || k.openSteps != 0 {
-		t.Errorf("quarantined %v, %d steps open", quarantined, k.openSteps)
+		t.Errorf("quarantined: %v, %d open steps", quarantined, k.openSteps)
 	}
 }
 
-// FuzzDecode: no record makes a controller panic, or unpack without bound.
+// FuzzDecode checks that no record causes a panic or unbounded decompression, and that decoded records
+// can be encoded and decoded again.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(`{"v":1,"s":"running","doc":{},"t":""}`))
 	f.Add([]byte(NewRecord(&Plan{Steps: make([]Step, 2)}, []byte(documents[0]), "s", 1).Encode()))
@@ -93,7 +94,7 @@
 			return
 		}
 		if again, err := Decode(r.Encode()); err != nil || len(again.Steps) != len(r.Steps) {
-			t.Errorf("written anew it can't be read: %v", err)
+			t.Errorf("can't be decoded after encoding: %v", err)
 		}
 	})
 }
@@ -108,7 +109,7 @@
 			}
 			got, err := unpackSteps(packSteps(want, at), at)
 			if err != nil || !slices.Equal(got, want) {
-				t.Fatalf("%+v became %+v: %v", want, got, err)
+				t.Fatalf("packed %+v, unpacked %+v: %v", want, got, err)
 			}
 		}
 	}
