--- a/internal/tuning/membership.go
+++ b/internal/tuning/membership.go
@@ -4,80 +4,95 @@
 
 // Membership.
 const (
-	// MemberTTL: a dead controller's lease ends after this. Short, since its
-	// machines wait for a new owner; long enough for a slow processor share.
+	// MemberTTL is the time after which the lease of a controller that has ended expires. It is
+	// short because the controller's machines wait for a new owner, but long enough for a small
+	// processor share.
 	MemberTTL = 4 * time.Second
-	// MemberRenew: three attempts within MemberTTL.
+	// MemberRenew is the interval at which a controller renews its lease: three attempts within
+	// MemberTTL.
 	MemberRenew = 1200 * time.Millisecond
-	// UnreachableOwnerAfter: workers that keep coming to others for this long although
-	// they were sent to their owner prove that they cannot reach it. Longer than
-	// MemberTTL, so that a controller that has just ended is not meant.
+	// UnreachableOwnerAfter is the time after which an agent that keeps calling other controllers,
+	// although they redirect it to its owner, proves that it cannot reach the owner. It is longer
+	// than MemberTTL, so that an owner that has just ended does not count.
 	UnreachableOwnerAfter = 6 * time.Second
-	// ComplaintGap: visits further apart than this do not belong together.
+	// ComplaintGap is the maximum pause between two calls of an agent to other controllers that
+	// count as one series.
 	ComplaintGap = 9 * time.Second
-	// HeardFresh: a machine heard by another node this recently is not given
-	// up; its owner is the one that is cut off.
+	// HeardFresh is the time since another controller heard a machine within which the machine is
+	// not given up: then its owner is the one that is partitioned.
 	HeardFresh = 12 * time.Second
-	// MaxUnreached: machines named in one gossip message, as many as a controller has sessions for; a
-	// controller of the former version takes in the first 200 of them. MaxUnreachedBytes,
-	// bytes: what they take of a line; the rest of MaxPeerLine is for its marks. 4,000 names of
-	// 8 bytes take 44,000. With longer names those that come later follow: each comes again
-	// and again while it is out of reach.
-	MaxUnreached      = 5000
+	// MaxUnreached is the maximum number of machines named in one gossip message, as many as a
+	// controller has sessions for. A controller of the previous version reads only the first 200.
+	MaxUnreached = 5000
+	// MaxUnreachedBytes is the maximum number of bytes that these names take of a line; the rest
+	// of MaxPeerLine is for the other fields. 4,000 names of 8 bytes take 44,000. Names that do
+	// not fit follow in later messages, since an agent keeps calling while it cannot reach its
+	// owner.
 	MaxUnreachedBytes = 52 << 10
-	// UnreachableShare: part of an owner's machines that must complain.
+	// UnreachableShare is the share of an owner's machines that must be unable to reach it before
+	// it is voted out of the view.
 	UnreachableShare = 0.5
-	// VotedOutFor: how long a member that workers cannot reach stays out.
+	// VotedOutFor is how long a member that agents cannot reach stays out of the view.
 	VotedOutFor = 30 * time.Second
-	// IsolationProbeEvery: how often a member outside the view looks whether it reaches
-	// workers.
+	// IsolationProbeEvery is the interval at which a controller outside the view probes whether it
+	// reaches agents.
 	IsolationProbeEvery = 2 * time.Second
-	// GossipEvery: how often peers tell one another how they are.
+	// GossipEvery is the interval at which controllers send each other their state.
 	GossipEvery = 500 * time.Millisecond
-	// ProbeTimeout: how long a member whose connection has ended may leave a call
-	// unanswered. One that lives sees it within a watch (some 60 ms) and answers with
-	// one transaction (10 ms, now and then a few hundred); a wrong alarm costs two
-	// changes of view. On a day of refused connections (simulated machines) answers
-	// took 0.03 to 0.37 s. ProbeTimeoutMany: where several connections ended together, or
-	// one ended again that had answered, which is more likely the network between.
-	ProbeTimeout     = 500 * time.Millisecond
+	// ProbeTimeout is how long a member whose connection has ended may leave a probe unanswered. A
+	// live one sees it by its watch (some 60 ms) and answers with one transaction (10 ms, now and
+	// then a few hundred). A false alarm costs two view changes. In a simulated day of refused
+	// connections the answers took 0.03 to 0.37 s.
+	ProbeTimeout = 500 * time.Millisecond
+	// ProbeTimeoutMany is that time where several connections ended together, or where a
+	// connection ended again whose member had answered a probe: there the network is more likely
+	// to be the cause.
 	ProbeTimeoutMany = 1500 * time.Millisecond
-	// ProbeStagger: how much longer each next one waits to act on a suspicion than the
-	// one before it, who may have ended as well.
+	// ProbeStagger is how much longer each successor waits before it acts on a suspicion than the
+	// one before it, which may have ended as well.
 	ProbeStagger = 300 * time.Millisecond
-	// ProbePause, MaxProbePause: a member that has answered is not called again for so
-	// long, doubled each time: what ended its connection may last.
-	ProbePause    = 2 * time.Second
+	// ProbePause is how long a member that has answered a probe is not probed again, doubled each
+	// time up to MaxProbePause: whatever ended its connection may last.
+	ProbePause = 2 * time.Second
+	// MaxProbePause is the maximum of that pause.
 	MaxProbePause = 60 * time.Second
-	// ProbeForgetAfter: after so long without a call what ended its connections is over.
+	// ProbeForgetAfter is the time without a probe after which that pause is reset.
 	ProbeForgetAfter = 5 * time.Minute
-	// RejoinStable: an incarnation that has stood for so long was no short one. RejoinPause,
-	// MaxRejoinPause: a member that has ended at least twice in a row without having
-	// stood for so long is let in after such a pause, doubled each time.
-	RejoinStable   = 10 * time.Second
-	RejoinPause    = time.Second
+	// RejoinStable is how long an incarnation of a member must run for its end not to count as a
+	// restart in a row.
+	RejoinStable = 10 * time.Second
+	// RejoinPause is the pause before a member that has ended at least twice in a row, each time
+	// before RejoinStable, is admitted to the view. It doubles each time up to MaxRejoinPause.
+	RejoinPause = time.Second
+	// MaxRejoinPause is the maximum of that pause.
 	MaxRejoinPause = 8 * time.Second
-	// WarmStandbys: members that are ready to lead at once.
+	// WarmStandbys is the number of followers that are kept ready to lead at once.
 	WarmStandbys = 2
-	// UnfitLag, UnfitFor: a leader that is so far behind for so long hands over. A
-	// single standstill is no reason, nor is a look that takes long.
+	// UnfitLag is the lag from which a leader counts as behind.
 	UnfitLag = time.Second
+	// UnfitFor is how long a leader must be behind before it hands over its leadership. A single
+	// stall or slow pass is no reason to.
 	UnfitFor = 3 * time.Second
-	// HandOverPause, MaxHandOverPause: before it hands over again, doubled each time.
-	HandOverPause    = 30 * time.Second
+	// HandOverPause is the pause before a controller hands over again, doubled each time up to
+	// MaxHandOverPause.
+	HandOverPause = 30 * time.Second
+	// MaxHandOverPause is the maximum of that pause.
 	MaxHandOverPause = 10 * time.Minute
-	// MaxRolloutUnresponsive: share of its machines that an owner may not hear while another
-	// controller is ended. RolloutStableFor: how long nothing may have stood against it.
-	// RolloutPollEvery: pause between two looks of whoever waits for that.
+	// MaxRolloutUnresponsive is the share of its machines that an owner may receive no heartbeats
+	// of while another controller is ended for a rollout.
 	MaxRolloutUnresponsive = 0.1
-	RolloutStableFor       = 10 * time.Second
-	RolloutPollEvery       = time.Second
-	// LeaveUsers: how long a controller that was asked to end still serves users while
-	// it calls itself unhealthy: two failed probes, a second apart, and some air.
+	// RolloutStableFor is how long a controller must have been free to be ended before a rollout
+	// ends it.
+	RolloutStableFor = 10 * time.Second
+	// RolloutPollEvery is the interval at which a rollout that waits for that checks it.
+	RolloutPollEvery = time.Second
+	// LeaveUsers is how long a controller that was asked to end still serves users while it
+	// reports itself unhealthy: two failed probes of the load balancer, a second apart, and a
+	// margin.
 	LeaveUsers = 2500 * time.Millisecond
-	// LeaveWithin: a controller that was asked to end does so that much
-	// later, in the view or not.
+	// LeaveWithin is the time after LeaveUsers within which such a controller ends, whether it has
+	// left the view or not.
 	LeaveWithin = 3 * time.Second
-	// PeerFresh: older words of a peer are not believed.
+	// PeerFresh is the age at which a peer's gossip is no longer trusted.
 	PeerFresh = 3 * time.Second
 )
--- a/internal/tuning/pipelines.go
+++ b/internal/tuning/pipelines.go
@@ -2,74 +2,77 @@
 
 import "time"
 
-// Pipelines.
+// Pipelines, snapshots and packed records.
 const (
-	// MaxPipelineBytes, bytes: a pipeline file; a request body may have no more.
+	// MaxPipelineBytes is the maximum size of a pipeline file in bytes, that of a request body.
 	MaxPipelineBytes = 64 << 10
-	// MaxSteps: steps of a run once its matrices are expanded; their states fit
-	// into one value of the state service beside the document.
+	// MaxSteps is the maximum number of steps of a run once its matrices are expanded. Their states
+	// fit into one value of the state service together with the document.
 	MaxSteps = 500
-	// MaxNamedSteps: steps named in one explanation.
+	// MaxNamedSteps is the maximum number of steps named in one explanation.
 	MaxNamedSteps = 20
-	// MaxRepeats: times that a step may be tried anew.
+	// MaxRepeats is the maximum number of times that a step may be repeated.
 	MaxRepeats = 20
-	// MaxFaults: faults of one file that are reported.
+	// MaxFaults is the maximum number of faults of a file that are reported.
 	MaxFaults = 100
-	// MaxMatrixText, bytes: a value of a matrix, which becomes part of a name.
+	// MaxMatrixText is the maximum length, in bytes, of a matrix value, which becomes part of a
+	// name.
 	MaxMatrixText = 64
-	// MaxWhen, bytes, and MaxWhenNodes: a condition; hand-written ones have a
-	// tenth of that.
-	MaxWhen      = 1 << 10
+	// MaxWhen is the maximum length of a condition in bytes. Hand-written ones take a tenth of it.
+	MaxWhen = 1 << 10
+	// MaxWhenNodes is the maximum number of nodes of a condition's expression. Hand-written ones
+	// have a tenth of it.
 	MaxWhenNodes = 200
-	// OutcomeCombinations: with so many steps above it, a condition is tried on all of
-	// their outcomes (4 to the 5th) to see whether it can ever hold.
+	// OutcomeCombinations is the maximum number of ancestors of a step for which its condition is
+	// evaluated for all combinations of their outcomes (4 to the 5th), to find out whether it can
+	// ever hold.
 	OutcomeCombinations = 5
-	// StepDoubt: how long a step's job may fail on every machine before it is
-	// called failed, unless its file says otherwise; probing tries a machine
-	// about every ten seconds at first.
+	// StepDoubt is the default of how long a step's job may fail on every machine before it counts
+	// as failed. At first a machine is probed about every ten seconds.
 	StepDoubt = 120 * time.Second
-	// StepStateBytes, bytes: what a step takes of its run's record at most:
-	// state, repeat, three times, cause, and a third for the text form.
+	// StepStateBytes is the maximum number of bytes that a step takes in its run's record: state,
+	// repeats, three times and cause, plus a third for the text encoding.
 	StepStateBytes = 20
-	// RunHeadBytes, bytes: what a run's record takes besides document and steps.
+	// RunHeadBytes is the number of bytes that a run's record takes besides its document and
+	// steps.
 	RunHeadBytes = 300
-	// MaxRuns, MaxRunSteps: runs live at once, and their steps that have not
-	// ended, before new ones are refused; 1,000 runs were measured.
-	MaxRuns     = 2000
+	// MaxRuns is the default of the number of live runs beyond which new ones are refused.
+	MaxRuns = 2000
+	// MaxRunSteps is the default of the number of steps of live runs that have not ended, beyond
+	// which new runs are refused.
 	MaxRunSteps = 20000
-	// RunChanges: share of a node's changes a second that runs may take, after
-	// what the rules need.
+	// RunChanges is the default share of a controller's writes that runs may take. Decisions that
+	// the protocol's rules depend on go first.
 	RunChanges = 0.3
-	// RunSweep: how often every owned run is looked at for its times; events
-	// are looked at at once.
+	// RunSweep is the interval at which every owned run is checked for what is due by time.
+	// Events are handled at once.
 	RunSweep = time.Second
-	// RunRead: pause before a step's job that is in no list is read again.
+	// RunRead is the pause before a step's job that the mirror does not show is read again.
 	RunRead = 2 * time.Second
-	// RunReads: such reads under way at once, for a controller that takes over
+	// RunReads is the maximum number of such reads in one pass, for a controller that takes over
 	// many runs.
 	RunReads = 20
-	// RunsPerPass: runs looked at in one pass; a look at a run of a few steps takes
+	// RunsPerPass is the maximum number of runs examined in one pass. A run of a few steps takes
 	// some 10 microseconds, one that must be compiled first some hundred.
 	RunsPerPass = 100
-	// JobRecordBytes, bytes: a job's record without its longer texts, with the
-	// conditions of its change.
+	// JobRecordBytes is the estimated size, in bytes, of a job's record without its longer texts
+	// but with the preconditions of its write.
 	JobRecordBytes = 700
-	// CancelFirst: for so long after a user asked to cancel a run, its owner makes
-	// no other change of it; the user comes back after a second.
+	// CancelFirst is how long the owner makes no other change of a run after a user asked to
+	// cancel it. The user's client retries after a second.
 	CancelFirst = 3 * time.Second
-	// CancelAttempts: how often a cancellation is tried on newer records of its run
-	// before the user is sent away; the owner's change comes between at most once
-	// or twice.
+	// CancelAttempts is the maximum number of attempts to cancel a run, each on a newer record of
+	// it, before the request is refused. The owner's changes come between at most once or twice.
 	CancelAttempts = 3
-	// PlanCache: compiled plans kept of runs that this node does not move.
+	// PlanCache is the maximum number of compiled plans kept in memory.
 	PlanCache = 64
-	// SnapshotRPS: requests a second that taking a snapshot makes unless set otherwise.
+	// SnapshotRPS is the default number of requests a second made to take a snapshot.
 	SnapshotRPS = 5.0
-	// SnapshotPatience: a snapshot waits so long for a state service that gives nothing.
+	// SnapshotPatience is how long a snapshot waits for a state service that does not answer.
 	SnapshotPatience = 2 * time.Minute
-	// SnapshotBlock, bytes: most that a block of a snapshot unpacks to; a page of the
-	// state service is 512 KiB, what changes meanwhile may be more.
+	// SnapshotBlock is the maximum size, in bytes, of a decompressed block of a snapshot. A page of
+	// the state service is 512 KiB; the changes made meanwhile may be more.
 	SnapshotBlock = 256 << 20
-	// MaxUnpacked, bytes: what a packed record may grow to.
+	// MaxUnpacked is the maximum size of a decompressed record in bytes.
 	MaxUnpacked = 1 << 20
 )
--- a/internal/tuning/quotas.go
+++ b/internal/tuning/quotas.go
@@ -4,23 +4,25 @@
 
 // Quotas.
 const (
-	// MaxQuotaDepth: levels of organisations, teams and classes.
+	// MaxQuotaDepth is the maximum number of levels of organisations, teams and classes.
 	MaxQuotaDepth = 8
-	// MaxQuotaNodes: of a tree; 1,000 leaves were measured. Its document must fit
-	// into one value of the state service besides.
+	// MaxQuotaNodes is the maximum number of nodes of a quota tree. Its document must also fit into
+	// one value of the state service.
 	MaxQuotaNodes = 2000
-	// MaxWeight: of a node; more would say "all" in other words.
+	// MaxWeight is the maximum weight of a node. A larger one would in effect give the node
+	// everything.
 	MaxWeight = 1e6
-	// QuotaGrace: for so long after a change of the tree, what is over a limit may
-	// end by itself before it is stopped, unless the file says otherwise.
+	// QuotaGrace is the default of how long, after a change of the tree, tasks beyond a limit may
+	// end by themselves before they are stopped.
 	QuotaGrace = 60 * time.Second
-	// MaxGrace: a day.
+	// MaxGrace is the maximum of that time.
 	MaxGrace = 24 * time.Hour
-	// ReclaimEvery: how often what is over a limit is looked at.
+	// ReclaimEvery is the interval of the checks for usage beyond a limit.
 	ReclaimEvery = time.Second
-	// GiveBackEach: tasks of a job for which borrowed room is asked back at a look.
+	// GiveBackEach is the maximum number of a job's tasks for which borrowed capacity is reclaimed
+	// in one scheduling cycle.
 	GiveBackEach = 8
-	// MaxReclaimStops: tasks stopped at a look, so that a large shrink does not take
-	// all changes.
+	// MaxReclaimStops is the maximum number of tasks stopped in one pass for being beyond a limit,
+	// so that a large reduction does not use up all writes.
 	MaxReclaimStops = 50
 )
--- a/internal/tuning/records.go
+++ b/internal/tuning/records.go
@@ -4,43 +4,49 @@
 
 // Stored records and transactions.
 const (
-	// PreconditionsPerOp: conditions that the state service takes for each put or delete
-	// that it allows in a transaction (protocol).
+	// PreconditionsPerOp is the number of preconditions that the state service accepts in a
+	// transaction for each put or delete that it allows (protocol).
 	PreconditionsPerOp = 4
-	// RangeTaskBytes, bytes: what a task takes of the record of its task range, at most,
-	// with names of the usual length; decides how many tasks a range holds.
+	// RangeTaskBytes is the maximum number of bytes that a task with names of the usual length
+	// takes in the record of its task range. It determines how many tasks a range holds.
 	RangeTaskBytes = 220
-	// ChangeBytes, bytes: what a changed task may add to the record of a task range.
+	// ChangeBytes is the number of bytes that a changed task may add to the record of its task
+	// range.
 	ChangeBytes = 100
-	// BatchTaskBytes, bytes: what a task takes of a batch record, at least; with the share of
-	// BatchFillShare it decides how many tasks are put into one.
+	// BatchTaskBytes is the minimum number of bytes that a task takes in a batch record. With
+	// BatchFillShare it determines how many tasks one record gets.
 	BatchTaskBytes = 12
-	// BatchFillShare: share of the most bytes of a value up to which batch records are filled; the
-	// rest is for what their tasks' records grow by.
+	// BatchFillShare is the share of a value's maximum size up to which batch records are filled.
+	// The rest is for the growth of their tasks' entries.
 	BatchFillShare = 0.7
-	// MaxBatchTasks: tasks in a batch record; bounds what reading one takes.
+	// MaxBatchTasks is the maximum number of tasks in a batch record; it bounds the cost of
+	// reading one.
 	MaxBatchTasks = 20_000
-	// BatchEvery: the leader gives tasks away in batch records, and owners write ends into
-	// them, at most this often: what one look places, and what ends meanwhile, shares
-	// batch records. While changes are short it is GatherFor for ends and BatchEveryScarce for the
-	// leader. The first after a pause waits for nothing.
-	BatchEvery       = 300 * time.Millisecond
+	// BatchEvery is the minimum pause between two scheduling cycles that write batch records, and
+	// between two commits of an owner's ended tasks. What one cycle places, and what ends
+	// meanwhile, then shares records. While writes are scarce the pause for ends is GatherFor. The
+	// first commit after a longer pause does not wait.
+	BatchEvery = 300 * time.Millisecond
+	// BatchEveryScarce is the pause between scheduling cycles while writes are scarce.
 	BatchEveryScarce = 400 * time.Millisecond
-	// MaxSharedBatches: tasks given away that may be counted as one change of batch records.
+	// MaxSharedBatches is the number of placed tasks that count as one write of a batch record when
+	// a scheduling cycle estimates its writes.
 	MaxSharedBatches = 6
-	// TxnBytes, bytes: up to where a transaction is filled by guess. What is sent is
-	// counted and must stay below MaxRequestBody.
+	// TxnBytes is the estimated size, in bytes, up to which a transaction is filled. Its real size
+	// is checked before it is sent and must not exceed MaxRequestBody.
 	TxnBytes = 48 << 10
-	// MaxClaimBytes, bytes: claims in one transaction, where one value does not hold them. The
-	// rest of MaxRequestBody is for keys and conditions, some 100 bytes each. 4,000 names of
-	// 12 bytes take 60,000.
+	// MaxClaimBytes is the maximum size, in bytes, of the claims in one transaction where they take
+	// several values. The rest of MaxRequestBody is for keys and preconditions, some 100 bytes
+	// each. 4,000 names of 12 bytes take 60,000.
 	MaxClaimBytes = 60 << 10
-	// MaxQuarantined: decisions kept that no transaction could hold or that were refused;
-	// they are faults of a program, one of which a bug may make for each machine.
+	// MaxQuarantined is the maximum number of decisions in quarantine: those that no transaction
+	// can hold or that the state service refused. They are caused by faults of a program, one of
+	// which may produce a decision for each machine.
 	MaxQuarantined = 5000
-	// QuarantineFirst, MaxQuarantine: how long such a decision is not made again, doubled each
-	// time: a refusal costs a request and two lines of the log, and what it waits for
-	// is a change of the state or of the service.
+	// QuarantineFirst is the time for which a decision is quarantined, doubled each time up to
+	// MaxQuarantine. Each refusal costs a request and two log lines, and is not resolved before
+	// the state or the service changes.
 	QuarantineFirst = 10 * time.Second
-	MaxQuarantine   = 10 * time.Minute
+	// MaxQuarantine is the maximum of that time.
+	MaxQuarantine = 10 * time.Minute
 )
--- a/internal/tuning/recovery.go
+++ b/internal/tuning/recovery.go
@@ -2,30 +2,36 @@
 
 import "time"
 
-// Reconciling: what a controller that starts does before it knows what its machines have.
+// Reconciliation: what a controller that starts does until it knows its machines' tasks.
 const (
-	// ReconcileReports, reports, and ReconcileSlack: by then every machine that runs has
-	// reported twice, the second time with our fencing token, and been reached directly.
+	// ReconcileReports is the number of heartbeat intervals, on top of ReconcileSlack, after which
+	// every machine that runs has sent two heartbeats, the second under this view's fencing token,
+	// and has been called directly.
 	ReconcileReports = 2.0
-	ReconcileSlack   = 2 * time.Second
-	// MaxReconcile: after so long what still differs is what differs on any day.
+	// ReconcileSlack is the fixed part of that time.
+	ReconcileSlack = 2 * time.Second
+	// MaxReconcile is the time after which reconciliation ends in any case. Remaining differences
+	// are then handled as in normal operation.
 	MaxReconcile = 60 * time.Second
-	// ReconcileOthers: an owner that has not reported by then that it heard its machines is
-	// waited for no longer: it has called them twice, and reported which did not answer.
+	// ReconcileOthers is how long a controller waits, after a view change, for the other owners to
+	// report that they heard their machines. By then each has called its machines twice and
+	// published those that did not answer.
 	ReconcileOthers = 5 * time.Second
-	// ReconcileScaleOutDelay: some looks at the queue, which then has been offered all machines; what it
-	// still lacks is rented.
+	// ReconcileScaleOutDelay is the pause before a controller that has reconciled scales out. By
+	// then all machines have been offered to the queue in several scheduling cycles, and only what
+	// it still lacks is launched.
 	ReconcileScaleOutDelay = 2 * time.Second
-	// MaxPlaceAgainRecords: records that a decision to place a gang's tasks where they were may write,
-	// where a transaction holds as many.
+	// MaxPlaceAgainRecords is the maximum number of records written by a decision that places a
+	// gang's vanished tasks again where they were, if a transaction holds that many.
 	MaxPlaceAgainRecords = 12
-	// PlaceAgainEvery: between two looks at what has vanished, each of which goes through all of
-	// it.
+	// PlaceAgainEvery is the minimum pause between two passes over the vanished tasks. Each pass
+	// examines all of them.
 	PlaceAgainEvery = 100 * time.Millisecond
-	// AwaitedCalls: direct calls under way to machines that have not reported to this
-	// process yet; the rest of MaxWorkerCalls is for those that have. Each machine that
-	// died holds a call for CommandTimeout, and 80 of them held all 64 for ten seconds.
-	// DoubtedCalls: the same for those that left a call unanswered already.
+	// AwaitedCalls is the maximum number of direct calls under way, while a controller reconciles,
+	// to machines that have not sent it a heartbeat yet. The rest of MaxWorkerCalls is for those
+	// that have. Each machine that died holds a call for CommandTimeout: 80 of them held all 64
+	// calls for ten seconds.
 	AwaitedCalls = 44
+	// DoubtedCalls is that number for machines that have left a call unanswered.
 	DoubtedCalls = 12
 )
--- a/internal/tuning/tasks.go
+++ b/internal/tuning/tasks.go
@@ -4,25 +4,27 @@
 
 // Retries of tasks, and whether a job or a machine is to blame for failures.
 const (
-	// AssignmentStaleAfter: a released task that its part has not placed by then is
-	// taken back and given to another part.
+	// AssignmentStaleAfter is the time after which a released task that its shard has not placed is
+	// withdrawn and given to another shard.
 	AssignmentStaleAfter = 3 * time.Second
-	// Backoff, BackoffMax: pause after a failed try, doubled each time. A job
+	// Backoff is the pause after a task's first failure, doubled each time up to BackoffMax. A job
 	// that fails everywhere thus costs little.
-	Backoff    = 500 * time.Millisecond
+	Backoff = 500 * time.Millisecond
+	// BackoffMax is the maximum of that pause.
 	BackoffMax = 30 * time.Second
-	// ErrorsBlame: a job whose tasks failed on this many different machines is
-	// itself to blame; its failures then count against no machine.
+	// ErrorsBlame is the number of different machines on which a job's tasks must have failed for
+	// the job itself to be to blame. Its failures then count against no machine.
 	ErrorsBlame = 3
-	// ProvenAfter, ProvenPulls: a task on its machine for so long, and so many
-	// times as long as its image takes alone, speaks for its job; images that are
-	// fetched together share the rate.
+	// ProvenAfter is part of the time that a task must have been on its machine to prove that its
+	// job works. The rest follows from ProvenPulls.
 	ProvenAfter = 10 * time.Second
+	// ProvenPulls is the multiple of the time for pulling the task's image alone that is added to
+	// ProvenAfter. Images that are pulled at the same time share the bandwidth.
 	ProvenPulls = 2.0
-	// ErrorsFaulty: a machine on which tasks of this many different blameless
-	// jobs failed in a row is faulty and is deleted.
+	// ErrorsFaulty is the number of different blameless jobs whose tasks must have failed on a
+	// machine, without a success in between, for the machine to be faulty. It is then deleted.
 	ErrorsFaulty = 2
-	// ErrorRest: a machine takes no new task for this long after a failure,
-	// so that a sick one does not eat the queue.
+	// ErrorRest is how long a machine gets no new tasks after a failure, so that a faulty one does
+	// not drain the queue.
 	ErrorRest = 12 * time.Second
 )
--- a/internal/tuning/times.go
+++ b/internal/tuning/times.go
@@ -2,38 +2,44 @@
 
 import "time"
 
-// Times that follow from the deployment's own (report_s, lease_s, cancel_s): the parts of
-// them that the deployment does not set. Package settings puts them together.
+// The constant parts of the times that depend on the deployment's report_s, lease_s and
+// cancel_s. Package settings computes those times.
 const (
-	// ReportJitter: share of report_s by which a report may come late (protocol).
+	// ReportJitter is the share of report_s by which a heartbeat may be late (protocol).
 	ReportJitter = 0.25
-	// WorkerPatience, WorkerNext, WorkerRedirect: how long a worker waits for an answer, until
-	// it turns to the next controller, and until it goes where it is sent, at most (protocol).
+	// WorkerPatience is the maximum time that an agent waits for an answer (protocol).
 	WorkerPatience = 4 * time.Second
-	WorkerNext     = time.Second
+	// WorkerNext is the maximum time until an agent without an answer calls the next controller
+	// (protocol).
+	WorkerNext = time.Second
+	// WorkerRedirect is the maximum time until an agent calls the controller that it is redirected
+	// to (protocol).
 	WorkerRedirect = 500 * time.Millisecond
-	// ReportSlack: a report may be so much later than the protocol allows before its
-	// machine is asked: what a small controller lags behind when all is busy. With reports
-	// every 2 s a share of them alone left 0.3 s, and one lag had all machines asked.
+	// ReportSlack is how much later than the protocol allows a heartbeat may be before its machine
+	// is queried directly: the lag of a small, busy controller. A mere share of report_s left 0.3 s
+	// with heartbeats every 2 s, and one lag caused queries to all machines.
 	ReportSlack = 440 * time.Millisecond
-	// ViewTakes: for a change of view and its coming to all controllers, once it is known
-	// who is left out: a transaction of some 10 to some hundred ms and a watch.
+	// ViewTakes is the time for a view change to be made and to reach all controllers, once it is
+	// known who leaves the view: a transaction, some 10 to some hundred ms, and a watch.
 	ViewTakes = time.Second
-	// HeardLease: HeardFresh is at most this share of lease_s. What was heard elsewhere as
-	// long ago as a lease tells nothing of what runs now.
+	// HeardLease is the maximum share of lease_s that HeardFresh may take. A heartbeat that another
+	// controller received a whole lease ago says nothing about what runs now.
 	HeardLease = 0.75
-	// OutboundPartitionedLeaseShare, share of lease_s: a machine that sends no reports for longer takes no new
-	// tasks. A worker that looks for its controller has found it long before (MinLease);
-	// with less, machines were taken for outbound-partitioned for one change of leader.
+	// OutboundPartitionedLeaseShare is the share of lease_s without a heartbeat after which a
+	// machine gets no new tasks. An agent that looks for its controller has found it long before
+	// (settings.Workers.MinLease). With less, machines counted as outbound-partitioned because of
+	// one change of leader.
 	OutboundPartitionedLeaseShare = 0.5
-	// CancelSpare: by how much cancel_s must exceed lease_s at least. What nobody reaches
-	// has ended by lease_s after the last answer, which may be a report's time younger than
-	// the cancellation, and it shows in what the machine reports next.
+	// CancelSpare is how much longer than lease_s cancel_s must be. A task that nobody reaches ends
+	// lease_s after the last answer to its machine, which may be one heartbeat interval later than
+	// the cancellation, and the machine's next heartbeat shows it.
 	CancelSpare = 5 * time.Second
-	// CloudAnswer: within so much the cloud mostly answers a delete; 120 ms are usual.
+	// CloudAnswer is the time within which the cloud nearly always answers a delete request; 120 ms
+	// are usual.
 	CloudAnswer = 2 * time.Second
-	// UnresponsiveRetryAfter: a worker that came to another controller and that its own owner, so long
-	// after, still tells that it does not hear is out of the owner's reach. It was sent to
-	// its owner, gets there within WorkerRedirect, and the owner tells so within some 100 ms.
+	// UnresponsiveRetryAfter is the time after which an agent that called another controller cannot
+	// reach its owner if the owner still reports its machine as unresponsive. The agent was
+	// redirected to its owner, calls it within WorkerRedirect, and the owner reports a change
+	// within some 100 ms.
 	UnresponsiveRetryAfter = time.Second
 )
