--- a/internal/tuning/scheduling.go
+++ b/internal/tuning/scheduling.go
@@ -2,133 +2,151 @@
 
 import "time"
 
-// The leader.
+// The leader: scheduling, preemption, provisioning.
 const (
-	// QueueHorizon: a job that has missed its aims waits behind those that can
-	// still meet theirs, but not longer than this.
+	// QueueHorizon is how long a job that has missed all of its class's objectives waits behind
+	// those that can still meet theirs.
 	QueueHorizon = 10 * time.Minute
-	// Overdue: a job that has not begun after this goes to the head of its rank, turn and
-	// share. Users give the largest jobs 240 s; a boot and the fetch of a large image take
-	// up to 100 s of them.
+	// Overdue is the wait after which a job that has not started is overdue: it goes first among
+	// the jobs of its priority and its team's fair share. Users give the largest jobs 240 s to
+	// start; a boot and the pull of a large image take up to 100 s of them.
 	Overdue = 110 * time.Second
-	// OverdueMargin: the same so long before the last of its class's aims for starting, where
-	// that is at least OverdueAim: about a boot and a fetch.
+	// OverdueMargin is how long before the last of its class's objectives for starting a job is
+	// overdue, where that is earlier and the objective is at least OverdueAim. It is about the time
+	// of a boot and a pull.
 	OverdueMargin = 45 * time.Second
-	OverdueAim    = 75 * time.Second
-	// GangOverdue: the same for gangs of more than HoldEach tasks, which go whole. In an
-	// overload the old ones then go before the small ones, and fewer meet any aim: on the
-	// fleet's busy day 0.78 of fit-trainer's began within 150 s where none was overdue, 0.60
-	// where all gangs were after 105 s or 120 s. The rest of 240 s is a boot and a fetch.
+	// OverdueAim is the shortest last objective for starting that makes jobs of its class overdue
+	// earlier or later than Overdue and GangOverdue say.
+	OverdueAim = 75 * time.Second
+	// GangOverdue is the wait after which a gang of more than HoldEach tasks, all of which start
+	// together, is overdue. In an overload the old large gangs then go before the small ones, and
+	// fewer meet any objective: on the fleet's busy day 0.78 of class fit-trainer's gangs started
+	// within 150 s where none was overdue, and 0.60 where all gangs were overdue after 105 s or
+	// 120 s. The rest of the 240 s is for a boot and a pull.
 	GangOverdue = 160 * time.Second
-	// GangAimPast: where the last of its class's aims for starting is sooner, a large gang is
-	// overdue so long after that. Room for 16 whole machines in one zone takes up to two
-	// minutes to come free; begun at 160 s, a third of them began after 240 s.
+	// GangAimPast is how long after the last of its class's objectives for starting a large gang is
+	// overdue, where that is earlier. Capacity for 16 whole machines in one zone takes up to two
+	// minutes to become free; of the gangs that were overdue at 160 s, a third started after
+	// 240 s.
 	GangAimPast = 10 * time.Second
-	// BeginShare: one task and one for each so many go to the head with it. They show
-	// that it runs and what its tasks take; more would hold up the smaller jobs that it
-	// waits behind.
+	// BeginShare determines how many tasks of an overdue job go first: one, and one more for each
+	// BeginShare tasks of the job. They show that the job runs and what its tasks take. More would
+	// delay the smaller jobs that it has waited behind.
 	BeginShare = 16
-	// HoldShare: share of the machines that may be kept for tasks that need
-	// more room than is free anywhere.
+	// HoldShare is the maximum share of the machines held for tasks that need more than is free
+	// anywhere, and, separately, the maximum share accumulated for large gangs.
 	HoldShare = 0.25
-	// StarvingAfter: a job for which there has been room for so long, kept for others, begins.
-	// Users let nobody wait for 90 s while a machine that fits has room; the rest is for the
-	// look, the changes and the owner's own time. StarvingEvery: between two looks at a job.
-	// StarvingCapacityFor: with it begin those that have been passed over for so long, so that what is
-	// kept for a large gang is whole for a minute in between and not used up one by one.
-	// StarvingGap: none left for so long, and the job waits for room again. In less another that
-	// was passed over has used it.
-	// StarvingMinAge: one accepted so lately is not looked at; most have begun by then.
-	// MaxStarvingExamined: in one pass; each is a look at all machines.
-	StarvingAfter       = 70 * time.Second
-	StarvingEvery       = 3 * time.Second
+	// StarvingAfter is how long capacity for a job may be free, but held for others, before the
+	// job starts. Users accept no wait of 90 s while a machine that fits has room; the rest is for
+	// the checks, the writes and the owner's own time.
+	StarvingAfter = 70 * time.Second
+	// StarvingEvery is the interval at which a waiting job is checked for that.
+	StarvingEvery = 3 * time.Second
+	// StarvingCapacityFor is how long a job must have starved to start together with one that has
+	// starved for StarvingAfter. Between such starts the capacity held for a large gang then stays
+	// whole for a minute and is not used up piece by piece.
 	StarvingCapacityFor = 10 * time.Second
-	StarvingGap         = 30 * time.Second
-	StarvingMinAge      = 15 * time.Second
+	// StarvingGap is the time without free capacity after which a job counts as starving no more.
+	// If there was none for a shorter time, another starving job has used it.
+	StarvingGap = 30 * time.Second
+	// StarvingMinAge is the minimum age of a job that is checked. Most jobs have started by then.
+	StarvingMinAge = 15 * time.Second
+	// MaxStarvingExamined is the maximum number of jobs checked in one scheduling cycle. Each check
+	// examines all machines.
 	MaxStarvingExamined = 20
-	// GatherTasks, GatherFor: while changes are short, so few tasks of a job array
-	// that there is room for wait so long for more, to share a task range; and ended
-	// tasks wait so long for others. Inside the 3 s after which users expect
-	// done, with time for the job's own end.
+	// GatherTasks is the number of tasks of a job array that are placed at once while writes are
+	// scarce: fewer wait for more capacity, to share a task range.
 	GatherTasks = 8
-	GatherFor   = 900 * time.Millisecond
-	// WaitingEach: tasks of a waiting job that others may be stopped for.
+	// GatherFor is how long they wait, and how long ended tasks wait for others while writes are
+	// scarce. Users expect to see a task's end within 3 s, which must also leave time for the end
+	// of its job.
+	GatherFor = 900 * time.Millisecond
+	// WaitingEach is the number of a job's tasks beyond the free places that one scheduling cycle
+	// examines, so that others may be preempted for them.
 	WaitingEach = 12
-	// MaxHeldMachines: machines kept in one pass; each costs a look at all of them.
+	// MaxHeldMachines is the maximum number of machines newly held in one scheduling cycle. To
+	// choose one, all machines are examined.
 	MaxHeldMachines = 16
-	// GatherElsewhere: a large gang that has gathered nothing more for this long in one
-	// zone looks in another: longer than machines take to boot.
+	// GatherElsewhere is the time without progress after which a large gang accumulates capacity in
+	// another zone. It is longer than machines take to boot.
 	GatherElsewhere = 60 * time.Second
-	// GatherAgain: pause before the busy machines kept for it are chosen anew; each
-	// choice looks at all tasks of a zone.
+	// GatherAgain is the pause before the busy machines held for a large gang are chosen anew. Each
+	// choice examines all tasks of a zone.
 	GatherAgain = 5 * time.Second
-	// HoldAgain: pause before the machines kept for a job are chosen anew.
+	// HoldAgain is the pause before the machines held for a job are chosen anew.
 	HoldAgain = 500 * time.Millisecond
-	// HoldEach: machines kept for one job.
+	// HoldEach is the maximum number of machines held for one job. A gang of more tasks is large:
+	// capacity is accumulated for it instead.
 	HoldEach = 4
-	// MaxSearches: looks for tasks to stop in one pass; each is a look at all
-	// machines and what is on them.
+	// MaxSearches is the maximum number of searches for tasks to preempt in one scheduling cycle.
+	// Each examines all machines and their tasks.
 	MaxSearches = 4
-	// MoveEvery, MovesShare: pace at which replicas leave draining machines:
-	// at least one, and this share of the number of machines.
-	MoveEvery  = 3 * time.Second
+	// MoveEvery is the interval at which replicas are moved off draining machines.
+	MoveEvery = 3 * time.Second
+	// MovesShare is the number of replicas moved at a time as a share of the number of machines; at
+	// least one is moved.
 	MovesShare = 0.005
-	// MoveAfter: a replica younger than this is not moved; its start would have
-	// been for nothing.
+	// MoveAfter is the minimum age of a replica that is moved: a younger one would have been
+	// started in vain.
 	MoveAfter = 35 * time.Second
-	// MaxActive: tasks of one job released or on machines at once. A machine with
-	// hundreds of short tasks reports them all twice a second.
+	// MaxActive is the maximum number of a job's tasks that are released or on machines at once. A
+	// machine with hundreds of short tasks reports all of them twice a second.
 	MaxActive = 8000
-	// MaxAssignments: tasks looked at for release in one pass; bounds the time a
-	// pass takes with very large job arrays waiting.
+	// MaxAssignments is the maximum number of tasks examined for release in one scheduling cycle.
+	// It bounds the duration of a cycle while very large job arrays wait.
 	MaxAssignments = 400
-	// MaxExaminedJobs: the same while there is no budget for any change, when a look
-	// only finds out what has no room.
+	// MaxExaminedJobs is that number while there is no budget for any write. Such a cycle only
+	// finds out which jobs lack capacity.
 	MaxExaminedJobs = 100
-	// RoundFor: for so long a job that finds no room keeps what its team's limit has left
-	// from the team's other jobs: longer than most machines take to boot (45 s), and
-	// shorter than the 90 s for which users let a job wait beside a machine with room.
+	// RoundFor is how long a job without capacity is charged to its team's limit ahead of the
+	// team's other jobs. It is longer than most machines take to boot (45 s), and shorter than the
+	// 90 s for which users let a job wait beside a machine with room.
 	RoundFor = 60 * time.Second
-	// AvoidAfter: a machine on which a released task was not placed in time is
-	// not offered for this long.
+	// AvoidAfter is how long a machine is not proposed after a task that was released to it was
+	// not placed in time.
 	AvoidAfter = 8 * time.Second
-	// DecommissionEvery: how often machines are looked over for deletion.
+	// DecommissionEvery is the interval of the checks for machines to delete.
 	DecommissionEvery = 500 * time.Millisecond
-	// UnresponsiveRecheck: an unresponsive machine that no controller hears is deleted after
-	// this; a hanging one may come back, but its work is started sooner
-	// elsewhere.
+	// UnresponsiveRecheck is the time after which an unresponsive machine that no controller hears
+	// is given up and deleted. One that hangs may recover, but its tasks start sooner elsewhere.
 	UnresponsiveRecheck = 3 * time.Second
-	// MaxUnresponsiveShare: share of the machines that may be unresponsive at once for that; if
-	// more are, the network is the likelier cause, and they are only deleted
-	// after their lease has ended.
+	// MaxUnresponsiveShare is the share of all machines up to which they are given up so soon. If
+	// more are unresponsive at once, the network is the likelier cause, and they are deleted only
+	// after their leases have expired.
 	MaxUnresponsiveShare = 0.34
-	// MinPartitionSample, PartitionShare: a zone with at least so many unresponsive machines that are
-	// more than this share of its own is taken to be cut off; so is an owner.
+	// MinPartitionSample is the minimum number of unresponsive machines of a zone or an owner for
+	// it to be considered partitioned. It is also the number of agents that a controller outside
+	// the view probes.
 	MinPartitionSample = 4
-	PartitionShare     = 0.5
-	// MaxSummaryParts: values of the state service that the summary may take. 4,000 machines
-	// that drain at once and 4,000 just rented take 13 of 8 KiB, written once a step.
+	// PartitionShare is the share of the machines of a zone or an owner beyond which it is
+	// considered partitioned if they are unresponsive.
+	PartitionShare = 0.5
+	// MaxSummaryParts is the maximum number of values of the state service that the provisioning
+	// summary takes. With 4,000 machines that drain at once and 4,000 just launched it takes 13
+	// values of 8 KiB, written once a step.
 	MaxSummaryParts = 100
-	// SummaryHistory, steps kept per group in the summary.
+	// SummaryHistory is the number of steps of demand history kept per group in the summary.
 	SummaryHistory = 12
-	// PatientPrice: work that can still wait is not given machines dearer than
-	// this many times the cheapest it allows.
+	// PatientPrice is the multiple of the lowest price among a task's pools up to which a machine
+	// is launched for a task that can still wait.
 	PatientPrice = 1.5
-	// MaxLaunchRounds: further rounds of one step's batch after refusals.
+	// MaxLaunchRounds is the maximum number of further rounds of launch requests in one step after
+	// refusals.
 	MaxLaunchRounds = 4
-	// CloudQueue: calls waiting for the cloud's rate.
+	// CloudQueue is the maximum number of calls that wait for the cloud's rate limit.
 	CloudQueue = 60
-	// CatalogAgain: pause after a failed read of the catalogue.
+	// CatalogAgain is the pause after a failed read of the cloud's catalog.
 	CatalogAgain = 2 * time.Second
-	// ForgetGone: how long machines that left the list are remembered.
+	// ForgetGone is how long machines that are no longer listed by the cloud are remembered.
 	ForgetGone = 10 * time.Minute
-	// DeleteAgain: pause before an unanswered delete is repeated.
+	// DeleteAgain is the pause before an unanswered delete request is repeated.
 	DeleteAgain = 9 * time.Second
-	// MaxLaunchRetries: repeats of an unanswered rent under its name.
+	// MaxLaunchRetries is the number of times that an unanswered launch request is repeated under
+	// its ID.
 	MaxLaunchRetries = 3
-	// ClearWait: how long a task waits for the room made for it on a machine
-	// that holds its image.
+	// ClearWait is how long a task waits for capacity that is being freed for it on a machine that
+	// holds its image.
 	ClearWait = 1500 * time.Millisecond
-	// PreemptAgain: pause before room is made for the same task again.
+	// PreemptAgain is the pause before tasks are preempted once more for the same task.
 	PreemptAgain = 10 * time.Second
 )
