--- a/internal/tuning/autoscaling.go
+++ b/internal/tuning/autoscaling.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Autoscaling. The defaults are those of DESIGN, which marks the ones that may be changed.
+// Autoscaling. The defaults are those of docs/design.md, which marks the ones that may be changed.
 const (
 	// Step is the interval between two steps of the autoscaler.
 	Step = 10 * time.Second
@@ -29,7 +29,7 @@
 	// MaxDeleteNames is the maximum number of names in a delete request (the cloud's limit).
 	MaxDeleteNames = 100
 	// NoCapacity is the pause before machines are requested again from a pool (machine type, zone,
-	// spot or standard) for which the cloud had no capacity.
+	// spot or standard) for which the cloud refused a request.
 	NoCapacity = 45 * time.Second
 	// BootSlack is the multiple of a machine type's boot time after which a machine that has not
 	// come up is expected to never do so.
--- a/internal/tuning/recovery.go
+++ b/internal/tuning/recovery.go
@@ -17,9 +17,9 @@
 	// report that they heard their machines. By then each has called its machines twice and
 	// published those that did not answer.
 	ReconcileOthers = 5 * time.Second
-	// ReconcileScaleOutDelay is the pause before a controller that has reconciled scales out. By
-	// then all machines have been offered to the queue in several scheduling cycles, and only what
-	// it still lacks is launched.
+	// ReconcileScaleOutDelay is the pause between hearing all machines and scaling out. Meanwhile
+	// several scheduling cycles offer the machines to the queue, so that only what it still lacks
+	// is launched.
 	ReconcileScaleOutDelay = 2 * time.Second
 	// MaxPlaceAgainRecords is the maximum number of records written by a decision that places a
 	// gang's vanished tasks again where they were, if a transaction holds that many.
--- a/internal/tuning/scheduling.go
+++ b/internal/tuning/scheduling.go
@@ -15,8 +15,8 @@
 	// overdue, where that is earlier and the objective is at least OverdueAim. It is about the time
 	// of a boot and a pull.
 	OverdueMargin = 45 * time.Second
-	// OverdueAim is the shortest last objective for starting that makes jobs of its class overdue
-	// earlier or later than Overdue and GangOverdue say.
+	// OverdueAim is the shortest last objective for starting that OverdueMargin and GangAimPast are
+	// applied to. To make room takes longer than a shorter one: there Overdue and GangOverdue hold.
 	OverdueAim = 75 * time.Second
 	// GangOverdue is the wait after which a gang of more than HoldEach tasks, all of which start
 	// together, is overdue. In an overload the old large gangs then go before the small ones, and
@@ -102,8 +102,8 @@
 	// team's other jobs. It is longer than most machines take to boot (45 s), and shorter than the
 	// 90 s for which users let a job wait beside a machine with room.
 	RoundFor = 60 * time.Second
-	// AvoidAfter is how long a machine is not proposed after a task that was released to it was
-	// not placed in time.
+	// AvoidAfter is how long a machine is not proposed after a task that was released for it was
+	// not placed there in time.
 	AvoidAfter = 8 * time.Second
 	// DecommissionEvery is the interval of the checks for machines to delete.
 	DecommissionEvery = 500 * time.Millisecond
@@ -141,8 +141,8 @@
 	ForgetGone = 10 * time.Minute
 	// DeleteAgain is the pause before an unanswered delete request is repeated.
 	DeleteAgain = 9 * time.Second
-	// MaxLaunchRetries is the number of times that an unanswered launch request is repeated under
-	// its ID.
+	// MaxLaunchRetries is the number of times that an unanswered or rate-limited launch request is
+	// repeated under its ID.
 	MaxLaunchRetries = 3
 	// ClearWait is how long a task waits for capacity that is being freed for it on a machine that
 	// holds its image.
