--- a/cmd/harrierreel/main.go
+++ b/cmd/harrierreel/main.go
@@ -1,5 +1,5 @@
-// Command harrierreel is a cluster scheduler: `serve` runs one controller, the other verbs
-// are the command line for users and operators.
+// Command harrierreel is a cluster scheduler. `serve` runs one controller; the other subcommands are
+// the command-line client for users and operators.
 package main
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/harrierreel/harrierreel/examples"
 	"github.com/harrierreel/harrierreel/internal/cli"
 	"github.com/harrierreel/harrierreel/internal/controller"
-	_ "github.com/harrierreel/harrierreel/internal/libc" // the program must be linked against the system's C library
+	_ "github.com/harrierreel/harrierreel/internal/libc" // links the program against the system's C library
 	"github.com/harrierreel/harrierreel/internal/settings"
 )
 
@@ -31,8 +31,7 @@
 	os.Exit(code)
 }
 
-// printError prints a line about a failure to standard error; nothing can be done if that
-// fails, too.
+// printError prints an error message to standard error. A failure to do so is ignored.
 func printError(text string) { _, _ = fmt.Fprintln(os.Stderr, "harrierreel:", text) }
 
 func rootCommand() *cobra.Command {
@@ -78,7 +77,7 @@
 	return cmd
 }
 
-// serve runs a controller until it is asked to end by a signal.
+// serve runs a controller until a signal asks it to end.
 func serve(file, operatorFiles string) error {
 	log := newLogger(slog.LevelInfo)
 	set, err := loadSettings(file, operatorFiles)
@@ -87,8 +86,8 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	// The first signal makes the controller hand over its leadership before it ends; after
-	// that a second one ends the program at once.
+	// After the first signal the controller hands over its leadership and ends. A second signal ends
+	// the program at once.
 	context.AfterFunc(ctx, stop)
 	log.Info("starting", "node", controller.Describe(set), "version", version)
 	log.Info("fits", set.Cluster.StartupAttributes()...)
@@ -101,7 +100,7 @@
 	return nil
 }
 
-// loadSettings reads the settings and prints every fault, a line each.
+// loadSettings reads the settings. It prints all faults, one per line.
 func loadSettings(file, operatorFiles string) (*settings.Settings, error) {
 	if file == "" {
 		printError("settings: --config: is missing; expected the platform's settings file")
@@ -117,8 +116,8 @@
 	return set, nil
 }
 
-// newLogger returns a logger that writes to standard error at the level that LOG_LEVEL
-// names, or else at defaultLevel.
+// newLogger returns a logger to standard error with the level named by the environment variable
+// LOG_LEVEL, or else defaultLevel.
 func newLogger(defaultLevel slog.Level) *slog.Logger {
 	level := defaultLevel
 	switch os.Getenv("LOG_LEVEL") {
--- a/internal/settings/budgets_test.go
+++ b/internal/settings/budgets_test.go
@@ -2,15 +2,15 @@
 
 import "testing"
 
-// With the loads of these deployments every controller keeps some of each budget for
-// decisions, once calls wait.
+// In each of these deployments every controller has some of each budget left for decisions, at the
+// latest when calls wait for it.
 func TestBaseLoadLeavesBudget(t *testing.T) {
 	for name, deployment := range map[string]struct {
 		controllers   int
-		requests      float64 // a second, to the state service
-		transactions  float64 // a second
+		requests      float64 // to the state service, a second
+		writes        float64 // to the state service, a second
 		cloudCalls    float64 // a second
-		cloudListSize int     // pages
+		cloudListSize int     // in pages
 	}{
 		"250 requests, three controllers": {3, 250, 100, 4, 1},
 		"200 requests, three controllers": {3, 200, 60, 3, 1},
@@ -22,13 +22,13 @@
 		t.Run(name, func(t *testing.T) {
 			cluster := Cluster{
 				Size:  deployment.controllers,
-				State: State{RPS: deployment.requests, WriteRPS: deployment.transactions},
+				State: State{RPS: deployment.requests, WriteRPS: deployment.writes},
 				Cloud: Cloud{RPS: deployment.cloudCalls},
 			}
 			load := cluster.BaseLoad(deployment.cloudListSize)
 			t.Logf("%+v", load)
 			if load.Requests > 0.8 || load.Throttled > 0.75 || load.CloudCalls > 0.4 || load.Transactions > 0.01 {
-				t.Errorf("too high: %+v", load)
+				t.Errorf("base load too high: %+v", load)
 			}
 		})
 	}
--- a/internal/settings/faults.go
+++ b/internal/settings/faults.go
@@ -11,16 +11,18 @@
 	"github.com/harrierreel/harrierreel/internal/fleet"
 )
 
-// listIndex is the place in a list that a field's name may hold.
+// listIndex matches a list index in the path of a field.
 var listIndex = regexp.MustCompile(`\[\d+\]`)
 
-// faultList collects the faults of a file, each with its field.
+// faultList collects the faults of a file, each with the path of its field.
 type faultList struct {
-	errs      []error
-	malformed []string // fields that could not be decoded: their zero values are no further fault
+	errs []error
+	// malformed lists the fields that could not be decoded, by path or, if the decoder did not
+	// report that, by name. No other faults are reported for them: their values are zero.
+	malformed []string
 }
 
-// require adds a fault of the field unless ok.
+// require adds a fault of a field, given by its path, unless ok.
 func (f *faultList) require(ok bool, field, fault string) {
 	if ok || slices.Contains(f.malformed, listIndex.ReplaceAllString(field, "")) {
 		return
@@ -44,7 +46,7 @@
 	)
 }
 
-// requireAddress adds a fault unless address is an IPv4 address with a port.
+// requireAddress adds a fault of a field unless its value is an IPv4 address with a port.
 func (f *faultList) requireAddress(field, address string) {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil {
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	goldenFiles = "testdata/golden/"
-	deployed    = "../../deploy/"
+	goldenDir = "testdata/golden/"
+	deployDir = "../../deploy/"
 )
 
-func is[T any](v T) *T { return &v }
+func ptr[T any](v T) *T { return &v }
 
-// goldenOperator is what testdata/golden/full.hcl says, which sets every setting.
+// goldenOperator returns the settings of testdata/golden/full.hcl, which sets all of them.
 func goldenOperator() Operator {
 	return Operator{
 		StepS:        12.5,
@@ -48,43 +48,43 @@
 func goldenQuotas() *quota.Document {
 	exportOrder := quota.OfClass{
 		Name:      "export-order",
-		Weight:    is(4.0),
-		Borrow:    is(true),
-		Lend:      is(true),
+		Weight:    ptr(4.0),
+		Borrow:    ptr(true),
+		Lend:      ptr(true),
 		Guarantee: &quota.Bounds{Cores: 3, Accelerators: 1, MemoryGB: 12},
 		Limit:     &quota.Bounds{Cores: 9, Accelerators: 2, MemoryGB: 36},
 	}
 	priceSweep := quota.OfClass{
 		Name:      "price-sweep",
-		Weight:    is(5.0),
-		Borrow:    is(true),
-		Lend:      is(true),
+		Weight:    ptr(5.0),
+		Borrow:    ptr(true),
+		Lend:      ptr(true),
 		Guarantee: &quota.Bounds{Cores: 2},
 		Limit:     &quota.Bounds{Cores: 6},
 	}
 	return &quota.Document{
-		GraceS: is(45.0),
+		GraceS: ptr(45.0),
 		Organisations: []quota.Org{{
 			Name:          "kenya",
-			Weight:        is(2.0),
-			Borrow:        is(true),
-			Lend:          is(true),
+			Weight:        ptr(2.0),
+			Borrow:        ptr(true),
+			Lend:          ptr(true),
 			Guarantee:     &quota.Bounds{Cores: 20, Accelerators: 5, MemoryGB: 100},
 			Limit:         &quota.Bounds{Cores: 60, Accelerators: 7, MemoryGB: 300},
-			Organisations: []quota.Org{{Name: "nairobi", Weight: is(1.5)}},
+			Organisations: []quota.Org{{Name: "nairobi", Weight: ptr(1.5)}},
 			Teams: []quota.OfTeam{{
 				Name:    "storefront",
-				Weight:  is(3.0),
-				Borrow:  is(true),
-				Lend:    is(true),
+				Weight:  ptr(3.0),
+				Borrow:  ptr(true),
+				Lend:    ptr(true),
 				Classes: []quota.OfClass{exportOrder},
 			}},
 		}},
 		Teams: []quota.OfTeam{{
 			Name:    "pricing",
-			Weight:  is(1.25),
-			Borrow:  is(true),
-			Lend:    is(true),
+			Weight:  ptr(1.25),
+			Borrow:  ptr(true),
+			Lend:    ptr(true),
 			Classes: []quota.OfClass{priceSweep},
 		}},
 	}
@@ -125,7 +125,7 @@
 	}
 }
 
-// A platform's file and operators' files that set every key are read as ever.
+// A platform's file and an operators' file that set every key are read as they always were.
 func TestGoldenSettings(t *testing.T) {
 	want := &Settings{
 		NodeName:   "n0",
@@ -157,22 +157,22 @@
 	goldentest.Filled(t, want.Cluster)
 	goldentest.Filled(t, want.Peers)
 	goldentest.Filled(t, want.Outside)
-	// Of length and until one window has the one, the next the other.
-	whole := goldenOperator()
-	windows := whole.Calendar.Tracks[0].Windows
+	// A window has either a length or an until, so no golden window sets both.
+	filled := goldenOperator()
+	windows := filled.Calendar.Tracks[0].Windows
 	windows[0].Until = windows[1].Until
-	organisation, class := whole.Quotas.Organisations[0], &whole.Quotas.Teams[0].Classes[0]
+	organisation, class := filled.Quotas.Organisations[0], &filled.Quotas.Teams[0].Classes[0]
 	class.Guarantee, class.Limit = organisation.Guarantee, organisation.Limit
-	goldentest.Filled(t, whole)
-	got, err := Load(goldenFiles+"full.toml", goldenFiles+"full.hcl")
+	goldentest.Filled(t, filled)
+	got, err := Load(goldenDir+"full.toml", goldenDir+"full.hcl")
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("read as\n%+v\nnot as\n%+v\n%v", got, want, err)
+		t.Errorf("got\n%+v\nwant\n%+v\nerror: %v", got, want, err)
 	}
 }
 
-// What holds without an operators' file, and what the files of deploy/ say.
-func TestGoldenDeployed(t *testing.T) {
-	none := Operator{
+// The defaults without an operators' file, and the settings of the files in deploy/.
+func TestGoldenDeployFiles(t *testing.T) {
+	defaults := Operator{
 		StepS:        10,
 		PlanSteps:    12,
 		Samples:      100,
@@ -187,31 +187,31 @@
 		TaskBatching: BatchingWhenScarce,
 	}
 	with := func(change func(*Operator)) Operator {
-		op := none
+		op := defaults
 		change(&op)
 		return op
 	}
 	for file, want := range map[string]Operator{
-		"": none,
-		deployed + "calendar.hcl": with(func(op *Operator) {
+		"": defaults,
+		deployDir + "calendar.hcl": with(func(op *Operator) {
 			op.Calendar = &calendar.Document{Revision: 1, Zone: "Africa/Nairobi"}
 		}),
-		deployed + "lending.hcl": with(func(op *Operator) {
+		deployDir + "lending.hcl": with(func(op *Operator) {
 			op.Lending = &Lending{ByPriority: true, AgainS: 300}
 		}),
-		deployed + "pipelines.hcl": with(func(op *Operator) {
+		deployDir + "pipelines.hcl": with(func(op *Operator) {
 			op.Pipelines = &Pipelines{MaxRuns: 2000, MaxSteps: 20000, ChangesShare: 0.3}
 		}),
-		deployed + "quotas.hcl":  with(func(op *Operator) { op.Quotas = &quota.Document{GraceS: is(60.0)} }),
-		deployed + "records.hcl": with(func(op *Operator) { op.TaskBatching = BatchingAlways }),
-		deployed + "standby.hcl": with(func(op *Operator) { op.FollowCloud = true }),
+		deployDir + "quotas.hcl":  with(func(op *Operator) { op.Quotas = &quota.Document{GraceS: ptr(60.0)} }),
+		deployDir + "records.hcl": with(func(op *Operator) { op.TaskBatching = BatchingAlways }),
+		deployDir + "standby.hcl": with(func(op *Operator) { op.FollowCloud = true }),
 	} {
 		got, errs := loadOperator(file)
 		if len(errs) > 0 || !reflect.DeepEqual(got, want) {
-			t.Errorf("%s: read as\n%+v\nnot as\n%+v\n%v", file, got, want, errs)
+			t.Errorf("file %q: got\n%+v\nwant\n%+v\nerrors: %v", file, got, want, errs)
 		}
 	}
-	text, err := os.ReadFile(deployed + "service.toml")
+	text, err := os.ReadFile(deployDir + "service.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -221,11 +221,12 @@
 		"run":   "target/harrierreel serve --config",
 	}
 	if err := toml.Unmarshal(text, &service); err != nil || !reflect.DeepEqual(service, want) {
-		t.Errorf("service.toml: %v, not %v: %v", service, want, err)
+		t.Errorf("service.toml: got %v, want %v, error: %v", service, want, err)
 	}
 }
 
-// Every fault is reported in the same words; each golden file names its two inputs.
+// All faults are reported with the same messages as ever. Each golden file lists those of two input
+// files.
 func TestGoldenFaults(t *testing.T) {
 	for name, files := range map[string][2]string{
 		"values.txt":          {"values.toml", "values.hcl"},
@@ -233,13 +234,13 @@
 		"broken.txt":          {"full.toml", "broken.hcl"},
 		"operator-values.txt": {"full.toml", "values.hcl"},
 	} {
-		_, err := Load(goldenFiles+files[0], goldenFiles+files[1])
+		_, err := Load(goldenDir+files[0], goldenDir+files[1])
 		if err == nil {
-			err = errors.New("no fault")
+			err = errors.New("no faults")
 		}
 		lines := strings.Split(err.Error(), "\n")
 		if name == "form.txt" {
-			slices.Sort(lines) // the HCL parser returns faults of form in any order
+			slices.Sort(lines) // the HCL parser returns syntax and type faults in any order
 		}
 		goldentest.Bytes(t, name, []byte(strings.Join(lines, "\n")+"\n"))
 	}
--- a/internal/settings/operator.go
+++ b/internal/settings/operator.go
@@ -15,20 +15,20 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Operator holds the operators' own settings. Every one is optional.
+// Operator holds the operators' settings, all of which are optional.
 type Operator struct {
 	StepS        float64            // seconds from one step of the autoscaler to the next
 	PlanSteps    int                // steps that the autoscaler plans ahead
-	Samples      int                // that the autoscaler draws for each step
+	Samples      int                // demand samples that the autoscaler draws for each step
 	Tolerance    float64            // bound on the mean shortfall, as a share of the expected demand
 	TrendSteps   int                // steps of history that the trend is fitted to
 	FreshSteps   int                // steps for which a new leader scales out to current demand only
-	DrainSteps   int                // length of a drain
-	ReviveSteps  int                // of DrainSteps, in which a draining machine may be put back to use
-	MemberTTLS   float64            // seconds: a controller's lease
-	FinalCache   int                // final states of jobs that a controller keeps in memory
-	Failover     Failover           // when a controller that has ended counts as dead
-	FollowCloud  bool               // followers read the cloud's list, too
+	DrainSteps   int                // length of a drain in steps
+	ReviveSteps  int                // how many of DrainSteps a draining machine may be put back to use in
+	MemberTTLS   float64            // duration of a controller's lease in seconds
+	FinalCache   int                // number of final job states that a controller keeps in memory
+	Failover     Failover           // when the others take over from a controller that has ended
+	FollowCloud  bool               // warm standbys read the cloud's catalog and list, too
 	TaskBatching TaskBatching       // when tasks of many jobs share a batch record
 	Pipelines    *Pipelines         // nil: turned off
 	Quotas       *quota.Document    // nil: the platform's teams alone
@@ -36,40 +36,40 @@
 	Lending      *Lending           // nil: turned off
 }
 
-// Failover says when others take over from a controller that has ended.
+// Failover determines when the others take over from a controller that has ended.
 type Failover string
 
-// When a controller that has ended counts as dead.
+// The values of Failover.
 const (
-	FailoverOnCalls       Failover = "calls" // when it doesn't answer a call, or when its lease expires
+	FailoverOnCalls       Failover = "calls" // when it does not answer a probe, or when its lease expires
 	FailoverOnLeaseExpiry Failover = "lease" // when its lease expires
 )
 
-// TaskBatching says when new tasks go into batch records, which many jobs share (package
-// taskbatch).
+// TaskBatching determines when new tasks are stored in batch records, which many jobs share
+// (package taskbatch).
 type TaskBatching string
 
-// When tasks are batched.
+// The values of TaskBatching.
 const (
 	BatchingOff        TaskBatching = "off"
-	BatchingWhenScarce TaskBatching = "scarce" // where there are more machines than transactions a second
+	BatchingWhenScarce TaskBatching = "scarce" // while there are more machines than writes a second
 	BatchingAlways     TaskBatching = "always"
 )
 
 // Pipelines holds the limits on runs of pipeline files.
 type Pipelines struct {
-	MaxRuns      int     // runs that have not ended, at once
-	MaxSteps     int     // steps of these runs that have not ended
-	ChangesShare float64 // of a controller's transactions a second
+	MaxRuns      int     // maximum number of live runs
+	MaxSteps     int     // maximum number of their steps that have not ended
+	ChangesShare float64 // share of the writes a second that runs may take
 }
 
-// Lending is how GPUs are lent to serving (package lending).
+// Lending holds the settings for lending GPUs to services (package lending).
 type Lending struct {
-	ByPriority bool    // where nobody can lend, jobs of lower priority are preempted as without lending
-	AgainS     float64 // seconds in which a job lends at most once
+	ByPriority bool    // if no job can lend, jobs of lower priority are preempted as without lending
+	AgainS     float64 // seconds within which a job lends at most once
 }
 
-// operatorFile is the form of the operators' HCL files.
+// operatorFile is the schema of the operators' HCL files.
 type operatorFile struct {
 	Scaler *struct {
 		StepS      *float64 `hcl:"step_s,optional"`
@@ -109,7 +109,7 @@
 	} `hcl:"pipelines,block"`
 }
 
-// DefaultOperator returns the settings that hold without a file.
+// DefaultOperator returns the settings that apply without an operators' file.
 func DefaultOperator() Operator {
 	return Operator{
 		StepS:        tuning.Step.Seconds(),
@@ -127,9 +127,8 @@
 	}
 }
 
-// loadOperator reads the operators' files, named one behind the other with commas
-// between: each may turn something on. It returns every fault found, in the order of
-// the settings below.
+// loadOperator reads the operators' files, a comma-separated list, so that each file may turn on
+// one feature. It returns all faults found.
 func loadOperator(files string) (Operator, []error) {
 	operator := DefaultOperator()
 	if files == "" {
@@ -152,8 +151,8 @@
 	return operator, faults.errs
 }
 
-// decodeOperator parses the files and merges them into one form. It returns all
-// diagnostics of the parser if one of them is an error.
+// decodeOperator parses the files and merges them. It returns all diagnostics of the parser if one
+// of them is an error.
 func decodeOperator(files string) (*operatorFile, []error) {
 	parser := hclparse.NewParser()
 	var parsed []*hcl.File
@@ -233,8 +232,8 @@
 	)
 }
 
-// applyLimits takes the length of the members' leases and the size of the cache of
-// final states.
+// applyLimits sets the duration of the controllers' leases and the size of the cache of final
+// states.
 func (f *operatorFile) applyLimits(operator *Operator, faults *faultList) {
 	if members := f.Members; members != nil {
 		override(faults, "members.ttl_s", &operator.MemberTTLS, members.TTLS, 1, 60)
@@ -267,12 +266,12 @@
 	operator.Pipelines = limits
 }
 
-// DefaultLending returns how GPUs are lent where the file turns lending on and says no more.
+// DefaultLending returns the settings for lending if a file turns it on and sets nothing else.
 func DefaultLending() *Lending {
 	return &Lending{ByPriority: true, AgainS: tuning.LendAgain.Seconds()}
 }
 
-// DefaultPipelines returns the limits on runs where the file names none.
+// DefaultPipelines returns the limits on runs if a file turns pipelines on and sets none.
 func DefaultPipelines() *Pipelines {
 	return &Pipelines{
 		MaxRuns:      tuning.MaxRuns,
@@ -281,7 +280,8 @@
 	}
 }
 
-// override replaces a setting by the file's value, if there is one within its bounds.
+// override replaces a setting by the file's value if there is one. A value out of bounds is a fault
+// and not used.
 func override[T int | float64](faults *faultList, field string, setting, value *T, low, high T) {
 	if value == nil {
 		return
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the platform's TOML file and the operators' optional
-// HCL file, and checks both whole before anything starts.
+// Package settings reads and checks the platform's TOML file and the operators' optional HCL
+// files. A program starts nothing before all of them have been checked.
 package settings
 
 import (
@@ -12,12 +12,12 @@
 	"github.com/harrierreel/harrierreel/internal/quota"
 )
 
-// Settings is everything that a controller is configured with.
+// Settings holds the configuration of a controller.
 type Settings struct {
 	NodeName   string  `toml:"node_name"`
 	Zone       string  `toml:"zone"`
-	Front      string  `toml:"front"`
-	PeerListen string  `toml:"peer_listen"`
+	Front      string  `toml:"front"`       // address for users and agents
+	PeerListen string  `toml:"peer_listen"` // address for the other controllers
 	Peers      []Peer  `toml:"peers"`
 	Outside    Outside `toml:"outside"`
 	Cluster    Cluster `toml:"cluster"`
@@ -25,7 +25,7 @@
 	Operator Operator `toml:"-"`
 }
 
-// Peer is another controller.
+// Peer identifies another controller and says where it listens for its peers.
 type Peer struct {
 	NodeName string `toml:"node_name"`
 	Zone     string `toml:"zone"`
@@ -41,7 +41,7 @@
 	return names
 }
 
-// Outside holds the addresses of the services.
+// Outside holds the addresses of the external services: the cloud and the state service.
 type Outside struct {
 	Cloud string `toml:"cloud"`
 	State string `toml:"state"`
@@ -51,7 +51,7 @@
 type Cluster struct {
 	Size       int         `toml:"size"`
 	Zones      []string    `toml:"zones"`
-	ClockOffMs float64     `toml:"clock_off_ms"`
+	ClockOffMs float64     `toml:"clock_off_ms"` // how far a controller's clock may be off
 	Teams      []Team      `toml:"teams"`
 	Objectives []Objective `toml:"objectives"`
 	Workers    Workers     `toml:"workers"`
@@ -60,7 +60,7 @@
 	Limits     Limits      `toml:"limits"`
 }
 
-// Team is a team's guarantee and limit (max), in cores and GPUs.
+// Team holds a team's guarantee and limit (max) in cores and GPUs.
 type Team struct {
 	Name    string  `toml:"name"`
 	Cpus    float64 `toml:"cpus"`
@@ -69,8 +69,8 @@
 	GpusMax float64 `toml:"gpus_max"`
 }
 
-// Objective is a service-level objective, by its kind: the share of cases (of a class of
-// jobs, where one is named) that is to take at most WithinS seconds.
+// Objective is a service-level objective: the share of cases of a kind, and of a class of jobs if
+// one is named, that must take at most WithinS seconds.
 type Objective struct {
 	Kind    string  `toml:"kind"`
 	Class   string  `toml:"class"`
@@ -78,17 +78,17 @@
 	Share   float64 `toml:"share"`
 }
 
-// Workers holds the workers' times, in seconds.
+// Workers holds the times of the machines' agents, which the platform calls workers, in seconds.
 type Workers struct {
-	HeartbeatS float64 `toml:"report_s"`
-	LeaseS     float64 `toml:"lease_s"`
-	GangWaitS  float64 `toml:"gang_wait_s"`
-	GangPeerS  float64 `toml:"gang_peer_s"`
-	CancelS    float64 `toml:"cancel_s"`
+	HeartbeatS float64 `toml:"report_s"`    // heartbeat interval
+	LeaseS     float64 `toml:"lease_s"`     // without an answer for so long, an agent ends its tasks
+	GangWaitS  float64 `toml:"gang_wait_s"` // how long a gang's task waits for the others to start
+	GangPeerS  float64 `toml:"gang_peer_s"` // how long a gang's tasks continue while one of them hangs
+	CancelS    float64 `toml:"cancel_s"`    // within which the tasks of a cancelled job must end
 }
 
-// State holds the limits of the key-value store: requests and transactions a second, size of
-// a value and operations in a transaction.
+// State holds the limits of the state service, a key-value store: requests and writes a second,
+// size of a value, and operations in a transaction.
 type State struct {
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
@@ -96,21 +96,21 @@
 	TxnOps   int     `toml:"txn_ops"`
 }
 
-// Cloud holds the cloud's limits: calls a second, and how late its list may be.
+// Cloud holds the cloud's limits: calls a second, and how far its list may lag.
 type Cloud struct {
 	RPS      float64 `toml:"rps"`
 	ListLagS float64 `toml:"list_lag_s"`
 }
 
-// Limits holds the process's own limits.
+// Limits holds the resource limits of the controller's process.
 type Limits struct {
 	Cores    float64 `toml:"cores"`
 	MemoryMB float64 `toml:"memory_mb"`
 	FdLimit  int     `toml:"fd_limit"`
 }
 
-// Load reads and checks the settings. operatorFiles may be empty, or name several
-// files with commas between. The error joins every fault found.
+// Load reads and checks the settings. operatorFiles is a comma-separated list of files and may be
+// empty. The error joins all faults found.
 func Load(file, operatorFiles string) (*Settings, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
@@ -119,7 +119,7 @@
 	s, errs := Parse(b)
 	operator, operatorErrs := loadOperator(operatorFiles)
 	s.Operator = operator
-	if len(errs) > 0 { // what the operators' settings are checked against is not reliable
+	if len(errs) > 0 { // the operators' settings cannot be checked against a faulty platform file
 		return s, errors.Join(append(errs, operatorErrs...)...)
 	}
 	if len(operatorErrs) == 0 {
@@ -132,7 +132,7 @@
 	return s, errors.Join(operatorErrs...)
 }
 
-// checkQuotas returns every fault of the quotas, if there are any.
+// checkQuotas returns all faults of the quotas; nil stands for no quotas.
 func (s *Settings) checkQuotas(document *quota.Document) (errs []error) {
 	if document == nil {
 		return nil
@@ -144,7 +144,7 @@
 	return errs
 }
 
-// checkCalendar returns every fault of the calendar, if there is one, by its place.
+// checkCalendar returns all faults of the calendar, each with its path; nil stands for no calendar.
 func (s *Settings) checkCalendar(document *calendar.Document) (errs []error) {
 	if document == nil {
 		return nil
@@ -160,8 +160,8 @@
 	return errs
 }
 
-// Parse reads and checks the platform's file, and returns every fault found. Unknown
-// fields are ignored.
+// Parse reads and checks the platform's file, and returns all faults found. Unknown fields are
+// ignored.
 func Parse(b []byte) (*Settings, []error) {
 	s := &Settings{}
 	errs, malformed := decode(b, s)
@@ -191,32 +191,32 @@
 	}
 }
 
-func (k *Cluster) check(faults *faultList) {
-	faults.require(k.Size >= 1, "cluster.size", "must be at least 1")
-	faults.require(len(k.Zones) > 0, "cluster.zones", "must name a zone")
-	faults.require(k.ClockOffMs >= 0, "cluster.clock_off_ms", "must not be negative")
-	k.checkTeams(faults)
-	faults.requirePositive("cluster.workers.report_s", k.Workers.HeartbeatS)
-	faults.requirePositive("cluster.workers.lease_s", k.Workers.LeaseS)
-	faults.requirePositive("cluster.workers.gang_wait_s", k.Workers.GangWaitS)
-	faults.requirePositive("cluster.workers.gang_peer_s", k.Workers.GangPeerS)
-	faults.requirePositive("cluster.workers.cancel_s", k.Workers.CancelS)
-	faults.requirePositive("cluster.state.rps", k.State.RPS)
-	faults.requirePositive("cluster.state.write_rps", k.State.WriteRPS)
-	faults.require(k.State.ValueKB >= 1, "cluster.state.value_kb", "must be at least 1")
-	faults.require(k.State.TxnOps >= 4, "cluster.state.txn_ops", "must be at least 4")
+func (c *Cluster) check(faults *faultList) {
+	faults.require(c.Size >= 1, "cluster.size", "must be at least 1")
+	faults.require(len(c.Zones) > 0, "cluster.zones", "must name a zone")
+	faults.require(c.ClockOffMs >= 0, "cluster.clock_off_ms", "must not be negative")
+	c.checkTeams(faults)
+	faults.requirePositive("cluster.workers.report_s", c.Workers.HeartbeatS)
+	faults.requirePositive("cluster.workers.lease_s", c.Workers.LeaseS)
+	faults.requirePositive("cluster.workers.gang_wait_s", c.Workers.GangWaitS)
+	faults.requirePositive("cluster.workers.gang_peer_s", c.Workers.GangPeerS)
+	faults.requirePositive("cluster.workers.cancel_s", c.Workers.CancelS)
+	faults.requirePositive("cluster.state.rps", c.State.RPS)
+	faults.requirePositive("cluster.state.write_rps", c.State.WriteRPS)
+	faults.require(c.State.ValueKB >= 1, "cluster.state.value_kb", "must be at least 1")
+	faults.require(c.State.TxnOps >= 4, "cluster.state.txn_ops", "must be at least 4")
 	// The view changes in one transaction, with an operation for each member that left.
-	faults.require(k.Size <= k.State.TxnOps, "cluster.size", "must not be above cluster.state.txn_ops")
-	faults.requirePositive("cluster.cloud.rps", k.Cloud.RPS)
-	faults.require(k.Cloud.ListLagS >= 0, "cluster.cloud.list_lag_s", "must not be negative")
-	k.checkTimes(faults)
-	faults.requirePositive("cluster.limits.memory_mb", k.Limits.MemoryMB)
-	faults.require(k.Limits.FdLimit >= 64, "cluster.limits.fd_limit", "must be at least 64")
+	faults.require(c.Size <= c.State.TxnOps, "cluster.size", "must not be above cluster.state.txn_ops")
+	faults.requirePositive("cluster.cloud.rps", c.Cloud.RPS)
+	faults.require(c.Cloud.ListLagS >= 0, "cluster.cloud.list_lag_s", "must not be negative")
+	c.checkTimes(faults)
+	faults.requirePositive("cluster.limits.memory_mb", c.Limits.MemoryMB)
+	faults.require(c.Limits.FdLimit >= 64, "cluster.limits.fd_limit", "must be at least 64")
 }
 
-func (k *Cluster) checkTeams(faults *faultList) {
+func (c *Cluster) checkTeams(faults *faultList) {
 	used := map[string]bool{}
-	for i, team := range k.Teams {
+	for i, team := range c.Teams {
 		field := fmt.Sprintf("cluster.teams[%d]", i)
 		faults.require(team.Name != "", field+".name", "is missing")
 		faults.require(!used[team.Name], field+".name", "is used twice")
@@ -226,7 +226,7 @@
 	}
 }
 
-// TeamMap returns the teams by name.
+// TeamMap returns the teams, by name.
 func (s *Settings) TeamMap() map[string]quota.Team {
 	teams := map[string]quota.Team{}
 	for _, team := range s.Cluster.Teams {
@@ -239,7 +239,7 @@
 	return teams
 }
 
-// Zones returns the zones of all controllers by name.
+// Zones returns the zones of all controllers, by controller name.
 func (s *Settings) Zones() map[string]string {
 	zones := map[string]string{s.NodeName: s.Zone}
 	for _, peer := range s.Peers {
@@ -248,8 +248,7 @@
 	return zones
 }
 
-// Classes returns the classes of jobs that the objectives name; none are known
-// where there are no objectives.
+// Classes returns the job classes that the objectives name.
 func (s *Settings) Classes() []string {
 	var classes []string
 	for _, objective := range s.Cluster.Objectives {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-const good = `
+const validTOML = `
 node_name = "n0"
 zone = "a"
 front = "127.0.0.1:8080"
@@ -48,19 +48,19 @@
 `
 
 func TestParseAcceptsValidSettings(t *testing.T) {
-	s, errs := Parse([]byte(good))
+	s, errs := Parse([]byte(validTOML))
 	if len(errs) != 0 || s.TeamMap()["t"].Max.Accelerators != 4_000_000 {
 		t.Fatal(errs)
 	}
 }
 
-// goodWith is the good file with some texts replaced: old, new, old, new.
-func goodWith(replacements ...string) []byte {
-	return []byte(strings.NewReplacer(replacements...).Replace(good))
+// validTOMLWith returns validTOML with some texts replaced, given as pairs of old and new text.
+func validTOMLWith(replacements ...string) []byte {
+	return []byte(strings.NewReplacer(replacements...).Replace(validTOML))
 }
 
-func TestEveryFaultIsNamed(t *testing.T) {
-	_, errs := Parse(goodWith(
+func TestAllValueFaultsAreReported(t *testing.T) {
+	_, errs := Parse(validTOMLWith(
 		`"127.0.0.1:8080"`, `"localhost:80"`,
 		`report_s = 3.0`, `report_s = 0.0`,
 		`node_name = "n1"`, `node_name = "n0"`,
@@ -76,11 +76,11 @@
 		"outside.state",
 	} {
 		if !strings.Contains(text, field+":") {
-			t.Errorf("%s is not named in %q", field, text)
+			t.Errorf("no fault of field %s in %q", field, text)
 		}
 	}
-	// What becomes part of a key, and what one transaction must hold.
-	_, errs = Parse(goodWith(
+	// Node names become part of keys, and one transaction must hold an operation for each member.
+	_, errs = Parse(validTOMLWith(
 		`node_name = "n0"`, `node_name = "n 0"`,
 		`node_name = "n1"`, `node_name = "`+strings.Repeat("n", 151)+`"`,
 		`size = 2`, `size = 17`,
@@ -91,12 +91,12 @@
 		t.Error(text)
 	}
 	if _, errs := Parse([]byte("= nonsense")); len(errs) == 0 {
-		t.Error("nonsense was accepted")
+		t.Error("a file that is not TOML was accepted")
 	}
 }
 
-func TestEveryFaultOfFormIsNamed(t *testing.T) {
-	_, errs := Parse(goodWith(
+func TestAllSyntaxAndTypeFaultsAreReported(t *testing.T) {
+	_, errs := Parse(validTOMLWith(
 		`size = 2`, `size = "two"`,
 		`gpus_max = 4.0`, `gpus_max = [4]`,
 		`rps = 3.0`, `rps = = 3.0`,
@@ -112,15 +112,15 @@
 		"cluster.state.txn_ops: must",
 	} {
 		if !strings.Contains(text, want) {
-			t.Errorf("%q is not in:\n%s", want, text)
+			t.Errorf("no fault %q in:\n%s", want, text)
 		}
 	}
 	if len(errs) != 5 {
-		t.Errorf("%d faults, not 5:\n%s", len(errs), text)
+		t.Errorf("got %d faults, want 5:\n%s", len(errs), text)
 	}
 }
 
-// writeFile writes a file of its own directory and returns its path.
+// writeFile writes a file to a new directory and returns its path.
 func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), name)
@@ -172,13 +172,13 @@
 			want := DefaultOperator()
 			c.want(&want)
 			if got, err := parseOperator(t, c.text); err != nil || !reflect.DeepEqual(got, want) {
-				t.Errorf("%+v, not %+v: %v", got, want, err)
+				t.Errorf("got %+v, want %+v, error: %v", got, want, err)
 			}
 		})
 	}
 }
 
-func TestOperatorFaultsAreNamed(t *testing.T) {
+func TestOperatorFaultsAreReported(t *testing.T) {
 	for name, c := range map[string]struct {
 		text   string
 		fields []string
@@ -187,7 +187,7 @@
 			"scaler {\n  tolerance = 2\n  samples = 0\n}\ndrain {\n  steps = 1\n}\n",
 			[]string{"scaler.tolerance", "scaler.samples", "drain.revive_steps"},
 		},
-		"a broken file":       {"scaler {", []string{"operator.hcl:"}},
+		"a syntax error":      {"scaler {", []string{"operator.hcl:"}},
 		"an unknown batching": {"records {\n  packs = \"often\"\n}\n", []string{"records.packs"}},
 		"lending too often":   {"lending {\n  again_s = 5\n}\n", []string{"lending.again_s"}},
 		"a share above 1":     {"pipelines {\n  changes_share = 2\n}\n", []string{"pipelines.changes_share"}},
@@ -196,14 +196,14 @@
 			_, err := parseOperator(t, c.text)
 			for _, field := range c.fields {
 				if err == nil || !strings.Contains(err.Error(), field) {
-					t.Errorf("%s is not named in %v", field, err)
+					t.Errorf("no fault of field %s in: %v", field, err)
 				}
 			}
 		})
 	}
 	_, err := parseOperator(t, "scaler {\n  speed = 1\n  steps = 2\n}\n")
 	if err == nil || strings.Count(err.Error(), "operator.hcl:") != 2 {
-		t.Errorf("not every unknown field is named: %v", err)
+		t.Errorf("not every unknown field is reported: %v", err)
 	}
 }
 
@@ -217,7 +217,7 @@
 	}
 }
 
-const calendarFile = `calendar {
+const calendarHCL = `calendar {
   revision = 1
   zone = "Africa/Nairobi"
   track "k" {
@@ -235,14 +235,14 @@
 }
 `
 
-// The calendar is checked against the platform's teams.
-func TestCalendarIsChecked(t *testing.T) {
-	config := writeFile(t, "config.toml", good)
-	_, err := Load(config, writeFile(t, "calendar.hcl", calendarFile))
+// The calendar is checked against the limits of the platform's teams.
+func TestCalendarIsCheckedAgainstTeams(t *testing.T) {
+	config := writeFile(t, "config.toml", validTOML)
+	_, err := Load(config, writeFile(t, "calendar.hcl", calendarHCL))
 	if err == nil || err.Error() != "calendar: k.w.need.accelerators: 5 is above t's limit of 4" {
 		t.Error(err)
 	}
-	fits := strings.Replace(calendarFile, "= 5", "= 4", 1)
+	fits := strings.Replace(calendarHCL, "= 5", "= 4", 1)
 	if s, err := Load(config, writeFile(t, "calendar.hcl", fits)); err != nil || s.Operator.Calendar == nil {
 		t.Error(err)
 	}
--- a/internal/settings/times.go
+++ b/internal/settings/times.go
@@ -8,9 +8,8 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// The times in this file compete with the deployment's report_s, lease_s and cancel_s.
-// Deployments differ in these by a factor of four, so nothing that competes with them is
-// a constant.
+// The times in this file have to fit the deployment's report_s, lease_s and cancel_s. These differ
+// by a factor of four between deployments, so none of the times that have to fit is a constant.
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
@@ -19,103 +18,100 @@
 	return seconds(w.HeartbeatS * (1 + tuning.ReportJitter))
 }
 
-// HeartbeatLateAfter returns the time without a heartbeat after which a machine is queried directly.
-// It is never longer than the time for which a machine counts as freshly heard
+// HeartbeatLateAfter returns the time without a heartbeat after which a machine is queried
+// directly. It never exceeds the time for which new tasks are placed on the machine
 // (tuning.FreshReports).
 func (w Workers) HeartbeatLateAfter() time.Duration {
 	late := max(seconds(w.HeartbeatS*tuning.ReportLate), w.NextHeartbeat()+tuning.ReportSlack)
 	return min(late, seconds(w.HeartbeatS*tuning.FreshReports))
 }
 
-// UnresponsiveAfter returns the time without a sign of life after which a machine counts
-// as unresponsive: not before it was queried directly and could have answered.
+// UnresponsiveAfter returns the time without a sign of life after which a machine is unresponsive:
+// not before it has been queried directly and has had the time to answer.
 func (w Workers) UnresponsiveAfter() time.Duration {
 	return max(seconds(w.HeartbeatS*tuning.UnresponsiveReports), w.HeartbeatLateAfter()+tuning.CommandTimeout+tuning.Tick)
 }
 
-// OutboundPartitionedAfter returns the time without a heartbeat after which a machine that
-// answers commands counts as outbound-partitioned: tasks that began on it would hardly end
-// before its lease does.
+// OutboundPartitionedAfter returns the time without a heartbeat after which a machine that answers
+// commands is outbound-partitioned: tasks started on it would hardly end before its lease expires.
 func (w Workers) OutboundPartitionedAfter() time.Duration {
 	return max(seconds(w.LeaseS*tuning.OutboundPartitionedLeaseShare), w.UnresponsiveAfter())
 }
 
-// LeaseOverAfter returns the time without a sign of life after which a machine holds no task any
-// more, whatever happened to it, since its lease has expired.
+// LeaseOverAfter returns the time without a sign of life after which a machine certainly holds no
+// tasks, because its lease has expired.
 func (w Workers) LeaseOverAfter() time.Duration {
 	return seconds(w.LeaseS * (1 + tuning.UnresponsiveDeleteShare))
 }
 
-// PeerHeardWithin returns how recently another controller must have heard a machine for it not
-// to be decommissioned.
+// PeerHeardWithin returns the time since another controller untilGivenUp a machine within which the
+// machine is not decommissioned.
 func (w Workers) PeerHeardWithin() time.Duration {
 	return min(tuning.HeardFresh, seconds(w.LeaseS*tuning.HeardLease))
 }
 
-// failoverContact returns how long after its last acknowledged heartbeat a worker whose
+// failoverContactAfter returns how long after its last acknowledged heartbeat an agent whose
 // controller does not answer calls another one, at the latest.
-func (w Workers) failoverContact() time.Duration {
+func (w Workers) failoverContactAfter() time.Duration {
 	return w.NextHeartbeat() + tuning.WorkerPatience + tuning.WorkerNext
 }
 
-// MinLease returns the shortest lease of a worker that outlasts the loss of a controller
-// whose own lease has the given length. The worker calls that controller in vain, and once
-// more for each time that it is redirected there, because the others cannot know yet that
-// it has ended, or calls a second one in vain. An unresponsive machine must be
-// decommissioned by then, too.
+// MinLease returns the shortest lease of an agent that outlasts the loss of a controller whose own
+// lease has the given length. The agent calls that controller in vain, and again each time that it
+// is redirected there because the others cannot know yet that the controller has ended, or it
+// calls a second one in vain. By then an unresponsive machine must have been decommissioned, too.
 func (w Workers) MinLease(controllerLease time.Duration) time.Duration {
-	round := tuning.WorkerRedirect + tuning.WorkerPatience + tuning.WorkerNext
-	known := controllerLease + tuning.ViewTakes - (tuning.WorkerPatience + tuning.WorkerNext)
-	redirects := math.Ceil(max(0, known.Seconds()) / round.Seconds())
+	failedCall := tuning.WorkerRedirect + tuning.WorkerPatience + tuning.WorkerNext
+	untilViewChange := controllerLease + tuning.ViewTakes - (tuning.WorkerPatience + tuning.WorkerNext)
+	redirects := math.Ceil(max(0, untilViewChange.Seconds()) / failedCall.Seconds())
 	return max(
-		w.failoverContact()+time.Duration(1+redirects)*round,
+		w.failoverContactAfter()+time.Duration(1+redirects)*failedCall,
 		w.UnresponsiveAfter()+tuning.UnresponsiveRecheck,
 	)
 }
 
-// urgentDelete returns how long a machine's deletion may take once it is due: one interval
-// of checks, a transaction whose leader ended before it was made, and a request that got no
-// answer and was repeated.
-func (k Cluster) urgentDelete() time.Duration {
+// maxDeleteTime returns how long a machine's deletion takes at most once it is due: one interval of
+// checks, a transaction that fails because its leader ends and is made by the next one, and a
+// request that gets no answer and is repeated.
+func (c Cluster) maxDeleteTime() time.Duration {
 	check := tuning.DecommissionEvery
 	transaction := tuning.StateTimeout + tuning.MemberTTL + tuning.ViewTakes
-	requests := k.deleteInterval() + tuning.DeleteAgain + tuning.CloudAnswer
+	requests := c.deleteInterval() + tuning.DeleteAgain + tuning.CloudAnswer
 	return check + transaction + requests
 }
 
-// deleteInterval returns the pause between two requests to delete machines.
-func (k Cluster) deleteInterval() time.Duration {
-	return seconds(1 / max(k.Cloud.RPS*tuning.DeleteShare, 1e-3))
+// deleteInterval returns the pause between two delete requests.
+func (c Cluster) deleteInterval() time.Duration {
+	return seconds(1 / max(c.Cloud.RPS*tuning.DeleteShare, 1e-3))
 }
 
-// CancelDelete returns how long after a cancellation a machine that still holds the
-// cancelled task is deleted. The rest of cancel_s is for the deletion.
-func (k Cluster) CancelDelete() time.Duration {
-	share := seconds(k.Workers.CancelS * tuning.CancelDelete)
-	// Where cancel_s is tight a machine still gets the time to be heard.
-	heard := min(share, k.Workers.UnresponsiveAfter()+tuning.UnresponsiveRecheck)
-	return max(min(share, seconds(k.Workers.CancelS)-k.urgentDelete()), heard)
+// CancelDelete returns how long after a cancellation a machine that still holds a task of the
+// cancelled job is deleted. The rest of cancel_s is for the deletion.
+func (c Cluster) CancelDelete() time.Duration {
+	share := seconds(c.Workers.CancelS * tuning.CancelDelete)
+	// Also with a short cancel_s a machine gets the time to send a heartbeat or to be given up.
+	untilGivenUp := min(share, c.Workers.UnresponsiveAfter()+tuning.UnresponsiveRecheck)
+	return max(min(share, seconds(c.Workers.CancelS)-c.maxDeleteTime()), untilGivenUp)
 }
 
-// LatestCancelDelete returns how long after a cancellation a deletion can begin at the latest and
-// still be carried out in time if nothing else goes wrong: two intervals of checks, a
-// transaction and one request.
-func (k Cluster) LatestCancelDelete() time.Duration {
-	deletion := 2*tuning.DecommissionEvery + tuning.StateTimeout + k.deleteInterval() + tuning.CloudAnswer
-	return seconds(k.Workers.CancelS) - deletion
+// LatestCancelDelete returns how long after a cancellation a deletion must begin at the latest to
+// be completed in time if nothing fails: it takes two intervals of checks, a transaction and one
+// request.
+func (c Cluster) LatestCancelDelete() time.Duration {
+	deletion := 2*tuning.DecommissionEvery + tuning.StateTimeout + c.deleteInterval() + tuning.CloudAnswer
+	return seconds(c.Workers.CancelS) - deletion
 }
 
-// minCancelTime returns the shortest cancel_s in time: a machine that nobody hears counts
-// as unresponsive and is decommissioned before anything else is tried, and after that it
-// must still be possible to delete it.
-func (k Cluster) minCancelTime() time.Duration {
-	return k.Workers.UnresponsiveAfter() + tuning.UnresponsiveRecheck + k.urgentDelete()
+// minCancelTime returns the shortest cancel_s within which an unreachable machine is deleted: it
+// first has to become unresponsive and to be given up, and then to be deleted.
+func (c Cluster) minCancelTime() time.Duration {
+	return c.Workers.UnresponsiveAfter() + tuning.UnresponsiveRecheck + c.maxDeleteTime()
 }
 
-// checkTimes adds a fault for each of the workers' times that leaves no safe value for
-// what must fit into it. Missing times are faults already.
-func (k Cluster) checkTimes(faults *faultList) {
-	workers := k.Workers
+// checkTimes adds a fault for each of the agents' times that is too short to be safe. Missing times
+// are reported elsewhere.
+func (c Cluster) checkTimes(faults *faultList) {
+	workers := c.Workers
 	if workers.HeartbeatS <= 0 || workers.LeaseS <= 0 || workers.CancelS <= 0 {
 		return
 	}
@@ -133,10 +129,10 @@
 
 func formatSeconds(d time.Duration) string { return fmt.Sprintf("%.1f", d.Seconds()) }
 
-// TimingWarnings names the workers' times that keep every rule but may cost work, each with
-// what is lost: the program starts with them and logs a warning.
-func (k Cluster) TimingWarnings() []string {
-	workers := k.Workers
+// TimingWarnings returns a warning for each of the agents' times that violates no rule of the
+// protocol but may cost work. The program logs the warnings and starts.
+func (c Cluster) TimingWarnings() []string {
+	workers := c.Workers
 	var warnings []string
 	if minimum := workers.MinLease(tuning.MemberTTL); seconds(workers.LeaseS) < minimum {
 		warnings = append(warnings, fmt.Sprintf(
@@ -145,18 +141,18 @@
 			formatSeconds(minimum), workers.HeartbeatS,
 		))
 	}
-	if minimum := k.minCancelTime(); seconds(workers.CancelS) < minimum {
+	if minimum := c.minCancelTime(); seconds(workers.CancelS) < minimum {
 		warnings = append(warnings, fmt.Sprintf(
 			"cluster.workers.cancel_s: below %s with report_s %g and cloud.rps %g: a machine that cannot be reached "+
 				"may not be deleted in time, and its lease alone ends what is cancelled",
-			formatSeconds(minimum), workers.HeartbeatS, k.Cloud.RPS,
+			formatSeconds(minimum), workers.HeartbeatS, c.Cloud.RPS,
 		))
 	}
 	return warnings
 }
 
-// checkMemberTTL returns an error if the operators made the controllers' own leases too
-// long for the workers'.
+// checkMemberTTL returns an error if the controllers' leases, as set by the operators, are too long
+// for the agents' leases.
 func (s *Settings) checkMemberTTL() error {
 	memberTTL := s.Operator.MemberTTLS
 	if memberTTL <= tuning.MemberTTL.Seconds() {
--- a/internal/settings/toml.go
+++ b/internal/settings/toml.go
@@ -10,17 +10,17 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// maxFormFaults bounds the faults of form that are reported: a file with
-// more is another kind of file.
-const maxFormFaults = 50
+// maxDecodeFaults is the maximum number of syntax and type faults that are reported. A file with
+// more is probably not a settings file.
+const maxDecodeFaults = 50
 
-// decode reads TOML and returns every fault of form, by field and line, and the
-// fields concerned. The decoder stops at the first fault, so its line is blanked and
-// the rest decoded again. A fault in a table's header is the last: the table that the
-// following lines belong to is unknown.
+// decode reads TOML. It returns all syntax and type faults, with their fields and lines, and the
+// malformed fields. The decoder stops start the first fault, so that line is blanked and the file
+// decoded again. Nothing is decoded after a fault in a table's header, because it is unknown which
+// table the following lines belong to.
 func decode(b []byte, s *Settings) (errs []error, malformed []string) {
 	rest := bytes.Clone(b)
-	for len(errs) < maxFormFaults {
+	for len(errs) < maxDecodeFaults {
 		*s = Settings{}
 		err := toml.Unmarshal(rest, s)
 		if err == nil {
@@ -37,7 +37,7 @@
 			key, _, _ := strings.Cut(line, "=")
 			field = strings.TrimSpace(key)
 		}
-		errs = append(errs, fmt.Errorf("%s: line %d, column %d: %s", field, row, column, plainFault(fault)))
+		errs = append(errs, fmt.Errorf("%s: line %d, column %d: %s", field, row, column, decodeFaultText(fault)))
 		malformed = append(malformed, field)
 		if header || strings.TrimSpace(line) == "" {
 			return errs, malformed
@@ -46,11 +46,11 @@
 	return errs, malformed
 }
 
-// wrongTypePattern matches the decoder's text for a value of the wrong type: the type
-// found, and the Go type expected.
+// wrongTypePattern matches the decoder's message for a value of the wrong type. It captures the
+// type found and the Go type expected.
 var wrongTypePattern = regexp.MustCompile(`cannot decode TOML (\S+) into struct field \S+ of type (\S+)`)
 
-// typeNames are the types of the settings in the operators' words.
+// typeNames maps the Go types of the settings to their names in error messages.
 var typeNames = map[string]string{
 	"float64":  "a number",
 	"int":      "a whole number",
@@ -58,8 +58,8 @@
 	"[]string": "a list of texts",
 }
 
-// plainFault says what was expected without the program's own names.
-func plainFault(err *toml.DecodeError) string {
+// decodeFaultText returns the message of a decode error without Go types and field names.
+func decodeFaultText(err *toml.DecodeError) string {
 	text := strings.TrimPrefix(err.Error(), "toml: ")
 	if m := wrongTypePattern.FindStringSubmatch(text); m != nil {
 		want := typeNames[m[2]]
@@ -71,23 +71,23 @@
 	return text
 }
 
-// blankLine overwrites a line, counted from 1, with spaces. It returns what stood
-// there, and whether it was the header of a table.
+// blankLine overwrites a line, counted from 1, with spaces. It returns the line's former text and
+// whether that is the header of a table.
 func blankLine(b []byte, row int) (line string, header bool) {
-	at := 0
+	start := 0
 	for ; row > 1; row-- {
-		n := bytes.IndexByte(b[at:], '\n')
+		n := bytes.IndexByte(b[start:], '\n')
 		if n < 0 {
 			return "", true
 		}
-		at += n + 1
+		start += n + 1
 	}
 	end := len(b)
-	if n := bytes.IndexByte(b[at:], '\n'); n >= 0 {
-		end = at + n
+	if n := bytes.IndexByte(b[start:], '\n'); n >= 0 {
+		end = start + n
 	}
-	line = string(b[at:end])
-	for i := at; i < end; i++ {
+	line = string(b[start:end])
+	for i := start; i < end; i++ {
 		b[i] = ' '
 	}
 	return line, strings.HasPrefix(strings.TrimSpace(line), "[")
--- a/internal/tuning/autoscaling.go
+++ b/internal/tuning/autoscaling.go
@@ -45,9 +45,8 @@
 	ListSlack = 3 * time.Second
 	// ListEvery is the interval at which the leader reads the cloud's list of machines.
 	ListEvery = 3 * time.Second
-	// WarmEvery is the interval at which a controller that is to succeed the leader reads the
-	// cloud's catalog and list. At 2,000 machines these are five calls; two such controllers take a
-	// twentieth of the cloud's rate.
+	// WarmEvery is the interval at which each of the WarmStandbys reads the cloud's catalog and list.
+	// At 2,000 machines that takes five calls; two standbys use a twentieth of the cloud's rate.
 	WarmEvery = 30 * time.Second
 	// CatalogEvery is the interval at which the leader reads the cloud's catalog with its prices.
 	CatalogEvery = 30 * time.Second
