--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -125,7 +125,7 @@
 	}
 }
 
-// A platform's file and an operators' file that set every key are read as they always were.
+// The keys of the settings files are stable: files that set every key give the same settings as ever.
 func TestGoldenSettings(t *testing.T) {
 	want := &Settings{
 		NodeName:   "n0",
@@ -225,8 +225,7 @@
 	}
 }
 
-// All faults are reported with the same messages as ever. Each golden file lists those of two input
-// files.
+// The error messages are stable. Each golden file lists the faults of two input files.
 func TestGoldenFaults(t *testing.T) {
 	for name, files := range map[string][2]string{
 		"values.txt":          {"values.toml", "values.hcl"},
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -213,7 +213,7 @@
 	operator, errs := loadOperator(pipelines + "," + quotas)
 	if len(errs) > 0 || operator.Pipelines == nil || operator.Quotas == nil ||
 		operator.Quotas.Organisations[0].Teams[0].Name != "t" {
-		t.Errorf("%v %+v", errs, operator)
+		t.Errorf("got %+v, errors: %v", operator, errs)
 	}
 }
 
--- a/internal/settings/times.go
+++ b/internal/settings/times.go
@@ -44,8 +44,8 @@
 	return seconds(w.LeaseS * (1 + tuning.UnresponsiveDeleteShare))
 }
 
-// PeerHeardWithin returns the time since another controller untilGivenUp a machine within which the
-// machine is not decommissioned.
+// PeerHeardWithin returns the time for which a machine that another controller has heard is not
+// decommissioned.
 func (w Workers) PeerHeardWithin() time.Duration {
 	return min(tuning.HeardFresh, seconds(w.LeaseS*tuning.HeardLease))
 }
@@ -70,9 +70,9 @@
 	)
 }
 
-// maxDeleteTime returns how long a machine's deletion takes at most once it is due: one interval of
-// checks, a transaction that fails because its leader ends and is made by the next one, and a
-// request that gets no answer and is repeated.
+// maxDeleteTime returns how long a machine's deletion may take once it is due, with one failure of
+// each kind: one interval of checks, a transaction that fails because its leader ends and is made
+// by the next one, and a request that gets no answer and is repeated.
 func (c Cluster) maxDeleteTime() time.Duration {
 	check := tuning.DecommissionEvery
 	transaction := tuning.StateTimeout + tuning.MemberTTL + tuning.ViewTakes
--- a/internal/settings/toml.go
+++ b/internal/settings/toml.go
@@ -15,7 +15,7 @@
 const maxDecodeFaults = 50
 
 // decode reads TOML. It returns all syntax and type faults, with their fields and lines, and the
-// malformed fields. The decoder stops start the first fault, so that line is blanked and the file
+// malformed fields. The decoder stops at the first fault, so that line is blanked and the file
 // decoded again. Nothing is decoded after a fault in a table's header, because it is unknown which
 // table the following lines belong to.
 func decode(b []byte, s *Settings) (errs []error, malformed []string) {
