--- a/internal/tuning/agents.go
+++ b/internal/tuning/agents.go
@@ -6,7 +6,7 @@
 const (
 	// AdoptAgain is the minimum pause between two direct calls to a machine whose agent has not
 	// answered this controller yet or whose heartbeat is late. For the former each failed call
-	// doubles it, up to eight times.
+	// doubles it, up to 12 s.
 	AdoptAgain = 1500 * time.Millisecond
 	// CommandGap is the minimum pause between two direct calls to a machine while its commands
 	// include no launch: commands are repeated until a heartbeat shows that they took effect.
--- a/internal/tuning/calls.go
+++ b/internal/tuning/calls.go
@@ -81,8 +81,8 @@
 	// LaunchShare is the share of the planned call rate that the launch requests of one autoscaler
 	// step may take.
 	LaunchShare = 0.6
-	// StateQueue is the number of calls of one priority that may wait for the rate budget, except
-	// for calls on behalf of users.
+	// StateQueue is the maximum number of calls of one priority that may wait for the rate budget.
+	// For users' calls it is UserQueue, and membership calls are never refused.
 	StateQueue = 400
 	// UserQueue is the maximum number of users' calls that may wait for the rate budget. The limit
 	// is lower where the controller's share of the requests serves fewer within UserCalls.
--- a/internal/tuning/pipelines.go
+++ b/internal/tuning/pipelines.go
@@ -13,10 +13,11 @@
 	MaxNamedSteps = 20
 	// MaxRepeats is the maximum number of times that a step may be repeated.
 	MaxRepeats = 20
-	// MaxFaults is the maximum number of faults of a file that are reported.
+	// MaxFaults is the maximum number of faults of a file that are reported, and of tasks to be
+	// stopped that the preview of a quota tree lists.
 	MaxFaults = 100
 	// MaxMatrixText is the maximum length, in bytes, of a matrix value, which becomes part of a
-	// name.
+	// name, and of the name of a node in a quota tree.
 	MaxMatrixText = 64
 	// MaxWhen is the maximum length of a condition in bytes. Hand-written ones take a tenth of it.
 	MaxWhen = 1 << 10
@@ -64,7 +65,7 @@
 	// CancelAttempts is the maximum number of attempts to cancel a run, each on a newer record of
 	// it, before the request is refused. The owner's changes come between at most once or twice.
 	CancelAttempts = 3
-	// PlanCache is the maximum number of compiled plans kept in memory.
+	// PlanCache is the maximum number of compiled plans in the cache.
 	PlanCache = 64
 	// SnapshotRPS is the default number of requests a second made to take a snapshot.
 	SnapshotRPS = 5.0
--- a/internal/tuning/scheduling.go
+++ b/internal/tuning/scheduling.go
@@ -4,8 +4,8 @@
 
 // The leader: scheduling, preemption, provisioning.
 const (
-	// QueueHorizon is how long a job that has missed all of its class's objectives waits behind
-	// those that can still meet theirs.
+	// QueueHorizon is the age up to which a job that has missed all of its class's objectives waits
+	// behind those that can still meet theirs.
 	QueueHorizon = 10 * time.Minute
 	// Overdue is the wait after which a job that has not started is overdue: it goes first among
 	// the jobs of its priority and its team's fair share. Users give the largest jobs 240 s to
