--- a/internal/tuning/calls.go
+++ b/internal/tuning/calls.go
@@ -55,8 +55,8 @@
 	// PeerUnresponsiveAfter is the time without gossip after which another controller may be
 	// partitioned from this one. Gossip is sent every GossipEvery.
 	PeerUnresponsiveAfter = 1200 * time.Millisecond
-	// QueryUnprovenAfter is the age at which a query is answered from a mirror that is not known
-	// to be as recent as ReadFresh. It is late in the 2 s for which users wait.
+	// QueryUnprovenAfter is the age at which a query is answered even from a mirror that is not
+	// known to be as recent as ReadFresh. Users wait for 2 s, which leaves time to try for proof.
 	QueryUnprovenAfter = 600 * time.Millisecond
 	// ReadsKept is the share of a second's requests that reads for queries leave to other calls.
 	ReadsKept = 0.25
--- a/internal/tuning/lending.go
+++ b/internal/tuning/lending.go
@@ -59,7 +59,7 @@
 	LoanWaste = 20 * time.Second
 	// LoanSave is how long the progress of loans may stay unsaved, so that several changes of a
 	// record share a write; it can be derived again from the other records. On a day of 553 loans
-	// 5 s took 430 writes and 20 s took 210.
+	// a delay of 5 s took 430 writes and one of 20 s took 210.
 	LoanSave = 30 * time.Second
 	// LoanLogEvery is the interval at which the numbers of loans are logged.
 	LoanLogEvery = time.Minute
