--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,6 +1,6 @@
-// Package client sends users' requests to any of several controllers and retries
-// until one gives a final answer. Every request it sends is idempotent, since users
-// choose the ids, and so may be retried without harm.
+// Package client sends users' requests to a list of controllers and retries until one of them
+// returns a final response. Every request is idempotent, because users choose the IDs, so it is
+// safe to retry.
 package client
 
 import (
@@ -15,38 +15,37 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// ErrUnreachable is wrapped by the error of Call if no controller gave a final answer
-// within the client's patience.
+// ErrUnreachable is wrapped by the error of Call if no controller returned a final response
+// within Client.Patience.
 var ErrUnreachable = errors.New("no controller reachable")
 
-// Answer is a controller's final answer to a request.
+// Answer is a controller's final response to a request.
 type Answer struct {
-	Status int // of HTTP
+	Status int // HTTP status code
 	Body   []byte
-	Server string // address of the controller that gave it
+	Server string // address of the controller that responded
 }
 
-// Client sends requests to controllers, one after the other. It is not safe for
-// concurrent use.
+// Client sends requests to a list of controllers, one at a time. It is not safe for concurrent
+// use.
 type Client struct {
 	Servers  []string      // address:port of each controller, at least one
 	Patience time.Duration // how long a request is retried
-	// Note, if set, is told why a request is retried.
-	Note func(what string)
+	// Note, if set, is called before each retry with a message that gives the reason.
+	Note func(message string)
 
-	// Do, Now and Sleep reach the network and the clock; New sets them, and tests put
-	// their own in their place.
+	// Do, Now and Sleep access the network and the clock. New sets them; tests replace them.
 	Do    func(server, method, target string, body []byte) (*http1.Message, error)
 	Now   func() time.Time
 	Sleep func(time.Duration)
 
-	// next is the index, modulo their number, of the server that a request goes to
-	// first: the one that answered last.
+	// next, modulo the number of servers, is the index of the server that gets the next
+	// request. It stays on a server that returned a final response.
 	next        int
-	connections map[string]*http1.Client // by server
+	connections map[string]*http1.Client // by server address
 }
 
-// New makes a client on real sockets and the real clock.
+// New returns a client that uses the network and the system clock.
 func New(servers []string, patience time.Duration) *Client {
 	c := &Client{
 		Servers:     servers,
@@ -68,9 +67,10 @@
 	return c
 }
 
-// Addresses reads a list of addresses, as in a:1,b:2. An empty list is an error.
+// Addresses parses a comma-separated list of addresses, such as "a:1,b:2". An empty list is an
+// error.
 func Addresses(text string) ([]string, error) {
-	var out []string
+	var addresses []string
 	for _, address := range strings.Split(text, ",") {
 		if address = strings.TrimSpace(address); address == "" {
 			continue
@@ -78,30 +78,30 @@
 		if _, port, err := net.SplitHostPort(address); err != nil || port == "" {
 			return nil, fmt.Errorf("%q is not address:port", address)
 		}
-		out = append(out, address)
+		addresses = append(addresses, address)
 	}
-	if len(out) == 0 {
+	if len(addresses) == 0 {
 		return nil, errors.New(
 			"no controller's address: give --server or HARRIERREEL_SERVER, as in 10.0.0.1:8080,10.0.0.2:8080",
 		)
 	}
-	return out, nil
+	return addresses, nil
 }
 
-// Call sends a request until a controller gives a final answer: any but 429, 503
-// and 504. A controller that does not answer is followed by the next; after a round in
-// which none did, and after an answer that asks for a retry, Call waits.
+// Call sends a request, and retries it until a controller returns a final response, which is
+// any status except 429, 503 and 504. Each retry goes to the next controller. Call pauses after
+// every len(Servers) attempts without a response, and after a response that is not final.
 func (c *Client) Call(method, target string, body []byte) (*Answer, error) {
 	deadline := c.Now().Add(c.Patience)
-	reasons := map[string]string{} // by server, why it gave no final answer
-	for failures := 0; ; {
+	reasons := map[string]string{} // by server, why it returned no final response
+	for noResponses := 0; ; {
 		server := c.current()
 		message, err := c.Do(server, method, target, body)
 		wait := time.Duration(0)
 		switch {
 		case err != nil:
 			reasons[server] = err.Error()
-			if failures++; failures%len(c.Servers) == 0 {
+			if noResponses++; noResponses%len(c.Servers) == 0 {
 				wait = tuning.ClientPause
 			}
 		case retryable(message.Status):
@@ -112,7 +112,7 @@
 		}
 		c.next++
 		if !c.Now().Add(wait).Before(deadline) {
-			return nil, c.unreachable(reasons)
+			return nil, c.unreachableError(reasons)
 		}
 		if c.Note != nil {
 			c.Note(fmt.Sprintf("%s: %s; trying %s", server, reasons[server], c.current()))
@@ -123,11 +123,11 @@
 	}
 }
 
-// current is the server that the next request goes to.
+// current returns the server that the next request goes to.
 func (c *Client) current() string { return c.Servers[c.next%len(c.Servers)] }
 
-// retryable tells whether an answer is not final: the controller is overloaded, or
-// can't serve now.
+// retryable reports whether a status code is not final: the controller is overloaded or
+// temporarily unable to serve the request.
 func retryable(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
@@ -136,14 +136,15 @@
 	return false
 }
 
-// retryPause is the pause that an answer asks for, within the client's bounds.
+// retryPause returns the pause that a response asks for, clamped to the client's minimum and
+// maximum.
 func retryPause(message *http1.Message) time.Duration {
-	wanted := time.Duration(message.RetryAfter) * time.Second
-	return min(max(wanted, tuning.ClientPause), tuning.MaxClientPause)
+	requested := time.Duration(message.RetryAfter) * time.Second
+	return min(max(requested, tuning.ClientPause), tuning.MaxClientPause)
 }
 
-// unreachable is the error that names why each server gave no final answer.
-func (c *Client) unreachable(reasons map[string]string) error {
+// unreachableError returns an error that says for each server why it returned no final response.
+func (c *Client) unreachableError(reasons map[string]string) error {
 	var parts []string
 	for _, server := range c.Servers {
 		if reason, ok := reasons[server]; ok {
--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -10,8 +10,9 @@
 	"github.com/harrierreel/harrierreel/internal/http1"
 )
 
-// scriptedClient is a client of two controllers that answer as a script says, on a
-// clock of its own. The log holds each request's answer and each pause.
+// scriptedClient returns a client with a fake clock and two controllers that respond as a script
+// says. An element of the script is STATUS/RETRY_AFTER, STATUS, or the text of a network error.
+// The log holds the response to each request and each pause.
 func scriptedClient(t *testing.T, script string) (*Client, *[]string) {
 	t.Helper()
 	var log []string
@@ -38,39 +39,39 @@
 	return c, &log
 }
 
-func TestCallRetriesUntilAFinalAnswer(t *testing.T) {
+func TestCallRetriesUntilFinalResponse(t *testing.T) {
 	for _, test := range []struct {
 		name, script, want string
 	}{
-		{"first answer is final", "200", "a 200"},
-		{"one refused", "refused 201", "a refused, b 201"},
-		{"a round without an answer", "refused timeout 200", "a refused, b timeout, sleep 1, a 200"},
-		{"pause as asked", "503/7 200", "a 503/7, sleep 7, b 200"},
+		{"first response is final", "200", "a 200"},
+		{"one connection refused", "refused 201", "a refused, b 201"},
+		{"no response from any server", "refused timeout 200", "a refused, b timeout, sleep 1, a 200"},
+		{"pause as requested", "503/7 200", "a 503/7, sleep 7, b 200"},
 		{"pause above the maximum", "429/900 200", "a 429/900, sleep 30, b 200"},
-		{"pause not named", "503 503 404", "a 503, sleep 1, b 503, sleep 1, a 404"},
-		{"both kinds", "504/2 refused refused 409", "a 504/2, sleep 2, b refused, a refused, sleep 1, b 409"},
-		{"patience ends", "503/30 503/30 503/30 503/1", "a 503/30, sleep 30, b 503/30"},
+		{"no pause requested", "503 503 404", "a 503, sleep 1, b 503, sleep 1, a 404"},
+		{"retryable statuses and network errors", "504/2 refused refused 409", "a 504/2, sleep 2, b refused, a refused, sleep 1, b 409"},
+		{"patience exceeded", "503/30 503/30 503/30 503/1", "a 503/30, sleep 30, b 503/30"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c, log := scriptedClient(t, test.script)
 			answer, err := c.Call("GET", "/x", nil)
 			if got := strings.Join(*log, ", "); got != test.want {
-				t.Errorf("%s: %s, not %s", test.script, got, test.want)
+				t.Errorf("script %q: got %s, want %s", test.script, got, test.want)
 			}
 			if (err != nil) != (answer == nil) || err != nil && !errors.Is(err, ErrUnreachable) {
-				t.Errorf("%s: %v %v", test.script, answer, err)
+				t.Errorf("script %q: answer %v, error %v", test.script, answer, err)
 			}
 		})
 	}
-	t.Run("nobody ever answers", func(t *testing.T) {
+	t.Run("no server ever responds", func(t *testing.T) {
 		c, log := scriptedClient(t, "")
 		_, err := c.Call("GET", "/x", nil)
 		if !errors.Is(err, ErrUnreachable) || len(*log) > 200 ||
 			!strings.Contains(err.Error(), "a:1: refused; b:1: refused") {
-			t.Errorf("%v after %d steps", err, len(*log))
+			t.Errorf("error %v after %d log entries", err, len(*log))
 		}
 	})
-	t.Run("the one that answered last goes first", func(t *testing.T) {
+	t.Run("last server to respond is tried first", func(t *testing.T) {
 		c, log := scriptedClient(t, "refused 200 200")
 		for range 2 {
 			if _, err := c.Call("GET", "/x", nil); err != nil {
@@ -83,20 +84,20 @@
 	})
 }
 
-func TestAddressesNeedPorts(t *testing.T) {
+func TestAddressesRequirePorts(t *testing.T) {
 	got, err := Addresses(" a:1, ops.example.org:80 ,")
 	if err != nil || len(got) != 2 || got[1] != "ops.example.org:80" {
 		t.Error(got, err)
 	}
 	for name, bad := range map[string]string{
-		"empty":       "",
-		"comma alone": ",",
-		"no port":     "a",
-		"empty port":  "a:",
+		"empty":        "",
+		"only a comma": ",",
+		"no port":      "a",
+		"empty port":   "a:",
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := Addresses(bad); err == nil {
-				t.Errorf("%q was taken", bad)
+				t.Errorf("%q was accepted", bad)
 			}
 		})
 	}
--- a/internal/rollout/order.go
+++ b/internal/rollout/order.go
@@ -7,58 +7,57 @@
 	"github.com/harrierreel/harrierreel/internal/standby"
 )
 
-// order takes the zones in turn, so that two controllers that follow each other are of
-// different zones where that is possible; within a zone, a likely successor of the
-// leader goes first. The leader goes last, and so hands over to a controller that was
-// replaced already.
-func order(all []Controller, done []string, leader string) []string {
+// order returns the order in which the controllers that are left are replaced. It alternates
+// between zones where possible; within a zone, the likeliest successors of the leader come
+// first. The leader comes last, so that it hands over to a controller that is already replaced.
+func order(all []Controller, replaced []string, leader string) []string {
 	cluster := standby.ClusterStatus{Leader: leader}
 	zones := map[string]string{}
 	for _, c := range all {
 		zones[c.Name] = c.Zone
 		cluster.Members = append(cluster.Members, standby.Member{Name: c.Name, Zone: c.Zone})
 	}
-	var left []string
+	var remaining []string
 	for _, name := range standby.Successors(cluster, func(string) bool { return false }) {
-		if !slices.Contains(done, name) {
-			left = append(left, name)
+		if !slices.Contains(replaced, name) {
+			remaining = append(remaining, name)
 		}
 	}
 	lastZone := ""
-	if len(done) > 0 {
-		lastZone = zones[done[len(done)-1]]
+	if len(replaced) > 0 {
+		lastZone = zones[replaced[len(replaced)-1]]
 	}
-	var out []string
-	for len(left) > 0 {
-		next := nextController(left, zones, lastZone)
-		out = append(out, left[next])
-		lastZone = zones[left[next]]
-		left = slices.Delete(left, next, next+1)
+	var ordered []string
+	for len(remaining) > 0 {
+		next := nextController(remaining, zones, lastZone)
+		ordered = append(ordered, remaining[next])
+		lastZone = zones[remaining[next]]
+		remaining = slices.Delete(remaining, next, next+1)
 	}
-	if _, named := zones[leader]; named && !slices.Contains(done, leader) {
-		out = append(out, leader)
+	if _, known := zones[leader]; known && !slices.Contains(replaced, leader) {
+		ordered = append(ordered, leader)
 	}
-	return out
+	return ordered
 }
 
-// nextController is the index of the controller that goes next: of the zones other
-// than the last one's, the one with most controllers left; the first among equals.
-func nextController(left []string, zones map[string]string, lastZone string) int {
+// nextController returns the index of the controller to replace next. It prefers zones other
+// than lastZone, then the zone with the most controllers left, then the earlier index.
+func nextController(remaining []string, zones map[string]string, lastZone string) int {
 	counts := map[string]int{}
-	for _, name := range left {
+	for _, name := range remaining {
 		counts[zones[name]]++
 	}
 	best := 0
-	for i, name := range left {
-		if comesBefore(name, left[best], zones, counts, lastZone) {
+	for i, name := range remaining {
+		if comesBefore(name, remaining[best], zones, counts, lastZone) {
 			best = i
 		}
 	}
 	return best
 }
 
-// comesBefore tells whether a controller is replaced before another one that precedes
-// it in the list of successors.
+// comesBefore reports whether a controller is replaced before another one that precedes it in
+// the list of successors.
 func comesBefore(name, other string, zones map[string]string, counts map[string]int, lastZone string) bool {
 	return cmp.Or(
 		compareBool(zones[name] == lastZone, zones[other] == lastZone),
@@ -66,7 +65,7 @@
 	) < 0
 }
 
-// compareBool orders false before true.
+// compareBool compares two booleans; false is less than true.
 func compareBool(a, b bool) int {
 	switch {
 	case a == b:
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -8,28 +8,28 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Controller is a controller that the settings name.
+// Controller is a controller listed in the settings.
 type Controller struct{ Name, Zone string }
 
-// Plan is the order in which controllers are to be ended, and what stands against
-// ending the first of them now.
+// Plan is the order in which to stop and replace the controllers, and what prevents stopping the
+// first of them now.
 type Plan struct {
 	Leader    string   `json:"leader"`
-	Epoch     uint64   `json:"epoch"`             // of the view
+	Epoch     uint64   `json:"epoch"`             // epoch of the membership view
 	Order     []string `json:"order"`             // controllers still to be replaced, the next one first
-	Obstacles []string `json:"not_yet,omitempty"` // reasons against ending any controller now
+	Obstacles []string `json:"not_yet,omitempty"` // reasons not to stop any controller now
 }
 
-// Make plans for the controllers that the settings name; done are those that were
-// replaced already, the latest last.
-func Make(all []Controller, done []string, s State) Plan {
+// Make returns the plan for all controllers of the settings. replaced names those that are
+// already replaced, the most recent last.
+func Make(all []Controller, replaced []string, s State) Plan {
 	if s.View == nil {
 		return Plan{Obstacles: []string{"there is no view: nobody leads"}}
 	}
 	p := Plan{
 		Leader: s.View.Leader,
 		Epoch:  s.View.Epoch,
-		Order:  order(all, done, s.View.Leader),
+		Order:  order(all, replaced, s.View.Leader),
 	}
 	for _, c := range all {
 		incarnation := s.View.Incarnation(c.Name)
@@ -44,7 +44,7 @@
 		p.Obstacles = append(p.Obstacles, name+" is called and has not answered")
 	}
 	for _, member := range s.View.Members {
-		if reason := unresponsiveShare(member, s); reason != "" {
+		if reason := unresponsiveObstacle(member, s); reason != "" {
 			p.Obstacles = append(p.Obstacles, reason)
 		}
 	}
@@ -54,9 +54,9 @@
 	return p
 }
 
-// unresponsiveShare says that too large a share of a member's machines is
-// unresponsive, or returns "".
-func unresponsiveShare(member members.Member, s State) string {
+// unresponsiveObstacle returns an obstacle if too large a share of a member's machines is
+// unresponsive, and "" otherwise.
+func unresponsiveObstacle(member members.Member, s State) string {
 	unresponsive, machines := s.Unresponsive[member.Name], s.Machines[member.Name]
 	if float64(unresponsive) <= tuning.MaxRolloutUnresponsive*float64(machines) {
 		return ""
@@ -64,7 +64,8 @@
 	return fmt.Sprintf("%s does not hear %d of %d machines", member.Name, unresponsive, machines)
 }
 
-// ReasonsAgainst returns the reasons why a controller may not be ended now, none if it may.
+// ReasonsAgainst returns the reasons why a controller may not be stopped now. It returns none if
+// the controller may be stopped.
 func (p *Plan) ReasonsAgainst(name string) []string {
 	reasons := slices.Clone(p.Obstacles)
 	switch position := slices.Index(p.Order, name); {
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -21,7 +21,7 @@
 	{"n4", "b"},
 }
 
-// healthyRows is the state of a service whose five controllers are all well, led by n2.
+// healthyRows returns the records of a cluster with five healthy controllers and n2 as leader.
 func healthyRows() []store.Item {
 	view := members.View{Leader: "n2", Epoch: 9}
 	var out []store.Item
@@ -44,7 +44,7 @@
 
 func machineName(i int) string { return fmt.Sprintf("i-%03d", i) }
 
-// ownedBy names the first machines of a controller, up to a limit.
+// ownedBy returns the first machines that a controller owns, at most limit of them.
 func ownedBy(owner string, limit int) []string {
 	var out []string
 	for i := range 100 {
@@ -56,16 +56,17 @@
 	return out
 }
 
-// unresponsiveRow is the record of an owner's unresponsive machines.
+// unresponsiveRow returns a record that lists the owner's first machines, at most limit of them,
+// as unresponsive.
 func unresponsiveRow(owner string, limit int) store.Item {
 	return store.Item{Key: fleet.UnresponsivePrefix + owner, Value: jobs.Encode(ownedBy(owner, limit))}
 }
 
-// The leader goes last; zones take turns; one that follows the leader goes early, so that
-// the lead passes to one that was replaced.
-func TestOrderAlternatesZonesAndEndsWithTheLeader(t *testing.T) {
+// The order alternates between zones. Likely successors of the leader come early and the leader
+// comes last, so that leadership passes to a controller that is already replaced.
+func TestOrderAlternatesZonesWithLeaderLast(t *testing.T) {
 	for _, c := range []struct {
-		name, done, want string
+		name, replaced, want string
 	}{
 		{"none replaced", "", "[n3 n0 n4 n1 n2]"},
 		{"one replaced", "n3", "[n0 n4 n1 n2]"},
@@ -73,38 +74,38 @@
 		{"leader replaced already", "n2,n3", "[n0 n4 n1]"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := Make(fiveControllers, strings.Split(c.done, ","), Read(healthyRows()))
+			p := Make(fiveControllers, strings.Split(c.replaced, ","), Read(healthyRows()))
 			if got := fmt.Sprint(p.Order); got != c.want || len(p.Obstacles) > 0 || p.Leader != "n2" || p.Epoch != 9 {
-				t.Errorf("done %q: %s, %v", c.done, got, p.Obstacles)
+				t.Errorf("replaced %q: order %s, obstacles %v", c.replaced, got, p.Obstacles)
 			}
 		})
 	}
 }
 
-// planCases change the rows of a healthy service; reason is what the plan names then.
+// planCases change the rows of a healthy cluster; reason is part of the obstacle that results.
 var planCases = map[string]struct {
 	change func([]store.Item) []store.Item
 	reason string // "" for none
 }{
-	"all well": {
+	"all healthy": {
 		change: func(rows []store.Item) []store.Item { return rows },
 	},
 	"no view": {
 		change: func(rows []store.Item) []store.Item { return rows[:10] },
 		reason: "nobody leads",
 	},
-	"another incarnation came back": {
+	"member has a new incarnation": {
 		change: func(rows []store.Item) []store.Item {
 			rows[1].Value = []byte("77")
 			return rows
 		},
 		reason: "n1 has just ended or come back",
 	},
-	"member's key gone": {
+	"member's key is missing": {
 		change: func(rows []store.Item) []store.Item { return rows[1:] },
 		reason: "n0 has just ended",
 	},
-	"probe not answered": {
+	"unanswered probe": {
 		change: func(rows []store.Item) []store.Item {
 			return append(rows, store.Item{Key: standby.ProbePrefix + "n4"})
 		},
@@ -117,7 +118,7 @@
 		change: func(rows []store.Item) []store.Item { return append(rows, unresponsiveRow("n3", 9)) },
 		reason: "n3 does not hear",
 	},
-	"many machines unresponsive, in further lists": {
+	"many machines unresponsive, in several lists": {
 		change: func(rows []store.Item) []store.Item {
 			machines := ownedBy("n3", 9)
 			return append(
@@ -139,7 +140,7 @@
 			return append(rows, store.Item{Key: "quiet/n1", Value: []byte("{")})
 		},
 	},
-	"controllers missing in the view": {
+	"controllers missing from the view": {
 		change: func(rows []store.Item) []store.Item {
 			rows[105].Value = jobs.Encode(members.View{
 				Leader:  "n0",
@@ -152,8 +153,8 @@
 	},
 }
 
-// Whatever is not well stands against the next end, by name.
-func TestPlanNamesWhatStandsAgainstTheNextEnd(t *testing.T) {
+// Every unhealthy condition is an obstacle that names the controller concerned.
+func TestPlanListsObstacles(t *testing.T) {
 	for name, c := range planCases {
 		t.Run(name, func(t *testing.T) {
 			p := Make(fiveControllers, nil, Read(c.change(healthyRows())))
@@ -168,14 +169,14 @@
 		"n3": "is not among",
 		"n9": "is not among",
 	} {
-		t.Run("may end "+name, func(t *testing.T) { expectReason(t, p.ReasonsAgainst(name), reason) })
+		t.Run("reasons against "+name, func(t *testing.T) { expectReason(t, p.ReasonsAgainst(name), reason) })
 	}
 }
 
-// expectReason checks that the reasons hold a text, or that there are none.
+// expectReason checks that the reasons contain want, or that there are none if want is "".
 func expectReason(t *testing.T, reasons []string, want string) {
 	t.Helper()
 	if got := strings.Join(reasons, "; "); (got == "") != (want == "") || !strings.Contains(got, want) {
-		t.Errorf("%q, not %q", got, want)
+		t.Errorf("reasons are %q, want %q", got, want)
 	}
 }
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -1,7 +1,7 @@
-// Package rollout plans a rolling replacement of the controllers: in which order they
-// are replaced, and whether the next one may be ended now or what stands against it.
-// It goes by what the state service holds and what the settings name. No IO and no
-// clock.
+// Package rollout plans a rolling replacement of the controllers: the order in which they are
+// replaced, and whether the next one may be stopped now or what prevents it. The plan depends
+// only on the records in the state service and on the settings; the package does no I/O and
+// reads no clock.
 package rollout
 
 import (
@@ -16,8 +16,8 @@
 	"github.com/harrierreel/harrierreel/internal/store"
 )
 
-// Prefixes are the key prefixes that a plan is made from; the caller lists them all
-// and hands the rows to Read.
+// Prefixes are the key prefixes that a plan depends on. The caller lists the keys under all of
+// them and passes the rows to Read.
 var Prefixes = []string{
 	members.ViewKey,
 	members.MemberPrefix,
@@ -26,16 +26,16 @@
 	fleet.MachinePrefix,
 }
 
-// State is what was read of the state service.
+// State is the part of the state service's records that a plan depends on.
 type State struct {
-	View         *members.View     // nil if there is none
-	Incarnations map[string]uint64 // controller to the incarnation that its own key names
-	Probed       []string          // controllers with a probe that they have not answered
-	Unresponsive map[string]int    // owner to the count of its unresponsive machines
-	Machines     map[string]int    // owner to the count of its machines in use
+	View         *members.View     // nil if there is no view
+	Incarnations map[string]uint64 // by controller, the incarnation in its own member key
+	Probed       []string          // controllers with an unanswered probe
+	Unresponsive map[string]int    // by owner, the number of its unresponsive machines
+	Machines     map[string]int    // by owner, the number of its machines that are up
 }
 
-// Read takes rows of the state service in. Rows that can't be read count as absent.
+// Read decodes rows of the state service. Rows that can't be decoded count as absent.
 func Read(rows []store.Item) State {
 	s := State{
 		Incarnations: map[string]uint64{},
