--- a/internal/snapshot/check.go
+++ b/internal/snapshot/check.go
@@ -20,43 +20,42 @@
 	"github.com/harrierreel/harrierreel/internal/taskbatch"
 )
 
-// Finding is one fault of a snapshot's records.
+// Finding is a problem in a snapshot's records.
 type Finding struct {
-	Key     string `json:"key"` // may be empty
+	Key     string `json:"key"` // empty if the problem does not concern a single key
 	Problem string `json:"what"`
 }
 
 // Report is the result of Check.
 type Report struct {
 	Epoch           uint64         `json:"epoch"`
-	Keys            map[string]int `json:"keys"` // count by the first part of the key
+	Keys            map[string]int `json:"keys"` // number of keys, by the part before the first slash
 	LiveJobs        int            `json:"live_jobs"`
 	Tasks           int            `json:"tasks"`
 	TasksOnMachines int            `json:"tasks_on_machines"`
 	Findings        []Finding      `json:"findings"`
 }
 
-// checker is a check in progress.
+// checker holds the state of a check in progress.
 type checker struct {
-	snapshot    *State
-	state       *clusterstate.State // what the records applied so far say
-	report      Report
-	recordOf    map[string]string // by task, the key of the record that holds it
-	finalStates map[string]jobs.Final
+	snapshot     *State
+	state        *clusterstate.State // built from the records applied so far
+	report       Report
+	recordByTask map[string]string // by task ID, the key of the record that holds the task
+	finalStates  map[string]jobs.Final
 }
 
-// Check goes through all records as a controller would read them, and looks for what
-// must never be: records that can't be read, a task in two records or on a machine
-// without a job or a record of the machine, a job that is over without its final
-// state or live with one, more charged than a limit allows, counts that differ from
-// counting again. teams are the platform's, nil if they are not known; then limits are
-// not checked.
+// Check reads all records as a controller does, and reports violations of the invariants:
+// records that can't be decoded, a task in two records, a task without a job, a task on a machine
+// without a record, a finished job without a final state, a live job with one, usage above a
+// limit, and maintained counts that differ from a recount. teams are the platform's teams. If
+// teams is nil, limits are not checked.
 func Check(snapshot *State, teams map[string]quota.Team) Report {
 	c := &checker{
-		snapshot:    snapshot,
-		report:      Report{Epoch: snapshot.Epoch, Keys: map[string]int{}, Findings: []Finding{}},
-		recordOf:    map[string]string{},
-		finalStates: map[string]jobs.Final{},
+		snapshot:     snapshot,
+		report:       Report{Epoch: snapshot.Epoch, Keys: map[string]int{}, Findings: []Finding{}},
+		recordByTask: map[string]string{},
+		finalStates:  map[string]jobs.Final{},
 	}
 	c.state = clusterstate.New(c.quotaTree(teams), func(string) {})
 	c.applyRecords()
@@ -67,7 +66,7 @@
 	}
 	c.checkCalendar()
 	for _, fault := range c.state.Audit() {
-		c.add("", fault)
+		c.addFinding("", fault)
 	}
 	if teams != nil {
 		c.checkLimits()
@@ -75,11 +74,11 @@
 	return c.report
 }
 
-func (c *checker) add(key, fault string) {
-	c.report.Findings = append(c.report.Findings, Finding{Key: key, Problem: fault})
+func (c *checker) addFinding(key, problem string) {
+	c.report.Findings = append(c.report.Findings, Finding{Key: key, Problem: problem})
 }
 
-// applyRecords applies all records. As controllers do, it reads jobs before their tasks.
+// applyRecords applies all records. Like a controller, it reads jobs before their tasks.
 func (c *checker) applyRecords() {
 	keys := clusterstate.SortedKeys(c.snapshot.Items)
 	for _, jobRecords := range []bool{true, false} {
@@ -92,8 +91,8 @@
 }
 
 func (c *checker) applyRecord(key string, item store.Item) {
-	first, name, _ := strings.Cut(key, "/")
-	c.report.Keys[first]++
+	kind, name, _ := strings.Cut(key, "/")
+	c.report.Keys[kind]++
 	var err error
 	switch key {
 	case members.ViewKey:
@@ -107,10 +106,10 @@
 	case calendar.StoreKey:
 		_, err = calendar.DecodeDocument(item.Value)
 	default:
-		err = c.applyByPrefix(first+"/", name, key, item)
+		err = c.applyByPrefix(kind+"/", name, key, item)
 	}
 	if err != nil {
-		c.add(key, fmt.Sprintf("can't be read: %v", err))
+		c.addFinding(key, fmt.Sprintf("can't be read: %v", err))
 	}
 }
 
@@ -144,7 +143,7 @@
 	jobID, from, _ := jobs.SplitTaskID(strings.TrimPrefix(key, jobs.TaskPrefix))
 	tasks, _ := jobs.DecodeTaskRange(item.Value)
 	for i := range tasks {
-		c.noteTask(key, jobID, from+i)
+		c.registerTask(key, jobID, from+i)
 	}
 	return nil
 }
@@ -155,7 +154,7 @@
 	}
 	entries, _ := taskbatch.Decode(item.Value)
 	for _, entry := range entries {
-		c.noteTask(key, entry.JobID, entry.Index)
+		c.registerTask(key, entry.JobID, entry.Index)
 	}
 	return nil
 }
@@ -169,22 +168,22 @@
 	return nil
 }
 
-// noteTask notes that a record holds a task; no other may.
-func (c *checker) noteTask(key, jobID string, index int) {
+// registerTask registers the record that holds a task. No other record may hold the same task.
+func (c *checker) registerTask(key, jobID string, index int) {
 	taskID := jobs.TaskID(jobID, index)
-	if other := c.recordOf[taskID]; other != "" {
-		c.add(key, fmt.Sprintf("holds %s, which %s holds too", taskID, other))
+	if otherKey := c.recordByTask[taskID]; otherKey != "" {
+		c.addFinding(key, fmt.Sprintf("holds %s, which %s holds too", taskID, otherKey))
 	}
-	c.recordOf[taskID] = key
+	c.recordByTask[taskID] = key
 }
 
 // checkLifecycle compares a job's record with its final state.
 func (c *checker) checkLifecycle(jobID string, job *clusterstate.Job) {
 	key := jobs.JobPrefix + jobID
-	final, over := c.finalStates[jobID]
+	final, hasFinal := c.finalStates[jobID]
 	if job.Record == nil {
-		if !over && len(job.Tasks) > 0 {
-			c.add(key, "has tasks but neither a record nor a final state")
+		if !hasFinal && len(job.Tasks) > 0 {
+			c.addFinding(key, "has tasks but neither a record nor a final state")
 		}
 		return
 	}
@@ -193,32 +192,33 @@
 		c.report.LiveJobs++
 	}
 	switch {
-	case live && over:
-		c.add(key, fmt.Sprintf("is live, and %s for ever", final.State))
-	case !live && !over:
-		c.add(key, fmt.Sprintf("is %s, but has no final state", job.Record.State))
+	case live && hasFinal:
+		c.addFinding(key, fmt.Sprintf("is live, and %s for ever", final.State))
+	case !live && !hasFinal:
+		c.addFinding(key, fmt.Sprintf("is %s, but has no final state", job.Record.State))
 	}
 }
 
-// checkTasks counts a job's tasks and looks for those that the job or the fleet can't have.
+// checkTasks counts a job's tasks. It reports those with an index beyond the job's task count, and
+// those on a machine without a record.
 func (c *checker) checkTasks(job *clusterstate.Job) {
 	for _, index := range slices.Sorted(maps.Keys(job.Tasks)) {
 		task := job.Tasks[index]
 		c.report.Tasks++
 		if job.Record != nil && index >= job.Record.Spec.TaskCount {
-			c.add(task.StoredIn.Key, fmt.Sprintf("holds %s of a job of %d tasks", task.ID, job.Record.Spec.TaskCount))
+			c.addFinding(task.StoredIn.Key, fmt.Sprintf("holds %s of a job of %d tasks", task.ID, job.Record.Spec.TaskCount))
 		}
 		if !task.OnMachine() {
 			continue
 		}
 		c.report.TasksOnMachines++
 		if c.state.Machines[task.Machine] == nil {
-			c.add(task.StoredIn.Key, fmt.Sprintf("%s is on %s, of which there is no record", task.ID, task.Machine))
+			c.addFinding(task.StoredIn.Key, fmt.Sprintf("%s is on %s, of which there is no record", task.ID, task.Machine))
 		}
 	}
 }
 
-// checkCalendar looks for work of two windows of one track on machines.
+// checkCalendar reports tracks where jobs of two overlapping windows have tasks on machines.
 func (c *checker) checkCalendar() {
 	item, ok := c.snapshot.Items[calendar.StoreKey]
 	if !ok {
@@ -226,11 +226,11 @@
 	}
 	document, err := calendar.DecodeDocument(item.Value)
 	if err != nil {
-		return // a finding of applyRecord
+		return // reported by applyRecord
 	}
 	plan, err := calendar.Compile(document)
 	if err != nil {
-		c.add(calendar.StoreKey, err.Error())
+		c.addFinding(calendar.StoreKey, err.Error())
 		return
 	}
 	onMachines := map[quota.Key]bool{}
@@ -240,24 +240,26 @@
 		}
 	}
 	for _, track := range plan.OverlappingTracks(onMachines) {
-		c.add(
+		c.addFinding(
 			calendar.TrackKey(track),
 			"work of two of its windows is on machines, unless it was there before the calendar",
 		)
 	}
 }
 
+// checkLimits reports the nodes of the quota tree that use more than their limit.
 func (c *checker) checkLimits() {
 	account := c.state.Account
 	for _, node := range account.Over() {
-		c.add(quota.StoreKey, fmt.Sprintf(
+		c.addFinding(quota.StoreKey, fmt.Sprintf(
 			"%s uses %s, more than its limit, unless that was lowered a moment before",
 			account.Tree().Path(node), account.Used(node),
 		))
 	}
 }
 
-// quotaTree returns the tree of quotas that the snapshot has, or that of the teams alone.
+// quotaTree returns the quota tree of the snapshot, or a flat tree of the teams if the snapshot has
+// none, teams is nil or the stored tree is unusable.
 func (c *checker) quotaTree(teams map[string]quota.Team) *quota.Tree {
 	item, ok := c.snapshot.Items[quota.StoreKey]
 	if !ok || teams == nil {
@@ -265,11 +267,11 @@
 	}
 	stored, err := quota.Decode(item.Value)
 	if err != nil {
-		return quota.Flat(teams) // a finding of applyRecord
+		return quota.Flat(teams) // reported by applyRecord
 	}
 	tree, faults := quota.Build(&stored.Doc, teams, nil)
 	for _, fault := range faults {
-		c.add(quota.StoreKey, fault)
+		c.addFinding(quota.StoreKey, fault)
 	}
 	if tree == nil {
 		return quota.Flat(teams)
--- a/internal/snapshot/content.go
+++ b/internal/snapshot/content.go
@@ -9,15 +9,14 @@
 	"github.com/harrierreel/harrierreel/internal/store"
 )
 
-// State is all keys as of one epoch.
+// State holds all keys of the store as of one epoch.
 type State struct {
 	Epoch   uint64
-	BegunMs int64 // when the snapshot was begun, in Unix milliseconds
+	BegunMs int64 // when the snapshot was started, in Unix milliseconds
 	Items   map[string]store.Item
 }
 
-// Read reads a complete snapshot. Its errors say whether the file is truncated or damaged
-// (errors.Is with the errors of this package).
+// Read reads a complete snapshot. Its errors wrap ErrTruncated or ErrDamaged.
 func Read(r io.Reader) (*State, error) {
 	c, err := readContent(r)
 	if err != nil {
@@ -26,21 +25,21 @@
 	return &State{Epoch: c.epoch, BegunMs: c.header.AtMs, Items: c.items}, nil
 }
 
-// content is what was read of a file, complete or not.
+// content is what was read from a file, which may be incomplete.
 type content struct {
-	header  header
-	mirror  *store.Mirror // puts keys into items
-	items   map[string]store.Item
-	lastKey string // the last one listed
-	listed  bool   // every key was listed
-	epoch   uint64 // up to which changes are known
-	ended   bool   // the trailer was read
-	chain   chain
-	size    int64 // bytes of whole blocks, with magic
+	header   header
+	mirror   *store.Mirror // applies rows and events to items
+	items    map[string]store.Item
+	lastKey  string // last key that was listed
+	listed   bool   // all keys were listed
+	epoch    uint64 // epoch up to which changes are included
+	complete bool   // the trailer was read
+	chain    chain
+	size     int64 // length of the magic and the complete blocks, in bytes
 }
 
-// readContent reads a file's blocks. Of an incomplete or damaged file it returns what comes
-// before the fault, and nil if that is not even the beginning of a snapshot.
+// readContent reads the blocks of a file. For an incomplete or damaged file it returns an error
+// together with the content before the fault, or with nil if the file doesn't begin with magic.
 func readContent(r io.Reader) (*content, error) {
 	blocks, err := newReader(r)
 	if err != nil {
@@ -53,22 +52,22 @@
 		c.chain = blocks.chain
 		c.size = blocks.size
 		switch {
-		case errors.Is(err, io.EOF) && c.ended:
+		case errors.Is(err, io.EOF) && c.complete:
 			return c, nil
 		case errors.Is(err, io.EOF):
-			return c, blocks.truncated()
+			return c, blocks.truncatedError()
 		case err != nil:
 			return c, err
-		case c.ended:
-			return c, blocks.damaged("something follows its end")
+		case c.complete:
+			return c, blocks.damagedError("something follows its end")
 		}
 		if err = c.apply(kind, b, blocks.chain.blocks); err != nil {
-			return c, blocks.damaged(err.Error())
+			return c, blocks.damagedError(err.Error())
 		}
 	}
 }
 
-// setItem stores a key's value; nil removes the key.
+// setItem stores the value of a key. A nil value removes the key.
 func (c *content) setItem(key string, value json.RawMessage, revision uint64) {
 	if value == nil {
 		delete(c.items, key)
@@ -77,7 +76,7 @@
 	c.items[key] = store.Item{Key: key, Value: value, Revision: revision}
 }
 
-// apply takes the content of a block, which is the number-th of its file.
+// apply adds the content of a block. number is the position of the block in the file, from 1.
 func (c *content) apply(kind blockKind, b []byte, number int) error {
 	if (kind == headBlock) != (number == 1) {
 		return errors.New("blocks out of order")
@@ -110,7 +109,7 @@
 		if err := json.Unmarshal(b, &last); err != nil {
 			return err
 		}
-		c.ended = true
+		c.complete = true
 		if last.Blocks != number-1 || last.Epoch != c.epoch || !c.listed {
 			return errors.New("its end does not fit what is there")
 		}
--- a/internal/snapshot/format.go
+++ b/internal/snapshot/format.go
@@ -1,6 +1,6 @@
-// Package snapshot keeps everything in the key-value store, as of one epoch, in a file. A
-// snapshot is taken while controllers work, can be resumed where it was interrupted, and is
-// checked offline. Files are read and written here; the store is reached through a Source.
+// Package snapshot saves all keys of the key-value store, as of one epoch, to a file. A snapshot
+// is taken while controllers run, can be resumed after an interruption, and is checked offline.
+// The package reads and writes the files; it accesses the store through a Source.
 package snapshot
 
 import (
@@ -18,61 +18,61 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// magic is the first line of a file.
+// magic is the first line of a snapshot file.
 const magic = "harrierreel-state 1\n"
 
-// blockKind names what a block holds.
+// blockKind is the type of a block.
 type blockKind byte
 
 const (
 	headBlock   blockKind = 'h' // header
-	rowsBlock   blockKind = 'r' // a page of keys as they were listed, at one epoch or a later one
-	eventsBlock blockKind = 'e' // the changes since, in order
-	endBlock    blockKind = 'z' // the epoch that rows and changes together describe
+	rowsBlock   blockKind = 'r' // a page of listed keys, each as of the header's epoch or a later one
+	eventsBlock blockKind = 'e' // the changes since the previous epoch, in order
+	endBlock    blockKind = 'z' // trailer: the epoch that rows and changes add up to
 )
 
-// header is the content of the first block.
+// header is the content of the first block of a file.
 type header struct {
-	Since uint64 `json:"since"` // epoch from which changes are added to the rows
-	AtMs  int64  `json:"at_ms"` // when the snapshot was begun
+	Since uint64 `json:"since"` // epoch after which changes are recorded
+	AtMs  int64  `json:"at_ms"` // when the snapshot was started, in Unix milliseconds
 }
 
-// rowPage is the content of a block of rows.
+// rowPage is the content of a rows block.
 type rowPage struct {
 	Rows []store.Item `json:"rows"`
-	More bool         `json:"more"` // the list goes on after these
+	More bool         `json:"more"` // more rows follow
 }
 
-// eventPage is the content of a block of events.
+// eventPage is the content of an events block.
 type eventPage struct {
-	To     uint64        `json:"to"` // epoch up to which changes are known
+	To     uint64        `json:"to"` // epoch up to which changes are included
 	Events []store.Event `json:"events"`
 }
 
-// trailer is the content of the last block.
+// trailer is the content of the last block of a file.
 type trailer struct {
 	Epoch  uint64 `json:"epoch"`
-	Blocks int    `json:"blocks"` // before this one
+	Blocks int    `json:"blocks"` // number of blocks before this one
 }
 
-// ErrTruncated means that a file ends before its last block, or within a block; Take can go on
-// with what is there.
+// ErrTruncated means that a file ends before its trailer or within a block. Take can resume from
+// such a file.
 var ErrTruncated = errors.New("the file is cut short")
 
-// ErrDamaged means that a block is not what was written.
+// ErrDamaged means that a file is not a snapshot, or that a block is corrupt.
 var ErrDamaged = errors.New("the file is damaged")
 
-// newCoder returns the compressor of blocks and its inverse.
-var newCoder = compression.New(tuning.SnapshotBlock)
+// newCodec returns the encoder and the decoder for the compression of blocks.
+var newCodec = compression.New(tuning.SnapshotBlock)
 
-// chain is the hash of all blocks so far: the hash of each block covers those before it, so
-// that none can be missing, doubled or moved.
+// chain is a hash chain over all blocks so far. The hash of each block covers the blocks before
+// it, so that a missing, repeated or moved block is detected.
 type chain struct {
 	sum    [32]byte
 	blocks int
 }
 
-// extend returns the chain with one more block.
+// extend returns the chain with another block added.
 func (c chain) extend(kind blockKind, compressed []byte) chain {
 	hash := blake3.New(32, nil)
 	_, _ = hash.Write(c.sum[:])
@@ -94,7 +94,7 @@
 	if err != nil {
 		return err
 	}
-	encoder, _ := newCoder()
+	encoder, _ := newCodec()
 	compressed := encoder.EncodeAll(b, nil)
 	w.chain = w.chain.extend(kind, compressed)
 	block := binary.AppendUvarint([]byte{byte(kind)}, uint64(len(compressed)))
@@ -104,11 +104,11 @@
 	return err
 }
 
-// reader goes through the blocks of a file.
+// reader reads the blocks of a file.
 type reader struct {
 	r     *bufio.Reader
 	chain chain
-	size  int64 // bytes of whole blocks so far, with magic
+	size  int64 // length of the magic and the complete blocks read so far, in bytes
 }
 
 func newReader(r io.Reader) (*reader, error) {
@@ -120,8 +120,8 @@
 	return &reader{r: buffered, size: int64(len(magic))}, nil
 }
 
-// readBlock returns the next block's content, decompressed, and io.EOF after the last block.
-// Other errors say, as those of Read do, whether the file is truncated or damaged.
+// readBlock returns the kind and the decompressed content of the next block, or io.EOF after the
+// last block. Other errors wrap ErrTruncated or ErrDamaged.
 func (r *reader) readBlock() (blockKind, []byte, error) {
 	first, err := r.r.ReadByte()
 	if err != nil {
@@ -130,37 +130,37 @@
 	kind := blockKind(first)
 	size, err := binary.ReadUvarint(r.r)
 	if err != nil {
-		return 0, nil, r.truncated()
+		return 0, nil, r.truncatedError()
 	}
 	if size > tuning.SnapshotBlock {
-		return 0, nil, r.damaged("a block of strange size")
+		return 0, nil, r.damagedError("a block of strange size")
 	}
 	var sum [32]byte
 	compressed := make([]byte, size)
 	if _, err = io.ReadFull(r.r, sum[:]); err != nil {
-		return 0, nil, r.truncated()
+		return 0, nil, r.truncatedError()
 	}
 	if _, err = io.ReadFull(r.r, compressed); err != nil {
-		return 0, nil, r.truncated()
+		return 0, nil, r.truncatedError()
 	}
 	extended := r.chain.extend(kind, compressed)
 	if extended.sum != sum {
-		return 0, nil, r.damaged("its checksum does not hold")
+		return 0, nil, r.damagedError("its checksum does not hold")
 	}
-	_, decoder := newCoder()
+	_, decoder := newCodec()
 	b, err := decoder.DecodeAll(compressed, nil)
 	if err != nil {
-		return 0, nil, r.damaged(err.Error())
+		return 0, nil, r.damagedError(err.Error())
 	}
 	r.chain = extended
 	r.size += int64(1 + len(binary.AppendUvarint(nil, size)) + len(sum) + len(compressed))
 	return kind, b, nil
 }
 
-func (r *reader) truncated() error {
+func (r *reader) truncatedError() error {
 	return fmt.Errorf("%w after block %d, at byte %d", ErrTruncated, r.chain.blocks, r.size)
 }
 
-func (r *reader) damaged(fault string) error {
-	return fmt.Errorf("%w: block %d, at byte %d: %s", ErrDamaged, r.chain.blocks+1, r.size, fault)
+func (r *reader) damagedError(reason string) error {
+	return fmt.Errorf("%w: block %d, at byte %d: %s", ErrDamaged, r.chain.blocks+1, r.size, reason)
 }
--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -16,6 +16,7 @@
 	"github.com/harrierreel/harrierreel/internal/store"
 )
 
+// goldenBlock is a block with its content before encoding.
 type goldenBlock struct {
 	kind  blockKind
 	value any
@@ -35,8 +36,8 @@
 	}
 }
 
-// fileOf returns a file of some blocks.
-func fileOf(t *testing.T, blocks []goldenBlock) []byte {
+// encodeFile returns a snapshot file with the given blocks.
+func encodeFile(t *testing.T, blocks []goldenBlock) []byte {
 	t.Helper()
 	out := bytes.NewBufferString(magic)
 	w := &writer{w: out}
@@ -48,8 +49,8 @@
 	return out.Bytes()
 }
 
-// blocksOf reads the blocks of a file, and their decompressed content, a line each.
-func blocksOf(t *testing.T, file []byte) (blocks []goldenBlock, decompressed []byte) {
+// decodeFile returns the blocks of a file, and their decompressed contents with a line for each.
+func decodeFile(t *testing.T, file []byte) (blocks []goldenBlock, decompressed []byte) {
 	t.Helper()
 	r, err := newReader(bytes.NewReader(file))
 	if err != nil {
@@ -89,11 +90,11 @@
 	)
 	goldentest.Filled(t, blocks[len(blocks)-1].value)
 
-	goldentest.Bytes(t, "blocks.bin", fileOf(t, blocks))
+	goldentest.Bytes(t, "blocks.bin", encodeFile(t, blocks))
 	golden := goldentest.Read(t, "blocks.bin")
-	back, decompressed := blocksOf(t, golden)
+	decoded, decompressed := decodeFile(t, golden)
 	goldentest.Bytes(t, "blocks.txt", decompressed)
-	goldentest.Bytes(t, "blocks.bin", fileOf(t, back))
+	goldentest.Bytes(t, "blocks.bin", encodeFile(t, decoded))
 
 	s, err := Read(bytes.NewReader(golden))
 	if err != nil {
@@ -109,10 +110,10 @@
 	}
 }
 
-// TestGoldenFile compares a whole file that is taken of a service that changes meanwhile.
+// TestGoldenFile compares a complete snapshot of a store that changes while it is read.
 func TestGoldenFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "state")
-	if _, err := Take(changingService(), file, time.UnixMilli(1700000000001), nil); err != nil {
+	if _, err := Take(changingStore(), file, time.UnixMilli(1700000000001), nil); err != nil {
 		t.Fatal(err)
 	}
 	b, err := os.ReadFile(file)
@@ -120,9 +121,9 @@
 		t.Fatal(err)
 	}
 	goldentest.Bytes(t, "state.bin", b)
-	back, decompressed := blocksOf(t, goldentest.Read(t, "state.bin"))
+	decoded, decompressed := decodeFile(t, goldentest.Read(t, "state.bin"))
 	goldentest.Bytes(t, "state.txt", decompressed)
-	goldentest.Bytes(t, "state.bin", fileOf(t, back))
+	goldentest.Bytes(t, "state.bin", encodeFile(t, decoded))
 }
 
 func TestGoldenReport(t *testing.T) {
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -20,30 +20,30 @@
 	"github.com/harrierreel/harrierreel/internal/taskbatch"
 )
 
-// service is a key-value store that may change while it is read.
-type service struct {
+// fakeStore is a key-value store that may change while it is read.
+type fakeStore struct {
 	epoch        uint64
 	items        map[string]store.Item
-	log          []store.Event
-	forgotten    uint64 // changes up to this epoch are forgotten
+	events       []store.Event
+	compacted    uint64 // changes up to this epoch are no longer available
 	pageSize     int
 	calls        int
-	beforeAnswer func(call int) // may change the service
+	beforeAnswer func(call int) // called before each response; may change the store
 }
 
-func (s *service) put(key string, v any) {
+func (s *fakeStore) put(key string, v any) {
 	s.epoch++
 	s.items[key] = store.Item{Key: key, Value: jobs.Encode(v), Revision: s.epoch}
-	s.log = append(s.log, store.Event{Put: key, Value: jobs.Encode(v), Revision: s.epoch})
+	s.events = append(s.events, store.Event{Put: key, Value: jobs.Encode(v), Revision: s.epoch})
 }
 
-func (s *service) remove(key string) {
+func (s *fakeStore) remove(key string) {
 	s.epoch++
 	delete(s.items, key)
-	s.log = append(s.log, store.Event{Remove: key, Revision: s.epoch})
+	s.events = append(s.events, store.Event{Remove: key, Revision: s.epoch})
 }
 
-func (s *service) List(after string) (store.Page, error) {
+func (s *fakeStore) List(after string) (store.Page, error) {
 	s.calls++
 	s.beforeAnswer(s.calls)
 	p := store.Page{Epoch: s.epoch}
@@ -59,23 +59,23 @@
 	return p, nil
 }
 
-func (s *service) Changes(since uint64) (uint64, []store.Event, error) {
+func (s *fakeStore) Changes(since uint64) (uint64, []store.Event, error) {
 	s.calls++
 	s.beforeAnswer(s.calls)
-	if since < s.forgotten {
+	if since < s.compacted {
 		return 0, nil, store.ErrGone
 	}
-	i := slices.IndexFunc(s.log, func(e store.Event) bool { return e.Revision > since })
+	i := slices.IndexFunc(s.events, func(e store.Event) bool { return e.Revision > since })
 	if i < 0 {
 		return s.epoch, nil, nil
 	}
-	return s.epoch, slices.Clone(s.log[i:]), nil
+	return s.epoch, slices.Clone(s.events[i:]), nil
 }
 
-// changingService is a service with a leader, machines and jobs. While it is read, tasks
-// move between batch records and the leader changes.
-func changingService() *service {
-	s := &service{items: map[string]store.Item{}, pageSize: 3}
+// changingStore returns a store with a leader, machines and jobs. While it is read, tasks move
+// between batch records, the leader changes, and keys are added and removed.
+func changingStore() *fakeStore {
+	s := &fakeStore{items: map[string]store.Item{}, pageSize: 3}
 	s.put("view", map[string]any{"leader": "n0", "epoch": 4, "members": []any{}})
 	for i := range 4 {
 		s.put(fmt.Sprint("host/i-", i), fleet.MachineRecord{State: fleet.Up, MachineType: "g4", Zone: "a"})
@@ -112,16 +112,16 @@
 	s.put("final/wk-9", jobs.Final{State: jobs.Done, DoneCount: 1})
 	s.beforeAnswer = func(call int) {
 		switch call {
-		case 2: // in one transaction, what was in a moves to z
+		case 2: // one transaction moves the tasks of pack/a to pack/z
 			s.put("pack/z", batch(placed(0, 0), placed(1, 1), placed(2, 2)))
 			delete(s.items, "pack/a")
-			s.log = append(s.log, store.Event{Remove: "pack/a", Revision: s.epoch})
+			s.events = append(s.events, store.Event{Remove: "pack/a", Revision: s.epoch})
 		case 3:
 			s.put("view", map[string]any{"leader": "n1", "epoch": 5, "members": []any{}})
 		case 4:
 			s.remove("host/i-3")
 		case 5:
-			s.put("aa/behind", 1) // sorts before what is listed by now
+			s.put("aa/behind", 1) // sorts before the keys that are already listed
 		case 7:
 			s.put("zz/late", 1)
 		}
@@ -142,10 +142,10 @@
 	return s
 }
 
-// heldAt is what a service held at an epoch, by its log.
-func heldAt(s *service, epoch uint64) map[string]string {
+// valuesAt returns the values that a store held at an epoch, by key.
+func valuesAt(s *fakeStore, epoch uint64) map[string]string {
 	out := map[string]string{}
-	for _, e := range s.log {
+	for _, e := range s.events {
 		if e.Revision > epoch {
 			break
 		}
@@ -161,19 +161,19 @@
 func checkItems(t *testing.T, s *State, want map[string]string) {
 	t.Helper()
 	if len(s.Items) != len(want) {
-		t.Errorf("%d keys, not %d", len(s.Items), len(want))
+		t.Errorf("%d keys, want %d", len(s.Items), len(want))
 	}
 	for k, it := range s.Items {
 		if string(it.Value) != want[k] {
-			t.Errorf("%s is %s, not %s", k, it.Value, want[k])
+			t.Errorf("%s is %s, want %s", k, it.Value, want[k])
 		}
 	}
 }
 
-// A snapshot taken while batch records are merged, the leader changes and keys come and go
-// is what the service held at one epoch, and its records agree.
-func TestSnapshotOfChangingServiceIsConsistent(t *testing.T) {
-	source := changingService()
+// A snapshot that is taken while batch records are merged, the leader changes, and keys are added
+// and removed equals the store's content at one epoch, and Check has no findings.
+func TestSnapshotOfChangingStoreIsConsistent(t *testing.T) {
+	source := changingStore()
 	file := filepath.Join(t.TempDir(), "state")
 	epoch, err := Take(source, file, time.UnixMilli(1), nil)
 	if err != nil {
@@ -183,7 +183,7 @@
 	if s.Epoch != epoch || source.calls < 6 {
 		t.Fatal(s.Epoch, epoch, source.calls)
 	}
-	checkItems(t, s, heldAt(source, epoch))
+	checkItems(t, s, valuesAt(source, epoch))
 	if r := Check(s, nil); len(r.Findings) > 0 || r.LiveJobs != 4 || r.TasksOnMachines != 3 || r.Tasks != 4 {
 		t.Errorf("%+v", r)
 	}
@@ -191,50 +191,50 @@
 		t.Error(info.Mode())
 	}
 	if _, err := os.Stat(file + ".part"); err == nil {
-		t.Error("the partial file is left")
+		t.Error("the partial file still exists")
 	}
 }
 
-// failingService answers no call from some call on.
-type failingService struct {
-	*service
-	firstFailing int
+// failingStore fails every call from the one with the number firstFailingCall on.
+type failingStore struct {
+	*fakeStore
+	firstFailingCall int
 }
 
 var errNoAnswer = errors.New("no answer")
 
-func (f *failingService) List(after string) (store.Page, error) {
-	if f.calls+1 >= f.firstFailing {
+func (f *failingStore) List(after string) (store.Page, error) {
+	if f.calls+1 >= f.firstFailingCall {
 		return store.Page{}, errNoAnswer
 	}
-	return f.service.List(after)
+	return f.fakeStore.List(after)
 }
 
-func (f *failingService) Changes(since uint64) (uint64, []store.Event, error) {
-	if f.calls+1 >= f.firstFailing {
+func (f *failingStore) Changes(since uint64) (uint64, []store.Event, error) {
+	if f.calls+1 >= f.firstFailingCall {
 		return 0, nil, errNoAnswer
 	}
-	return f.service.Changes(since)
+	return f.fakeStore.Changes(since)
 }
 
-// Interrupted at any answer, and with any number of bytes of the last block missing, the
-// next attempt goes on and gives the same as one that was never interrupted.
+// After an interruption at any call, also with bytes of the last block missing, the next attempt
+// resumes, and gives a snapshot that is as consistent as an uninterrupted one.
 func TestInterruptedTakeResumes(t *testing.T) {
-	for firstFailing := 1; firstFailing <= 8; firstFailing++ {
+	for firstFailingCall := 1; firstFailingCall <= 8; firstFailingCall++ {
 		for _, missing := range []int{0, 1, 40} {
-			checkResumes(t, firstFailing, missing)
+			checkResumes(t, firstFailingCall, missing)
 		}
 	}
 }
 
-func checkResumes(t *testing.T, firstFailing, missing int) {
+func checkResumes(t *testing.T, firstFailingCall, missing int) {
 	t.Helper()
-	source := changingService()
+	source := changingStore()
 	file := filepath.Join(t.TempDir(), "state")
-	_, err := Take(&failingService{source, firstFailing}, file, time.UnixMilli(1), nil)
+	_, err := Take(&failingStore{source, firstFailingCall}, file, time.UnixMilli(1), nil)
 	if !errors.Is(err, errNoAnswer) {
-		if err != nil || firstFailing < 7 {
-			t.Fatal(firstFailing, err)
+		if err != nil || firstFailingCall < 7 {
+			t.Fatal(firstFailingCall, err)
 		}
 		return
 	}
@@ -244,38 +244,38 @@
 	before := source.calls
 	epoch, err := Take(source, file, time.UnixMilli(2), nil)
 	if err != nil {
-		t.Fatal(firstFailing, missing, err)
+		t.Fatal(firstFailingCall, missing, err)
 	}
-	checkItems(t, readFile(t, file), heldAt(source, epoch))
-	if firstFailing == 6 && missing == 0 && source.calls-before > 5 {
-		t.Errorf("%d calls after the resumption", source.calls-before)
+	checkItems(t, readFile(t, file), valuesAt(source, epoch))
+	if firstFailingCall == 6 && missing == 0 && source.calls-before > 5 {
+		t.Errorf("%d calls after resuming", source.calls-before)
 	}
 }
 
-func TestTakeBeginsAnewWhenChangesAreForgotten(t *testing.T) {
-	source := changingService()
+func TestTakeRestartsWhenChangesAreGone(t *testing.T) {
+	source := changingStore()
 	file := filepath.Join(t.TempDir(), "state")
-	_, _ = Take(&failingService{source, 5}, file, time.UnixMilli(1), nil)
-	source.forgotten = source.epoch
+	_, _ = Take(&failingStore{source, 5}, file, time.UnixMilli(1), nil)
+	source.compacted = source.epoch
 	source.beforeAnswer = func(int) {}
-	lines := ""
-	epoch, err := Take(source, file, time.UnixMilli(2), func(line string) { lines += line })
-	if err != nil || !strings.Contains(lines, "anew") {
-		t.Fatal(err, lines)
+	messages := ""
+	epoch, err := Take(source, file, time.UnixMilli(2), func(message string) { messages += message })
+	if err != nil || !strings.Contains(messages, "anew") {
+		t.Fatal(err, messages)
 	}
-	checkItems(t, readFile(t, file), heldAt(source, epoch))
+	checkItems(t, readFile(t, file), valuesAt(source, epoch))
 }
 
-// Cut anywhere or with any bit flipped, a file is refused.
-func TestDamagedFilesAreRefused(t *testing.T) {
+// Read rejects a file that is truncated at any byte or has a flipped bit in any byte.
+func TestDamagedFilesAreRejected(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "state")
-	if _, err := Take(changingService(), file, time.UnixMilli(1), nil); err != nil {
+	if _, err := Take(changingStore(), file, time.UnixMilli(1), nil); err != nil {
 		t.Fatal(err)
 	}
 	b, _ := os.ReadFile(file)
 	for i := range b {
 		if _, err := Read(bytes.NewReader(b[:i])); !errors.Is(err, ErrTruncated) && !errors.Is(err, ErrDamaged) {
-			t.Fatalf("cut at byte %d: %v", i, err)
+			t.Fatalf("truncated at byte %d: %v", i, err)
 		}
 		flipped := slices.Clone(b)
 		flipped[i] ^= 1 << (i % 8)
@@ -284,11 +284,11 @@
 		}
 	}
 	if _, err := Read(bytes.NewReader(append(slices.Clone(b), b[len(magic):]...))); !errors.Is(err, ErrDamaged) {
-		t.Errorf("twice the blocks: %v", err)
+		t.Errorf("blocks repeated: %v", err)
 	}
 }
 
-func TestCheckFindsEachFault(t *testing.T) {
+func TestCheckFindsEachProblem(t *testing.T) {
 	put := func(key string, v any) func(*State) {
 		return func(s *State) { s.Items[key] = store.Item{Key: key, Value: jobs.Encode(v), Revision: 1} }
 	}
@@ -309,26 +309,26 @@
 		teams  map[string]quota.Team
 		want   string
 	}{
-		"nothing":                  {nothing, nil, ""},
-		"a task twice":             {put("task/wk-0/0", taskRange), nil, "holds too"},
-		"on an unknown machine":    {remove("host/i-2"), nil, "of which there is no record"},
-		"no job":                   {remove("job/wk-1"), nil, "neither a record nor a final state"},
-		"live and done":            {put("final/wk-1", jobs.Final{State: jobs.Done}), nil, "for ever"},
-		"over without a final":     {cancelled, nil, "no final state"},
-		"beyond the job's tasks":   {put("task/wk-3/9", taskRange), nil, "of a job of 9 tasks"},
-		"an unreadable batch":      {put("pack/a", 7), nil, "can't be read"},
-		"an unreadable view":       {put("view", 7), nil, "not a view"},
-		"unreadable loans":         {put("loan/0", 7), nil, "can't be read"},
-		"an unreadable final":      {put("final/wk-8", 7), nil, "can't be read"},
-		"more than a team's limit": {nothing, limited, "more than its limit"},
+		"nothing":                            {nothing, nil, ""},
+		"task in two records":                {put("task/wk-0/0", taskRange), nil, "holds too"},
+		"task on an unknown machine":         {remove("host/i-2"), nil, "of which there is no record"},
+		"task without a job":                 {remove("job/wk-1"), nil, "neither a record nor a final state"},
+		"live job with a final state":        {put("final/wk-1", jobs.Final{State: jobs.Done}), nil, "for ever"},
+		"finished job without a final state": {cancelled, nil, "no final state"},
+		"index beyond the job's tasks":       {put("task/wk-3/9", taskRange), nil, "of a job of 9 tasks"},
+		"unreadable batch":                   {put("pack/a", 7), nil, "can't be read"},
+		"unreadable view":                    {put("view", 7), nil, "not a view"},
+		"unreadable loans":                   {put("loan/0", 7), nil, "can't be read"},
+		"unreadable final state":             {put("final/wk-8", 7), nil, "can't be read"},
+		"usage above a team's limit":         {nothing, limited, "more than its limit"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			service := changingService()
-			s := &State{Epoch: service.epoch, Items: service.items}
+			source := changingStore()
+			s := &State{Epoch: source.epoch, Items: source.items}
 			c.change(s)
 			got := fmt.Sprint(Check(s, c.teams).Findings)
 			if (c.want == "" && got != "[]") || !strings.Contains(got, c.want) {
-				t.Errorf("found %s", got)
+				t.Errorf("findings: %s", got)
 			}
 		})
 	}
@@ -336,7 +336,7 @@
 
 func FuzzRead(f *testing.F) {
 	file := filepath.Join(f.TempDir(), "state")
-	if _, err := Take(changingService(), file, time.UnixMilli(1), nil); err != nil {
+	if _, err := Take(changingStore(), file, time.UnixMilli(1), nil); err != nil {
 		f.Fatal(err)
 	}
 	b, _ := os.ReadFile(file)
--- a/internal/snapshot/take.go
+++ b/internal/snapshot/take.go
@@ -10,30 +10,30 @@
 	"github.com/harrierreel/harrierreel/internal/store"
 )
 
-// Source is the key-value store as Take needs it.
+// Source is the part of the key-value store's API that Take uses.
 type Source interface {
-	// List returns a page of all keys, in order, that come after one.
+	// List returns a page of the keys that sort after the given one, in order.
 	List(after string) (store.Page, error)
-	// Changes returns what has changed since an epoch, and up to which; store.ErrGone
-	// if the store does not remember that far back.
+	// Changes returns the changes since an epoch, and the epoch up to which they reach. It
+	// returns store.ErrGone if the store no longer has all of these changes.
 	Changes(since uint64) (epoch uint64, events []store.Event, err error)
 }
 
-// Take writes a snapshot to a file: the keys as they are listed, page by page, then what
-// changed meanwhile. Together these are all keys as of the epoch that it returns. Take goes
-// on with what an earlier attempt left in file.part. progress, if given, is called with
-// lines that say how far it is.
+// Take writes a snapshot to a file and returns its epoch. It lists all keys, page by page, and
+// then adds the changes made in the meantime; together these give all keys as of that epoch.
+// Take resumes from what an earlier attempt left in file.part. progress, if not nil, is called
+// with messages about the progress.
 func Take(source Source, file string, now time.Time, progress func(string)) (epoch uint64, err error) {
 	if progress == nil {
 		progress = func(string) {}
 	}
 	partial := file + ".part"
 	for {
-		epoch, err = takePartial(source, partial, now, progress)
+		epoch, err = writePartial(source, partial, now, progress)
 		if !errors.Is(err, store.ErrGone) {
 			break
 		}
-		// Without the changes since the listing began, the listing is useless.
+		// A listing is of no use without the changes made since it began.
 		progress("the state service no longer knows the changes since the listing began; beginning anew")
 		if err = os.Remove(partial); err != nil {
 			return 0, err
@@ -45,8 +45,8 @@
 	return epoch, os.Rename(partial, file)
 }
 
-// takePartial completes the snapshot in the file partial.
-func takePartial(
+// writePartial writes the snapshot to the file partial, or completes the one that it holds.
+func writePartial(
 	source Source,
 	partial string,
 	now time.Time,
@@ -81,7 +81,8 @@
 	return c.epoch, f.Sync()
 }
 
-// appendRows lists the keys that are not yet listed.
+// appendRows lists the keys that are not yet listed, and writes them. Before the first page it
+// writes the header.
 func (c *content) appendRows(source Source, w *writer, now time.Time, progress func(string)) error {
 	keys := len(c.items)
 	for !c.listed {
@@ -108,9 +109,10 @@
 	return nil
 }
 
-// appendEvents adds the changes up to an epoch that no listed row is later than.
+// appendEvents writes the changes up to an epoch that is at least as late as every listed row.
 func (c *content) appendEvents(source Source, w *writer) error {
-	// Rows may be as late as the last page; its changes and all before must be there.
+	// Listed rows may be as recent as the last page, so all changes up to the epoch of another
+	// page, which is at least as late, must be included.
 	last, err := source.List(c.lastKey)
 	if err != nil {
 		return err
@@ -130,12 +132,12 @@
 	}
 }
 
-// resume reads what an earlier attempt left and puts the file where its whole blocks end.
-// A file of no use is begun anew.
+// resume reads what an earlier attempt left, and truncates the file after its last complete block.
+// It restarts a file without any block, and one that is already complete.
 func resume(f *os.File) (*content, error) {
-	// Why the file is incomplete does not matter: what comes before the fault is used.
+	// The error does not matter: the content before it is used.
 	c, _ := readContent(f)
-	if c == nil || c.chain.blocks == 0 || c.ended {
+	if c == nil || c.chain.blocks == 0 || c.complete {
 		return restart(f)
 	}
 	if err := f.Truncate(c.size); err != nil {
@@ -145,7 +147,7 @@
 	return c, err
 }
 
-// restart leaves nothing but magic in the file.
+// restart truncates the file to the magic.
 func restart(f *os.File) (*content, error) {
 	if err := f.Truncate(0); err != nil {
 		return nil, err
