--- a/internal/cli/calendar_test.go
+++ b/internal/cli/calendar_test.go
@@ -32,8 +32,9 @@
   }
 }`
 
-// calendarVerb runs a verb on a calendar and gives what it printed and its code.
-func calendarVerb(t *testing.T, text string, args ...string) (out, errOut string, code int) {
+// runCalendarCommand writes a calendar file with the given text and runs a calendar subcommand on it.
+// It returns what was printed to standard output and standard error, and the exit code.
+func runCalendarCommand(t *testing.T, text string, args ...string) (out, errOut string, code int) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "calendar.hcl")
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -49,10 +50,10 @@
 	return outBuffer.String(), errBuffer.String() + text, code
 }
 
-func TestCalendarVerbsReportFaultsAndCollisions(t *testing.T) {
-	good := strings.Replace(marketsCalendar, "%s", "01:00", 1)
+func TestCalendarCommandsReportFaultsAndCollisions(t *testing.T) {
+	valid := strings.Replace(marketsCalendar, "%s", "01:00", 1)
 	overlapping := strings.Replace(marketsCalendar, "%s", "20:00", 1)
-	unknownField := strings.Replace(good, "revision = 4", "revision = 4\n pace = 3", 1)
+	unknownField := strings.Replace(valid, "revision = 4", "revision = 4\n pace = 3", 1)
 	for name, c := range map[string]struct {
 		text   string
 		args   []string
@@ -60,8 +61,8 @@
 		out    string
 		errOut string
 	}{
-		"check of a good calendar": {
-			text: good,
+		"check of a valid calendar": {
+			text: valid,
 			args: []string{"check"},
 			out:  "revision 4: 1 tracks, 2 windows",
 		},
@@ -86,24 +87,24 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			out, errOut, code := calendarVerb(t, c.text, c.args...)
+			out, errOut, code := runCalendarCommand(t, c.text, c.args...)
 			if code != c.code || !strings.Contains(out, c.out) || !strings.Contains(errOut, c.errOut) {
-				t.Errorf("ends with %d, want %d; prints %q, notes %q", code, c.code, out, errOut)
+				t.Errorf("exit code %d, want %d; stdout %q, stderr %q", code, c.code, out, errOut)
 			}
 		})
 	}
 }
 
-func TestCalendarPlanPrintsAnOccurrencePerLine(t *testing.T) {
-	good := strings.Replace(marketsCalendar, "%s", "01:00", 1)
-	out, _, code := calendarVerb(t, good, "plan", "--from", "2026-03-28", "--days", "2", "-o", "json")
+func TestCalendarPlanPrintsOneOccurrencePerLine(t *testing.T) {
+	valid := strings.Replace(marketsCalendar, "%s", "01:00", 1)
+	out, _, code := runCalendarCommand(t, valid, "plan", "--from", "2026-03-28", "--days", "2", "-o", "json")
 	lines := strings.Split(strings.TrimSpace(out), "\n")
 	if code != 0 || len(lines) != 4 || !strings.Contains(lines[3], `"begin":"2026-03-29T22:00:00+03:00"`) {
 		t.Error(out, code)
 	}
 }
 
-func TestCalendarShowWithoutSourceIsBadUsage(t *testing.T) {
+func TestCalendarShowWithoutSourceIsUsageError(t *testing.T) {
 	a := &app{out: &bytes.Buffer{}, errOut: &bytes.Buffer{}}
 	c := a.calendarCommand()
 	c.SilenceErrors, c.SilenceUsage = true, true
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -37,7 +37,8 @@
 bundle: b
 `
 
-// fakeController takes the next answer for each request; without one the connection breaks.
+// fakeController gives the next of its answers to each request. Without any left, requests fail
+// with a network error.
 type fakeController struct {
 	answers  []string // "STATUS BODY"
 	requests []string // "METHOD TARGET BODY"
@@ -54,7 +55,8 @@
 	return &http1.Message{Status: code, Body: []byte(answer)}, err
 }
 
-// execute runs a command line against a controller, on a clock that does not wait.
+// execute runs a command line against a fake controller, with a fake clock. It returns the exit
+// code and what was printed to standard output and standard error.
 func execute(t *testing.T, f *fakeController, height int, args ...string) (code int, out, errOut string) {
 	t.Helper()
 	var outBuffer, errBuffer bytes.Buffer
@@ -74,7 +76,8 @@
 	return code, outBuffer.String(), errBuffer.String() + text
 }
 
-// runAnswer is a controller's answer about a run of pipelineFile.
+// runAnswer returns a controller's response about a run of pipelineFile, with the states of the run
+// and of its steps a and b.
 func runAnswer(state pipelines.RunState, a, b pipelines.StepState) string {
 	status := pipelines.Status{
 		ID:        "run-x",
@@ -102,7 +105,8 @@
 	return "200 " + string(status.Encode())
 }
 
-func write(t *testing.T, text string) string {
+// writeFile writes a file in a temporary directory and returns its name.
+func writeFile(t *testing.T, text string) string {
 	t.Helper()
 	name := filepath.Join(t.TempDir(), "p.yaml")
 	if err := os.WriteFile(name, []byte(text), 0o600); err != nil {
@@ -111,8 +115,8 @@
 	return name
 }
 
-func TestPipelineRunExitCodeFollowsItsEnd(t *testing.T) {
-	name := write(t, pipelineFile)
+func TestPipelineRunExitCodeReflectsResult(t *testing.T) {
+	name := writeFile(t, pipelineFile)
 	for end, wantCode := range map[pipelines.RunState]int{
 		pipelines.RunSucceeded: ExitDone,
 		pipelines.RunFailed:    ExitFailed,
@@ -127,7 +131,7 @@
 			}}
 			code, out, _ := execute(t, f, 0, "pipeline", "run", name, "--id", "run-x", "--server", "a:1")
 			if code != wantCode {
-				t.Errorf("ends with %d, want %d", code, wantCode)
+				t.Errorf("exit code %d, want %d", code, wantCode)
 			}
 			if lines := strings.Count(out, "\n"); lines != 6 ||
 				!strings.Contains(out, "succeeded  a") ||
@@ -142,13 +146,13 @@
 	}
 }
 
-// Every line of JSON is an object with a known event, whatever happens.
+// With JSON output, every line is an object that names its event.
 func TestJSONOutputHasOneEventPerLine(t *testing.T) {
 	f := &fakeController{answers: []string{
 		runAnswer(pipelines.RunLive, pipelines.Submitted, pipelines.Waiting),
 		runAnswer(pipelines.RunFailed, pipelines.Failed, pipelines.Skipped),
 	}}
-	name := write(t, pipelineFile)
+	name := writeFile(t, pipelineFile)
 	code, out, _ := execute(t, f, 24, "pipeline", "run", name, "--server", "a:1", "-o", "json")
 	var events []string
 	for _, line := range strings.Split(strings.TrimSpace(out), "\n") {
@@ -163,7 +167,7 @@
 	if got := strings.Join(events, " "); code != ExitFailed || got != "accepted step step step ended" {
 		t.Errorf("%d: %s", code, got)
 	}
-	code, out, _ = execute(t, &fakeController{}, 0, "pipeline", "check", write(t, "name: x\n"), "-o", "json")
+	code, out, _ = execute(t, &fakeController{}, 0, "pipeline", "check", writeFile(t, "name: x\n"), "-o", "json")
 	if code != ExitUsage || strings.Count(out, `"event":"fault"`) != 2 {
 		t.Errorf("%d: %s", code, out)
 	}
@@ -174,13 +178,13 @@
 		runAnswer(pipelines.RunLive, pipelines.Running, pipelines.Waiting),
 		runAnswer(pipelines.RunSucceeded, pipelines.Succeeded, pipelines.Succeeded),
 	}}
-	_, out, _ := execute(t, f, 24, "pipeline", "run", write(t, pipelineFile), "--server", "a:1")
+	_, out, _ := execute(t, f, 24, "pipeline", "run", writeFile(t, pipelineFile), "--server", "a:1")
 	if strings.Count(out, "\x1b[4A\x1b[J") != 1 || strings.Count(out, "STEP") != 2 {
 		t.Errorf("%q", out)
 	}
 }
 
-func TestRunTableKeepsLimitWithActiveStepsFirst(t *testing.T) {
+func TestRunTableShowsActiveStepsFirstWithinLimit(t *testing.T) {
 	status := &pipelines.Status{Status: pipelines.RunLive}
 	for range 100 {
 		status.Steps = append(status.Steps, pipelines.StepStatus{Name: "x", Status: pipelines.Waiting})
@@ -195,16 +199,16 @@
 	}
 }
 
-// verbCase is a command line, a controller's answer to it, and how it is to end. No answer
-// means that the verb sends no request, or reaches nobody.
-type verbCase struct {
+// commandCase is a command line with a controller's response and the expected result. If answer is
+// empty, the command sends no request or reaches no controller.
+type commandCase struct {
 	args   string
 	answer string
 	code   int
-	errOut string // what the notes are to contain
+	errOut string // text that standard error must contain
 }
 
-func checkVerbs(t *testing.T, cases map[string]verbCase) {
+func checkCommands(t *testing.T, cases map[string]commandCase) {
 	t.Helper()
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -214,17 +218,17 @@
 			}
 			code, out, errOut := execute(t, f, 0, strings.Fields(c.args)...)
 			if code != c.code || !strings.Contains(errOut, c.errOut) {
-				t.Errorf("%s: ends with %d, want %d; prints %q, notes %q", c.args, code, c.code, out, errOut)
+				t.Errorf("%s: exit code %d, want %d; stdout %q, stderr %q", c.args, code, c.code, out, errOut)
 			}
 		})
 	}
 }
 
 func TestPipelineRunExitCodes(t *testing.T) {
-	run := "pipeline run " + write(t, pipelineFile)
+	run := "pipeline run " + writeFile(t, pipelineFile)
 	const neverRuns = `422 {"error":"steps that can never run",` +
 		`"faults":[{"path":"steps[1]","want":"can never run: unknown team"}]}`
-	checkVerbs(t, map[string]verbCase{
+	checkCommands(t, map[string]commandCase{
 		"detached": {
 			args:   run + " --server a:1 --detach",
 			answer: runAnswer(pipelines.RunLive, pipelines.Ready, pipelines.Waiting),
@@ -235,25 +239,25 @@
 			code:   2,
 			errOut: "p.yaml:6:5: steps[1]: can never run: unknown team",
 		},
-		"id is taken": {
+		"id is in use": {
 			args:   run + " --server a:1",
 			answer: `409 {"error":"another pipeline has this id"}`,
 			code:   2,
 			errOut: "another pipeline",
 		},
-		"id has a wrong form":      {args: run + " --server a:1 --id RUN", code: 2, errOut: "--id"},
-		"no server is given":       {args: run, code: 2, errOut: "HARRIERREEL_SERVER"},
-		"server without a port":    {args: run + " --server nowhere", code: 2, errOut: "not address:port"},
-		"no controller answers":    {args: run + " --server a:1,b:2", code: 4, errOut: "no controller reachable"},
-		"file does not exist":      {args: "pipeline run none.yaml --server a:1", code: 2, errOut: "can't be opened"},
-		"verb is unknown":          {args: "pipeline nonsense", code: 2, errOut: "unknown command"},
-		"id of status has no form": {args: "pipeline status nonsense --server a:1", code: 2, errOut: "no run's id"},
+		"invalid id":            {args: run + " --server a:1 --id RUN", code: 2, errOut: "--id"},
+		"no server is given":    {args: run, code: 2, errOut: "HARRIERREEL_SERVER"},
+		"server without a port": {args: run + " --server nowhere", code: 2, errOut: "not address:port"},
+		"no controller answers": {args: run + " --server a:1,b:2", code: 4, errOut: "no controller reachable"},
+		"file does not exist":   {args: "pipeline run none.yaml --server a:1", code: 2, errOut: "can't be opened"},
+		"unknown command":       {args: "pipeline nonsense", code: 2, errOut: "unknown command"},
+		"invalid id of status":  {args: "pipeline status nonsense --server a:1", code: 2, errOut: "no run's id"},
 	})
 }
 
 func TestPipelineStatusExitCodes(t *testing.T) {
 	failed := runAnswer(pipelines.RunFailed, pipelines.Failed, pipelines.Skipped)
-	checkVerbs(t, map[string]verbCase{
+	checkCommands(t, map[string]commandCase{
 		"status of a failed run": {args: "pipeline status run-x --server a:1", answer: failed},
 		"wait for a failed run":  {args: "pipeline status run-x --wait --server a:1", answer: failed, code: 1},
 		"status of an unknown run": {
@@ -274,8 +278,8 @@
 }
 
 func TestQuotaExitCodes(t *testing.T) {
-	unknownField := write(t, "quotas {\n  team {}\n  speed = 1\n}\n")
-	checkVerbs(t, map[string]verbCase{
+	unknownField := writeFile(t, "quotas {\n  team {}\n  speed = 1\n}\n")
+	checkCommands(t, map[string]commandCase{
 		"show": {
 			args: "quota show --server a:1",
 			answer: `200 {"number":2,"nodes":[{"path":"kenya/pricing","kind":"team","depth":2,` +
@@ -287,13 +291,13 @@
 			code:   2,
 			errOut: "no such path",
 		},
-		"apply with neither flag": {
-			args:   "quota apply " + write(t, "quotas {}\n") + " --server a:1",
+		"apply without a flag": {
+			args:   "quota apply " + writeFile(t, "quotas {}\n") + " --server a:1",
 			code:   2,
 			errOut: "--dry-run",
 		},
 		"apply a file without quotas": {
-			args:   "quota apply " + write(t, "pipelines {}\n") + " --server a:1 --yes",
+			args:   "quota apply " + writeFile(t, "pipelines {}\n") + " --server a:1 --yes",
 			code:   2,
 			errOut: "no quotas block",
 		},
@@ -307,45 +311,45 @@
 
 func TestJobExitCodes(t *testing.T) {
 	const cancelled = `200 {"uid":"wk-1","status":"cancelled"}`
-	checkVerbs(t, map[string]verbCase{
+	checkCommands(t, map[string]commandCase{
 		"status": {
 			args:   "status wk-1 --server a:1",
 			answer: `200 {"uid":"wk-1","status":"running","done":1,"running":2}`,
 		},
-		"id has a wrong form":      {args: "status x --server a:1", code: 2, errOut: "no job's uid"},
+		"invalid id":               {args: "status x --server a:1", code: 2, errOut: "no job's uid"},
 		"cancel":                   {args: "cancel wk-1 --server a:1", answer: cancelled},
 		"wait for a cancelled job": {args: "wait wk-1 --server a:1", answer: cancelled, code: 3},
 		"wait for a job that is done": {
 			args:   "wait wk-1 --server a:1 -o json",
 			answer: `200 {"uid":"wk-1","status":"done","done":1}`,
 		},
-		"unknown form of output": {args: "wait wk-1 --server a:1 -o yaml", code: 2, errOut: "--output"},
-		"wait for no job":        {args: "wait --server a:1", code: 2, errOut: "requires at least 1 arg"},
+		"unknown output format": {args: "wait wk-1 --server a:1 -o yaml", code: 2, errOut: "--output"},
+		"wait for no job":       {args: "wait --server a:1", code: 2, errOut: "requires at least 1 arg"},
 		"submit": {
-			args:   "submit " + write(t, jobFile) + " --server a:1",
+			args:   "submit " + writeFile(t, jobFile) + " --server a:1",
 			answer: `201 {"uid":"wk-1","status":"pending"}`,
 		},
 		"submit a file with faults": {
-			args:   "submit " + write(t, "owner: t\npieces: 0\n") + " --server a:1",
+			args:   "submit " + writeFile(t, "owner: t\npieces: 0\n") + " --server a:1",
 			code:   2,
 			errOut: "2:9: pieces",
 		},
 	})
 }
 
-// Why a job will be late stands below the table, and in its JSON line.
+// The reason why a job will be late is printed below the table, or in the job's JSON line.
 func TestLateJobIsShownWithReason(t *testing.T) {
 	const answer = `200 {"uid":"wk-1","status":"running","done":1,"running":2,` +
 		`"late":"its deadline passed 3 s ago with 2 tasks left"}`
-	for form, want := range map[string]string{
+	for format, want := range map[string]string{
 		"text": "wk-1  running  1     2\nwk-1: its deadline passed 3 s ago with 2 tasks left\n",
 		"json": `"late":"its deadline passed 3 s ago with 2 tasks left"`,
 	} {
-		t.Run(form, func(t *testing.T) {
+		t.Run(format, func(t *testing.T) {
 			f := &fakeController{answers: []string{answer}}
-			_, out, _ := execute(t, f, 0, "status", "wk-1", "--server", "a:1", "-o", form)
+			_, out, _ := execute(t, f, 0, "status", "wk-1", "--server", "a:1", "-o", format)
 			if !strings.Contains(out, want) {
-				t.Errorf("prints %q, want %q", out, want)
+				t.Errorf("output %q, want %q", out, want)
 			}
 		})
 	}
@@ -360,12 +364,13 @@
 }
 `
 
-// A tree is applied on the base that was just read; faults and races are reported.
+// quota apply sends the number of the tree that it has just read, and reports faults and conflicting
+// changes.
 func TestQuotaApplySendsBaseAndReportsRefusals(t *testing.T) {
-	name := write(t, quotaFile)
+	name := writeFile(t, quotaFile)
 	const request = `POST /quota {"base":7,"quotas":{"organisations":[` +
 		`{"name":"kenya","limit":{"accelerators":8}}]}}`
-	for title, c := range map[string]struct {
+	for result, c := range map[string]struct {
 		answer string
 		code   int
 		text   string
@@ -375,11 +380,11 @@
 		"faults":                 {`400 {"error":"1 faults","faults":["kenya: wrong"]}`, ExitUsage, "kenya: wrong"},
 		"unavailable":            {`503 {}`, ExitUnreachable, "no controller reachable"},
 	} {
-		t.Run(title, func(t *testing.T) {
+		t.Run(result, func(t *testing.T) {
 			f := &fakeController{answers: []string{`200 {"number":7,"nodes":[]}`, c.answer}}
 			code, out, errOut := execute(t, f, 0, "quota", "apply", name, "--yes", "--server", "a:1")
 			if code != c.code || !strings.Contains(out+errOut, c.text) {
-				t.Errorf("ends with %d: %s%s; want %d: %s", code, out, errOut, c.code, c.text)
+				t.Errorf("exit code %d: %s%s; want %d: %s", code, out, errOut, c.code, c.text)
 			}
 			if !strings.HasPrefix(f.requests[1], request) {
 				t.Error(f.requests[1])
@@ -394,7 +399,7 @@
 		`200 {"number":7,"over":[{"path":"kenya","by":{"accelerators":2}}],` +
 			`"stops":[{"task":"wk-1/0","path":"kenya"}]}`,
 	}}
-	code, out, _ := execute(t, f, 0, "quota", "apply", write(t, quotaFile), "--dry-run", "--server", "a:1")
+	code, out, _ := execute(t, f, 0, "quota", "apply", writeFile(t, quotaFile), "--dry-run", "--server", "a:1")
 	if code != 0 ||
 		!strings.Contains(out, "kenya would be over its limit by 2g\nwk-1/0 would be stopped for kenya") ||
 		!strings.Contains(f.requests[1], `"dry_run":true`) {
@@ -402,11 +407,11 @@
 	}
 }
 
-// What is submitted without a job ID gets one of the protocol's form, and goes out with
-// every field that a submission has to have, also those that the file leaves out.
+// A job without an ID gets a random one in the protocol's format. The request has all required
+// fields, including those that the file omits.
 func TestSubmitSendsRandomIDAndAllFields(t *testing.T) {
 	f := &fakeController{answers: []string{`201 {"uid":"wk-1","status":"pending"}`}}
-	name := write(t, `{"owner":"t","shape":"standing","rank":"prod","jobclass":"c","pieces":2,`+
+	name := writeFile(t, `{"owner":"t","shape":"standing","rank":"prod","jobclass":"c","pieces":2,`+
 		`"cores":1,"memory_gb":1,"bundle":"b","scatter":true}`)
 	execute(t, f, 0, "submit", name, "--server", "a:1")
 	body := []byte(strings.TrimPrefix(f.requests[0], "POST /work "))
--- a/internal/cli/golden_test.go
+++ b/internal/cli/golden_test.go
@@ -18,8 +18,8 @@
 	"github.com/harrierreel/harrierreel/internal/quota"
 )
 
-// everyStepState is in the order in which the golden files hold the steps.
-var everyStepState = []pipelines.StepState{
+// allStepStates are the states of the steps of goldenRun, in the order of the golden files.
+var allStepStates = []pipelines.StepState{
 	pipelines.Waiting,
 	pipelines.Ready,
 	pipelines.Submitted,
@@ -31,11 +31,11 @@
 	pipelines.Cancelled,
 }
 
-// goldenRun is a run's status with a step in each state.
+// goldenRun returns a controller's response about a run with a step in each state.
 func goldenRun(t *testing.T, runState pipelines.RunState) string {
 	t.Helper()
 	s := pipelines.Status{ID: "run-x", Name: "release", Team: "team", Status: runState, DurationS: 12.5}
-	for i, state := range everyStepState {
+	for i, state := range allStepStates {
 		step := pipelines.StepStatus{
 			Name:      fmt.Sprint("s", i),
 			Status:    state,
@@ -60,7 +60,7 @@
 
 var goldenBounds = quota.Bounds{Cores: 1.5, Accelerators: 2, MemoryGB: 3}
 
-// goldenTree is an answer with a tree of quotas with every field filled.
+// goldenTree returns a response with a quota tree in which every field is set.
 func goldenTree() string {
 	return "200 " + string(quota.EncodeTree(7, []quota.View{
 		{Kind: "root", Used: goldenBounds, Weight: 1},
@@ -80,7 +80,7 @@
 	}))
 }
 
-// goldenPreview is an answer about a tree that would put a path over its limit.
+// goldenPreview returns a response about a quota tree that would put a node over its limit.
 func goldenPreview() string {
 	return "200 " + string(jobs.Encode(quota.Preview{
 		Number: 7,
@@ -89,7 +89,7 @@
 	}))
 }
 
-// goldenCase is a command line and a controller's answers to its requests.
+// goldenCase is a command line with a controller's responses to its requests.
 type goldenCase struct {
 	args    string
 	answers []string
@@ -99,16 +99,16 @@
 	const (
 		late = `200 {"uid":"wk-000001","status":"running","done":1,"running":2,` +
 			`"late":"its deadline passed 3 s ago with 2 tasks left"}`
-		plain   = `201 {"uid":"wk-000001","status":"pending"}`
+		pending = `201 {"uid":"wk-000001","status":"pending"}`
 		done    = `200 {"uid":"wk-000001","status":"done","done":4,"running":0}`
 		stopped = `200 {"uid":"wk-000001","status":"cancelled","done":1,"running":0}`
 	)
 	return []goldenCase{
-		{"submit testdata/golden/job.yaml", []string{plain}},
-		{"submit testdata/golden/job.yaml --wait", []string{plain, late, done}},
+		{"submit testdata/golden/job.yaml", []string{pending}},
+		{"submit testdata/golden/job.yaml --wait", []string{pending, late, done}},
 		{"submit testdata/golden/job.yaml", []string{`422 {"error":"unknown team"}`}},
 		{"submit testdata/golden/job-faults.yaml", nil},
-		{"status wk-000001 wk-000002", []string{late, plain}},
+		{"status wk-000001 wk-000002", []string{late, pending}},
 		{"status wk-000001", []string{`404 {"error":"no such job"}`}},
 		{"cancel wk-000001", []string{stopped}},
 		{"wait wk-000001", []string{late, stopped}},
@@ -117,7 +117,7 @@
 
 func goldenPipelineCases(t *testing.T) []goldenCase {
 	t.Helper()
-	const never = `422 {"error":"steps that can never run","faults":[` +
+	const neverRuns = `422 {"error":"steps that can never run","faults":[` +
 		`{"path":"steps[1]","want":"can never run: unknown team"},` +
 		`{"path":"steps[0].cores","want":"no","at_name":true}]}`
 	live := goldenRun(t, pipelines.RunLive)
@@ -127,7 +127,7 @@
 		{"pipeline check testdata/golden/pipeline-faults.yaml", nil},
 		{"pipeline run testdata/golden/pipeline.yaml --id run-x", []string{live, live, failed}},
 		{"pipeline run testdata/golden/pipeline.yaml --id run-x --detach", []string{live}},
-		{"pipeline run testdata/golden/pipeline.yaml --id run-x", []string{never}},
+		{"pipeline run testdata/golden/pipeline.yaml --id run-x", []string{neverRuns}},
 		{"pipeline run testdata/golden/pipeline.yaml --id run-x", []string{`409 {"error":"another pipeline has this id"}`}},
 		{"pipeline status run-x", []string{live}},
 		{"pipeline status run-x --wait", []string{live, failed}},
@@ -156,18 +156,18 @@
 	}
 }
 
-// Every verb sends what it sent, and prints and ends as it did, byte for byte.
-func TestGoldenVerbs(t *testing.T) {
+// The requests, the output and the exit code of each command match the golden file.
+func TestGoldenCommands(t *testing.T) {
 	var out bytes.Buffer
 	for _, c := range slices.Concat(goldenJobCases(), goldenPipelineCases(t), goldenOperatorCases()) {
-		for _, form := range []string{"text", "json"} {
+		for _, format := range []string{"text", "json"} {
 			args := strings.Fields(c.args)
 			if args[0] != "calendar" && !strings.HasPrefix(c.args, "pipeline check") {
 				args = append(args, "--server", "a:1")
 			}
 			f := &fakeController{answers: c.answers}
-			code, printed, errOut := execute(t, f, 0, append(args, "-o", form)...)
-			fmt.Fprintf(&out, "## %s, as %s: ends with %d\n", c.args, form, code)
+			code, printed, errOut := execute(t, f, 0, append(args, "-o", format)...)
+			fmt.Fprintf(&out, "## %s, as %s: ends with %d\n", c.args, format, code)
 			for _, request := range f.requests {
 				fmt.Fprintf(&out, "asked: %s\n", request)
 			}
@@ -177,14 +177,14 @@
 	goldentest.Bytes(t, "verbs.txt", out.Bytes())
 }
 
-// What is drawn on a terminal stays, byte for byte.
+// The output on a terminal matches the golden file.
 func TestGoldenTable(t *testing.T) {
 	f := &fakeController{answers: []string{goldenRun(t, pipelines.RunLive), goldenRun(t, pipelines.RunSucceeded)}}
 	_, out, _ := execute(t, f, 12, "pipeline", "run", "testdata/golden/pipeline.yaml", "--id", "run-x", "--server", "a:1")
 	goldentest.Bytes(t, "drawn.txt", []byte(out))
 }
 
-// The verbs, their flags and their help stay, byte for byte.
+// The commands, their flags and their help match the golden file.
 func TestGoldenHelp(t *testing.T) {
 	t.Setenv("HARRIERREEL_SERVER", "")
 	var out bytes.Buffer
@@ -202,7 +202,7 @@
 	goldentest.Bytes(t, "help.txt", out.Bytes())
 }
 
-// A client tries one controller after the other, and says so, as ever.
+// The client's requests, messages and errors for each status match the golden file.
 func TestGoldenClient(t *testing.T) {
 	var out bytes.Buffer
 	for _, status := range []int{200, 201, 400, 404, 405, 409, 413, 421, 422, 429, 500, 503, 504} {
@@ -210,13 +210,13 @@
 		now := time.Unix(0, 0)
 		c.Now = func() time.Time { return now }
 		c.Sleep = func(d time.Duration) { now = now.Add(d) }
-		c.Note = func(what string) { fmt.Fprintf(&out, "  %s\n", what) }
+		c.Note = func(message string) { fmt.Fprintf(&out, "  %s\n", message) }
 		c.Do = func(server, method, target string, body []byte) (*http1.Message, error) {
 			fmt.Fprintf(&out, "  %s: %s %s %s\n", server, method, target, body)
 			return &http1.Message{Status: status, Body: []byte(`{"error":"x"}`), RetryAfter: 1}, nil
 		}
 		fmt.Fprintf(&out, "answered %d\n", status)
-		ans, err := c.Call("POST", "/work", []byte(`{}`))
+		answer, err := c.Call("POST", "/work", []byte(`{}`))
 		if err != nil {
 			fmt.Fprintf(&out, "  %v\n", err)
 			continue
@@ -224,11 +224,11 @@
 		fmt.Fprintf(
 			&out,
 			"  %d %s by %s after %s; %v\n",
-			ans.Status,
-			ans.Body,
-			ans.Server,
+			answer.Status,
+			answer.Body,
+			answer.Server,
 			now.Sub(time.Unix(0, 0)),
-			refusalError("wk-000001", ans),
+			refusalError("wk-000001", answer),
 		)
 	}
 	for _, text := range []string{"", "a", "a:1, b:2,", "a:1,b"} {
--- a/internal/cli/rollout_test.go
+++ b/internal/cli/rollout_test.go
@@ -8,14 +8,14 @@
 	"github.com/harrierreel/harrierreel/internal/rollout"
 )
 
-// allowsEnd is a plan under which n1 may be ended.
-func allowsEnd(epoch uint64) rollout.Plan {
+// planForN1 returns a plan that allows n1 to be stopped.
+func planForN1(epoch uint64) rollout.Plan {
 	return rollout.Plan{Leader: "n0", Epoch: epoch, Order: []string{"n1", "n0"}}
 }
 
-// waitOnPlans waits for n1 on a clock that does not wait, and gives the seconds it took and
-// how many reasons were reported.
-func waitOnPlans(planAt func(second int) rollout.Plan) (elapsed, notes int, err error) {
+// runWaiter runs a waiter for n1 with a fake clock. It returns the elapsed seconds, the number of
+// progress messages and the waiter's error.
+func runWaiter(planAt func(second int) rollout.Plan) (elapsed, messages int, err error) {
 	now := time.Unix(0, 0)
 	waiter := rolloutWaiter{
 		name:      "n1",
@@ -24,45 +24,46 @@
 		patience:  60 * time.Second,
 		now:       func() time.Time { return now },
 		sleep:     func(d time.Duration) { now = now.Add(d) },
-		progress:  func(string) { notes++ },
+		progress:  func(string) { messages++ },
 	}
 	err = waiter.run()
-	return int(now.Unix()), notes, err
+	return int(now.Unix()), messages, err
 }
 
-// A wait ends once nothing has stood against it for long enough under one view; a view
-// that changes begins it anew, and without an end it says why.
-func TestRolloutWaitEndsAfterStableView(t *testing.T) {
+// The waiter returns once there has been no reason against stopping the controller for stableFor,
+// within the same view. A change of the view restarts that period. After the maximum time the
+// waiter returns an error with the reason.
+func TestRolloutWaiterReturnsAfterStableView(t *testing.T) {
 	for name, c := range map[string]struct {
 		planAt   func(second int) rollout.Plan
-		duration int // seconds, below 0 for a wait in vain
+		duration int // in seconds; negative if the waiter gives up
 		reason   string
 	}{
 		"stable from the start": {
-			planAt:   func(int) rollout.Plan { return allowsEnd(3) },
+			planAt:   func(int) rollout.Plan { return planForN1(3) },
 			duration: 10,
 		},
-		"stable after two changes of view": {
-			planAt:   func(second int) rollout.Plan { return allowsEnd(uint64(3 + min(second/7, 2))) },
+		"stable after two view changes": {
+			planAt:   func(second int) rollout.Plan { return planForN1(uint64(3 + min(second/7, 2))) },
 			duration: 24,
 		},
-		"reason against it never goes": {
+		"permanent obstacle": {
 			planAt: func(int) rollout.Plan {
-				plan := allowsEnd(3)
+				plan := planForN1(3)
 				plan.Obstacles = []string{"n2 is called"}
 				return plan
 			},
 			duration: -1,
 			reason:   "not yet: n2 is called",
 		},
-		"view changes again and again": {
-			planAt:   func(second int) rollout.Plan { return allowsEnd(uint64(3 + second/5)) },
+		"view keeps changing": {
+			planAt:   func(second int) rollout.Plan { return planForN1(uint64(3 + second/5)) },
 			duration: -1,
 			reason:   "not yet: the view changes again and again",
 		},
-		"controller leads": {
+		"controller is the leader": {
 			planAt: func(int) rollout.Plan {
-				plan := allowsEnd(3)
+				plan := planForN1(3)
 				plan.Leader = "n1"
 				return plan
 			},
@@ -71,22 +72,22 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			elapsed, notes, err := waitOnPlans(c.planAt)
+			elapsed, messages, err := runWaiter(c.planAt)
 			if c.duration < 0 {
 				var exit *Exit
-				if !errors.As(err, &exit) || exit.Code != ExitNotYet || exit.Text != c.reason || notes > 1 {
-					t.Errorf("ends with %v after %d notes, want %q", err, notes, c.reason)
+				if !errors.As(err, &exit) || exit.Code != ExitNotYet || exit.Text != c.reason || messages > 1 {
+					t.Errorf("error %v after %d messages, want %q", err, messages, c.reason)
 				}
 				return
 			}
 			if err != nil || elapsed != c.duration {
-				t.Errorf("ends with %v after %d s, want %d s", err, elapsed, c.duration)
+				t.Errorf("error %v after %d s, want none after %d s", err, elapsed, c.duration)
 			}
 		})
 	}
 }
 
-func TestRolloutWaitReturnsErrorOfPlan(t *testing.T) {
+func TestRolloutWaiterReturnsPlanError(t *testing.T) {
 	unreadable := errors.New("gone")
 	waiter := rolloutWaiter{
 		name:     "n1",
@@ -97,6 +98,6 @@
 		progress: func(string) {},
 	}
 	if err := waiter.run(); !errors.Is(err, unreadable) {
-		t.Errorf("ends with %v, want %v", err, unreadable)
+		t.Errorf("error %v, want %v", err, unreadable)
 	}
 }
