--- a/internal/simulation/calendar_watch.go
+++ b/internal/simulation/calendar_watch.go
@@ -21,9 +21,9 @@
 	plan         *calendar.Plan
 	tracks       map[string]*calendar.Record
 	before       map[string]*calendar.Record // before the current transaction
-	specs        map[string]quota.Key
-	tasks        map[string]jobs.Task // latest recorded state by task ID
-	startedTasks []string             // task IDs that the current transaction released or placed
+	specs        map[string]quota.Key        // team and class by job ID
+	tasks        map[string]jobs.Task        // latest recorded state by task ID
+	startedTasks []string                    // task IDs that the current transaction released or placed
 	// openCounts counts the openings of each occurrence; finalStates holds the state in which it
 	// ended.
 	openCounts   map[occurrence]int
@@ -171,9 +171,9 @@
 	}
 	for _, ag := range c.sim.Agents {
 		for _, task := range ag.tasks {
-			other, _, _ := jobs.SplitTaskID(task.taskID)
-			ok := c.specs[other]
-			if task.status == statusEnded || ok == key || c.plan.TrackOf(ok) != t || c.shareWindow(t, key, ok) {
+			otherJobID, _, _ := jobs.SplitTaskID(task.taskID)
+			otherKey := c.specs[otherJobID]
+			if task.status == statusEnded || otherKey == key || c.plan.TrackOf(otherKey) != t || c.shareWindow(t, key, otherKey) {
 				continue
 			}
 			c.sim.RuleBroken(
@@ -181,7 +181,7 @@
 				taskID,
 				key.Class,
 				task.taskID,
-				ok.Class,
+				otherKey.Class,
 				ag.machine.ID,
 			)
 		}
--- a/internal/simulation/invalid_requests.go
+++ b/internal/simulation/invalid_requests.go
@@ -10,22 +10,22 @@
 	"github.com/harrierreel/harrierreel/internal/jobs"
 )
 
-// invalidCounts is how many answers users had to each kind of invalid request.
+// invalidCounts counts the answers to each kind of invalid request.
 type invalidCounts struct{ Repeats, Cancels, Unfit, Lacking int }
 
-// Least is the answers of the kind of which there were fewest.
+// Least returns the lowest of the counts.
 func (c invalidCounts) Least() int { return min(c.Repeats, c.Cancels, c.Unfit, c.Lacking) }
 
-// What a submission has to have: of these none may be null, so none may be missing.
+// Required fields of a submission, by type; none of them may be missing or null.
 var (
 	textFields   = []string{"uid", "jobclass", "owner", "shape", "rank", "bundle"}
 	amountFields = []string{"pieces", "cores", "accelerators", "memory_gb", "pull_gb", "expect_s", "snapshot_s", "stash_s"}
 	boolFields   = []string{"same_place", "scatter", "loaner"}
 )
 
-// expectedStatus tells how the protocol has a submission answered: 400 if it is malformed, 422 if it
-// can never run, 201 if it is to be accepted. It is read from the protocol's text anew, not
-// by the program's own parser.
+// expectedStatus returns the status that the protocol prescribes for a submission, and the reason
+// for a rejection: 400 if it is malformed, 422 if it can never run, 201 if it must be accepted. It
+// implements the specification independently of the program's parser.
 func (sim *Simulator) expectedStatus(body []byte) (int, string) {
 	var submission map[string]any
 	if json.Unmarshal(body, &submission) != nil || submission == nil {
@@ -55,7 +55,8 @@
 	return 201, ""
 }
 
-// requiredFields gives back a submission's amounts, and what it lacks, "" if nothing.
+// requiredFields returns a submission's numeric fields, and why a required field is invalid, "" if
+// all are valid.
 func requiredFields(submission map[string]any) (amounts map[string]float64, why string) {
 	for _, f := range textFields {
 		if s, ok := submission[f].(string); !ok || s == "" {
@@ -78,8 +79,8 @@
 	return amounts, ""
 }
 
-// fitsSomeType tells whether some machine type that a submission allows is large enough for
-// one of its tasks.
+// fitsSomeType reports whether a machine type that the submission allows is large enough for one
+// of its tasks.
 func fitsSomeType(submission map[string]any, amounts map[string]float64) bool {
 	zone, _ := submission["site"].(string)
 	builds, _ := submission["builds"].([]any)
@@ -95,9 +96,8 @@
 	return false
 }
 
-// checkAdmission holds the answer to a submission that no one had accepted against the
-// protocol: what can never run or lacks a field is never accepted, what is whole and can
-// run never turned away for good.
+// checkAdmission checks the answer to a submission that was not accepted before: one that can never
+// run or lacks a field must not be accepted, and a valid one must not be rejected for good.
 func (sim *Simulator) checkAdmission(jobID string, body []byte, status int) {
 	want, why := sim.expectedStatus(body)
 	switch {
@@ -108,11 +108,12 @@
 	}
 }
 
-// firstInvalidJob is the number of the first job that is submitted only to be refused.
+// firstInvalidJob is the lowest number of jobs that are submitted to be rejected.
 const firstInvalidJob = 900_000_000
 
-// OddRequests has users, for so long, repeat submissions of unfinished jobs, cancel jobs that
-// are done, and send jobs that fit no machine or lack a field: each at all controllers.
+// OddRequests sends unusual and invalid requests to all controllers for the given duration:
+// repeated submissions of unfinished jobs, cancellations of jobs that are done, and submissions
+// that can never run or lack a field.
 func (sim *Simulator) OddRequests(duration time.Duration) {
 	until := sim.Now.Add(duration)
 	n := 0
@@ -137,7 +138,7 @@
 	sendNext()
 }
 
-// pickJob draws a job that a user has in mind, nil if there is none.
+// pickJob returns a random job for which its user waits and which is wanted, nil if there is none.
 func (sim *Simulator) pickJob(wanted func(*Job) bool) *Job {
 	js := slices.DeleteFunc(sim.sortedJobs(), func(j *Job) bool { return !j.awaitedByUser() || !wanted(j) })
 	if len(js) == 0 {
@@ -146,7 +147,7 @@
 	return js[sim.RNG.IntN(len(js))]
 }
 
-// repeatSubmission has the submission of an unfinished job repeated at all controllers.
+// repeatSubmission repeats the submission of an unfinished job at all controllers.
 func (sim *Simulator) repeatSubmission() {
 	if j := sim.pickJob(func(j *Job) bool { return j.Status != "done" }); j != nil {
 		for _, name := range sim.NodeNames {
@@ -156,7 +157,7 @@
 	}
 }
 
-// cancelFinished has a job that is done cancelled at all controllers: it remains done.
+// cancelFinished cancels a job that is done at all controllers; it must remain done.
 func (sim *Simulator) cancelFinished() {
 	j := sim.pickJob(func(j *Job) bool { return j.Status == "done" })
 	if j == nil {
@@ -175,14 +176,14 @@
 	}
 }
 
-// invalidSubmission is a submission that is to be refused.
+// invalidSubmission is a submission that must be rejected.
 type invalidSubmission struct {
 	jobID string
 	body  []byte
-	fits  bool // a machine, but it lacks a field
+	fits  bool // it would fit a machine, but lacks a field
 }
 
-// wholeSubmission is a submission with nothing wrong but what changes.
+// validSubmission returns the body of a valid submission after change has modified it.
 func validSubmission(jobID string, change func(map[string]any)) []byte {
 	m := map[string]any{
 		"uid":          jobID,
@@ -210,7 +211,7 @@
 	return encode(m)
 }
 
-// unfitSubmission is the k-th submission that can never run.
+// infeasibleSubmission returns the k-th submission that can never run.
 func infeasibleSubmission(k int) invalidSubmission {
 	jobID := fmt.Sprintf("wk-%d", firstInvalidJob+2*k)
 	return invalidSubmission{jobID: jobID, body: validSubmission(jobID, func(m map[string]any) {
@@ -235,7 +236,7 @@
 	})}
 }
 
-// incompleteSubmission is the k-th submission that lacks a field, or has null where none may be.
+// incompleteSubmission returns the k-th submission with a missing or null required field.
 func incompleteSubmission(k int) invalidSubmission {
 	fields := slices.Concat(textFields, amountFields, boolFields)
 	jobID := fmt.Sprintf("wk-%d", firstInvalidJob+2*k+1)
@@ -248,8 +249,8 @@
 	})}
 }
 
-// submitInvalid hands a submission in at all controllers, twice; none may accept it, none may
-// know it later, and nothing of it may be in the state service.
+// submitInvalid sends a submission to all controllers twice. None may accept it or know it later,
+// and the state service may not contain a record of it.
 func (sim *Simulator) submitInvalid(o invalidSubmission) {
 	for round := range 2 {
 		sim.After(time.Duration(round)*time.Second, func() {
--- a/internal/simulation/late_messages.go
+++ b/internal/simulation/late_messages.go
@@ -7,68 +7,67 @@
 	"github.com/harrierreel/harrierreel/internal/members"
 )
 
-// chance is a trouble that meets a share of what happens until some time.
+// faultRate is the share of messages that a fault affects, until a point in time.
 type faultRate struct {
 	share float64
 	until time.Time
 }
 
-// happens draws whether the trouble meets this one. Nothing is drawn while there is no
-// such fault: simulations without it keep their course.
-func (sim *Simulator) faultOccurs(d faultRate) bool {
-	return sim.Now.Before(d.until) && sim.RNG.Float64() < d.share
+// faultOccurs draws whether a fault affects a message. It draws nothing while the fault is not
+// active, so that simulations without the fault keep their course.
+func (sim *Simulator) faultOccurs(rate faultRate) bool {
+	return sim.Now.Before(rate.until) && sim.RNG.Float64() < rate.share
 }
 
-// randomBetween draws a time from one to another.
+// randomDuration returns a random duration of at least from and less than to.
 func (sim *Simulator) randomDuration(from, to time.Duration) time.Duration {
 	return from + time.Duration(sim.RNG.Int64N(int64(to-from)))
 }
 
-// How late a transaction without an answer is carried out, and the soonest that a copy
-// of a report arrives; the latest is so many leases later.
+// Ranges of the delay of late transactions and of replayed reports. The upper limit for reports is
+// a multiple of the agents' lease.
 const (
 	lateWriteFrom, lateWriteTo = 2 * time.Second, 12 * time.Second
 	lateReportFrom             = 2 * time.Second
 	lateReportLeases           = 1.5
 )
 
-// LateWrites has, for so long, that share of transactions get no answer; they are
-// carried out 2 to 12 s later, after newer ones of the same controller, and also when
-// the state service has come to refuse that controller meanwhile. One that comes while
-// the service is down is lost.
+// LateWrites delays a share of transactions, for the given duration. They get no answer and are
+// executed 2 to 12 s later, after newer ones of the same controller, and even if the state service
+// refuses that controller by then. One that becomes due while the service is down is lost.
 func (sim *Simulator) LateWrites(share float64, duration time.Duration) {
 	sim.lateWrites = faultRate{share, sim.Now.Add(duration)}
 }
 
-// LateReports has, for so long, a copy of that share of the agents' reports arrive again
-// at the node that they were sent to, 2 s to 1.5 leases later, though the machine may be
-// gone or cut off by then. Nobody hears the answer.
+// LateReports replays a share of the agents' reports, for the given duration. A copy arrives at the
+// same node 2 s to 1.5 leases later, even if the machine is gone or cut off by then. The answer is
+// dropped.
 func (sim *Simulator) LateReports(share float64, duration time.Duration) {
 	sim.lateReports = faultRate{share, sim.Now.Add(duration)}
 }
 
-// LostAnswers has, for so long, that share of transactions be carried out at once and get
-// no answer.
+// LostAnswers drops the answers to a share of transactions, which are executed at once, for the
+// given duration.
 func (sim *Simulator) LostAnswers(share float64, duration time.Duration) {
 	sim.lostAnswers = faultRate{share, sim.Now.Add(duration)}
 }
 
-// heldReports are copies of reports that are kept for the next leader.
+// heldReports holds copies of reports that are replayed to the next leader.
 type heldReports struct {
 	faultRate
-	everywhere bool // all controllers get them, just as it begins
+	everywhere bool // deliver to all controllers as soon as the next leader is in the view
 	bodies     [][]byte
-	leader     members.Member // when the copies were begun to be kept
+	leader     members.Member // leader at the start of the recording or at the last delivery
 	watching   bool
 }
 
-// heldReportsWithin is within how long kept copies arrive, in the order in which they were
-// sent or in any order.
+// heldReportsSpread is the interval over which held copies arrive, either in their original order
+// or in random order.
 const heldReportsSpread = 8 * time.Second
 
-// HoldReports has, for so long, a copy of that share of the agents' reports be kept for
-// the next leader: it arrives there once that has acted, or, everywhere, at each
-// controller just as that leader begins, all within 8 s. Nobody hears the answers.
+// HoldReports keeps copies of a share of the agents' reports, for the given duration, and replays
+// them within 8 s: to the next leader once it has committed a transaction or, with everywhere, to
+// all controllers as soon as that leader is in the view. The answers are dropped.
 func (sim *Simulator) HoldReports(share float64, everywhere bool, duration time.Duration) {
 	h := &sim.heldReports
 	h.faultRate, h.everywhere = faultRate{share, sim.Now.Add(duration)}, everywhere
@@ -79,7 +78,7 @@
 	sim.deliverHeldReports()
 }
 
-// viewLeader is who leads by the view in the state service.
+// leaderOfView returns the leader according to the view in the state service.
 func (sim *Simulator) leaderOfView() members.Member {
 	var v members.View
 	if json.Unmarshal(sim.Store.Value(members.ViewKey), &v) != nil {
@@ -88,20 +87,20 @@
 	return members.Member{Name: v.Leader, Incarnation: v.Incarnation(v.Leader)}
 }
 
-// deliverHeldReports delivers the copies that are kept once there is another leader.
+// deliverHeldReports polls the view and replays the held copies once there is another leader.
 func (sim *Simulator) deliverHeldReports() {
 	h := &sim.heldReports
 	if !sim.Now.Before(h.until) && len(h.bodies) == 0 {
 		h.watching = false
 		return
 	}
-	next := sim.leaderOfView()
+	leader := sim.leaderOfView()
 	switch {
-	case next == h.leader || next.Name == "":
-	case !h.everywhere && sim.Store.commits[next.Name] == sim.Store.commitsAtView[next.Name]:
-		// it has yet to act
+	case leader == h.leader || leader.Name == "":
+	case !h.everywhere && sim.Store.commits[leader.Name] == sim.Store.commitsAtView[leader.Name]:
+		// the new leader has not committed a transaction yet
 	default:
-		to := []string{next.Name}
+		to := []string{leader.Name}
 		if h.everywhere {
 			to = sim.NodeNames
 		}
@@ -115,18 +114,18 @@
 				sim.After(at, func() { sim.replayReport(node, body) })
 			}
 		}
-		h.bodies, h.leader = nil, next
+		h.bodies, h.leader = nil, leader
 	}
 	sim.After(20*time.Millisecond, sim.deliverHeldReports)
 }
 
-// replayReport has a copy of a report arrive at a node.
+// replayReport delivers a copy of a report to a node.
 func (sim *Simulator) replayReport(node string, body []byte) {
 	sim.LateCopies++
 	sim.Nodes[node].request("POST", "/agent/beat", body, func(int, []byte) {})
 }
 
-// maybeReplay may have a report come again.
+// maybeReplay holds or replays a copy of a report if a fault affects it.
 func (sim *Simulator) maybeReplay(node string, body []byte) {
 	if sim.faultOccurs(sim.heldReports.faultRate) {
 		sim.heldReports.bodies = append(sim.heldReports.bodies, body)
--- a/internal/simulation/leader_events.go
+++ b/internal/simulation/leader_events.go
@@ -13,22 +13,22 @@
 	"github.com/harrierreel/harrierreel/internal/taskbatch"
 )
 
-// Moments at which a scenario may have a leader end.
+// Events at which a scenario may end a leader.
 const (
-	RentDone     = "rent"    // the cloud has carried a rent out, its answer is on its way
-	RentAnswered = "rented"  // the leader has taken the answer
-	Released     = "release" // tasks that it released are committed, no owner knows of them
-	MachineUp    = "up"      // a rented machine is up
-	Launched     = "launch"  // a task is launched on its machine
+	RentDone     = "rent"    // the cloud has executed a rent request, its answer is in flight
+	RentAnswered = "rented"  // the leader has processed the answer to a rent request
+	Released     = "release" // released tasks are committed, their owners don't know of them yet
+	MachineUp    = "up"      // a rented machine has booted
+	Launched     = "launch"  // a machine has accepted the launch of a task
 )
 
-// leaderEvents is for scenarios about a leader that ends at some moment, and cut zones.
+// leaderEvents holds the handlers of events, and the zones that are cut off.
 type leaderEvents struct {
-	handlers map[string]func() // called at each of these moments
-	cutZones map[string]string // zones that are cut off, and the controller in each
+	handlers map[string]func() // by event name
+	cutZones map[string]string // controller by zone that is cut off
 }
 
-// OnEvent has f called at every moment of that name from now on.
+// OnEvent sets f as the handler of an event, called each time it occurs.
 func (sim *Simulator) OnEvent(moment string, f func()) {
 	if sim.leaderEvents.handlers == nil {
 		sim.leaderEvents.handlers = map[string]func(){}
@@ -43,7 +43,7 @@
 	}
 }
 
-// watchReleases notes each transaction that releases or places tasks.
+// watchReleases fires Released after each transaction that assigns tasks to a shard.
 func (sim *Simulator) watchReleases() {
 	released := false
 	sim.observe(func(key string, v json.RawMessage) {
@@ -60,7 +60,7 @@
 	})
 }
 
-// rentMoments tells when a rent is carried out and when its answer is taken.
+// observeRent wraps the callbacks of a rent request so that RentDone and RentAnswered are fired.
 func (sim *Simulator) observeRent(
 	serve func(func(int, []byte)),
 	done func(int, []byte, error),
@@ -80,8 +80,8 @@
 		}
 }
 
-// CutZone cuts a zone off: its machines and the controller in it reach one another, and
-// neither the other controllers nor what belongs to no zone. HealZone ends it.
+// CutZone cuts a zone off: its machines and the given controller reach one another, but neither the
+// other controllers nor services outside all zones. HealZone ends the cut.
 func (sim *Simulator) CutZone(zone, controller string) {
 	if sim.leaderEvents.cutZones == nil {
 		sim.leaderEvents.cutZones = map[string]string{}
@@ -92,8 +92,8 @@
 // HealZone ends the cut of a zone.
 func (sim *Simulator) HealZone(zone string) { delete(sim.leaderEvents.cutZones, zone) }
 
-// separatedByZone tells that two parties are on different sides of a zone's cut. Users of the zone
-// stand on both.
+// separatedByZone reports whether a cut of a zone lies between two parties. Users are on both sides
+// of every cut.
 func (sim *Simulator) separatedByZone(from, to string) bool {
 	for zone, controller := range sim.leaderEvents.cutZones {
 		inside := func(party string) bool {
@@ -108,7 +108,7 @@
 	return false
 }
 
-// Epoch is that of the view in the state service.
+// Epoch returns the epoch of the view in the state service, 0 if there is none.
 func (sim *Simulator) Epoch() uint64 {
 	v, ok := members.Decode(sim.Store.Value(members.ViewKey))
 	if !ok {
@@ -117,8 +117,8 @@
 	return v.Epoch
 }
 
-// WrongTokens names the machines that have seen a token of no view so far, or one whose
-// counter is above maxCounter.
+// WrongTokens returns the machines that have received a fencing token of an epoch above the current
+// one, or one whose counter is above maxCounter.
 func (sim *Simulator) WrongTokens(maxCounter uint64) (out []string) {
 	epoch := sim.Epoch()
 	for _, id := range sim.Machines() {
@@ -130,7 +130,7 @@
 	return out
 }
 
-// Unrecorded names the machines that have been up for so long and have no record.
+// Unrecorded returns the machines that have been up for at least duration and have no record.
 func (sim *Simulator) Unrecorded(duration time.Duration) (out []string) {
 	for _, id := range slices.Sorted(maps.Keys(sim.Agents)) {
 		if sim.Now.Sub(sim.Agents[id].machine.upAt) >= duration && sim.Store.Value("host/"+id) == nil {
@@ -140,10 +140,10 @@
 	return out
 }
 
-// Tally is what has happened in a simulation so far, for bounds on storms.
+// Tally holds counters of a simulation, for limits on the load that controllers cause.
 type Tally struct{ Changes, Requests, Refused, Rents, Deletes, Commands, Views, Starts int }
 
-// Tally counts it.
+// Tally returns the current counters.
 func (sim *Simulator) Tally() Tally {
 	return Tally{
 		Changes:  sim.Store.Writes,
--- a/internal/simulation/limits.go
+++ b/internal/simulation/limits.go
@@ -13,37 +13,37 @@
 	"github.com/harrierreel/harrierreel/internal/settings"
 )
 
-// Limits of the protocol that are no settings.
+// Limits of the protocol that are not configurable.
 const (
-	maxBodyBytes        = 64 << 10  // bytes of a request, and of a line of an answer
-	maxKeyBytes         = 200       // bytes
-	conditionsPerChange = 4         // conditions for each change that a transaction may have
-	maxListItems        = 1000      // of one answer
-	maxListBytes        = 512 << 10 // of one answer
+	maxBodyBytes        = 64 << 10  // size of a request, and of a line of an answer
+	maxKeyBytes         = 200       // length of a key
+	conditionsPerChange = 4         // conditions per change that TxnOps allows
+	maxListItems        = 1000      // items in one answer
+	maxListBytes        = 512 << 10 // size of one answer
 	minLeaseTTLMs       = 100       // ms
 	maxLeaseTTLMs       = 600_000   // ms
 	maxWatchHoldMs      = 60_000    // ms
-	keptChanges         = 10_000    // for watches
-	maxRentedAtOnce     = 50        // machines of a request
-	maxDeletedAtOnce    = 100       // machines of a request
-	maxMachinePage      = 500       // machines of a page
+	keptChanges         = 10_000    // changes kept for watches
+	maxRentedAtOnce     = 50        // machines in a request
+	maxDeletedAtOnce    = 100       // machines in a request
+	maxMachinePage      = 500       // machines in a page
 )
 
-// LimitBroken notes a request or an answer that the protocol forbids: a correct program
-// never makes it, so it fails the scenario as a broken rule does.
+// LimitBroken records a request or an answer that the protocol forbids. A correct program never
+// makes one, so it fails the scenario like the violation of a rule.
 func (sim *Simulator) LimitBroken(format string, args ...any) {
 	sim.Breaches++
 	sim.RuleBroken("limit: "+format, args...)
 }
 
-// Enforce has the other services keep the limits that the settings state.
+// Enforce makes the state service and the cloud enforce the limits in the settings.
 func (sim *Simulator) Enforce(c settings.Cluster) {
 	sim.Store.ValueKB, sim.Store.TxnOps = c.State.ValueKB, c.State.TxnOps
 	sim.Store.RPS, sim.Store.WPS = c.State.RPS, c.State.WriteRPS
 	sim.Cloud.RPS = c.Cloud.RPS
 }
 
-// transaction is a transaction.
+// transaction is the body of a transaction request.
 type transaction struct {
 	Conditions []struct {
 		Key      string `json:"key"`
@@ -60,7 +60,7 @@
 	LeaseID uint64          `json:"hold"`
 }
 
-// malformed tells why the state service answers a request 400, "" if it does not.
+// malformed returns why the state service answers a request with 400, "" if it is well-formed.
 func (s *Store) malformed(method, path string, q url.Values, body []byte) string {
 	if len(body) > maxBodyBytes {
 		return fmt.Sprintf("%d bytes", len(body))
@@ -84,8 +84,8 @@
 	return "no such call"
 }
 
-// numberFault tells what is wrong with a parameter that is a number, "" if it is missing
-// or within its limits.
+// numberFault returns what is wrong with a numeric query parameter, "" if it is missing or within
+// its limits.
 func numberFault(q url.Values, field string, low, high int) string {
 	v := q.Get(field)
 	if v == "" {
@@ -97,7 +97,7 @@
 	return ""
 }
 
-// ttlFault tells what is wrong with the time of a lease in ms.
+// ttlFault returns what is wrong with the TTL of a lease in ms, "" if it is within its limits.
 func ttlFault(ttl int) string {
 	if ttl < minLeaseTTLMs || ttl > maxLeaseTTLMs {
 		return fmt.Sprintf("ttl_ms is %d", ttl)
@@ -105,7 +105,7 @@
 	return ""
 }
 
-// ttlOf is the requested time of a lease in ms, 0 if there is none.
+// ttlOf returns the requested TTL of a lease in ms, 0 if there is none.
 func ttlOf(body []byte) int {
 	var g struct {
 		TTL int `json:"ttl_ms"`
@@ -114,13 +114,14 @@
 	return g.TTL
 }
 
-// leaseIDOf is the lease that a path is about.
+// leaseIDOf returns the lease ID in a path, and whether there is one.
 func leaseIDOf(path string) (uint64, bool) {
 	rest, ok := strings.CutPrefix(path, "/grants/")
 	id, err := strconv.ParseUint(strings.TrimSuffix(rest, "/renew"), 10, 64)
 	return id, ok && err == nil
 }
 
+// keyFault returns what is wrong with a key, "" if it is valid.
 func keyFault(key string) string {
 	if len(key) == 0 || len(key) > maxKeyBytes || strings.ContainsAny(key, " \t\r\n") {
 		return fmt.Sprintf("key %q", key)
@@ -128,7 +129,7 @@
 	return ""
 }
 
-// transactionFault tells what limit a transaction passes.
+// transactionFault returns which limit a transaction exceeds, "" if none.
 func (s *Store) transactionFault(body []byte) string {
 	var t transaction
 	if err := json.Unmarshal(body, &t); err != nil {
@@ -153,7 +154,7 @@
 	return ""
 }
 
-// changeFault tells what limit a change of a transaction passes.
+// changeFault returns what is wrong with a change of a transaction, "" if it is valid.
 func (s *Store) changeFault(c change) string {
 	switch {
 	case (c.Write == "") == (c.Remove == ""):
@@ -170,8 +171,8 @@
 	return ""
 }
 
-// CheckRefused holds against the controllers that run what they were refused, or could
-// not commit, and a correct program never asks for.
+// CheckRefused reports running controllers that count refused calls, or decisions that could not
+// be committed, of kinds that a correct program never causes.
 func (sim *Simulator) CheckRefused() {
 	for _, name := range sim.NodeNames {
 		if node := sim.Nodes[name]; node.alive && node.controller.ProtocolErrors() > 0 {
@@ -184,7 +185,7 @@
 	}
 }
 
-// commandsFault tells what is wrong with commands, "" if nothing is.
+// commandsFault returns what is wrong with commands, "" if they are valid.
 func commandsFault(commands []command) string {
 	for _, o := range commands {
 		_, _, ok := jobs.SplitTaskID(o.TaskID)
@@ -195,8 +196,8 @@
 	return ""
 }
 
-// checkAnswer holds an answer to a report against the protocol; fencingToken is the
-// highest that the agent had seen when it reported.
+// checkAnswer checks an answer to a report against the protocol; fencingToken is the highest token
+// that the agent had received when it sent the report.
 func (ag *Agent) checkAnswer(node string, status int, body []byte, fencingToken uint64) {
 	ag.sim.checkLines(node, body)
 	var r struct {
@@ -223,7 +224,7 @@
 	}
 }
 
-// checkLines holds an answer to agents or users against the limit of its lines.
+// checkLines checks the length of the lines of an answer to an agent or a user.
 func (sim *Simulator) checkLines(node string, body []byte) {
 	for _, line := range bytes.Split(body, []byte("\n")) {
 		if len(line) > maxBodyBytes {
@@ -232,8 +233,9 @@
 	}
 }
 
-// userMay tells which answers a user's request has by the protocol. An operator's or
-// a run's requests are this project's own.
+// userStatusAllowed reports whether the protocol allows a status as the answer to a user's request.
+// It does not cover requests of operators and those about pipeline runs, which are not part of the
+// protocol.
 func userStatusAllowed(method, target string, status int) bool {
 	switch status {
 	case 200, 429, 503, 504:
@@ -246,7 +248,7 @@
 	return false
 }
 
-// poisoned tells whether a transaction is one that the service is to refuse.
+// poisoned reports whether a transaction is to be refused because of Poison.
 func (s *Store) poisoned(t *transaction) bool {
 	if s.Poison == "" {
 		return false
@@ -260,7 +262,7 @@
 	return false
 }
 
-// malformed tells why the cloud answers a request 400, "" if it does not.
+// malformed returns why the cloud answers a request with 400, "" if it is well-formed.
 func (c *Cloud) malformed(method, path string, q url.Values, body []byte) string {
 	switch {
 	case len(body) > maxBodyBytes:
@@ -277,7 +279,7 @@
 	return "no such call"
 }
 
-// deletionFault tells what is wrong with a request to delete machines.
+// deletionFault returns what is wrong with a request to delete machines, "" if it is valid.
 func deletionFault(body []byte) string {
 	var d machineDeletion
 	if json.Unmarshal(body, &d) != nil || len(d.Machines) == 0 || len(d.Machines) > maxDeletedAtOnce {
@@ -286,7 +288,7 @@
 	return ""
 }
 
-// rentalFault tells what is wrong with a request for machines.
+// rentalFault returns what is wrong with a request to rent machines, "" if it is valid.
 func rentalFault(body []byte) string {
 	var r rental
 	if json.Unmarshal(body, &r) != nil || r.Name == "" || r.Count < 1 || r.Count > maxRentedAtOnce {
--- a/internal/simulation/loan_watch.go
+++ b/internal/simulation/loan_watch.go
@@ -10,30 +10,30 @@
 	"github.com/harrierreel/harrierreel/internal/taskbatch"
 )
 
-// Loans is what is seen of loans in a simulation where GPUs are lent.
+// Loans checks the rules for loans of GPUs on the records in the store, and reports their progress.
 type Loans struct {
 	sim    *Simulator
 	specs  map[string]*jobs.Spec
 	tasks  map[string]jobs.Task
-	before map[string]jobs.Task // of this transaction, before it
-	state  map[int]lending.State
-	// On is called once when the first loan comes to a state, or a gang's first task gets
-	// the command to stop ("told"), with a machine of it.
+	before map[string]jobs.Task // tasks that the current transaction writes, as before it
+	states map[int]lending.State
+	// On holds callbacks, called once with a machine of the loan when the first loan reaches a state,
+	// or with the machine when the first task of a gang gets the command to stop ("told").
 	On map[string]func(machine string)
-	// Saved and Fell count gangs that were stopped with and without a save.
+	// Saved and Fell count gangs that stopped with and without saving their progress.
 	Saved, Fell int
 }
 
-// WatchLoans checks at each commit that what stops for a loan leaves no other team below
-// its guarantee, in accelerators, while it has work that waits or runs, and that gangs
-// stop whole; and it has gangs save as the protocol says.
+// WatchLoans checks at each commit that tasks stopped for a loan to another team don't leave their
+// team below its guarantee, in accelerators, and that gangs are stopped as a whole. It also makes
+// gangs save their progress together, as the protocol says.
 func (sim *Simulator) WatchLoans(guarantee map[string]float64) *Loans {
 	lo := &Loans{
 		sim:    sim,
 		specs:  map[string]*jobs.Spec{},
 		tasks:  map[string]jobs.Task{},
 		before: map[string]jobs.Task{},
-		state:  map[int]lending.State{},
+		states: map[int]lending.State{},
 		On:     map[string]func(string){},
 	}
 	sim.Loans = lo
@@ -45,7 +45,7 @@
 	return lo
 }
 
-// committed takes one write of a transaction.
+// committed handles one write of a transaction.
 func (lo *Loans) committed(key string, v json.RawMessage) {
 	switch {
 	case strings.HasPrefix(key, jobs.JobPrefix):
@@ -63,7 +63,7 @@
 	}
 }
 
-// check checks what a transaction stopped for loans.
+// check checks the tasks that a transaction stopped for loans.
 func (lo *Loans) check(guarantee map[string]float64) {
 	for taskID, was := range lo.before {
 		t := lo.tasks[taskID]
@@ -73,7 +73,8 @@
 	}
 }
 
-// lendsPlaceTo begins the reason of a task that stops for a loan; the borrowing task follows.
+// loanReasonPrefix begins the reason of a task that stops for a loan; the ID of the borrowing task
+// follows.
 const loanReasonPrefix = "lends its place to "
 
 // checkStopped checks one task that a transaction stopped for a loan.
@@ -106,7 +107,7 @@
 	}
 }
 
-// Ledger lists the loans as stored, in order of their keys.
+// Ledger returns the stored loans, sorted by the keys of their records.
 func (lo *Loans) Ledger() []lending.Loan {
 	var keys []string
 	for key := range lo.sim.Store.items {
@@ -126,7 +127,7 @@
 	return out
 }
 
-// notifyStates calls what waits for a loan's state.
+// notifyStates calls the callbacks for the current states of loans.
 func (lo *Loans) notifyStates() {
 	if len(lo.On) == 0 {
 		return
@@ -144,9 +145,10 @@
 	}
 }
 
-func (lo *Loans) notify(what, machine string) {
-	if f := lo.On[strings.ReplaceAll(what, " ", "-")]; f != nil {
-		delete(lo.On, strings.ReplaceAll(what, " ", "-"))
+// notify calls and removes the callback for a state; spaces in its name are written as hyphens.
+func (lo *Loans) notify(state, machine string) {
+	if f := lo.On[strings.ReplaceAll(state, " ", "-")]; f != nil {
+		delete(lo.On, strings.ReplaceAll(state, " ", "-"))
 		lo.sim.After(0, func() { f(machine) })
 	}
 }
