--- a/internal/simulation/calendar_watch.go
+++ b/internal/simulation/calendar_watch.go
@@ -127,7 +127,7 @@
 	}
 }
 
-// settled checks the tasks that a transaction assigned to a shard or placed.
+// settled checks the tasks that a transaction assigned to a controller or placed.
 func (c *calendarWatch) settled() {
 	for _, taskID := range c.startedTasks {
 		jobID, _, _ := jobs.SplitTaskID(taskID)
--- a/internal/simulation/leader_events.go
+++ b/internal/simulation/leader_events.go
@@ -17,7 +17,7 @@
 const (
 	RentDone     = "rent"    // the cloud has executed a rent request, its answer is in flight
 	RentAnswered = "rented"  // the leader has processed the answer to a rent request
-	Released     = "release" // released tasks are committed, their owners don't know of them yet
+	Released     = "release" // tasks are assigned to controllers, which don't know of them yet
 	MachineUp    = "up"      // a rented machine has booted
 	Launched     = "launch"  // a machine has accepted the launch of a task
 )
@@ -29,12 +29,12 @@
 }
 
 // OnEvent sets f as the handler of an event, called each time it occurs.
-func (sim *Simulator) OnEvent(moment string, f func()) {
+func (sim *Simulator) OnEvent(name string, f func()) {
 	if sim.leaderEvents.handlers == nil {
 		sim.leaderEvents.handlers = map[string]func(){}
 		sim.watchReleases()
 	}
-	sim.leaderEvents.handlers[moment] = f
+	sim.leaderEvents.handlers[name] = f
 }
 
 // fireEvent calls the handler of an event, if there is one.
@@ -44,7 +44,7 @@
 	}
 }
 
-// watchReleases fires Released after each transaction that assigns tasks to a shard.
+// watchReleases fires Released after each transaction that assigns tasks to controllers.
 func (sim *Simulator) watchReleases() {
 	released := false
 	sim.observe(func(key string, v json.RawMessage) {
--- a/internal/simulation/limits.go
+++ b/internal/simulation/limits.go
@@ -65,14 +65,14 @@
 	if len(body) > maxBodyBytes {
 		return fmt.Sprintf("%d bytes", len(body))
 	}
-	key, one := strings.CutPrefix(path, "/store/")
+	key, isItem := strings.CutPrefix(path, "/store/")
 	_, aboutLease := leaseIDOf(path)
 	switch call := method + " " + path; {
 	case call == "GET /follow":
 		return numberFault(q, "hold_ms", 0, maxWatchHoldMs)
 	case call == "GET /store":
 		return numberFault(q, "limit", 1, maxListItems)
-	case method == "GET" && one:
+	case method == "GET" && isItem:
 		return keyFault(key)
 	case call == "POST /multi":
 		return s.transactionFault(body)
@@ -107,11 +107,11 @@
 
 // ttlOf returns the requested TTL of a lease in ms, 0 if there is none.
 func ttlOf(body []byte) int {
-	var g struct {
+	var request struct {
 		TTL int `json:"ttl_ms"`
 	}
-	_ = json.Unmarshal(body, &g)
-	return g.TTL
+	_ = json.Unmarshal(body, &request)
+	return request.TTL
 }
 
 // leaseIDOf returns the lease ID in a path, and whether there is one.
--- a/internal/simulation/limits_test.go
+++ b/internal/simulation/limits_test.go
@@ -58,7 +58,7 @@
 	key := func(length int) string { return strings.Repeat("k", length) }
 	for name, c := range map[string]struct {
 		method, target, body string
-		fits                 bool
+		valid                bool
 	}{
 		"changes":             {"POST", "/multi", txn(0, 4, 10), true},
 		"too many changes":    {"POST", "/multi", txn(0, 5, 10), false},
@@ -87,7 +87,7 @@
 	} {
 		sim := newLimitedSimulator()
 		status, _ := serveNow(sim.Store.Serve, c.method, c.target, c.body)
-		if refused := status == 400; refused == c.fits || (sim.Breaches == 0) != c.fits || len(sim.Broken) != sim.Breaches {
+		if refused := status == 400; refused == c.valid || (sim.Breaches == 0) != c.valid || len(sim.Broken) != sim.Breaches {
 			t.Errorf("%s: status %d, %d broken", name, status, len(sim.Broken))
 		}
 	}
@@ -151,7 +151,7 @@
 	}
 	for name, c := range map[string]struct {
 		method, target, body string
-		fits                 bool
+		valid                bool
 	}{
 		"rent":          {"POST", "/hosts", rent(50, "g4", "a"), true},
 		"large rent":    {"POST", "/hosts", rent(51, "g4", "a"), false},
@@ -168,7 +168,7 @@
 	} {
 		sim := newLimitedSimulator()
 		status, _ := serveNow(sim.Cloud.Serve, c.method, c.target, c.body)
-		if refused := status == 400; refused == c.fits || (sim.Breaches == 0) != c.fits {
+		if refused := status == 400; refused == c.valid || (sim.Breaches == 0) != c.valid {
 			t.Errorf("%s: status %d, %v", name, status, sim.Broken)
 		}
 	}
@@ -268,7 +268,7 @@
 	for name, c := range map[string]struct {
 		target, body string
 		status       int
-		fits         bool
+		valid        bool
 	}{
 		"launch":       {"/commands", commandsBody(launchFirst), 200, true},
 		"repeated":     {"/commands", commandsBody(launchFirst + "," + launchFirst), 200, true},
@@ -290,7 +290,7 @@
 	} {
 		sim, ag := agentOfJob()
 		status, _ := ag.serve(c.target, []byte(c.body), sim.Now)
-		if status != c.status || (sim.Breaches == 0) != c.fits {
+		if status != c.status || (sim.Breaches == 0) != c.valid {
 			t.Errorf("%s: status %d, %v", name, status, sim.Broken)
 		}
 	}
@@ -310,7 +310,7 @@
 	for name, c := range map[string]struct {
 		status int
 		body   string
-		fits   bool
+		valid  bool
 	}{
 		"answer":       {200, `{"baton":7,"orders":[]}`, true},
 		"higher":       {200, `{"baton":8,"orders":[]}`, true},
@@ -326,7 +326,7 @@
 	} {
 		sim, ag := agentOfJob()
 		ag.checkAnswer("n0", c.status, []byte(c.body), 7)
-		if (sim.Breaches == 0) != c.fits {
+		if (sim.Breaches == 0) != c.valid {
 			t.Errorf("%s: %v", name, sim.Broken)
 		}
 	}
--- a/internal/simulation/stranded_test.go
+++ b/internal/simulation/stranded_test.go
@@ -14,13 +14,13 @@
 // newTestSimulator returns an empty simulation without logs.
 func newTestSimulator() *Simulator { return NewSimulator(1, slog.New(slog.DiscardHandler)) }
 
-// brokeOnly reports whether there is exactly one violation and it contains what, or none if what is
+// onlyViolation reports whether there is exactly one violation and it contains text, or none if text is
 // empty.
-func brokeOnly(sim *Simulator, what string) bool {
-	if what == "" {
+func onlyViolation(sim *Simulator, text string) bool {
+	if text == "" {
 		return len(sim.Broken) == 0
 	}
-	return len(sim.Broken) == 1 && strings.Contains(sim.Broken[0], what)
+	return len(sim.Broken) == 1 && strings.Contains(sim.Broken[0], text)
 }
 
 // newAcceptedJob adds a job that was submitted and accepted.
@@ -71,21 +71,21 @@
 		sent, answered time.Duration // after the user was told; 0: not answered
 		orders         string
 		counted        int
-		breaks         string
+		violation      string
 	}{
 		"in flight":                {sent: -time.Millisecond, counted: 1},
 		"sent as the user is told": {sent: 0, counted: 1},
 		"sent later": {
-			sent:    time.Millisecond,
-			counted: 1,
-			breaks:  "started_cancelled: wk-000001/0 on i-1, by a launch that left 1ms after",
+			sent:      time.Millisecond,
+			counted:   1,
+			violation: "started_cancelled: wk-000001/0 on i-1, by a launch that left 1ms after",
 		},
 		"answered at once, no stop": {sent: -time.Second, answered: stopsWithin, counted: 1},
 		"answered, no stop": {
-			sent:     -time.Second,
-			answered: stopsWithin + time.Millisecond,
-			counted:  1,
-			breaks:   "started_cancelled: wk-000001/0 on i-1, which was answered 2.001s after",
+			sent:      -time.Second,
+			answered:  stopsWithin + time.Millisecond,
+			counted:   1,
+			violation: "started_cancelled: wk-000001/0 on i-1, which was answered 2.001s after",
 		},
 		"stopped": {sent: -time.Second, answered: 3 * time.Second, orders: stop},
 	} {
@@ -110,7 +110,7 @@
 			ag.markUnstopped(told.Add(c.answered))
 		}
 		sim.RunUntil(16 * time.Second)
-		if sim.StartsAfterCancel != c.counted || !brokeOnly(sim, c.breaks) {
+		if sim.StartsAfterCancel != c.counted || !onlyViolation(sim, c.violation) {
 			t.Errorf("%s: %d counted, %q", name, sim.StartsAfterCancel, sim.Broken)
 		}
 	}
@@ -119,19 +119,19 @@
 // A cancelled task that goes on when its hung machine resumes after cancel_s is reported once, at
 // the resume or at the next tick. One that had ended by then is not reported.
 func TestCancelledTaskThatResumesLateIsReportedOnce(t *testing.T) {
-	const breaks = "ran_cancelled: wk-000001/0 on i-1"
+	const violation = "ran_cancelled: wk-000001/0 on i-1"
 	for name, c := range map[string]struct {
-		after  time.Duration
-		ended  bool
-		resume func(*Agent)
-		breaks string
+		after     time.Duration
+		ended     bool
+		resume    func(*Agent)
+		violation string
 	}{
-		"resumes past cancel_s": {61 * time.Second, false, (*Agent).Resume, breaks},
+		"resumes past cancel_s": {61 * time.Second, false, (*Agent).Resume, violation},
 		"seen later": {61 * time.Second, false, func(ag *Agent) {
 			ag.Hung, ag.inFlight = false, true
 			ag.tick()
-		}, breaks},
-		"twice":   {61 * time.Second, false, func(ag *Agent) { ag.Resume(); ag.Resume() }, breaks},
+		}, violation},
+		"twice":   {61 * time.Second, false, func(ag *Agent) { ag.Resume(); ag.Resume() }, violation},
 		"in time": {59 * time.Second, false, (*Agent).Resume, ""},
 		"ended":   {61 * time.Second, true, (*Agent).Resume, ""},
 	} {
@@ -144,7 +144,7 @@
 			ag.end(ag.tasks["wk-000001/0#1"], "stopped", false)
 		}
 		sim.RunUntil(c.after)
-		if c.resume(ag); !brokeOnly(sim, c.breaks) {
+		if c.resume(ag); !onlyViolation(sim, c.violation) {
 			t.Errorf("%s: %q", name, sim.Broken)
 		}
 	}
@@ -334,7 +334,7 @@
 		if c.stranded {
 			want = fmt.Sprintf("stranded: wk-000001 of team, a %s of %d, has waited for 1m30s", c.shape, c.taskCount)
 		}
-		if !brokeOnly(sim, want) {
+		if !onlyViolation(sim, want) {
 			t.Errorf("%s: %q", name, sim.Broken)
 		}
 	}
@@ -364,7 +364,7 @@
 		if c.forgotten {
 			want = "forgotten: no question about wk-000001"
 		}
-		if sim.checkForgotten(); !brokeOnly(sim, want) {
+		if sim.checkForgotten(); !onlyViolation(sim, want) {
 			t.Errorf("%s: %q", name, sim.Broken)
 		}
 	}
@@ -377,14 +377,14 @@
 		for _, status := range []int{200, 201, 400, 422, 503} {
 			sim := newTestSimulator()
 			sim.TeamLimits["team"], sim.TeamLimits["small"] = 100, 3
-			breaks := ""
+			violation := ""
 			switch {
 			case status < 300 && want != 201:
-				breaks = "accepted: wk-1"
+				violation = "accepted: wk-1"
 			case status >= 400 && status < 500 && want == 201:
-				breaks = "turned away: wk-1"
+				violation = "turned away: wk-1"
 			}
-			if sim.checkAdmission("wk-1", body, status); !brokeOnly(sim, breaks) {
+			if sim.checkAdmission("wk-1", body, status); !onlyViolation(sim, violation) {
 				t.Errorf("%s answered %d: %q", name, status, sim.Broken)
 			}
 		}
