--- a/internal/simulation/aftermath_test.go
+++ b/internal/simulation/aftermath_test.go
@@ -14,11 +14,11 @@
 	sim := NewSimulator(1, slog.New(slog.DiscardHandler))
 	sim.Now = sim.Start.Add(10 * time.Minute)
 	at := func(s int) time.Time { return sim.Start.Add(time.Duration(s) * time.Second) }
-	add := func(jobID, class, owner string, taskCount, submitted, begun int) *Job {
+	add := func(jobID, class, team string, taskCount, submitted, begun int) *Job {
 		j := &Job{
 			ID:           jobID,
 			Class:        class,
-			Team:         owner,
+			Team:         team,
 			TaskCount:    taskCount,
 			Accelerators: 1,
 			Accepted:     true,
--- a/internal/simulation/invalid_requests.go
+++ b/internal/simulation/invalid_requests.go
@@ -178,9 +178,9 @@
 
 // invalidSubmission is a submission that must be rejected.
 type invalidSubmission struct {
-	jobID string
-	body  []byte
-	fits  bool // it would fit a machine, but lacks a field
+	jobID      string
+	body       []byte
+	incomplete bool // it lacks a field, else it can never run
 }
 
 // validSubmission returns the body of a valid submission after change has modified it.
@@ -240,7 +240,7 @@
 func incompleteSubmission(k int) invalidSubmission {
 	fields := slices.Concat(textFields, amountFields, boolFields)
 	jobID := fmt.Sprintf("wk-%d", firstInvalidJob+2*k+1)
-	return invalidSubmission{jobID: jobID, fits: true, body: validSubmission(jobID, func(m map[string]any) {
+	return invalidSubmission{jobID: jobID, incomplete: true, body: validSubmission(jobID, func(m map[string]any) {
 		if f := fields[k%len(fields)]; k/len(fields)%2 == 0 {
 			delete(m, f)
 		} else {
@@ -259,7 +259,7 @@
 					if err != nil || status == 503 || status == 429 {
 						return
 					}
-					if o.fits {
+					if o.incomplete {
 						sim.InvalidAnswers.Lacking++
 					} else {
 						sim.InvalidAnswers.Unfit++
--- a/internal/simulation/limits_test.go
+++ b/internal/simulation/limits_test.go
@@ -88,13 +88,13 @@
 		sim := newLimitedSimulator()
 		status, _ := serveNow(sim.Store.Serve, c.method, c.target, c.body)
 		if refused := status == 400; refused == c.valid || (sim.Breaches == 0) != c.valid || len(sim.Broken) != sim.Breaches {
-			t.Errorf("%s: status %d, %d broken", name, status, len(sim.Broken))
+			t.Errorf("%s: status %d, %d violations", name, status, len(sim.Broken))
 		}
 	}
 }
 
-// A write under a lease that has expired is rejected, but is no violation, since the holder can't
-// know of the expiry. It can get a new lease.
+// A write under a lease that has expired is rejected but is no violation: the holder learns of the
+// expiry from the answer and can get a new lease.
 func TestWriteUnderExpiredLeaseIsRejected(t *testing.T) {
 	sim := newLimitedSimulator()
 	_, grant := serveNow(sim.Store.Serve, "POST", "/grants", `{"ttl_ms":200}`)
@@ -146,8 +146,8 @@
 	names := func(count int) string {
 		return `{"hosts":` + list(count, func(i int) string { return fmt.Sprintf(`"i-%06d"`, i) }) + `}`
 	}
-	rent := func(count int, build, zone string) string {
-		return fmt.Sprintf(`{"hire":"r-1","build":%q,"site":%q,"loaner":false,"count":%d}`, build, zone, count)
+	rent := func(count int, machineType, zone string) string {
+		return fmt.Sprintf(`{"hire":"r-1","build":%q,"site":%q,"loaner":false,"count":%d}`, machineType, zone, count)
 	}
 	for name, c := range map[string]struct {
 		method, target, body string
@@ -264,6 +264,7 @@
 var launchFirst = commandJSON("launch", "wk-1/0", 1)
 
 // Requests that an agent rejects as malformed, and launches that must never be sent, are breaches.
+// Requests under an old token or session are rejected, but are no breach.
 func TestInvalidCommandsAreBreaches(t *testing.T) {
 	for name, c := range map[string]struct {
 		target, body string
