--- a/internal/scenario/beside_pairs_test.go
+++ b/internal/scenario/beside_pairs_test.go
@@ -8,20 +8,20 @@
 	"github.com/harrierreel/harrierreel/internal/settings"
 )
 
-// Worlds in which a trouble that isn't among those of TestPairs meets one of them:
+// Simulations in which a fault that isn't in faultKinds meets one that is:
 //
 //	go test ./internal/scenario -run TestBesidePairs -timeout 60m -beside-pairs 100 -beside-pairs-from 0
 var (
-	besidePairs    = flag.Int("beside-pairs", 5, "worlds with a trouble that TestPairs doesn't have")
-	besidePairFrom = flag.Int("beside-pairs-from", 0, "seed of the first")
+	besidePairs    = flag.Int("beside-pairs", 5, "number of simulations with a fault that TestPairs doesn't have")
+	besidePairFrom = flag.Int("beside-pairs-from", 0, "first seed")
 )
 
-// TestBesidePairs judges them as TestPairs does. They have draws of their own, since a kind
-// more in troubles would give each seed of TestPairs another pair.
+// TestBesidePairs applies the checks of TestPairs to faults that aren't in faultKinds: another
+// entry there would give each seed of TestPairs another pair.
 func TestBesidePairs(t *testing.T) {
-	kinds := []trouble{closeLooks, cancelAtEnd, machinesMute, cancelNow, oddRequests}
+	kinds := []fault{pollBursts, cancelAtEnd, outboundPartition, cancelNow, invalidRequests}
 	for seed := *besidePairFrom; seed < *besidePairFrom+*besidePairs; seed++ {
-		a, b := kinds[seed%len(kinds)], troubles[(seed/len(kinds)+seed%len(kinds))%len(troubles)]
+		a, b := kinds[seed%len(kinds)], faultKinds[(seed/len(kinds)+seed%len(kinds))%len(faultKinds)]
 		t.Run(fmt.Sprintf("%d %s, %s", seed, a.name, b.name), func(t *testing.T) {
 			t.Parallel()
 			batching := []settings.TaskBatching{settings.BatchingAlways, settings.BatchingWhenScarce}[seed%2]
--- a/internal/scenario/calendar_test.go
+++ b/internal/scenario/calendar_test.go
@@ -17,14 +17,14 @@
 	"github.com/harrierreel/harrierreel/internal/simulation"
 )
 
-// windows is what a scenario has seen of the calendar.
-type windows struct {
-	upon   map[string][]string       // what to do upon a window's state
-	state  map[string]calendar.State // the last that a window came to, but for planned
-	opened map[string][]time.Time
+// windowTracker records the window states of a scenario with a calendar.
+type windowTracker struct {
+	onState map[string][]string       // timed line to execute, by "WINDOW STATE"
+	state   map[string]calendar.State // last state of each window, except planned
+	opened  map[string][]time.Time
 }
 
-// calendar reads a file of testdata/calendars.
+// calendar reads a calendar from testdata/calendars.
 func (s *script) calendar(name string) *calendar.Document {
 	var f struct {
 		Calendar calendar.Document `hcl:"calendar,block"`
@@ -38,18 +38,18 @@
 	return &f.Calendar
 }
 
-// watchCalendar has every scenario with a calendar checked for its rules.
+// watchCalendar checks the calendar invariants of scenarios that have a calendar.
 func (s *script) watchCalendar() {
 	if s.set.Operator.Calendar == nil {
 		return
 	}
-	s.windows = &windows{
-		upon:   map[string][]string{},
-		state:  map[string]calendar.State{},
-		opened: map[string][]time.Time{},
+	s.windows = &windowTracker{
+		onState: map[string][]string{},
+		state:   map[string]calendar.State{},
+		opened:  map[string][]time.Time{},
 	}
 	s.set.Cluster.ClockOffMs = 500
-	s.scarce = true // what waits for a window begins when that opens
+	s.scarce = true // jobs that wait for a window start only when it opens
 	s.w.WatchCalendar(func(window string, to calendar.State) {
 		if to != calendar.Planned {
 			s.windows.state[window] = to
@@ -57,23 +57,23 @@
 		if to == calendar.Open {
 			s.windows.opened[window] = append(s.windows.opened[window], s.w.Now)
 		}
-		if words := s.windows.upon[window+" "+string(to)]; words != nil {
-			delete(s.windows.upon, window+" "+string(to))
+		if words := s.windows.onState[window+" "+string(to)]; words != nil {
+			delete(s.windows.onState, window+" "+string(to))
 			s.do(words[0], words[1:])
 		}
 	})
 }
 
-// uponDone fails a scenario in which something was to happen upon a change that never came.
-func (s *script) uponDone() {
-	if s.windows != nil && len(s.windows.upon) > 0 {
-		s.t.Errorf("%s: never came: %v", s.line, s.windows.upon)
+// checkTriggersFired fails a scenario with an "upon" line whose window state was never reached.
+func (s *script) checkTriggersFired() {
+	if s.windows != nil && len(s.windows.onState) > 0 {
+		s.t.Errorf("%s: upon lines that never fired: %v", s.line, s.windows.onState)
 	}
 }
 
-// expect window WINDOW STATE: the last that it came to; expect opened WINDOW COUNT;
-// expect began JOB WINDOW SECONDS: its first task within so long of the window's last
-// opening.
+// expectWindow checks "expect window WINDOW STATE": its last state; "expect opened WINDOW COUNT":
+// how often it opened; "expect began JOB WINDOW SECONDS": the job's first task started within that
+// time of the window's last opening.
 func (s *script) expectWindow(args []string) {
 	switch args[0] {
 	case "window":
@@ -93,9 +93,10 @@
 	}
 }
 
-// night is a change from one window to the next with five controllers and 200 machines:
-// what goes wrong right upon which change, and what comes after it.
-const night = `
+// windowChange is a scenario template: one window follows another, with five controllers and up to
+// 200 machines. The parameters are the machines per type, the state change that triggers the fault,
+// the fault, and the lines that follow.
+const windowChange = `
 nodes 5
 calendar markets
 team shop 60
@@ -112,9 +113,9 @@
 %s
 `
 
-// TestCalendarEndsAtEachStep: the leader, or every controller, ends right after each
-// change of an occurrence of either window, and whatever else may go wrong just then.
-func TestCalendarEndsAtEachStep(t *testing.T) {
+// TestCalendarSurvivesCrashAtEachWindowState crashes or freezes the leader, or crashes all
+// controllers, right after each state change of either window.
+func TestCalendarSurvivesCrashAtEachWindowState(t *testing.T) {
 	for _, window := range []string{"export", "weekend"} {
 		for _, state := range []calendar.State{calendar.Preparing, calendar.Open, calendar.Closing, calendar.Closed} {
 			ends := map[string]string{
@@ -136,27 +137,27 @@
 					case name == "all":
 						after = "80 boot-all\n240 boot-all\n" + after
 					}
-					machines := 20 // of a type; all 200 where most goes wrong
+					machines := 20 // per type; 200 in all for closing, which does the most work
 					if state == calendar.Closing {
 						machines = 100
 					}
-					text := fmt.Sprintf(night, machines, window, state, then, after)
+					text := fmt.Sprintf(windowChange, machines, window, state, then, after)
 					file := filepath.Join(t.TempDir(), "night.txt")
 					if err := os.WriteFile(file, []byte(strings.TrimSpace(text)), 0o600); err != nil {
 						t.Fatal(err)
 					}
-					run(t, file, settings.BatchingAlways, nil)
+					play(t, file, settings.BatchingAlways, nil)
 				})
 			}
 		}
 	}
 }
 
-// openingsEvery is how far apart a track's openings are in TestOpeningsAreQuick.
+// openingsEvery is the time between the openings of a track in TestWindowTasksStartWithin15s.
 const openingsEvery = 4 * time.Minute
 
-// openings is a calendar of five windows in a row on each of two tracks.
-func openings(begin time.Time) *calendar.Document {
+// openings returns a calendar of two tracks with five consecutive windows each.
+func openingsCalendar(begin time.Time) *calendar.Document {
 	d := &calendar.Document{Revision: 1, Zone: "UTC"}
 	for n, track := range []string{"one", "two"} {
 		doc := calendar.TrackDoc{Name: track}
@@ -178,9 +179,9 @@
 	return d
 }
 
-// TestOpeningsAreQuick: of ten openings on two tracks, without failures, the first tasks
-// run within 15 s, on machines that were rented for them.
-func TestOpeningsAreQuick(t *testing.T) {
+// TestWindowTasksStartWithin15s checks that, without faults, the first tasks of ten windows on two
+// tracks start within 15 s of the planned opening, on machines rented for them.
+func TestWindowTasksStartWithin15s(t *testing.T) {
 	t.Parallel()
 	w := simulation.NewSimulator(13, slog.New(slog.DiscardHandler))
 	s := &script{t: t, line: "openings", w: w, vars: map[string]string{}, applied: map[string]int{}}
@@ -189,7 +190,7 @@
 	s.set.Cluster.Teams = []settings.Team{{Name: "shop", GpusMax: 200}}
 	w.TeamLimits["shop"] = 200
 	w.Cloud.Limit = 200
-	d := openings(w.Start)
+	d := openingsCalendar(w.Start)
 	if _, faults := calendar.Build(d, calendar.Known{}, w.Start); len(faults) > 0 {
 		t.Fatal(faults)
 	}
@@ -215,7 +216,7 @@
 	w.RunUntil(openingsEvery*6 + 2*time.Minute)
 	slices.Sort(took)
 	t.Logf(
-		"first tasks after the planned begin: median %.2f s, most %.2f s; %d machines rented",
+		"first task after the planned opening: median %.2f s, max %.2f s; %d machines rented",
 		took[5],
 		took[9],
 		w.Cloud.Rented,
--- a/internal/scenario/down_test.go
+++ b/internal/scenario/down_test.go
@@ -15,20 +15,21 @@
 	"github.com/harrierreel/harrierreel/internal/simulation"
 )
 
-// downFleet is the size of a measurement: tasks live on machines when all controllers end.
+// downFleet is the size of a fleet whose tasks are running when all controllers crash.
 type downFleet struct {
 	name                           string
 	nodes, machines                int
 	rps, wps, valueKB              float64
-	txnOps, services, gangs, tasks int // jobs of 8 replicas, gangs of 4, tasks of sweeps
+	txnOps, services, gangs, tasks int // services of 8 replicas, gangs of 4 tasks, tasks in arrays
 }
 
-// BenchmarkDown ends all controllers of two fleets for 4 s and for 60 s, with 2% of the
-// machines dying meanwhile, and reports how they come back, from the first process on:
-// the first question answered, machines heard by a baton, tasks on machines again, the
-// first new task and the first rent, the most changes and orders in one second, and how
-// many attempts were begun beyond what had to be: those of the tasks on machines that
-// died, and of all that the leases' ends killed. In simulated time: the figures repeat.
+// BenchmarkDown kills all controllers of two fleets for 4 s and for 60 s while 2% of the machines
+// die, and reports the recovery. Times are from the first process's start to the first answered
+// request, to half and all of the machines seen with a token of the new epoch, to half and 90% of
+// the tasks running again, to the first new task and to the first rented machine. It also reports
+// the most writes, commands and rentals in a second, and the task starts beyond the necessary ones,
+// which are those for tasks on dead machines or killed by an expired lease. All in simulated time,
+// so the figures are reproducible.
 //
 //	go test ./internal/scenario -run '^$' -bench Down -benchtime 1x -timeout 30m
 func BenchmarkDown(b *testing.B) {
@@ -47,7 +48,7 @@
 	}
 }
 
-// world is a world of the fleet's size, before its controllers start.
+// world returns a simulation of the fleet before its controllers start.
 func (f downFleet) world() *script {
 	w := simulation.NewSimulator(11, slog.New(slog.DiscardHandler))
 	s := &script{w: w, vars: map[string]string{}, applied: map[string]int{}}
@@ -64,7 +65,7 @@
 	return s
 }
 
-// submitJobs hands in the jobs whose tasks fill the fleet.
+// submitJobs submits the jobs whose tasks fill the fleet.
 func (f downFleet) submitJobs(s *script) {
 	w := s.w
 	jobs := 0
@@ -84,20 +85,20 @@
 	}
 }
 
-// killMachines has some machines with tasks die, and gives the number of their tasks.
+// killMachines kills up to dying machines that run tasks, and returns the number of tasks lost.
 func killMachines(w *simulation.Simulator, dying int) int {
-	hurt := 0
+	tasksLost := 0
 	for _, h := range w.Machines() {
 		if agent := w.Agents[h]; agent != nil && dying > 0 && !agent.Empty() {
-			hurt += agent.TaskCount()
+			tasksLost += agent.TaskCount()
 			dying--
 			agent.Die()
 		}
 	}
-	return hurt
+	return tasksLost
 }
 
-// fill plays until nearly all of the tasks are on machines.
+// fill runs the simulation until 99% of the tasks are on machines.
 func (f downFleet) fill(b *testing.B, w *simulation.Simulator) {
 	b.Helper()
 	total := 8*f.services + 4*f.gangs + f.tasks
@@ -110,10 +111,10 @@
 	}
 }
 
-// firstTimes is when each of some things was so first, in seconds.
+// firstTimes is the time in seconds at which each condition first held, by its name.
 type firstTimes map[string]float64
 
-// mark notes the time if something is so for the first time.
+// mark records the time of a condition that holds for the first time.
 func (f firstTimes) mark(what string, is bool, seconds float64) {
 	if _, done := f[what]; !done && is {
 		f[what] = seconds
@@ -135,15 +136,15 @@
 	w.AddNodes(f.nodes, s.set)
 	f.submitJobs(s)
 	f.fill(b, w)
-	before, begun := w.OnMachines(), w.TaskStarts()
+	before, startsBefore := w.OnMachines(), w.TaskStarts()
 	crashAll(w)
-	hurt := killMachines(w, f.machines/50)
+	tasksLost := killMachines(w, f.machines/50)
 	w.RunUntil(w.At() + down)
-	start, was, rented, orders := w.At(), epoch, w.Cloud.Rented, w.CommandCount()
+	start, oldEpoch, rented, orders := w.At(), epoch, w.Cloud.Rented, w.CommandCount()
 	bootAll(w)
-	probe := func() float64 { return (w.At() - start).Seconds() }
+	elapsed := func() float64 { return (w.At() - start).Seconds() }
 	when := firstTimes{}
-	mark := func(what string, is bool) { when.mark(what, is, probe()) }
+	mark := func(what string, is bool) { when.mark(what, is, elapsed()) }
 	w.ProbeUser(100*time.Millisecond, func() { mark("answer", true) })
 	s.submit([]string{"wk-999999", "sweep", "pieces=20", "accel=0.4", "run=5"})
 	changes = 0
@@ -151,10 +152,10 @@
 	for w.At() < start+30*time.Second+down*3/2 {
 		w.RunUntil(w.At() + 50*time.Millisecond)
 		heard, on := w.ShownCount(epoch), w.OnMachines()
-		mark("heard-half", epoch > was && heard*2 >= len(w.Agents))
-		mark("heard-all", epoch > was && heard == len(w.Agents))
+		mark("heard-half", epoch > oldEpoch && heard*2 >= len(w.Agents))
+		mark("heard-all", epoch > oldEpoch && heard == len(w.Agents))
 		mark("back-half", on*2 >= before)
-		mark("back-90", on*10 >= before*9 && probe() > 0.2)
+		mark("back-90", on*10 >= before*9 && elapsed() > 0.2)
 		mark("new-task", w.Running("wk-999999") > 0)
 		mark("rent", w.Cloud.Rented > rented)
 		if w.At()-second >= time.Second {
@@ -163,7 +164,7 @@
 			changes, second, lastOrders, lastRented = 0, w.At(), w.CommandCount(), w.Cloud.Rented
 		}
 	}
-	killed := hurt
+	killed := tasksLost
 	if down.Seconds() > w.LeaseS {
 		killed = before
 	}
@@ -175,7 +176,7 @@
 	b.ReportMetric(float64(ordersMost), "orders/s-max")
 	b.ReportMetric(float64(rentsMost), "rents/s-max")
 	b.ReportMetric(float64(w.Cloud.Rented-rented), "rented")
-	b.ReportMetric(float64(w.TaskStarts()-begun-killed-20), "begun-beyond")
+	b.ReportMetric(float64(w.TaskStarts()-startsBefore-killed-20), "begun-beyond")
 	b.ReportMetric(float64(before), "tasks")
 	for _, what := range w.Broken {
 		b.Error(strings.TrimSpace(what))
--- a/internal/scenario/expectations_controllers_test.go
+++ b/internal/scenario/expectations_controllers_test.go
@@ -6,7 +6,7 @@
 	"github.com/harrierreel/harrierreel/internal/members"
 )
 
-// controllerExpectations are about controllers, their leader and view, and the calendar.
+// controllerExpectations are about controllers, leadership, the view and the calendar.
 var controllerExpectations = map[string]expectFunc{
 	"opened":     (*script).expectWindow,
 	"window":     (*script).expectWindow,
@@ -26,41 +26,43 @@
 	"leader":     (*script).expectLeader,
 }
 
-// expectKnown: expect known NODE COUNT: live jobs by its mirror.
+// expectKnown checks "expect known NODE COUNT": the live jobs in the controller's mirror.
 func (s *script) expectKnown(args []string) {
 	s.t.Helper()
 	if got := s.w.Nodes[s.node(args[1])].LiveJobs(); got != int(s.number(args[2])) {
-		s.fatal("%s knows %d live jobs, not %s", args[1], got, args[2])
+		s.fatal("%s has %d live jobs in its mirror, want %s", args[1], got, args[2])
 	}
 }
 
-// expectNotLeader: expect not-leader NODE.
+// expectNotLeader checks "expect not-leader NODE".
 func (s *script) expectNotLeader(args []string) {
 	s.t.Helper()
-	if s.w.Leader() == s.party(args[1]) {
-		s.fatal("%s leads", args[1])
+	if s.w.Leader() == s.endpoint(args[1]) {
+		s.fatal("%s is leader", args[1])
 	}
 }
 
-// expectState: expect state NODE STATE: of its readiness to lead.
+// expectState checks "expect state NODE STATE": its standby state.
 func (s *script) expectState(args []string) {
 	s.t.Helper()
 	if got, _ := s.w.Nodes[s.node(args[1])].Standby(); string(got) != args[2] {
-		s.fatal("%s is %s, not %s", args[1], got, args[2])
+		s.fatal("%s is %s, want %s", args[1], got, args[2])
 	}
 }
 
-// expectBatons: expect batons MAX: most times that a machine of the start was shown a higher one.
+// expectBatons checks "expect batons MAX": how often any initial machine was shown a higher fencing
+// token.
 func (s *script) expectBatons(args []string) {
 	s.t.Helper()
 	for _, h := range s.machines {
 		if agent := s.w.Agents[h]; agent != nil && agent.TokenChanges > int(s.number(args[1])) {
-			s.fatal("%s was shown a higher baton %d times, more than %s", h, agent.TokenChanges, args[1])
+			s.fatal("%s was shown a higher token %d times, more than %s", h, agent.TokenChanges, args[1])
 		}
 	}
 }
 
-// expectAlarms: expect alarms MIN MAX: calls that were answered, as all count them.
+// expectAlarms checks "expect alarms MIN MAX": answered standby calls, by the highest count of any
+// controller.
 func (s *script) expectAlarms(args []string) {
 	s.t.Helper()
 	got := 0
@@ -69,29 +71,29 @@
 		got = max(got, alarms)
 	}
 	if got < int(s.number(args[1])) || got > int(s.number(args[2])) {
-		s.fatal("%d calls were answered, not %s to %s", got, args[1], args[2])
+		s.fatal("%d calls were answered, want %s to %s", got, args[1], args[2])
 	}
 }
 
-// expectOut: expect out NODE: it is not in the view.
+// expectOut checks "expect out NODE": the controller is not in the view.
 func (s *script) expectOut(args []string) {
 	s.t.Helper()
 	var v members.View
-	if raw := s.w.Store.Value("view"); json.Unmarshal(raw, &v) != nil || v.Incarnation(s.party(args[1])) != 0 {
+	if raw := s.w.Store.Value("view"); json.Unmarshal(raw, &v) != nil || v.Incarnation(s.endpoint(args[1])) != 0 {
 		s.fatal("%s is in the view %s", args[1], raw)
 	}
 }
 
-// expectViews: expect views MAX: changes of the view so far.
+// expectViews checks "expect views MAX": view changes so far.
 func (s *script) expectViews(args []string) {
 	s.t.Helper()
 	var v struct{ Epoch int }
 	if raw := s.w.Store.Value("view"); json.Unmarshal(raw, &v) != nil || v.Epoch > int(s.number(args[1])) {
-		s.fatal("the view is %s, with an epoch above %s", raw, args[1])
+		s.fatal("the view is %s, want an epoch of at most %s", raw, args[1])
 	}
 }
 
-// expectLeader: expect leader: a controller leads.
+// expectLeader checks "expect leader": there is a leader.
 func (s *script) expectLeader(_ []string) {
 	s.t.Helper()
 	s.leader()
--- a/internal/scenario/expectations_jobs_test.go
+++ b/internal/scenario/expectations_jobs_test.go
@@ -10,7 +10,7 @@
 	"github.com/harrierreel/harrierreel/internal/simulation"
 )
 
-// jobExpectations are about jobs, tasks, runs and quotas, and what their users were told.
+// jobExpectations are about jobs, tasks, pipeline runs and quotas, and the answers to users.
 var jobExpectations = map[string]expectFunc{
 	"tasks":     (*script).expectTasks,
 	"has-begun": (*script).expectHasBegun,
@@ -18,12 +18,12 @@
 	"begun":     (*script).expectBegun,
 	"on":        (*script).expectOn,
 	"answered":  (*script).expectAnswered,
-	// expect odd MIN: answers to each kind of odd request
+	// expect odd MIN: answers to each kind of invalid request
 	"odd":         (*script).expectOdd,
 	"late-starts": (*script).expectLateStarts,
 	"all":         (*script).expectAll,
 	"looks":       (*script).expectLooks,
-	// expect one-end FIRST COUNT: each is done or cancelled, told as the state service has it
+	// expect one-end FIRST COUNT: each is done or cancelled, and its user was told the recorded state
 	"one-end":   (*script).expectOneEnd,
 	"sent-away": (*script).expectSentAway,
 	"applied":   (*script).expectApplied,
@@ -37,23 +37,24 @@
 	"stranded":  (*script).expectStrandedLine,
 }
 
-// expectTasks: expect tasks JOB COUNT: on machines.
+// expectTasks checks "expect tasks JOB COUNT": its tasks on machines.
 func (s *script) expectTasks(args []string) {
 	s.t.Helper()
 	if got := s.w.Running(args[1]); got != int(s.number(args[2])) {
-		s.fatal("%s has %d tasks on machines, not %s", args[1], got, args[2])
+		s.fatal("%s has %d tasks on machines, want %s", args[1], got, args[2])
 	}
 }
 
-// expectHasBegun: expect has-begun JOB: a task of it has run, all at once of a gang.
+// expectHasBegun checks "expect has-begun JOB": at least one task has run, or the whole gang at
+// once.
 func (s *script) expectHasBegun(args []string) {
 	s.t.Helper()
 	if s.job(args[1]).FirstStart.IsZero() {
-		s.fatal("%s has not begun", args[1])
+		s.fatal("%s has not started", args[1])
 	}
 }
 
-// expectStarts: expect starts JOB MAX: of its tasks.
+// expectStarts checks "expect starts JOB MAX": starts of its tasks.
 func (s *script) expectStarts(args []string) {
 	s.t.Helper()
 	if got := s.job(args[1]).Starts; got > int(s.number(args[2])) {
@@ -61,7 +62,8 @@
 	}
 }
 
-// expectBegun: expect begun FIRST COUNT MAX: starts of their tasks beyond one each.
+// expectBegun checks "expect begun FIRST COUNT MAX": starts of the tasks of these jobs beyond one
+// each.
 func (s *script) expectBegun(args []string) {
 	s.t.Helper()
 	extra, first := 0, int(s.number(args[1]))
@@ -70,11 +72,11 @@
 		extra += j.Starts - j.TaskCount
 	}
 	if extra > int(s.number(args[3])) {
-		s.fatal("%d tasks started that need not have, more than %s", extra, args[3])
+		s.fatal("%d tasks started again, more than %s", extra, args[3])
 	}
 }
 
-// expectOn: expect on FIRST COUNT MIN: tasks of these jobs on machines.
+// expectOn checks "expect on FIRST COUNT MIN": tasks of these jobs on machines.
 func (s *script) expectOn(args []string) {
 	s.t.Helper()
 	got, first := 0, int(s.number(args[1]))
@@ -82,46 +84,47 @@
 		got += s.w.Running(fmt.Sprintf("wk-%06d", first+i))
 	}
 	if got < int(s.number(args[3])) {
-		s.fatal("%d tasks are on machines, not %s", got, args[3])
+		s.fatal("%d tasks are on machines, want at least %s", got, args[3])
 	}
 }
 
-// expectAnswered: expect answered SECONDS: each user had an answer in the last so many.
+// expectAnswered checks "expect answered SECONDS": each user got an answer within the last SECONDS.
 func (s *script) expectAnswered(args []string) {
 	s.t.Helper()
 	for _, jobID := range s.w.Unanswered(time.Duration(s.number(args[1]) * float64(time.Second))) {
-		s.fatal("no question about %s was answered", jobID)
+		s.fatal("no poll of %s was answered", jobID)
 	}
 }
 
-// expectLateStarts: expect late-starts MIN MAX: starts after a user was told of the cancellation.
+// expectLateStarts checks "expect late-starts MIN MAX": task starts after the user was told of the
+// cancellation.
 func (s *script) expectLateStarts(args []string) {
 	s.t.Helper()
 	if got := s.w.StartsAfterCancel; got < int(s.number(args[1])) || got > int(s.number(args[2])) {
-		s.fatal("%d tasks started after their cancellation was told, not %s to %s", got, args[1], args[2])
+		s.fatal("%d tasks started after the user was told of the cancellation, want %s to %s", got, args[1], args[2])
 	}
 }
 
-// expectAll: expect all FIRST COUNT done.
+// expectAll checks "expect all FIRST COUNT STATE": the state of each of these jobs.
 func (s *script) expectAll(args []string) {
 	s.t.Helper()
 	first := int(s.number(args[1]))
 	for i := range int(s.number(args[2])) {
 		if j := s.job(fmt.Sprintf("wk-%06d", first+i)); j.Status != args[3] {
-			s.fatal("%s is %q, not %q", j.ID, j.Status, args[3])
+			s.fatal("%s is %q, want %q", j.ID, j.Status, args[3])
 		}
 	}
 }
 
-// expectLooks: expect looks MIN: answers to users who look closely.
+// expectLooks checks "expect looks MIN": answers to users who poll in bursts.
 func (s *script) expectLooks(args []string) {
 	s.t.Helper()
 	if got := s.w.BurstAnswers; got < int(s.number(args[1])) {
-		s.fatal("%d close looks were answered, fewer than %s", got, args[1])
+		s.fatal("%d burst polls were answered, fewer than %s", got, args[1])
 	}
 }
 
-// expectSentAway: expect sent-away MAX: submissions and cancellations answered 503.
+// expectSentAway checks "expect sent-away MAX": submissions and cancellations answered with 503.
 func (s *script) expectSentAway(args []string) {
 	s.t.Helper()
 	if got := s.w.Unavailable; got > int(s.number(args[1])) {
@@ -129,64 +132,64 @@
 	}
 }
 
-// expectApplied: expect applied FILE STATUS.
+// expectApplied checks "expect applied FILE STATUS": the answer to an applied quota tree.
 func (s *script) expectApplied(args []string) {
 	s.t.Helper()
 	if got := s.applied[args[1]]; got != int(s.number(args[2])) {
-		s.fatal("applying %s was answered %d, not %s", args[1], got, args[2])
+		s.fatal("applying %s was answered %d, want %s", args[1], got, args[2])
 	}
 }
 
-// expectTree: expect tree NUMBER: in force.
+// expectTree checks "expect tree NUMBER": the number of the quota tree in force.
 func (s *script) expectTree(args []string) {
 	s.t.Helper()
 	if v, err := quota.Decode(s.w.Store.Value(quota.StoreKey)); err != nil || v.Number != int(s.number(args[1])) {
-		s.fatal("the tree is %+v (%v), not number %s", v, err, args[1])
+		s.fatal("the quota tree is %+v (%v), want number %s", v, err, args[1])
 	}
 }
 
-// expectLowered: expect lowered MIN MAX: tasks stopped because a quota was lowered.
+// expectLowered checks "expect lowered MIN MAX": tasks stopped because a quota was lowered.
 func (s *script) expectLowered(args []string) {
 	s.t.Helper()
 	got := 0
-	for why, count := range s.stops {
+	for why, count := range s.stopsByCause {
 		if strings.Contains(why, "was lowered") {
 			got += count
 		}
 	}
 	if got < int(s.number(args[1])) || got > int(s.number(args[2])) {
-		s.fatal("%d tasks were stopped for a lowered quota, not %s to %s", got, args[1], args[2])
+		s.fatal("%d tasks were stopped for a lowered quota, want %s to %s", got, args[1], args[2])
 	}
 }
 
-// expectRun: expect run RUN STATE.
+// expectRun checks "expect run RUN STATE".
 func (s *script) expectRun(args []string) {
 	s.t.Helper()
 	if got := s.runOf(args[1]).State; got != args[2] {
-		s.fatal("%s is %q, not %q: %+v", args[1], got, args[2], s.runOf(args[1]).Status.Steps)
+		s.fatal("%s is %q, want %q: %+v", args[1], got, args[2], s.runOf(args[1]).Status.Steps)
 	}
 }
 
-// expectAnswer: expect answer RUN STATUS: to its last submission.
+// expectAnswer checks "expect answer RUN STATUS": the answer to its last submission.
 func (s *script) expectAnswer(args []string) {
 	s.t.Helper()
 	if got := s.runOf(args[1]).Answer; got != int(s.number(args[2])) {
-		s.fatal("the submission of %s was answered %d, not %s", args[1], got, args[2])
+		s.fatal("the submission of %s was answered %d, want %s", args[1], got, args[2])
 	}
 }
 
-// expectRuns: expect runs FIRST COUNT STATE.
+// expectRuns checks "expect runs FIRST COUNT STATE".
 func (s *script) expectRuns(args []string) {
 	s.t.Helper()
 	first := int(s.number(args[1]))
 	for i := range int(s.number(args[2])) {
 		if r := s.runOf(simulation.RunID(first + i)); r.State != args[3] {
-			s.fatal("%s is %q, not %q: %+v", r.ID, r.State, args[3], r.Status.Steps)
+			s.fatal("%s is %q, want %q: %+v", r.ID, r.State, args[3], r.Status.Steps)
 		}
 	}
 }
 
-// expectStep: expect step RUN STEP STATE [REPEAT].
+// expectStep checks "expect step RUN STEP STATE [REPEAT]".
 func (s *script) expectStep(args []string) {
 	s.t.Helper()
 	found := false
@@ -197,7 +200,7 @@
 		found = true
 		if string(step.Status) != args[3] || len(args) > 4 && strconv.Itoa(step.Repeat) != args[4] {
 			s.fatal(
-				"%s of %s is %s at repeat %d (%s), not %v",
+				"%s of %s is %s at repeat %d (%s), want %v",
 				step.Name,
 				args[1],
 				step.Status,
@@ -212,8 +215,8 @@
 	}
 }
 
-// expectStrandedLine: expect stranded SECONDS: since the calm no job has waited so long with room
-// for it.
+// expectStrandedLine checks "expect stranded SECONDS": since "calm", no job has waited that long
+// although there is room for it.
 func (s *script) expectStrandedLine(args []string) {
 	s.t.Helper()
 	s.expectStranded(args[1])
--- a/internal/scenario/expectations_machines_test.go
+++ b/internal/scenario/expectations_machines_test.go
@@ -19,7 +19,7 @@
 	"upto":     (*script).expectLoans,
 }
 
-// expectMachines: expect machines MAX: rented at present.
+// expectMachines checks "expect machines MAX": machines rented at present.
 func (s *script) expectMachines(args []string) {
 	s.t.Helper()
 	if got := s.w.Cloud.Alive(); got > int(s.number(args[1])) {
@@ -27,7 +27,7 @@
 	}
 }
 
-// expectRented: expect rented MAX: ever rented.
+// expectRented checks "expect rented MAX": machines ever rented.
 func (s *script) expectRented(args []string) {
 	s.t.Helper()
 	if got := s.w.Cloud.Rented; got > int(s.number(args[1])) {
@@ -35,51 +35,51 @@
 	}
 }
 
-// expectRents: expect rents COUNT: at least so many were ever rented.
+// expectRents checks "expect rents MIN": machines ever rented.
 func (s *script) expectRents(args []string) {
 	s.t.Helper()
 	if got := s.w.Cloud.Rented; got < int(s.number(args[1])) {
-		s.fatal("only %d machines were ever rented, not %s", got, args[1])
+		s.fatal("only %d machines were ever rented, want %s", got, args[1])
 	}
 }
 
-// expectLost: expect lost COUNT: machines that were deleted with tasks on them.
+// expectLost checks "expect lost COUNT": machines deleted with tasks on them.
 func (s *script) expectLost(args []string) {
 	s.t.Helper()
 	if got := s.w.Cloud.Lost; got != int(s.number(args[1])) {
-		s.fatal("%d machines were deleted with tasks on them, not %s", got, args[1])
+		s.fatal("%d machines were deleted with tasks on them, want %s", got, args[1])
 	}
 }
 
-// expectAlive: expect dead MACHINE: it was returned.
+// expectAlive checks "expect alive MACHINE" and "expect dead MACHINE": whether the machine exists.
 func (s *script) expectAlive(args []string) {
 	s.t.Helper()
-	if alive := s.w.Agents[s.party(args[1])] != nil; alive != (args[0] == "alive") {
+	if alive := s.w.Agents[s.endpoint(args[1])] != nil; alive != (args[0] == "alive") {
 		s.fatal("machine %s alive: %v", args[1], alive)
 	}
 }
 
-// expectRecords: expect records: none of a machine that is gone for 10 s.
+// expectRecords checks "expect records": no machine that has been gone for 10 s has a record.
 func (s *script) expectRecords(_ []string) {
 	s.t.Helper()
 	for _, machine := range s.w.MachinesGoneFor(10 * time.Second) {
 		if s.w.Store.Value("host/"+machine) != nil {
-			s.fatal("%s is gone and has a record: %s", machine, s.w.Store.Value("host/"+machine))
+			s.fatal("%s is gone but has a record: %s", machine, s.w.Store.Value("host/"+machine))
 		}
 	}
 }
 
-// expectKeptLine: expect kept FIRST COUNT MIN: of these machines of the start so many were not
-// deleted.
+// expectKeptLine checks "expect kept FIRST COUNT MIN": how many of these initial machines still
+// exist.
 func (s *script) expectKeptLine(args []string) {
 	s.t.Helper()
 	s.expectKept(int(s.number(args[1])), int(s.number(args[2])), int(s.number(args[3])))
 }
 
-// expectExpired: expect expired COUNT: leases that ran out under tasks.
+// expectExpired checks "expect expired COUNT": leases that expired on machines with tasks.
 func (s *script) expectExpired(args []string) {
 	s.t.Helper()
 	if got := s.w.Expired; got != int(s.number(args[1])) {
-		s.fatal("%d leases ran out, not %s", got, args[1])
+		s.fatal("%d leases expired, want %s", got, args[1])
 	}
 }
--- a/internal/scenario/expectations_services_test.go
+++ b/internal/scenario/expectations_services_test.go
@@ -1,6 +1,6 @@
 package scenario
 
-// serviceExpectations are about the state service and what reached it.
+// serviceExpectations are about the state service and delayed requests.
 var serviceExpectations = map[string]expectFunc{
 	"late-done":   (*script).expectLateDone,
 	"unheard":     (*script).expectUnheard,
@@ -10,50 +10,51 @@
 	"keys":        (*script).expectKeys,
 }
 
-// expectLateDone: expect late-done MIN: transactions carried out late.
+// expectLateDone checks "expect late-done MIN": transactions executed late.
 func (s *script) expectLateDone(args []string) {
 	s.t.Helper()
 	if got := s.w.LateWritesDone; got < int(s.number(args[1])) {
-		s.fatal("%d transactions were carried out late, fewer than %s", got, args[1])
+		s.fatal("%d transactions were executed late, fewer than %s", got, args[1])
 	}
 }
 
-// expectUnheard: expect unheard MIN: transactions carried out at once without an answer.
+// expectUnheard checks "expect unheard MIN": transactions executed at once whose answer was lost.
 func (s *script) expectUnheard(args []string) {
 	s.t.Helper()
 	if got := s.w.LostWrites; got < int(s.number(args[1])) {
-		s.fatal("%d transactions were carried out without an answer, fewer than %s", got, args[1])
+		s.fatal("%d transactions were executed without an answer, fewer than %s", got, args[1])
 	}
 }
 
-// expectLateCopies: expect late-copies MIN: copies of reports that arrived later.
+// expectLateCopies checks "expect late-copies MIN": duplicate reports that arrived late.
 func (s *script) expectLateCopies(args []string) {
 	s.t.Helper()
 	if got := s.w.LateCopies; got < int(s.number(args[1])) {
-		s.fatal("%d copies of reports arrived, fewer than %s", got, args[1])
+		s.fatal("%d duplicate reports arrived, fewer than %s", got, args[1])
 	}
 }
 
-// expectBeyond: expect beyond MAX: requests that the state service refused for its limits.
+// expectBeyond checks "expect beyond MAX": requests that the state service refused because of its
+// rate limits.
 func (s *script) expectBeyond(args []string) {
 	s.t.Helper()
 	if got := s.w.Store.Refused; got > int(s.number(args[1])) {
-		s.fatal("%d requests went beyond the state service's limits", got)
+		s.fatal("%d requests exceeded the limits of the state service", got)
 	}
 }
 
-// expectPoisoned: expect poisoned MIN MAX: transactions refused for no reason.
+// expectPoisoned checks "expect poisoned MIN MAX": transactions refused by "poison".
 func (s *script) expectPoisoned(args []string) {
 	s.t.Helper()
 	if got := s.w.Store.Poisoned; got < int(s.number(args[1])) || got > int(s.number(args[2])) {
-		s.fatal("%d transactions were refused, not %s to %s", got, args[1], args[2])
+		s.fatal("%d transactions were refused, want %s to %s", got, args[1], args[2])
 	}
 }
 
-// expectKeys: expect keys PREFIX COUNT: of the state service.
+// expectKeys checks "expect keys PREFIX COUNT": keys in the state service.
 func (s *script) expectKeys(args []string) {
 	s.t.Helper()
 	if got := s.w.Store.Count(args[1]); got != int(s.number(args[2])) {
-		s.fatal("%d keys under %s, not %s", got, args[1], args[2])
+		s.fatal("%d keys under %s, want %s", got, args[1], args[2])
 	}
 }
--- a/internal/scenario/expectations_test.go
+++ b/internal/scenario/expectations_test.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// expectFunc checks one expectation; args are the words of its line after "expect".
+// expectFunc checks one expectation; args are the words after "expect".
 type expectFunc func(s *script, args []string)
 
-// expectations has each by its first word.
+// expectations holds all expectations by their first word.
 var expectations = joinExpectations()
 
 func joinExpectations() map[string]expectFunc {
@@ -19,7 +19,7 @@
 	for _, table := range tables {
 		for name, check := range table {
 			if joined[name] != nil {
-				panic(fmt.Sprintf("expectation %q stands in two tables", name))
+				panic(fmt.Sprintf("expectation %q is in two tables", name))
 			}
 			joined[name] = check
 		}
@@ -27,8 +27,8 @@
 	return joined
 }
 
-// expect checks the expectation that its first word names. Any other first word is a job:
-// expect JOB done|cancelled|running|pending|refused.
+// expect checks one expectation. A first word that isn't in expectations is a job: "expect JOB
+// done|cancelled|running|pending|refused".
 func (s *script) expect(args []string) {
 	s.t.Helper()
 	if check := expectations[args[0]]; check != nil {
@@ -40,6 +40,6 @@
 		want = "422"
 	}
 	if got := s.job(args[0]).Status; got != want {
-		s.fatal("%s is %q, not %q", args[0], got, want)
+		s.fatal("%s is %q, want %q", args[0], got, want)
 	}
 }
--- a/internal/scenario/hour_test.go
+++ b/internal/scenario/hour_test.go
@@ -13,15 +13,15 @@
 	"github.com/harrierreel/harrierreel/internal/simulation"
 )
 
-// guaranteeWithin is the bound that is promised: for so long may a task within its
-// team's guarantee wait while others have filled everything, a leader's end (4 s of
-// its lease, a new view) and an outage of 20 s of the state service included.
-const guaranteeWithin = 60 * time.Second
+// maxGuaranteedWait is the promised bound on the wait of a task within its team's guarantee while
+// other teams have filled all machines. It includes a leader failover (a 4 s lease, then a new
+// view) and a 20 s outage of the state service.
+const maxGuaranteedWait = 60 * time.Second
 
-// hourSeconds is how long TestAnHourOfTenants plays.
+// hourSeconds is the simulated duration of the load, in seconds.
 const hourSeconds = 3600
 
-// tenants are those that submit by turns and by chance.
+// tenants are the owners and job classes that submit the random load and the bursts.
 var tenants = []struct{ owner, class string }{
 	{"storefront", "lens"},
 	{"storefront", "tags"},
@@ -32,19 +32,19 @@
 	{"modelli", "score"},
 }
 
-// hourOfTenants is TestAnHourOfTenants under way.
+// hourOfTenants is the state of TestLimitsHoldUnderAnHourOfMixedLoad.
 type hourOfTenants struct {
 	s      *script
 	rng    *rand.Rand
-	count  int                      // of jobs submitted
-	probes map[string]time.Duration // submitted by the team that stays within its guarantee
+	count  int                      // jobs submitted
+	probes map[string]time.Duration // submission times of the jobs of the team within its guarantee
 }
 
 func newHourOfTenants(t *testing.T) *hourOfTenants {
 	t.Helper()
 	w := simulation.NewSimulator(11, slog.New(slog.DiscardHandler))
 	s := &script{t: t, line: "hour", w: w, vars: map[string]string{}, applied: map[string]int{}}
-	w.ReportS = 8 // as on large deployments
+	w.ReportS = 8 // as in large deployments
 	s.set = baseSettings(w)
 	s.set.Cluster.Teams = []settings.Team{
 		{Name: "storefront", Gpus: 8, GpusMax: 40},
@@ -62,12 +62,12 @@
 	for range 10 {
 		w.Cloud.AddRunning("g8", "a", false)
 	}
-	s.stops = w.WatchQuotas(s.set.TeamMap(), nil)
+	s.stopsByCause = w.WatchQuotas(s.set.TeamMap(), nil)
 	w.AddNodes(3, s.set)
 	return &hourOfTenants{s: s, rng: rand.New(rand.NewPCG(1, 2)), probes: map[string]time.Duration{}}
 }
 
-// submit hands in one job and gives its id.
+// submit submits one job and returns its ID.
 func (h *hourOfTenants) submit(owner, class, shape string, pieces int, run float64) string {
 	h.count++
 	jobID := fmt.Sprintf("wk-%06d", h.count)
@@ -86,8 +86,8 @@
 	return jobID
 }
 
-// submitMix hands in what comes at a second: bursts of one tenant after another, for minutes,
-// on top of a steady mix.
+// submitMix submits the jobs of one second: a steady random mix, replaced in the second half of
+// every ten minutes by a burst of one tenant.
 func (h *hourOfTenants) submitMix(at int) {
 	if at < hourSeconds-900 && h.rng.IntN(10) == 0 {
 		x := tenants[h.rng.IntN(len(tenants))]
@@ -99,7 +99,7 @@
 			shape, pieces = "ensemble", 2
 		}
 		run := float64(10 + h.rng.IntN(150))
-		if x.class == "audit" { // two at a time, which is all that it may have
+		if x.class == "audit" { // its limit allows two at a time
 			shape, pieces, run = "sweep", 1+h.rng.IntN(2), 20
 		}
 		h.submit(x.owner, x.class, shape, pieces, run)
@@ -110,7 +110,7 @@
 	h.fillBeforeLowering(at)
 }
 
-// fillBeforeLowering has all in use that a limit is about to allow less of.
+// fillBeforeLowering submits enough work to use the limits that are about to be lowered.
 func (h *hourOfTenants) fillBeforeLowering(at int) {
 	if at == 940 || at == 1440 {
 		for _, x := range tenants {
@@ -121,8 +121,9 @@
 	}
 }
 
-// disturb ends controllers, has outages and applies other limits, each at its second.
-func (h *hourOfTenants) disturb(at int) {
+// injectFaults crashes controllers, takes the state service down and applies other quota trees at
+// fixed times.
+func (h *hourOfTenants) injectFaults(at int) {
 	switch at % 400 {
 	case 150:
 		h.s.w.Nodes[h.s.w.NodeNames[at/400%3]].Crash()
@@ -152,27 +153,27 @@
 	}
 }
 
-// checkWaits checks how long the team that stays within its guarantee waited, and gives the
-// waits in order.
+// checkWaits checks the waits of the team that stays within its guarantee, and returns them in
+// ascending order.
 func (h *hourOfTenants) checkWaits(t *testing.T) []time.Duration {
 	t.Helper()
 	var waits []time.Duration
 	for jobID, at := range h.probes {
 		j := h.s.w.Jobs[jobID]
 		if j.FirstStart.IsZero() {
-			t.Errorf("%s of the guaranteed team never ran", jobID)
+			t.Errorf("job %s of the team within its guarantee never started", jobID)
 			continue
 		}
 		waits = append(waits, j.FirstStart.Sub(h.s.w.Start)-at)
 	}
 	slices.Sort(waits)
-	if longest := waits[len(waits)-1]; longest > guaranteeWithin {
+	if longest := waits[len(waits)-1]; longest > maxGuaranteedWait {
 		t.Errorf("a task within its team's guarantee waited for %v", longest)
 	}
 	return waits
 }
 
-// checkAllDone checks that in the end no job is left.
+// checkAllDone checks that every job is done.
 func (h *hourOfTenants) checkAllDone(t *testing.T) {
 	t.Helper()
 	open := 0
@@ -187,10 +188,11 @@
 	}
 }
 
-// checkStops checks that a lowered limit stopped tasks, and counts those and the others.
+// checkStops checks that a lowered limit stopped tasks, and returns how many tasks were stopped for
+// that and for other causes.
 func (h *hourOfTenants) checkStops(t *testing.T) (lowered, others int) {
 	t.Helper()
-	for why, count := range h.s.stops {
+	for why, count := range h.s.stopsByCause {
 		if len(why) > 8 && why[:8] == "quota of" {
 			lowered += count
 		} else {
@@ -198,31 +200,31 @@
 		}
 	}
 	if lowered == 0 {
-		t.Error("nothing was stopped for a lowered limit: the hour tests nothing")
+		t.Error("no task was stopped for a lowered limit: the test exercises nothing")
 	}
 	return lowered, others
 }
 
-// TestAnHourOfTenants plays an hour of mixed submissions of three levels of tenants,
-// more than there is room for, with controllers that end, outages and two lowered
-// limits. At every commit all limits hold (Store.Committed, not one task above);
-// whatever is stopped has a cause; a team that stays within its guarantee is served
-// within the bound; and in the end everything is done.
-func TestAnHourOfTenants(t *testing.T) {
+// TestLimitsHoldUnderAnHourOfMixedLoad submits more work than fits, for an hour, from tenants on
+// three levels of the quota tree, with controller crashes, outages and two lowered limits. All
+// limits hold at every commit (Store.Committed), by not even one task; every stopped task has a
+// cause; a team within its guarantee starts within maxGuaranteedWait; and every job is done in the
+// end.
+func TestLimitsHoldUnderAnHourOfMixedLoad(t *testing.T) {
 	t.Parallel()
 	h := newHourOfTenants(t)
 	s, w := h.s, h.s.w
 	for at := 5; at < hourSeconds; at++ {
 		w.RunUntil(time.Duration(at) * time.Second)
 		h.submitMix(at)
-		h.disturb(at)
+		h.injectFaults(at)
 	}
 	w.RunUntil(hourSeconds * time.Second)
 	for _, b := range w.Broken {
 		t.Error(b)
 	}
 	if len(s.applied) != 3 || s.applied["less"] != 200 || s.applied["least"] != 200 || s.applied["back"] != 200 {
-		t.Errorf("trees were answered %v", s.applied)
+		t.Errorf("statuses of the applied quota trees: %v", s.applied)
 	}
 	waits := h.checkWaits(t)
 	h.checkAllDone(t)
--- a/internal/scenario/late_pairs_test.go
+++ b/internal/scenario/late_pairs_test.go
@@ -8,28 +8,28 @@
 	"github.com/harrierreel/harrierreel/internal/settings"
 )
 
-// Worlds in which lost answers and held reports meet each other kind of trouble:
+// Simulations in which lost answers or held reports meet each other kind of fault:
 //
 //	go test ./internal/scenario -run TestLatePairs -timeout 60m -late-pairs 200 -late-pairs-from 0
 var (
-	latePairs    = flag.Int("late-pairs", 1, "worlds with lost answers or held reports")
+	latePairs    = flag.Int("late-pairs", 1, "number of simulations with lost answers or held reports")
 	latePairFrom = flag.Int(
 		"late-pairs-from",
 		166,
-		"seed of the first; in 166 two gangs were claimed with room for one (docs/incidents/claimed-gangs.md)",
+		"first seed; with 166 two gangs were claimed with room for one (docs/incidents/claimed-gangs.md)",
 	)
 )
 
-// TestLatePairs judges them as TestPairs does.
+// TestLatePairs applies the checks of TestPairs to lostAnswers and heldReports.
 func TestLatePairs(t *testing.T) {
-	kinds := append(append([]trouble{}, troubles...), lostAnswers, heldReports)
-	var pairs [][2]trouble
+	kinds := append(append([]fault{}, faultKinds...), lostAnswers, heldReports)
+	var pairs [][2]fault
 	for i := range kinds {
 		if i != len(kinds)-2 {
-			pairs = append(pairs, [2]trouble{lostAnswers, kinds[i]})
+			pairs = append(pairs, [2]fault{lostAnswers, kinds[i]})
 		}
 		if i != len(kinds)-1 {
-			pairs = append(pairs, [2]trouble{heldReports, kinds[i]})
+			pairs = append(pairs, [2]fault{heldReports, kinds[i]})
 		}
 	}
 	for seed := *latePairFrom; seed < *latePairFrom+*latePairs; seed++ {
--- a/internal/scenario/late_test.go
+++ b/internal/scenario/late_test.go
@@ -5,48 +5,48 @@
 	"time"
 )
 
-// late begins transactions and reports that come late, for so many seconds:
+// delayVerb delays or duplicates transactions and reports for SECONDS:
 //
 //	late-writes SHARE SECONDS           that share of transactions gets no answer and is
-//	                                    carried out 2 to 12 s later, after newer ones
-//	late-writes SHARE SECONDS at-once   it is carried out at once, only its answer is lost
+//	                                    executed 2 to 12 s later, after newer ones
+//	late-writes SHARE SECONDS at-once   it is executed at once, only its answer is lost
 //	late-reports SHARE SECONDS          a copy of that share of the workers' reports arrives
-//	                                    again at the same node, 2 s to 1.5 leases later
-//	late-reports SHARE SECONDS for-next the copy is kept for the next leader, and arrives
-//	                                    there once that has acted
-//	late-reports SHARE SECONDS for-all  it arrives at every controller just as the next
-//	                                    leader begins
-func (s *script) late(verb string, args []string) {
-	share, long := s.number(args[0]), time.Duration(s.number(args[1])*float64(time.Second))
+//	                                    at the same controller, 2 s to 1.5 leases later
+//	late-reports SHARE SECONDS for-next the copy is held for the next leader, and arrives
+//	                                    there after the leader has acted
+//	late-reports SHARE SECONDS for-all  the copy arrives at every controller just as the
+//	                                    next leader takes over
+func (s *script) delayVerb(verb string, args []string) {
+	share, duration := s.number(args[0]), time.Duration(s.number(args[1])*float64(time.Second))
 	how := ""
 	if len(args) > 2 {
 		how = args[2]
 	}
 	switch verb + " " + how {
 	case "late-writes ":
-		s.w.LateWrites(share, long)
+		s.w.LateWrites(share, duration)
 	case "late-writes at-once":
-		s.w.LostAnswers(share, long)
+		s.w.LostAnswers(share, duration)
 	case "late-reports ":
-		s.w.LateReports(share, long)
+		s.w.LateReports(share, duration)
 	case "late-reports for-next":
-		s.w.HoldReports(share, false, long)
+		s.w.HoldReports(share, false, duration)
 	case "late-reports for-all":
-		s.w.HoldReports(share, true, long)
+		s.w.HoldReports(share, true, duration)
 	default:
 		s.fatal("unknown %s %q", verb, how)
 	}
 }
 
-// lostAnswers has transactions carried out at once and their answers lost.
-var lostAnswers = trouble{
+// lostAnswers has transactions executed at once but loses their answers.
+var lostAnswers = fault{
 	"lost answers",
 	func(s *script, _ string, d time.Duration) { s.w.LostAnswers(0.1+0.5*s.w.RNG.Float64(), d) },
 }
 
-// heldReports has reports come again at the next leader, or everywhere as it begins. The
-// leader ends a while later, so that there is a next one.
-var heldReports = trouble{"held reports", func(s *script, leader string, d time.Duration) {
+// heldReports delivers copies of reports to the next leader, or to all controllers as it takes
+// over. It crashes the leader a while later, so that there is a next one.
+var heldReports = fault{"held reports", func(s *script, leader string, d time.Duration) {
 	w := s.w
 	w.HoldReports(0.2+0.8*w.RNG.Float64(), w.RNG.IntN(2) == 0, d)
 	w.After(time.Duration(w.RNG.Int64N(int64(2*d))), func() {
@@ -55,12 +55,12 @@
 	})
 }}
 
-// look-at FIRST COUNT EVERY SECONDS: each EVERY seconds, for so long, one of these jobs is
-// asked about and submitted again at every controller.
+// lookAt executes "look-at FIRST COUNT EVERY SECONDS": every EVERY seconds, for that long, one
+// random job of these is polled and submitted again at every controller.
 func (s *script) lookAt(args []string) {
 	w, first, count := s.w, int(s.number(args[0])), int(s.number(args[1]))
-	every, long := s.number(args[2]), s.number(args[3])
-	for at := 0.0; at < long; at += every {
+	every, duration := s.number(args[2]), s.number(args[3])
+	for at := 0.0; at < duration; at += every {
 		w.After(time.Duration(at*float64(time.Second)), func() {
 			j := w.Jobs[fmt.Sprintf("wk-%06d", first+w.RNG.IntN(count))]
 			if j == nil || !j.Accepted {
--- a/internal/scenario/lead_test.go
+++ b/internal/scenario/lead_test.go
@@ -6,17 +6,17 @@
 	"github.com/harrierreel/harrierreel/internal/simulation"
 )
 
-// leadVerb:
+// leaderVerb executes the verbs about changes of leader:
 //
-//	end-leader MOMENT COUNT BACK: the leader ends at each of the next COUNT such moments
-//	(standin.RentDone and those beside it) and is back BACK seconds later
-//	lead-changes COUNT EVERY crash|leave|freeze|mixed BACK: whoever leads ends, is asked to
-//	end or stands still, COUNT times, and is back BACK seconds later
-//	cut-zone ZONE NODE, heal-zone ZONE: a zone with its machines and a controller is cut off
-//	end-as-it-leads COUNT: each of the next COUNT leaders ends within 5 ms of its first
-//	moment as leader, before it decides anything, and stays away; "expect ended COUNT"
-//	mark: what happens from here on is counted by "expect since"
-func (s *script) leadVerb(verb string, args []string) {
+//	end-leader MOMENT COUNT BACK: the leader crashes at each of the next COUNT events of that
+//	kind (simulation.RentDone and those beside it) and restarts BACK seconds later
+//	lead-changes COUNT EVERY crash|leave|freeze|mixed BACK: COUNT times, the current leader
+//	crashes, is shut down or is paused, and is back BACK seconds later
+//	cut-zone ZONE NODE, heal-zone ZONE: a zone with its machines and one controller is cut off
+//	end-as-it-leads COUNT: each of the next COUNT leaders crashes within 5 ms of becoming
+//	leader, before it decides anything, and stays down; "expect ended COUNT"
+//	mark: "expect since" counts from here on
+func (s *script) leaderVerb(verb string, args []string) {
 	w := s.w
 	switch verb {
 	case "end-leader":
@@ -33,7 +33,7 @@
 		for i := range int(s.number(args[0])) {
 			w.After(time.Duration(i)*s.seconds(args[1]), func() {
 				if leader := w.Leader(); leader != "" {
-					s.endsAs(leader, args[2], back)
+					s.stopController(leader, args[2], back)
 				}
 			})
 		}
@@ -42,28 +42,28 @@
 	case "heal-zone":
 		w.HealZone(args[0])
 	case "end-as-it-leads":
-		s.endAsItLeads(w.Leader(), int(s.number(args[0])))
+		s.crashNextLeaders(w.Leader(), int(s.number(args[0])))
 	case "mark":
-		s.marked = w.Tally()
+		s.tallyAtMark = w.Tally()
 	}
 }
 
-// endAsItLeads has each of the next leaders end as soon as it leads.
-func (s *script) endAsItLeads(former string, left int) {
+// crashNextLeaders crashes each of the next leaders as soon as it leads.
+func (s *script) crashNextLeaders(former string, left int) {
 	if left == 0 {
 		return
 	}
 	leader := s.w.Leader()
 	if leader != "" && leader != former {
 		s.w.Nodes[leader].Crash()
-		s.endedLeads++
+		s.crashedLeaders++
 		former, left = leader, left-1
 	}
-	s.w.After(5*time.Millisecond, func() { s.endAsItLeads(former, left) })
+	s.w.After(5*time.Millisecond, func() { s.crashNextLeaders(former, left) })
 }
 
-// endsAs has a controller go in one of the ways in which one does.
-func (s *script) endsAs(name, how string, back time.Duration) {
+// stopController crashes, shuts down or pauses a controller.
+func (s *script) stopController(name, how string, back time.Duration) {
 	n := s.w.Nodes[name]
 	if how == "mixed" {
 		how = []string{"crash", "leave", "freeze"}[s.w.RNG.IntN(3)]
@@ -77,16 +77,17 @@
 		n.Freeze(back)
 		return
 	default:
-		s.fatal("%q is no way to end", how)
+		s.fatal("unknown way to stop a controller %q", how)
 	}
 	s.w.After(back, n.Boot)
 }
 
+// seconds parses a duration in seconds.
 func (s *script) seconds(text string) time.Duration {
 	return time.Duration(s.number(text) * float64(time.Second))
 }
 
-// countSince is how many there were of something between two tallies.
+// countSince returns the difference between two tallies for one counter.
 func (s *script) countSince(what string, now, was simulation.Tally) int {
 	s.t.Helper()
 	switch what {
@@ -107,26 +108,31 @@
 	case "starts":
 		return now.Starts - was.Starts
 	}
-	s.fatal("%q is not counted", what)
+	s.fatal("unknown counter %q", what)
 	return 0
 }
 
-// expectLead: expect since changes|requests|refused|rents|deletes|orders|views|starts MAX
-// (from the last mark on), expect least views MIN (so many changes of it since the mark),
-// expect tokens COUNTER (no machine has seen one of no view, or a counter above this),
-// expect recorded SECONDS (no machine that has been up for so long lacks a record).
+// expectLead checks the expectations about changes of leader:
+//
+//	expect since changes|requests|refused|rents|deletes|orders|views|starts MAX: at most MAX
+//	since the last mark
+//	expect least COUNTER MIN: at least MIN since the last mark
+//	expect tokens COUNTER: no machine has seen a token of no view, or one whose counter is
+//	above COUNTER
+//	expect recorded SECONDS: every machine that has been up for that long has a record
+//	expect ended COUNT: leaders that end-as-it-leads crashed
 func (s *script) expectLead(args []string) {
 	s.t.Helper()
-	now, was := s.w.Tally(), s.marked
+	now, was := s.w.Tally(), s.tallyAtMark
 	count := func(what string) int {
 		s.t.Helper()
 		return s.countSince(what, now, was)
 	}
-	s.t.Logf("%s: %+v, marked at %+v", s.line, now, was)
+	s.t.Logf("%s: %+v, at the mark %+v", s.line, now, was)
 	switch args[0] {
 	case "ended":
-		if got := s.endedLeads; got != int(s.number(args[1])) {
-			s.fatal("%d leaders ended as they came to lead, not %s", got, args[1])
+		if got := s.crashedLeaders; got != int(s.number(args[1])) {
+			s.fatal("%d leaders crashed as they took over, want %s", got, args[1])
 		}
 	case "since":
 		if got := count(args[1]); got > int(s.number(args[2])) {
@@ -138,7 +144,7 @@
 		}
 	case "tokens":
 		for _, machine := range s.w.WrongTokens(uint64(s.number(args[1]))) {
-			s.fatal("%s has seen a token out of range under epoch %d", machine, s.w.Epoch())
+			s.fatal("%s has seen a token out of range at epoch %d", machine, s.w.Epoch())
 		}
 	case "recorded":
 		for _, machine := range s.w.Unrecorded(s.seconds(args[1])) {
--- a/internal/scenario/lending_test.go
+++ b/internal/scenario/lending_test.go
@@ -8,7 +8,7 @@
 	"github.com/harrierreel/harrierreel/internal/sharding"
 )
 
-// watchLoans has the rules of loans checked.
+// watchLoans checks the invariants of lending.
 func (s *script) watchLoans() {
 	guarantee := map[string]float64{}
 	for _, team := range s.set.Cluster.Teams {
@@ -17,7 +17,7 @@
 	s.w.WatchLoans(guarantee)
 }
 
-// verbIsolatedEnds: isolated-ends: the machines of the start are cut no more.
+// verbIsolatedEnds executes "isolated-ends": all initial machines are reachable again.
 func (s *script) verbIsolatedEnds(_ []string) {
 	for _, h := range s.machines {
 		s.w.Heal(h, "*")
@@ -25,10 +25,17 @@
 	}
 }
 
-// loanVerb: end-on, freeze-on STATE leader|owner|others|all [SECONDS], hang-on, die-on, notice-on
-// STATE, cut-on (its machine from all), outage-on STATE SECONDS, abort-on STATE JOB: once the
-// first loan comes to a state, or "told": a gang's first task is told to stop. Controllers that
-// end or stand still are back after SECONDS, 4 if none are given.
+// loanVerb executes the verbs that trigger a fault once the first loan reaches STATE, or, for
+// "told", once the first task of a gang is told to stop:
+//
+//	end-on STATE leader|owner|others|all [SECONDS]     controllers crash
+//	freeze-on STATE leader|owner|others|all [SECONDS]  controllers are paused
+//	hang-on, die-on, notice-on STATE                   the loan's machine hangs, dies, is reclaimed
+//	cut-on STATE SECONDS                               the loan's machine is cut off from all
+//	outage-on STATE SECONDS                            the state service is down
+//	abort-on STATE JOB                                 the job is cancelled
+//
+// Controllers are back after SECONDS, or 4 s by default.
 func (s *script) loanVerb(verb string, args []string) {
 	w := s.w
 	w.Loans.On[args[0]] = func(machine string) {
@@ -56,14 +63,14 @@
 			if len(args) > 2 {
 				back = s.number(args[2])
 			}
-			s.endOrFreeze(verb, args[1], machine, time.Duration(back*float64(time.Second)))
+			s.crashOrFreeze(verb, args[1], machine, time.Duration(back*float64(time.Second)))
 		}
 	}
 }
 
-// endOrFreeze has controllers end, or stand still, for so long: all, the leader, the owner of
-// a machine or those that are neither.
-func (s *script) endOrFreeze(verb, which, machine string, back time.Duration) {
+// crashOrFreeze crashes or pauses controllers for a while: all, the leader, the owner of a machine,
+// or those that are neither.
+func (s *script) crashOrFreeze(verb, which, machine string, back time.Duration) {
 	w := s.w
 	owner := ""
 	if v, ok := members.Decode(w.Store.Value(members.ViewKey)); ok {
@@ -82,8 +89,8 @@
 	}
 }
 
-// loansIn counts the loans in a state, or all, or those that are open.
-func (s *script) loansIn(state string) int {
+// countLoans returns the number of loans in a state, or of all or the open ones.
+func (s *script) countLoans(state string) int {
 	count := 0
 	for _, l := range s.w.Loans.Ledger() {
 		if state == "all" || state == "open" && !l.State.Over() ||
@@ -94,15 +101,15 @@
 	return count
 }
 
-// expectLoans: expect loans STATE|open|all MIN MAX, expect used TEAM MIN MAX (its tasks
-// on machines, in accelerators), expect upto JOB MIN (its tasks on machines), expect
-// gangs saved|fell MIN MAX.
+// expectLoans checks "expect loans STATE|open|all MIN MAX", "expect used TEAM MIN MAX"
+// (accelerators of its tasks on machines), "expect upto JOB MIN" (its tasks on machines) and
+// "expect gangs saved|fell MIN MAX" (gangs that were stopped with, or without, a save).
 func (s *script) expectLoans(args []string) {
 	s.t.Helper()
 	got := 0
 	switch args[0] {
 	case "loans":
-		got = s.loansIn(args[1])
+		got = s.countLoans(args[1])
 	case "used":
 		for jobID, j := range s.w.Jobs {
 			if j.Team == args[1] {
@@ -117,6 +124,6 @@
 		}
 	}
 	if got < int(s.number(args[2])) || len(args) > 3 && got > int(s.number(args[3])) {
-		s.fatal("%v: %d, not %v; %+v", args, got, args[2:], s.w.Loans.Ledger())
+		s.fatal("%v: got %d, want %v; loans %+v", args, got, args[2:], s.w.Loans.Ledger())
 	}
 }
--- a/internal/scenario/looks_test.go
+++ b/internal/scenario/looks_test.go
@@ -8,29 +8,29 @@
 	"github.com/harrierreel/harrierreel/internal/jobs"
 )
 
-// closeLooks and cancelAtEnd are kinds of trouble for pairs (troubles).
+// pollBursts and cancelAtEnd are faults of TestBesidePairs.
 var (
-	closeLooks = trouble{"close looks", func(s *script, _ string, d time.Duration) { s.w.PollInBursts(d) }}
+	pollBursts = fault{"burst polls", func(s *script, _ string, d time.Duration) { s.w.PollInBursts(d) }}
 
-	cancelAtEnd = trouble{"cancelled at the end", func(s *script, _ string, d time.Duration) {
+	cancelAtEnd = fault{"cancelled at the end", func(s *script, _ string, d time.Duration) {
 		s.w.CancelAtEnd(0.2+0.8*s.w.RNG.Float64(), d)
 	}}
 )
 
-// looksVerb carries out the verbs of users who look closely.
-func (s *script) looksVerb(verb string, args []string) {
+// pollVerb executes the verbs about users who poll in bursts or cancel as jobs end.
+func (s *script) pollVerb(verb string, args []string) {
 	seconds := func(i int) time.Duration { return time.Duration(s.number(args[i]) * float64(time.Second)) }
 	switch verb {
-	case "close-looks": // close-looks SECONDS: for so long users ask at all controllers around each acceptance and end
+	case "close-looks": // close-looks SECONDS: users poll all controllers around each acceptance and end
 		s.w.PollInBursts(seconds(0))
-	case "cancel-at-end": // cancel-at-end SHARE SECONDS: for so long that share of the jobs that end is called off then
+	case "cancel-at-end": // cancel-at-end SHARE SECONDS: that share of jobs is cancelled just as it ends
 		s.w.CancelAtEnd(s.number(args[0]), seconds(1))
-	case "look-all": // look-all: every controller is asked about every accepted job, within 5 s
+	case "look-all": // look-all: every accepted job is polled at every controller within 5 s
 		s.w.PollAll()
 	}
 }
 
-// expectOneEnd checks that each of these jobs has one end, which its user was told.
+// expectOneEnd checks that each of these jobs has one final state, and that its user was told it.
 func (s *script) expectOneEnd(args []string) {
 	s.t.Helper()
 	first := int(s.number(args[1]))
@@ -38,7 +38,7 @@
 		j := s.job(fmt.Sprintf("wk-%06d", first+i))
 		var f jobs.Final
 		if json.Unmarshal(s.w.Store.Value(jobs.FinalPrefix+j.ID), &f) != nil || j.Status != string(f.State) {
-			s.fatal("%s was told %q, its end is %q", j.ID, j.Status, f.State)
+			s.fatal("the user of %s was told %q, its final state is %q", j.ID, j.Status, f.State)
 		}
 	}
 }
--- a/internal/scenario/measure_test.go
+++ b/internal/scenario/measure_test.go
@@ -18,20 +18,20 @@
 	"github.com/harrierreel/harrierreel/internal/simulation"
 )
 
-// Size of the measurement: runs that live at once, and how they come.
+// Load of BenchmarkRuns: the number of concurrent pipeline runs, and how they arrive.
 const (
 	measuredRuns  = 1000
 	measuredEvery = 150 * time.Millisecond
-	measuredStep  = 150 // seconds of a step's job
+	measuredStep  = 150 // duration of a step's job in seconds
 	measuredSteps = 4
 	killEvery     = 20 * time.Second
 	killFor       = 4 * time.Second
 )
 
-// BenchmarkRuns plays 1,000 live runs on five stand-in controllers within the
-// limits of a fleet's state service, and reports what a step costs and how long
-// the next one waits. In simulated time: the figures repeat, but for ns/op,
-// which is the time it takes to play. With kills a controller ends every 20 s.
+// BenchmarkRuns plays 1,000 concurrent pipeline runs on five simulated controllers within the rate
+// limits of a fleet's state service. It reports the writes and requests per step, and the time from
+// a step's end to the next step's submission. With kills, a controller crashes every 20 s. All in
+// simulated time, so the figures are reproducible, except ns/op, the real time of the simulation.
 //
 //	go test ./internal/scenario -run '^$' -bench Runs -benchtime 1x
 func BenchmarkRuns(b *testing.B) {
@@ -44,7 +44,7 @@
 	}
 }
 
-// chainFile is a pipeline file of measuredSteps steps, each of which needs the one before.
+// chainFile returns a pipeline file of measuredSteps steps, each of which needs the previous one.
 func chainFile() []byte {
 	var text strings.Builder
 	text.WriteString("name: chain\nowner: team\n")
@@ -60,16 +60,16 @@
 	return []byte(text.String())
 }
 
-// runMeasurement is what is measured of the runs of a world.
+// runMeasurement records when steps end and the next ones are submitted.
 type runMeasurement struct {
 	w     *simulation.Simulator
-	gaps  *hdrhistogram.Histogram // between a step's end and the next one's job, in ms
-	ended map[string]time.Time    // uid to its end
-	after map[string]string       // uid to the job before it
-	kinds map[string]int          // changes by the kind of their key
+	gaps  *hdrhistogram.Histogram // from a step's end to the next step's job, in ms
+	ended map[string]time.Time    // end of each job
+	after map[string]string       // job of the previous step, by job
+	kinds map[string]int          // writes by the first part of their key
 }
 
-// newRunMeasurement is a world with the controllers and machines of the measurement.
+// newRunMeasurement returns a simulation with the controllers and machines of BenchmarkRuns.
 func newRunMeasurement() *runMeasurement {
 	w := simulation.NewSimulator(5, slog.New(slog.DiscardHandler))
 	set := baseSettings(w)
@@ -94,7 +94,7 @@
 	return m
 }
 
-// committed notes one change.
+// committed records one write.
 func (m *runMeasurement) committed(key string, v json.RawMessage) {
 	kind, name, _ := strings.Cut(key, "/")
 	m.kinds[kind]++
@@ -116,7 +116,7 @@
 	}
 }
 
-// killer has a controller end every killEvery and be back killFor later.
+// killer crashes a controller every killEvery and restarts it killFor later.
 type killer struct {
 	next   time.Duration
 	victim int
@@ -133,8 +133,8 @@
 	k.victim++
 }
 
-// runsOver counts the runs that have ended.
-func runsOver(w *simulation.Simulator) int {
+// finishedRuns returns the number of runs that have ended.
+func finishedRuns(w *simulation.Simulator) int {
 	over := 0
 	for _, r := range w.Runs {
 		if pipelines.RunState(r.State).Over() {
@@ -166,7 +166,7 @@
 			kills.step(w, at)
 		}
 		w.RunUntil(at)
-		over = runsOver(w)
+		over = finishedRuns(w)
 		most = max(most, w.Store.Count(pipelines.RunPrefix))
 	}
 	if over < measuredRuns || len(w.Broken) > 0 {
--- a/internal/scenario/messages_test.go
+++ b/internal/scenario/messages_test.go
@@ -27,28 +27,28 @@
 var (
 	digestsTo      = flag.String("digests", "", "file that TestScenarioDigests writes")
 	digestsAgainst = flag.String("against", "", "file that TestScenarioDigests compares with")
-	messagesTo     = flag.String("messages", "", "directory in which TestScenarioDigests lists each scenario's messages")
+	messagesTo     = flag.String("messages", "", "directory in which TestScenarioDigests lists the messages")
 )
 
-// messagesSum is what was recorded of all scenarios, a line "NAME MESSAGES DIGEST" each.
+// messagesSum records one line "NAME MESSAGES DIGEST" per scenario.
 const messagesSum = "testdata/messages.sum"
 
-// courseVaries are scenarios of which two plays of the same program differ, with the cause.
-// Their lines have "varies" for the digest, so that only the number of messages is held
-// against the record.
-var courseVaries = map[string]string{
+// nondeterministic lists the scenarios of which two runs of the same program differ, with the
+// cause. Their lines have "varies" instead of the digest, so that only the number of messages is
+// compared.
+var nondeterministic = map[string]string{
 	"meet-cut-leader-answers": "StopRelay.relayToMachines asks the machines of a job's tasks in the order of a map",
 }
 
-// TestScenarioDigests is a command for changes that only rename, move or split: it plays
-// every scenario as TestScenarios does and sums up all that the controllers send and
-// have, in order and with its time (simulation.Message; logs are no messages). With -digests
-// FILE it writes the sums; with -against FILE it fails at each scenario that took another
-// course. -messages DIR lists the messages, to see the first that differs. What a
-// scenario itself expects is for TestScenarios: one that fails is summed up to there.
+// TestScenarioDigests is a command for refactorings, which must not change what controllers do: it
+// runs every scenario as TestScenarios does and computes a digest of all messages that controllers
+// send and receive, in order and with their times (simulation.Message; logs aren't messages). With
+// -digests FILE it writes the digests; with -against FILE it fails for each scenario whose digest
+// differs. -messages DIR lists the messages, to find the first difference. A scenario that fails
+// its own checks is digested up to the failure; TestScenarios reports the failure itself.
 func TestScenarioDigests(t *testing.T) {
 	if *digestsTo == "" && *digestsAgainst == "" {
-		t.Skip("a command: takes -digests FILE or -against FILE")
+		t.Skip("a command: needs -digests FILE or -against FILE")
 	}
 	var recorded map[string]string
 	if *digestsAgainst != "" {
@@ -61,7 +61,7 @@
 		t.Fatal("no scenarios", err)
 	}
 	known := map[string]bool{}
-	one := func(name, file string, batching settings.TaskBatching) {
+	addScenario := func(name, file string, batching settings.TaskBatching) {
 		known[name] = true
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -70,11 +70,11 @@
 			lines[name] = line
 			mu.Unlock()
 			if recorded != nil && recorded[name] != line {
-				t.Errorf("took another course:\n%s\nrecorded:\n%s", line, recorded[name])
+				t.Errorf("messages differ:\n%s\nrecorded:\n%s", line, recorded[name])
 			}
 		})
 	}
-	// The cleanup runs once all scenarios, which are parallel, have ended.
+	// The cleanup runs after all parallel subtests have ended.
 	t.Cleanup(func() {
 		if *digestsTo == "" {
 			return
@@ -89,19 +89,19 @@
 	})
 	for _, f := range files {
 		name := strings.TrimSuffix(filepath.Base(f), ".txt")
-		one(name, f, settings.BatchingWhenScarce)
-		if !packed(t, f) {
-			one(name+"-packed", f, settings.BatchingAlways)
+		addScenario(name, f, settings.BatchingWhenScarce)
+		if !exceedsWriteRate(t, f) {
+			addScenario(name+"-packed", f, settings.BatchingAlways)
 		}
 	}
 	for name := range recorded {
 		if !known[name] {
-			t.Errorf("%s is recorded and there is no such scenario", name)
+			t.Errorf("recorded scenario %s does not exist", name)
 		}
 	}
 }
 
-// TestMessagesAsRecorded does the same for the scenarios whose decisions are recorded.
+// TestMessagesAsRecorded compares the digests of the scenarios in decisions.sum with messages.sum.
 func TestMessagesAsRecorded(t *testing.T) {
 	recorded := readDigests(t, messagesSum)
 	for name := range readDigests(t, "testdata/decisions.sum") {
@@ -109,13 +109,13 @@
 			t.Parallel()
 			line := digest(t, name, filepath.Join("testdata", name+".txt"), settings.BatchingWhenScarce)
 			if recorded[name] != line {
-				t.Errorf("took another course:\n%s\nrecorded:\n%s", line, recorded[name])
+				t.Errorf("messages differ:\n%s\nrecorded:\n%s", line, recorded[name])
 			}
 		})
 	}
 }
 
-// readDigests reads the lines of a file by their first word.
+// readDigests reads the lines of a file, by their first word.
 func readDigests(t *testing.T, file string) map[string]string {
 	t.Helper()
 	f, err := os.Open(file)
@@ -135,7 +135,7 @@
 	return lines
 }
 
-// digest plays a scenario and gives its line "NAME MESSAGES DIGEST".
+// digest runs a scenario and returns its line "NAME MESSAGES DIGEST".
 func digest(t *testing.T, name, file string, batching settings.TaskBatching) string {
 	t.Helper()
 	h := blake3.New(16, nil)
@@ -153,39 +153,40 @@
 		}()
 		out = io.MultiWriter(h, buffered)
 	}
-	count, named := 0, numbers{}
+	count, order := 0, idOrder{}
 	played := make(chan struct{})
-	go func() { // its own, which a scenario that fails ends
+	go func() { // a failing scenario calls runtime.Goexit, which must end this goroutine only
 		defer close(played)
-		runTelling(&onlyLogs{t}, file, batching, nil, func(m simulation.Message) {
+		playObserved(&logOnlyTB{t}, file, batching, nil, func(m simulation.Message) {
 			count++
 			if m.Kind == simulation.GossipSent || m.Kind == simulation.GossipReceived {
-				m.Body = named.replace(m.Body)
+				m.Body = order.replace(m.Body)
 			}
-			// A hash takes all; what a file doesn't take is told by Flush.
+			// A hash never fails; Flush reports the errors of the file.
 			_, _ = fmt.Fprintf(out, "%d %s %s %d %s %s %s %d %d %d %v %s\n",
 				m.At, m.Node, m.Kind, m.Number, m.Party, m.Method, m.Target, m.Timeout, m.Status, m.RetryAfter, m.Err, m.Body)
 		})
 	}()
 	<-played
-	if why := courseVaries[name]; why != "" {
-		t.Logf("not deterministic: %s", why)
+	if why := nondeterministic[name]; why != "" {
+		t.Logf("nondeterministic: %s", why)
 		return fmt.Sprintf("%s %d varies", name, count)
 	}
 	return fmt.Sprintf("%s %d %s", name, count, hex.EncodeToString(h.Sum(nil)))
 }
 
-// drawnNumber is a number of a process or of a question in a line between controllers.
-var drawnNumber = regexp.MustCompile(`"(inc|nonce)":[0-9]{10,}`)
+// randomID matches the incarnation of a process or the nonce of a question in a gossip message.
+var randomID = regexp.MustCompile(`"(inc|nonce)":[0-9]{10,}`)
 
-// numbers are those that processes draw for themselves. They are drawn from a chance
-// without seed, since they are only held against one another (controller.New), so each play has
-// others: a digest has their order of appearance instead. Nothing else is replaced.
-type numbers map[string]int
+// idOrder maps the random numbers that processes draw for themselves to their order of appearance.
+// They come from an unseeded source, as they are only compared with one another (controller.New),
+// so they differ between runs; a digest has their order of appearance instead. Nothing else is
+// replaced.
+type idOrder map[string]int
 
-// replace gives back a line with each drawn number as the how-manieth it is.
-func (n numbers) replace(line []byte) []byte {
-	return drawnNumber.ReplaceAllFunc(line, func(found []byte) []byte {
+// replace returns a message with each random number replaced by its order of appearance.
+func (n idOrder) replace(line []byte) []byte {
+	return randomID.ReplaceAllFunc(line, func(found []byte) []byte {
 		key, number, _ := bytes.Cut(found, []byte(":"))
 		if _, seen := n[string(number)]; !seen {
 			n[string(number)] = len(n) + 1
@@ -194,22 +195,22 @@
 	})
 }
 
-// onlyLogs has a scenario that fails end as ever, and logs what failed: a digest is that
-// of its course, whether that is the expected one or not.
-type onlyLogs struct{ testing.TB }
+// logOnlyTB logs the failures of a scenario instead of failing the test, but still ends the
+// scenario where it fails: a digest covers the messages, whether the scenario passes or not.
+type logOnlyTB struct{ testing.TB }
 
-func (o *onlyLogs) Errorf(format string, args ...any) {
+func (o *logOnlyTB) Errorf(format string, args ...any) {
 	o.Helper()
-	o.Logf("own check: "+format, args...)
+	o.Logf("scenario check: "+format, args...)
 }
 
-func (o *onlyLogs) Fatal(args ...any) {
+func (o *logOnlyTB) Fatal(args ...any) {
 	o.Helper()
-	o.Log(append([]any{"own check:"}, args...)...)
+	o.Log(append([]any{"scenario check:"}, args...)...)
 	runtime.Goexit()
 }
 
-func (o *onlyLogs) Fatalf(format string, args ...any) {
+func (o *logOnlyTB) Fatalf(format string, args ...any) {
 	o.Errorf(format, args...)
 	runtime.Goexit()
 }
--- a/internal/scenario/mute_test.go
+++ b/internal/scenario/mute_test.go
@@ -2,34 +2,34 @@
 
 import "time"
 
-// mute has machines of the start reach no controller, or reach them again.
-func (s *script) mute(first, count int, on bool) {
+// setOutboundPartition cuts or restores the traffic from initial machines to the controllers.
+func (s *script) setOutboundPartition(first, count int, on bool) {
 	for _, h := range s.machines[first-1 : first-1+count] {
 		s.w.Isolate(h, on)
 	}
 }
 
-// machinesMute: some machines, or a whole zone's, reach no controller while commands
-// reach them, for up to two leases and a half.
-var machinesMute = trouble{"machines mute", func(s *script, _ string, d time.Duration) {
+// outboundPartition has some machines, or all of a zone, reach no controller for up to 2.5 leases,
+// while commands still reach them.
+var outboundPartition = fault{"machines outbound-partitioned", func(s *script, _ string, d time.Duration) {
 	w := s.w
 	d = max(d, time.Duration(w.RNG.Float64()*2.5*w.LeaseS*float64(time.Second)))
-	befall := func(h string) {
+	isolate := func(h string) {
 		w.Isolate(h, true)
 		w.After(d, func() { w.Isolate(h, false) })
 	}
 	if w.RNG.IntN(3) > 0 {
-		s.someHosts(befall)
+		s.someMachines(isolate)
 		return
 	}
 	for _, h := range s.machines {
 		if agent := w.Agents[h]; agent != nil && agent.Zone() == "a" {
-			befall(h)
+			isolate(h)
 		}
 	}
 }}
 
-// expectKept checks how many of some machines of the start are still there.
+// expectKept checks how many of some initial machines still exist.
 func (s *script) expectKept(first, count, least int) {
 	s.t.Helper()
 	kept := 0
@@ -39,6 +39,6 @@
 		}
 	}
 	if kept < least {
-		s.fatal("%d of %d machines are still there, not %d", kept, count, least)
+		s.fatal("%d of %d machines still exist, want at least %d", kept, count, least)
 	}
 }
--- a/internal/scenario/now_test.go
+++ b/internal/scenario/now_test.go
@@ -11,22 +11,22 @@
 	"github.com/harrierreel/harrierreel/internal/simulation"
 )
 
-// Worlds in which jobs are called off at the moment of another trouble. Each seed has one
-// of the meetings; a wide draw is
+// Simulations in which jobs are cancelled at the moment of another fault. The seed selects the
+// case; a long run is
 //
 //	go test ./internal/scenario -run TestCancelNow -timeout 60m -now 120 -now-from 0
 var (
-	nowWorlds = flag.Int("now", 3, "worlds in which jobs are called off at the moment of another trouble")
-	nowFrom   = flag.Int("now-from", 0, "seed of the first")
+	nowCount = flag.Int("now", 3, "number of simulations in which jobs are cancelled during another fault")
+	nowFrom  = flag.Int("now-from", 0, "first seed")
 )
 
-// cancelNow calls off jobs that run; on every second occasion their machines hang as well.
-var cancelNow = trouble{"cancel now", func(s *script, _ string, d time.Duration) {
+// cancelNow cancels running jobs; half of the time their machines hang as well.
+var cancelNow = fault{"cancel now", func(s *script, _ string, d time.Duration) {
 	hang := time.Duration(s.w.RNG.IntN(2)) * d
 	s.w.CancelNow(2+s.w.RNG.IntN(6), hang)
 }}
 
-// cancelNowVerb: cancel-now COUNT [HANG_S].
+// cancelNowVerb executes "cancel-now COUNT [HANG_S]".
 func (s *script) cancelNowVerb(args []string) {
 	hang := 0.0
 	if len(args) > 1 {
@@ -34,12 +34,12 @@
 	}
 	want := int(s.number(args[0]))
 	if got := s.w.CancelNow(want, time.Duration(hang*float64(time.Second))); got < want {
-		s.fatal("only %d jobs run and have long to go, not %d", got, want)
+		s.fatal("only %d jobs run and are far from done, want %d", got, want)
 	}
 }
 
-// askEverywhere: ask-everywhere FIRST COUNT EVERY SECONDS: users of these jobs ask at all
-// controllers, repeat the submission and, if they called it off, the cancellation.
+// askEverywhere executes "ask-everywhere FIRST COUNT EVERY SECONDS": the users of these jobs poll
+// all controllers, and repeat the submission and any cancellation there.
 func (s *script) askEverywhere(args []string) {
 	first, count, every, end := int(s.number(args[0])), int(s.number(args[1])), s.number(args[2]), s.number(args[3])
 	for at := 0.0; at < end; at += every {
@@ -53,7 +53,7 @@
 	}
 }
 
-// rejoin: rejoin FIRST COUNT: what goes to and from these machines of the start arrives again.
+// rejoin executes "rejoin FIRST COUNT": ends the isolation of these initial machines.
 func (s *script) rejoin(args []string) {
 	first := int(s.number(args[0]))
 	for _, h := range s.machines[first-1 : first-1+int(s.number(args[1]))] {
@@ -62,20 +62,20 @@
 	}
 }
 
-// meetings are what TestCancelNow draws; each is over before long by itself.
-var meetings = []struct {
+// cancelCases are the cases of TestCancelNow. The faults of each end by themselves.
+var cancelCases = []struct {
 	name  string
 	begin func(s *script)
-	gap   int // seconds to the next, at least
+	gap   int // minimum seconds until the next one
 }{
-	{"gap", meetGap, 90},
-	{"limit", meetLimit, 25},
-	{"hands", meetHands, 12},
+	{"gap", cancelBeforeOutage, 90},
+	{"limit", cancelOnLostMachines, 25},
+	{"hands", cancelDuringHandover, 12},
 }
 
-// meetGap: the leader alone is refused, jobs are called off at that moment, and a second
-// later nobody is answered for longer than cancel_s.
-func meetGap(s *script) {
+// cancelBeforeOutage has the state service refuse the leader alone, cancels jobs at that moment,
+// and takes the service down for longer than cancel_s a second later.
+func cancelBeforeOutage(s *script) {
 	w, r := s.w, s.w.RNG
 	leader := w.Leader()
 	if leader == "" || w.Store.Down {
@@ -105,16 +105,16 @@
 	w.After(500*time.Millisecond+ms(200, 2500), func() { w.Store.SetDown(true) })
 	w.After(ms(3000, 16000), func() { w.Store.Refuse[leader] = false })
 	w.After(time.Duration((w.CancelS+5)*float64(time.Second))+ms(0, 12000), func() { w.Store.SetDown(false) })
-	if r.IntN(3) == 0 { // a controller ends in the outage, and is back or isn't
+	if r.IntN(3) == 0 { // a controller crashes during the outage and restarts during or after it
 		n := w.Nodes[w.NodeNames[r.IntN(len(w.NodeNames))]]
 		w.After(ms(1500, 20000), n.Crash)
 		w.After(ms(20000, 60000), n.Boot)
 	}
-	w.After(ms(600, 2000), func() { s.askAll(time.Duration(w.CancelS+10) * time.Second) })
+	w.After(ms(600, 2000), func() { s.pollRandomly(time.Duration(w.CancelS+10) * time.Second) })
 }
 
-// askAll has users ask about all jobs everywhere now and then.
-func (s *script) askAll(d time.Duration) {
+// askAll polls random accepted jobs at all controllers for a while.
+func (s *script) pollRandomly(d time.Duration) {
 	w := s.w
 	for at := time.Duration(0); at < d; at += time.Duration(300+w.RNG.IntN(8000)) * time.Millisecond {
 		w.After(at, func() {
@@ -127,9 +127,9 @@
 	}
 }
 
-// meetLimit: machines are out of reach, deaf or hang; jobs are called off; the leader
-// changes.
-func meetLimit(s *script) {
+// cancelOnLostMachines makes machines unreachable, hang or miss all that is sent to them, cancels
+// jobs, and changes the leader.
+func cancelOnLostMachines(s *script) {
 	w, r := s.w, s.w.RNG
 	leader := w.Leader()
 	if leader == "" {
@@ -140,7 +140,7 @@
 	}
 	d := ms(1500, int(w.LeaseS*1500))
 	kind := r.IntN(4)
-	s.someHosts(func(h string) {
+	s.someMachines(func(h string) {
 		switch kind {
 		case 0, 1:
 			w.Cut("*", h, kind == 1)
@@ -163,7 +163,7 @@
 	}
 }
 
-// changeLeader has the lead pass on, in one of many ways.
+// changeLeader forces a change of leader by a crash, a pause, a shutdown or a partition.
 func (s *script) changeLeader(leader string, d time.Duration) {
 	w := s.w
 	switch w.RNG.IntN(5) {
@@ -185,9 +185,9 @@
 	}
 }
 
-// meetHands: one controller's machines pass to another, or back, while jobs are called off
-// and some commands are held up.
-func meetHands(s *script) {
+// cancelDuringHandover passes one controller's machines to another, or back, while jobs are
+// cancelled and some commands are delayed.
+func cancelDuringHandover(s *script) {
 	w, r := s.w, s.w.RNG
 	ms := func(least, most int) time.Duration {
 		return time.Duration(least+r.IntN(most-least)) * time.Millisecond
@@ -197,7 +197,7 @@
 		w.HoldBack("cmd", ms(500, 9000), 1+r.IntN(3))
 		w.After(ms(500, 4000), func() { w.HoldBack("cmd", 0, 1<<30) })
 	}
-	if r.IntN(3) == 0 { // its commands to all machines are held
+	if r.IntN(3) == 0 { // its commands to all machines are delayed
 		w.Cut(name+":cmd", "*", true)
 		w.After(ms(1000, 15000), func() { w.Heal(name+":cmd", "*") })
 	}
@@ -214,19 +214,20 @@
 	}
 }
 
-// leastCancelled is how many jobs are called off at least in a world that shows anything.
-const leastCancelled = 5
+// minCancelled is the number of cancelled jobs below which a simulation exercises too little.
+const minCancelled = 5
 
-// TestCancelNow draws each of the meetings again and again, with every team at its limit.
+// TestCancelNow repeats one of cancelCases, with every team at its limit: cancelled tasks are gone
+// in time, and no limit is exceeded.
 func TestCancelNow(t *testing.T) {
-	for seed := *nowFrom; seed < *nowFrom+*nowWorlds; seed++ {
-		m := meetings[seed%len(meetings)]
+	for seed := *nowFrom; seed < *nowFrom+*nowCount; seed++ {
+		m := cancelCases[seed%len(cancelCases)]
 		t.Run(fmt.Sprintf("%d %s", seed, m.name), func(t *testing.T) {
 			t.Parallel()
 			w := simulation.NewSimulator(uint64(seed), slog.New(slog.DiscardHandler))
 			w.WatchTasks()
-			zone := &pairSites[seed/len(meetings)%len(pairSites)]
-			w.LeaseS, w.CancelS, w.ReportS = zone.LeaseS, zone.CancelS, zone.ReportS
+			timing := &pairDeployments[seed/len(cancelCases)%len(pairDeployments)]
+			w.LeaseS, w.CancelS, w.ReportS = timing.LeaseS, timing.CancelS, timing.ReportS
 			if w.RNG.IntN(3) == 0 {
 				w.ReportS = 8
 			}
@@ -242,7 +243,7 @@
 				s.machines = append(s.machines, w.Cloud.AddRunning("g4", []string{"a", "b"}[i%2], false))
 			}
 			w.AddNodes(s.set.Cluster.Size, s.set)
-			s.drawLong()
+			s.drawLongJobs()
 			for w.RunUntil(35 * time.Second); w.At() < 200*time.Second; {
 				m.begin(s)
 				w.RunUntil(w.At() + time.Duration(m.gap)*time.Second + time.Duration(w.RNG.IntN(15000))*time.Millisecond)
@@ -256,8 +257,8 @@
 					cancelled++
 				}
 			}
-			if cancelled < leastCancelled {
-				t.Errorf("only %d jobs were called off", cancelled)
+			if cancelled < minCancelled {
+				t.Errorf("only %d jobs were cancelled", cancelled)
 			}
 			for _, b := range w.Broken {
 				t.Error(b)
@@ -266,8 +267,8 @@
 	}
 }
 
-// drawLong has more jobs handed in than the teams' limits allow at once, most of them long.
-func (s *script) drawLong() {
+// drawLong submits more jobs than the limits of the teams admit at once, most of them long.
+func (s *script) drawLongJobs() {
 	w, r := s.w, s.w.RNG
 	for i := range 120 {
 		jobID := fmt.Sprintf("wk-%06d", i)
--- a/internal/scenario/packs_test.go
+++ b/internal/scenario/packs_test.go
@@ -11,12 +11,11 @@
 	"github.com/harrierreel/harrierreel/internal/simulation"
 )
 
-// TestPacksUnderConflict has five controllers write the same batches for eight minutes:
-// controllers end and come back, so that machines pass from owner to owner and batches
-// are taken apart, machines are taken so that the leader gives tasks away again, and the
-// state service is slow to tell of changes. After each transaction every task is in one
-// record at most, no try falls, and nothing runs twice (simulation.Simulator).
-func TestPacksUnderConflict(t *testing.T) {
+// TestBatchesUnderConflictingWrites has five controllers write the same task batches for eight
+// minutes. Controllers crash and restart, so that machines change owners and batches are split, and
+// the state service delivers watch events late. After each transaction every task is in at most one
+// record, no attempt number decreases, and no task runs twice (simulation.Simulator).
+func TestBatchesUnderConflictingWrites(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
@@ -73,7 +72,7 @@
 			if done != len(w.Jobs) || done < 79 {
 				t.Errorf("%d of %d jobs are done", done, len(w.Jobs))
 			}
-			t.Logf("%d jobs, %d changes", done, w.Store.Writes)
+			t.Logf("%d jobs, %d writes", done, w.Store.Writes)
 		})
 	}
 }
--- a/internal/scenario/pairs_test.go
+++ b/internal/scenario/pairs_test.go
@@ -11,26 +11,26 @@
 	"github.com/harrierreel/harrierreel/internal/simulation"
 )
 
-// Worlds in which two kinds of trouble meet. Each seed has its pair: so many seeds in a
-// row as there are pairs play each of them once.
+// Simulations in which two kinds of fault meet. The seed selects the pair: as many consecutive
+// seeds as there are pairs cover each pair once.
 //
 //	go test ./internal/scenario -run TestPairs -timeout 60m -pairs 280 -pairs-from 0
 var (
-	pairWorlds = flag.Int("pairs", 0, "worlds of two troubles instead of CI's")
-	pairFrom   = flag.Int("pairs-from", 0, "seed of the first")
+	pairCount = flag.Int("pairs", 0, "number of simulations of two faults, instead of the seeds of CI")
+	pairFrom  = flag.Int("pairs-from", 0, "first seed")
 )
 
-// trouble is one kind. It begins at once, with a controller that leads or another, and
-// ends by itself after so long.
-type trouble struct {
+// fault is one kind of fault. begin starts it on a controller, mostly the leader; it ends by itself
+// after d.
+type fault struct {
 	name  string
 	begin func(s *script, leader string, d time.Duration)
 }
 
-// troubles are those that were seen to meet.
-var troubles = []trouble{
-	{"cut off", func(s *script, leader string, d time.Duration) {
-		// From the state service and from its peers, while users and workers reach it.
+// faultKinds are the kinds that TestPairs combines. Their order decides which pair a seed gives.
+var faultKinds = []fault{
+	{"controller partitioned", func(s *script, leader string, d time.Duration) {
+		// It reaches neither the state service nor its peers, but users and workers reach it.
 		w, refused := s.w, s.w.RNG.IntN(2) == 0
 		on := func(on bool) {
 			if refused {
@@ -44,7 +44,7 @@
 		}
 		on(true)
 		w.After(d, func() { on(false) })
-		for at := time.Duration(0); at < d; at += 2 * time.Second { // users come to it now and then
+		for at := time.Duration(0); at < d; at += 2 * time.Second { // some user requests go to it
 			w.After(at, func() { w.EntryNode = []string{leader, ""}[w.RNG.IntN(2)] })
 		}
 		w.After(d, func() { w.EntryNode = "" })
@@ -64,7 +64,7 @@
 		}
 	}},
 	{"late writes", func(s *script, _ string, d time.Duration) { s.w.LateWrites(0.1+0.5*s.w.RNG.Float64(), d) }},
-	{"lead changes", func(s *script, leader string, d time.Duration) {
+	{"leader changes", func(s *script, leader string, d time.Duration) {
 		w, n := s.w, s.w.Nodes[leader]
 		switch w.RNG.IntN(4) {
 		case 0:
@@ -81,14 +81,14 @@
 		}
 		w.After(d, n.Boot)
 	}},
-	{"machines deaf", func(s *script, _ string, d time.Duration) {
-		s.someHosts(func(h string) {
+	{"machines receive nothing", func(s *script, _ string, d time.Duration) {
+		s.someMachines(func(h string) {
 			s.w.Cut("*", h, false)
 			s.w.After(d, func() { s.w.Heal("*", h) })
 		})
 	}},
 	{"machines unreachable", func(s *script, _ string, d time.Duration) {
-		s.someHosts(func(h string) {
+		s.someMachines(func(h string) {
 			s.w.Cut("*", h, false)
 			s.w.Cut(h, "*", false)
 			s.w.After(d, func() { s.w.Heal("*", h); s.w.Heal(h, "*") })
@@ -97,9 +97,9 @@
 	{"held", func(s *script, _ string, d time.Duration) {
 		w := s.w
 		kind := w.RNG.IntN(3)
-		s.someHosts(func(h string) {
+		s.someMachines(func(h string) {
 			switch kind {
-			case 0: // commands to it, then all at once
+			case 0: // commands to it, delivered all at once in the end
 				for _, n := range w.NodeNames {
 					w.Cut(n+":cmd", h, true)
 					w.After(d, func() { w.Heal(n+":cmd", h) })
@@ -109,7 +109,7 @@
 					w.Cut(h, n+":cmd", true)
 					w.After(d, func() { w.Heal(h, n+":cmd") })
 				}
-			case 2: // it stands still
+			case 2: // the machine hangs
 				if agent := w.Agents[h]; agent != nil {
 					agent.Hung = true
 					w.After(d, agent.Resume)
@@ -117,7 +117,7 @@
 			}
 		})
 	}},
-	{"hand over and back", func(s *script, leader string, _ time.Duration) {
+	{"handover and back", func(s *script, leader string, _ time.Duration) {
 		w := s.w
 		if w.RNG.IntN(2) == 0 {
 			w.Nodes[leader].Shutdown()
@@ -130,9 +130,9 @@
 		}
 	}},
 	{"gap", func(s *script, leader string, _ time.Duration) {
-		// The leader alone is refused, then all are, for longer than cancel_s.
+		// The state service refuses the leader alone, then everyone, for longer than cancel_s.
 		w := s.w
-		if s.gaps++; s.gaps > 2 || w.Store.Down {
+		if s.outages++; s.outages > 2 || w.Store.Down {
 			return
 		}
 		w.Store.Refuse[leader] = true
@@ -143,15 +143,15 @@
 	{"late reports", func(s *script, _ string, d time.Duration) { s.w.LateReports(0.1+0.8*s.w.RNG.Float64(), d) }},
 }
 
-// someHosts has something befall up to a third of the machines of the start.
-func (s *script) someHosts(f func(machine string)) {
+// someMachines applies f to up to a third of the initial machines.
+func (s *script) someMachines(f func(machine string)) {
 	first, count := s.w.RNG.IntN(len(s.machines)), 1+s.w.RNG.IntN(len(s.machines)/3)
 	for i := range count {
 		f(s.machines[(first+i)%len(s.machines)])
 	}
 }
 
-// cutPeers has lines between a controller and the others lost, or no longer so.
+// cutPeers cuts or restores the links between a controller and the others.
 func (s *script) cutPeers(name string, on bool) {
 	for _, other := range s.w.NodeNames {
 		switch {
@@ -166,35 +166,35 @@
 	}
 }
 
-// pairOf is the pair of a seed.
-func pairOf(seed int) (a, b trouble) {
-	pairs := len(troubles) * (len(troubles) - 1) / 2
+// pairOf returns the pair of faults that a seed selects.
+func pairOf(seed int) (a, b fault) {
+	pairs := len(faultKinds) * (len(faultKinds) - 1) / 2
 	k := seed % pairs
-	for i := range troubles {
-		if rest := len(troubles) - 1 - i; k >= rest {
+	for i := range faultKinds {
+		if rest := len(faultKinds) - 1 - i; k >= rest {
 			k -= rest
 			continue
 		}
-		return troubles[i], troubles[i+1+k]
+		return faultKinds[i], faultKinds[i+1+k]
 	}
 	panic("no such pair")
 }
 
-// site is what workers are told by, of the deployments in use.
-var pairSites = []simulation.Simulator{
+// pairDeployments are the worker timings of the deployments in use.
+var pairDeployments = []simulation.Simulator{
 	{LeaseS: 16, CancelS: 41, ReportS: 2},
 	{LeaseS: 42, CancelS: 62, ReportS: 3},
 	{LeaseS: 38, CancelS: 63, ReportS: 3},
 }
 
-// TestPairs has two troubles meet again and again for two minutes, and judges as the users
-// do: no rule broken, nobody forgotten or stranded, half of each class, team and largest jobs
-// begun, the largest in time.
+// TestPairs repeats two faults for two minutes and then checks what users rely on: no invariant is
+// violated, no job is lost or left waiting, half of the jobs of each class and team and of the
+// largest jobs start, and the largest start in time.
 func TestPairs(t *testing.T) {
-	seeds := []int{8, 14, 17, 31, 37} // CI's: each kind is in one of these pairs
-	if *pairWorlds > 0 {
+	seeds := []int{8, 14, 17, 31, 37} // the seeds of CI: each kind of fault is in one of these pairs
+	if *pairCount > 0 {
 		seeds = seeds[:0]
-		for i := range *pairWorlds {
+		for i := range *pairCount {
 			seeds = append(seeds, *pairFrom+i)
 		}
 	}
@@ -215,21 +215,22 @@
 	}
 }
 
-// playPair plays one world of two troubles, drawn by chance, with the deployment and the
-// number of controllers of a seed, and what else is to go on, and judges it.
+// playPair runs and checks one simulation of two faults. randomSeed seeds the random source; seed
+// selects the deployment and the number of controllers; setup is called before the simulation
+// starts.
 func playPair(
 	t *testing.T,
-	chance uint64,
+	randomSeed uint64,
 	seed int,
 	batching settings.TaskBatching,
-	a, b trouble,
-	besides func(*script),
+	a, b fault,
+	setup func(*script),
 ) {
 	t.Helper()
-	w := simulation.NewSimulator(chance, slog.New(slog.DiscardHandler))
+	w := simulation.NewSimulator(randomSeed, slog.New(slog.DiscardHandler))
 	w.WatchTasks()
-	zone := &pairSites[seed%len(pairSites)]
-	w.LeaseS, w.CancelS, w.ReportS = zone.LeaseS, zone.CancelS, zone.ReportS
+	timing := &pairDeployments[seed%len(pairDeployments)]
+	w.LeaseS, w.CancelS, w.ReportS = timing.LeaseS, timing.CancelS, timing.ReportS
 	s := &script{t: t, w: w, set: baseSettings(w)}
 	s.set.Cluster.Size = 3 + 2*(seed/2%2)
 	s.set.Cluster.Teams = []settings.Team{{Name: "team", GpusMax: 110}, {Name: "other", GpusMax: 50}}
@@ -242,19 +243,19 @@
 	}
 	w.AddNodes(s.set.Cluster.Size, s.set)
 	s.drawJobs()
-	s.drawApart()
-	besides(s)
+	s.drawStaggered()
+	setup(s)
 	for w.RunUntil(12 * time.Second); w.At() < 130*time.Second; {
 		leader := w.Leader()
 		if leader == "" {
 			leader = w.NodeNames[w.RNG.IntN(len(w.NodeNames))]
 		}
-		long := func() time.Duration { return time.Duration(2000+w.RNG.IntN(16000)) * time.Millisecond }
-		a.begin(s, leader, long())
-		w.After(time.Duration(w.RNG.IntN(5000))*time.Millisecond, func() { b.begin(s, leader, long()) })
+		duration := func() time.Duration { return time.Duration(2000+w.RNG.IntN(16000)) * time.Millisecond }
+		a.begin(s, leader, duration())
+		w.After(time.Duration(w.RNG.IntN(5000))*time.Millisecond, func() { b.begin(s, leader, duration()) })
 		w.RunUntil(w.At() + time.Duration(8000+w.RNG.IntN(20000))*time.Millisecond)
 	}
-	w.RunUntil(w.At() + 80*time.Second) // the last gap is over, and what waited has its turn
+	w.RunUntil(w.At() + 80*time.Second) // the last outage is over, and waiting jobs have had their turn
 	w.Aftermath()
 	w.CheckServed(true)
 	w.CheckRefused()
@@ -263,8 +264,8 @@
 	}
 }
 
-// drawApart has sweeps handed in whose tasks end far apart.
-func (s *script) drawApart() {
+// drawStaggered submits arrays whose tasks end far apart.
+func (s *script) drawStaggered() {
 	w, r := s.w, s.w.RNG
 	for i := range 25 {
 		jobID := fmt.Sprintf("wk-%06d", 1000+i)
--- a/internal/scenario/recorded_test.go
+++ b/internal/scenario/recorded_test.go
@@ -16,12 +16,11 @@
 	"lukechampine.com/blake3"
 )
 
-var update = flag.Bool("update", false, "write testdata/decisions.sum anew")
+var update = flag.Bool("update", false, "rewrite testdata/decisions.sum")
 
-// TestDecisionsAsRecorded plays scenarios and compares, decision by decision, what
-// the controllers committed with what was recorded: a change that must decide
-// nothing otherwise, as moving code or what is turned off, leaves every line as it
-// is. A change that is meant to decide otherwise writes them anew with -update.
+// TestDecisionsAsRecorded compares all that the controllers commit in some scenarios with a
+// recording. Refactorings and disabled features must not change it. A change that is meant to
+// decide differently rewrites the recording with -update.
 func TestDecisionsAsRecorded(t *testing.T) {
 	const file = "testdata/decisions.sum"
 	names := []string{
@@ -62,18 +61,18 @@
 	want := bufio.NewScanner(f)
 	for _, line := range strings.Split(strings.TrimSpace(out.String()), "\n") {
 		if !want.Scan() || want.Text() != line {
-			t.Errorf("decided: %s\nrecorded: %s", line, want.Text())
+			t.Errorf("got:      %s\nrecorded: %s", line, want.Text())
 		}
 	}
 }
 
-// decisions plays a scenario and sums up its commits in their order.
+// decisions runs a scenario and returns a digest of its commits in order, and their number.
 func decisions(t *testing.T, name string) (sum string, commits int) {
 	t.Helper()
 	h := blake3.New(16, nil)
-	run(t, filepath.Join("testdata", name+".txt"), settings.BatchingWhenScarce, func(key string, v json.RawMessage) {
+	play(t, filepath.Join("testdata", name+".txt"), settings.BatchingWhenScarce, func(key string, v json.RawMessage) {
 		commits++
-		_, _ = fmt.Fprintf(h, "%s %s\n", key, v) // a hash takes all
+		_, _ = fmt.Fprintf(h, "%s %s\n", key, v) // a hash never fails
 	})
 	return hex.EncodeToString(h.Sum(nil)), commits
 }
--- a/internal/scenario/same_test.go
+++ b/internal/scenario/same_test.go
@@ -19,10 +19,9 @@
 	"github.com/harrierreel/harrierreel/internal/taskbatch"
 )
 
-// equivalent is work of every kind that a step may be: alone, a sweep that its
-// team's limit holds back, a gang in one place, two at a time in zones of their
-// own, and one that its machine loses.
-const equivalent = `
+// mixedPipeline has a step of every kind: a single task, an array limited by its team's quota, a
+// gang in one zone, two concurrent steps bound to different zones, and an idle-priority step.
+const mixedPipeline = `
 name: same
 owner: team
 defaults: {cores: 2, accelerators: 1, memory_gb: 8, bundle: img-1, pull_gb: 1, expect_s: 5}
@@ -36,28 +35,28 @@
   - {name: report, needs: [west, east], rank: idle, site: a, expect_s: 9}
 `
 
-// account is all that the scheduler wrote of a world's jobs.
-type account struct {
-	Specs  map[string]jobs.Spec // by uid, as accepted
-	Finals map[string]string    // by uid
-	Tasks  map[string][]string  // by task: its states, with machine, zone and try
-	Used   map[string]int       // by task: accelerators charged, once for each release
+// schedulerLog is all that the scheduler wrote about the jobs of a simulation.
+type schedulerLog struct {
+	Specs  map[string]jobs.Spec // by job, as accepted
+	Finals map[string]string    // by job
+	Tasks  map[string][]string  // by task: its states, with machine, zone and attempt
+	Used   map[string]int       // by task: accelerators charged, once for each placement
 }
 
-// state notes a task's state.
-func (acc *account) state(jobID string, n int, task *jobs.Task) {
+// state appends a task's state if it has changed.
+func (log *schedulerLog) state(jobID string, n int, task *jobs.Task) {
 	taskID := jobs.TaskID(jobID, n)
 	state := fmt.Sprintf("%s on %s in %s, try %d", task.State, task.Machine, task.Zone, task.Attempt)
-	if k := len(acc.Tasks[taskID]); k == 0 || acc.Tasks[taskID][k-1] != state {
-		acc.Tasks[taskID] = append(acc.Tasks[taskID], state)
+	if k := len(log.Tasks[taskID]); k == 0 || log.Tasks[taskID][k-1] != state {
+		log.Tasks[taskID] = append(log.Tasks[taskID], state)
 		if task.State == jobs.Placed {
-			acc.Used[taskID] += int(acc.Specs[jobID].Accelerators)
+			log.Used[taskID] += int(log.Specs[jobID].Accelerators)
 		}
 	}
 }
 
-// watched is a world with three controllers and the account of what they write.
-func watched(t *testing.T) (*simulation.Simulator, *account) {
+// newLoggedSimulator returns a simulation with three controllers, and the log of what they write.
+func newLoggedSimulator(t *testing.T) (*simulation.Simulator, *schedulerLog) {
 	t.Helper()
 	w := simulation.NewSimulator(3, slog.New(slog.DiscardHandler))
 	set := baseSettings(w)
@@ -68,7 +67,7 @@
 		w.Cloud.AddRunning("g4", zone, false)
 	}
 	w.Cloud.Limit = 3
-	acc := &account{map[string]jobs.Spec{}, map[string]string{}, map[string][]string{}, map[string]int{}}
+	log := &schedulerLog{map[string]jobs.Spec{}, map[string]string{}, map[string][]string{}, map[string]int{}}
 	w.Store.Committed = func(key string, v json.RawMessage) {
 		kind, name, _ := strings.Cut(key, "/")
 		if v == nil {
@@ -77,17 +76,17 @@
 		switch kind + "/" {
 		case jobs.JobPrefix:
 			if r, err := jobs.DecodeRecord(name, v); err == nil {
-				acc.Specs[name] = r.Spec
+				log.Specs[name] = r.Spec
 			}
 		case jobs.FinalPrefix:
-			acc.Finals[name] = string(v)
+			log.Finals[name] = string(v)
 		case taskbatch.KeyPrefix:
 			es, err := taskbatch.Decode(v)
 			if err != nil {
 				t.Error(err)
 			}
 			for _, e := range es {
-				acc.state(e.JobID, e.Index, &e.Task)
+				log.state(e.JobID, e.Index, &e.Task)
 			}
 		case jobs.TaskPrefix:
 			jobID, from, _ := jobs.SplitTaskID(name)
@@ -96,23 +95,24 @@
 				t.Error(err)
 			}
 			for i, task := range tasks {
-				acc.state(jobID, from+i, &task)
+				log.state(jobID, from+i, &task)
 			}
 		}
 	}
 	w.AddNodes(3, set)
-	return w, acc
+	return w, log
 }
 
-// submitByHand hands in each step of a file as a job, as soon as what it needs is done.
-func submitByHand(w *simulation.Simulator, byHand *account, f *pipefile.File, jobID map[string]string) {
+// submitSteps submits each step of a pipeline file as a job as soon as the steps that it needs are
+// done.
+func submitSteps(w *simulation.Simulator, plainLog *schedulerLog, f *pipefile.File, jobID map[string]string) {
 	sent := map[string]bool{}
 	for at := 5 * time.Second; at < 150*time.Second; at += 20 * time.Millisecond {
 		for i := range f.Plan.Steps {
 			s := &f.Plan.Steps[i]
 			ready := !sent[s.Name]
 			for _, need := range f.Plan.Groups[s.Group].Needs {
-				ready = ready && byHand.Finals[jobID[f.Plan.Groups[need].Name]] != ""
+				ready = ready && plainLog.Finals[jobID[f.Plan.Groups[need].Name]] != ""
 			}
 			if ready {
 				sent[s.Name] = true
@@ -123,7 +123,7 @@
 	}
 }
 
-// jobOf is a step's job as a user hands it in.
+// jobOf returns a step's job as a user submits it.
 func jobOf(spec jobs.Spec, jobID string) *simulation.Job {
 	spec.ID = jobID
 	return &simulation.Job{
@@ -144,16 +144,15 @@
 	}
 }
 
-// TestBothWays hands the same work in as a pipeline file and as plain jobs over
-// the protocol, by a user who submits each as soon as what it needs is done, and
-// compares all that the scheduler wrote: descriptions, placement, what was
-// charged, outcomes.
-func TestBothWays(t *testing.T) {
-	f, faults := pipefile.Parse("same", []byte(equivalent))
+// TestPipelineAndPlainJobsScheduleAlike submits the same work as a pipeline file, and as plain jobs
+// by a user who submits each as soon as its dependencies are done. All that the scheduler writes
+// must be equal: specs, placements, quota charges and outcomes.
+func TestPipelineAndPlainJobsScheduleAlike(t *testing.T) {
+	f, faults := pipefile.Parse("same", []byte(mixedPipeline))
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
-	w, byFile := watched(t)
+	w, pipelineLog := newLoggedSimulator(t)
 	w.RunUntil(5 * time.Second)
 	run := &simulation.Run{ID: "run-1", Body: f.Submission("run-1")}
 	w.SubmitRun(run)
@@ -166,22 +165,22 @@
 		jobID[s.Name] = s.JobID
 	}
 
-	w, byHand := watched(t)
+	w, plainLog := newLoggedSimulator(t)
 	w.RunUntil(5 * time.Second)
-	submitByHand(w, byHand, f, jobID)
+	submitSteps(w, plainLog, f, jobID)
 	if len(w.Broken) > 0 {
 		t.Fatal(w.Broken)
 	}
-	if len(byHand.Finals) != len(f.Plan.Steps) || len(byFile.Tasks) != 12 {
-		t.Fatalf("%d jobs ended, %d tasks", len(byHand.Finals), len(byFile.Tasks))
+	if len(plainLog.Finals) != len(f.Plan.Steps) || len(pipelineLog.Tasks) != 12 {
+		t.Fatalf("%d jobs ended, %d tasks", len(plainLog.Finals), len(pipelineLog.Tasks))
 	}
-	a, b := reflect.ValueOf(*byFile), reflect.ValueOf(*byHand)
+	a, b := reflect.ValueOf(*pipelineLog), reflect.ValueOf(*plainLog)
 	for i := range a.NumField() {
 		if !reflect.DeepEqual(a.Field(i).Interface(), b.Field(i).Interface()) {
-			t.Errorf("%s differ:\nby file %v\nby hand %v", a.Type().Field(i).Name, a.Field(i), b.Field(i))
+			t.Errorf("%s differ:\npipeline %v\nplain jobs %v", a.Type().Field(i).Name, a.Field(i), b.Field(i))
 		}
 	}
-	for _, taskID := range slices.Sorted(maps.Keys(byFile.Tasks)) {
-		t.Log(taskID, byFile.Tasks[taskID])
+	for _, taskID := range slices.Sorted(maps.Keys(pipelineLog.Tasks)) {
+		t.Log(taskID, pipelineLog.Tasks[taskID])
 	}
 }
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -1,8 +1,8 @@
-// Package scenario runs the scenarios in testdata: small text files, each a
-// story that the controllers must come through with every rule kept.
+// Package scenario runs the scenario files in testdata against simulated controllers, machines and
+// services, and fails a scenario in which an invariant is violated or an expectation isn't met.
 //
-// A line is "SECONDS VERB ARGUMENTS", or a setting without a time before the
-// first of those. See the verbs in the runner below.
+// A line is "SECONDS VERB ARGUMENTS", or a setting without a time before the first of those. The
+// verbs are in verbs, the settings in settingFuncs and the expectations in expectations.
 package scenario
 
 import (
@@ -34,22 +34,22 @@
 	for _, f := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(f), ".txt"), func(t *testing.T) {
 			t.Parallel()
-			run(t, f, settings.BatchingWhenScarce, nil)
+			play(t, f, settings.BatchingWhenScarce, nil)
 		})
-		if packed(t, f) {
+		if exceedsWriteRate(t, f) {
 			continue
 		}
-		// The same must hold when all that can be packed is.
+		// The scenario must also pass with batching forced on.
 		t.Run(strings.TrimSuffix(filepath.Base(f), ".txt")+"-packed", func(t *testing.T) {
 			t.Parallel()
-			run(t, f, settings.BatchingAlways, nil)
+			play(t, f, settings.BatchingAlways, nil)
 		})
 	}
 }
 
-// packed tells whether a scenario has more machines at the start than changes a second:
-// what can be packed is, then, as it stands.
-func packed(t *testing.T, file string) bool {
+// exceedsWriteRate reports whether a scenario starts with more machines than writes per second:
+// BatchingWhenScarce then batches anyway, and a second run with BatchingAlways shows nothing new.
+func exceedsWriteRate(t *testing.T, file string) bool {
 	t.Helper()
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -71,36 +71,37 @@
 	return machines > changes
 }
 
-// script is a scenario under way.
+// script executes a scenario.
 type script struct {
 	t        testing.TB
 	line     string
 	w        *simulation.Simulator
 	set      settings.Settings
 	size     int
-	machines []string // those there from the start
+	machines []string // initial machines, in order of their setting lines
 	vars     map[string]string
 
-	scarce     bool             // there is no room for half of each group
-	inTime     bool             // the largest jobs are to begin in time
-	old        []string         // controllers that don't answer calls
-	stops      map[string]int   // by cause, while quotas are watched
-	applied    map[string]int   // answers to applied trees
-	windows    *windows         // of the calendar, nil if there is none
-	gaps       int              // outages longer than cancel_s that were begun (TestPairs)
-	marked     simulation.Tally // what had happened at the last mark
-	endedLeads int              // leaders that ended as they came to lead
+	scarce         bool             // skip the check that half of each class and team starts
+	inTime         bool             // the largest jobs must start within the time limit
+	unresponsive   []string         // controllers of a version that doesn't answer standby calls
+	stopsByCause   map[string]int   // stopped tasks by cause; counted only with quotas
+	applied        map[string]int   // HTTP status of each applied quota tree, by file
+	windows        *windowTracker   // nil without a calendar
+	outages        int              // outages longer than cancel_s so far (TestPairs)
+	tallyAtMark    simulation.Tally // counters at the last "mark"
+	crashedLeaders int              // leaders killed by end-as-it-leads
 }
 
-// run plays a scenario. committed, if given, is told of each write of a
-// transaction.
-func run(t *testing.T, file string, batching settings.TaskBatching, committed func(key string, v json.RawMessage)) {
+// play runs a scenario file and checks the invariants. committed, if given, is called for
+// each write of a committed transaction.
+func play(t *testing.T, file string, batching settings.TaskBatching, committed func(key string, v json.RawMessage)) {
 	t.Helper()
-	runTelling(t, file, batching, committed, nil)
+	playObserved(t, file, batching, committed, nil)
 }
 
-// runTelling is run with messages, if given, told of each message of the controllers.
-func runTelling(
+// playObserved is play with messages, which, if given, is called for each message that a
+// controller sends or receives.
+func playObserved(
 	tb testing.TB,
 	file string,
 	batching settings.TaskBatching,
@@ -116,8 +117,8 @@
 	s := newScript(tb, batching)
 	s.w.Store.Committed, s.w.Messages = committed, messages
 	s.playLines(f, filepath.Base(file))
-	s.uponDone()
-	if committed == nil { // what was recorded ends with the file
+	s.checkTriggersFired()
+	if committed == nil { // a recording ends with the last line of the file
 		s.w.Aftermath()
 		if !s.scarce {
 			s.w.CheckServed(s.inTime)
@@ -127,12 +128,12 @@
 		s.w.CheckRefused()
 	}
 	for _, b := range s.w.Broken {
-		tb.Errorf("%s: rule broken at %s", file, b)
+		tb.Errorf("%s: invariant violated at %s", file, b)
 	}
 }
 
-// newScript is a scenario before its first line. With SCENARIO_LOG set its controllers log to
-// the standard error.
+// newScript returns a scenario with the default settings. If SCENARIO_LOG is set, its controllers
+// log to standard error.
 func newScript(tb testing.TB, batching settings.TaskBatching) *script {
 	tb.Helper()
 	log := slog.New(slog.DiscardHandler)
@@ -152,7 +153,7 @@
 	return s
 }
 
-// playLines takes the settings, and from the first timed line on plays the scenario.
+// playLines executes the lines of a scenario file. The first timed line starts the controllers.
 func (s *script) playLines(lines io.Reader, file string) {
 	s.t.Helper()
 	started := false
@@ -174,27 +175,28 @@
 			s.start()
 		}
 		due := time.Duration(at * float64(time.Second))
-		if due < s.w.At() { // the world's clock would be set back
-			s.fatal("a line for %v stands after one for %v", due, s.w.At())
+		if due < s.w.At() { // the simulated clock must not go back
+			s.fatal("line for %v after the clock has reached %v", due, s.w.At())
 		}
 		s.w.RunUntil(due)
 		s.do(words[1], words[2:])
 	}
 }
 
-// start starts the controllers, with the rules watched that the settings call for.
+// start starts the controllers and the invariant checks that the settings call for.
 func (s *script) start() {
 	if s.set.Operator.Quotas != nil {
-		s.stops = s.w.WatchQuotas(s.set.TeamMap(), nil)
+		s.stopsByCause = s.w.WatchQuotas(s.set.TeamMap(), nil)
 	}
 	if s.set.Operator.Lending != nil {
 		s.watchLoans()
 	}
-	s.w.Unresponsive = s.old
+	s.w.Unresponsive = s.unresponsive
 	s.watchCalendar()
 	s.w.AddNodes(s.size, s.set)
 }
 
+// baseSettings returns the settings that scenarios begin with.
 func baseSettings(w *simulation.Simulator) settings.Settings {
 	set := settings.Settings{Operator: settings.DefaultOperator()}
 	set.Cluster = settings.Cluster{
@@ -227,18 +229,19 @@
 	return v
 }
 
+// value returns the value of a "let" line.
 func (s *script) value(args []string) string {
 	switch args[0] {
 	case "host-of":
 		if h := s.w.MachineOf(args[1]); h != "" {
 			return h
 		}
-		s.fatal("%s is on no machine", args[1])
-	case "owner-of": // the controller that moves a run
+		s.fatal("no task of %s is on a machine", args[1])
+	case "owner-of": // the controller that owns a pipeline run
 		return s.w.OwnerOf(args[1])
 	case "leader":
 		return s.leader()
-	case "follower", "second": // the first and the second that doesn't lead
+	case "follower", "second": // the first and the second controller that isn't the leader
 		skip := args[0] == "second"
 		for _, n := range s.w.NodeNames {
 			switch {
@@ -250,32 +253,33 @@
 			}
 		}
 	}
-	s.fatal("no such value %v", args)
+	s.fatal("unknown value %v", args)
 	return ""
 }
 
+// leader returns the current leader, and fails the scenario if there is none.
 func (s *script) leader() string {
 	l := s.w.Leader()
 	if l == "" {
-		s.fatal("nobody leads")
+		s.fatal("no controller is leader")
 	}
 	return l
 }
 
-// node resolves the name of a controller.
+// node resolves the name of a controller, and fails the scenario if it is unknown.
 func (s *script) node(text string) string {
-	text = s.party(text)
+	text = s.endpoint(text)
 	if s.w.Nodes[text] == nil {
 		s.fatal("no node %q", text)
 	}
 	return text
 }
 
-// party resolves a variable, perhaps with a channel after a colon (leader:cmd), or gives
-// the text back.
-func (s *script) party(text string) string {
+// endpoint resolves a variable or "leader", optionally with a channel after a colon (leader:cmd).
+// It returns any other text unchanged.
+func (s *script) endpoint(text string) string {
 	if base, channel, found := strings.Cut(text, ":"); found {
-		return s.party(base) + ":" + channel
+		return s.endpoint(base) + ":" + channel
 	}
 	if v, ok := s.vars[text]; ok {
 		return v
@@ -294,7 +298,7 @@
 	return j
 }
 
-// quotas reads a tree of testdata/quotas.
+// quotas reads a quota tree from testdata/quotas.
 func (s *script) quotas(name string) *quota.Document {
 	var f struct {
 		Quotas quota.Document `hcl:"quotas,block"`
@@ -313,7 +317,7 @@
 	return r
 }
 
-// pipeline is the submission of a file under a run's id.
+// pipeline returns the request body that submits a file of testdata/pipelines under a run ID.
 func (s *script) pipeline(id, name string) []byte {
 	f, faults := pipefile.Load(filepath.Join("testdata", "pipelines", name+".yaml"))
 	if len(faults) > 0 {
--- a/internal/scenario/size_test.go
+++ b/internal/scenario/size_test.go
@@ -16,8 +16,8 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// How the size is reached: jobs of so many tasks that run on for as long as it is
-// measured, a quarter of an accelerator each.
+// Load of BenchmarkSize: jobs of tasks that outlast the measurement and use a quarter of an
+// accelerator each.
 const (
 	sizeJobTasks = 150
 	sizeJobEvery = 250 * time.Millisecond
@@ -25,10 +25,10 @@
 	sizeReportS  = 8
 )
 
-// BenchmarkSize fills five controllers' machines with long tasks, lets all processes end
-// at once and start from nothing 0.2 s later, and reports what a controller needs and how
-// long the start takes. Memory is that of this process that one controller held. In
-// simulated time: the figures repeat, but for ns/op and, a little, memory.
+// BenchmarkSize fills the machines of five controllers with long tasks, kills all controllers at
+// once, restarts them 0.2 s later with nothing in memory, and reports what a controller needs and
+// how long the restart takes. controller-MB is the memory of this process that one controller held.
+// All in simulated time, so the figures are reproducible, except ns/op and, slightly, memory.
 //
 //	go test ./internal/scenario -run '^$' -bench Size -benchtime 1x -timeout 60m
 func BenchmarkSize(b *testing.B) {
@@ -47,7 +47,7 @@
 	}
 }
 
-// sizeWorld is a world of five controllers with so many machines and jobs of so many tasks.
+// sizeWorld returns a simulation of five controllers with that many machines and tasks.
 func sizeWorld(machines, tasks int) *simulation.Simulator {
 	w := simulation.NewSimulator(5, slog.New(slog.DiscardHandler))
 	set := baseSettings(w)
@@ -66,7 +66,7 @@
 	return w
 }
 
-// submitSizeJobs hands in the jobs that fill the machines, one each sizeJobEvery.
+// submitSizeJobs submits the jobs that fill the machines, one every sizeJobEvery.
 func submitSizeJobs(w *simulation.Simulator, tasks int) {
 	count := tasks / sizeJobTasks
 	for i := range count {
@@ -98,15 +98,15 @@
 	}
 }
 
-// startTimes is how long the controllers took from their end on.
-type startTimes struct {
+// restartTimes are measured from the crash of the controllers.
+type restartTimes struct {
 	led, answered, heard time.Duration
-	peak                 float64 // requests to the state service in a second, at most
+	peak                 float64 // most requests to the state service in a second
 }
 
-// watchStart plays the minute after the controllers' end.
-func watchStart(w *simulation.Simulator, down time.Duration) startTimes {
-	var took startTimes
+// measureRestart runs the minute after the crash.
+func measureRestart(w *simulation.Simulator, down time.Duration) restartTimes {
+	var took restartTimes
 	last := w.Store.Requests
 	for at := w.At(); at < down+60*time.Second; at += 50 * time.Millisecond {
 		w.RunUntil(at)
@@ -128,15 +128,15 @@
 	return took
 }
 
-// heldMemory is the memory that one controller holds, in bytes, and discards them all: what
-// there is less without them, once the watches that they held have ended.
-func heldMemory(w *simulation.Simulator) uint64 {
-	before := heap()
+// memoryPerController discards all controllers and returns the bytes that each of them held, once
+// their open watches have ended.
+func memoryPerController(w *simulation.Simulator) uint64 {
+	before := heapInUse()
 	for _, n := range w.NodeNames {
 		w.Nodes[n].Discard()
 	}
 	w.RunUntil(w.At() + 12*time.Second)
-	return (before - heap()) / uint64(len(w.NodeNames))
+	return (before - heapInUse()) / uint64(len(w.NodeNames))
 }
 
 func measureSize(b *testing.B, machines, tasks int) {
@@ -158,9 +158,9 @@
 	down := w.At()
 	w.RunUntil(down + 200*time.Millisecond)
 	bootAll(w)
-	took := watchStart(w, down)
+	took := measureRestart(w, down)
 	w.RunUntil(w.At() + 30*time.Second)
-	held := heldMemory(w)
+	held := memoryPerController(w)
 	b.ReportMetric(float64(placed), "tasks-on")
 	b.ReportMetric(full.Seconds(), "filled-s")
 	b.ReportMetric(float64(keys), "mirror-keys")
@@ -176,22 +176,22 @@
 	b.ReportMetric(float64(w.Expired-expired), "leases-run-out")
 	b.ReportMetric(float64(totalStarts(w)-starts), "started-again")
 	if len(w.Broken) > 0 {
-		b.Errorf("%d rules broken: %s", len(w.Broken), strings.Join(w.Broken[:min(len(w.Broken), 5)], "\n"))
+		b.Errorf("%d invariants violated: %s", len(w.Broken), strings.Join(w.Broken[:min(len(w.Broken), 5)], "\n"))
 	}
 }
 
-// TestUnresponsiveAtOnce: of 4,000 machines, all of one controller, a third sends no reports
-// from one moment on, though they answer commands. All of them are named as such, and none
-// once they report again.
-func TestUnresponsiveAtOnce(t *testing.T) {
+// TestMassOutboundPartitionIsListed has a third of one controller's 4,000 machines stop reporting
+// at once while they still answer commands. All of them must be listed as outbound-partitioned, and
+// none once they report again.
+func TestMassOutboundPartitionIsListed(t *testing.T) {
 	const machines = 4000
 	w := simulation.NewSimulator(7, slog.New(slog.DiscardHandler))
 	w.ReportS = sizeReportS
 	set := baseSettings(w)
 	set.Cluster.Size = 1
 	set.Cluster.Teams = []settings.Team{{Name: "team"}}
-	set.Operator.StepS = 600                                       // nothing is rented or given back meanwhile
-	set.Cluster.State.RPS, set.Cluster.State.WriteRPS = 2000, 1000 // all machines have their records soon
+	set.Operator.StepS = 600                                       // no machine is rented or returned meanwhile
+	set.Cluster.State.RPS, set.Cluster.State.WriteRPS = 2000, 1000 // all machines get their records quickly
 	w.Store.ValueKB, w.Store.TxnOps = set.Cluster.State.ValueKB, set.Cluster.State.TxnOps
 	w.Store.RPS, w.Store.WPS = set.Cluster.State.RPS, set.Cluster.State.WriteRPS
 	w.Cloud.Limit = machines
@@ -200,40 +200,40 @@
 	}
 	w.AddNodes(1, set)
 	w.RunUntil(40 * time.Second)
-	named := func() fleet.UnresponsiveSet { return unresponsive(t, w) }
-	if n := len(named()); n != 0 || len(w.Agents) != machines {
-		t.Fatalf("%d of %d machines are unresponsive before anything happened", n, len(w.Agents))
+	listed := func() fleet.UnresponsiveSet { return listedUnresponsive(t, w) }
+	if n := len(listed()); n != 0 || len(w.Agents) != machines {
+		t.Fatalf("%d of %d machines are listed as unresponsive before the partition", n, len(w.Agents))
 	}
-	var mute []string
+	var cut []string
 	for i, machine := range w.Machines() {
 		if i%3 == 0 {
-			mute = append(mute, machine)
+			cut = append(cut, machine)
 			w.Isolate(machine, true)
 		}
 	}
 	w.RunUntil(w.At() + set.Cluster.Workers.OutboundPartitionedAfter() + 2*time.Second)
-	told := named()
-	right := 0
-	for _, machine := range mute {
-		if told[machine].OutboundPartitioned {
-			right++
+	got := listed()
+	correct := 0
+	for _, machine := range cut {
+		if got[machine].OutboundPartitioned {
+			correct++
 		}
 		w.Isolate(machine, false)
 	}
-	if right != len(mute) || len(told) != len(mute) || w.Store.Value(fleet.UnresponsiveKey(w.NodeNames[0], 2)) == nil {
-		t.Errorf("%d machines are named, %d send no reports", len(told), len(mute))
+	if correct != len(cut) || len(got) != len(cut) || w.Store.Value(fleet.UnresponsiveKey(w.NodeNames[0], 2)) == nil {
+		t.Errorf("%d machines are listed, %d send no reports", len(got), len(cut))
 	}
 	w.RunUntil(w.At() + 10*time.Second)
-	if n := len(named()); n != 0 || w.Cloud.Alive() != machines {
-		t.Errorf("%d machines are named though all report again, %d are left", n, w.Cloud.Alive())
+	if n := len(listed()); n != 0 || w.Cloud.Alive() != machines {
+		t.Errorf("%d machines are listed though all report again, %d are left", n, w.Cloud.Alive())
 	}
 	if len(w.Broken) > 0 {
-		t.Errorf("%d rules broken: %s", len(w.Broken), strings.Join(w.Broken[:min(len(w.Broken), 5)], "\n"))
+		t.Errorf("%d invariants violated: %s", len(w.Broken), strings.Join(w.Broken[:min(len(w.Broken), 5)], "\n"))
 	}
 }
 
-// unresponsive is what the first controller names as unresponsive at present.
-func unresponsive(t *testing.T, w *simulation.Simulator) fleet.UnresponsiveSet {
+// listedUnresponsive returns the machines that the first controller lists as unresponsive.
+func listedUnresponsive(t *testing.T, w *simulation.Simulator) fleet.UnresponsiveSet {
 	t.Helper()
 	lists := fleet.UnresponsiveLists{}
 	for number := 1; number <= tuning.MaxUnresponsiveLists; number++ {
@@ -250,6 +250,7 @@
 	return lists.Join(nil, w.Now)
 }
 
+// totalStarts returns the number of task starts of all jobs.
 func totalStarts(w *simulation.Simulator) int {
 	n := 0
 	for _, j := range w.Jobs {
@@ -258,7 +259,8 @@
 	return n
 }
 
-func heap() uint64 {
+// heapInUse returns the allocated heap after garbage collection.
+func heapInUse() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
--- a/internal/scenario/submit_test.go
+++ b/internal/scenario/submit_test.go
@@ -8,17 +8,17 @@
 	"github.com/harrierreel/harrierreel/internal/simulation"
 )
 
-// submission is a job under way to its body, with what the body has beside the job.
+// submission is a job to be submitted, with the fields of its request that simulation.Job lacks.
 type submission struct {
 	job      *simulation.Job
 	priority string
 	due      string // JSON: seconds, or null
 	class    string
 	cores    float64
-	gb       float64 // size of the image
+	gb       float64 // image size
 }
 
-// properties sets what a submission says of a job, by its key.
+// properties set the fields of a submission, by the key on the line.
 var properties = map[string]func(s *script, sub *submission, value string){
 	"pieces": func(s *script, sub *submission, value string) {
 		sub.job.TaskCount = int(s.number(value))
@@ -32,14 +32,14 @@
 	"run": func(s *script, sub *submission, value string) {
 		sub.job.RunS = s.number(value)
 	},
-	// apart: its tasks end so many seconds after one another
+	// apart: the seconds between the ends of its tasks
 	"apart": func(s *script, sub *submission, value string) {
 		sub.job.ApartS = s.number(value)
 	},
 	"pull": func(s *script, sub *submission, value string) {
 		sub.job.PullS = s.number(value)
 	},
-	// gb: its image, by itself, as large as users say
+	// gb: an image of its own of that size
 	"gb": func(s *script, sub *submission, value string) {
 		sub.job.PullS, sub.gb, sub.job.Image = s.number(value), s.number(value), "img-"+value
 	},
@@ -65,7 +65,7 @@
 		sub.job.MachineTypes = strings.Split(value, ",")
 	},
 	"fail": func(s *script, sub *submission, value string) {
-		sub.job.FailOn = s.party(value)
+		sub.job.FailOn = s.endpoint(value)
 	},
 	// image: image=NAME:GB
 	"image": func(s *script, sub *submission, value string) {
@@ -83,7 +83,7 @@
 	},
 }
 
-// submit UID SHAPE [key=value ...]
+// submit executes "submit UID SHAPE [key=value ...]".
 func (s *script) submit(args []string) {
 	sub := &submission{
 		job: &simulation.Job{
@@ -115,7 +115,7 @@
 	s.w.Submit(sub.job)
 }
 
-// body is what is sent for the job.
+// body returns the request body.
 func (sub *submission) body() []byte {
 	j := sub.job
 	builds := "null"
--- a/internal/scenario/swarm_test.go
+++ b/internal/scenario/swarm_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// abortEach: abort-each FIRST COUNT EVERY STEP: of jobs that come EVERY seconds apart each
-// so-manieth that was accepted is called off, as far apart.
+// abortEach executes "abort-each FIRST COUNT EVERY STEP": of jobs that arrive EVERY seconds apart,
+// every STEPth accepted one is cancelled, at the same interval.
 func (s *script) abortEach(args []string) {
 	first, count, every, step := int(s.number(args[0])), int(s.number(args[1])), s.number(args[2]), int(s.number(args[3]))
 	for i := 0; i < count; i += step {
@@ -19,8 +19,8 @@
 	}
 }
 
-// expectOver: expect over FIRST COUNT CANCELLED: each of these jobs is done or cancelled, so
-// many at least of them cancelled.
+// expectOver checks "expect over FIRST COUNT CANCELLED": each of these jobs is done or cancelled,
+// and at least CANCELLED of them are cancelled.
 func (s *script) expectOver(args []string) {
 	first, cancelled := int(s.number(args[1])), 0
 	for i := range int(s.number(args[2])) {
--- a/internal/scenario/takeover_test.go
+++ b/internal/scenario/takeover_test.go
@@ -17,18 +17,17 @@
 	"github.com/harrierreel/harrierreel/internal/taskbatch"
 )
 
-// Size of the measurement: worlds, and ends of leaders in each.
+// Size of BenchmarkTakeOver: simulations, and leader changes in each.
 const (
 	takeOverWorlds = 20
 	takeOverEnds   = 10
 	takeOverEvery  = 20 * time.Second
 )
 
-// BenchmarkTakeOver ends the leader of five controllers with 200 machines 200 times,
-// with other chance in every ten, and reports how long it takes from the end until
-// another leads by the view, until the first task is given away or placed under it, and
-// until the last machine has been heard by its new owner. In simulated time: the figures
-// repeat, but for ns/op.
+// BenchmarkTakeOver stops the leader of five controllers with 200 machines 200 times, with another
+// random seed after every ten, and reports the times from that to a view with another leader, to
+// the first task that the new leader assigns or places, and until every machine has seen a token of
+// the new view. All in simulated time, so the figures are reproducible, except ns/op.
 //
 //	go test ./internal/scenario -run '^$' -bench TakeOver -benchtime 1x
 func BenchmarkTakeOver(b *testing.B) {
@@ -45,10 +44,10 @@
 	}
 }
 
-// takeOvers is the times measured, in ms.
+// takeOvers holds the measured times, in ms.
 type takeOvers struct {
 	view, release, heard *hdrhistogram.Histogram
-	changes, requests    int // of the state service, in all
+	changes, requests    int // writes and requests of the state service
 }
 
 func newTakeOvers() *takeOvers {
@@ -56,17 +55,17 @@
 	return &takeOvers{view: h(), release: h(), heard: h()}
 }
 
-// takeOver is one world of the measurement.
+// takeOver is one simulation of the benchmark.
 type takeOver struct {
-	m     *takeOvers
-	s     *script
-	ended time.Time // the leader, zero when another's first decision was seen
-	led   bool      // another leads by the view
-	epoch uint64
-	given map[string]bool // tasks given away or placed
+	m        *takeOvers
+	s        *script
+	ended    time.Time // when the leader stopped; zero after the next leader's first decision
+	led      bool      // the view names another leader
+	epoch    uint64
+	assigned map[string]bool // tasks assigned or placed so far
 }
 
-// newTakeOver is a world of five controllers and 200 machines.
+// newTakeOver returns a simulation of five controllers and 200 machines.
 func newTakeOver(m *takeOvers, seed uint64, how string) *takeOver {
 	w := simulation.NewSimulator(seed, slog.New(slog.DiscardHandler))
 	s := &script{w: w, vars: map[string]string{}, applied: map[string]int{}}
@@ -81,25 +80,25 @@
 	for i := range 200 {
 		w.Cloud.AddRunning("g4", []string{"a", "b"}[i%2], false)
 	}
-	p := &takeOver{m: m, s: s, given: map[string]bool{}}
+	p := &takeOver{m: m, s: s, assigned: map[string]bool{}}
 	w.Store.Committed = p.committed
 	w.AddNodes(5, s.set)
 	return p
 }
 
-// committed notes one change.
+// committed records one write.
 func (p *takeOver) committed(key string, v json.RawMessage) {
 	if key == members.ViewKey {
 		p.viewCommitted(v)
 		return
 	}
-	if p.givesTasks(key, v) && p.led {
+	if p.assignsTasks(key, v) && p.led {
 		_ = p.m.release.RecordValue(p.s.w.Now.Sub(p.ended).Milliseconds() + 1)
 		p.ended, p.led = time.Time{}, false
 	}
 }
 
-// viewCommitted notes a view, and whether another leads by it.
+// viewCommitted records a view, and whether it names another leader.
 func (p *takeOver) viewCommitted(v json.RawMessage) {
 	view, ok := members.Decode(v)
 	if !ok {
@@ -112,12 +111,12 @@
 	}
 }
 
-// givesTasks tells whether a change gives away or places a task that was not yet.
-func (p *takeOver) givesTasks(key string, v json.RawMessage) bool {
-	fresh := false
+// assignsTasks reports whether a write assigns or places a task for the first time.
+func (p *takeOver) assignsTasks(key string, v json.RawMessage) bool {
+	first := false
 	take := func(taskID string, t *jobs.Task) {
-		if (t.State == jobs.Assigned || t.State == jobs.Placed) && !p.given[taskID] {
-			p.given[taskID], fresh = true, true
+		if (t.State == jobs.Assigned || t.State == jobs.Placed) && !p.assigned[taskID] {
+			p.assigned[taskID], first = true, true
 		}
 	}
 	switch {
@@ -133,14 +132,14 @@
 			take(jobs.TaskID(es[i].JobID, es[i].Index), &es[i].Task)
 		}
 	}
-	return fresh
+	return first
 }
 
-// load has a service and small jobs handed in.
+// load submits a service and small jobs.
 func (p *takeOver) load() {
 	s, w := p.s, p.s.w
-	// A service holds the machines, with room beside it for small jobs that come all the
-	// time, so that nothing but a leader is ever short.
+	// The service occupies the machines and leaves room for the small jobs that keep arriving,
+	// so that a missing leader is the only reason for a task to wait.
 	w.After(2*time.Second, func() { s.submit([]string{"wk-0", "standing", "pieces=200", "accel=3"}) })
 	for i := range int(float64(takeOverEnds+1) * takeOverEvery.Seconds() * 5) {
 		jobID := fmt.Sprintf("wk-%06d", i+1)
@@ -150,21 +149,21 @@
 	}
 }
 
-// endLeader ends whoever leads, and waits until all machines have been heard under another.
+// endLeader stops the leader, and waits until all machines have seen a token of the new view.
 func (p *takeOver) endLeader(tb testing.TB, at time.Duration, how string) {
 	tb.Helper()
 	s, w := p.s, p.s.w
 	w.RunUntil(at - time.Duration(w.RNG.IntN(3000))*time.Millisecond)
 	leader := w.Leader()
 	if leader == "" {
-		tb.Fatal("nobody leads")
+		tb.Fatal("no controller is leader")
 	}
 	s.vars["boss"] = leader
 	was := p.epoch
 	if how == "in order" {
 		w.Nodes[leader].Shutdown()
 		for before := p.epoch; p.epoch == before; w.RunUntil(w.At() + 5*time.Millisecond) {
-			p.ended = w.Now // the hand-over is what is measured
+			p.ended = w.Now // measure from the handover
 		}
 	} else {
 		p.ended = w.Now
@@ -174,7 +173,7 @@
 	for p.epoch == was || !w.TokenShown(p.epoch) {
 		w.RunUntil(w.At() + 10*time.Millisecond)
 		if w.Now.Sub(from) > 30*time.Second {
-			tb.Fatal("machines not heard")
+			tb.Fatal("not all machines have seen a token of the new view")
 		}
 	}
 	_ = p.m.heard.RecordValue(w.Now.Sub(from).Milliseconds() + 1)
@@ -182,6 +181,7 @@
 	w.Nodes[leader].Boot()
 }
 
+// play runs one simulation.
 func (m *takeOvers) play(tb testing.TB, seed uint64, how string) {
 	tb.Helper()
 	p := newTakeOver(m, seed, how)
@@ -198,6 +198,7 @@
 	}
 }
 
+// report reports the measured times and counts.
 func (m *takeOvers) report(b *testing.B) {
 	b.Helper()
 	for name, h := range map[string]*hdrhistogram.Histogram{"view": m.view, "release": m.release, "heard": m.heard} {
--- a/internal/scenario/troubles_test.go
+++ b/internal/scenario/troubles_test.go
@@ -12,19 +12,20 @@
 	"github.com/harrierreel/harrierreel/internal/simulation"
 )
 
-// Worlds of drawn troubles, more of them by a flag:
+// Simulations with random faults; flags select how many and the first seed:
 //
 //	go test ./internal/scenario -run TestDrawnTroubles -troubles 100 -troubles-from 0
 var (
-	troubleWorlds = flag.Int("troubles", 3, "worlds of drawn troubles")
-	troubleFrom   = flag.Int("troubles-from", 0, "seed of the first")
+	randomFaultCount = flag.Int("troubles", 3, "number of simulations with random faults")
+	randomFaultFrom  = flag.Int("troubles-from", 0, "first seed")
 )
 
-// TestDrawnTroubles draws troubles of every kind that the stand-ins know, several at a
-// time, for two and a half minutes, then judges as the users do: no rule broken, nobody
-// forgotten or stranded, half of each class, team and largest jobs begun, the largest in time.
+// TestDrawnTroubles injects random faults of every kind that the simulation has, several at a time,
+// for two and a half minutes, and then checks what users rely on: no invariant is violated, no job
+// is lost or left waiting, half of the jobs of each class and team and of the largest jobs start,
+// and the largest start in time.
 func TestDrawnTroubles(t *testing.T) {
-	for seed := *troubleFrom; seed < *troubleFrom+*troubleWorlds; seed++ {
+	for seed := *randomFaultFrom; seed < *randomFaultFrom+*randomFaultCount; seed++ {
 		t.Run(strconv.Itoa(seed), func(t *testing.T) {
 			t.Parallel()
 			w := simulation.NewSimulator(uint64(seed), slog.New(slog.DiscardHandler))
@@ -42,7 +43,7 @@
 			w.AddNodes(5, s.set)
 			s.drawJobs()
 			for w.RunUntil(10 * time.Second); w.At() < 150*time.Second; {
-				s.drawTrouble()
+				s.drawFault()
 				w.RunUntil(w.At() + time.Duration(w.RNG.IntN(7000))*time.Millisecond)
 			}
 			w.RunUntil(w.At() + 25*time.Second)
@@ -56,7 +57,7 @@
 	}
 }
 
-// drawJobs has jobs of all shapes handed in for two minutes, some of them cancelled.
+// drawJobs submits random jobs of all shapes for two minutes, and cancels some of them.
 func (s *script) drawJobs() {
 	w, r := s.w, s.w.RNG
 	for i, at := 0, 5.0; at < 120; i, at = i+1, at+0.3+r.Float64() {
@@ -81,28 +82,28 @@
 	}
 }
 
-// drawTrouble begins one trouble, which ends by itself.
-func (s *script) drawTrouble() {
+// drawFault starts one random fault, which ends by itself.
+func (s *script) drawFault() {
 	w, r := s.w, s.w.RNG
 	n := w.Nodes[w.NodeNames[r.IntN(len(w.NodeNames))]]
 	machine := s.machines[r.IntN(len(s.machines))]
 	d := time.Duration(500+r.IntN(9000)) * time.Millisecond
 	switch kind := r.IntN(15); kind {
 	case 2, 3, 4, 5, 6, 8, 9:
-		s.beginServiceTrouble(kind, n.Name, d)
+		s.beginServiceFault(kind, n.Name, d)
 	default:
-		s.beginPartyTrouble(kind, n, machine, d)
+		s.beginHostFault(kind, n, machine, d)
 	}
 }
 
-// toggle has something be so for a while.
+// toggle calls set(true) now and set(false) after d.
 func (s *script) toggle(d time.Duration, set func(on bool)) {
 	set(true)
 	s.w.After(d, func() { set(false) })
 }
 
-// beginServiceTrouble begins one of the state service, or of requests that come late.
-func (s *script) beginServiceTrouble(kind int, name string, d time.Duration) {
+// beginServiceFault starts a fault of the state service or delays requests.
+func (s *script) beginServiceFault(kind int, name string, d time.Duration) {
 	w, r := s.w, s.w.RNG
 	switch kind {
 	case 2:
@@ -125,8 +126,8 @@
 	}
 }
 
-// beginPartyTrouble begins one of controllers, of machines or of what is between them.
-func (s *script) beginPartyTrouble(kind int, n *simulation.Node, machine string, d time.Duration) {
+// beginHostFault starts a fault of a controller, of a machine or of the network between them.
+func (s *script) beginHostFault(kind int, n *simulation.Node, machine string, d time.Duration) {
 	w, r := s.w, s.w.RNG
 	switch kind {
 	case 0:
--- a/internal/scenario/verbs_controllers_test.go
+++ b/internal/scenario/verbs_controllers_test.go
@@ -7,7 +7,7 @@
 	"github.com/harrierreel/harrierreel/internal/standby"
 )
 
-// controllerVerbs are those of controllers, of the calendar, and of the script itself.
+// controllerVerbs are about controllers, the calendar and the script itself.
 var controllerVerbs = map[string]verbFunc{
 	"crash":           (*script).verbCrash,
 	"freeze":          (*script).verbFreeze,
@@ -31,37 +31,38 @@
 	"late":            (*script).verbLate,
 	"lag":             (*script).verbLag,
 	"let":             (*script).verbLet,
-	"end-leader":      withName("end-leader", (*script).leadVerb),
-	"end-as-it-leads": withName("end-as-it-leads", (*script).leadVerb),
-	"lead-changes":    withName("lead-changes", (*script).leadVerb),
-	"cut-zone":        withName("cut-zone", (*script).leadVerb),
-	"heal-zone":       withName("heal-zone", (*script).leadVerb),
-	"mark":            withName("mark", (*script).leadVerb),
+	"end-leader":      withName("end-leader", (*script).leaderVerb),
+	"end-as-it-leads": withName("end-as-it-leads", (*script).leaderVerb),
+	"lead-changes":    withName("lead-changes", (*script).leaderVerb),
+	"cut-zone":        withName("cut-zone", (*script).leaderVerb),
+	"heal-zone":       withName("heal-zone", (*script).leaderVerb),
+	"mark":            withName("mark", (*script).leaderVerb),
 	"expect":          (*script).expect,
 	"calm":            (*script).verbCalm,
 }
 
-// verbCrash: crash NODE: its process is killed.
+// verbCrash executes "crash NODE": its process is killed.
 func (s *script) verbCrash(args []string) {
 	s.w.Nodes[s.node(args[0])].Crash()
 }
 
-// verbFreeze: freeze NODE SECONDS: the process stands still, its clocks run on.
+// verbFreeze executes "freeze NODE SECONDS": the process is paused while its clocks run on.
 func (s *script) verbFreeze(args []string) {
 	s.w.Nodes[s.node(args[0])].Freeze(time.Duration(s.number(args[1]) * float64(time.Second)))
 }
 
-// verbLeave: leave NODE: it is asked to end in order.
+// verbLeave executes "leave NODE": a graceful shutdown.
 func (s *script) verbLeave(args []string) {
 	s.w.Nodes[s.node(args[0])].Shutdown()
 }
 
-// verbRefusePeers: refuse-peers NODE on|off: connections between it and the others.
+// verbRefusePeers executes "refuse-peers NODE on|off": connections between it and the other
+// controllers are refused.
 func (s *script) verbRefusePeers(args []string) {
 	s.w.RefusePeers(s.node(args[0]), args[1] == "on")
 }
 
-// verbLagNext: lag-next SECONDS: the watch of the controller that is to follow first.
+// verbLagNext executes "lag-next SECONDS": the watch of the first successor is that late.
 func (s *script) verbLagNext(args []string) {
 	for _, n := range s.w.NodeNames {
 		if s.w.Nodes[n].SuccessionOrder() == 0 {
@@ -70,12 +71,12 @@
 	}
 }
 
-// verbLagNone: lag-none: no watch is late any more.
+// verbLagNone executes "lag-none": no watch is late any more.
 func (s *script) verbLagNone(_ []string) {
 	clear(s.w.Store.Lag)
 }
 
-// verbCrashWarm: crash-warm COUNT: the controllers that are to follow the leader.
+// verbCrashWarm executes "crash-warm COUNT": kills warm standbys.
 func (s *script) verbCrashWarm(args []string) {
 	left := int(s.number(args[0]))
 	for _, n := range s.w.NodeNames {
@@ -86,23 +87,24 @@
 	}
 }
 
-// verbCalendar: calendar NODE FILE: another file, read when it next starts.
+// verbCalendar executes "calendar NODE FILE": the controller reads another file at its next start.
 func (s *script) verbCalendar(args []string) {
 	s.w.Nodes[s.node(args[0])].SetCalendar(s.calendar(args[1]))
 }
 
-// verbUpon: upon WINDOW STATE VERB ...: once, as soon as it is committed.
+// verbUpon executes "upon WINDOW STATE VERB ...": the verb is executed once, as soon as that state
+// is committed.
 func (s *script) verbUpon(args []string) {
-	s.windows.upon[args[0]+" "+args[1]] = args[2:]
+	s.windows.onState[args[0]+" "+args[1]] = args[2:]
 }
 
-// verbClock: clock NODE SECONDS: its time of day is so far off.
+// verbClock executes "clock NODE SECONDS": sets the offset of its wall clock.
 func (s *script) verbClock(args []string) {
 	s.w.ClockOffsets[s.node(args[0])] = time.Duration(s.number(args[1]) * float64(time.Second))
 }
 
-// verbFlap: flap NODE COUNT [LONGEST]: killed, back 0.2 s later, killed again 0.1 to LONGEST (0.5)
-// s after that, COUNT times.
+// verbFlap executes "flap NODE COUNT [LONGEST]": COUNT times, its process is killed, restarts 0.2 s
+// later, and runs for 0.1 to LONGEST (default 0.5) s.
 func (s *script) verbFlap(args []string) {
 	longest := 0.5
 	if len(args) > 2 {
@@ -111,7 +113,8 @@
 	s.w.Flap(s.node(args[0]), int(s.number(args[1])), time.Duration(longest*float64(time.Second)))
 }
 
-// verbFlapAll: flap-all COUNT: all within a second, each back 0.2 s later, COUNT times.
+// verbFlapAll executes "flap-all COUNT": every controller is killed within a second and restarts
+// 0.2 s later, COUNT times.
 func (s *script) verbFlapAll(args []string) {
 	for _, n := range s.w.NodeNames {
 		s.w.After(
@@ -121,31 +124,31 @@
 	}
 }
 
-// verbCutPeers: cut-peers NODE on|off: lines between this controller and the others are lost, both
-// ways and in silence (refuse-peers has them refused, which the others hear). A controller cut
-// from the state service and its peers, but neither from workers nor from users: "cut-peers NODE
-// on" with "refuse NODE on", which answers it 503, or with "cut NODE state", after which its calls
-// find no answer.
+// verbCutPeers executes "cut-peers NODE on|off": messages between this controller and the others
+// are dropped silently in both directions (refuse-peers refuses connections, which the others
+// notice). To cut a controller off from the state service as well, but not from workers or users,
+// combine "cut-peers NODE on" with "refuse NODE on", which answers its requests with 503, or with
+// "cut NODE state", which leaves them unanswered.
 func (s *script) verbCutPeers(args []string) {
 	s.cutPeers(s.node(args[0]), args[1] == "on")
 }
 
-// verbBoot: boot NODE: its process starts.
+// verbBoot executes "boot NODE": its process starts.
 func (s *script) verbBoot(args []string) {
 	s.w.Nodes[s.node(args[0])].Boot()
 }
 
-// verbCrashAll: crash-all: every controller's process is killed.
+// verbCrashAll executes "crash-all": the processes of all controllers are killed.
 func (s *script) verbCrashAll(_ []string) {
 	crashAll(s.w)
 }
 
-// verbBootAll: boot-all: every controller's process starts.
+// verbBootAll executes "boot-all": the processes of all controllers start.
 func (s *script) verbBootAll(_ []string) {
 	bootAll(s.w)
 }
 
-// verbDoor: door NODE|any: where users' requests go.
+// verbDoor executes "door NODE|any": the controller that user requests go to.
 func (s *script) verbDoor(args []string) {
 	s.w.EntryNode = ""
 	if args[0] != "any" {
@@ -153,44 +156,44 @@
 	}
 }
 
-// verbRefuse: refuse NODE on|off: the state service refuses it alone.
+// verbRefuse executes "refuse NODE on|off": the state service refuses only this controller.
 func (s *script) verbRefuse(args []string) {
 	s.w.Store.Refuse[s.node(args[0])] = args[1] == "on"
 }
 
-// verbLose: lose NODE COUNT: answers to its next transactions.
+// verbLose executes "lose NODE COUNT": the answers to its next COUNT transactions are lost.
 func (s *script) verbLose(args []string) {
 	s.w.Store.Lose[s.node(args[0])] = int(s.number(args[1]))
 }
 
-// verbLate: late NODE SECONDS: its transactions arrive late.
+// verbLate executes "late NODE SECONDS": its transactions arrive that late.
 func (s *script) verbLate(args []string) {
 	s.w.Store.Late[s.node(args[0])] = time.Duration(s.number(args[1]) * float64(time.Second))
 }
 
-// verbLag: lag NODE SECONDS: its watches tell of changes so much later.
+// verbLag executes "lag NODE SECONDS": its watches deliver changes that late.
 func (s *script) verbLag(args []string) {
 	s.w.Store.Lag[s.node(args[0])] = time.Duration(s.number(args[1]) * float64(time.Second))
 }
 
-// verbLet: let VAR host-of JOB | leader | follower | second.
+// verbLet executes "let VAR host-of JOB | owner-of RUN | leader | follower | second".
 func (s *script) verbLet(args []string) {
 	s.vars[args[0]] = s.value(args[1:])
 }
 
-// verbCalm: all troubles end, and who waits although there is room is watched.
+// verbCalm executes "calm": all faults end, and jobs that wait although there is room are tracked.
 func (s *script) verbCalm(_ []string) {
-	s.calm()
+	s.endFaults()
 }
 
-// crashAll ends every controller's process.
+// crashAll kills the processes of all controllers.
 func crashAll(w *simulation.Simulator) {
 	for _, n := range w.NodeNames {
 		w.Nodes[n].Crash()
 	}
 }
 
-// bootAll starts every controller's process.
+// bootAll starts the processes of all controllers.
 func bootAll(w *simulation.Simulator) {
 	for _, n := range w.NodeNames {
 		w.Nodes[n].Boot()
--- a/internal/scenario/verbs_jobs_test.go
+++ b/internal/scenario/verbs_jobs_test.go
@@ -8,7 +8,7 @@
 	"github.com/harrierreel/harrierreel/internal/simulation"
 )
 
-// jobVerbs are those of users: jobs, runs, quotas and questions.
+// jobVerbs are about user requests: jobs, pipeline runs, quotas and polls.
 var jobVerbs = map[string]verbFunc{
 	"submit":        (*script).submit,
 	"again":         (*script).verbAgain,
@@ -23,44 +23,44 @@
 	"run-again":     (*script).verbRunAgain,
 	"cancel-run":    (*script).verbCancelRun,
 	"submit-many":   (*script).verbSubmitMany,
-	"close-looks":   withName("close-looks", (*script).looksVerb),
-	"cancel-at-end": withName("cancel-at-end", (*script).looksVerb),
-	"look-all":      withName("look-all", (*script).looksVerb),
-	// odd-requests SECONDS: users repeat, cancel what is done, send what can't run or lacks a field
-	"odd-requests": (*script).oddRequests,
-	// cancel-now COUNT [HANG_S]: so many jobs that run and have long to go are called off within 0.2
-	// s; up to eight of their machines hang so long
+	"close-looks":   withName("close-looks", (*script).pollVerb),
+	"cancel-at-end": withName("cancel-at-end", (*script).pollVerb),
+	"look-all":      withName("look-all", (*script).pollVerb),
+	// odd-requests SECONDS: users resubmit, cancel finished jobs, send impossible or incomplete jobs
+	"odd-requests": (*script).verbOddRequests,
+	// cancel-now COUNT [HANG_S]: COUNT running jobs that are far from done are cancelled within
+	// 0.2 s; up to eight of their machines hang for HANG_S
 	"cancel-now": (*script).cancelNowVerb,
-	// ask-everywhere FIRST COUNT EVERY SECONDS: at each controller: a question, the submission, and
-	// what was called off once more
+	// ask-everywhere FIRST COUNT EVERY SECONDS: each controller gets a poll, the submission again and,
+	// for cancelled jobs, the cancellation again
 	"ask-everywhere": (*script).askEverywhere,
 	"cancelled-gone": (*script).verbCancelledGone,
 	"abort-each":     (*script).abortEach,
 }
 
-// verbAgain: again JOB: the submission is repeated.
+// verbAgain executes "again JOB": repeats its submission.
 func (s *script) verbAgain(args []string) {
 	s.w.Resubmit(s.job(args[0]))
 }
 
-// verbAbort: abort JOB.
+// verbAbort executes "abort JOB": cancels it.
 func (s *script) verbAbort(args []string) {
 	s.w.Cancel(s.job(args[0]))
 }
 
-// verbAsk: ask JOB: about a job that no one submitted.
+// verbAsk executes "ask JOB": polls a job that no one submitted.
 func (s *script) verbAsk(args []string) {
 	s.w.CheckUnknown(args[0])
 }
 
-// verbAbortMany: abort-many FIRST COUNT.
+// verbAbortMany executes "abort-many FIRST COUNT".
 func (s *script) verbAbortMany(args []string) {
 	for i := range int(s.number(args[1])) {
 		s.w.Cancel(s.job(fmt.Sprintf("wk-%06d", int(s.number(args[0]))+i)))
 	}
 }
 
-// verbApply: apply FILE BASE: another tree.
+// verbApply executes "apply FILE BASE": applies another quota tree.
 func (s *script) verbApply(args []string) {
 	s.applied[args[0]] = 0
 	s.w.ApplyQuota(
@@ -69,7 +69,8 @@
 	)
 }
 
-// verbAskMany: ask-many FIRST COUNT EVERY: about a job that no one submitted each EVERY seconds.
+// verbAskMany executes "ask-many FIRST COUNT EVERY": polls a job that no one submitted every EVERY
+// seconds.
 func (s *script) verbAskMany(args []string) {
 	first, every := int(s.number(args[0])), s.number(args[2])
 	for i := range int(s.number(args[1])) {
@@ -80,12 +81,12 @@
 	}
 }
 
-// verbRun: run RUN FILE: a pipeline file of testdata/pipelines.
+// verbRun executes "run RUN FILE": submits a pipeline file of testdata/pipelines.
 func (s *script) verbRun(args []string) {
 	s.w.SubmitRun(&simulation.Run{ID: args[0], Body: s.pipeline(args[0], args[1])})
 }
 
-// verbRunMany: run-many FIRST COUNT EVERY FILE: one each EVERY seconds.
+// verbRunMany executes "run-many FIRST COUNT EVERY FILE": submits one run every EVERY seconds.
 func (s *script) verbRunMany(args []string) {
 	first, every := int(s.number(args[0])), s.number(args[2])
 	for i := range int(s.number(args[1])) {
@@ -98,17 +99,18 @@
 	}
 }
 
-// verbRunAgain: run-again RUN FILE: the submission is repeated.
+// verbRunAgain executes "run-again RUN FILE": repeats the submission.
 func (s *script) verbRunAgain(args []string) {
 	s.w.ResubmitRun(s.runOf(args[0]), s.pipeline(args[0], args[1]))
 }
 
-// verbCancelRun: cancel-run RUN.
+// verbCancelRun executes "cancel-run RUN".
 func (s *script) verbCancelRun(args []string) {
 	s.w.CancelRun(s.runOf(args[0]))
 }
 
-// verbSubmitMany: submit-many FIRST COUNT EVERY SHAPE [key=value ...]: one each EVERY seconds.
+// verbSubmitMany executes "submit-many FIRST COUNT EVERY SHAPE [key=value ...]": submits one job
+// every EVERY seconds.
 func (s *script) verbSubmitMany(args []string) {
 	first, every := int(s.number(args[0])), s.number(args[2])
 	for i := range int(s.number(args[1])) {
@@ -120,10 +122,10 @@
 	}
 }
 
-// verbCancelledGone: no task of a job that was told to be cancelled is on a machine that doesn't
-// hang.
+// verbCancelledGone executes "cancelled-gone": no task of a job whose user was told of its
+// cancellation is on a machine, except on machines that hang.
 func (s *script) verbCancelledGone(_ []string) {
 	for _, taskID := range s.w.CancelledOn() {
-		s.fatal("%s is cancelled and on a machine", taskID)
+		s.fatal("%s is cancelled but still on a machine", taskID)
 	}
 }
--- a/internal/scenario/verbs_machines_test.go
+++ b/internal/scenario/verbs_machines_test.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// machineVerbs are those of machines, of loans and of what arrives between parties.
+// machineVerbs are about machines, loans and the network.
 var machineVerbs = map[string]verbFunc{
 	"die-many":       (*script).verbDieMany,
 	"rebirth":        (*script).verbRebirth,
@@ -34,14 +34,14 @@
 	"isolated-ends":  (*script).verbIsolatedEnds,
 	"mute":           withName("mute", (*script).verbMute),
 	"unmute":         withName("unmute", (*script).verbMute),
-	// hang-with FIRST COUNT SECONDS: machines with a task of these jobs; hang-for: of the start
+	// hang-with FIRST COUNT SECONDS: one machine of each of these jobs; hang-for: initial machines
 	"hang-with": withName("hang-with", (*script).hangFor),
 	"hang-for":  withName("hang-for", (*script).hangFor),
 	// rejoin FIRST COUNT: ends isolate
 	"rejoin": (*script).rejoin,
 }
 
-// verbDieMany: die-many FIRST COUNT: machines of the start.
+// verbDieMany executes "die-many FIRST COUNT": initial machines die.
 func (s *script) verbDieMany(args []string) {
 	first := int(s.number(args[0]))
 	for _, h := range s.machines[first-1 : first-1+int(s.number(args[1]))] {
@@ -49,8 +49,8 @@
 	}
 }
 
-// verbRebirth: rebirth FIRST COUNT: machines of the start die and are back at once, with a new
-// tenure.
+// verbRebirth executes "rebirth FIRST COUNT": initial machines die and restart at once with a new
+// session.
 func (s *script) verbRebirth(args []string) {
 	first := int(s.number(args[0]))
 	for _, h := range s.machines[first-1 : first-1+int(s.number(args[1]))] {
@@ -60,13 +60,14 @@
 	}
 }
 
-// verbHoldBack: hold-back beat|cmd|state|rent SECONDS EVERY: each so-manieth request comes so
-// late, its sender has given it up.
+// verbHoldBack executes "hold-back beat|cmd|state|rent SECONDS EVERY": every EVERYth request
+// arrives that late, after its sender has given up on it.
 func (s *script) verbHoldBack(args []string) {
 	s.w.HoldBack(args[0], time.Duration(s.number(args[1])*float64(time.Second)), int(s.number(args[2])))
 }
 
-// verbDieOrHangSome: die-some|hang-some empty|busy COUNT: machines of the start.
+// verbDieOrHangSome executes "die-some|hang-some empty|busy COUNT": initial machines with or
+// without tasks die or hang.
 func (s *script) verbDieOrHangSome(verb string, args []string) {
 	left := int(s.number(args[1]))
 	for _, h := range s.machines {
@@ -79,13 +80,13 @@
 		}
 	}
 	if left > 0 {
-		s.fatal("%d too few are %s", left, args[0])
+		s.fatal("%d too few machines are %s", left, args[0])
 	}
 }
 
-// verbCutOrHealMany: cut-many|deaf FIRST COUNT: nothing reaches these machines of the start: their
-// reports arrive, answers to them, commands and /show are lost. heal-many|hear ends it. One
-// machine by name: "cut * MACHINE", "heal * MACHINE".
+// verbCutOrHealMany executes "cut-many|deaf FIRST COUNT": these initial machines receive nothing.
+// Their reports arrive, but the answers, commands and /show requests are lost. "heal-many|hear
+// FIRST COUNT" ends it. For a single machine by name use "cut * MACHINE" and "heal * MACHINE".
 func (s *script) verbCutOrHealMany(verb string, args []string) {
 	first := int(s.number(args[0]))
 	for _, h := range s.machines[first-1 : first-1+int(s.number(args[1]))] {
@@ -95,24 +96,25 @@
 	}
 }
 
-// verbRentedUnheard: rented-unheard COUNT BUILD SITE: by a leader that ended before the answer.
+// verbRentedUnheard executes "rented-unheard COUNT BUILD SITE": machines rented by a leader that
+// ended before the answer came.
 func (s *script) verbRentedUnheard(args []string) {
 	for range int(s.number(args[0])) {
 		s.machines = append(s.machines, s.w.Cloud.AddRunning(args[1], args[2], false))
 	}
 }
 
-// verbBaton: baton MACHINE EPOCH: it has seen that token.
+// verbBaton executes "baton MACHINE EPOCH": the machine has seen a fencing token of that epoch.
 func (s *script) verbBaton(args []string) {
-	s.w.Agents[s.party(args[0])].LearnEpoch(uint64(s.number(args[1])))
+	s.w.Agents[s.endpoint(args[0])].LearnEpoch(uint64(s.number(args[1])))
 }
 
-// verbCut: cut FROM TO [hold].
+// verbCut executes "cut FROM TO [hold]": messages are dropped, or held until "heal".
 func (s *script) verbCut(args []string) {
-	s.w.Cut(s.party(args[0]), s.party(args[1]), len(args) > 2)
+	s.w.Cut(s.endpoint(args[0]), s.endpoint(args[1]), len(args) > 2)
 }
 
-// verbIsolate: isolate FIRST COUNT: so many of the first machines are cut from all.
+// verbIsolate executes "isolate FIRST COUNT": these initial machines are cut off from everything.
 func (s *script) verbIsolate(args []string) {
 	first := int(s.number(args[0]))
 	for _, h := range s.machines[first-1 : first-1+int(s.number(args[1]))] {
@@ -121,7 +123,8 @@
 	}
 }
 
-// verbBlind: blind NODE on|off: it and the machines of the start do not reach one another.
+// verbBlind executes "blind NODE on|off": the controller and the initial machines do not reach each
+// other.
 func (s *script) verbBlind(args []string) {
 	for _, h := range s.machines {
 		if args[1] == "on" {
@@ -134,14 +137,15 @@
 	}
 }
 
-// verbHeal: heal FROM TO: ends cut.
+// verbHeal executes "heal FROM TO": ends a cut.
 func (s *script) verbHeal(args []string) {
-	s.w.Heal(s.party(args[0]), s.party(args[1]))
+	s.w.Heal(s.endpoint(args[0]), s.endpoint(args[1]))
 }
 
-// verbOneMachine: die|hang|resume MACHINE, take MACHINE SECONDS of notice.
+// verbOneMachine executes "die|hang|resume MACHINE" and "take MACHINE SECONDS", which reclaims it
+// after that notice.
 func (s *script) verbOneMachine(verb string, args []string) {
-	agent := s.w.Agents[s.party(args[0])]
+	agent := s.w.Agents[s.endpoint(args[0])]
 	if agent == nil {
 		s.fatal("no machine %s", args[0])
 	}
@@ -157,7 +161,8 @@
 	}
 }
 
-// verbMute: mute FIRST COUNT: these machines of the start reach no controller, commands reach them.
+// verbMute executes "mute|unmute FIRST COUNT": these initial machines reach no controller, but
+// commands reach them.
 func (s *script) verbMute(verb string, args []string) {
-	s.mute(int(s.number(args[0])), int(s.number(args[1])), verb == "mute")
+	s.setOutboundPartition(int(s.number(args[0])), int(s.number(args[1])), verb == "mute")
 }
--- a/internal/scenario/verbs_services_test.go
+++ b/internal/scenario/verbs_services_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// serviceVerbs are those of the state service and of the cloud.
+// serviceVerbs are about the state service and the cloud.
 var serviceVerbs = map[string]verbFunc{
-	"late-writes":  withName("late-writes", (*script).late),
-	"late-reports": withName("late-reports", (*script).late),
+	"late-writes":  withName("late-writes", (*script).delayVerb),
+	"late-reports": withName("late-reports", (*script).delayVerb),
 	"state":        (*script).verbState,
 	"slow":         (*script).verbSlow,
 	"slow-some":    (*script).verbSlowSome,
@@ -20,18 +20,18 @@
 	"plant":        (*script).verbPlant,
 }
 
-// verbState: state down|up.
+// verbState executes "state down|up".
 func (s *script) verbState(args []string) {
 	s.w.Store.SetDown(args[0] == "down")
 }
 
-// verbSlow: slow SECONDS: the state service answers so much later.
+// verbSlow executes "slow SECONDS": the state service delays its answers.
 func (s *script) verbSlow(args []string) {
 	s.w.Store.Slow = time.Duration(s.number(args[0]) * float64(time.Second))
 }
 
-// verbSlowSome: slow-some SHARE MOST SECONDS: for so long that share of its answers comes up to
-// MOST seconds later.
+// verbSlowSome executes "slow-some SHARE MOST SECONDS": for SECONDS, that share of the answers is
+// delayed by up to MOST seconds.
 func (s *script) verbSlowSome(args []string) {
 	s.w.Store.SlowSome(
 		s.number(args[0]),
@@ -40,32 +40,35 @@
 	)
 }
 
-// verbSlowWatch: slow-watch SECONDS: its answers to watches come so late instead.
+// verbSlowWatch executes "slow-watch SECONDS": the delay of answers to watches, which replaces that
+// of "slow".
 func (s *script) verbSlowWatch(args []string) {
 	s.w.Store.SlowWatch = time.Duration(s.number(args[0]) * float64(time.Second))
 }
 
-// verbFailPages: fail-pages COUNT: each so-manieth page of a listing is refused, 0 none.
+// verbFailPages executes "fail-pages COUNT": every COUNTth page of a listing is refused; 0 turns it
+// off.
 func (s *script) verbFailPages(args []string) {
 	s.w.Store.FailPages = int(s.number(args[0]))
 }
 
-// verbPoison: poison JOB|none: transactions about its tasks are refused for no reason.
+// verbPoison executes "poison JOB|none": transactions about its tasks are refused without a valid
+// reason.
 func (s *script) verbPoison(args []string) {
 	s.w.Store.Poison = strings.TrimPrefix(args[0], "none")
 }
 
-// verbCloud: cloud down|up.
+// verbCloud executes "cloud down|up".
 func (s *script) verbCloud(args []string) {
 	s.w.Cloud.Down = args[0] == "down"
 }
 
-// verbCapacity: capacity MACHINES: the cloud rents no more than so many.
+// verbCapacity executes "capacity MACHINES": the most machines that the cloud has.
 func (s *script) verbCapacity(args []string) {
 	s.w.Cloud.Limit = int(s.number(args[0]))
 }
 
-// verbPlant: plant KEY VALUE: an odd record in the store.
+// verbPlant executes "plant KEY VALUE": writes a record to the store directly.
 func (s *script) verbPlant(args []string) {
 	s.w.Store.Put(args[0], strings.Join(args[1:], " "))
 }
--- a/internal/scenario/verbs_test.go
+++ b/internal/scenario/verbs_test.go
@@ -2,34 +2,34 @@
 
 import "fmt"
 
-// verbFunc carries out one timed line; args are its words after the verb.
+// verbFunc executes one timed line; args are the words after the verb.
 type verbFunc func(s *script, args []string)
 
-// verbs has each verb of a timed line. It is filled in init, since some verbs carry out
-// others, by way of do.
+// verbs holds all verbs of timed lines. It is filled in init, as some verbs execute others through
+// do, which would be an initialization cycle.
 var verbs = map[string]verbFunc{}
 
 func init() {
 	for _, table := range []map[string]verbFunc{controllerVerbs, machineVerbs, serviceVerbs, jobVerbs} {
-		for name, carryOut := range table {
+		for name, execute := range table {
 			if verbs[name] != nil {
-				panic(fmt.Sprintf("verb %q stands in two tables", name))
+				panic(fmt.Sprintf("verb %q is in two tables", name))
 			}
-			verbs[name] = carryOut
+			verbs[name] = execute
 		}
 	}
 }
 
-// withName makes a verb of a function that carries out several and needs the name.
-func withName(verb string, carryOut func(s *script, verb string, args []string)) verbFunc {
-	return func(s *script, args []string) { carryOut(s, verb, args) }
+// withName adapts a function that implements several verbs and needs the name of the one executed.
+func withName(verb string, execute func(s *script, verb string, args []string)) verbFunc {
+	return func(s *script, args []string) { execute(s, verb, args) }
 }
 
-// do carries out one timed line.
+// do executes one timed line.
 func (s *script) do(verb string, args []string) {
-	carryOut := verbs[verb]
-	if carryOut == nil {
+	execute := verbs[verb]
+	if execute == nil {
 		s.fatal("unknown verb %q", verb)
 	}
-	carryOut(s, args)
+	execute(s, args)
 }
