--- a/internal/scenario/calendar_test.go
+++ b/internal/scenario/calendar_test.go
@@ -78,17 +78,17 @@
 	switch args[0] {
 	case "window":
 		if got := s.windows.state[args[1]]; string(got) != args[2] {
-			s.fatal("window %s is %q, not %q", args[1], got, args[2])
+			s.fatal("window %s is %q, want %q", args[1], got, args[2])
 		}
 	case "opened":
 		if got := len(s.windows.opened[args[1]]); got != int(s.number(args[2])) {
-			s.fatal("window %s opened %d times, not %s", args[1], got, args[2])
+			s.fatal("window %s opened %d times, want %s", args[1], got, args[2])
 		}
 	case "began":
 		opened := s.windows.opened[args[2]]
 		if len(opened) == 0 || s.job(args[1]).FirstStart.IsZero() ||
 			s.job(args[1]).FirstStart.Sub(opened[len(opened)-1]).Seconds() > s.number(args[3]) {
-			s.fatal("%s began at %v, its window opened at %v", args[1], s.job(args[1]).FirstStart, opened)
+			s.fatal("%s started at %v, its window opened at %v", args[1], s.job(args[1]).FirstStart, opened)
 		}
 	}
 }
@@ -156,7 +156,7 @@
 // openingsEvery is the time between the openings of a track in TestWindowTasksStartWithin15s.
 const openingsEvery = 4 * time.Minute
 
-// openings returns a calendar of two tracks with five consecutive windows each.
+// openingsCalendar returns a calendar of two tracks with five consecutive windows each.
 func openingsCalendar(begin time.Time) *calendar.Document {
 	d := &calendar.Document{Revision: 1, Zone: "UTC"}
 	for n, track := range []string{"one", "two"} {
--- a/internal/scenario/down_test.go
+++ b/internal/scenario/down_test.go
@@ -88,8 +88,8 @@
 // killMachines kills up to dying machines that run tasks, and returns the number of tasks lost.
 func killMachines(w *simulation.Simulator, dying int) int {
 	tasksLost := 0
-	for _, h := range w.Machines() {
-		if agent := w.Agents[h]; agent != nil && dying > 0 && !agent.Empty() {
+	for _, machine := range w.Machines() {
+		if agent := w.Agents[machine]; agent != nil && dying > 0 && !agent.Empty() {
 			tasksLost += agent.TaskCount()
 			dying--
 			agent.Die()
--- a/internal/scenario/expectations_controllers_test.go
+++ b/internal/scenario/expectations_controllers_test.go
@@ -54,9 +54,9 @@
 // token.
 func (s *script) expectBatons(args []string) {
 	s.t.Helper()
-	for _, h := range s.machines {
-		if agent := s.w.Agents[h]; agent != nil && agent.TokenChanges > int(s.number(args[1])) {
-			s.fatal("%s was shown a higher token %d times, more than %s", h, agent.TokenChanges, args[1])
+	for _, machine := range s.machines {
+		if agent := s.w.Agents[machine]; agent != nil && agent.TokenChanges > int(s.number(args[1])) {
+			s.fatal("%s was shown a higher token %d times, more than %s", machine, agent.TokenChanges, args[1])
 		}
 	}
 }
--- a/internal/scenario/lending_test.go
+++ b/internal/scenario/lending_test.go
@@ -19,9 +19,9 @@
 
 // verbIsolatedEnds executes "isolated-ends": all initial machines are reachable again.
 func (s *script) verbIsolatedEnds(_ []string) {
-	for _, h := range s.machines {
-		s.w.Heal(h, "*")
-		s.w.Heal("*", h)
+	for _, machine := range s.machines {
+		s.w.Heal(machine, "*")
+		s.w.Heal("*", machine)
 	}
 }
 
--- a/internal/scenario/mute_test.go
+++ b/internal/scenario/mute_test.go
@@ -4,8 +4,8 @@
 
 // setOutboundPartition cuts or restores the traffic from initial machines to the controllers.
 func (s *script) setOutboundPartition(first, count int, on bool) {
-	for _, h := range s.machines[first-1 : first-1+count] {
-		s.w.Isolate(h, on)
+	for _, machine := range s.machines[first-1 : first-1+count] {
+		s.w.Isolate(machine, on)
 	}
 }
 
@@ -14,17 +14,17 @@
 var outboundPartition = fault{"machines outbound-partitioned", func(s *script, _ string, d time.Duration) {
 	w := s.w
 	d = max(d, time.Duration(w.RNG.Float64()*2.5*w.LeaseS*float64(time.Second)))
-	isolate := func(h string) {
-		w.Isolate(h, true)
-		w.After(d, func() { w.Isolate(h, false) })
+	isolate := func(machine string) {
+		w.Isolate(machine, true)
+		w.After(d, func() { w.Isolate(machine, false) })
 	}
 	if w.RNG.IntN(3) > 0 {
 		s.someMachines(isolate)
 		return
 	}
-	for _, h := range s.machines {
-		if agent := w.Agents[h]; agent != nil && agent.Zone() == "a" {
-			isolate(h)
+	for _, machine := range s.machines {
+		if agent := w.Agents[machine]; agent != nil && agent.Zone() == "a" {
+			isolate(machine)
 		}
 	}
 }}
@@ -33,8 +33,8 @@
 func (s *script) expectKept(first, count, least int) {
 	s.t.Helper()
 	kept := 0
-	for _, h := range s.machines[first-1 : first-1+count] {
-		if s.w.Agents[h] != nil {
+	for _, machine := range s.machines[first-1 : first-1+count] {
+		if s.w.Agents[machine] != nil {
 			kept++
 		}
 	}
--- a/internal/scenario/now_test.go
+++ b/internal/scenario/now_test.go
@@ -56,9 +56,9 @@
 // rejoin executes "rejoin FIRST COUNT": ends the isolation of these initial machines.
 func (s *script) rejoin(args []string) {
 	first := int(s.number(args[0]))
-	for _, h := range s.machines[first-1 : first-1+int(s.number(args[1]))] {
-		s.w.Heal(h, "*")
-		s.w.Heal("*", h)
+	for _, machine := range s.machines[first-1 : first-1+int(s.number(args[1]))] {
+		s.w.Heal(machine, "*")
+		s.w.Heal("*", machine)
 	}
 }
 
@@ -113,7 +113,7 @@
 	w.After(ms(600, 2000), func() { s.pollRandomly(time.Duration(w.CancelS+10) * time.Second) })
 }
 
-// askAll polls random accepted jobs at all controllers for a while.
+// pollRandomly polls random accepted jobs at all controllers for a while.
 func (s *script) pollRandomly(d time.Duration) {
 	w := s.w
 	for at := time.Duration(0); at < d; at += time.Duration(300+w.RNG.IntN(8000)) * time.Millisecond {
@@ -140,17 +140,17 @@
 	}
 	d := ms(1500, int(w.LeaseS*1500))
 	kind := r.IntN(4)
-	s.someMachines(func(h string) {
+	s.someMachines(func(machine string) {
 		switch kind {
 		case 0, 1:
-			w.Cut("*", h, kind == 1)
-			w.Cut(h, "*", kind == 1)
-			w.After(d, func() { w.Heal("*", h); w.Heal(h, "*") })
+			w.Cut("*", machine, kind == 1)
+			w.Cut(machine, "*", kind == 1)
+			w.After(d, func() { w.Heal("*", machine); w.Heal(machine, "*") })
 		case 2:
-			w.Cut("*", h, false)
-			w.After(d, func() { w.Heal("*", h) })
+			w.Cut("*", machine, false)
+			w.After(d, func() { w.Heal("*", machine) })
 		case 3:
-			if agent := w.Agents[h]; agent != nil && !agent.Hung {
+			if agent := w.Agents[machine]; agent != nil && !agent.Hung {
 				agent.Hung = true
 				w.After(d, agent.Resume)
 			}
@@ -267,7 +267,7 @@
 	}
 }
 
-// drawLong submits more jobs than the limits of the teams admit at once, most of them long.
+// drawLongJobs submits more jobs than the teams' limits admit at once, most of them long.
 func (s *script) drawLongJobs() {
 	w, r := s.w, s.w.RNG
 	for i := range 120 {
--- a/internal/scenario/pairs_test.go
+++ b/internal/scenario/pairs_test.go
@@ -82,35 +82,35 @@
 		w.After(d, n.Boot)
 	}},
 	{"machines receive nothing", func(s *script, _ string, d time.Duration) {
-		s.someMachines(func(h string) {
-			s.w.Cut("*", h, false)
-			s.w.After(d, func() { s.w.Heal("*", h) })
+		s.someMachines(func(machine string) {
+			s.w.Cut("*", machine, false)
+			s.w.After(d, func() { s.w.Heal("*", machine) })
 		})
 	}},
 	{"machines unreachable", func(s *script, _ string, d time.Duration) {
-		s.someMachines(func(h string) {
-			s.w.Cut("*", h, false)
-			s.w.Cut(h, "*", false)
-			s.w.After(d, func() { s.w.Heal("*", h); s.w.Heal(h, "*") })
+		s.someMachines(func(machine string) {
+			s.w.Cut("*", machine, false)
+			s.w.Cut(machine, "*", false)
+			s.w.After(d, func() { s.w.Heal("*", machine); s.w.Heal(machine, "*") })
 		})
 	}},
 	{"held", func(s *script, _ string, d time.Duration) {
 		w := s.w
 		kind := w.RNG.IntN(3)
-		s.someMachines(func(h string) {
+		s.someMachines(func(machine string) {
 			switch kind {
 			case 0: // commands to it, delivered all at once in the end
 				for _, n := range w.NodeNames {
-					w.Cut(n+":cmd", h, true)
-					w.After(d, func() { w.Heal(n+":cmd", h) })
+					w.Cut(n+":cmd", machine, true)
+					w.After(d, func() { w.Heal(n+":cmd", machine) })
 				}
 			case 1: // its answers to them
 				for _, n := range w.NodeNames {
-					w.Cut(h, n+":cmd", true)
-					w.After(d, func() { w.Heal(h, n+":cmd") })
+					w.Cut(machine, n+":cmd", true)
+					w.After(d, func() { w.Heal(machine, n+":cmd") })
 				}
 			case 2: // the machine hangs
-				if agent := w.Agents[h]; agent != nil {
+				if agent := w.Agents[machine]; agent != nil {
 					agent.Hung = true
 					w.After(d, agent.Resume)
 				}
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -233,8 +233,8 @@
 func (s *script) value(args []string) string {
 	switch args[0] {
 	case "host-of":
-		if h := s.w.MachineOf(args[1]); h != "" {
-			return h
+		if machine := s.w.MachineOf(args[1]); machine != "" {
+			return machine
 		}
 		s.fatal("no task of %s is on a machine", args[1])
 	case "owner-of": // the controller that owns a pipeline run
--- a/internal/scenario/verbs_machines_test.go
+++ b/internal/scenario/verbs_machines_test.go
@@ -44,8 +44,8 @@
 // verbDieMany executes "die-many FIRST COUNT": initial machines die.
 func (s *script) verbDieMany(args []string) {
 	first := int(s.number(args[0]))
-	for _, h := range s.machines[first-1 : first-1+int(s.number(args[1]))] {
-		s.w.Agents[h].Die()
+	for _, machine := range s.machines[first-1 : first-1+int(s.number(args[1]))] {
+		s.w.Agents[machine].Die()
 	}
 }
 
@@ -53,8 +53,8 @@
 // session.
 func (s *script) verbRebirth(args []string) {
 	first := int(s.number(args[0]))
-	for _, h := range s.machines[first-1 : first-1+int(s.number(args[1]))] {
-		if agent := s.w.Agents[h]; agent != nil {
+	for _, machine := range s.machines[first-1 : first-1+int(s.number(args[1]))] {
+		if agent := s.w.Agents[machine]; agent != nil {
 			agent.Restart()
 		}
 	}
@@ -70,8 +70,8 @@
 // without tasks die or hang.
 func (s *script) verbDieOrHangSome(verb string, args []string) {
 	left := int(s.number(args[1]))
-	for _, h := range s.machines {
-		if agent := s.w.Agents[h]; agent != nil && left > 0 && !agent.Hung && agent.Empty() == (args[0] == "empty") {
+	for _, machine := range s.machines {
+		if agent := s.w.Agents[machine]; agent != nil && left > 0 && !agent.Hung && agent.Empty() == (args[0] == "empty") {
 			if left--; verb == "die-some" {
 				agent.Die()
 			} else {
@@ -89,9 +89,9 @@
 // FIRST COUNT" ends it. For a single machine by name use "cut * MACHINE" and "heal * MACHINE".
 func (s *script) verbCutOrHealMany(verb string, args []string) {
 	first := int(s.number(args[0]))
-	for _, h := range s.machines[first-1 : first-1+int(s.number(args[1]))] {
-		if s.w.Heal("*", h); verb == "cut-many" || verb == "deaf" {
-			s.w.Cut("*", h, false)
+	for _, machine := range s.machines[first-1 : first-1+int(s.number(args[1]))] {
+		if s.w.Heal("*", machine); verb == "cut-many" || verb == "deaf" {
+			s.w.Cut("*", machine, false)
 		}
 	}
 }
@@ -117,22 +117,22 @@
 // verbIsolate executes "isolate FIRST COUNT": these initial machines are cut off from everything.
 func (s *script) verbIsolate(args []string) {
 	first := int(s.number(args[0]))
-	for _, h := range s.machines[first-1 : first-1+int(s.number(args[1]))] {
-		s.w.Cut(h, "*", false)
-		s.w.Cut("*", h, false)
+	for _, machine := range s.machines[first-1 : first-1+int(s.number(args[1]))] {
+		s.w.Cut(machine, "*", false)
+		s.w.Cut("*", machine, false)
 	}
 }
 
 // verbBlind executes "blind NODE on|off": the controller and the initial machines do not reach each
 // other.
 func (s *script) verbBlind(args []string) {
-	for _, h := range s.machines {
+	for _, machine := range s.machines {
 		if args[1] == "on" {
-			s.w.Cut(h, s.node(args[0]), false)
-			s.w.Cut(s.node(args[0]), h, false)
+			s.w.Cut(machine, s.node(args[0]), false)
+			s.w.Cut(s.node(args[0]), machine, false)
 		} else {
-			s.w.Heal(h, s.node(args[0]))
-			s.w.Heal(s.node(args[0]), h)
+			s.w.Heal(machine, s.node(args[0]))
+			s.w.Heal(s.node(args[0]), machine)
 		}
 	}
 }
