--- a/internal/scenario/now_test.go
+++ b/internal/scenario/now_test.go
@@ -163,7 +163,7 @@
 	}
 }
 
-// changeLeader forces a change of leader by a crash, a pause, a shutdown or a partition.
+// changeLeader crashes, pauses, shuts down or partitions a controller, usually the leader.
 func (s *script) changeLeader(leader string, d time.Duration) {
 	w := s.w
 	switch w.RNG.IntN(5) {
