--- a/internal/clusterstate/apply.go
+++ b/internal/clusterstate/apply.go
@@ -8,8 +8,9 @@
 	"github.com/harrierreel/harrierreel/internal/jobs"
 )
 
-// ApplyJob applies the record of a job; a nil value means that the record was removed. An
-// unreadable record counts as removed, and ApplyJob returns an error.
+// ApplyJob applies the record of a job; a nil value means that the record was removed. If the
+// record is unreadable, ApplyJob sets RecordUnreadable, discards the job's last known record and
+// returns an error.
 func (s *State) ApplyJob(jobID string, value json.RawMessage) error {
 	j := s.ensureJob(jobID)
 	var record *jobs.Record
--- a/internal/clusterstate/batches.go
+++ b/internal/clusterstate/batches.go
@@ -157,18 +157,18 @@
 }
 
 // Obsolete reports whether the task's current record in its batch record is no longer needed.
-// knownRevision is the same as for ObsoleteAs.
-func (t *Task) Obsolete(knownRevision uint64) bool { return t.ObsoleteAs(&t.Task, knownRevision) }
+// knownEpoch is the same as for ObsoleteAs.
+func (t *Task) Obsolete(knownEpoch uint64) bool { return t.ObsoleteAs(&t.Task, knownEpoch) }
 
 // ObsoleteAs reports whether a record of the task in its batch record would no longer be needed:
-// the job's record has been removed and the task is on no machine. knownRevision is the revision
-// up to which all records are known. A missing job record proves that the job has ended only if
-// knownRevision has reached the batch record's revision, because the job's record was written
-// before the batch record.
-func (t *Task) ObsoleteAs(record *jobs.Task, knownRevision uint64) bool {
+// the job's record has been removed and the task is on no machine. knownEpoch is the epoch of the
+// state service up to which all changes are known. A missing job record proves that the job has
+// ended only if knownEpoch has reached the batch record's revision, because the job's record was
+// written before the batch record.
+func (t *Task) ObsoleteAs(record *jobs.Task, knownEpoch uint64) bool {
 	return t.Job.Record == nil &&
 		!t.Job.RecordUnreadable &&
 		!record.OnMachine() &&
 		record.State != Unreadable &&
-		t.StoredIn.Revision <= knownRevision
+		t.StoredIn.Revision <= knownEpoch
 }
--- a/internal/clusterstate/constraints.go
+++ b/internal/clusterstate/constraints.go
@@ -52,14 +52,14 @@
 	return !spec.SpreadZones || tasksByZone[zone] < spec.MaxPerZone()
 }
 
-// WithoutPreference returns a copy of the task without its own machines and zones, for checks that
-// concern the whole job.
+// WithoutPreference returns a copy of the task without its own zone, preferred machine and failed
+// machines, for checks that concern the whole job.
 func (t *Task) WithoutPreference() *Task {
 	return &Task{Task: jobs.Task{State: t.State}, ID: t.ID, Index: t.Index, Job: t.Job}
 }
 
-// SatisfiesConstraints reports whether a machine satisfies the task's constraints on machine type, zone and
-// spot machines, and is not one on which the task failed before. It does not check free
+// SatisfiesConstraints reports whether a machine satisfies the task's constraints on machine type,
+// zone and spot machines, and is not one on which the task failed before. It does not check free
 // resources.
 func SatisfiesConstraints(t *Task, m *Machine) bool {
 	return t.Job.Record.Spec.Allows(m.MachineType, m.Zone, m.Spot) &&
--- a/internal/clusterstate/images.go
+++ b/internal/clusterstate/images.go
@@ -36,8 +36,9 @@
 	return imageGB / machineType.ImageGBPerS
 }
 
-// releaseImage tells Images that a task left its machine without finishing, so that an unfinished
-// pull of its image counts as aborted, unless another task on the machine uses the same image.
+// releaseImage records in Images that a task left its machine without finishing, so that an
+// unfinished pull of its image counts as aborted. It does nothing if another task on the machine
+// uses the same image.
 func (s *State) releaseImage(t *Task) {
 	if t.Job.Record == nil || !t.OnMachine() {
 		return
--- a/internal/clusterstate/records.go
+++ b/internal/clusterstate/records.go
@@ -11,7 +11,7 @@
 // Job is a job with its tasks.
 type Job struct {
 	ID     string
-	Record *jobs.Record        // nil if only tasks of the job are known, or it is unreadable
+	Record *jobs.Record        // nil if the record is unknown or unreadable
 	Ranges map[int]*TaskRecord // the job's task ranges, by their first index
 	Tasks  map[int]*Task
 	// Active, Retrying and the counts index Tasks by state, so that a scheduling cycle need not
@@ -70,7 +70,7 @@
 	Resources        sharding.Resources // as counted in the indexes; zero while the job's record is unknown
 	StateSince       time.Time          // when this state was first observed
 	ObservedRunning  bool               // a heartbeat of the machine reported the task as running
-	PlacementTriedAt time.Time          // when its shard last failed to find a machine
+	PlacementTriedAt time.Time          // when this controller last found no machine for it
 	// PreferenceDropped is set if the resources reserved on the preferred machine have been
 	// freed because the task is being placed and the placement has a reservation of its own.
 	PreferenceDropped bool
--- a/internal/commit/commit.go
+++ b/internal/commit/commit.go
@@ -1,8 +1,8 @@
-// Package commit writes decisions to the state service. It batches them into transactions,
-// sends these, and settles each by its outcome: committed, conflicted, refused or unanswered
+// Package commit writes decisions to the state service. It batches them into transactions, sends
+// the transactions, and settles each by its outcome: committed, conflicted, refused or unanswered
 // (settlement.go). It also maintains the fence that invalidates unanswered transactions
-// (fence.go). All requests go through the store client that it is given; the package does no
-// other IO and reads no clock.
+// (fence.go). All requests go through the given store client; the package does no other IO and
+// reads no clock.
 package commit
 
 import (
@@ -19,7 +19,7 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Membership gives this controller's place in the view.
+// Membership provides the view and this controller's place in it.
 type Membership interface {
 	// HasView reports whether any view is known.
 	HasView() bool
@@ -109,7 +109,7 @@
 // Commit sends decisions in transactions within the state service's limits. It drops decisions
 // that write a record in flight, and non-urgent decisions that the write budget does not allow
 // now; they are made again in a later scheduling cycle. It drops all decisions while the state
-// service is unavailable, no view is known, or the fence is being raised.
+// service is unavailable, no view is known, or AwaitsFence reports true.
 func (c *Committer) Commit(decisions []decide.Decision) {
 	if c.client.Unavailable() || !c.config.Membership.HasView() || c.AwaitsFence() {
 		for i := range decisions {
--- a/internal/commit/fence.go
+++ b/internal/commit/fence.go
@@ -22,8 +22,8 @@
 	epoch uint64
 }
 
-// AwaitsFence reports whether decisions must wait for the fence. It also sends the write that raises
-// the fence if that is needed and not yet in flight.
+// AwaitsFence reports whether decisions must wait for the fence. It also sends the write that
+// raises the fence if that is needed and not yet in flight.
 func (c *Committer) AwaitsFence() bool {
 	if c.fence.needed && !c.fence.raising && !c.client.Unavailable() {
 		c.raiseFence()
@@ -31,7 +31,7 @@
 	return c.fence.needed || c.mirror.Epoch < c.fence.epoch
 }
 
-// raiseFence writes the fence key.
+// raiseFence sends the transaction that writes the fence key.
 func (c *Committer) raiseFence() {
 	f := &c.fence
 	f.raising = true
@@ -47,8 +47,8 @@
 			c.mirror.ApplyCommit(txn.Writes, epoch)
 			f.needed, f.epoch = false, epoch
 		case errors.Is(err, store.ErrConflict):
-			// An earlier attempt took effect without an answer: read the record to learn its
-			// revision.
+			// An earlier write of the fence took effect without an answer: read the key to learn
+			// its revision.
 			c.client.Get(store.PriorityMembership, f.key, nil, c.mirrorItem)
 		}
 	})
--- a/internal/commit/settlement.go
+++ b/internal/commit/settlement.go
@@ -47,8 +47,8 @@
 }
 
 // splitRefused handles a transaction that the state service refused as malformed. The
-// transaction was checked against the limits before it was sent, so this is a fault of the
-// program or of the service, and the same transaction would be refused again. splitRefused
+// transaction was checked against the limits before it was sent, so the refusal is due to a fault
+// of the program or of the service, and the same transaction would be refused again. splitRefused
 // therefore sends its two halves. Repeated splitting isolates the decision at fault, which is
 // quarantined.
 func (c *Committer) splitRefused(txn *decide.Transaction, refusal error) {
@@ -138,15 +138,15 @@
 	}
 }
 
-// mirrorItem enters a record that was read into the mirror. If the record could not be read or
-// is absent, the update is left to the watch.
+// mirrorItem updates the mirror with the result of a read. If the record could not be read or is
+// absent, the update is left to the watch.
 func (c *Committer) mirrorItem(item *store.Item, err error) {
 	if err == nil && item != nil {
 		c.mirror.Put(item.Key, item.Value, item.Revision)
 	}
 }
 
-// finish settles decisions, and marks the records of their writes as no longer in flight.
+// finish settles decisions, and marks the records of the given writes as no longer in flight.
 func (c *Committer) finish(writes []store.Write, decisions []decide.Decision, ok bool) {
 	for _, write := range writes {
 		delete(c.inFlight, decide.WriteKey(write))
--- a/internal/decide/batch_records.go
+++ b/internal/decide/batch_records.go
@@ -24,8 +24,8 @@
 	return false
 }
 
-// splitsBatch reports whether writing a task moves this controller's tasks out of a batch
-// record that other controllers also write.
+// splitsBatch reports whether writing a task may move this controller's tasks out of a batch
+// record that other controllers also write (see splitOwned).
 func (b *Batcher) splitsBatch(task *clusterstate.Task) bool {
 	return task.OnMachine() && task.StoredIn.IsBatch() &&
 		!b.ownsBatch(task.StoredIn) && b.Context.Machines.OwnsMachine(task.Machine)
--- a/internal/decide/batcher.go
+++ b/internal/decide/batcher.go
@@ -271,8 +271,8 @@
 	return b.soleWriter(keys)
 }
 
-// soleWriter returns the transaction that writes any of the given records, or nil if there is
-// none. ok is false if more than one transaction does.
+// soleWriter returns the transaction that writes any of the given records, or nil if none does.
+// ok is false if more than one transaction does.
 func (b *Batcher) soleWriter(keys []string) (writer *Transaction, ok bool) {
 	for _, key := range keys {
 		other := b.writerOf[key]
@@ -297,7 +297,7 @@
 	return writer == nil || writer.edits[task.StoredIn.Key] != nil
 }
 
-// hasRoom reports whether a transaction can hold one more decision, as an estimate.
+// hasRoom reports whether a transaction is estimated to have room for one more decision.
 func (b *Batcher) hasRoom(txn *Transaction, decision *Decision, keys []string) bool {
 	added := b.costOf(txn, decision, keys)
 	writes := len(txn.writes) + len(txn.recordOrder) + txn.pendingKeys() + added.writes
--- a/internal/decide/decide.go
+++ b/internal/decide/decide.go
@@ -21,15 +21,15 @@
 	Changes []Change
 	// Writes lists the records that are written as a whole.
 	Writes []store.Write
-	// BatchEntries lists the tasks that are added to new batch records.
+	// BatchEntries lists the tasks that are batchEntry to new batch records.
 	BatchEntries []BatchEntry
 	// ReadSet lists the keys that the decision depends on but does not write.
 	ReadSet []string
 	// OnSettled, if set, is called exactly once: with true when the decision is committed, with
 	// false when it fails or is dropped.
 	OnSettled func(ok bool)
-	// Urgent is set if a rule of the protocol depends on the decision. Urgent decisions are sent
-	// before all others that are waiting.
+	// Urgent is set if the decision must not wait for the write budget, because the protocol
+	// depends on it. Urgent decisions are sent before all others that are waiting.
 	Urgent bool
 	// CompletesJob is set if the decision records the end of a job. Such decisions are urgent,
 	// but their writes in flight are limited to about one transaction: otherwise many small jobs
@@ -46,7 +46,7 @@
 	LeavesBatch bool
 }
 
-// BatchEntry is a task that is added to a new batch record. All entries of a transaction with
+// BatchEntry is a task that is batchEntry to a new batch record. All entries of a transaction with
 // the same controller share one new batch record.
 type BatchEntry struct {
 	Controller string
@@ -102,9 +102,9 @@
 	for _, change := range d.Changes {
 		subjects = append(subjects, change.Task.ID+" "+string(change.Next.State))
 	}
-	for _, added := range d.BatchEntries {
-		taskID := jobs.TaskID(added.Entry.JobID, added.Entry.Index)
-		subjects = append(subjects, taskID+" "+string(added.Entry.Task.State))
+	for _, batchEntry := range d.BatchEntries {
+		taskID := jobs.TaskID(batchEntry.Entry.JobID, batchEntry.Entry.Index)
+		subjects = append(subjects, taskID+" "+string(batchEntry.Entry.Task.State))
 	}
 	for _, write := range d.Writes {
 		subjects = append(subjects, WriteKey(write))
--- a/internal/decide/quarantine.go
+++ b/internal/decide/quarantine.go
@@ -11,8 +11,8 @@
 
 // Quarantine holds the decisions that fit into no transaction, or that the state service
 // refused in a transaction of their own. Each one is held back for a period that doubles every
-// time it is added: retried in every scheduling cycle, it would permanently take the place of
-// other decisions. The zero value is an empty quarantine ready to use.
+// time it is batchEntry: if it were retried in every scheduling cycle, it would permanently take the
+// place of other decisions. The zero value is an empty quarantine ready to use.
 type Quarantine struct {
 	// Total counts the calls of Add since the start, including repeated decisions.
 	Total int
@@ -68,9 +68,9 @@
 	for _, change := range d.Changes {
 		_, _ = fmt.Fprintln(hash, change.Task.ID, change.Next.State, change.Next.Attempt)
 	}
-	for _, added := range d.BatchEntries {
-		task := added.Entry.Task
-		_, _ = fmt.Fprintln(hash, added.Entry.JobID, added.Entry.Index, task.State, task.Attempt)
+	for _, batchEntry := range d.BatchEntries {
+		task := batchEntry.Entry.Task
+		_, _ = fmt.Fprintln(hash, batchEntry.Entry.JobID, batchEntry.Entry.Index, task.State, task.Attempt)
 	}
 	for _, write := range d.Writes {
 		_, _ = fmt.Fprintln(hash, write.Put, write.Remove)
--- a/internal/decide/transaction.go
+++ b/internal/decide/transaction.go
@@ -64,7 +64,7 @@
 	recordOrder []string
 	// newBatches maps a controller to the entries of its new batch record.
 	newBatches map[string][]taskbatch.Entry
-	// splitBatches holds the keys of the batch records from which this controller's tasks move
+	// splitBatches holds the keys of the batch records from which this controller's tasks may move
 	// to a new one.
 	splitBatches map[string]bool
 	// estimatedBytes is the size of the request as estimated before it is built.
