--- a/internal/queue/accumulation.go
+++ b/internal/queue/accumulation.go
@@ -18,8 +18,8 @@
 // gangs in the same order, by the time they were accepted.
 type capacityAccumulation struct {
 	zone         string
-	progressAt   time.Time      // when maxKept last increased, or the accumulation started
-	maxKept      int            // largest number of tasks for which free capacity was held at once
+	progressAt   time.Time      // when maxHeld last increased, or the accumulation started
+	maxHeld      int            // largest number of tasks for which free capacity was held at once
 	freeSlots    map[string]int // number of tasks for which free capacity is held, by machine
 	busyMachines []string       // machines held for capacity that becomes free on them
 	busyChosenAt time.Time      // when busyMachines was last chosen
@@ -41,9 +41,9 @@
 		return (accumulation.zone == "" || zone == accumulation.zone) && clusterstate.ZoneAllowed(spec, zones, zone)
 	}
 	left := accumulation.holdFreeCapacity(q, cycle, spec, candidates, inZone)
-	kept := spec.TaskCount - left
-	if kept > accumulation.maxKept {
-		accumulation.maxKept, accumulation.progressAt = kept, q.state.Now
+	held := spec.TaskCount - left
+	if held > accumulation.maxHeld {
+		accumulation.maxHeld, accumulation.progressAt = held, q.state.Now
 	}
 	if left > 0 && q.Overdue(task.Job) {
 		if q.state.Now.Sub(accumulation.busyChosenAt) > tuning.AccumulationRetry {
@@ -52,7 +52,7 @@
 		}
 		accumulation.holdBusyMachines(q, cycle, spec)
 	}
-	return kept, accumulation.zone
+	return held, accumulation.zone
 }
 
 // accumulationFor returns the accumulation of a gang. One that made no progress for
--- a/internal/queue/candidates.go
+++ b/internal/queue/candidates.go
@@ -9,9 +9,10 @@
 	"github.com/harrierreel/harrierreel/internal/sharding"
 )
 
-// WritesScarce reports whether the store's write rate is low for the number of machines. Each task range
-// and each transition of one costs a write, so the tasks of a job then go to few shards, several at
-// a time, and the leader names their machines in the write that releases them.
+// WritesScarce reports whether the store's write rate is low for the number of machines. Creating
+// or changing a task range takes a write. While writes are scarce, the tasks of a job are therefore
+// released to few shards, several tasks at a time, and the write that releases them also names
+// their machines.
 func (q *Queue) WritesScarce() bool {
 	return float64(len(q.state.Machines)) > q.config.MaxWritesPerS
 }
@@ -90,7 +91,7 @@
 	return q.isSchedulable(m) && clusterstate.SatisfiesConstraints(task, m)
 }
 
-// FindMachine returns the machine to propose for a task, "" if none has capacity.
+// FindMachine returns the machine to propose for a task, or "" if none has capacity.
 func (q *Queue) FindMachine(task *clusterstate.Task, zones map[string]int) string {
 	candidates := q.appendCandidates(
 		nil,
--- a/internal/queue/claims.go
+++ b/internal/queue/claims.go
@@ -71,8 +71,8 @@
 	}}})
 }
 
-// claimWrites returns the writes that replace the claims in the store with want, nil if they do not
-// fit in one transaction.
+// claimWrites returns the writes that replace the claims in the store with want, or nil if they do
+// not fit in one transaction.
 func (q *Queue) claimWrites(want fleet.Claims) []store.Write {
 	var writes []store.Write
 	values := want.Divide(q.config.MaxValueBytes)
@@ -114,8 +114,8 @@
 	return err
 }
 
-// settleClaims tells the gangs of all claims for which matches returns true whether their claims
-// are held.
+// settleClaims settles all claims for which matches returns true: they are held if ok is true, and
+// dropped otherwise. It calls their onSettled functions.
 func (q *Queue) settleClaims(ok bool, matches func(*claim) bool) {
 	for _, jobID := range clusterstate.SortedKeys(q.claims) {
 		c := q.claims[jobID]
@@ -131,8 +131,8 @@
 	}
 }
 
-// ClaimedFor returns the ID of the job that a machine is claimed for, "" for none. Earlier versions
-// kept the claim in the machine record.
+// ClaimedFor returns the ID of the job that a machine is claimed for, or "" if there is none.
+// Earlier versions kept the claim in the machine record.
 func (q *Queue) ClaimedFor(m *clusterstate.Machine) string {
 	if m.Claim != "" {
 		return m.Claim
--- a/internal/queue/claims_test.go
+++ b/internal/queue/claims_test.go
@@ -87,7 +87,7 @@
 			}
 			held++
 			if !slices.Equal(q.state.MachineClaims[jobID], gang) {
-				t.Errorf("%d machines are claimed", len(q.state.MachineClaims[jobID]))
+				t.Errorf("%d machines are claimed, want those of the gang", len(q.state.MachineClaims[jobID]))
 			}
 		})
 	}
@@ -108,7 +108,8 @@
 	}
 	clear(q.claims)
 	if q.ReconcileClaims(); len(q.claimValues) != 0 || len(q.state.ClaimedBy) != 0 {
-		t.Errorf("%d values and %d claimed machines are left after the drop", len(q.claimValues), len(q.state.ClaimedBy))
+		t.Errorf("%d values and %d claimed machines are left after the claims were dropped",
+			len(q.claimValues), len(q.state.ClaimedBy))
 	}
 }
 
--- a/internal/queue/cycle.go
+++ b/internal/queue/cycle.go
@@ -13,7 +13,7 @@
 )
 
 // schedulingCycle is the state of one scheduling cycle of the leader. Tasks are charged to a copy
-// of the quota account, and capacity is held for tasks that wait. All holds are released when the
+// of the quota account, and capacity is held for waiting tasks. All holds are released when the
 // cycle ends.
 type schedulingCycle struct {
 	account                 *quota.Account
@@ -29,7 +29,7 @@
 	loans                   cycleLoans                      // capacity reserved for loans
 	decisions               []decide.Decision
 	rounds                  schedulingRounds
-	schedulableMachineCache []*clusterstate.Machine // machines that the leader may propose, nil if not listed yet
+	schedulableMachineCache []*clusterstate.Machine // machines that the leader may propose; nil if not listed yet
 	candidateBuffer         []sharding.Candidate    // reused for the candidates of each job
 }
 
@@ -46,7 +46,8 @@
 	machine string
 }
 
-// candidates lists the machines with capacity for a task. The result is valid until the next call.
+// candidates lists the machines with capacity for a task. The result is valid until the next call,
+// which reuses its memory.
 func (c *schedulingCycle) candidates(q *Queue, task *clusterstate.Task) []sharding.Candidate {
 	c.candidateBuffer = q.appendCandidates(
 		c.candidateBuffer,
@@ -119,8 +120,8 @@
 	c.heldOn, c.heldResources = append(c.heldOn, machineName), append(c.heldResources, need)
 }
 
-// releaseHolds frees the resources held so far, and clears the requests that could not be satisfied
-// beside them.
+// releaseHolds frees the resources held so far, and forgets the requests that could not be
+// satisfied while these were held.
 func (c *schedulingCycle) releaseHolds(q *Queue) {
 	for i, machineName := range c.heldOn {
 		q.state.FreeResources(machineName, c.heldResources[i])
@@ -139,8 +140,8 @@
 	c.releaseHolds(q)
 }
 
-// placementScope returns a key for the set of machines that a job may run on. That a request cannot
-// be satisfied says something only about requests with the same key.
+// placementScope returns a key for the set of machines that a job may run on. A request that cannot
+// be satisfied only rules out requests with the same key.
 func placementScope(s *jobs.Spec, taskCount int) string {
 	key := s.Zone + "/" + strings.Join(s.MachineTypes, ",")
 	if s.Spot {
--- a/internal/queue/gangs.go
+++ b/internal/queue/gangs.go
@@ -89,8 +89,8 @@
 		Entitled: entitled,
 	}
 	if isLargeGang(spec) {
-		kept, zone := q.accumulate(first, cycle)
-		waiting.Count -= kept
+		accumulated, zone := q.accumulate(first, cycle)
+		waiting.Count -= accumulated
 		waiting.Zone = zone
 		waiting.Accumulates = true
 		q.Waiting = append(q.Waiting, waiting)
@@ -159,8 +159,8 @@
 	for _, p := range placements {
 		machines[p.machine] = true
 	}
-	// The view, the fencing token, the quotas, the claims, the job, and a task range that does not
-	// start with the first task.
+	// The preconditions on the view, the fence, the quotas, the claims and the job, and on one more
+	// task range if the first one does not start with the first task.
 	others := 6 + q.config.ExtraPreconditions
 	taskRanges := spec.TaskCount/q.config.MaxRangeTasks + 1
 	return len(machines)+taskRanges+others <= q.config.MaxTxnWrites*tuning.PreconditionsPerOp &&
@@ -333,7 +333,7 @@
 					delete(q.claims, job.ID)
 				}
 			}
-			// If only some of the decisions were deferred for lack of write budget, the gang would
+			// If only some of the decisions were dropped for lack of write budget, the gang would
 			// be partly placed, and would be withdrawn.
 			decisions[i].Urgent = true
 		}
@@ -420,7 +420,7 @@
 			for _, task := range tasks {
 				task.PlacementTriedAt = q.state.Now
 			}
-			return nil // the leader takes the gang back
+			return nil // the leader unassigns the gang (see UnassignStale)
 		}
 		combined.addWithReads(part)
 	}
--- a/internal/queue/holds.go
+++ b/internal/queue/holds.go
@@ -15,8 +15,8 @@
 }
 
 // holdMachines holds machines for a task that needs more capacity than is free on any machine: the
-// machines that lack the least. Otherwise smaller tasks further back in the queue would take
-// capacity as it becomes free, for as long as such tasks keep arriving.
+// machines that lack the least capacity for it. Otherwise smaller tasks further back in the queue
+// would take capacity as it becomes free, for as long as such tasks keep arriving.
 //
 // The machines held for a job are chosen again only every tuning.HoldAgain, because choosing one
 // requires examining every machine.
@@ -35,7 +35,7 @@
 }
 
 // chooseHolds chooses up to count machines to hold, limited by the share of all machines that may
-// be held and by the number that one cycle may choose. It counts the machines in zones.
+// be held and by the number that one cycle may choose. It adds the chosen machines to zones.
 func (q *Queue) chooseHolds(
 	task *clusterstate.Task,
 	count int,
@@ -60,8 +60,8 @@
 	return machines
 }
 
-// nearestFit returns the machine that lacks the least capacity for a task, nil if no machine could
-// ever hold the task.
+// nearestFit returns the machine that lacks the least capacity for a task, or nil if no machine
+// could ever hold the task.
 func (q *Queue) nearestFit(
 	task *clusterstate.Task,
 	zones map[string]int,
--- a/internal/queue/lending.go
+++ b/internal/queue/lending.go
@@ -11,7 +11,7 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// newLedger returns the ledger of loans, nil if the operators have not enabled lending.
+// newLedger returns the ledger of loans, or nil if the operators have not enabled lending.
 func (q *Queue) newLedger(config *settings.Lending) *lending.Ledger {
 	if config == nil {
 		return nil
@@ -53,7 +53,7 @@
 	return a.queue.state.HasImage(machine, replica.Job.Record.Spec.Image)
 }
 
-// Prefixes returns the key prefixes of loan records in the store, nil if lending is off.
+// Prefixes returns the key prefixes of loan records in the store, or nil if lending is off.
 func (q *Queue) Prefixes() []string {
 	if q.loans == nil {
 		return nil
@@ -183,7 +183,7 @@
 	}
 }
 
-// waitingTask returns the task of a job with the given ID, nil if it does not wait or may not be
+// waitingTask returns the task of a job with the given ID, or nil if it does not wait or may not be
 // released now.
 func (q *Queue) waitingTask(job *clusterstate.Job, taskID string) *clusterstate.Task {
 	for _, task := range q.pendingTasks(job, job.Record.Spec.TaskCount) {
@@ -194,9 +194,9 @@
 	return nil
 }
 
-// withoutBorrowers removes the tasks for which capacity is being freed: if they used free capacity
-// elsewhere, other tasks would have been preempted in vain. A borrower is included again after
-// tuning.LoanMinSaving, because a lender may hang.
+// withoutBorrowers removes the tasks for which capacity is being freed by a loan: if they used free
+// capacity elsewhere, the lenders would have been stopped for nothing. A borrower is included again
+// after tuning.LoanMinSaving, because a lender may hang.
 func (q *Queue) withoutBorrowers(tasks []*clusterstate.Task, cycle *schedulingCycle) []*clusterstate.Task {
 	return slices.DeleteFunc(tasks, func(task *clusterstate.Task) bool {
 		loan, requested := cycle.loans.byTask[task.ID]
@@ -251,7 +251,8 @@
 }
 
 // zonesWithLoans counts a job's tasks by zone. The count includes borrowers that wait only for
-// their loan: if another task took their zone meanwhile, the zone rules might exclude the borrower.
+// their loan: if another task took their place in the zone meanwhile, the zone constraints might
+// exclude the borrower.
 func (q *Queue) zonesWithLoans(job *clusterstate.Job, cycle *schedulingCycle) map[string]int {
 	zones := q.state.TasksByZone(job)
 	for _, loan := range cycle.loans.byTask {
--- a/internal/queue/order.go
+++ b/internal/queue/order.go
@@ -10,29 +10,33 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// order lists the waiting live jobs in queue order. Jobs are sorted by priority; then jobs covered
-// by a guarantee come first, their team's before one further up the quota tree; then jobs beyond
-// their team's guarantee are sorted by fair share; then overdue jobs come first, the oldest of them
-// first; then jobs that can still meet a service-level objective come first, those with the fewest
-// accelerators first; then jobs are sorted by the time by which they must start to meet an
-// objective.
+// order lists the waiting live jobs in queue order. The first of these criteria in which two jobs
+// differ decides:
+//  1. the priority;
+//  2. the guarantee: jobs covered by the guarantee of their own quota leaf come first, then those
+//     covered by one further up the quota tree, then those covered by none;
+//  3. the fair share, for jobs that the guarantee of their own quota leaf does not cover;
+//  4. overdue jobs come first, the oldest of them first;
+//  5. jobs that can still meet a service-level objective come first, those with the fewest
+//     accelerators first;
+//  6. the time by which the job must start to meet an objective.
 func (q *Queue) order(account *quota.Account) []*clusterstate.Job {
-	fairSharePaths := map[int][]float64{}
+	fairSharesByLeaf := map[int][]float64{}
 	entries := make([]queueEntry, 0, len(q.state.Queued))
 	for _, job := range q.state.Queued {
 		spec := &job.Record.Spec
 		leaf := q.state.QuotaLeaf(spec)
 		entitled := account.Entitled(leaf, spec.Amount(), 1)
-		fairShareOrder := account.Tree().GuaranteeOrder(entitled, leaf)
-		startByMs := q.StartBy(job.Record, fairShareOrder == 0)
-		if _, known := fairSharePaths[leaf]; fairShareOrder > 0 && !known {
-			fairSharePaths[leaf] = account.FairShares(leaf)
+		guaranteeOrder := account.Tree().GuaranteeOrder(entitled, leaf)
+		startByMs := q.StartBy(job.Record, guaranteeOrder == 0)
+		if _, known := fairSharesByLeaf[leaf]; guaranteeOrder > 0 && !known {
+			fairSharesByLeaf[leaf] = account.FairShares(leaf)
 		}
 		entries = append(entries, queueEntry{
 			job:            job,
 			priority:       spec.PriorityOrder(),
-			fairShareOrder: fairShareOrder,
-			fairSharePath:  fairSharePaths[leaf],
+			guaranteeOrder: guaranteeOrder,
+			fairShares:     fairSharesByLeaf[leaf],
 			overdue:        q.Overdue(job),
 			late:           startByMs >= job.Record.AcceptedMs+tuning.LateJobHorizon.Milliseconds(),
 			accelerators:   spec.Accelerators * float64(spec.TaskCount-job.DoneCount),
@@ -51,8 +55,8 @@
 type queueEntry struct {
 	job            *clusterstate.Job
 	priority       int
-	fairShareOrder int       // 0: covered by the team's guarantee
-	fairSharePath  []float64 // shares along the path of its quota leaf, for a job beyond the guarantee
+	guaranteeOrder int       // see quota.Tree.GuaranteeOrder; 0: covered by the guarantee of its own quota leaf
+	fairShares     []float64 // see quota.Account.FairShares; not set if guaranteeOrder is 0
 	overdue        bool      // see Overdue
 	late           bool      // it can no longer meet any objective for its start
 	accelerators   float64   // of all its unfinished tasks
@@ -64,10 +68,10 @@
 	switch {
 	case e.priority != other.priority:
 		return e.priority < other.priority
-	case e.fairShareOrder != other.fairShareOrder:
-		return e.fairShareOrder < other.fairShareOrder
-	case e.fairShareOrder > 0 && quota.CompareFairShares(e.fairSharePath, other.fairSharePath) != 0:
-		return quota.CompareFairShares(e.fairSharePath, other.fairSharePath) < 0
+	case e.guaranteeOrder != other.guaranteeOrder:
+		return e.guaranteeOrder < other.guaranteeOrder
+	case e.guaranteeOrder > 0 && quota.CompareFairShares(e.fairShares, other.fairShares) != 0:
+		return quota.CompareFairShares(e.fairShares, other.fairShares) < 0
 	case e.overdue != other.overdue:
 		return e.overdue
 	case e.overdue && e.job.Record.AcceptedMs != other.job.Record.AcceptedMs:
@@ -122,7 +126,7 @@
 	return min(tuning.GangOverdueAfter, lastObjective+tuning.GangOverdueMargin)
 }
 
-// lastStartObjective returns the longest of a class's objectives for starting, 0 if it has none.
+// lastStartObjective returns the longest of a class's objectives for starting, or 0 if it has none.
 func (q *Queue) lastStartObjective(class string) time.Duration {
 	lastObjective := time.Duration(0)
 	for _, objective := range q.config.Objectives {
@@ -159,7 +163,7 @@
 }
 
 // nextStartObjective returns the next time, in Unix milliseconds, by which a job should have
-// started, 0 if there is none.
+// started, or 0 if there is none.
 func (q *Queue) nextStartObjective(r *jobs.Record, entitled bool) int64 {
 	var best int64
 	for _, objective := range q.config.Objectives {
--- a/internal/queue/order_test.go
+++ b/internal/queue/order_test.go
@@ -9,8 +9,8 @@
 	"github.com/harrierreel/harrierreel/internal/settings"
 )
 
-// A large gang is overdue tuning.GangOverdueMargin after the last of its class's objectives for starting,
-// and after tuning.GangOverdueAfter at the latest. Smaller gangs are never overdue.
+// A large gang is overdue tuning.GangOverdueMargin after the last of its class's objectives for
+// starting, and after tuning.GangOverdueAfter at the latest. Smaller gangs are never overdue.
 func TestLargeGangIsOverdueAfterItsLastObjective(t *testing.T) {
 	q := newTestQueue(t, map[string]quota.Team{"b": {Name: "b"}})
 	gang := func(class string, taskCount int) func(*jobs.Spec) {
--- a/internal/queue/place.go
+++ b/internal/queue/place.go
@@ -75,7 +75,7 @@
 }
 
 // pickOwnMachine selects a machine of this shard for a task: the proposed one if it still has
-// capacity, "" if there is none.
+// capacity, otherwise the best other one. It returns "" if none has capacity.
 func (q *Queue) pickOwnMachine(task *clusterstate.Task) string {
 	spec := &task.Job.Record.Spec
 	if m := q.state.Machines[task.PreferredMachine]; m != nil && q.machines.CanPlace(task, m) {
@@ -190,17 +190,17 @@
 	return out
 }
 
-// UnassignStale takes back released tasks that their shard did not place in time, or at once if the
+// UnassignStale unassigns released tasks that their shard did not place in time, or at once if the
 // shard's controller has left the view. The leader calls it.
 func (q *Queue) UnassignStale() {
 	var decisions []decide.Decision
 	for _, taskID := range clusterstate.SortedKeys(q.state.Assigned) {
 		task := q.state.Assigned[taskID]
-		gone := q.cluster.HasLeftView(task.Controller)
-		if !gone && q.state.Now.Sub(task.StateSince) < tuning.AssignmentStaleAfter {
+		ownerLeft := q.cluster.HasLeftView(task.Controller)
+		if !ownerLeft && q.state.Now.Sub(task.StateSince) < tuning.AssignmentStaleAfter {
 			continue
 		}
-		if !gone && task.PreferredMachine != "" {
+		if !ownerLeft && task.PreferredMachine != "" {
 			q.Avoid(task.PreferredMachine, q.state.Now.Add(tuning.AvoidFor))
 		}
 		next, ok := jobs.NextTask(task.Task, jobs.TaskEvent{Kind: jobs.Unassign})
--- a/internal/queue/preempt.go
+++ b/internal/queue/preempt.go
@@ -94,10 +94,11 @@
 	return stopped
 }
 
-// awaitCachedMachine reports whether a task should wait a moment for capacity on a machine that has
+// awaitCachedMachine reports whether a task should wait briefly for capacity on a machine that has
 // its image cached instead of starting on one that must pull the image first. That is the case if
 // the pull would make the task miss its objective and tasks can be preempted on a machine with the
-// image. The machine without the image is held meanwhile.
+// image. Meanwhile, capacity is held on the machine without the image. With lending enabled, a
+// replica may also wait for a loan (see awaitCachedLoan).
 func (q *Queue) awaitCachedMachine(waiting *Waiting, machineName string, cycle *schedulingCycle) bool {
 	spec := &waiting.Task.Job.Record.Spec
 	awaits := q.loans != nil && spec.Kind == jobs.Service && q.awaitCachedLoan(waiting, machineName, cycle) ||
@@ -122,8 +123,8 @@
 	}
 	if pending := q.preemptions[waiting.Task.ID]; q.state.Now.Before(pending.until) {
 		// Capacity is being freed. If that takes longer than tuning.PreemptionWait, the task starts
-		// elsewhere. Until then the machine already found is held, because other tasks would take
-		// it.
+		// elsewhere. Until then capacity on the machine already found is held, because other tasks
+		// would take it.
 		return pending.onCachedImage && pending.until.Sub(q.state.Now) >= tuning.PreemptAgain-tuning.PreemptionWait
 	}
 	return q.preemptFor(waiting, true, cycle)
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -1,8 +1,9 @@
-// Package queue schedules waiting tasks. It holds the queue order (order.go), the leader's
+// Package queue schedules waiting tasks. It contains the queue order (order.go), the leader's
 // scheduling cycle (release.go, cycle.go, rounds.go), machine selection (candidates.go), gang
 // scheduling (gangs.go, claims.go, accumulation.go), preemption (preempt.go), capacity loans
 // (lending.go), the starvation guard (starvation.go), and the placement of tasks by the owner of a
-// shard (place.go). It makes and commits decisions, and has no I/O and no clock.
+// shard (place.go). It makes decisions and passes them on to be committed. It does no IO and reads
+// no clock.
 package queue
 
 import (
@@ -44,8 +45,8 @@
 // WriteBudget is the share of the store's write rate that this controller may use.
 type WriteBudget interface {
 	// Allows reports whether the given number of writes may be made now, in addition to those
-	// already spent.
-	Allows(spent, writes int) bool
+	// already planned.
+	Allows(planned, writes int) bool
 	// HasSpareWrites reports whether there is budget left for writes that are not urgent.
 	HasSpareWrites() bool
 }
@@ -101,11 +102,12 @@
 	cluster  ClusterView
 	calendar Calendar
 
-	// Waiting lists the tasks for which the last scheduling cycle found no capacity.
+	// Waiting lists the tasks for which the last scheduling cycle that examined them found no
+	// capacity.
 	Waiting []*Waiting
 
 	examined           map[*clusterstate.Job]bool       // by the last cycle that had write budget
-	avoidUntil         map[string]time.Time             // by machine, which is not proposed before that time
+	avoidUntil         map[string]time.Time             // by machine: not proposed before that time
 	noCapacitySince    map[string]time.Time             // by job
 	preemptions        map[string]pendingPreemption     // by task ID, or by job ID where quota is reclaimed
 	holds              map[string]heldCapacity          // by job
@@ -162,8 +164,8 @@
 	Count int
 	// Priority is the priority of the job; 0 is the highest.
 	Priority int
-	// Entitled is the node of the quota tree whose guarantee covers the tasks, negative if there is
-	// none.
+	// Entitled is the node of the quota tree whose guarantee covers the tasks, or negative if there
+	// is none.
 	Entitled int
 	// Zone is the zone in which a large gang accumulates capacity, if it must run in a single zone.
 	Zone string
@@ -175,7 +177,7 @@
 	// WindowOpensSoon is set if the job may not start before a calendar window opens.
 	WindowOpensSoon bool
 
-	zones map[string]int // the job's tasks by zone in the current cycle, nil if not counted yet
+	zones map[string]int // the job's tasks by zone in the current cycle; nil if not counted yet
 }
 
 // isEntitled reports whether a guarantee covers the tasks.
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -59,7 +59,7 @@
 }
 
 func (q *testQueue) Busy(string) bool                   { return false }
-func (q *testQueue) Allows(spent, writes int) bool      { return spent+writes <= q.writeBudget }
+func (q *testQueue) Allows(planned, writes int) bool    { return planned+writes <= q.writeBudget }
 func (q *testQueue) HasSpareWrites() bool               { return true }
 func (q *testQueue) Ready(m *clusterstate.Machine) bool { return m.State == fleet.Up }
 func (q *testQueue) UsesBatches() bool                  { return q.usesBatches }
@@ -109,8 +109,8 @@
 		Budget:     deps,
 		Quarantine: deps,
 	}
-	for _, b := range batcher.Build(decisions) {
-		for _, w := range b.Txn.Writes {
+	for _, txn := range batcher.Build(decisions) {
+		for _, w := range txn.Txn.Writes {
 			if strings.HasPrefix(decide.WriteKey(w), taskbatch.KeyPrefix) {
 				if _, err := q.state.ApplyBatch(decide.WriteKey(w), w.Value, uint64(q.batchKeyCount)); err != nil {
 					q.t.Error(err)
@@ -127,9 +127,9 @@
 				}
 			}
 		}
-		for _, x := range b.Decisions {
-			if x.OnSettled != nil {
-				x.OnSettled(true)
+		for _, decision := range txn.Decisions {
+			if decision.OnSettled != nil {
+				decision.OnSettled(true)
 			}
 		}
 	}
@@ -202,7 +202,8 @@
 	q.addJob("wk-9", "b", "urgent", 2, func(s *jobs.Spec) { s.Kind = jobs.Service })
 	q.RunCycle()
 	if len(q.state.Batches) != 2 || len(q.state.Jobs["wk-9"].Ranges) == 0 {
-		t.Fatalf("%d batches, %d task ranges of the service", len(q.state.Batches), len(q.state.Jobs["wk-9"].Ranges))
+		t.Fatalf("%d batches, %d task ranges of the service; want 2 batches and at least one task range",
+			len(q.state.Batches), len(q.state.Jobs["wk-9"].Ranges))
 	}
 	placed := q.batchedTaskOn("i-1", "wk-9")
 	if placed == nil {
@@ -216,7 +217,7 @@
 	again := q.state.Jobs[jobID].Tasks[index]
 	if again.StoredIn.Key == key || again.Machine+again.PreferredMachine != "i-2" ||
 		again.State == jobs.Placed && again.Attempt != 2 {
-		t.Errorf("task after retry: %+v in %s", again.Task, again.StoredIn.Key)
+		t.Errorf("task after retry: %+v in %s, want it on i-2 in another batch", again.Task, again.StoredIn.Key)
 	}
 	// An unreadable batch may hold any task of its jobs.
 	q.addJob("wk-8", "b", "prod", 1, nil)
@@ -264,7 +265,7 @@
 	// Urgent first; then the 2 tasks covered by team a's guarantee and its next tasks up to its
 	// limit of 6; then team b.
 	if got := q.machinesOf("wk-3"); got != "i-2" {
-		t.Errorf("urgent job is on %q", got)
+		t.Errorf("urgent job is on %q, want i-2", got)
 	}
 	if got := len(q.state.Jobs["wk-2"].Tasks); got != 6 {
 		t.Errorf("team a has %d tasks released, want 6", got)
@@ -282,7 +283,7 @@
 		t.Errorf("%d tasks placed, want 6", got)
 	}
 	if len(q.Waiting) == 0 || q.Waiting[0].Task.Job.ID == "wk-2" {
-		t.Errorf("waiting tasks: %+v", q.Waiting)
+		t.Errorf("waiting tasks: %+v, want some, the first not of wk-2", q.Waiting)
 	}
 }
 
@@ -296,10 +297,10 @@
 	q.RunCycle()
 	zones := q.state.TasksByZone(q.state.Jobs["wk-1"])
 	if zones["a"] > 2 || zones["b"] > 2 || zones["a"]+zones["b"] != 3 {
-		t.Errorf("spread job: tasks by zone %v", zones)
+		t.Errorf("spread job: tasks by zone %v, want 3 with at most 2 in a zone", zones)
 	}
 	if got := q.machinesOf("wk-2"); got != "i-1 i-1" && got != "i-2 i-2" {
-		t.Errorf("same-zone gang is on %q", got)
+		t.Errorf("same-zone gang is on %q, want both tasks on one machine", got)
 	}
 	if got := q.machinesOf("wk-3"); got != "" {
 		t.Errorf("gang of 4 tasks with capacity for 3 was released to %q", got)
@@ -329,11 +330,11 @@
 		return out
 	}
 	if got := fmt.Sprint(stopping()); got != "[wk-2]" {
-		t.Errorf("stopped tasks are of jobs %s", got)
+		t.Errorf("stopped tasks are of jobs %s, want only one of wk-2", got)
 	}
 	q.RunCycle()
 	if got := len(stopping()); got != 1 {
-		t.Errorf("%d tasks stopped for one urgent task", got)
+		t.Errorf("%d tasks stopped for one urgent task, want 1", got)
 	}
 }
 
--- a/internal/queue/release.go
+++ b/internal/queue/release.go
@@ -197,8 +197,8 @@
 	q.holdMachines(tasks[0], min(count, tuning.HoldEach), zones, cycle)
 }
 
-// awaitsMoreCapacity reports whether the few tasks of a job array that fit now should wait a moment
-// until more of them fit, so that they share a task range. The capacity for them is held.
+// awaitsMoreCapacity reports whether the few tasks of a job array that fit now should wait briefly
+// until more of them fit, so that they share a task range. The caller holds the capacity for them.
 func (q *Queue) awaitsMoreCapacity(job *clusterstate.Job, placementCount, freeSlots int) bool {
 	wanted := min(tuning.GatherTasks, job.Record.Spec.TaskCount-job.DoneCount-len(job.Active))
 	savesWrites := q.WritesScarce() && !q.budget.HasSpareWrites() && !q.cluster.UsesBatches() &&
--- a/internal/queue/rounds.go
+++ b/internal/queue/rounds.go
@@ -9,13 +9,13 @@
 //
 // A job that finds no capacity is still charged to its team's limit, so that jobs further back in
 // the queue do not use the quota that it is about to need. When a zone had no capacity for a long
-// time, these charges kept the team's other jobs waiting next to free machines (scenario
-// meet-place-turn, docs/incidents/turn-kept.md). So once a job has found no capacity for
-// tuning.UnplacedChargeTimeout, the second round examines the jobs that were over the limit again, without its
-// charge. The waiting job loses only its claim on the quota, and is still first in the queue for
-// capacity that becomes free.
+// time, these charges kept the team's other jobs waiting although there were free machines for them
+// (scenario meet-place-turn, docs/incidents/turn-kept.md). Therefore, once a job has found no
+// capacity for tuning.UnplacedChargeTimeout, the second round examines the jobs that were over the
+// limit again, without its charge. The waiting job loses only the quota charged for it, and keeps
+// its position in the queue for capacity that becomes free.
 type schedulingRounds struct {
-	expired       []unplacedCharge    // charges that have stood for longer than tuning.UnplacedChargeTimeout
+	expired       []unplacedCharge    // charges older than tuning.UnplacedChargeTimeout
 	overLimit     []*clusterstate.Job // jobs that would have exceeded their team's limit
 	inSecondRound bool                // the second round is running: overLimit is examined again
 }
@@ -39,7 +39,7 @@
 }
 
 // runSecondRound examines the jobs that would have exceeded their team's limit again, without the
-// charges that have stood for too long. A job that finds no capacity in this second round is not
+// expired charges. A job that finds no capacity in this second round is not
 // charged, and no machine is requested for it.
 func (q *Queue) runSecondRound(cycle *schedulingCycle, limit int) {
 	rounds := &cycle.rounds
--- a/internal/queue/starvation.go
+++ b/internal/queue/starvation.go
@@ -10,7 +10,7 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// starvation is what the starvation guard records of a job that has no active tasks. A job starves
+// starvation is what the starvation guard records about a job that has no active tasks. A job starves
 // while there is free capacity for it and its team is under its limit, but the capacity or the
 // quota is kept for other jobs.
 type starvation struct {
@@ -29,7 +29,7 @@
 //
 // It runs last in a cycle, when capacity that has become free has been given to jobs in queue
 // order, and what is still free is held. Jobs that the cycle did not examine are not considered,
-// because their turn is yet to come.
+// because a later cycle has yet to examine them in queue order.
 func (q *Queue) startStarvingJobs(cycle *schedulingCycle, examined map[*clusterstate.Job]bool) {
 	for jobID := range q.starving {
 		if job := q.state.Queued[jobID]; job == nil || len(job.Active) > 0 {
@@ -75,8 +75,8 @@
 	q.starving[job.ID] = starving
 }
 
-// starvationCandidates lists the examined jobs that wait, have no active tasks and are due for a
-// check. Jobs that have starved the longest come first.
+// starvationCandidates lists the examined jobs that wait, have no active tasks or reservations and
+// are due for a check. Jobs that have starved the longest come first.
 func (q *Queue) starvationCandidates(examined map[*clusterstate.Job]bool) []*clusterstate.Job {
 	reserved := map[*clusterstate.Job]bool{}
 	for _, r := range q.state.Reservations {
--- a/internal/queue/task_placer.go
+++ b/internal/queue/task_placer.go
@@ -65,7 +65,8 @@
 	return true
 }
 
-// noteNoCandidate records that a task, and with it all tasks after it, found no capacity.
+// noteNoCandidate records that the task with index i, and therefore all tasks after it, found no
+// capacity.
 func (p *taskPlacer) noteNoCandidate(i, entitled int) {
 	q, cycle, task := p.queue, p.cycle, p.tasks[i]
 	spec := &p.job.Record.Spec
