--- a/internal/completion/completion.go
+++ b/internal/completion/completion.go
@@ -106,7 +106,7 @@
 
 // WithLastTask returns the decision that ends a job array together with its last task. ok is true
 // only if all of the job's tasks are in a single task range or in batch records. For a job of one
-// task this takes four writes instead of five, and does not wait for the leader's next pass.
+// task this takes four writes instead of five, and the job does not wait for the leader to end it.
 func WithLastTask(task *clusterstate.Task) (decision decide.Decision, ok bool) {
 	job := task.Job
 	if job.Record.Spec.Kind != jobs.JobArray || !inOneRecord(task) || job.DoneCount != job.Record.Spec.TaskCount-1 {
@@ -124,7 +124,7 @@
 		// The batch record is not rewritten for this: the task's entry briefly outlives the
 		// job's record and is dropped when later ends are written. The precondition on the
 		// machine's record ensures that no controller has given the task up and restarted it
-		// elsewhere, since that record changes first.
+		// elsewhere, since a controller changes that record first.
 		decision.ReadSet = append(decision.ReadSet, fleet.MachinePrefix+task.Machine)
 	}
 	return decision, true
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -66,7 +66,7 @@
 	membership    *membership.Membership
 	calendar      *calendar.Service // nil if disabled
 	cancellations *cancellation.Service
-	acks          *readconsistency.AckLog // job states that users were answered with
+	acks          *readconsistency.AckLog // job states that were reported to users
 
 	dirty              bool // an event since the last reconciliation may call for decisions
 	reconciledAt       time.Time
@@ -74,9 +74,9 @@
 	writesLoggedAt     time.Time
 
 	checks            standby.Checks // readiness checks of a new leader
-	tickedAt          time.Time      // last tick of the loop
-	loopLag           time.Duration  // recent delay of the ticks
-	behindSince       time.Time      // since when peers have known a newer epoch, zero if none does
+	tickedAt          time.Time      // time of the last tick
+	loopLag           time.Duration  // see measureLoopLag
+	behindSince       time.Time      // since when peers have known a newer epoch; zero if none does
 	shuttingDownSince time.Time      // zero unless a shutdown was requested
 }
 
--- a/internal/controller/gossip.go
+++ b/internal/controller/gossip.go
@@ -49,9 +49,10 @@
 	}
 }
 
-// applyUnreached records complaints about the owners of machines whose agents turned to the peer
-// from instead. An agent that cannot reach its owner always falls back to the same next
-// controller, which is not necessarily the leader.
+// applyUnreached records complaints that the peer named by from reports: the agents of these
+// machines contacted it because they could not reach their machines' owners. An agent that cannot
+// reach the owner always falls back to the same next controller, which is not necessarily the
+// leader.
 func (c *Controller) applyUnreached(from string, machines []string) {
 	for _, machine := range machines[:min(len(machines), tuning.MaxUnreached)] {
 		if owner := c.ownerOf(machine); owner != from && c.state.Machines[machine] != nil {
@@ -76,7 +77,7 @@
 	c.broadcast(gossip)
 }
 
-// broadcastAcks tells the other controllers which job states users are about to be answered with,
+// broadcastAcks tells the other controllers which job states are about to be reported to users,
 // before the answers are sent.
 func (c *Controller) broadcastAcks() {
 	for _, acks := range c.acks.TakeUnsent() {
@@ -114,7 +115,7 @@
 }
 
 // machinesHeardEpoch returns the epoch of the view under which this controller has heard from its
-// machines, 0 if it has not. It stays 0 until the watch shows this controller's own list of
+// machines, or 0 if it has not. It stays 0 until the watch shows this controller's own list of
 // unresponsive machines, because receivers wait until they have read that epoch of the store.
 func (c *Controller) machinesHeardEpoch() uint64 {
 	for _, key := range c.shard.UnresponsiveKeys() {
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -25,7 +25,7 @@
 	*l = leaderState{closing: map[string]bool{}}
 }
 
-// runLeaderDuties performs the tasks of the leader once its checks permit them.
+// runLeaderDuties performs the duties of the leader once its checks permit them.
 func (c *Controller) runLeaderDuties() {
 	if c.role != members.Leader || !c.checks.Permits(standby.Decommission) {
 		return
@@ -48,8 +48,9 @@
 	c.clearBatches()
 }
 
-// scheduleQueued runs a scheduling cycle if the write budget allows one now. While it does not,
-// free capacity accumulates, and the next cycle places tasks in fewer, larger records.
+// scheduleQueued runs a scheduling cycle if the write budget allows one now or the last one was
+// longer ago than tuning.AssignLateAfter. Until then free capacity accumulates, and the next cycle
+// places tasks in fewer, larger records.
 func (c *Controller) scheduleQueued() {
 	if !c.checks.Permits(standby.Schedule) || !c.api.QuotaSettled() {
 		return
@@ -78,7 +79,7 @@
 	return c.leaderState.queueWasEmpty || c.state.Now.Sub(c.leaderState.lastCycleAt) >= pause
 }
 
-// clearBatches removes batch records that hold only tasks of closed jobs, at most every tuning.Step.
+// clearBatches removes batch records that hold only tasks of ended jobs, at most every tuning.Step.
 func (c *Controller) clearBatches() {
 	due := c.state.Now.Sub(c.leaderState.batchesClearedAt) >= tuning.Step
 	if len(c.state.Batches) == 0 || !due || !c.client.HasSpareWrites() {
--- a/internal/controller/limits.go
+++ b/internal/controller/limits.go
@@ -19,7 +19,7 @@
 }
 
 // budgetShares returns this controller's shares (0 to 1) of the store's requests and of its writes.
-// A share of the writes may exceed the even one, see tuning.WriteOvercommit.
+// The shares of the writes may add up to more than 1, see tuning.WriteOvercommit.
 func (c *Controller) budgetShares() (requests, writes float64) {
 	size := c.settings.Cluster.Size
 	if c.role != members.Outside {
@@ -47,7 +47,7 @@
 	return min(byBytes, c.settings.Cluster.State.TxnOps*tuning.PreconditionsPerOp/2)
 }
 
-// usesBatches reports whether tasks are placed in batch records. The setting decides this, by default
+// usesBatches reports whether tasks are recorded in batch records. The setting decides this, by default
 // in favor of them where writes are scarce, but every member must be able to read them.
 func (c *Controller) usesBatches() bool {
 	var wanted bool
--- a/internal/controller/release_test.go
+++ b/internal/controller/release_test.go
@@ -140,7 +140,7 @@
 	putJob(c, arraySpec("wk-000007", 100000), 9000)
 	c.queue.RunCycle()
 	if len(c.queue.Waiting) != 1 || c.queue.Waiting[0].Count != tuning.MaxActive {
-		t.Errorf("waiting: %+v, want one entry of the maximum of active tasks", c.queue.Waiting)
+		t.Errorf("waiting: %+v, want one entry with a count of tuning.MaxActive", c.queue.Waiting)
 	}
 }
 
--- a/internal/controller/replicas.go
+++ b/internal/controller/replicas.go
@@ -8,8 +8,8 @@
 )
 
 // moveReplicas evicts replicas, a few at a time, from draining machines, which they would otherwise
-// never leave. A replica is stopped only if another machine has room for it and holds its image,
-// so that its downtime is short.
+// never leave. A replica is stopped only if another machine has capacity for it and has its image
+// cached, so that its downtime is short.
 func (c *Controller) moveReplicas() {
 	if c.state.Now.Sub(c.leaderState.replicasMovedAt) < tuning.MoveEvery {
 		return
@@ -52,7 +52,7 @@
 	return task.Job.Record.Spec.Kind == jobs.Service && c.state.Now.Sub(task.StateSince) >= tuning.MinReplicaAge
 }
 
-// hasRoomElsewhere reports whether a replica fits another machine, one that holds its image.
+// hasRoomElsewhere reports whether a replica fits on another machine that has its image cached.
 func (c *Controller) hasRoomElsewhere(task *clusterstate.Task, machine string) bool {
 	zones := c.state.TasksByZone(task.Job)
 	if m := c.state.Machines[machine]; m != nil {
--- a/internal/controller/transport.go
+++ b/internal/controller/transport.go
@@ -22,7 +22,7 @@
 	WallClockMs func() int64                   // time of day in ms; if nil, the loop's time is used
 }
 
-// withErrorCounting returns the same transport with every refused call counting.
+// withErrorCounting returns a copy of the transport that counts refused calls.
 func (t Transport) withErrorCounting(counter *callerrors.Counter) Transport {
 	counting := t
 	counting.Store = countCallErrors(counter, callerrors.Store, t.Store)
@@ -39,7 +39,7 @@
 	return counting
 }
 
-// countCallErrors wraps a call so that its refusals are counted under the party.
+// countCallErrors wraps a call so that counter counts its refusals for a party.
 func countCallErrors(counter *callerrors.Counter, party callerrors.Party, call store.Call) store.Call {
 	return func(method, target string, body []byte, timeout time.Duration, done func(int, []byte, error)) {
 		call(method, target, body, timeout, func(status int, answer []byte, err error) {
--- a/internal/controller/view.go
+++ b/internal/controller/view.go
@@ -17,7 +17,8 @@
 // memberNames returns the names of the known view's members.
 func (c *Controller) memberNames() []string { return c.view.Names() }
 
-// ownerOf returns the controller that owns a machine under the known view, "" if no view is known.
+// ownerOf returns the controller that owns a machine under the known view, or "" if no view is
+// known.
 func (c *Controller) ownerOf(machine string) string {
 	if c.view == nil {
 		return ""
@@ -33,7 +34,8 @@
 	return c.ownerOf(machine) == c.settings.NodeName
 }
 
-// updateRole updates the role to the known view. With a new epoch, all agents' sessions start over.
+// updateRole derives the role from the known view. In a view of a new epoch, all agents' sessions
+// start over.
 func (c *Controller) updateRole() {
 	role := members.RoleOf(c.view, c.settings.NodeName, c.membership.LeaseID())
 	epoch := uint64(0)
--- a/internal/controller/wiring_calendar.go
+++ b/internal/controller/wiring_calendar.go
@@ -9,7 +9,7 @@
 	"github.com/harrierreel/harrierreel/internal/fleet"
 )
 
-// newCalendar returns the release calendar, nil if the operators have not configured one.
+// newCalendar returns the release calendar, or nil if the operators have not configured one.
 func (c *Controller) newCalendar() *calendar.Service {
 	adapter := calendarAdapter{controller: c}
 	return calendar.New(c.state, c.settings.Operator.Calendar,
@@ -51,7 +51,7 @@
 	a.controller.committer.Commit(decisions)
 }
 
-// UnresponsiveSince returns since when a machine has been unresponsive, false if it is responsive.
+// UnresponsiveSince returns since when a machine has been unresponsive, or false if it is responsive.
 func (a calendarAdapter) UnresponsiveSince(machine *clusterstate.Machine) (time.Time, bool) {
 	return a.controller.shard.UnresponsiveSince(machine)
 }
--- a/internal/controller/wiring_membership.go
+++ b/internal/controller/wiring_membership.go
@@ -37,7 +37,7 @@
 // controller are looked up at each call, since some are created after the membership.
 type membershipAdapter struct{ controller *Controller }
 
-// View returns the newest known view, nil if none is known.
+// View returns the newest known view, or nil if none is known.
 func (a membershipAdapter) View() *members.View { return a.controller.view }
 
 // MirrorLive reports whether the mirror follows the store.
--- a/internal/controller/wiring_readconsistency.go
+++ b/internal/controller/wiring_readconsistency.go
@@ -5,7 +5,7 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// newAckLog returns the log of the job states that users were answered with. Without peers no other
+// newAckLog returns the log of the job states that were reported to users. Without peers no other
 // controller can give a conflicting answer, so answers are not delayed.
 func (c *Controller) newAckLog() *readconsistency.AckLog {
 	if len(c.settings.Peers) == 0 {
--- a/internal/controller/wiring_shard.go
+++ b/internal/controller/wiring_shard.go
@@ -71,9 +71,11 @@
 // shardBudget gives the shard access to the write budget.
 type shardBudget struct{ controller *Controller }
 
-func (b shardBudget) Allows(spent, writes int) bool { return b.controller.client.Allows(spent, writes) }
-func (b shardBudget) HasSpareWrites() bool          { return b.controller.client.HasSpareWrites() }
-func (b shardBudget) UsesBatches() bool             { return b.controller.usesBatches() }
+func (b shardBudget) Allows(planned, writes int) bool {
+	return b.controller.client.Allows(planned, writes)
+}
+func (b shardBudget) HasSpareWrites() bool { return b.controller.client.HasSpareWrites() }
+func (b shardBudget) UsesBatches() bool    { return b.controller.usesBatches() }
 
 // shardCancellations gives the shard access to the acknowledged cancellations.
 type shardCancellations struct{ controller *Controller }
--- a/internal/gangs/fit.go
+++ b/internal/gangs/fit.go
@@ -16,8 +16,8 @@
 
 // Fit selects a machine for each task of a gang, in one shard if possible, otherwise across shards.
 // machines is nil if the gang does not fit. oneShard reports whether all machines belong to one
-// shard, and enoughCapacity whether some group of machines has enough capacity by count alone. Fit
-// does not modify candidates or zones.
+// shard. enoughCapacity reports whether some group of machines has enough capacity for all tasks,
+// even if pick finds no machine for one of them. Fit does not modify candidates or zones.
 func Fit(
 	spec *jobs.Spec,
 	candidates []sharding.Candidate,
@@ -45,8 +45,8 @@
 
 // groupCapacity counts the tasks of a gang that fit on the machines of a group.
 type groupCapacity struct {
-	tasks    int
-	hasImage int // number of those tasks that fit on machines with the image cached
+	tasks     int
+	withImage int // number of those tasks that fit on machines with the image cached
 }
 
 // groupsThatFit lists the groups with enough capacity for a gang, in the order in which Fit tries
@@ -63,7 +63,7 @@
 		tasks := c.Free.HowMany(spec.Resources())
 		total.tasks += tasks
 		if c.HasImage {
-			total.hasImage += tasks
+			total.withImage += tasks
 		}
 	}
 	for i := range candidates {
@@ -93,7 +93,7 @@
 		}
 		capacityA, capacityB := capacities[a], capacities[b]
 		return cmp.Or(
-			cmp.Compare(min(capacityB.hasImage, spec.TaskCount), min(capacityA.hasImage, spec.TaskCount)),
+			cmp.Compare(min(capacityB.withImage, spec.TaskCount), min(capacityA.withImage, spec.TaskCount)),
 			cmp.Compare(capacityA.tasks, capacityB.tasks),
 			cmp.Compare(a.zone, b.zone),
 			cmp.Compare(a.controller, b.controller),
@@ -102,8 +102,8 @@
 	return groups
 }
 
-// fitGroup selects a machine among the candidates for every task of a gang, nil if one of the tasks
-// does not fit. It modifies candidates and zones.
+// fitGroup selects a machine among the candidates for every task of a gang. It returns nil if one of
+// the tasks does not fit. It modifies candidates and zones.
 func fitGroup(spec *jobs.Spec, candidates []sharding.Candidate, zones map[string]int, pick Picker) []string {
 	machines := make([]string, spec.TaskCount)
 	for task := range machines {
--- a/internal/gangs/launch.go
+++ b/internal/gangs/launch.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// LaunchAt returns the time at which a task of a gang should be launched, the zero time for at
-// once. A task gives up if the gang is not complete within wait after the task's image is ready.
-// Without a delay, if one machine had the image cached and another needed longer than wait to pull
-// it, every attempt failed (docs/incidents/largest-last.md).
+// LaunchAt returns the time at which a task of a gang should be launched, or the zero time if it
+// should be launched at once. A task gives up if the gang is not complete within wait after the
+// task's image is ready. Without a delay, every attempt failed if one machine had the image cached
+// and another needed longer than wait to pull it (docs/incidents/largest-last.md).
 //
 // imageReady is the time at which this task's machine is expected to have the image, and allReady
 // lists that time for each machine of the gang. Half of wait is left as a margin for pulls that
--- a/internal/gangs/phase.go
+++ b/internal/gangs/phase.go
@@ -10,7 +10,7 @@
 	Idle     Phase = "resting"  // no task is released or on a machine: the gang may be placed
 	Released Phase = "released" // tasks are released to a shard, none is on a machine yet
 	Whole    Phase = "whole"    // every task is on a machine, with the same attempt number
-	Partial  Phase = "broken"   // some tasks are on machines, but not all in one attempt: they must be stopped
+	Partial  Phase = "broken"   // some tasks are on machines, but not all in the same attempt: they must be stopped
 	Complete Phase = "complete" // a task is finished, so the gang has finished
 )
 
--- a/internal/preempt/preempt.go
+++ b/internal/preempt/preempt.go
@@ -1,5 +1,5 @@
 // Package preempt selects the tasks to preempt on one machine so that a waiting task fits there. It
-// has no I/O and no clock.
+// does no IO and reads no clock.
 package preempt
 
 import (
@@ -20,8 +20,8 @@
 	// Priority is the priority of the waiting task as returned by jobs.Spec.PriorityOrder; 0 is the
 	// highest.
 	Priority int
-	// Entitled is the node of the quota tree whose guarantee covers the task, negative if there is
-	// none.
+	// Entitled is the node of the quota tree whose guarantee covers the task, or negative if there
+	// is none.
 	Entitled int
 	Account  *quota.Account
 	// Zones counts the tasks of the waiting task's job by zone.
@@ -33,7 +33,7 @@
 	// InTransaction reports whether a transaction on the record of key is in flight. Tasks of such
 	// a record cannot be stopped now.
 	InTransaction func(key string) bool
-	// Stopping are the tasks that the current scheduling cycle stops already.
+	// Stopping holds the tasks that the current scheduling cycle already stops.
 	Stopping map[*clusterstate.Task]bool
 }
 
@@ -58,7 +58,8 @@
 
 // Victims selects the machine on which stopping the fewest tasks frees enough capacity, preferring
 // machines with the image cached, and returns those tasks. It returns nil if there is no such
-// machine, or if a machine will have enough free capacity once its stopping tasks have ended.
+// machine, or if it comes across one that will have enough free capacity once its stopping tasks
+// have ended.
 func Victims(state *clusterstate.State, search Search) []*clusterstate.Task {
 	spec := &search.Task.Job.Record.Spec
 	need := spec.Resources()
@@ -95,9 +96,9 @@
 }
 
 // isPreemptible reports whether a running task may be preempted for the waiting task: its priority
-// is lower or, unless it is a replica of a service, it exceeds a guarantee while the waiting task
-// is covered by one. Tasks of gangs are never preempted, because losing one task would stop the
-// whole gang.
+// is lower or, unless it is a replica of a service, its team exceeds a guarantee while the waiting
+// task is covered by one (see quota.Account.MayPreempt). Tasks of gangs are never preempted, because
+// losing one task would stop the whole gang.
 func (s *Search) isPreemptible(state *clusterstate.State, t *clusterstate.Task) bool {
 	spec := &t.Job.Record.Spec
 	switch {
--- a/internal/store/budget.go
+++ b/internal/store/budget.go
@@ -50,18 +50,19 @@
 	c.updateWriteRate()
 }
 
-// affords reports whether the budget covers the given number of writes now, in addition to spent
-// ones. A transaction larger than one second's worth of writes needs only that much.
-func (c *Client) affords(spent, writes int) bool {
-	return c.writeTokens-float64(spent) >= min(float64(writes), c.writeRate)
+// affords reports whether the budget covers the given number of writes now, in addition to those
+// already planned. More writes than one second's worth need only one second's worth of tokens,
+// since the bucket holds no more.
+func (c *Client) affords(planned, writes int) bool {
+	return c.writeTokens-float64(planned) >= min(float64(writes), c.writeRate)
 }
 
 // Allows reports whether the given number of writes can be sent at once, in addition to those that
-// the caller has already spent. Callers ask before they make a decision: while a transaction waits
+// the caller has already planned. Callers ask before they make a decision: while a transaction waits
 // in the queue, the records that it is based on may change, so that it fails and its writes are
 // wasted.
-func (c *Client) Allows(spent, writes int) bool {
-	enough := c.affords(spent, writes)
+func (c *Client) Allows(planned, writes int) bool {
+	enough := c.affords(planned, writes)
 	c.writesHeldBack = c.writesHeldBack || !enough
 	return c.waiting == 0 && c.requestTokens >= 1 && enough
 }
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -38,7 +38,7 @@
 	// which means that the other controllers are not using theirs.
 	writeShare     float64 // writes per second that this controller is entitled to
 	maxWriteRate   float64 // writes per second to which the share may grow
-	shareFactor    float64 // writeRate over writeShare, at least 1
+	shareFactor    float64 // factor by which the share has grown, at least 1
 	writesHeldBack bool    // the budget did not cover all writes since shareAdaptedAt
 	rateLimited    bool    // a write was refused with 429 since shareAdaptedAt
 	shareAdaptedAt time.Time
@@ -52,7 +52,8 @@
 	writeCounts map[string]int // writes enqueued, by kind of key
 }
 
-// New returns a client with an empty budget that sends its calls with send and its watches with watch.
+// New returns a client with an empty budget that sends its calls with send and its watches with
+// watch.
 func New(send, watch Call) *Client {
 	return &Client{
 		send:        send,
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -22,8 +22,8 @@
 	ErrRefused = errors.New("refused")
 )
 
-// classify maps an answer to nil or an error that wraps one of the sentinel errors, and counts
-// consecutive failures. operation names the operation and its object.
+// classify maps the outcome of a call to nil or to an error that wraps one of the sentinel errors,
+// and counts consecutive failures. operation names the operation and its object.
 func (c *Client) classify(operation string, status int, err error) error {
 	switch {
 	case err != nil:
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -76,7 +76,8 @@
 	goldentest.Bytes(t, "requests.txt", sent.Bytes())
 }
 
-// TestGoldenAnswers decodes answers from golden files; those named answer-* are not written by -update.
+// TestGoldenAnswers decodes answers from golden files. Files named answer-* are not written by
+// -update.
 func TestGoldenAnswers(t *testing.T) {
 	check := func(name string, got, want any, err, wantErr error) {
 		t.Helper()
--- a/internal/store/limits.go
+++ b/internal/store/limits.go
@@ -49,7 +49,7 @@
 	Quantity LimitedQuantity
 	Count    int
 	Limit    int
-	Key      string // key of the value that is too large, "" if the limit is on the whole transaction
+	Key      string // key of the value that is too large; "" if the limit is on the whole transaction
 }
 
 // Error returns a message with the count, the limit and, if one value is too large, its key.
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// Violation returns the message of Check's error, "" if there is none.
+// Violation returns the message of Check's error, or "" if there is none.
 func (l Limits) Violation(t *Txn) string {
 	if err := l.Check(t); err != nil {
 		return err.Error()
--- a/internal/store/mirror.go
+++ b/internal/store/mirror.go
@@ -13,8 +13,9 @@
 // revisions of the records that it is based on.
 type Mirror struct {
 	items map[string]Item
-	// tombstones holds the revisions of removals that became known, by this controller's own
-	// commits, ahead of the watch. It keeps an older event, still to come, from restoring the key.
+	// tombstones holds the revisions of removals that this controller learned of from its own
+	// commits, ahead of the watch. They keep an older event that is still to come from restoring
+	// the key.
 	tombstones map[string]uint64
 	// Epoch is the epoch that the watch has reached: all changes up to it have been applied.
 	Epoch uint64
@@ -30,10 +31,10 @@
 	return &Mirror{items: map[string]Item{}, tombstones: map[string]uint64{}, Changed: changed}
 }
 
-// Revision returns the revision of a key, 0 if it is absent.
+// Revision returns the revision of a key, or 0 if it is absent.
 func (m *Mirror) Revision(key string) uint64 { return m.items[key].Revision }
 
-// Get returns the value of a key, nil if it is absent.
+// Get returns the value of a key, or nil if it is absent.
 func (m *Mirror) Get(key string) json.RawMessage { return m.items[key].Value }
 
 // Keys returns the keys with a prefix, sorted.
@@ -48,7 +49,7 @@
 	return keys
 }
 
-// Put applies a committed value unless the mirror already has one that is as new. A value no newer
+// Put applies a committed value unless the mirror already has one that is at least as new. A value no newer
 // than Epoch is ignored, since it has been applied already or has since been removed: the answer to
 // a read or to one of this controller's transactions may arrive after the watch has shown the key's
 // removal, and must not restore it (docs/incidents/late-answers.md).
@@ -62,7 +63,7 @@
 	m.Changed(key, value, revision)
 }
 
-// Remove applies a committed removal.
+// Remove applies a committed removal unless the mirror already has a newer value or removal.
 func (m *Mirror) Remove(key string, revision uint64) {
 	if m.items[key].Revision > revision || m.tombstones[key] >= revision {
 		return
--- a/internal/store/queue.go
+++ b/internal/store/queue.go
@@ -14,7 +14,7 @@
 // Priorities. Calls that the correctness of the protocol depends on come first, then those for users.
 const (
 	PriorityMembership Priority = iota // leases, the view and the fence; may overdraw the budget
-	PriorityUrgent                     // rereading records of transactions in doubt, and listing at startup
+	PriorityUrgent                     // urgent transactions, reads of records after failed ones, and listing at startup
 	PriorityUser                       // submissions and cancellations
 	PriorityDecision                   // all other transactions
 	PriorityPoll                       // queries that a user repeats
@@ -26,13 +26,14 @@
 	method  string
 	target  string
 	body    []byte
-	writes  int    // number of writes in its transaction, 0 for reads and leases
+	writes  int    // number of writes in its transaction; 0 for reads and leases
 	sent    func() // if set, called when the request is sent
 	done    func(status int, body []byte, err error)
 	retries int // number of times that it was refused with 429
 }
 
-// Dispatch sends the waiting calls that the budget covers at now. The loop calls it after every event.
+// Dispatch sends the waiting calls that the budget covers at the time now. The loop calls it for
+// every event.
 func (c *Client) Dispatch(now time.Time) {
 	c.now = now
 	c.refill()
--- a/internal/taskbatch/batch_test.go
+++ b/internal/taskbatch/batch_test.go
@@ -171,7 +171,8 @@
 	})
 }
 
-// The size of a placed task in a batch record, on which the counts in docs/notes/records.md are based.
+// A placed task takes at most 22 bytes in a batch record. The counts in docs/notes/records.md rely on
+// this size.
 func TestPlacedTaskTakesFewBytes(t *testing.T) {
 	const tasks, maxBytesPerTask = 400, 22
 	var entries []Entry
@@ -190,7 +191,7 @@
 	value := Encode(entries)
 	t.Logf("%d bytes for %d placed tasks of 50 jobs", len(value), tasks)
 	if len(value) > tasks*maxBytesPerTask {
-		t.Errorf("%d bytes for %d placed tasks of 50 jobs on as many machines exceed the limit", len(value), tasks)
+		t.Errorf("%d bytes for %d placed tasks of 50 jobs exceed the limit per task", len(value), tasks)
 	}
 }
 
--- a/internal/taskbatch/decode.go
+++ b/internal/taskbatch/decode.go
@@ -180,7 +180,8 @@
 	return skipField(b, number, wireType)
 }
 
-// set sets the field to a decoded number. Unknown fields, from later versions, are ignored.
+// set stores the decoded number of a field. Unknown fields, which later versions may add, are
+// ignored.
 func (t *taskDecoder) set(field taskField, value uint64) {
 	switch field {
 	case taskJob:
