--- a/internal/clusterstate/audit.go
+++ b/internal/clusterstate/audit.go
@@ -123,7 +123,7 @@
 	}
 }
 
-// checkUsages compares the usages of the machines.
+// checkUsages compares the usages of the machines with the recomputed ones.
 func (a *audit) checkUsages() {
 	for machine, usage := range a.state.Usages {
 		if !approxEqual(a.used[machine], usage.Resources) {
@@ -138,7 +138,7 @@
 	}
 }
 
-// checkAccount compares the charges of the quota tree's nodes.
+// checkAccount compares the charges of the quota tree's nodes with the recomputed ones.
 func (a *audit) checkAccount() {
 	maintained := a.state.Account
 	for i, path := range maintained.Tree().Paths() {
--- a/internal/commit/commit.go
+++ b/internal/commit/commit.go
@@ -43,9 +43,9 @@
 type Loop interface {
 	// ReviewMachineOf schedules a review of the machine that a task is on.
 	ReviewMachineOf(task *clusterstate.Task)
-	// Wake makes the loop look for new decisions.
+	// Wake schedules a reconciliation, which makes new decisions.
 	Wake()
-	// WatchNow opens the watch of the state service without delay.
+	// WatchNow opens the watch of the state service without delay if none is open.
 	WatchNow()
 }
 
--- a/internal/commit/commit_test.go
+++ b/internal/commit/commit_test.go
@@ -83,7 +83,7 @@
 	commit("a/1")
 	for _, key := range []string{members.ViewKey, "fence/n0", "quotas", "a/1"} {
 		if !strings.Contains((*requests)[0].body, `{"key":"`+key+`","stamp":0}`) {
-			t.Errorf("not conditional on %s: %s", key, (*requests)[0].body)
+			t.Errorf("transaction is not conditional on %s: %s", key, (*requests)[0].body)
 		}
 	}
 	(*requests)[0].answer(0, nil, errors.New("cut"))
--- a/internal/completion/completion_test.go
+++ b/internal/completion/completion_test.go
@@ -90,11 +90,11 @@
 			applyRange(t, state, 0, c.task)
 			decision, ok := InOneTransaction(state.Jobs[jobID], jobs.Done, c.txnOps, c.busy)
 			if ok != c.want {
-				t.Fatalf("got ok %v", ok)
+				t.Fatalf("InOneTransaction returned ok = %v", ok)
 			}
 			want := []string{jobs.FinalPrefix + jobID, jobs.JobPrefix + jobID, firstRange}
 			if ok && (!slices.Equal(writtenKeys(decision), want) || !decision.Urgent || !decision.CompletesJob) {
-				t.Errorf("got decision %+v", decision)
+				t.Errorf("got decision %+v, want an urgent one that completes the job and writes its three records", decision)
 			}
 		})
 	}
@@ -120,14 +120,14 @@
 			applyRange(t, state, 0, finished, finished)
 			applyRange(t, state, 2, finished, c.second)
 			if got := writtenKeys(ClearRecords(state.Jobs[jobID], c.txnOps, c.busy)...); !slices.Equal(got, c.want) {
-				t.Errorf("got %v", got)
+				t.Errorf("removed records %v", got)
 			}
 		})
 	}
 	t.Run("no task range left", func(t *testing.T) {
 		got := writtenKeys(ClearRecords(newState(t, 1).Jobs[jobID], 4, notBusy)...)
 		if !slices.Equal(got, []string{jobs.JobPrefix + jobID}) {
-			t.Errorf("got %v", got)
+			t.Errorf("removed records %v, want only that of the job", got)
 		}
 	})
 }
@@ -191,7 +191,7 @@
 				}
 			}
 			if got := writtenKeys(ClearBatches(state, c.knownEpoch, 4, notBusy)...); !slices.Equal(got, c.want) {
-				t.Errorf("got %v", got)
+				t.Errorf("removed records %v", got)
 			}
 		})
 	}
--- a/internal/controller/gossip.go
+++ b/internal/controller/gossip.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// sendGossip sends this controller's status to all peers once per tuning.GossipEvery, or up to
-// twice in that time while the mirror advances.
+// sendGossip sends this controller's status to all peers once per tuning.GossipEvery, or twice as
+// often while the mirror advances.
 func (c *Controller) sendGossip() {
 	pause := tuning.GossipEvery
 	if c.mirror.Epoch > c.gossipedEpoch {
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -12,7 +12,7 @@
 // leaderState is the state that only the leader keeps. A new leader rebuilds it from the mirror
 // and the cloud's list.
 type leaderState struct {
-	closing          map[string]bool // jobs whose records are being closed in several transactions
+	closing          map[string]bool // jobs whose final state is being committed (see closeJob)
 	replicasMovedAt  time.Time
 	lastCycleAt      time.Time // last scheduling cycle
 	queueWasEmpty    bool      // at the last scheduling cycle
--- a/internal/controller/release_test.go
+++ b/internal/controller/release_test.go
@@ -133,7 +133,7 @@
 	}
 }
 
-// A very large job counts with at most tuning.MaxActive tasks as waiting for machines, and so as
+// At most tuning.MaxActive tasks of a very large job count as waiting for machines, and so as
 // demand for scaling out.
 func TestWaitingTasksOfLargeJobAreLimitedToMaxActive(t *testing.T) {
 	c := newLeader(0, 0, 60)
@@ -175,7 +175,7 @@
 }
 
 // newLeaderWithClasses returns a leader of 2,000 machines with waiting jobs spread evenly over the
-// given number of classes. With tree, every class is a leaf of the quota tree.
+// given number of classes. If tree is set, every class is a leaf of the quota tree.
 func newLeaderWithClasses(b *testing.B, waiting, classes int, tree bool) *Controller {
 	b.Helper()
 	c := newLeader(2000, 0, 60)
@@ -205,7 +205,7 @@
 }
 
 // BenchmarkScheduleManyClasses measures a scheduling cycle over 3,000 waiting tasks and 2,000
-// machines, with the platform's team alone and with a quota tree of 1,000 leaves.
+// machines, with a single team as the only quota and with a quota tree of 1,000 leaves.
 func BenchmarkScheduleManyClasses(b *testing.B) {
 	for _, tree := range []bool{false, true} {
 		b.Run(fmt.Sprintf("tree=%v", tree), func(b *testing.B) {
--- a/internal/decide/batch_records_test.go
+++ b/internal/decide/batch_records_test.go
@@ -366,7 +366,7 @@
 	}
 	entries := decodeBatch(t, own[0])
 	if len(entries) != 4 || entries[0].Task.State != jobs.Finished || entries[1].Task.State != jobs.Placed {
-		t.Errorf("merged batch record has entries %+v", entries)
+		t.Errorf("merged batch record has entries %+v, want 4: the first finished, the second placed", entries)
 	}
 	for _, txn := range built[1:] {
 		if writes := txn.Txn.Writes; len(writes) != 1 || writes[0].Put == "" {
@@ -387,7 +387,7 @@
 	}
 	own, remaining := decodeBatch(t, writes[0]), decodeBatch(t, writes[1])
 	if len(remaining) != 1 || remaining[0].Index != 11 || len(own) != 2 {
-		t.Errorf("pack/mixed has entries %+v, the new batch record %+v", remaining, own)
+		t.Errorf("pack/mixed has entries %+v, want task 11; the new batch record has %+v, want two tasks", remaining, own)
 	}
 }
 
--- a/internal/gangs/fit_test.go
+++ b/internal/gangs/fit_test.go
@@ -97,7 +97,7 @@
 		t.Run(name, func(t *testing.T) {
 			machines, oneShard, enoughCapacity := fit(c.sameZone, c.candidates)
 			if machines != c.machines || oneShard != c.oneShard || enoughCapacity != c.enoughCapacity {
-				t.Errorf("machines %q, oneShard = %v, enoughCapacity = %v", machines, oneShard, enoughCapacity)
+				t.Errorf("got machines %q, oneShard = %v, enoughCapacity = %v", machines, oneShard, enoughCapacity)
 			}
 		})
 	}
--- a/internal/queue/accumulation.go
+++ b/internal/queue/accumulation.go
@@ -251,7 +251,7 @@
 }
 
 // AccumulatedCapacity returns the free capacity held for large gangs, by machine. Such a machine is
-// in demand although nothing is reserved on it, so it must not be given back to the cloud.
+// in demand although nothing is reserved on it, so it must not be decommissioned.
 func (q *Queue) AccumulatedCapacity() map[string]sharding.Resources {
 	out := map[string]sharding.Resources{}
 	for jobID, accumulation := range q.accumulations {
--- a/internal/queue/not_examined.go
+++ b/internal/queue/not_examined.go
@@ -10,8 +10,8 @@
 // NotExamined lists the waiting jobs that the last cycle did not examine, so that it is unknown
 // whether there is capacity for them: a cycle ends when its write budget is used up. With a low
 // write rate and hundreds of jobs arriving at once, examining all of them takes half a minute.
-// Without this list the queue looked empty during that time, so machines were given back to the
-// cloud and none was provisioned (docs/incidents/kikoi-f98c.md).
+// Without this list the queue looked empty during that time, so machines were decommissioned and
+// none was provisioned (docs/incidents/kikoi-f98c.md).
 //
 // The listed tasks, together with all that found no capacity, are within their team's limit. As in
 // a cycle, jobs that are being probed, are in backoff or may not start yet are left out, and so are
--- a/internal/store/budget_test.go
+++ b/internal/store/budget_test.go
@@ -136,9 +136,9 @@
 	commit(8)
 	c.Get(PriorityUrgent, "k", nil, func(*Item, error) {})
 	if len(sent) != 2 || !strings.HasPrefix(sent[1], "GET ") || c.Waiting() != 1 {
-		t.Errorf("sent %v, %d calls waiting", sent, c.Waiting())
+		t.Errorf("sent %v, %d calls waiting; want one write and the read sent, one write waiting", sent, c.Waiting())
 	}
 	if c.Dispatch(time.Unix(1, 0)); len(sent) != 3 || c.Waiting() != 0 {
-		t.Errorf("sent %v, %d calls waiting", sent, c.Waiting())
+		t.Errorf("sent %v, %d calls waiting; want all three calls sent", sent, c.Waiting())
 	}
 }
--- a/internal/store/mirror_test.go
+++ b/internal/store/mirror_test.go
@@ -35,7 +35,7 @@
 	m.ApplyEvents(9, []Event{{Remove: "k", Revision: 9}})
 	m.ApplyEvents(11, []Event{putEvent("k", "3", 11)})
 	if values["k"] != "3" {
-		t.Errorf("got values %v", values)
+		t.Errorf("got values %v, want k to be 3", values)
 	}
 	m.Put("k", json.RawMessage("old"), 4)
 	if values["k"] != "3" || m.Revision("k") != 11 {
@@ -48,7 +48,7 @@
 	m.ApplyEvents(5, []Event{putEvent("a/1", "1", 4), putEvent("a/2", "1", 5)})
 	m.ApplyListing("a/", []Item{{Key: "a/2", Value: json.RawMessage("2"), Revision: 6}}, 8)
 	if _, ok := values["a/1"]; ok || values["a/2"] != "2" {
-		t.Errorf("got values %v", values)
+		t.Errorf("got values %v, want only a/2, with the value 2", values)
 	}
 }
 
--- a/internal/taskbatch/batch.go
+++ b/internal/taskbatch/batch.go
@@ -21,8 +21,8 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// KeyPrefix is the prefix of the keys of batch records in the state service. They are listed after
-// the jobs.
+// KeyPrefix is the prefix of the keys of batch records in the state service. A starting controller
+// lists them after the jobs.
 const KeyPrefix = "pack/"
 
 // FormatVersion is the version of the format of batch records that this program reads and writes.
