--- a/internal/controller/limits.go
+++ b/internal/controller/limits.go
@@ -47,8 +47,8 @@
 	return min(byBytes, c.settings.Cluster.State.TxnOps*tuning.PreconditionsPerOp/2)
 }
 
-// usesBatches reports whether tasks are recorded in batch records. The setting decides this, by default
-// in favor of them where writes are scarce, but every member must be able to read them.
+// usesBatches reports whether tasks are recorded in batch records. The setting decides this, by
+// default in favor of them where writes are scarce, but every member must be able to read them.
 func (c *Controller) usesBatches() bool {
 	var wanted bool
 	switch c.settings.Operator.TaskBatching {
--- a/internal/decide/decide.go
+++ b/internal/decide/decide.go
@@ -21,7 +21,7 @@
 	Changes []Change
 	// Writes lists the records that are written as a whole.
 	Writes []store.Write
-	// BatchEntries lists the tasks that are batchEntry to new batch records.
+	// BatchEntries lists the tasks that are added to new batch records.
 	BatchEntries []BatchEntry
 	// ReadSet lists the keys that the decision depends on but does not write.
 	ReadSet []string
@@ -46,7 +46,7 @@
 	LeavesBatch bool
 }
 
-// BatchEntry is a task that is batchEntry to a new batch record. All entries of a transaction with
+// BatchEntry is a task that is added to a new batch record. All entries of a transaction with
 // the same controller share one new batch record.
 type BatchEntry struct {
 	Controller string
--- a/internal/decide/limits_test.go
+++ b/internal/decide/limits_test.go
@@ -166,7 +166,8 @@
 		}
 	}
 	if l.sent+len(l.drops) != len(l.decisions) {
-		l.Fatalf("%d decisions, but %d sent and %d dropped; want each in one of the two", len(l.decisions), l.sent, len(l.drops))
+		l.Fatalf("%d decisions, but %d sent and %d dropped; want each in one of the two",
+			len(l.decisions), l.sent, len(l.drops))
 	}
 }
 
--- a/internal/decide/quarantine.go
+++ b/internal/decide/quarantine.go
@@ -11,7 +11,7 @@
 
 // Quarantine holds the decisions that fit into no transaction, or that the state service
 // refused in a transaction of their own. Each one is held back for a period that doubles every
-// time it is batchEntry: if it were retried in every scheduling cycle, it would permanently take the
+// time it is added: if it were retried in every scheduling cycle, it would permanently take the
 // place of other decisions. The zero value is an empty quarantine ready to use.
 type Quarantine struct {
 	// Total counts the calls of Add since the start, including repeated decisions.
