--- a/internal/queue/order.go
+++ b/internal/queue/order.go
@@ -56,7 +56,7 @@
 	job            *clusterstate.Job
 	priority       int
 	guaranteeOrder int       // see quota.Tree.GuaranteeOrder; 0: covered by the guarantee of its own quota leaf
-	fairShares     []float64 // see quota.Account.FairShares; not set if guaranteeOrder is 0
+	fairShares     []float64 // see quota.Account.FairShares; unused if guaranteeOrder is 0
 	overdue        bool      // see Overdue
 	late           bool      // it can no longer meet any objective for its start
 	accelerators   float64   // of all its unfinished tasks
