--- a/internal/decide/decide.go
+++ b/internal/decide/decide.go
@@ -28,8 +28,8 @@
 	// OnSettled, if set, is called exactly once: with true when the decision is committed, with
 	// false when it fails or is dropped.
 	OnSettled func(ok bool)
-	// Urgent is set if a rule of the protocol depends on the decision. Urgent decisions are sent
-	// before all others that are waiting.
+	// Urgent is set if the decision must not wait for the write budget, because the protocol
+	// depends on it. Urgent decisions are sent before all others that are waiting.
 	Urgent bool
 	// CompletesJob is set if the decision records the end of a job. Such decisions are urgent,
 	// but their writes in flight are limited to about one transaction: otherwise many small jobs
@@ -102,9 +102,9 @@
 	for _, change := range d.Changes {
 		subjects = append(subjects, change.Task.ID+" "+string(change.Next.State))
 	}
-	for _, added := range d.BatchEntries {
-		taskID := jobs.TaskID(added.Entry.JobID, added.Entry.Index)
-		subjects = append(subjects, taskID+" "+string(added.Entry.Task.State))
+	for _, batchEntry := range d.BatchEntries {
+		taskID := jobs.TaskID(batchEntry.Entry.JobID, batchEntry.Entry.Index)
+		subjects = append(subjects, taskID+" "+string(batchEntry.Entry.Task.State))
 	}
 	for _, write := range d.Writes {
 		subjects = append(subjects, WriteKey(write))
--- a/internal/queue/accumulation.go
+++ b/internal/queue/accumulation.go
@@ -18,8 +18,8 @@
 // gangs in the same order, by the time they were accepted.
 type capacityAccumulation struct {
 	zone         string
-	progressAt   time.Time      // when maxKept last increased, or the accumulation started
-	maxKept      int            // largest number of tasks for which free capacity was held at once
+	progressAt   time.Time      // when maxHeld last increased, or the accumulation started
+	maxHeld      int            // largest number of tasks for which free capacity was held at once
 	freeSlots    map[string]int // number of tasks for which free capacity is held, by machine
 	busyMachines []string       // machines held for capacity that becomes free on them
 	busyChosenAt time.Time      // when busyMachines was last chosen
@@ -41,9 +41,9 @@
 		return (accumulation.zone == "" || zone == accumulation.zone) && clusterstate.ZoneAllowed(spec, zones, zone)
 	}
 	left := accumulation.holdFreeCapacity(q, cycle, spec, candidates, inZone)
-	kept := spec.TaskCount - left
-	if kept > accumulation.maxKept {
-		accumulation.maxKept, accumulation.progressAt = kept, q.state.Now
+	held := spec.TaskCount - left
+	if held > accumulation.maxHeld {
+		accumulation.maxHeld, accumulation.progressAt = held, q.state.Now
 	}
 	if left > 0 && q.Overdue(task.Job) {
 		if q.state.Now.Sub(accumulation.busyChosenAt) > tuning.AccumulationRetry {
@@ -52,7 +52,7 @@
 		}
 		accumulation.holdBusyMachines(q, cycle, spec)
 	}
-	return kept, accumulation.zone
+	return held, accumulation.zone
 }
 
 // accumulationFor returns the accumulation of a gang. One that made no progress for
@@ -251,7 +251,7 @@
 }
 
 // AccumulatedCapacity returns the free capacity held for large gangs, by machine. Such a machine is
-// in demand although nothing is reserved on it, so it must not be given back to the cloud.
+// in demand although nothing is reserved on it, so it must not be decommissioned.
 func (q *Queue) AccumulatedCapacity() map[string]sharding.Resources {
 	out := map[string]sharding.Resources{}
 	for jobID, accumulation := range q.accumulations {
