--- a/internal/agent/session.go
+++ b/internal/agent/session.go
@@ -1,6 +1,7 @@
 // Package agent implements the controller's side of the protocol with a worker's agent: heartbeats
 // with the status of tasks, fencing tokens, commands, and the knowledge of which task attempts are
-// on the machine. It performs no IO and reads no clock.
+// on the machine. Commands are sent either in the reply to a heartbeat or in a direct command, which
+// is a request from the controller to the agent. The package performs no IO and reads no clock.
 package agent
 
 import (
@@ -185,7 +186,7 @@
 	return tasks
 }
 
-// CommandSent records that commands are sent in a direct command, and which of them are launches.
+// CommandSent records that a direct command is being sent, and which launches it contains.
 func (s *Session) CommandSent(commands []Command, now time.Time) {
 	s.CommandPending, s.LastCall = true, now
 	for _, command := range commands {
--- a/internal/agent/session_test.go
+++ b/internal/agent/session_test.go
@@ -27,9 +27,9 @@
 	return s
 }
 
-func verdict(s *Session, taskID string, attempt uint64) AttemptState {
-	v, _ := s.AttemptState(taskID, attempt)
-	return v
+func attemptState(s *Session, taskID string, attempt uint64) AttemptState {
+	state, _ := s.AttemptState(taskID, attempt)
+	return state
 }
 
 func TestFencingTokenIsEpochAndCounter(t *testing.T) {
@@ -50,8 +50,8 @@
 func TestHeartbeatWithOldTokenLeavesAttemptUnclear(t *testing.T) {
 	s := NewSession("i-1", 3, now)
 	s.Accept(heartbeat(1, 1, 2<<20), now, map[string]uint64{"wk-1/0": 1})
-	if v := verdict(s, "wk-1/0", 1); v != Unclear {
-		t.Errorf("verdict %s", v)
+	if state := attemptState(s, "wk-1/0", 1); state != Unclear {
+		t.Errorf("attempt state %q", state)
 	}
 }
 
@@ -59,14 +59,14 @@
 	s := NewSession("i-1", 3, now)
 	running := TaskStatus{TaskID: "wk-1/1", Attempt: 2, Status: Running}
 	s.Accept(heartbeat(1, 5, s.FencingToken(), running), now, map[string]uint64{"wk-1/0": 1, "wk-1/1": 2})
-	if v := verdict(s, "wk-1/0", 1); v != Missing {
-		t.Errorf("recorded and not reported: %s", v)
+	if state := attemptState(s, "wk-1/0", 1); state != Missing {
+		t.Errorf("recorded and not reported: %s", state)
 	}
-	if v := verdict(s, "wk-1/1", 2); v != OnMachine {
-		t.Errorf("recorded and reported: %s", v)
+	if state := attemptState(s, "wk-1/1", 2); state != OnMachine {
+		t.Errorf("recorded and reported: %s", state)
 	}
-	if v := verdict(s, "wk-1/2", 1); v != ToLaunch {
-		t.Errorf("neither recorded nor reported: %s", v)
+	if state := attemptState(s, "wk-1/2", 1); state != ToLaunch {
+		t.Errorf("neither recorded nor reported: %s", state)
 	}
 }
 
@@ -74,17 +74,17 @@
 	s := newKnownSession(t)
 	s.CommandSent([]Command{{Verb: Launch, TaskID: "wk-1/0", Attempt: 1}}, now)
 	s.Accept(heartbeat(1, 2, s.FencingToken()), now, nil)
-	if v := verdict(s, "wk-1/0", 1); v != Sent {
-		t.Errorf("launch in flight: %s", v)
+	if state := attemptState(s, "wk-1/0", 1); state != Sent {
+		t.Errorf("launch in flight: %s", state)
 	}
 	s.CommandAnswered()
 	s.Accept(heartbeat(1, 3, s.FencingToken(), TaskStatus{TaskID: "wk-1/0", Attempt: 1, Status: Pulling}), now, nil)
-	if v := verdict(s, "wk-1/0", 1); v != OnMachine {
-		t.Errorf("launched and reported: %s", v)
+	if state := attemptState(s, "wk-1/0", 1); state != OnMachine {
+		t.Errorf("launched and reported: %s", state)
 	}
 	s.Accept(heartbeat(1, 4, s.FencingToken()), now, nil)
-	if v := verdict(s, "wk-1/0", 1); v != Missing {
-		t.Errorf("launched and no longer reported: %s", v)
+	if state := attemptState(s, "wk-1/0", 1); state != Missing {
+		t.Errorf("launched and no longer reported: %s", state)
 	}
 }
 
@@ -93,12 +93,12 @@
 	s.CommandSent([]Command{{Verb: Launch, TaskID: "wk-1/0", Attempt: 1}}, now)
 	s.CommandUnanswered()
 	s.Accept(heartbeat(1, 9, s.FencingToken()-1), now, nil)
-	if v := verdict(s, "wk-1/0", 1); v != Unclear {
-		t.Errorf("the unanswered command may still be executed: %s", v)
+	if state := attemptState(s, "wk-1/0", 1); state != Unclear {
+		t.Errorf("the unanswered command may still be executed: %s", state)
 	}
 	s.Accept(heartbeat(1, 10, s.FencingToken()), now, map[string]uint64{"wk-1/0": 1})
-	if v := verdict(s, "wk-1/0", 1); v != Missing {
-		t.Errorf("the unanswered command can no longer be executed: %s", v)
+	if state := attemptState(s, "wk-1/0", 1); state != Missing {
+		t.Errorf("the unanswered command can no longer be executed: %s", state)
 	}
 }
 
@@ -108,8 +108,8 @@
 	s.CommandAnswered()
 	s.Accept(heartbeat(1, 2, s.FencingToken(), TaskStatus{TaskID: "wk-1/0", Attempt: 1, Status: Running}), now, nil)
 	s.Accept(heartbeat(2, 3, s.FencingToken()), now, map[string]uint64{"wk-1/0": 1})
-	if v := verdict(s, "wk-1/0", 1); v != Missing {
-		t.Errorf("verdict %s", v)
+	if state := attemptState(s, "wk-1/0", 1); state != Missing {
+		t.Errorf("attempt state %q", state)
 	}
 }
 
@@ -122,7 +122,7 @@
 		heartbeat(1, 99, s.FencingToken()),
 	} {
 		if s.Accept(old, now, nil) {
-			t.Errorf("accepted an old heartbeat: agent epoch %d, number %d", old.AgentEpoch, old.HeartbeatSeq)
+			t.Errorf("accepted an old heartbeat: agent epoch %d, sequence number %d", old.AgentEpoch, old.HeartbeatSeq)
 		}
 	}
 }
@@ -131,20 +131,20 @@
 	s := newKnownSession(t)
 	s.CommandSent([]Command{{Verb: Launch, TaskID: "wk-1/0", Attempt: 1}}, now)
 	s.CommandRefused()
-	if v := verdict(s, "wk-1/0", 1); v != Unclear {
-		t.Errorf("after the refusal: %s", v)
+	if state := attemptState(s, "wk-1/0", 1); state != Unclear {
+		t.Errorf("after the refusal: %s", state)
 	}
 	s.Accept(heartbeat(2, 9, s.FencingToken()), now, map[string]uint64{"wk-1/0": 1})
-	if v := verdict(s, "wk-1/0", 1); v != Missing {
-		t.Errorf("after the next heartbeat: %s", v)
+	if state := attemptState(s, "wk-1/0", 1); state != Missing {
+		t.Errorf("after the next heartbeat: %s", state)
 	}
 }
 
 func TestEarlierAttemptOnMachineDelaysLaunch(t *testing.T) {
 	s := newKnownSession(t)
 	s.Accept(heartbeat(1, 2, s.FencingToken(), TaskStatus{TaskID: "wk-1/0", Attempt: 1, Status: Saving}), now, nil)
-	if v := verdict(s, "wk-1/0", 2); v != Unclear {
-		t.Errorf("verdict %s", v)
+	if state := attemptState(s, "wk-1/0", 2); state != Unclear {
+		t.Errorf("attempt state %q", state)
 	}
 }
 
@@ -157,11 +157,11 @@
 	s.Accept(&Heartbeat{Machine: "i-1", AgentEpoch: 1, HeartbeatSeq: 1, PreemptionNoticeS: &notice}, start, nil)
 	s.Stalled(15 * time.Second)
 	now := start.Add(16 * time.Second)
-	if unresponsive := now.Sub(s.LastStatus); unresponsive != time.Second {
-		t.Errorf("unresponsive for %v", unresponsive)
+	if silence := now.Sub(s.LastStatus); silence != time.Second {
+		t.Errorf("silent for %v, want 1 s", silence)
 	}
 	if left := *s.PreemptionNoticeS - now.Sub(s.LastStatus).Seconds(); left != 4 {
-		t.Errorf("%v s left of the notice", left)
+		t.Errorf("%v s left until the preemption, want 4 s", left)
 	}
 }
 
@@ -181,20 +181,20 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := NewSession("i-1", 1, time.Unix(0, 0))
 			s.Accept(heartbeat(1, 1, s.FencingToken(), ended), time.Unix(1, 0), nil)
-			if v, _ := s.AttemptState("wk-1/0", 2); v != ToLaunch {
-				t.Fatal(v)
+			if state, _ := s.AttemptState("wk-1/0", 2); state != ToLaunch {
+				t.Fatal(state)
 			}
 			s.CommandSent([]Command{{Verb: Launch, TaskID: "wk-1/0", Attempt: 2}}, time.Unix(2, 0))
 			s.CommandAnswered()
 			s.Accept(heartbeat(1, 2, s.FencingToken(), c.order...), time.Unix(3, 0), nil)
-			if v, status := s.AttemptState("wk-1/0", 2); v != OnMachine || status.Attempt != 2 {
-				t.Errorf("the running attempt is %s", v)
+			if state, status := s.AttemptState("wk-1/0", 2); state != OnMachine || status.Attempt != 2 {
+				t.Errorf("the running attempt is %s", state)
 			}
-			if v, status := s.AttemptState("wk-1/0", 1); v != EndReported || status.Cause != CauseDone {
-				t.Errorf("the ended attempt is %s", v)
+			if state, status := s.AttemptState("wk-1/0", 1); state != EndReported || status.Cause != CauseDone {
+				t.Errorf("the ended attempt is %s", state)
 			}
-			if v, status := s.AttemptState("wk-1/0", 3); v != Unclear || status.Attempt != 2 {
-				t.Errorf("a third attempt is %s while another one runs", v)
+			if state, status := s.AttemptState("wk-1/0", 3); state != Unclear || status.Attempt != 2 {
+				t.Errorf("a third attempt is %s while another one runs", state)
 			}
 		})
 	}
--- a/internal/agent/verdict.go
+++ b/internal/agent/verdict.go
@@ -3,7 +3,7 @@
 // AttemptState is what a session knows about an attempt that is recorded on its machine.
 type AttemptState string
 
-// Verdicts on a recorded attempt.
+// States of a recorded attempt.
 const (
 	Unclear     AttemptState = "unclear"   // not known until a heartbeat carries the current token
 	ToLaunch    AttemptState = "to launch" // its launch was never sent
@@ -13,9 +13,9 @@
 	Missing     AttemptState = "missing"   // was launched or recorded, but is not on the machine
 )
 
-// AttemptState returns the verdict on a recorded attempt. With OnMachine and EndReported it also returns
-// the attempt's reported status, and with Unclear that of another attempt of the task if one is
-// still on the machine.
+// AttemptState returns the state of a recorded attempt. With OnMachine and EndReported it also
+// returns the attempt's reported status, and with Unclear that of another attempt of the task if one
+// is still on the machine.
 func (s *Session) AttemptState(taskID string, attempt uint64) (AttemptState, TaskStatus) {
 	if s.State != Known {
 		return Unclear, TaskStatus{}
--- a/internal/reachability/tracker.go
+++ b/internal/reachability/tracker.go
@@ -61,7 +61,7 @@
 
 	complaints    members.Complaints
 	lastHeard     map[string]time.Time // by machine, its last heartbeat that did not reach its owner
-	votedOut      map[string]votedOutMember
+	excluded      map[string]excludedMember
 	peers         map[string]peerState
 	isolated      bool // outside the view, and no agent answers
 	pendingProbes int  // probes of agents that are in flight
@@ -78,8 +78,8 @@
 // fresh reports whether the peer's report is recent enough to count.
 func (p peerState) fresh(now time.Time) bool { return now.Sub(p.at) < tuning.PeerFresh }
 
-// votedOutMember is a member that is left out of the view because agents could not reach it.
-type votedOutMember struct {
+// excludedMember is a member that is left out of the view because agents could not reach it.
+type excludedMember struct {
 	incarnation uint64
 	until       time.Time
 }
@@ -96,7 +96,7 @@
 		store:      config.Store,
 		complaints: members.Complaints{},
 		lastHeard:  map[string]time.Time{},
-		votedOut:   map[string]votedOutMember{},
+		excluded:   map[string]excludedMember{},
 		peers:      map[string]peerState{},
 	}
 }
@@ -136,20 +136,20 @@
 }
 
 // Complain records that an agent does not reach its machine's owner: although it was redirected to
-// the owner, it sent a heartbeat to this controller (here is true) or to a peer that reported it.
-func (t *Tracker) Complain(owner, machine string, here bool) {
+// the owner, it sent a heartbeat to this controller (local is set) or to a peer that reported it.
+func (t *Tracker) Complain(owner, machine string, local bool) {
 	t.lastHeard[machine] = t.state.Now
 	if t.store.Unavailable() {
 		return // the owner may be reachable but unable to renew leases (see package cancellation)
 	}
-	t.complaints.Add(owner, machine, here, t.state.Now)
+	t.complaints.Add(owner, machine, local, t.state.Now)
 }
 
 // Unreachable returns the members that agents cannot reach: the agents were redirected to them but
 // keep sending heartbeats to other controllers. A member that is found to be unreachable remains so
 // for tuning.VotedOutFor, so that it does not repeatedly enter and leave the view.
 func (t *Tracker) Unreachable() map[string]bool {
-	unreachable := t.stillVotedOut()
+	unreachable := t.stillExcluded()
 	if t.membership.OutsideView() {
 		return unreachable
 	}
@@ -169,7 +169,7 @@
 			continue
 		}
 		t.log.Info("member marked unreachable by agents", "member", owner, "machines", machines)
-		t.votedOut[owner] = votedOutMember{
+		t.excluded[owner] = excludedMember{
 			incarnation: t.membership.Incarnation(owner),
 			until:       t.state.Now.Add(tuning.VotedOutFor),
 		}
@@ -178,10 +178,10 @@
 	return unreachable
 }
 
-// stillVotedOut returns the members that must still stay outside the view.
-func (t *Tracker) stillVotedOut() map[string]bool {
+// stillExcluded returns the members that must still stay outside the view.
+func (t *Tracker) stillExcluded() map[string]bool {
 	out := map[string]bool{}
-	for name, member := range t.votedOut {
+	for name, member := range t.excluded {
 		// Only the incarnation that was unreachable is left out, not a process that has restarted.
 		if t.membership.Incarnation(name) != member.incarnation {
 			continue
--- a/internal/reconcile/difference.go
+++ b/internal/reconcile/difference.go
@@ -6,7 +6,7 @@
 // it.
 type Difference string
 
-// The differences between recorded and reported attempts. Each has one answer (see OfRecorded and
+// The differences between recorded and reported attempts. Each has one action (see OfRecorded and
 // OfReported). Differences that concern whole machines are handled elsewhere: package provisioning
 // handles a machine that is neither in the cloud's list nor in any heartbeat, and the owner records
 // a machine that has no record.
@@ -28,7 +28,7 @@
 // Action is the action taken on a difference.
 type Action string
 
-// The answers.
+// The actions.
 const (
 	Wait     Action = "wait" // for a heartbeat, an answer or a transaction
 	Continue Action = "continue"
@@ -42,7 +42,7 @@
 // Recorded describes an attempt that a record places on a machine.
 type Recorded struct {
 	Verdict    agent.AttemptState // of the machine's session
-	Over       bool               // its job is not live
+	Over       bool               // its job is not live, or is known to be cancelled
 	Stopping   bool               // it is to be stopped
 	Leaving    bool               // its machine is deleted or about to be
 	Checkpoint bool               // it should write a checkpoint now, since its machine is to be reclaimed
--- a/internal/reconcile/difference_test.go
+++ b/internal/reconcile/difference_test.go
@@ -7,11 +7,11 @@
 	"github.com/harrierreel/harrierreel/internal/agent"
 )
 
-func TestEachDifferenceOfARecordedAttemptHasOneAnswer(t *testing.T) {
+func TestEachDifferenceOfARecordedAttemptHasOneAction(t *testing.T) {
 	for _, c := range []struct {
 		recorded   Recorded
 		difference Difference
-		answer     Action
+		action     Action
 	}{
 		{Recorded{Verdict: agent.Unclear, Over: true}, Unclear, Wait},
 		{Recorded{Verdict: agent.Sent}, UnderWay, Wait},
@@ -28,14 +28,14 @@
 		{Recorded{Verdict: agent.Missing, Over: true}, Vanished, Free},
 	} {
 		t.Run(fmt.Sprintf("%+v", c.recorded), func(t *testing.T) {
-			if difference, answer := OfRecorded(c.recorded); difference != c.difference || answer != c.answer {
-				t.Errorf("difference %q, answer %s", difference, answer)
+			if difference, action := OfRecorded(c.recorded); difference != c.difference || action != c.action {
+				t.Errorf("difference %q, action %s", difference, action)
 			}
 		})
 	}
 }
 
-func TestEachReportedAttemptHasOneAnswer(t *testing.T) {
+func TestEachReportedAttemptHasOneAction(t *testing.T) {
 	for _, c := range []struct {
 		status            string
 		recorded, writing bool
@@ -49,8 +49,8 @@
 		{agent.Ended, false, false, Forget},
 	} {
 		t.Run(fmt.Sprintf("%s, recorded %v, writing %v", c.status, c.recorded, c.writing), func(t *testing.T) {
-			if _, answer := OfReported(c.status, c.recorded, c.writing); answer != c.want {
-				t.Error(answer)
+			if _, action := OfReported(c.status, c.recorded, c.writing); action != c.want {
+				t.Error(action)
 			}
 		})
 	}
--- a/internal/reconcile/tracker.go
+++ b/internal/reconcile/tracker.go
@@ -42,7 +42,7 @@
 	registeredAfter *hdrhistogram.Histogram // time from the first view until a machine registered, in ms
 	reconciledAfter *hdrhistogram.Histogram // time from the first view until a machine was reconciled, in ms
 	differences     map[Difference]int
-	answers         map[Action]int
+	actions         map[Action]int
 	redirected      map[string]int // redirected heartbeats, by the owner that they were redirected to
 }
 
@@ -59,7 +59,7 @@
 			registeredAfter: newHistogram(),
 			reconciledAfter: newHistogram(),
 			differences:     map[Difference]int{},
-			answers:         map[Action]int{},
+			actions:         map[Action]int{},
 			redirected:      map[string]int{},
 		},
 		log: log,
@@ -171,15 +171,15 @@
 	}
 }
 
-// Count counts a difference and its answer for the summary. Only a machine's first comparison
-// counts.
-func (t *Tracker) Count(machine string, difference Difference, answer Action) {
+// Count counts a difference and the action taken on it for the summary. Only a machine's first
+// comparison counts.
+func (t *Tracker) Count(machine string, difference Difference, action Action) {
 	state := t.machines[machine]
 	if t.Steady() || difference == Unclear || state == MachineDiffers || state == MachineReconciled {
 		return
 	}
 	t.summary.differences[difference]++
-	t.summary.answers[answer]++
+	t.summary.actions[action]++
 }
 
 // MachinesHeardEpoch returns the epoch of the newest view if all of this controller's machines have
@@ -259,7 +259,7 @@
 			"reconciled_p50_ms", s.reconciledAfter.ValueAtQuantile(50),
 			"reconciled_max_ms", s.reconciledAfter.Max(),
 			"differences", fmt.Sprint(s.differences),
-			"answers", fmt.Sprint(s.answers),
+			"answers", fmt.Sprint(s.actions),
 			"redirected", fmt.Sprint(s.redirected))
 	}
 	t.decommissioned = t.Decommissioned()
--- a/internal/shard/collaborators.go
+++ b/internal/shard/collaborators.go
@@ -109,13 +109,13 @@
 	MayRenewLeases() bool
 	// MayLaunch reports whether tasks may be launched.
 	MayLaunch() bool
-	// LeaseWithheld counts a heartbeat whose lease was not renewed.
+	// LeaseWithheld counts a heartbeat that did not renew its worker's lease.
 	LeaseWithheld()
 }
 
 // ComplaintLog records which machines cannot reach their owner.
 type ComplaintLog interface {
-	// Complain records that a worker sent a heartbeat to a controller that is not its owner. The
-	// flag here is true if that was this controller.
-	Complain(owner, machine string, here bool)
+	// Complain records that a worker sent a heartbeat to a controller that is not its owner. local
+	// is set if it was sent to this controller, and not set if a peer reported it.
+	Complain(owner, machine string, local bool)
 }
--- a/internal/shard/fixture_test.go
+++ b/internal/shard/fixture_test.go
@@ -153,7 +153,7 @@
 	call                 agentCall
 	answer               func(body []byte) (int, []byte, error)
 	busy                 func(key string) bool
-	complain             func(owner, machine string, here bool)
+	complain             func(owner, machine string, local bool)
 	decisions            []decide.Decision // committed
 }
 
@@ -214,7 +214,9 @@
 func (c *fakeController) MayLaunch() bool             { return !c.cancellationsUnknown }
 func (c *fakeController) LeaseWithheld()              { c.leasesWithheld++ }
 
-func (c *fakeController) Complain(owner, machine string, here bool) { c.complain(owner, machine, here) }
+func (c *fakeController) Complain(owner, machine string, local bool) {
+	c.complain(owner, machine, local)
+}
 
 // queueCollaborators implements the queue's collaborators with the shard under test and its
 // controller.
--- a/internal/shard/foreign_heartbeats_test.go
+++ b/internal/shard/foreign_heartbeats_test.go
@@ -38,9 +38,9 @@
 	f := newFixture(t)
 	f.controller.owner = "n1"
 	complaints := 0
-	f.controller.complain = func(owner, machine string, here bool) {
-		if owner != "n1" || machine != "i-1" || !here {
-			t.Errorf("complaint of %s about %s, here %v", machine, owner, here)
+	f.controller.complain = func(owner, machine string, local bool) {
+		if owner != "n1" || machine != "i-1" || !local {
+			t.Errorf("complaint of %s about %s, local %v", machine, owner, local)
 		}
 		complaints++
 	}
--- a/internal/shard/recovery.go
+++ b/internal/shard/recovery.go
@@ -137,8 +137,8 @@
 	if session == nil || machine == nil || task.State != jobs.Placed || !isLive(task.Job) {
 		return false
 	}
-	verdict, _ := session.AttemptState(task.ID, task.Attempt)
-	return verdict == agent.Missing &&
+	attemptState, _ := session.AttemptState(task.ID, task.Attempt)
+	return attemptState == agent.Missing &&
 		session.PreemptionNoticeS == nil &&
 		s.scheduler.ClaimedFor(machine) == "" &&
 		s.isHealthy(machine) &&
--- a/internal/shard/review.go
+++ b/internal/shard/review.go
@@ -24,7 +24,7 @@
 
 // differenceCounter counts a difference and the action taken on it. A review for the reply to a
 // heartbeat counts nothing, since the next reconciliation finds the same differences.
-type differenceCounter func(machine string, difference reconcile.Difference, answer reconcile.Action)
+type differenceCounter func(machine string, difference reconcile.Difference, action reconcile.Action)
 
 // ignoreDifference is the differenceCounter that counts nothing.
 func ignoreDifference(string, reconcile.Difference, reconcile.Action) {}
@@ -61,20 +61,20 @@
 		}
 		return // the machine is reviewed again once the transaction ends
 	}
-	verdict, status := session.AttemptState(task.ID, task.Attempt)
+	attemptState, status := session.AttemptState(task.ID, task.Attempt)
 	recorded := reconcile.Recorded{
-		Verdict:  verdict,
+		Verdict:  attemptState,
 		Over:     jobOver,
 		Stopping: task.State == jobs.Stopping,
 		Leaving:  s.isLeaving(session.Machine),
 	}
-	if verdict == agent.OnMachine {
+	if attemptState == agent.OnMachine {
 		s.markRunning(session, task, status)
 		recorded.Checkpoint = !jobOver && s.shouldCheckpoint(session, task, status)
 	}
-	difference, answer := reconcile.OfRecorded(recorded)
-	count(session.Machine, difference, answer)
-	switch answer {
+	difference, action := reconcile.OfRecorded(recorded)
+	count(session.Machine, difference, action)
+	switch action {
 	case reconcile.Launch:
 		if s.shouldDelayLaunch(task) || !s.cancellations.MayLaunch() {
 			s.reviewAgain[session.Machine] = true
@@ -102,11 +102,11 @@
 	// name it any more.
 	writing := !recorded && s.isBeingWritten(status.TaskID) &&
 		(status.Status == agent.Ended || !s.cancellations.Cancelled(jobIDOf(status.TaskID)))
-	difference, answer := reconcile.OfReported(status.Status, recorded, writing)
+	difference, action := reconcile.OfReported(status.Status, recorded, writing)
 	if !recorded {
-		count(session.Machine, difference, answer)
+		count(session.Machine, difference, action)
 	}
-	switch answer {
+	switch action {
 	case reconcile.Forget:
 		forget := agent.Command{Verb: agent.Forget, TaskID: status.TaskID, Attempt: status.Attempt}
 		found.commands = append(found.commands, forget)
