--- a/internal/autoscaler/forecast.go
+++ b/internal/autoscaler/forecast.go
@@ -14,7 +14,7 @@
 // the i-th power of damping. Demand comes in bursts, and an undamped trend extrapolated over twelve
 // steps turns each burst into far too many or too few machines.
 //
-// unitDemand is the demand of one typical task. If tasks arrive at random, the variance of their
+// unitDemand is the demand of one typical arrival. If arrivals are random, the variance of their
 // number is at least its mean, which a short quiet history does not show. The variance is therefore
 // at least the last value times unitDemand.
 func Forecast(history []float64, stepsAhead int, damping, unitDemand float64) (mean, variance float64) {
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -16,7 +16,7 @@
 	Tolerance  float64 // allowed mean shortfall as a share of expected demand (d in the paper)
 	TrendSteps int     // number of past steps to which the trend is fitted
 	Damping    float64 // factor by which the trend weakens with each step ahead
-	UnitDemand float64 // demand of a typical task, in machines; sets the minimum variance
+	UnitDemand float64 // demand of a typical arrival, in machines; sets the minimum variance
 }
 
 // Plan returns the minimum supply, in machines, for each of the coming steps. history is the demand
@@ -40,9 +40,9 @@
 	Surplus  int // machines that no step of the plan needs; negative if machines are short
 }
 
-// FirstAction returns the action for the first step of a plan. Machines requested now are available after
-// bootSteps steps, so scaling out considers the plan up to that step. Scaling in considers the whole
-// plan. demand is the present demand; supply is the number of running, booting and requested
+// FirstAction returns the action for the first step of a plan. Machines requested now are available
+// after bootSteps steps, so scaling out considers the plan up to that step. Scaling in considers the
+// whole plan. demand is the present demand; supply is the number of running, booting and requested
 // machines, without those that drain. A new leader, whose history may be short, scales out only for
 // the present demand.
 func FirstAction(plan []float64, demand float64, supply, bootSteps int, newLeader bool) Action {
--- a/internal/autoscaler/plan_test.go
+++ b/internal/autoscaler/plan_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-func TestAct(t *testing.T) {
+func TestFirstAction(t *testing.T) {
 	plan := []float64{2, 3, 5, 9}
 	if got := FirstAction(plan, 1.2, 2, 1, false); got != (Action{ScaleOut: 1, Surplus: -7}) {
 		t.Errorf("scaling out should consider the boot time, scaling in the whole plan: %+v", got)
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -28,7 +28,7 @@
 	// no longer written: such machines are now listed under UnresponsivePrefix.
 	LegacyUnresponsive State = "silent"
 	Warned             State = "warned"   // the cloud has announced its preemption
-	Faulty             State = "faulty"   // tasks fail on it
+	Faulty             State = "faulty"   // tasks fail on it, or its owner cannot command it
 	Deleting           State = "deleting" // to be deleted; no task is placed on it any more
 	// Deleted: the cloud answered the delete request with 200, so nothing runs on it any more. This
 	// state is read but no longer written: records now stay Deleting until they are removed.
@@ -43,7 +43,7 @@
 	HeartbeatReceived Event = "heard"   // a heartbeat arrived
 	HeartbeatsMissed  Event = "unheard" // no heartbeat arrived for some time; used by earlier versions
 	PreemptionNotice  Event = "notice"  // the cloud announced the machine's preemption
-	Unhealthy         Event = "sick"    // tasks fail on it
+	Unhealthy         Event = "sick"    // tasks fail on it, or its owner cannot command it
 	Decommission      Event = "condemn" // the leader decided to delete it
 	DeleteConfirmed   Event = "removed" // the delete was answered with 200; used by earlier versions
 )
@@ -100,8 +100,8 @@
 	SinceMs     int64  `json:"since,omitempty"` // start of this state, Unix time in ms
 }
 
-// DecodeMachineRecord decodes a machine record. It returns an error if the value is not valid JSON or the
-// state is unknown.
+// DecodeMachineRecord decodes a machine record. It returns an error if the value is not valid JSON
+// or the state is unknown.
 func DecodeMachineRecord(value []byte) (*MachineRecord, error) {
 	var record MachineRecord
 	if err := json.Unmarshal(value, &record); err != nil {
--- a/internal/jobs/golden_record_test.go
+++ b/internal/jobs/golden_record_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestGoldenFinal(t *testing.T) {
+func TestGoldenStoredState(t *testing.T) {
 	full := StoredState{State: Done, DoneCount: 9}
 	goldentest.RequireNonZeroFields(t, full)
 	goldentest.JSON(t, "final.json", full)
--- a/internal/jobs/ids.go
+++ b/internal/jobs/ids.go
@@ -10,7 +10,7 @@
 const (
 	JobPrefix   = "job/"   // JobPrefix + job ID: Record
 	TaskPrefix  = "task/"  // see TaskRangeKey: a task range
-	FinalPrefix = "final/" // FinalPrefix + job ID: Final
+	FinalPrefix = "final/" // FinalPrefix + job ID: StoredState
 )
 
 // ValidID reports whether jobID has the form of a job ID: wk- and 1 to 19 digits.
--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -54,7 +54,8 @@
 // leaves that much space.
 const CompletionBytes = len("cancelled") + len(`,"end":9223372036854775807,"n":100000`)
 
-// StoredState is the summary of an ended job that is kept permanently under FinalPrefix.
+// StoredState is the summary of an ended job that is kept permanently under FinalPrefix. Package
+// readconsistency also uses it, with state Live, for an accepted job; that is not stored.
 type StoredState struct {
 	State     JobState `json:"s"`
 	DoneCount int      `json:"n,omitempty"` // tasks done
--- a/internal/jobs/task_transition.go
+++ b/internal/jobs/task_transition.go
@@ -27,7 +27,7 @@
 	Unassign TaskEventKind = "take back"
 	// Place: the task is placed on a machine under a new attempt number (Machine, Zone, Attempt).
 	Place TaskEventKind = "place"
-	// PlaceAgain: the machine lost the task, which is placed there again (Attempt).
+	// PlaceAgain: the task vanished from its machine and is placed there again (Attempt).
 	PlaceAgain TaskEventKind = "anew"
 	// Stop: the task is to be stopped (Reason).
 	Stop TaskEventKind = "stop"
--- a/internal/jobs/task_transition_test.go
+++ b/internal/jobs/task_transition_test.go
@@ -34,13 +34,13 @@
 	mustReject(t, task, TaskEvent{Kind: PlaceAgain, Attempt: 1}, "an attempt number was reused on the same machine")
 	again := mustTransition(t, task, TaskEvent{Kind: PlaceAgain, Attempt: 2})
 	if again.Attempt != 2 || again.Machine != "i-1" || again.State != Placed {
-		t.Errorf("%+v", again)
+		t.Errorf("task placed again: %+v", again)
 	}
 	task = mustTransition(t, task, TaskEvent{Kind: Stop, Reason: "room"})
 	mustReject(t, task, TaskEvent{Kind: PlaceAgain, Attempt: 9}, "a task that is to be stopped was placed again")
 	task = mustTransition(t, task, TaskEvent{Kind: Fail, NotBeforeMs: 5})
 	if task.Failures != 1 || len(task.FailedOn) != 1 || task.Charged() || task.Attempt != 1 {
-		t.Errorf("%+v", task)
+		t.Errorf("failed task: %+v", task)
 	}
 	mustReject(t, task, TaskEvent{Kind: Place, Machine: "i-2", Attempt: 1}, "an attempt number was reused")
 	task = mustTransition(t, task, TaskEvent{Kind: Place, Machine: "i-2", Attempt: 2})
--- a/internal/membership/certainty_test.go
+++ b/internal/membership/certainty_test.go
@@ -40,6 +40,6 @@
 	}
 	responses[1](404, []byte(`{"epoch":9999}`), nil)
 	if m.certainty.State != members.CatchingUp || m.certainty.RequiredEpoch != 9999 {
-		t.Fatalf("%+v", m.certainty)
+		t.Fatalf("certainty at the end: %+v", m.certainty)
 	}
 }
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -105,7 +105,7 @@
 	if probe.Writes[0].Put != "call/n1" ||
 		!slices.Contains(probe.Preconditions, store.Precondition{Key: "call/n1"}) ||
 		!slices.Contains(probe.Preconditions, store.Precondition{Key: "member/n1", Revision: 102}) {
-		r.t.Fatalf("%+v", probe)
+		r.t.Fatalf("transaction that probes n1: %+v", probe)
 	}
 	r.responses[0](200, []byte(`{"epoch":110}`), nil)
 	r.advance(tuning.ProbeTimeout / 2)
@@ -150,7 +150,7 @@
 		}
 	}
 	if !removed["call/n1"] || !removed["member/n1"] || !removed["form/n1"] {
-		t.Errorf("%+v", removal.Writes)
+		t.Errorf("writes that remove n1: %+v", removal.Writes)
 	}
 }
 
@@ -163,7 +163,7 @@
 	answer := r.sent[len(r.sent)-1]
 	if len(answer.Writes) != 1 || answer.Writes[0].Remove != "call/n0" ||
 		answer.Preconditions[0] != (store.Precondition{Key: "call/n0", Revision: 120}) {
-		t.Errorf("%+v", answer)
+		t.Errorf("transaction that answers the probe: %+v", answer)
 	}
 	r.mirror.Remove("member/n0", 130)
 	if r.membership.LeaseID() == 10 {
--- a/internal/provisioning/cloud.go
+++ b/internal/provisioning/cloud.go
@@ -35,7 +35,7 @@
 	plannedAt       time.Time
 	steps           int                  // steps planned since this leader took over
 	requestCount    int                  // number of launch requests made; part of their IDs
-	refusedUntil    map[string]time.Time // pools for which the cloud refused requests
+	refusedUntil    map[string]time.Time // by pool, when machines may be requested again after a refusal
 	deletingAt      map[string]time.Time // when delete requests in flight were sent
 	deleteSentAt    time.Time            // when the last delete request was sent
 	deleteConfirmed map[string]bool      // machines whose delete was answered with 200
--- a/internal/provisioning/plan.go
+++ b/internal/provisioning/plan.go
@@ -152,7 +152,7 @@
 	return history[max(0, len(history)-tuning.SummaryHistory):]
 }
 
-// act returns the autoscaler's action for a group in this step.
+// firstAction returns the autoscaler's action for a group in this step.
 func (s *planStep) firstAction(group fleet.Group, history []float64, machines int) autoscaler.Action {
 	p := s.provisioner
 	operator := &p.config.Operator
--- a/internal/provisioning/provisioner.go
+++ b/internal/provisioning/provisioner.go
@@ -102,12 +102,13 @@
 
 // Machines provides information on machines that is not in their records.
 type Machines interface {
-	// InUse reports whether a machine is up and its heartbeats arrive.
+	// InUse reports whether a machine is up, sends heartbeats and is not being decommissioned.
 	InUse(machine *clusterstate.Machine) bool
 	// UnresponsivenessOf returns its owner's report on a machine, and whether the machine is
 	// unresponsive.
 	UnresponsivenessOf(machine *clusterstate.Machine) (fleet.Unresponsiveness, bool)
-	// LastHeard returns when this controller last heard from a machine of another owner.
+	// LastHeard returns the time of the last heartbeat that a machine is known to have sent to
+	// another controller than its owner, or the zero time if there was none.
 	LastHeard(machine string) time.Time
 	// HasSession reports whether this controller has a session with a machine's agent.
 	HasSession(machine string) bool
--- a/internal/readconsistency/ack_log.go
+++ b/internal/readconsistency/ack_log.go
@@ -20,7 +20,7 @@
 }
 
 type acknowledgement struct {
-	final      jobs.StoredState
+	state      jobs.StoredState
 	recordedAt time.Time
 }
 
@@ -43,18 +43,18 @@
 // Latest returns the newest state of a job that is known to have been acknowledged.
 func (l *AckLog) Latest(jobID string) (jobs.StoredState, bool) {
 	ack, ok := l.acks[jobID]
-	return ack.final, ok
+	return ack.state, ok
 }
 
 // Acknowledge records the state of a job that is about to be sent to a user, marks it for
 // TakeUnsent if it is new, and returns how long the answer must wait. The caller must call Latest
 // first and answer with that state if it is newer.
-func (l *AckLog) Acknowledge(jobID string, final jobs.StoredState, now time.Time) time.Duration {
-	if l.record(jobID, final, now) {
+func (l *AckLog) Acknowledge(jobID string, state jobs.StoredState, now time.Time) time.Duration {
+	if l.record(jobID, state, now) {
 		l.unsent = append(l.unsent, jobID)
 	}
 	ack := l.acks[jobID]
-	if ack.final.State != final.State {
+	if ack.state.State != state.State {
 		return 0 // a newer state has been acknowledged, which the caller finds with Latest
 	}
 	return max(0, ack.recordedAt.Add(l.delay).Sub(now))
@@ -66,15 +66,15 @@
 	for _, jobID := range acks.Accepted {
 		l.record(jobID, jobs.StoredState{State: jobs.Live}, now)
 	}
-	for jobID, final := range acks.Ended {
-		l.record(jobID, final, now)
+	for jobID, state := range acks.Ended {
+		l.record(jobID, state, now)
 	}
 }
 
 // record stores a state if it is newer than the known one, and reports whether it was.
-func (l *AckLog) record(jobID string, final jobs.StoredState, now time.Time) bool {
+func (l *AckLog) record(jobID string, state jobs.StoredState, now time.Time) bool {
 	old, known := l.acks[jobID]
-	if known && (old.final.State != jobs.Live || final.State == jobs.Live) {
+	if known && (old.state.State != jobs.Live || state.State == jobs.Live) {
 		return false
 	}
 	if !known {
@@ -84,7 +84,7 @@
 		}
 		l.order = append(l.order, jobID)
 	}
-	l.acks[jobID] = acknowledgement{final, now}
+	l.acks[jobID] = acknowledgement{state, now}
 	return true
 }
 
@@ -99,10 +99,10 @@
 			ack, ok := l.acks[jobID]
 			switch {
 			case !ok: // evicted because of tuning.MaxAcks
-			case ack.final.State == jobs.Live:
+			case ack.state.State == jobs.Live:
 				message.Accepted = append(message.Accepted, jobID)
 			default:
-				message.Ended[jobID] = ack.final
+				message.Ended[jobID] = ack.state
 			}
 		}
 		l.unsent = l.unsent[count:]
--- a/internal/readconsistency/ack_log_test.go
+++ b/internal/readconsistency/ack_log_test.go
@@ -27,8 +27,8 @@
 	log.ApplyPeerAcks(peerAcks, start.Add(25*ms))
 	peerAcks = Acks{Accepted: []string{"wk-1"}, Ended: map[string]jobs.StoredState{"wk-1": {State: jobs.Cancelled}}}
 	log.ApplyPeerAcks(peerAcks, start.Add(26*ms))
-	if final, ok := log.Latest("wk-1"); !ok || final != done {
-		t.Error("latest", final)
+	if latest, ok := log.Latest("wk-1"); !ok || latest != done {
+		t.Error("latest", latest)
 	}
 	if wait := log.Acknowledge("wk-1", done, start.Add(35*ms)); wait != 20*ms {
 		t.Error("remaining delay of a state received 10 ms ago:", wait)
--- a/internal/standby/probes.go
+++ b/internal/standby/probes.go
@@ -68,9 +68,9 @@
 	return actions
 }
 
-// probes reports whether it is for this controller to probe a member. Followers probe the leader,
-// the leader probes everyone else, and no controller probes itself.
-func (status ClusterStatus) probes(member string) bool {
+// mayProbe reports whether this controller may probe a member. Followers probe only the leader, the
+// leader probes all other members, and no controller probes itself.
+func (status ClusterStatus) mayProbe(member string) bool {
 	return member != status.Name && (status.Leader == status.Name || member == status.Leader)
 }
 
@@ -98,7 +98,7 @@
 func (s *Standby) endedConnections(status ClusterStatus) int {
 	ended := 0
 	for _, member := range status.Members {
-		if p := s.suspects[member.Name]; p != nil && !p.connectionEndedAt.IsZero() {
+		if entry := s.suspects[member.Name]; entry != nil && !entry.connectionEndedAt.IsZero() {
 			ended++
 		}
 	}
@@ -107,14 +107,14 @@
 
 // probeDue reports whether this controller must probe a member now.
 func (s *Standby) probeDue(status ClusterStatus, member Member, priority int) bool {
-	if _, probed := status.Probes[member.Name]; probed || !member.AnswersProbes || !status.probes(member.Name) {
+	if _, probed := status.Probes[member.Name]; probed || !member.AnswersProbes || !status.mayProbe(member.Name) {
 		return false
 	}
-	p := s.suspects[member.Name]
-	if p == nil || p.connectionEndedAt.IsZero() || status.Now.Before(p.nextProbeAt) {
+	entry := s.suspects[member.Name]
+	if entry == nil || entry.connectionEndedAt.IsZero() || status.Now.Before(entry.nextProbeAt) {
 		return false
 	}
-	return status.Now.Sub(p.connectionEndedAt) >= status.probeDelay(priority)
+	return status.Now.Sub(entry.connectionEndedAt) >= status.probeDelay(priority)
 }
 
 // unansweredProbes returns the members whose probes have timed out.
@@ -122,11 +122,12 @@
 	var out []string
 	for _, name := range slices.Sorted(maps.Keys(status.Probes)) {
 		probe := status.Probes[name]
-		p := s.suspects[name]
-		if !status.probes(name) || p == nil || p.probeObservedAt.IsZero() || p.incarnation != probe.Incarnation {
+		entry := s.suspects[name]
+		if !status.mayProbe(name) || entry == nil || entry.probeObservedAt.IsZero() ||
+			entry.incarnation != probe.Incarnation {
 			continue
 		}
-		if status.Now.Sub(p.probeObservedAt) >= probe.timeout()+status.probeDelay(priority) {
+		if status.Now.Sub(entry.probeObservedAt) >= probe.timeout()+status.probeDelay(priority) {
 			out = append(out, name)
 		}
 	}
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -67,7 +67,7 @@
 	actions := evaluate(first, statusOfFive("n1", now))
 	wantOne(t, actions, ActionProbe, "[n0]", "the first successor probes")
 	if actions[0].Wait != tuning.ProbeTimeout || first.State != Probing {
-		t.Fatalf("%+v %s", actions, first.State)
+		t.Fatalf("actions of the first successor: %+v, state %s", actions, first.State)
 	}
 	wantNone(t, evaluate(second, statusOfFive("n3", now)), "the second successor does not probe at once")
 	now = now.Add(tuning.ProbeStagger)
@@ -164,7 +164,7 @@
 	status.Members[2].AnswersProbes = false
 	actions := evaluate(s, status)
 	if len(actions) != 1 || fmt.Sprint(actions[0].Names) != "[n1 n3]" || actions[0].Wait != tuning.ProbeTimeoutMany {
-		t.Errorf("%+v", actions)
+		t.Errorf("actions after three connections ended: %+v", actions)
 	}
 	status.StoreUnavailable = true
 	if actions := evaluate(s, status); len(actions) != 0 {
@@ -189,7 +189,7 @@
 				t.Errorf("%s: %+v", test.controller, actions)
 			}
 			if s.State != Leaving {
-				t.Errorf("%s: %s", test.controller, s.State)
+				t.Errorf("%s: state %s, want leaving", test.controller, s.State)
 			}
 		})
 	}
--- a/internal/standby/suspects.go
+++ b/internal/standby/suspects.go
@@ -19,49 +19,49 @@
 
 // ConnectionEnded records that the connection to a peer ended or was refused.
 func (s *Standby) ConnectionEnded(name string, now time.Time) {
-	if p := s.suspectFor(name); p.connectionEndedAt.IsZero() {
-		p.connectionEndedAt = now
+	if entry := s.suspectFor(name); entry.connectionEndedAt.IsZero() {
+		entry.connectionEndedAt = now
 	}
 }
 
 // PeerAlive records that gossip of a peer was received, which proves that the peer is alive.
 func (s *Standby) PeerAlive(name string) {
-	if p := s.suspects[name]; p != nil {
-		p.connectionEndedAt = time.Time{}
+	if entry := s.suspects[name]; entry != nil {
+		entry.connectionEndedAt = time.Time{}
 	}
 }
 
 // ProbeObserved records that there is a probe of a member. A probe may be written and deleted (see
 // ProbeRemoved) between two evaluations: an answer takes a tenth of a second.
 func (s *Standby) ProbeObserved(name string, probe Probe, now time.Time) {
-	if p := s.suspectFor(name); p.probeObservedAt.IsZero() || p.incarnation != probe.Incarnation {
-		p.incarnation, p.probeObservedAt = probe.Incarnation, now
+	if entry := s.suspectFor(name); entry.probeObservedAt.IsZero() || entry.incarnation != probe.Incarnation {
+		entry.incarnation, entry.probeObservedAt = probe.Incarnation, now
 	}
 }
 
 // ProbeRemoved records that the probe of a member was deleted.
 func (s *Standby) ProbeRemoved(name string) {
-	if p := s.suspects[name]; p != nil && !p.probeObservedAt.IsZero() {
-		p.probeObservedAt, p.connectionEndedAt = time.Time{}, time.Time{}
-		p.answeredProbes++
+	if entry := s.suspects[name]; entry != nil && !entry.probeObservedAt.IsZero() {
+		entry.probeObservedAt, entry.connectionEndedAt = time.Time{}, time.Time{}
+		entry.answeredProbes++
 	}
 }
 
 // suspectFor returns the evidence about a member, creating it if there is none.
 func (s *Standby) suspectFor(name string) *suspect {
-	p := s.suspects[name]
-	if p == nil {
-		p = &suspect{}
-		s.suspects[name] = p
+	entry := s.suspects[name]
+	if entry == nil {
+		entry = &suspect{}
+		s.suspects[name] = entry
 	}
-	return p
+	return entry
 }
 
 // suspected reports whether the connection to a member has ended or there is an unanswered probe of
 // it.
 func (s *Standby) suspected(name string) bool {
-	p := s.suspects[name]
-	return p != nil && (!p.connectionEndedAt.IsZero() || !p.probeObservedAt.IsZero())
+	entry := s.suspects[name]
+	return entry != nil && (!entry.connectionEndedAt.IsZero() || !entry.probeObservedAt.IsZero())
 }
 
 // updateSuspects updates the evidence about all members from the view and the probes.
@@ -70,22 +70,22 @@
 	for _, member := range status.Members {
 		incarnations[member.Name] = member.Incarnation
 	}
-	for name, p := range s.suspects {
-		if incarnations[name] == 0 || p.incarnation != 0 && incarnations[name] != p.incarnation {
+	for name, entry := range s.suspects {
+		if incarnations[name] == 0 || entry.incarnation != 0 && incarnations[name] != entry.incarnation {
 			delete(s.suspects, name) // left the view, or came back as a new incarnation
 		} else {
-			p.incarnation = incarnations[name]
+			entry.incarnation = incarnations[name]
 		}
 	}
 	for name, incarnation := range incarnations {
-		p := s.suspects[name]
+		entry := s.suspects[name]
 		probe, probed := status.Probes[name]
-		if probed && probe.Incarnation == incarnation && (p == nil || p.probeObservedAt.IsZero()) {
+		if probed && probe.Incarnation == incarnation && (entry == nil || entry.probeObservedAt.IsZero()) {
 			s.ProbeObserved(name, probe, status.Now)
 		}
-		if p != nil {
-			s.FalseAlarms += p.answeredProbes
-			p.updatePause(status.Now)
+		if entry != nil {
+			s.FalseAlarms += entry.answeredProbes
+			entry.updatePause(status.Now)
 		}
 	}
 }
@@ -93,12 +93,12 @@
 // updatePause doubles the pause after answered probes, and resets it after tuning.ProbeForgetAfter
 // without one. The cause that ended the connection may persist, and the member should not be probed
 // every time it ends the connection again.
-func (p *suspect) updatePause(now time.Time) {
-	if p.answeredProbes > 0 {
-		p.pause = min(max(2*p.pause, tuning.ProbePause), tuning.MaxProbePause)
-		p.answeredProbes, p.nextProbeAt = 0, now.Add(p.pause)
+func (s *suspect) updatePause(now time.Time) {
+	if s.answeredProbes > 0 {
+		s.pause = min(max(2*s.pause, tuning.ProbePause), tuning.MaxProbePause)
+		s.answeredProbes, s.nextProbeAt = 0, now.Add(s.pause)
 	}
-	if p.pause > 0 && now.Sub(p.nextProbeAt) > tuning.ProbeForgetAfter {
-		p.pause = 0
+	if s.pause > 0 && now.Sub(s.nextProbeAt) > tuning.ProbeForgetAfter {
+		s.pause = 0
 	}
 }
