--- a/internal/autoscaler/forecast_test.go
+++ b/internal/autoscaler/forecast_test.go
@@ -22,7 +22,7 @@
 		t.Errorf("demand should not be negative: %v", m)
 	}
 	if _, v := Forecast([]float64{8, 8, 8, 8}, 1, 1, 0.25); !approxEqual(v, 2) {
-		t.Errorf("32 tasks of 1/4 machine should have a variance of at least 32/16: %v", v)
+		t.Errorf("32 arrivals of 1/4 machine each should have a variance of at least 32/16: %v", v)
 	}
 	// The residuals of 1, 3, 1, 3 from the trend exceed the minimum variance.
 	if _, v := Forecast([]float64{1, 3, 1, 3}, 1, 1, 0.01); v < 0.5 {
--- a/internal/jobs/submission_test.go
+++ b/internal/jobs/submission_test.go
@@ -17,7 +17,7 @@
 func TestParseSpec(t *testing.T) {
 	s, err := ParseSpec([]byte(validSubmission))
 	if err != nil || s.TaskCount != 16 || s.ID != "wk-000412" || *s.DeadlineS != 900 || !s.SameZone || s.Zone != "" {
-		t.Fatalf("%+v %v", s, err)
+		t.Fatalf("the valid submission is read as %+v: %v", s, err)
 	}
 	for name, c := range map[string]struct{ field, old, new string }{
 		"malformed job ID":            {"uid", `"wk-000412"`, `"job-1"`},
@@ -34,7 +34,7 @@
 	} {
 		body := strings.Replace(validSubmission, c.old, c.new, 1)
 		if _, err := ParseSpec([]byte(body)); err == nil || !strings.HasPrefix(err.Error(), c.field+":") {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: error %v", name, err)
 		}
 	}
 	for _, body := range []string{"", "null", "[]", `"x"`, "{", `{"uid":5}`} {
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -109,7 +109,7 @@
 	}
 	r.responses[0](200, []byte(`{"epoch":110}`), nil)
 	r.advance(tuning.ProbeTimeout / 2)
-	r.wantSent(1, "removed too early")
+	r.wantSent(1, "removed before the probe timed out")
 	r.advance(tuning.ProbeTimeout)
 	r.wantSent(1, "removed before the watch of the prober reached the probe")
 	r.mirror.ApplyEvents(110, nil)
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -85,7 +85,7 @@
 	var buffer [64]byte
 	for {
 		if _, err := conn.Read(buffer[:]); err != nil {
-			if !errors.Is(err, net.ErrClosed) { // closed by this side
+			if !errors.Is(err, net.ErrClosed) { // not closed by this side
 				l.onDisconnect()
 			}
 			return
--- a/internal/provisioning/summary_test.go
+++ b/internal/provisioning/summary_test.go
@@ -41,7 +41,7 @@
 	l.t.Helper()
 	for _, write := range writes {
 		if len(write.Value) > l.config.ValueBytes {
-			l.t.Errorf("%d bytes in %s", len(write.Value), write.Put)
+			l.t.Errorf("a value of %d bytes in %s is too long", len(write.Value), write.Put)
 		}
 		l.ApplySummary(write.Put, write.Value)
 		if write.Put == "scaler" {
@@ -120,7 +120,7 @@
 	for step, drains := range map[uint64]bool{6: true, 7: false, 4: true, 3: false} {
 		l.ApplySummary("scaler", jobs.Encode(Summary{Step: step}))
 		if (len(l.Summary.Draining) > 0) != drains {
-			t.Errorf("at step %d %d machines drain", step, len(l.Summary.Draining))
+			t.Errorf("at step %d, %d machines drain", step, len(l.Summary.Draining))
 		}
 	}
 	l.ApplySummary("scaler", jobs.Encode(Summary{Step: 7, Draining: fleet.Draining{"i-1": 1}}))
--- a/internal/readconsistency/model_test.go
+++ b/internal/readconsistency/model_test.go
@@ -27,7 +27,7 @@
 
 // timedState is a state of the job and the time at which it was committed or received.
 type timedState struct {
-	final jobs.StoredState
+	state jobs.StoredState
 	at    time.Time
 }
 
@@ -66,44 +66,44 @@
 	if len(m.committed) == 0 {
 		return jobs.StoredState{}
 	}
-	return m.committed[len(m.committed)-1].final
+	return m.committed[len(m.committed)-1].state
 }
 
 // commit makes a controller commit that the job is accepted or has ended, and then answer the user.
 // A job cannot end before the user knows of it: its tasks take longer, and only a user who was told
 // that it is accepted can cancel it. If the response to an acceptance comes late, the controller
 // reads the job instead of answering directly.
-func (m *model) commit(c *controller, final jobs.StoredState) {
+func (m *model) commit(c *controller, state jobs.StoredState) {
 	sentAt := m.now
 	m.schedule(0, 60, func() {
-		ends := progress(final.State) == 2
-		if progress(final.State) != progress(m.stored().State)+1 || ends && m.received.final.State == "" {
+		ends := progress(state.State) == 2
+		if progress(state.State) != progress(m.stored().State)+1 || ends && m.received.state.State == "" {
 			return
 		}
-		m.committed = append(m.committed, timedState{final, m.now})
+		m.committed = append(m.committed, timedState{state, m.now})
 		m.schedule(0, 400, func() {
-			if final.State == jobs.Live && m.now.Sub(sentAt) > tuning.MaxReadAge {
+			if state.State == jobs.Live && m.now.Sub(sentAt) > tuning.MaxReadAge {
 				m.read(c)
 				return
 			}
-			m.answer(c, final)
+			m.answer(c, state)
 		})
 	})
 }
 
 // answer answers the user, once the answer may leave, with a state that does not require a recent
 // read.
-func (m *model) answer(c *controller, final jobs.StoredState) {
-	if latest, ok := c.log.Latest(modelJobID); ok && progress(latest.State) > progress(final.State) {
-		final = latest
+func (m *model) answer(c *controller, state jobs.StoredState) {
+	if latest, ok := c.log.Latest(modelJobID); ok && progress(latest.State) > progress(state.State) {
+		state = latest
 	}
-	wait := c.log.Acknowledge(modelJobID, final, m.now)
+	wait := c.log.Acknowledge(modelJobID, state, m.now)
 	m.sendUnsent(c)
 	if wait > 0 {
-		m.pending = append(m.pending, event{m.now.Add(wait), func() { m.answer(c, final) }})
+		m.pending = append(m.pending, event{m.now.Add(wait), func() { m.answer(c, state) }})
 		return
 	}
-	m.sendToUser(final)
+	m.sendToUser(state)
 }
 
 // sendUnsent sends new acknowledgements to the other controllers.
@@ -121,14 +121,14 @@
 }
 
 // sendToUser sends an answer to the user now.
-func (m *model) sendToUser(final jobs.StoredState) {
-	if progress(final.State) < progress(m.received.final.State) {
+func (m *model) sendToUser(state jobs.StoredState) {
+	if progress(state.State) < progress(m.received.state.State) {
 		m.t.Fatalf("an answer with state %q leaves %v after the user received %q",
-			final.State, m.now.Sub(m.received.at), m.received.final.State)
+			state.State, m.now.Sub(m.received.at), m.received.state.State)
 	}
 	m.schedule(1, 3, func() {
-		if progress(final.State) > progress(m.received.final.State) {
-			m.received = timedState{final, m.now}
+		if progress(state.State) > progress(m.received.state.State) {
+			m.received = timedState{state, m.now}
 		}
 	})
 }
@@ -138,26 +138,26 @@
 func (m *model) read(c *controller) {
 	sentAt := m.now
 	m.schedule(0, 60, func() { // the request arrives
-		final := m.stored()
-		m.schedule(0, 60, func() { m.readAnswered(c, final, sentAt) })
+		state := m.stored()
+		m.schedule(0, 60, func() { m.readAnswered(c, state, sentAt) })
 	})
 }
 
-func (m *model) readAnswered(c *controller, final jobs.StoredState, sentAt time.Time) {
+func (m *model) readAnswered(c *controller, state jobs.StoredState, sentAt time.Time) {
 	latest, known := c.log.Latest(modelJobID)
 	switch {
-	case progress(final.State) == 2:
-		m.answer(c, final)
-	case known && progress(latest.State) > progress(final.State):
+	case progress(state.State) == 2:
+		m.answer(c, state)
+	case known && progress(latest.State) > progress(state.State):
 		if progress(latest.State) == 2 {
 			m.answer(c, latest)
 		} // accepted, but not found: a controller reads again, the model tells the user to retry
 	case m.now.Sub(sentAt) > tuning.MaxReadAge:
-	case final.State == "":
-		m.sendToUser(final)
+	case state.State == "":
+		m.sendToUser(state)
 	default: // live: if the acceptance is new, a later read answers with it
-		if c.log.Acknowledge(modelJobID, final, m.now) == 0 {
-			m.sendToUser(final)
+		if c.log.Acknowledge(modelJobID, state, m.now) == 0 {
+			m.sendToUser(state)
 			return
 		}
 		m.sendUnsent(c)
--- a/internal/shard/heartbeat_test.go
+++ b/internal/shard/heartbeat_test.go
@@ -14,22 +14,22 @@
 	f := newFixture(t)
 	for _, name := range []string{"", "i 1", "i-1\n", strings.Repeat("i", 151)} { // not valid in keys
 		if s, _ := f.heartbeat(string(jobs.Encode(map[string]string{"host": name}))); s != 400 {
-			t.Errorf("%q: %d", name, s)
+			t.Errorf("machine name %q: status %d", name, s)
 		}
 	}
 	if s, body := f.heartbeat(heartbeatBody("1", "")); s != 200 || !strings.Contains(body, `"baton":5242880`) {
-		t.Errorf("%d %s, want 200 and the fencing token of epoch 5", s, body)
+		t.Errorf("status %d, body %s, want 200 and the fencing token of epoch 5", s, body)
 	}
 	if s, _ := f.heartbeat(strings.Replace(heartbeatBody("2", ""), `"baton":0`, `"baton":99999999`, 1)); s != 421 {
-		t.Errorf("a worker that has seen a higher token: %d, want 421", s)
+		t.Errorf("a worker that has seen a higher token: status %d, want 421", s)
 	}
 	f.controller.owner = "n1"
 	if s, body := f.heartbeat(heartbeatBody("3", "")); s != 421 || body != `{"reports_to":"n1"}` {
-		t.Errorf("another controller's machine: %d %s", s, body)
+		t.Errorf("another controller's machine: status %d, body %s", s, body)
 	}
 	f.controller.inView = false
 	if s, _ := f.heartbeat(heartbeatBody("4", "")); s != 503 {
-		t.Errorf("outside the view: %d, want 503", s)
+		t.Errorf("outside the view: status %d, want 503", s)
 	}
 }
 
@@ -46,7 +46,7 @@
 	}, ",")
 	f.controller.cancellationsUnknown = true
 	if s, _ := f.heartbeat(heartbeatBody("1", statuses)); s != 503 || f.controller.leasesWithheld != 1 {
-		t.Errorf("%d while cancellations are unknown, %d leases withheld", s, f.controller.leasesWithheld)
+		t.Errorf("status %d while cancellations are unknown, %d leases withheld", s, f.controller.leasesWithheld)
 	}
 	if s := f.sessions["i-1"]; s == nil || s.HeartbeatSeq != 1 {
 		t.Errorf("the heartbeat was not applied: %+v", s)
--- a/internal/shard/recovery_test.go
+++ b/internal/shard/recovery_test.go
@@ -100,7 +100,7 @@
 
 // A task that still runs is left alone. A vanished task on a machine with a preemption notice is
 // freed.
-func TestRunningTaskStaysAndPreemptedMachineIsFreed(t *testing.T) {
+func TestRunningTaskStaysAndVanishedTaskOnPreemptedMachineIsFreed(t *testing.T) {
 	f := newRestartedFixture(t, 2, jobs.JobArray)
 	f.reportAfterExpiry("i-1", `{"piece":"wk-1/0","try":1,"status":"running"}`)
 	withNotice := strings.NewReplacer(`"host":"i-1"`, `"host":"i-2"`, `"baton":0`, `"baton":0,"warning_s":20`)
--- a/internal/standby/probes.go
+++ b/internal/standby/probes.go
@@ -35,7 +35,7 @@
 // probeOrder returns the priority with which this controller acts on suspicions, and its position
 // in the order of succession. The leader has priority 0. If the leader is suspected, the others act
 // in the order of succession. The priority is -1 if it is not this controller's turn; the
-// succession is -1 if it has no position.
+// position is -1 if it has none.
 func (s *Standby) probeOrder(status ClusterStatus) (priority, succession int) {
 	succession = slices.Index(Successors(status, s.suspected), status.Name)
 	switch {
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -71,13 +71,13 @@
 	}
 	wantNone(t, evaluate(second, statusOfFive("n3", now)), "the second successor does not probe at once")
 	now = now.Add(tuning.ProbeStagger)
-	wantOne(t, evaluate(second, statusOfFive("n3", now)), ActionProbe, "[n0]", "the second, as the first has not probed")
+	wantOne(t, evaluate(second, statusOfFive("n3", now)), ActionProbe, "[n0]", "the first successor has not probed")
 
 	status := statusOfFive("n1", now)
 	status.Probes["n0"] = Probe{Incarnation: 10, By: "n1", WaitMs: tuning.ProbeTimeout.Milliseconds()}
 	wantNone(t, evaluate(first, status), "the probe is already there")
 	status.Now = now.Add(tuning.ProbeTimeout - 1)
-	wantNone(t, evaluate(first, status), "removed too early")
+	wantNone(t, evaluate(first, status), "removed before the probe timed out")
 	status.Now = now.Add(tuning.ProbeTimeout)
 	wantOne(t, evaluate(first, status), ActionRemove, "[n0]", "the probe timed out")
 
@@ -98,7 +98,7 @@
 		actions := evaluate(s, statusOfFive("n0", now))
 		wantOne(t, actions, ActionProbe, "[n2]", "the connection ended")
 		if again := s.FalseAlarms > 0; again != (actions[0].Wait == tuning.ProbeTimeoutMany) {
-			t.Fatalf("wrong timeout of a probe, with or without an answered one before: %v", actions[0].Wait)
+			t.Fatalf("probe timeout %v; it must be longer exactly if an earlier probe was answered", actions[0].Wait)
 		}
 		// The probe is written and answered between two evaluations.
 		s.ProbeObserved("n2", Probe{Incarnation: 12, By: "n0", WaitMs: 500}, now)
