--- a/internal/peer/gossip.go
+++ b/internal/peer/gossip.go
@@ -26,7 +26,7 @@
 	// Isolated is set if the sender is outside the view and reaches no agent.
 	Isolated bool `json:"blind,omitempty"`
 	// MachinesHeardEpoch is the epoch of the view in which the sender has received heartbeats from
-	// all of its machines, apart from those that it has given up.
+	// all of its machines, apart from those that it has published as unresponsive.
 	MachinesHeardEpoch uint64 `json:"heard,omitempty"`
 	// Unreached lists machines whose agents contacted the sender although they had been redirected
 	// to their owner.
--- a/internal/sharding/pick_test.go
+++ b/internal/sharding/pick_test.go
@@ -39,8 +39,8 @@
 }
 
 // A task without accelerators goes to a machine whose accelerators are in use already, not to one
-// where it would take the cores that free accelerators need. A task with accelerators goes by load
-// alone.
+// where it would take the cores that free accelerators need. A task with accelerators is placed by
+// load alone.
 func TestTaskWithoutAcceleratorsStrandsFewest(t *testing.T) {
 	capacity := Resources{Cores: 32, Accelerators: 4, MemoryGB: 256}
 	candidates := []Candidate{
