--- a/internal/provisioning/summary_test.go
+++ b/internal/provisioning/summary_test.go
@@ -126,7 +126,7 @@
 	l.ApplySummary("scaler", jobs.Encode(Summary{Step: 7, Draining: fleet.Draining{"i-1": 1}}))
 	writes := l.summaryWrites(Summary{Step: 8})
 	if len(writes) != 7 || writes[0].Put != "scaler" || writes[6].Remove != "scaler/more:7" {
-		t.Errorf("%d writes to remove the further parts, want 7 in all", len(writes))
+		t.Errorf("%d writes, want 7: one of the first part and six removals", len(writes))
 	}
 	before := l.Summary.Step
 	l.ApplySummary("scaler", []byte("7"))
@@ -137,7 +137,7 @@
 	}
 	for _, key := range []string{"scaler/more:1", "scaler/more:x", "scaler/2", "scalers", "scaler/more:"} {
 		if IsSummaryKey(key) {
-			t.Errorf("%s is no key of the summary", key)
+			t.Errorf("%s was accepted as a key of the summary", key)
 		}
 	}
 }
--- a/internal/standby/succession_test.go
+++ b/internal/standby/succession_test.go
@@ -12,9 +12,9 @@
 		suspected func(string) bool
 		want      string
 	}{
-		"nobody is suspected":                 {"n0", nobody, "[n1 n3 n4 n2]"},
-		"a controller doesn't suspect itself": {"n0", func(n string) bool { return n == "n1" || n == "n3" }, "[n1 n4 n2]"},
-		"names start after the leader's":      {"n3", nobody, "[n0 n2 n4 n1]"},
+		"nobody is suspected":                  {"n0", nobody, "[n1 n3 n4 n2]"},
+		"a controller does not suspect itself": {"n0", func(n string) bool { return n == "n1" || n == "n3" }, "[n1 n4 n2]"},
+		"names start after the leader's":       {"n3", nobody, "[n0 n2 n4 n1]"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			status := statusOfFive("n1", start)
