--- a/internal/provisioning/summary_test.go
+++ b/internal/provisioning/summary_test.go
@@ -41,7 +41,7 @@
 	l.t.Helper()
 	for _, write := range writes {
 		if len(write.Value) > l.config.ValueBytes {
-			l.t.Errorf("%d bytes in %s", len(write.Value), write.Put)
+			l.t.Errorf("a value of %d bytes in %s is too long", len(write.Value), write.Put)
 		}
 		l.ApplySummary(write.Put, write.Value)
 		if write.Put == "scaler" {
@@ -120,13 +120,13 @@
 	for step, drains := range map[uint64]bool{6: true, 7: false, 4: true, 3: false} {
 		l.ApplySummary("scaler", jobs.Encode(Summary{Step: step}))
 		if (len(l.Summary.Draining) > 0) != drains {
-			t.Errorf("at step %d %d machines drain", step, len(l.Summary.Draining))
+			t.Errorf("at step %d, %d machines drain", step, len(l.Summary.Draining))
 		}
 	}
 	l.ApplySummary("scaler", jobs.Encode(Summary{Step: 7, Draining: fleet.Draining{"i-1": 1}}))
 	writes := l.summaryWrites(Summary{Step: 8})
 	if len(writes) != 7 || writes[0].Put != "scaler" || writes[6].Remove != "scaler/more:7" {
-		t.Errorf("%d writes to remove the further parts, want 7 in all", len(writes))
+		t.Errorf("%d writes, want 7: one of the first part and six removals", len(writes))
 	}
 	before := l.Summary.Step
 	l.ApplySummary("scaler", []byte("7"))
@@ -137,7 +137,7 @@
 	}
 	for _, key := range []string{"scaler/more:1", "scaler/more:x", "scaler/2", "scalers", "scaler/more:"} {
 		if IsSummaryKey(key) {
-			t.Errorf("%s is no key of the summary", key)
+			t.Errorf("%s was accepted as a key of the summary", key)
 		}
 	}
 }
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -67,17 +67,17 @@
 	actions := evaluate(first, statusOfFive("n1", now))
 	wantOne(t, actions, ActionProbe, "[n0]", "the first successor probes")
 	if actions[0].Wait != tuning.ProbeTimeout || first.State != Probing {
-		t.Fatalf("%+v %s", actions, first.State)
+		t.Fatalf("actions of the first successor: %+v, state %s", actions, first.State)
 	}
 	wantNone(t, evaluate(second, statusOfFive("n3", now)), "the second successor does not probe at once")
 	now = now.Add(tuning.ProbeStagger)
-	wantOne(t, evaluate(second, statusOfFive("n3", now)), ActionProbe, "[n0]", "the second, as the first has not probed")
+	wantOne(t, evaluate(second, statusOfFive("n3", now)), ActionProbe, "[n0]", "the first successor has not probed")
 
 	status := statusOfFive("n1", now)
 	status.Probes["n0"] = Probe{Incarnation: 10, By: "n1", WaitMs: tuning.ProbeTimeout.Milliseconds()}
 	wantNone(t, evaluate(first, status), "the probe is already there")
 	status.Now = now.Add(tuning.ProbeTimeout - 1)
-	wantNone(t, evaluate(first, status), "removed too early")
+	wantNone(t, evaluate(first, status), "removed before the probe timed out")
 	status.Now = now.Add(tuning.ProbeTimeout)
 	wantOne(t, evaluate(first, status), ActionRemove, "[n0]", "the probe timed out")
 
@@ -98,7 +98,7 @@
 		actions := evaluate(s, statusOfFive("n0", now))
 		wantOne(t, actions, ActionProbe, "[n2]", "the connection ended")
 		if again := s.FalseAlarms > 0; again != (actions[0].Wait == tuning.ProbeTimeoutMany) {
-			t.Fatalf("wrong timeout of a probe, with or without an answered one before: %v", actions[0].Wait)
+			t.Fatalf("probe timeout %v; it must be longer exactly if an earlier probe was answered", actions[0].Wait)
 		}
 		// The probe is written and answered between two evaluations.
 		s.ProbeObserved("n2", Probe{Incarnation: 12, By: "n0", WaitMs: 500}, now)
@@ -164,7 +164,7 @@
 	status.Members[2].AnswersProbes = false
 	actions := evaluate(s, status)
 	if len(actions) != 1 || fmt.Sprint(actions[0].Names) != "[n1 n3]" || actions[0].Wait != tuning.ProbeTimeoutMany {
-		t.Errorf("%+v", actions)
+		t.Errorf("actions after three connections ended: %+v", actions)
 	}
 	status.StoreUnavailable = true
 	if actions := evaluate(s, status); len(actions) != 0 {
@@ -189,7 +189,7 @@
 				t.Errorf("%s: %+v", test.controller, actions)
 			}
 			if s.State != Leaving {
-				t.Errorf("%s: %s", test.controller, s.State)
+				t.Errorf("%s: state %s, want leaving", test.controller, s.State)
 			}
 		})
 	}
