--- a/internal/api/epoch_reads.go
+++ b/internal/api/epoch_reads.go
@@ -137,8 +137,8 @@
 // changes up to some time after shownAt, which is zero if unknown. A job that is live in the mirror
 // may have ended since then, and another controller may have told the user so. A query about a job
 // is therefore answered only while the mirror is known to be at most tuning.MaxReadAge behind. If
-// that takes too long, the query is answered on the strength of the acknowledgements received from
-// the other controllers.
+// that takes too long, the query is answered based on the acknowledgements received from the other
+// controllers.
 func (s *Server) AnswerQueries(shownAt time.Time) {
 	p := &s.queries
 	fresh := !shownAt.IsZero() && s.state.Now.Sub(shownAt) <= tuning.MaxReadAge
--- a/internal/api/runs.go
+++ b/internal/api/runs.go
@@ -37,9 +37,9 @@
 		size = len(s.view.Members())
 	}
 	share := s.settings.Operator.Pipelines.WriteShare
-	// changes is the number of writes per second of the whole cluster.
-	changes := s.settings.Cluster.State.WriteRPS * tuning.StateBudgetShare * share
-	s.runs.SetRate(s.state.Now, changes/float64(max(size, 1)))
+	// clusterWrites is the number of writes per second that the runs of all controllers may use.
+	clusterWrites := s.settings.Cluster.State.WriteRPS * tuning.StateBudgetShare * share
+	s.runs.SetRate(s.state.Now, clusterWrites/float64(max(size, 1)))
 }
 
 // RunJobChanged notifies the keeper of runs that the known state of a job has changed.
--- a/internal/calendar/document_check.go
+++ b/internal/calendar/document_check.go
@@ -47,9 +47,9 @@
 	}
 }
 
-// Build validates a document and returns its plan. If the document is invalid, the plan is nil and
-// all errors are returned, each with its path. Windows are checked for overlaps from the wall-clock
-// time from.
+// Build validates a document and returns its plan. If the document is invalid, the plan is nil and up
+// to tuning.MaxFaults errors are returned, each with its path. Windows are checked for overlaps from
+// the wall-clock time from.
 func Build(document *Document, known Known, from time.Time) (*Plan, []string) {
 	check := &documentCheck{known: known, plan: newPlan(document)}
 	check.checkDocument()
--- a/internal/calendar/gate.go
+++ b/internal/calendar/gate.go
@@ -9,7 +9,7 @@
 // Verdict says whether tasks of a class may start.
 type Verdict int
 
-// Verdicts.
+// Verdicts on a class.
 const (
 	Free    Verdict = iota // the class has no windows
 	Allowed                // its occurrence is open
@@ -17,17 +17,17 @@
 	Shut                   // its tasks may not start
 )
 
-// Gate returns whether a class may start tasks, and the keys of the records that this verdict
+// Gate returns the verdict on a class and, if it is Allowed, the keys of the records that the verdict
 // depends on. A release or placement is committed on condition that the revisions of these keys are
 // unchanged, so it fails if an occurrence was closed in the meantime, however late it arrives. The
 // key of the document is not listed: every decision is conditional on it anyway.
 func (k *Keeper) Gate(now Now, class quota.Key) (Verdict, []string) {
 	ownTrack := k.Plan().TrackOf(class)
-	open, keys := k.holdersOf(class)
-	if open != nil && open.State == Closing {
+	occurrence, keys := k.holdersOf(class)
+	if occurrence != nil && occurrence.State == Closing {
 		return Shut, nil
 	}
-	if ownTrack == nil && open == nil {
+	if ownTrack == nil && occurrence == nil {
 		return Free, nil
 	}
 	if ownTrack != nil {
@@ -42,7 +42,7 @@
 		switch {
 		case k.quarantined[ownTrack.Name]:
 			return Shut, nil
-		case open == nil:
+		case occurrence == nil:
 			return record.soonVerdict(ownTrack, class), nil
 		case holder != nil && !holder.Has(class):
 			return Shut, nil
@@ -50,7 +50,7 @@
 	}
 	// An occurrence past its end may still be stored as open if no controller was running to close
 	// it.
-	if now.Ms < open.OpenedMs-2*now.ClockErrorMs || now.Ms >= open.EndMs-now.ClockErrorMs {
+	if now.Ms < occurrence.OpenedMs-2*now.ClockErrorMs || now.Ms >= occurrence.EndMs-now.ClockErrorMs {
 		return Shut, nil
 	}
 	slices.Sort(keys)
--- a/internal/calendar/keeper.go
+++ b/internal/calendar/keeper.go
@@ -41,7 +41,7 @@
 // Transition is a state change of an occurrence, for the log.
 type Transition struct {
 	Window   string
-	Begin    int64
+	Begin    int64 // planned begin, wall-clock time in Unix ms
 	From, To State
 }
 
@@ -65,9 +65,9 @@
 
 // NewKeeper returns a keeper for the plan of a controller's own file. limitBytes is the size limit of
 // the records that it writes.
-func NewKeeper(file *Plan, limitBytes int) *Keeper {
+func NewKeeper(filePlan *Plan, limitBytes int) *Keeper {
 	return &Keeper{
-		filePlan:    file,
+		filePlan:    filePlan,
 		tracks:      map[string]*Record{},
 		holders:     map[string]*Occurrence{},
 		quarantined: map[string]bool{},
@@ -187,16 +187,16 @@
 	draft.planAhead() // before opening, so that a late occurrence is checked against the ones after it
 	draft.openDue()
 	if draft.expired() {
-		return &Change{Track: name, Transitions: draft.moves}
+		return &Change{Track: name, Transitions: draft.transitions}
 	}
 	if !draft.changed {
 		return nil
 	}
-	opensOrEnds := func(move Transition) bool { return move.To.Holds() || move.To == Closed }
+	opensOrEnds := func(transition Transition) bool { return transition.To.Holds() || transition.To == Closed }
 	return &Change{
 		Track:       name,
 		Value:       draft.record.encode(k.limitBytes),
-		Transitions: draft.moves,
-		Urgent:      slices.ContainsFunc(draft.moves, opensOrEnds),
+		Transitions: draft.transitions,
+		Urgent:      slices.ContainsFunc(draft.transitions, opensOrEnds),
 	}
 }
--- a/internal/calendar/log.go
+++ b/internal/calendar/log.go
@@ -10,29 +10,29 @@
 // logTime formats a wall-clock time in Unix ms for the log.
 func logTime(ms int64) string { return time.UnixMilli(ms).UTC().Format(time.RFC3339) }
 
-// logMove logs a state change of an occurrence.
-func (s *Service) logMove(track string, move Transition) {
+// logTransition logs a state change of an occurrence.
+func (s *Service) logTransition(track string, transition Transition) {
 	s.config.Log.Info("window changed state",
 		"track", track,
-		"window", move.Window,
-		"begin", logTime(move.Begin),
-		"from", string(move.From),
-		"to", string(move.To))
+		"window", transition.Window,
+		"begin", logTime(transition.Begin),
+		"from", string(transition.From),
+		"to", string(transition.To))
 }
 
 // logBlocked logs each occurrence that can't open because its track is not proven free, once.
 func (s *Service) logBlocked() {
 	for _, track := range clusterstate.SortedKeys(s.keeper.blocked) {
-		move := s.keeper.blocked[track]
-		id := track + " " + occurrenceKey(move.Window, move.Begin)
+		transition := s.keeper.blocked[track]
+		id := track + " " + occurrenceKey(transition.Window, transition.Begin)
 		if s.logged[id] {
 			continue
 		}
 		s.logged[id] = true
 		s.config.Log.Info("window blocked by its track",
 			"track", track,
-			"window", move.Window,
-			"begin", logTime(move.Begin))
+			"window", transition.Window,
+			"begin", logTime(transition.Begin))
 	}
 }
 
--- a/internal/calendar/occurrence.go
+++ b/internal/calendar/occurrence.go
@@ -61,7 +61,7 @@
 	Miss    EventKind = "miss"    // it did not open in time, but may still open late
 	Drop    EventKind = "drop"    // it did not open in time, or the new revision does not contain it
 	Finish  EventKind = "finish"  // its end is reached
-	Emptied EventKind = "emptied" // no task of it is on any machine, which has been proven
+	Emptied EventKind = "emptied" // it is proven that no task of it is on any machine
 )
 
 // Event is an event of an occurrence.
--- a/internal/calendar/plan.go
+++ b/internal/calendar/plan.go
@@ -8,7 +8,7 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// timeOfDay is a time of day.
+// timeOfDay is a time of day. If set is false, no time is given.
 type timeOfDay struct {
 	hour, minute int
 	set          bool
--- a/internal/calendar/service.go
+++ b/internal/calendar/service.go
@@ -116,8 +116,8 @@
 	return []string{StoreKey}
 }
 
-// PreconditionCount returns how many preconditions the calendar may add to a decision: the document,
-// and the track of the class under two revisions.
+// PreconditionCount returns how many preconditions the calendar may add to a decision: the document in
+// force, the track of the class in it, and the track of the class under an earlier revision.
 func (s *Service) PreconditionCount() int {
 	if s == nil {
 		return 0
@@ -282,8 +282,8 @@
 				s.keeper.Touch()
 				return
 			}
-			for _, move := range change.Transitions {
-				s.logMove(change.Track, move)
+			for _, transition := range change.Transitions {
+				s.logTransition(change.Track, transition)
 			}
 		},
 	}
--- a/internal/calendar/show.go
+++ b/internal/calendar/show.go
@@ -62,7 +62,8 @@
 	return all
 }
 
-// planNote returns the note on a planned span for Preview, or "". last is the earlier span with the latest end.
+// planNote returns the note on a planned span for Preview, or "". last is the earlier span with the
+// latest end.
 func planNote(span, last Span) string {
 	if last.Window != nil && span.Begin.Before(last.End) {
 		return "meets " + last.Window.Name
@@ -209,8 +210,8 @@
 	return opensMs, dueMs, opensMs == 0 || endsMs > dueMs
 }
 
-// OverlappingTracks returns the names of the tracks that have classes on machines which no single
-// window includes together.
+// OverlappingTracks returns the names of the tracks whose classes that are on machines are not all in
+// one window: tasks of two windows are on machines at the same time.
 func (p *Plan) OverlappingTracks(onMachines map[quota.Key]bool) []string {
 	var names []string
 	for _, track := range p.Tracks {
--- a/internal/calendar/track_draft.go
+++ b/internal/calendar/track_draft.go
@@ -11,14 +11,14 @@
 
 // trackDraft builds the next record of a track.
 type trackDraft struct {
-	keeper    *Keeper
-	now       Now
-	cluster   Cluster
-	track     *Track  // nil if the plan in force does not contain the track
-	committed *Record // the stored record
-	record    Record
-	moves     []Transition
-	changed   bool
+	keeper      *Keeper
+	now         Now
+	cluster     Cluster
+	track       *Track  // nil if the plan in force does not contain the track
+	committed   *Record // the stored record
+	record      Record
+	transitions []Transition
+	changed     bool
 }
 
 func (k *Keeper) newTrackDraft(name string, now Now, cluster Cluster) *trackDraft {
@@ -51,7 +51,7 @@
 	if !ok {
 		return
 	}
-	d.moves = append(d.moves, Transition{
+	d.transitions = append(d.transitions, Transition{
 		Window: occurrence.Window,
 		Begin:  occurrence.BeginMs,
 		From:   occurrence.State,
@@ -179,7 +179,7 @@
 	}
 }
 
-// openDue opens the next due occurrence, if no other task may be on the track.
+// openDue opens the next due occurrence, unless tasks of the track's other classes may be on machines.
 func (d *trackDraft) openDue() {
 	if d.track == nil || d.record.holder() != nil {
 		return
--- a/internal/callerrors/callerrors.go
+++ b/internal/callerrors/callerrors.go
@@ -144,8 +144,8 @@
 }
 
 // Report returns the log lines about the calls refused since the last report, and starts a new
-// period: one line for calls that should never have been made, and one for calls refused because of
-// load or outages. A line is empty if there were no such calls. Both are empty if the last report is
+// period: one line for calls that should never have been made, and one for all others, including
+// those beyond tuning.MaxErrorKinds. A line is empty if there were no such calls. Both are empty if the last report is
 // less than tuning.CallErrorsLogEvery ago.
 func (c *Counter) Report(now time.Time) (unexpected, overload string) {
 	if c.lastReport.IsZero() {
--- a/internal/compression/compression.go
+++ b/internal/compression/compression.go
@@ -1,4 +1,4 @@
-// Package compression creates the zstd compressors for stored data: records of the state service
+// Package compression creates the zstd encoders and decoders for stored data: records of the state service
 // and snapshots of it. It does no IO and reads no clock.
 package compression
 
--- a/internal/lending/choose.go
+++ b/internal/lending/choose.go
@@ -53,8 +53,8 @@
 }
 
 // Choose returns the plan for the machine where lending costs the least. It returns false if there is
-// none, or if a machine will have enough room once its stopping tasks are gone; in the second case the
-// plan has only the machine's name.
+// none, or if a machine has enough free room, including that of its stopping tasks; in the second case
+// the plan has only the machine's name.
 func Choose(state *clusterstate.State, search *Search) (Plan, bool) {
 	need := search.spec().Resources()
 	var best Plan
@@ -219,7 +219,7 @@
 }
 
 // mayStop reports whether the preemption rules of PROTOCOL allow stopping a unit for the replica: no
-// team falls below its guarantee, except for its own tasks of higher priority.
+// team falls below its guarantee, except in favour of a replica of its own that has a higher priority.
 func (s *Search) mayStop(state *clusterstate.State, account *quota.Account, unit *stopUnit) bool {
 	spec := unit.spec()
 	leaf := state.QuotaLeaf(spec)
--- a/internal/lending/ledger.go
+++ b/internal/lending/ledger.go
@@ -21,8 +21,8 @@
 	ValueBytes int
 	// RepeatAfter is how long a job that has lent is not asked to lend again.
 	RepeatAfter time.Duration
-	// ByPriority enables the preemption by priority of PROTOCOL where no job can lend, as it is
-	// without lending. Such preemption may take teams below their guarantees.
+	// ByPriority enables PROTOCOL's preemption by priority, which also applies without lending, for
+	// replicas that no job can lend to. Such preemption may take teams below their guarantees.
 	ByPriority bool
 	Log        *slog.Logger
 }
@@ -99,7 +99,7 @@
 	ExemptSearches int
 }
 
-// NewLedger returns a ledger without loans on a controller's state; ApplyRecord adds the loans.
+// NewLedger returns a ledger without loans for a controller's state; ApplyRecord adds the loans.
 func NewLedger(state *clusterstate.State, config Config, collaborators Collaborators) *Ledger {
 	return &Ledger{
 		ByPriority: config.ByPriority,
@@ -316,8 +316,8 @@
 }
 
 // saveRecord returns the decision that stores the changes of a record's loans. Changes are collected
-// for up to tuning.LoanSaveDelay before they are written, since a new leader can derive each of them again
-// from the other records.
+// for up to tuning.LoanSaveDelay before they are written, since a new leader can derive each of them
+// again from the other records.
 func (l *Ledger) saveRecord(number int) (decide.Decision, bool) {
 	record := l.records[number]
 	if record == nil || l.written[number] || l.pending.Busy(RecordKey(number)) {
--- a/internal/lending/room.go
+++ b/internal/lending/room.go
@@ -15,8 +15,9 @@
 	TaskID string
 }
 
-// Reservations returns the reserved rooms in the order of the loans. The room of a loan is reserved for the
-// replica until it is placed, and after the loan is called back, for a limited time, for the lenders.
+// Reservations returns the reserved rooms in the order of the loans. The room of a loan is reserved for
+// the replica until the replica is placed. Once the loan is called back and its room is free, the room
+// is reserved for the lenders for a limited time.
 func (l *Ledger) Reservations() []ReservedRoom {
 	var rooms []ReservedRoom
 	for _, loan := range l.Loans() {
--- a/internal/pipefile/reader.go
+++ b/internal/pipefile/reader.go
@@ -147,7 +147,7 @@
 	if path != "" {
 		fieldPath = path + "." + key
 	}
-	if _, twice := out[key]; twice {
+	if _, exists := out[key]; exists {
 		r.fail(v.Key, fieldPath, "stands here twice")
 		return
 	}
--- a/internal/pipelines/change.go
+++ b/internal/pipelines/change.go
@@ -9,8 +9,8 @@
 )
 
 // Change is a decision about a run. It is committed atomically, on condition that the records of the
-// run and of the jobs concerned are unchanged. Several controllers may decide about a run that each
-// believes to own: the condition on the record's revision lets only one of them succeed.
+// run and of the jobs concerned are unchanged. Several controllers may decide about a run if each
+// believes that it owns the run: the condition on the record's revision lets only one of them succeed.
 type Change struct {
 	ID            string // ID of the run
 	Record        json.RawMessage
@@ -34,13 +34,13 @@
 
 // draft builds the next record of a run and the change that commits it.
 type draft struct {
-	run    *run
-	state  RunState
-	steps  []StepRun
-	change Change
-	moved  bool // the draft contains something that must be committed
-	nowMs  int64
-	bytes  int // estimated size of the change so far
+	run        *run
+	state      RunState
+	steps      []StepRun
+	change     Change
+	mustCommit bool // the draft contains a change that must be committed
+	nowMs      int64
+	bytes      int // estimated size of the change so far
 }
 
 func newDraft(r *run, nowMs int64) *draft {
@@ -65,9 +65,9 @@
 	return ok
 }
 
-// move applies an event to a step and, if the step changes, marks the draft for commit.
-func (d *draft) move(i int, e StepEvent) {
-	d.moved = d.apply(i, e) || d.moved
+// applyForCommit applies an event to a step. If the step changes, the draft must be committed.
+func (d *draft) applyForCommit(i int, e StepEvent) {
+	d.mustCommit = d.apply(i, e) || d.mustCommit
 }
 
 // fits reports whether more operations and bytes fit into the change's transaction.
@@ -79,7 +79,7 @@
 func (d *draft) finish() *Change {
 	previous := d.run.record
 	state := runStateAfter(d.run.plan, d.state, d.steps)
-	if !d.moved && state == previous.State {
+	if !d.mustCommit && state == previous.State {
 		return nil
 	}
 	record := *previous
--- a/internal/pipelines/encoding.go
+++ b/internal/pipelines/encoding.go
@@ -168,8 +168,8 @@
 	return s, b, nil
 }
 
-// maxPackedNumber bounds repeats and times in ms, so that their sums with wall-clock times fit into
-// 64 bits.
+// maxPackedNumber bounds attempt numbers and times in ms, so that their sums with wall-clock times fit
+// into 64 bits.
 const maxPackedNumber = 1 << 50
 
 // Encode returns the stored form of the record.
--- a/internal/pipelines/explain.go
+++ b/internal/pipelines/explain.go
@@ -51,7 +51,7 @@
 func (p *Plan) explainWaiting(step *Step, record *Record) string {
 	var unfinished []string
 	for _, need := range p.Groups[step.Group].Needs {
-		if _, over := groupOutcome(p, need, record.Steps); !over {
+		if _, ended := groupOutcome(p, need, record.Steps); !ended {
 			unfinished = append(unfinished, p.Groups[need].Name)
 		}
 	}
--- a/internal/pipelines/needs.go
+++ b/internal/pipelines/needs.go
@@ -10,7 +10,7 @@
 func (c *compiler) needs(p *Plan, rawSteps []any) {
 	index := map[string]int{} // index of the first group of each name
 	for i := range p.Groups {
-		if _, twice := index[p.Groups[i].Name]; !twice && p.Groups[i].Name != "" {
+		if _, exists := index[p.Groups[i].Name]; !exists && p.Groups[i].Name != "" {
 			index[p.Groups[i].Name] = i
 		}
 	}
--- a/internal/pipelines/plan.go
+++ b/internal/pipelines/plan.go
@@ -69,7 +69,7 @@
 }
 
 // Compile validates a document, as decoded from YAML or JSON, and returns its plan. If the document
-// is invalid, the plan is nil and all faults are returned.
+// is invalid, the plan is nil and up to tuning.MaxFaults faults are returned.
 func Compile(doc any) (*Plan, []Fault) {
 	c := &compiler{reported: map[Fault]bool{}, stepNames: map[string]bool{}}
 	top, ok := doc.(map[string]any)
--- a/internal/pipelines/reconcile.go
+++ b/internal/pipelines/reconcile.go
@@ -10,15 +10,15 @@
 )
 
 // Reconcile examines the dirty runs and returns the changes to commit. owned reports whether this
-// controller owns a run, busy whether a pending transaction includes the run, and room whether a
-// number of operations can be committed now. A run whose change finds no room stays dirty. reads
-// contains the IDs of jobs that the cluster does not know: the caller reads them from the state
-// service.
+// controller owns a run, busy whether a pending transaction includes the run, and hasBudget whether
+// a number of operations can be committed now. A run whose change exceeds the budget stays dirty.
+// reads contains the IDs of jobs that the cluster does not know: the caller reads them from the
+// state service.
 func (k *Keeper) Reconcile(
 	now time.Time,
 	nowMs int64,
 	owned, busy func(id string) bool,
-	room func(changes int) bool,
+	hasBudget func(ops int) bool,
 	cluster Cluster,
 ) (changes []Change, reads []string) {
 	k.sweep(now)
@@ -43,15 +43,15 @@
 			delete(k.dirty, id)
 			continue
 		}
-		change, more := k.examine(r, now, nowMs, cluster)
-		reads = append(reads, more[:min(len(more), tuning.RunReads-len(reads))]...)
+		change, unknownJobs := k.examine(r, now, nowMs, cluster)
+		reads = append(reads, unknownJobs[:min(len(unknownJobs), tuning.RunReads-len(reads))]...)
 		if change == nil {
 			delete(k.dirty, id)
 			continue
 		}
-		// Without room the run stays dirty.
+		// Without budget the run stays dirty.
 		ops := change.Ops()
-		if room(spent+ops) && k.budget.AllowN(now, min(ops, k.budget.Burst())) {
+		if hasBudget(spent+ops) && k.budget.AllowN(now, min(ops, k.budget.Burst())) {
 			delete(k.dirty, id)
 			spent += ops
 			changes = append(changes, *change)
@@ -96,13 +96,13 @@
 			reads = append(reads, jobID)
 		}
 	}
-	// A step waits only for other steps to end, and each step's end sets d.moved.
-	if (d.moved || r.unexamined) && d.state == RunLive {
-		d.moved = advanceSteps(r.plan, d.steps, nowMs) || d.moved
+	// A step waits only for other steps to end, and each step's end sets d.mustCommit.
+	if (d.mustCommit || r.unexamined) && d.state == RunLive {
+		d.mustCommit = advanceSteps(r.plan, d.steps, nowMs) || d.mustCommit
 	}
 	if d.state == RunLive {
 		k.submit(d, cluster)
-		if d.moved {
+		if d.mustCommit {
 			// A job that can't be submitted ends its step, so that others may become ready or skipped.
 			advanceSteps(r.plan, d.steps, nowMs)
 		}
@@ -126,10 +126,10 @@
 	}
 	switch view.State {
 	case jobs.Done:
-		d.move(i, StepEvent{Kind: JobDone})
+		d.applyForCommit(i, StepEvent{Kind: JobDone})
 		return false
 	case jobs.Cancelled:
-		d.move(i, StepEvent{Kind: JobEnded})
+		d.applyForCommit(i, StepEvent{Kind: JobEnded})
 		return false
 	case jobs.Live: // unknown states are handled like Live
 	}
@@ -144,9 +144,9 @@
 		// The job's record may exist but not have arrived here yet, so the change is
 		// conditional on the job having no record.
 		d.change.RequireAbsent = append(d.change.RequireAbsent, d.run.jobIDs[i])
-		d.moved = d.apply(i, StepEvent{Kind: Closed}) ||
+		d.mustCommit = d.apply(i, StepEvent{Kind: Closed}) ||
 			d.apply(i, StepEvent{Kind: GiveUp, Cause: JobNotFound}) ||
-			d.moved
+			d.mustCommit
 		return false
 	}
 	if now.Sub(d.run.readAt[i]) < tuning.RunReadRetry {
@@ -168,7 +168,7 @@
 		d.apply(i, StepEvent{Kind: Start})
 	}
 	if view.Probing {
-		d.move(i, StepEvent{Kind: Doubt})
+		d.applyForCommit(i, StepEvent{Kind: Doubt})
 	} else {
 		d.apply(i, StepEvent{Kind: Trust})
 	}
@@ -204,7 +204,7 @@
 	if d.fits(k.limits, 2, tuning.JobRecordBytes) && d.apply(i, e) {
 		d.change.Cancel = append(d.change.Cancel, d.run.jobIDs[i])
 		d.bytes += tuning.JobRecordBytes
-		d.moved = true
+		d.mustCommit = true
 	}
 }
 
@@ -223,19 +223,19 @@
 			return
 		}
 		if cluster.Infeasible(&spec) != "" {
-			d.move(i, StepEvent{Kind: Refuse, Cause: NeverRuns})
+			d.applyForCommit(i, StepEvent{Kind: Refuse, Cause: NeverRuns})
 			continue
 		}
 		_, live := cluster.Job(spec.ID)
 		_, final := cluster.Final(spec.ID)
 		if live || final {
-			d.move(i, StepEvent{Kind: Refuse, Cause: JobIDTaken})
+			d.applyForCommit(i, StepEvent{Kind: Refuse, Cause: JobIDTaken})
 			continue
 		}
 		if d.apply(i, StepEvent{Kind: Submit}) {
 			d.change.Submit = append(d.change.Submit, spec)
 			d.bytes += size
-			d.moved = true
+			d.mustCommit = true
 		}
 	}
 }
@@ -255,7 +255,7 @@
 		return nil
 	}
 	d.state = next
-	d.moved = true
+	d.mustCommit = true
 	// No further change of the run is made until then: a run that submits a matrix would
 	// otherwise be busy whenever its user tries to cancel it.
 	r.heldUntil = now.Add(tuning.CancelFirst)
--- a/internal/pipelines/record.go
+++ b/internal/pipelines/record.go
@@ -58,14 +58,14 @@
 // jobIDContext is the key derivation context of job IDs. It separates them from other uses of the hash.
 const jobIDContext = "harrierreel 2026-12-01 uid of a pipeline step's job"
 
-// JobID returns the ID of a step's job: a MAC over run, step and repeat, keyed with the run's salt, in
+// JobID returns the ID of a step's job: a MAC over run, step and attempt, keyed with the run's salt, in
 // the form of a job ID with 18 digits. Every controller that submits the step derives the same ID, so
 // that the job is accepted only once.
-func JobID(id, salt, step string, repeat int) string {
+func JobID(id, salt, step string, attempt int) string {
 	var key [32]byte
 	blake3.DeriveKey(key[:], jobIDContext, []byte(salt))
 	h := blake3.New(8, key[:])
-	_, _ = h.Write(fmt.Appendf(nil, "%d:%s%d:%s%d", len(id), id, len(step), step, repeat)) // hash writes never fail
+	_, _ = h.Write(fmt.Appendf(nil, "%d:%s%d:%s%d", len(id), id, len(step), step, attempt)) // hash writes never fail
 	return fmt.Sprintf("wk-%018d", binary.BigEndian.Uint64(h.Sum(nil))%1_000_000_000_000_000_000)
 }
 
--- a/internal/pipelines/request.go
+++ b/internal/pipelines/request.go
@@ -22,8 +22,8 @@
 	Faults []Fault `json:"faults,omitempty"`
 }
 
-// ParseRequest decodes and validates a submission's body. The Refusal of an invalid one contains all
-// faults.
+// ParseRequest decodes and validates a submission's body. The Refusal of an invalid one contains its
+// faults, up to tuning.MaxFaults.
 func ParseRequest(body []byte) (*Request, *Refusal) {
 	var r struct {
 		ID       string `json:"id"`
@@ -73,7 +73,7 @@
 		)
 	}
 	d := newDraft(&run{id: q.ID, record: record, plan: q.Plan}, nowMs)
-	d.moved = true
+	d.mustCommit = true
 	advanceSteps(q.Plan, d.steps, nowMs)
 	k.submit(d, cluster)
 	return d.finish(), nil
--- a/internal/pipelines/status.go
+++ b/internal/pipelines/status.go
@@ -21,7 +21,7 @@
 	Name         string    `json:"name"`
 	Status       StepState `json:"status"`
 	JobID        string    `json:"job"`    // ID of its current or next job
-	Repeat       int       `json:"repeat"` // counted from 0
+	Repeat       int       `json:"repeat"` // number of its current or last attempt, counted from 0
 	Why          Cause     `json:"why,omitempty"`
 	AllowFailure bool      `json:"allow_failure,omitempty"`
 	Needs        []string  `json:"needs,omitempty"`
--- a/internal/quota/amount.go
+++ b/internal/quota/amount.go
@@ -63,7 +63,7 @@
 	f("memory_gb", func(a Amount) int64 { return a.MemoryGB })
 }
 
-// String lists the resources that are not 0.
+// String returns the resources that are not 0 as a list, or "nothing" if all are 0.
 func (a Amount) String() string {
 	var texts []string
 	eachResource(func(name string, valueOf func(Amount) int64) {
--- a/internal/quota/build.go
+++ b/internal/quota/build.go
@@ -84,7 +84,7 @@
 
 // addTeam adds a team and its classes. The team's guarantee and limit come from the platform.
 func (b *builder) addTeam(parent int, path string, team *OfTeam) {
-	platform, known := b.teams[team.Name]
+	platformTeam, known := b.teams[team.Name]
 	if !known {
 		names := strings.Join(slices.Sorted(maps.Keys(b.teams)), ", ")
 		b.addFault(path, "no team is called %q; expected one of %s", team.Name, names)
@@ -94,7 +94,7 @@
 		b.addFault(path, "team %q stands elsewhere already", team.Name)
 		return
 	}
-	index := b.tree.addTeam(parent, platform)
+	index := b.tree.addTeam(parent, platformTeam)
 	settings := b.makeNode(path, nodeSpec{
 		name:   team.Name,
 		kind:   TeamNode,
--- a/internal/quota/document.go
+++ b/internal/quota/document.go
@@ -25,8 +25,8 @@
 	return tuning.QuotaGrace.Seconds()
 }
 
-// Bounds holds amounts of cores, accelerators and GB of memory, as written in a guarantee, a limit
-// or a usage. The type's name appears in error messages to operators and must not change.
+// Bounds holds numbers of cores, accelerators and GB of memory: a guarantee, a limit or a usage, as
+// operators read and write it. The type's name appears in error messages to operators and must not change.
 type Bounds struct {
 	Cores        float64 `hcl:"cores,optional" json:"cores,omitempty"`
 	Accelerators float64 `hcl:"accelerators,optional" json:"accelerators,omitempty"`
--- a/internal/quota/guarantee.go
+++ b/internal/quota/guarantee.go
@@ -19,8 +19,8 @@
 	return entitled
 }
 
-// GuaranteeOrder returns the rank in the queue of a leaf's tasks that are within the guarantee of
-// node entitled; lower ranks go first. It is 0 within the guarantee of the leaf's own team or class,
+// GuaranteeOrder returns the queue rank of a leaf's tasks that are within the guarantee of node
+// entitled; lower ranks go first. It is 0 within the guarantee of the leaf's own team or class,
 // grows with the distance of an ancestor whose guarantee applies, and is highest if none does.
 func (t *Tree) GuaranteeOrder(entitled, leaf int) int {
 	if entitled == noNode {
@@ -41,25 +41,25 @@
 	if entitled == noNode {
 		return false
 	}
-	yields := true
+	allowed := true
 	a.tree.walkUp(leaf, func(i int, node *Node) bool {
 		if a.tree.InSubtree(entitled, i) { // i is the lowest common ancestor
-			yields = yields && i != entitled
+			allowed = allowed && i != entitled
 			return false
 		}
-		yields = yields && a.used[i].Add(amount, -1).Covers(node.Guaranteed)
-		return yields
+		allowed = allowed && a.used[i].Add(amount, -1).Covers(node.Guaranteed)
+		return allowed
 	})
-	return yields
+	return allowed
 }
 
-// CanSpare reports whether leaf can give up an amount for the leaf needy: all nodes from leaf up to
-// below their lowest common ancestor must still use at least their guarantee without it. The
-// ancestors that both share lose nothing, so their guarantees are not checked.
-func (a *Account) CanSpare(needy, leaf int, amount Amount) bool {
+// CanSpare reports whether leaf can give up an amount to the leaf receiver: all nodes from leaf up to
+// below their lowest common ancestor must still use at least their guarantee without it. Their common
+// ancestors lose nothing, so the guarantees of those are not checked.
+func (a *Account) CanSpare(receiver, leaf int, amount Amount) bool {
 	canSpare := true
 	a.tree.walkUp(leaf, func(i int, node *Node) bool {
-		if a.tree.InSubtree(needy, i) {
+		if a.tree.InSubtree(receiver, i) {
 			return false
 		}
 		canSpare = a.used[i].Add(amount, -1).Covers(node.Guaranteed)
--- a/internal/quota/limits.go
+++ b/internal/quota/limits.go
@@ -23,8 +23,8 @@
 	return count
 }
 
-// LimitReached describes the lowest node whose limit keeps a leaf from having one more task of an
-// amount, with the node's usage and limit; "" if no limit does.
+// LimitReached returns a description of the lowest node whose limit doesn't allow a leaf one more task
+// of an amount, with the node's usage and limit; "" if all limits allow it.
 func (a *Account) LimitReached(leaf int, amount Amount) string {
 	node := a.LimitingNode(leaf, amount, 1)
 	if node < 0 {
@@ -78,8 +78,8 @@
 	return max(limit-reserved, 1)
 }
 
-// NodesOverLimit returns the nodes whose usage exceeds their limit, for example after a change of the tree,
-// the deepest first.
+// NodesOverLimit returns the nodes whose usage exceeds their limit, for example after a change of the
+// tree, the deepest first.
 func (a *Account) NodesOverLimit() []int {
 	var nodes []int
 	for i := range a.tree.nodes {
--- a/internal/quota/tree.go
+++ b/internal/quota/tree.go
@@ -30,8 +30,8 @@
 	Name       string
 	Kind       Kind
 	Guaranteed Amount
-	Limit      Amount  // its limit
-	Weight     float64 // of the node when spare capacity is shared among siblings
+	Limit      Amount
+	Weight     float64 // relative to those of its siblings when they share spare capacity
 	Borrow     bool    // may use more than its guarantee
 	Lend       bool    // other nodes may use the unused part of its guarantee
 	parent     int     // -1 for the root
--- a/internal/quota/view.go
+++ b/internal/quota/view.go
@@ -12,7 +12,7 @@
 	Borrowed   Bounds  `json:"borrowed"` // used beyond the guarantee
 	Lent       Bounds  `json:"lent"`     // unused part of the guarantee, which other nodes may use
 	Weight     float64 `json:"weight"`
-	Waiting    int     `json:"waiting"` // tasks
+	Waiting    int     `json:"waiting"` // number of waiting tasks in the node's subtree
 	Why        string  `json:"why,omitempty"`
 }
 
--- a/internal/quotareclaim/reclaim.go
+++ b/internal/quotareclaim/reclaim.go
@@ -43,13 +43,13 @@
 			if chosen[t] || !reduces(state, tree, t, node, excess) {
 				continue
 			}
-			for _, mate := range gangMates(t) {
-				if chosen[mate] || mate.State == jobs.Stopping {
+			for _, gangTask := range gangTasks(t) {
+				if chosen[gangTask] || gangTask.State == jobs.Stopping {
 					continue
 				}
-				chosen[mate] = true
+				chosen[gangTask] = true
 				account.Charge(spec.QuotaKey(), spec.Amount(), -1)
-				stops = append(stops, Stop{Task: mate, Path: tree.Path(node)})
+				stops = append(stops, Stop{Task: gangTask, Path: tree.Path(node)})
 			}
 		}
 	}
@@ -93,19 +93,19 @@
 	return stops
 }
 
-// reduces reports whether stopping a task reduces a node's excess: the task is charged in the node's
-// subtree, uses a resource of the excess and isn't stopping already.
+// reduces reports whether stopping a task reduces a node's usage in a resource of an amount: the task
+// is charged in the node's subtree, uses such a resource and isn't stopping already.
 func reduces(
 	state *clusterstate.State,
 	tree *quota.Tree,
 	t *clusterstate.Task,
 	node int,
-	excess quota.Amount,
+	amount quota.Amount,
 ) bool {
 	spec := &t.Job.Record.Spec
 	return t.State != jobs.Stopping &&
 		tree.InSubtree(state.QuotaLeaf(spec), node) &&
-		spec.Amount().ReducesExcess(excess)
+		spec.Amount().ReducesExcess(amount)
 }
 
 // withoutStopping returns a copy of an account without the charges of tasks that are stopping.
@@ -153,15 +153,15 @@
 	return a.ID < b.ID
 }
 
-// gangMates returns all tasks of a task's gang, or only the task itself if its job is not a gang.
-func gangMates(t *clusterstate.Task) []*clusterstate.Task {
+// gangTasks returns all active tasks of a task's gang, or only the task itself if its job is not a gang.
+func gangTasks(t *clusterstate.Task) []*clusterstate.Task {
 	if t.Job.Record.Spec.Kind != jobs.Gang {
 		return []*clusterstate.Task{t}
 	}
-	var mates []*clusterstate.Task
-	for _, mate := range t.Job.Active {
-		mates = append(mates, mate)
+	var tasks []*clusterstate.Task
+	for _, gangTask := range t.Job.Active {
+		tasks = append(tasks, gangTask)
 	}
-	slices.SortFunc(mates, func(a, b *clusterstate.Task) int { return a.Index - b.Index })
-	return mates
+	slices.SortFunc(tasks, func(a, b *clusterstate.Task) int { return a.Index - b.Index })
+	return tasks
 }
