--- a/internal/api/fixture_test.go
+++ b/internal/api/fixture_test.go
@@ -21,7 +21,7 @@
 // testServer is a Server with a fake state service and fake collaborators.
 type testServer struct {
 	*Server
-	store func(method, target, body string) (status int, answer string)
+	store func(method, target, body string) (status int, response string)
 	calls []string // method and target of the calls to the state service
 	fake  *fakeController
 }
@@ -64,8 +64,8 @@
 		store: func(string, string, string) (int, string) { return 404, `{"epoch":7}` },
 		fake:  &fakeController{ready: true},
 	}
-	set := testSettings(optional)
-	state := clusterstate.New(quota.Flat(set.TeamMap()), func(string) {})
+	serverSettings := testSettings(optional)
+	state := clusterstate.New(quota.Flat(serverSettings.TeamMap()), func(string) {})
 	state.Now = time.UnixMilli(1e12)
 	state.MachineTypes["g4"] = &jobs.MachineType{
 		Name:         "g4",
@@ -76,8 +76,8 @@
 	}
 	client := store.New(func(method, target string, body []byte, _ time.Duration, done func(int, []byte, error)) {
 		s.calls = append(s.calls, method+" "+target)
-		status, answer := s.store(method, target, string(body))
-		done(status, []byte(answer), nil)
+		status, response := s.store(method, target, string(body))
+		done(status, []byte(response), nil)
 	}, nil)
 	client.SetBudget(1000, 1000, 1000)
 	client.Dispatch(state.Now)
@@ -93,7 +93,7 @@
 	})
 	mirror.Epoch = 7
 	config := Config{
-		Settings: set,
+		Settings: serverSettings,
 		Client:   client,
 		Mirror:   mirror,
 		Acks:     readconsistency.NewAckLog(0),
@@ -113,7 +113,7 @@
 }
 
 func testSettings(optional bool) *settings.Settings {
-	set := &settings.Settings{
+	serverSettings := &settings.Settings{
 		NodeName: "n0",
 		Operator: settings.DefaultOperator(),
 		Cluster: settings.Cluster{
@@ -123,9 +123,9 @@
 		},
 	}
 	if optional {
-		set.Operator.Pipelines, set.Operator.Quotas = settings.DefaultPipelines(), &quota.Document{}
+		serverSettings.Operator.Pipelines, serverSettings.Operator.Quotas = settings.DefaultPipelines(), &quota.Document{}
 	}
-	return set
+	return serverSettings
 }
 
 // advance moves the time forward and sends the calls that the request budget then allows.
--- a/internal/api/load_shedding_test.go
+++ b/internal/api/load_shedding_test.go
@@ -37,8 +37,8 @@
 	})
 }
 
-// While there is no budget for reads, no request waits longer than users do, and the requests that
-// were refused are answered first once there is budget.
+// While there is no budget for reads, requests are refused once their users have timed out. Once there
+// is budget, the jobs whose requests were refused are read first.
 func TestShedReadsGoFirstOnceThereIsBudget(t *testing.T) {
 	server := newTestServer(t, false)
 	server.exhaustBudget()
--- a/internal/api/submissions_test.go
+++ b/internal/api/submissions_test.go
@@ -58,11 +58,11 @@
 // A job could never end if its record exceeded the value size limit once the fields of its final
 // state are added. Such a job is refused on submission; the largest job that can end is accepted.
 func TestAcceptedRecordFitsWithFinalState(t *testing.T) {
-	body := func(image int) string {
-		return validJob(func(m map[string]any) { m["pieces"], m["bundle"] = 100000, strings.Repeat("b", image) })
+	body := func(imageBytes int) string {
+		return validJob(func(m map[string]any) { m["pieces"], m["bundle"] = 100000, strings.Repeat("b", imageBytes) })
 	}
 	accepted := 0
-	for image := 8192; image > 0; image-- {
+	for imageBytes := 8192; imageBytes > 0; imageBytes-- {
 		server := newTestServer(t, false)
 		record := ""
 		server.store = func(method, _, sent string) (int, string) {
@@ -72,7 +72,7 @@
 			}
 			return 404, `{"epoch":7}`
 		}
-		reply := server.request("POST", "/work", body(image))
+		reply := server.request("POST", "/work", body(imageBytes))
 		if reply.Status == 400 && record == "" {
 			continue
 		}
--- a/internal/calendar/cost_test.go
+++ b/internal/calendar/cost_test.go
@@ -59,8 +59,8 @@
 		for _, change := range keeper.Reconcile(testNow(at), emptyCluster{}) {
 			changes++
 			largest = max(largest, len(change.Value))
-			for _, move := range change.Transitions {
-				if move.To == Open {
+			for _, transition := range change.Transitions {
+				if transition.To == Open {
 					opened++
 				}
 			}
--- a/internal/calendar/explore_test.go
+++ b/internal/calendar/explore_test.go
@@ -65,18 +65,18 @@
 	for _, controller := range m.Controllers {
 		put(controller.Known)
 	}
-	flight := make([]string, len(m.InFlight))
+	inFlight := make([]string, len(m.InFlight))
 	for i, transaction := range m.InFlight {
 		conditions := []string{}
 		for _, key := range slices.Sorted(maps.Keys(transaction.Revisions)) {
 			conditions = append(conditions, fmt.Sprint(key, order[transaction.Revisions[key]]))
 		}
 		value := m.number(transaction.Value)
-		flight[i] = fmt.Sprint(
+		inFlight[i] = fmt.Sprint(
 			transaction.By, transaction.Key, value, transaction.Class, transaction.Lost, conditions)
 	}
-	slices.Sort(flight)
-	fmt.Fprintln(&text, flight)
+	slices.Sort(inFlight)
+	fmt.Fprintln(&text, inFlight)
 	return text.String()
 }
 
@@ -196,24 +196,24 @@
 func TestNoOverlapInAnyExploredState(t *testing.T) {
 	begin := time.Date(2026, 3, 2, 1, 0, 0, 0, time.UTC).UnixMilli()
 	instants := []int64{begin + 1000, begin + 121_000}
-	for _, missing := range []missingGuard{noneMissing, revisionMissing, proofMissing, settledMissing} {
-		t.Run("without "+string(missing), func(t *testing.T) {
+	for _, disabled := range []disabledGuard{noneDisabled, revisionDisabled, proofDisabled, settledDisabled} {
+		t.Run("without "+string(disabled), func(t *testing.T) {
 			t.Parallel()
 			controllers := 3
-			if missing != noneMissing {
+			if disabled != noneDisabled {
 				controllers = 2 // enough to find a violation
 			}
 			classes := []string{"export", "match"}
 			m := newModel([]*Plan{twoWindows(t, 1)}, classes, controllers, begin-10_000, 500)
-			m.missing = missing
+			m.disabled = disabled
 			// Start with the calendar in force.
 			m.reconcile(0)
 			m.deliver(0, true)
 			m.catchUp(0)
 			states, violation := explore(m, instants)
 			t.Logf("%d states, violation %q", states, violation)
-			if (violation != "") != (missing != noneMissing) || states >= maxStates {
-				t.Errorf("disabled guard: %q; violation: %q", missing, violation)
+			if (violation != "") != (disabled != noneDisabled) || states >= maxStates {
+				t.Errorf("disabled guard: %q; violation: %q", disabled, violation)
 			}
 		})
 	}
--- a/internal/calendar/model_test.go
+++ b/internal/calendar/model_test.go
@@ -47,39 +47,40 @@
 	File  int // index of its own document
 }
 
-// missingGuard names a guard that is disabled, to check that the model detects the violation.
-type missingGuard string
+// disabledGuard names the guard that is disabled, to check that the model detects the violation.
+type disabledGuard string
 
 const (
-	noneMissing     missingGuard = ""
-	revisionMissing missingGuard = "stamp"   // releases are not conditional on the track's record
-	proofMissing    missingGuard = "proof"   // windows open without the proof that the track is free
-	settledMissing  missingGuard = "settled" // the proof may be older than the commit that started closing
+	noneDisabled     disabledGuard = ""
+	revisionDisabled disabledGuard = "stamp"   // releases are not conditional on the track's record
+	proofDisabled    disabledGuard = "proof"   // windows open without the proof that the track is free
+	settledDisabled  disabledGuard = "settled" // the proof may be older than the commit that started closing
 )
 
+// model is a state of the modelled system, and the outcome of the checks so far.
 type model struct {
 	Now           int64
 	Store         modelStore
 	Controllers   []modelController
 	InFlight      []modelTransaction
-	Leader        int // index of the leader in the view
-	LeaderChanges int // changes of leader, and restarts of the leader
-	Opened        map[string]int
-	Ended         map[string]State
+	Leader        int              // index of the leader in the view
+	LeaderChanges int              // changes of leader, and restarts of the leader
+	Opened        map[string]int   // number of openings, by occurrence
+	Ended         map[string]State // final states, by occurrence
 
-	documents []*Plan
-	plans     map[string]*Plan // by the document's value in the state service
-	records   map[string]*Record
-	numbers   map[string]int // numbers of the values, for fingerprints
-	classes   []string
-	offMs     int64
-	violation string       // a violation of the rules, "" for none
-	missing   missingGuard // the disabled guard
+	documents    []*Plan
+	plans        map[string]*Plan // by the document's value in the state service
+	records      map[string]*Record
+	numbers      map[string]int // numbers of the values, for fingerprints
+	classes      []string
+	clockErrorMs int64
+	violation    string        // a violation of the rules, "" for none
+	disabled     disabledGuard // a guard that is disabled, noneDisabled for none
 }
 
 const viewKey = "view"
 
-func newModel(documents []*Plan, classes []string, controllers int, nowMs, offMs int64) *model {
+func newModel(documents []*Plan, classes []string, controllers int, nowMs, clockErrorMs int64) *model {
 	m := &model{
 		Now: nowMs,
 		Store: modelStore{
@@ -87,14 +88,14 @@
 			Items:   map[string]modelItem{viewKey: {Revision: 1, Value: "0"}},
 			Running: map[string]int{},
 		},
-		Opened:    map[string]int{},
-		Ended:     map[string]State{},
-		documents: documents,
-		plans:     map[string]*Plan{},
-		records:   map[string]*Record{},
-		numbers:   map[string]int{},
-		classes:   classes,
-		offMs:     offMs,
+		Opened:       map[string]int{},
+		Ended:        map[string]State{},
+		documents:    documents,
+		plans:        map[string]*Plan{},
+		records:      map[string]*Record{},
+		numbers:      map[string]int{},
+		classes:      classes,
+		clockErrorMs: clockErrorMs,
 	}
 	for _, plan := range documents {
 		m.plans[string(EncodeDocument(&plan.Doc))] = plan
@@ -162,11 +163,11 @@
 			newest = max(newest, item.Revision)
 		}
 	}
-	return known.Epoch >= newest || c.model.missing == settledMissing
+	return known.Epoch >= newest || c.model.disabled == settledDisabled
 }
 
 func (c modelCluster) Attempts(ofClass func(quota.Key) bool) int {
-	if c.model.missing == proofMissing {
+	if c.model.disabled == proofDisabled {
 		return 0
 	}
 	sum := 0
@@ -186,7 +187,7 @@
 
 func classKey(class string) quota.Key { return quota.Key{Team: "shop", Class: class} }
 
-func (m *model) time() Now { return Now{Ms: m.Now, ClockErrorMs: m.offMs, PrepareMs: 60_000} }
+func (m *model) time() Now { return Now{Ms: m.Now, ClockErrorMs: m.clockErrorMs, PrepareMs: 60_000} }
 
 // send sends a transaction, conditional on the revisions that its controller knows.
 func (m *model) send(i int, transaction modelTransaction, keys ...string) {
@@ -238,15 +239,15 @@
 			return false
 		}
 	}
-	if m.missing == revisionMissing {
+	if m.disabled == revisionDisabled {
 		keys = nil
 	}
 	m.send(i, modelTransaction{Class: class}, keys...)
 	return true
 }
 
-// deliver makes a transaction arrive at the state service. The answer, unless it is lost, applies the
-// transaction's writes to its controller's copy ahead of the watch.
+// deliver makes a transaction arrive at the state service. The response, unless it is lost, applies
+// the transaction's writes to its controller's copy ahead of the watch.
 func (m *model) deliver(number int, answered bool) {
 	transaction := m.InFlight[number]
 	m.InFlight = slices.Delete(m.InFlight, number, number+1)
--- a/internal/calendar/nights_test.go
+++ b/internal/calendar/nights_test.go
@@ -12,14 +12,14 @@
 var nightClasses = []string{"export", "match", "weekend"}
 
 // TestNoOverlapInRandomNights simulates random nights with up to five controllers and several
-// documents, changes of leader, crashes, lost answers, lagging mirrors and tasks that run past the end
+// documents, changes of leader, crashes, lost responses, lagging mirrors and tasks that run past the end
 // of their window.
 func TestNoOverlapInRandomNights(t *testing.T) {
 	t.Parallel()
 	documents := []*Plan{nightPlan(t, 1, 10, AtEndFinish), nightPlan(t, 2, 25, AtEndStop), movedPlan(t)}
 	rapid.Check(t, func(t *rapid.T) {
 		choose := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "choice") }
-		if violation := simulateNight(choose, documents, noneMissing); violation != "" {
+		if violation := simulateNight(choose, documents, noneDisabled); violation != "" {
 			t.Fatal(violation)
 		}
 	})
@@ -33,7 +33,7 @@
 	found := 0
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 1))
-		if simulateNight(random.IntN, documents, proofMissing) != "" {
+		if simulateNight(random.IntN, documents, proofDisabled) != "" {
 			found++
 		}
 	}
@@ -108,10 +108,10 @@
 
 // simulateNight simulates a random night, followed by a day without faults in which everything ends. It
 // returns a violation, or "".
-func simulateNight(choose func(n int) int, documents []*Plan, missing missingGuard) string {
+func simulateNight(choose func(n int) int, documents []*Plan, disabled disabledGuard) string {
 	begin := time.Date(2026, 3, 2, 0, 58, 0, 0, time.UTC).UnixMilli()
 	m := newModel(documents, nightClasses, 2+choose(4), begin, 1000)
-	m.missing = missing
+	m.disabled = disabled
 	for range 400 {
 		i := choose(len(m.Controllers))
 		if choose(2) == 0 {
--- a/internal/calendar/service_test.go
+++ b/internal/calendar/service_test.go
@@ -88,10 +88,10 @@
 	}}}
 }
 
-// TestGuardDropsTasksOfShutWindows checks that every kind of decision that starts a task is dropped
-// while the task's window is shut, and is conditional on the track's key while the window is open.
+// TestGuardDropsStartsOutsideWindows checks that every kind of decision that starts a task is dropped
+// while the task's window is closed, and is conditional on the track's key while the window is open.
 // Other decisions and tasks without windows must pass unchanged.
-func TestGuardDropsTasksOfShutWindows(t *testing.T) {
+func TestGuardDropsStartsOutsideWindows(t *testing.T) {
 	service := newTestService(t)
 	released := service.state.Assigned["wk-1/0"]
 	placed, _ := jobs.NextTask(released.Task, jobs.TaskEvent{Kind: jobs.Place, Machine: "i-1", Attempt: 1})
--- a/internal/lending/faults_test.go
+++ b/internal/lending/faults_test.go
@@ -25,7 +25,7 @@
 
 // TestEveryLoanEndsAfterAnyFaults runs random steps that lend and fail in a fleet, followed by a time
 // without faults. No loan may take a team below its guarantee, no machine may exceed its capacity, and
-// gangs must be stopped as a whole. In the end every loan must be over, and all accelerators taken must
+// gangs must be stopped as a whole. In the end every loan must be over, and all accelerators lent must
 // have been returned or lost with their machine.
 func TestEveryLoanEndsAfterAnyFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -220,7 +220,7 @@
 		}
 	}
 	if taken != returned+lost {
-		t.Fatalf("%v accelerators taken, but %v returned and %v lost with machines", taken, returned, lost)
+		t.Fatalf("%v accelerators lent, but %v returned and %v lost with machines", taken, returned, lost)
 	}
 	if rooms := m.ledger.Reservations(); len(rooms) > 0 {
 		t.Fatalf("room is still reserved: %v", rooms)
--- a/internal/lending/ledger_test.go
+++ b/internal/lending/ledger_test.go
@@ -66,16 +66,16 @@
 	if writes != 1 || f.firstLoan(t).State != Lent || f.ledger.Counts().Requested != 1 {
 		t.Error(writes, f.ledger.Loans(), f.ledger.Counts())
 	}
-	spared := f.ledger.Counts().ExemptSearches
+	exemptSearches := f.ledger.Counts().ExemptSearches
 	began := f.request(t, f.service("wk-8"), 0, true)
-	if began || f.ledger.Counts().ExemptSearches != spared+1 {
-		t.Error("wk-1 lends twice, or was not counted as spared, within", tuning.LendInterval)
+	if began || f.ledger.Counts().ExemptSearches != exemptSearches+1 {
+		t.Error("wk-1 lends twice, or the search that skipped it was not counted, within", tuning.LendInterval)
 	}
 }
 
-// TestReleasedReplicaHoldsItsLoan checks that a loan keeps its state while its replica is released to
+// TestReleasedReplicaKeepsItsLoan checks that a loan keeps its state while its replica is released to
 // the machine but not yet there.
-func TestReleasedReplicaHoldsItsLoan(t *testing.T) {
+func TestReleasedReplicaKeepsItsLoan(t *testing.T) {
 	f := newLoanFixture(1)
 	f.job("wk-1", "batch", jobs.JobArray, "standard", "x", 1, 7, "i-0", "i-0", "i-0", "i-0")
 	service := f.service("wk-9")
--- a/internal/lending/loan_record_test.go
+++ b/internal/lending/loan_record_test.go
@@ -19,7 +19,7 @@
 	}
 	for _, key := range []string{"loan/", "loan/x", "loan/-1", "loan/01", "loan/99999", "job/1"} {
 		if _, ok := RecordNumber(key); ok {
-			t.Errorf("%s is taken for the key of a loan record", key)
+			t.Errorf("%s is accepted as the key of a loan record", key)
 		}
 	}
 	if number, ok := RecordNumber(RecordKey(3)); !ok || number != 3 {
--- a/internal/lending/loan_test.go
+++ b/internal/lending/loan_test.go
@@ -192,7 +192,7 @@
 		}
 		quiet := Facts{
 			ReplicaWaits: rapid.Bool().Draw(t, "replica waits"),
-			LenderWaits:  rapid.Bool().Draw(t, "lender waits still"),
+			LenderWaits:  rapid.Bool().Draw(t, "lender waits"),
 		}
 		longest := max(tuning.LoanRequestTimeout, tuning.LoanVacant, tuning.LoanReturnReservation)
 		for range 8 {
@@ -211,7 +211,7 @@
 	return Facts{
 		NowMs:                nowMs,
 		MachineGone:          rapid.Bool().Draw(t, "machine gone"),
-		MachineUnschedulable: rapid.Bool().Draw(t, "machine doubtful"),
+		MachineUnschedulable: rapid.Bool().Draw(t, "machine unschedulable"),
 		LenderLeaving:        rapid.Bool().Draw(t, "lender leaving"),
 		ReplicaOnMachine:     rapid.Bool().Draw(t, "replica on machine"),
 		ReplicaReleased:      rapid.Bool().Draw(t, "replica released"),
--- a/internal/pipelines/any_order_test.go
+++ b/internal/pipelines/any_order_test.go
@@ -78,13 +78,13 @@
 	return rapid.SampledFrom(live).Draw(t, "job")
 }
 
-// answer delivers the answer to a controller's change, or loses it.
+// answer delivers the response to a controller's change, or loses it.
 func (s *simulation) answer(t *rapid.T, c *testController, change *Change, applied bool) {
 	if applied && rapid.IntRange(0, 3).Draw(t, "answer") > 0 {
 		c.sync(t, s.store)
 		return
 	}
-	c.keeper.Touch(change.ID) // the change was lost or refused, or its answer was lost
+	c.keeper.Touch(change.ID) // the change was lost or refused, or its response was lost
 }
 
 // pass makes a controller reconcile and commit its changes. If lose is set, all changes are lost.
@@ -139,7 +139,7 @@
 // expectEnd finishes all jobs, and fails if the run does not end.
 func (s *simulation) expectEnd(t *rapid.T) {
 	for range 200 {
-		if s.store.over {
+		if s.store.ended {
 			return
 		}
 		for jobID, state := range s.store.jobs {
@@ -152,11 +152,11 @@
 		c.sync(t, s.store)
 		s.pass(t, c, false)
 	}
-	t.Fatalf("the run never ends: %s", s.store.run)
+	t.Fatalf("the run has not ended: %s", s.store.run)
 }
 
 // TestRunInvariantsUnderEventsInAnyOrder checks the invariants of a run while events happen in any order
-// at two controllers that both believe they own it: lagging mirrors, lost changes and answers,
+// at two controllers that both believe they own it: lagging mirrors, lost changes and responses,
 // restarts, jumps of the wall clock, and jobs that finish, fail or are cancelled.
 func TestRunInvariantsUnderEventsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/pipelines/bench_test.go
+++ b/internal/pipelines/bench_test.go
@@ -65,7 +65,7 @@
 		k.lastSweep = time.Time{}
 		for first := true; first || len(k.dirty) > 0; first = false {
 			if changes, _ := c.pass(); len(changes) > 0 {
-				b.Fatal("something changed")
+				b.Fatal("a run without events was changed")
 			}
 			k.lastSweep = c.now
 		}
--- a/internal/pipelines/keeper_test.go
+++ b/internal/pipelines/keeper_test.go
@@ -45,9 +45,9 @@
 			last = changes[0]
 		}
 	}
-	for repeat := range 2 {
-		if jobID := JobID("run-1", "salt", p.Steps[0].Name, repeat); c.jobs[jobID] != jobs.Cancelled {
-			t.Errorf("the job of attempt %d is %q, want it cancelled", repeat, c.jobs[jobID])
+	for attempt := range 2 {
+		if jobID := JobID("run-1", "salt", p.Steps[0].Name, attempt); c.jobs[jobID] != jobs.Cancelled {
+			t.Errorf("the job of attempt %d is %q, want it cancelled", attempt, c.jobs[jobID])
 		}
 	}
 	record, err := Decode(last.Record)
@@ -67,7 +67,7 @@
 	c.advance(t)
 	c.nowMs += 3600_000
 	c.keeper.Touch("run-1")
-	if changes, _ := c.keeper.Reconcile(c.now, c.nowMs, yes, yes, enoughRoom, c); len(changes) > 0 {
+	if changes, _ := c.keeper.Reconcile(c.now, c.nowMs, yes, yes, unlimitedBudget, c); len(changes) > 0 {
 		t.Fatalf("changes of a run with a pending transaction: %+v", changes)
 	}
 	for range 20 {
@@ -116,9 +116,9 @@
 	}
 }
 
-// TestMissingAndForeignJobsFailTheirStep checks that a step fails if its job has no record, on condition
-// that there is still none at commit, or if another job has its job's ID.
-func TestMissingAndForeignJobsFailTheirStep(t *testing.T) {
+// TestStepFailsIfItsJobIsMissingOrItsIDIsTaken checks that a step fails if its job has no record, on
+// condition that there is still none at commit, or if another job has its job's ID.
+func TestStepFailsIfItsJobIsMissingOrItsIDIsTaken(t *testing.T) {
 	c, p := newController(t, plainDocument)
 	jobID := JobID("run-1", "salt", p.Steps[0].Name, 0)
 	t.Run("job in no record", func(t *testing.T) {
@@ -166,8 +166,8 @@
 	}
 }
 
-// TestChangesBeyondTheRateWait checks that changes beyond the rate limit are delayed and not lost.
-func TestChangesBeyondTheRateWait(t *testing.T) {
+// TestChangesBeyondTheRateAreDelayed checks that changes beyond the rate limit are delayed and not lost.
+func TestChangesBeyondTheRateAreDelayed(t *testing.T) {
 	c, p := newController(t, wideDocument)
 	c.keeper.SetRate(c.now, 5)
 	seconds := 0
--- a/internal/pipelines/model_test.go
+++ b/internal/pipelines/model_test.go
@@ -47,12 +47,12 @@
 
 func no(string) bool { return false }
 
-func enoughRoom(int) bool { return true }
+func unlimitedBudget(int) bool { return true }
 
 // storeModel is a model of the state service with one run and its jobs.
 type storeModel struct {
 	run         json.RawMessage
-	over        bool
+	ended       bool
 	revision    int
 	jobs        map[string]jobs.JobState
 	submissions map[string]int // number of committed submissions of each job ID
@@ -78,7 +78,7 @@
 
 // pass reconciles all runs.
 func (c *testController) pass() (changes []Change, reads []string) {
-	return c.keeper.Reconcile(c.now, c.nowMs, yes, no, enoughRoom, c)
+	return c.keeper.Reconcile(c.now, c.nowMs, yes, no, unlimitedBudget, c)
 }
 
 // wait advances both clocks.
@@ -98,7 +98,7 @@
 	}
 	c.revision = m.revision
 	value := m.run
-	if m.over {
+	if m.ended {
 		value = nil
 	}
 	if err := c.keeper.Changed("run-1", value); err != nil {
@@ -108,7 +108,7 @@
 
 // allows reports whether the preconditions of a controller's change hold.
 func (m *storeModel) allows(c *testController, change *Change) bool {
-	if c.revision != m.revision || m.over {
+	if c.revision != m.revision || m.ended {
 		return false
 	}
 	for _, spec := range change.Submit {
@@ -142,7 +142,7 @@
 		t.Fatalf("jobs submitted while the run is %s", before.State)
 	}
 	m.run = change.Record
-	m.over = change.Ended
+	m.ended = change.Ended
 	m.revision++
 	for _, jobID := range change.Cancel {
 		m.jobs[jobID] = jobs.Cancelled
@@ -154,7 +154,7 @@
 		}
 	}
 	if change.Ended != after.State.Ended() {
-		t.Fatalf("Over is %v, but the run is %s", change.Ended, after.State)
+		t.Fatalf("Ended is %v, but the run is %s", change.Ended, after.State)
 	}
 	if change.Ops() > c.keeper.limits.TxnOps {
 		t.Fatalf("%d writes in one transaction", change.Ops())
@@ -172,7 +172,7 @@
 		}
 		if s.State != Waiting && s.State != Cancelled {
 			for _, need := range p.Groups[p.Steps[i].Group].Needs {
-				if _, over := groupOutcome(p, need, after.Steps); !over {
+				if _, ended := groupOutcome(p, need, after.Steps); !ended {
 					t.Fatalf("%s is %s before %s has ended", p.Steps[i].Name, s.State, p.Groups[need].Name)
 				}
 			}
@@ -241,7 +241,7 @@
 	t.Helper()
 	record, _ := c.keeper.Known("run-1")
 	if record == nil {
-		t.Fatal("the run is over")
+		t.Fatal("the run has ended")
 	}
 	return record.Steps[i]
 }
--- a/internal/pipelines/record_test.go
+++ b/internal/pipelines/record_test.go
@@ -17,10 +17,10 @@
 	for _, id := range []string{"run-1", "run-12"} {
 		for _, salt := range []string{"a", "b"} {
 			for _, name := range []string{"2a", "a", "a[x=1]"} {
-				for repeat := range 3 {
-					jobID := JobID(id, salt, name, repeat)
-					if len(jobID) != 21 || !jobs.ValidID(jobID) || taken[jobID] || jobID != JobID(id, salt, name, repeat) {
-						t.Errorf("invalid or repeated job ID %s of run %s, salt %s, step %s, attempt %d", jobID, id, salt, name, repeat)
+				for attempt := range 3 {
+					jobID := JobID(id, salt, name, attempt)
+					if len(jobID) != 21 || !jobs.ValidID(jobID) || taken[jobID] || jobID != JobID(id, salt, name, attempt) {
+						t.Errorf("invalid or repeated job ID %s of run %s, salt %s, step %s, attempt %d", jobID, id, salt, name, attempt)
 					}
 					taken[jobID] = true
 				}
@@ -56,13 +56,13 @@
 	k := NewKeeper(Limits{Runs: 2, Steps: 10, TxnOps: 16})
 	good := NewRecord(&Plan{Steps: make([]Step, 2)}, []byte(`{}`), "s", 1).Encode()
 	for name, bad := range map[string]string{
-		"null":                   `null`,
-		"list":                   `[]`,
-		"later version, no more": `{"v":2}`,
-		"unknown state":          `{"v":1,"s":"odd"}`,
-		"document not packed":    `{"v":1,"s":"running","doc":"x","t":""}`,
-		"steps not packed":       `{"v":1,"s":"running","doc":{},"t":"AAAA"}`,
-		"later version":          strings.Replace(string(good), `"v":1`, `"v":9`, 1),
+		"null":                           `null`,
+		"list":                           `[]`,
+		"later version, no other fields": `{"v":2}`,
+		"unknown state":                  `{"v":1,"s":"odd"}`,
+		"document not packed":            `{"v":1,"s":"running","doc":"x","t":""}`,
+		"steps not packed":               `{"v":1,"s":"running","doc":{},"t":"AAAA"}`,
+		"later version":                  strings.Replace(string(good), `"v":1`, `"v":9`, 1),
 	} {
 		t.Run(name, func(t *testing.T) {
 			if k.Changed("run-1", json.RawMessage(bad)) == nil {
@@ -77,7 +77,7 @@
 	if err := k.Changed("run-1", good); err != nil {
 		t.Fatal(err)
 	}
-	k.Reconcile(time.Now(), 1, yes, no, enoughRoom, &testController{})
+	k.Reconcile(time.Now(), 1, yes, no, unlimitedBudget, &testController{})
 	if _, quarantined := k.Known("run-1"); !quarantined || k.openSteps != 0 {
 		t.Errorf("quarantined: %v, %d open steps", quarantined, k.openSteps)
 	}
@@ -102,9 +102,9 @@
 func TestStepsSurvivePacking(t *testing.T) {
 	at := int64(1e12)
 	for i, state := range stepStates {
-		for j, why := range causes {
+		for j, cause := range causes {
 			want := []StepRun{
-				{State: state, Cause: why, Attempt: i + j, AcceptedMs: at + int64(i)*1e6, EndMs: at + 9e8},
+				{State: state, Cause: cause, Attempt: i + j, AcceptedMs: at + int64(i)*1e6, EndMs: at + 9e8},
 				{State: Waiting},
 			}
 			got, err := unpackSteps(packSteps(want, at), at)
--- a/internal/quota/account_test.go
+++ b/internal/quota/account_test.go
@@ -24,10 +24,10 @@
 	}
 }
 
-// TestUseNeverExceedsLimits makes a million random charges, each only if it is allowed, and reverses
+// TestUsageNeverExceedsLimits makes a million random charges, each only if it is allowed, and reverses
 // them in random order. No node may ever exceed its limit, no child may use more than its parent, and
 // in the end all usage must be exactly 0, without rounding errors.
-func TestUseNeverExceedsLimits(t *testing.T) {
+func TestUsageNeverExceedsLimits(t *testing.T) {
 	tree := twoOrganisations(t)
 	rng := rand.New(rand.NewPCG(1, 1))
 	account := NewAccount(tree)
--- a/internal/quota/bench_test.go
+++ b/internal/quota/bench_test.go
@@ -29,9 +29,9 @@
 		account := NewAccount(tree)
 		b.ReportAllocs()
 		for b.Loop() {
-			attempt := account.Clone()
+			clone := account.Clone()
 			for i := range 100 {
-				attempt.Charge(keys[i*7%len(keys)], gpus(1), 1)
+				clone.Charge(keys[i*7%len(keys)], gpus(1), 1)
 			}
 		}
 	})
@@ -42,9 +42,9 @@
 		}
 		b.ReportAllocs()
 		for b.Loop() {
-			attempt := p
+			clone := p
 			for i := range 100 {
-				attempt.charge(keys[i*7%len(keys)], gpus(1), 1)
+				clone.charge(keys[i*7%len(keys)], gpus(1), 1)
 			}
 		}
 	})
--- a/internal/quota/golden_messages_test.go
+++ b/internal/quota/golden_messages_test.go
@@ -16,7 +16,7 @@
 
 // documentWithAllFields returns a document in which every field is set.
 func documentWithAllFields() Document {
-	some, more := &Bounds{Cores: 20.5, Accelerators: 5, MemoryGB: 100}, &Bounds{Cores: 60, Accelerators: 7, MemoryGB: 300}
+	low, high := &Bounds{Cores: 20.5, Accelerators: 5, MemoryGB: 100}, &Bounds{Cores: 60, Accelerators: 7, MemoryGB: 300}
 	classes := []OfClass{
 		{
 			Name:      "sweep",
@@ -30,7 +30,7 @@
 	return Document{
 		GraceS: number(45),
 		Organisations: []Org{{
-			Name: "kenya", Weight: number(2), Borrow: yes(), Lend: yes(), Guarantee: some, Limit: more,
+			Name: "kenya", Weight: number(2), Borrow: yes(), Lend: yes(), Guarantee: low, Limit: high,
 			Organisations: []Org{{Name: "nairobi", Borrow: no(), Lend: no()}},
 			Teams:         []OfTeam{{Name: "pricing", Weight: number(3), Borrow: yes(), Lend: yes(), Classes: classes}},
 		}},
@@ -113,11 +113,11 @@
 		t.Fatal(err)
 	}
 	goldentest.Bytes(t, "excesses.json", over)
-	minus := number(-1)
-	_, faults := Build(&Document{GraceS: minus, Organisations: []Org{
+	negative := number(-1)
+	_, faults := Build(&Document{GraceS: negative, Organisations: []Org{
 		{
 			Name:      "1st",
-			Weight:    minus,
+			Weight:    negative,
 			Guarantee: &Bounds{Cores: 9, Accelerators: -1},
 			Limit:     &Bounds{Cores: 1, MemoryGB: 1e10},
 			Teams:     []OfTeam{{Name: "nobody"}, {Name: "t"}, {Name: "t"}},
@@ -128,8 +128,8 @@
 			Teams: []OfTeam{
 				{
 					Name:    "u",
-					Weight:  minus,
-					Classes: []OfClass{{Name: "z", Weight: minus, Limit: &Bounds{Accelerators: -1}}, {Name: "c"}, {Name: "c"}},
+					Weight:  negative,
+					Classes: []OfClass{{Name: "z", Weight: negative, Limit: &Bounds{Accelerators: -1}}, {Name: "c"}, {Name: "c"}},
 				},
 			},
 		},
--- a/internal/quota/guarantee_test.go
+++ b/internal/quota/guarantee_test.go
@@ -39,10 +39,10 @@
 	}
 }
 
-// TestYieldsWhatIsBorrowed checks that what organisation italia has borrowed can be preempted for
+// TestMayPreemptWhatIsBorrowed checks that what organisation italia has borrowed can be preempted for
 // tasks within the guarantee of organisation kenya, and that within an organisation no team loses
 // its part of the organisation's guarantee to another.
-func TestYieldsWhatIsBorrowed(t *testing.T) {
+func TestMayPreemptWhatIsBorrowed(t *testing.T) {
 	tree := twoOrganisations(t)
 	account := NewAccount(tree)
 	account.Charge(Key{"stazioni", "z"}, gpus(1), 14) // 4 beyond italia's 10
@@ -54,28 +54,28 @@
 	if !account.MayPreempt(within, stazioni, gpus(1)) ||
 		!account.MayPreempt(within, stazioni, gpus(4)) ||
 		account.MayPreempt(within, stazioni, gpus(5)) {
-		t.Error("italia must yield the 4 that it borrowed, and no more")
+		t.Error("the 4 that italia has borrowed must be preemptible, and no more")
 	}
 	if !account.MayPreempt(within, storefront, gpus(2)) || account.MayPreempt(within, storefront, gpus(3)) {
-		t.Error("storefront must yield to pricing's guarantee the 2 beyond its own, and no more")
+		t.Error("storefront's 2 beyond its guarantee must be preemptible for pricing's guarantee, and no more")
 	}
 	org := account.Entitled(storefront, gpus(1), 1)
 	if tree.Path(org) != "kenya" || account.MayPreempt(org, pricing, Amount{}) ||
 		!account.MayPreempt(org, stazioni, gpus(1)) {
-		t.Error("usage within the organisation's guarantee must preempt italia's, and none of a sibling team")
+		t.Error("a task within the organisation's guarantee must preempt italia's tasks, and none of a sibling team")
 	}
 	if account.MayPreempt(noNode, stazioni, gpus(1)) {
-		t.Error("nothing must yield to a task that is within no guarantee")
+		t.Error("a task that is within no guarantee must not preempt any task")
 	}
 	account = NewAccount(tree)
 	account.Charge(Key{"stazioni", "z"}, gpus(1), 10)
 	if account.MayPreempt(account.Entitled(pricing, gpus(1), 1), stazioni, gpus(1)) {
-		t.Error("italia is within its guarantee and must not yield")
+		t.Error("italia is within its guarantee, so its tasks must not be preempted")
 	}
 }
 
 // TestCanSpareWhatIsNotGuaranteed checks that a leaf can spare only usage beyond its own guarantee and
-// those of its ancestors, up to the lowest common ancestor with the borrower.
+// those of its ancestors, up to the lowest common ancestor with the receiver.
 func TestCanSpareWhatIsNotGuaranteed(t *testing.T) {
 	tree := twoOrganisations(t)
 	account := NewAccount(tree)
--- a/internal/quota/limits_test.go
+++ b/internal/quota/limits_test.go
@@ -31,9 +31,9 @@
 		k := rapid.SampledFrom(keys).Draw(t, "key to count")
 		a := NewAmount(1, rapid.SampledFrom([]float64{0, 0.3, 1, 2.5}).Draw(t, "each"), 1)
 		leaf, count := tree.Leaf(k), 0
-		attempt := account.Clone()
-		for count < 30 && attempt.Allows(leaf, a, 1) {
-			attempt.Charge(k, a, 1)
+		clone := account.Clone()
+		for count < 30 && clone.Allows(leaf, a, 1) {
+			clone.Charge(k, a, 1)
 			count++
 		}
 		if got := account.CountAllowed(leaf, a, 30); got != count {
