--- a/internal/api/invalid_requests_test.go
+++ b/internal/api/invalid_requests_test.go
@@ -116,7 +116,7 @@
 				server.calls = nil
 				reply := server.request("POST", c.target, c.body)
 				if reply.Status != c.status || !strings.Contains(string(reply.Body), c.want) {
-					t.Errorf("%d %s", reply.Status, reply.Body)
+					t.Errorf("unexpected response: %d %s", reply.Status, reply.Body)
 				}
 				writes := func(call string) bool { return !strings.HasPrefix(call, "GET ") }
 				if len(server.calls) > c.calls || slices.ContainsFunc(server.calls, writes) {
@@ -129,7 +129,7 @@
 		server := newTestServer(t, false)
 		server.store = func(string, string, string) (int, string) { return 200, `{"epoch":8}` }
 		if reply := server.request("POST", "/work", validJob(func(map[string]any) {})); reply.Status != 201 {
-			t.Errorf("%d %s", reply.Status, reply.Body)
+			t.Errorf("the job was not accepted: %d %s", reply.Status, reply.Body)
 		}
 	})
 }
--- a/internal/api/run_requests_test.go
+++ b/internal/api/run_requests_test.go
@@ -23,7 +23,7 @@
 	}
 	reply := server.request("POST", "/pipelines", pipeline)
 	if reply.Status != 201 || !strings.Contains(string(reply.Body), `"status":"submitted"`) {
-		t.Fatalf("%d %s", reply.Status, reply.Body)
+		t.Fatalf("the run was not accepted: %d %s", reply.Status, reply.Body)
 	}
 	if strings.Count(body, `"write":`) != 2 || !strings.Contains(body, `"key":"ran/run-1"`) ||
 		!strings.Contains(body, `"key":"view"`) {
--- a/internal/api/status_test.go
+++ b/internal/api/status_test.go
@@ -18,7 +18,7 @@
 	}
 	body := validJob(func(m map[string]any) { m["pieces"], m["expect_s"], m["due_s"] = 2, 30, 60 })
 	if reply := server.request("POST", "/work", body); reply.Status != 201 {
-		t.Fatalf("%d %s", reply.Status, reply.Body)
+		t.Fatalf("the job was not accepted: %d %s", reply.Status, reply.Body)
 	}
 	for _, c := range []struct {
 		name    string
--- a/internal/api/submissions_test.go
+++ b/internal/api/submissions_test.go
@@ -43,7 +43,7 @@
 				return 404, `{"epoch":8}`
 			}
 			if reply := server.request("POST", "/work", body); reply.Status != 201 {
-				t.Fatalf("%d %s", reply.Status, reply.Body)
+				t.Fatalf("the job was not accepted: %d %s", reply.Status, reply.Body)
 			}
 			if !c.known {
 				delete(server.state.Jobs, "wk-000001")
--- a/internal/callerrors/callerrors_test.go
+++ b/internal/callerrors/callerrors_test.go
@@ -38,7 +38,7 @@
 		t.Errorf("overload: %s", overload)
 	}
 	if c.Unexpected != 100 || c.Refused != 250 {
-		t.Errorf("%d unexpected of %d", c.Unexpected, c.Refused)
+		t.Errorf("%d unexpected calls of %d refused ones", c.Unexpected, c.Refused)
 	}
 	if unexpected, overload := c.Report(at.Add(2 * tuning.CallErrorsLogEvery)); unexpected+overload != "" {
 		t.Error("reported twice:", unexpected, overload)
--- a/internal/http1/message_test.go
+++ b/internal/http1/message_test.go
@@ -11,7 +11,7 @@
 	text := "POST /work HTTP/1.1\r\nHost: x\r\ncontent-length: 2\r\n\r\n{}GET"
 	m, used, err := Parse(Request, []byte(text), 100)
 	if err != nil || m.Method != http.MethodPost || m.Target != "/work" || string(m.Body) != "{}" || used != len(text)-3 {
-		t.Fatalf("%+v %d %v", m, used, err)
+		t.Fatalf("got message %+v of %d bytes, %v", m, used, err)
 	}
 	for i := range len(text) - 3 {
 		if m, _, err := Parse(Request, []byte(text[:i]), 100); m != nil || err != nil {
@@ -49,12 +49,12 @@
 		10,
 	)
 	if err != nil || m.Status != 503 || !m.Close {
-		t.Fatalf("%+v %v", m, err)
+		t.Fatalf("got message %+v, %v", m, err)
 	}
 	chunked := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\nA\r\n0123456789\r\n0\r\n\r\n"
 	m, used, err := Parse(Response, []byte(chunked), 20)
 	if err != nil || string(m.Body) != "abc0123456789" || used != len(chunked) {
-		t.Fatalf("%+v %d %v", m, used, err)
+		t.Fatalf("got message %+v of %d bytes, %v", m, used, err)
 	}
 	if _, _, err := Parse(Response, []byte(chunked), 12); err == nil {
 		t.Error("chunked body larger than the limit was accepted")
@@ -64,19 +64,19 @@
 func TestParseReadsAppendedMessages(t *testing.T) {
 	out := AppendResponse(nil, 503, []byte("{}"), false, 7)
 	if m, _, err := Parse(Response, out, 1000); err != nil || m.RetryAfter != 7 {
-		t.Errorf("%+v %v", m, err)
+		t.Errorf("appended response is parsed as %+v, %v", m, err)
 	}
 	if !bytes.Contains(out, []byte("\r\nRetry-After: 7\r\n")) {
-		t.Errorf("%s", out)
+		t.Errorf("no Retry-After header in %s", out)
 	}
 	m, used, err := Parse(Response, out, 10)
 	if err != nil || used != len(out) || m.Status != 503 || string(m.Body) != "{}" {
-		t.Errorf("%+v %v", m, err)
+		t.Errorf("appended response is parsed as %+v, %v", m, err)
 	}
 	out = AppendRequest(nil, "POST", "/x?y=z", "h:1", []byte("abc"), true)
 	m, used, err = Parse(Request, out, 10)
 	if err != nil || used != len(out) || m.Target != "/x?y=z" || !m.Close {
-		t.Errorf("%+v %v", m, err)
+		t.Errorf("appended request is parsed as %+v, %v", m, err)
 	}
 }
 
@@ -90,7 +90,7 @@
 				continue
 			}
 			if err != nil || used > len(b) || len(m.Body) > 64 {
-				t.Fatalf("%+v %d %v", m, used, err)
+				t.Fatalf("got message %+v of %d bytes, %v", m, used, err)
 			}
 			// Bytes that follow a message do not change how it is parsed.
 			again, usedAgain, err := Parse(k, append(bytes.Clone(b[:used]), 'x'), 64)
--- a/internal/http1/server_test.go
+++ b/internal/http1/server_test.go
@@ -61,7 +61,7 @@
 	}
 	m, _, err := Parse(Response, buf[:n], 1<<16)
 	if err != nil || m == nil {
-		t.Fatalf("%q: %+v %v", buf[:n], m, err)
+		t.Fatalf("%q is parsed as %+v, %v", buf[:n], m, err)
 	}
 	return m
 }
@@ -178,7 +178,7 @@
 		send(c, "GET "+target+" HTTP/1.1\r\n\r\n")
 		m := receive(t, c)
 		if m.Status != 200 {
-			t.Fatalf("%s: %+v", target, m)
+			t.Fatalf("%s: unexpected response %+v", target, m)
 		}
 		return m.Close
 	}
--- a/internal/pipelines/golden_test.go
+++ b/internal/pipelines/golden_test.go
@@ -54,7 +54,7 @@
 		golden := goldentest.Read(t, name)
 		back, err := Decode(golden)
 		if err != nil {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: not decoded: %v", name, err)
 			continue
 		}
 		again := *back
--- a/internal/pipelines/keeper_test.go
+++ b/internal/pipelines/keeper_test.go
@@ -131,7 +131,7 @@
 		c.keeper.JobMissing(jobID)
 		changes := c.advance(t)
 		if len(changes) != 1 || !changes[0].Ended || !slices.Equal(changes[0].RequireAbsent, []string{jobID}) {
-			t.Fatalf("%+v", changes)
+			t.Fatalf("got changes %+v, want one that ends the run and requires the job to be absent", changes)
 		}
 	})
 	t.Run("ID of another job", func(t *testing.T) {
@@ -140,7 +140,7 @@
 		changes := c.advance(t)
 		record, err := Decode(changes[0].Record)
 		if err != nil || record.Steps[0].Cause != JobIDTaken || len(changes[0].Submit) > 0 {
-			t.Fatalf("%+v %v", changes, err)
+			t.Fatalf("got changes %+v, want the step to fail because its job's ID is taken: %v", changes, err)
 		}
 	})
 }
@@ -152,11 +152,11 @@
 	c.advance(t)
 	change := c.keeper.CancelRun("run-1", c.now, c.nowMs, c)
 	if change == nil || !change.Urgent || len(change.Submit) > 0 {
-		t.Fatalf("%+v", change)
+		t.Fatalf("got change %+v, want an urgent one without submissions", change)
 	}
 	// The commit was refused because of another change, and the user is expected to retry.
 	if changes := c.advance(t); len(changes) > 0 {
-		t.Fatalf("%+v", changes)
+		t.Fatalf("changes while the user's cancellation is pending: %+v", changes)
 	}
 	for range 4 {
 		c.advance(t)
--- a/internal/quota/guarantee_test.go
+++ b/internal/quota/guarantee_test.go
@@ -33,7 +33,7 @@
 		{"lone", "w", 1, "none"},
 	} {
 		if got := entitlement(step.team, step.class, step.accelerators); got != step.want {
-			t.Errorf("%v: %s", step, got)
+			t.Errorf("%+v: entitled by %s", step, got)
 		}
 		account.Charge(Key{step.team, step.class}, gpus(step.accelerators), 1)
 	}
--- a/internal/quota/limits_test.go
+++ b/internal/quota/limits_test.go
@@ -92,6 +92,6 @@
 	}
 	account.Charge(Key{"a", "c"}, gpus(1), 3)
 	if v := account.Views(map[int]int{leaf: 2}); v[1].Path != "o" || v[1].Why != "at its limit" || v[0].Waiting != 2 {
-		t.Errorf("%+v", v)
+		t.Errorf("unexpected views: %+v", v)
 	}
 }
