--- a/internal/calendar/document.go
+++ b/internal/calendar/document.go
@@ -70,8 +70,8 @@
 	Stop    bool          // stop running tasks at the end
 	RunLate bool          // open late if the opening was missed
 	Length  time.Duration // 0: the window ends at a time of day (until)
-	Slip    time.Duration // how much after its start it may open
-	Late    time.Duration // how much after Slip a missed occurrence may still open
+	Slip    time.Duration // how long after its start it may open
+	Late    time.Duration // how long after Slip a missed occurrence may still open
 	Need    quota.Bounds
 
 	until      timeOfDay
--- a/internal/calendar/guard.go
+++ b/internal/calendar/guard.go
@@ -85,13 +85,13 @@
 	for _, change := range decision.Changes {
 		newState := change.Next.State != change.Task.State
 		newAttempt := change.Next.Attempt != change.Task.Attempt
-		if !holdsMachine(&change.Next) || !newState && !newAttempt {
+		if !isReleasedOrPlaced(&change.Next) || !newState && !newAttempt {
 			continue
 		}
 		add(change.Task.Job)
 	}
 	for _, batch := range decision.BatchEntries {
-		if holdsMachine(&batch.Entry.Task) {
+		if isReleasedOrPlaced(&batch.Entry.Task) {
 			add(jobsByID[batch.Entry.JobID])
 		}
 	}
@@ -104,7 +104,7 @@
 	return starting
 }
 
-// holdsMachine reports whether a task is released to a controller or placed on a machine.
-func holdsMachine(task *jobs.Task) bool {
+// isReleasedOrPlaced reports whether a task is released to a controller or placed on a machine.
+func isReleasedOrPlaced(task *jobs.Task) bool {
 	return task.State == jobs.Assigned || task.State == jobs.Placed
 }
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -23,13 +23,13 @@
 }
 
 // Unavailable returns a 503 response that gives the reason and a Retry-After of tuning.RetryAfter.
-func Unavailable(why string) Reply {
-	return Reply{Status: statusServiceUnavailable, Body: ErrorBody(why), RetryAfter: tuning.RetryAfter}
+func Unavailable(reason string) Reply {
+	return Reply{Status: statusServiceUnavailable, Body: ErrorBody(reason), RetryAfter: tuning.RetryAfter}
 }
 
 // ErrorBody returns the body of an error response that gives the reason.
-func ErrorBody(why string) []byte {
-	b, err := json.Marshal(map[string]string{"error": why})
+func ErrorBody(reason string) []byte {
+	b, err := json.Marshal(map[string]string{"error": reason})
 	if err != nil {
 		return []byte("{}")
 	}
--- a/internal/lending/loan.go
+++ b/internal/lending/loan.go
@@ -11,18 +11,18 @@
 import "github.com/harrierreel/harrierreel/internal/tuning"
 
 // State is the state of a loan. Wanted is never stored, since it follows from a waiting replica. All
-// other states are stored, and a new leader derives them from the records again.
+// other states are stored. A new leader reads them and derives the changes since from the records.
 type State string
 
 // States of a loan.
 const (
 	Wanted     State = "wanted"      // a replica waits, nothing has been taken from a lender
-	Requested  State = "asked"       // the lenders' tasks are stopping, by the transaction that began the loan
+	Requested  State = "asked"       // the transaction that began the loan has made the lenders' tasks stop
 	Vacated    State = "vacated"     // the lenders' tasks are gone, the room is reserved for the replica
 	Lent       State = "lent"        // the replica is on the machine
-	CalledBack State = "called back" // the replica is stopping or gone, then the room is reserved for the lenders
-	Returned   State = "returned"    // final: a lender has the room again, or did not use it in time
-	BrokenOff  State = "broken off"  // final: the machine is gone or being lost, no room can be given back
+	CalledBack State = "called back" // the replica is stopping, or it is gone and the room is reserved for the lenders
+	Returned   State = "returned"    // final: a lender has the room again, no longer needs it, or did not use it in time
+	BrokenOff  State = "broken off"  // final: the machine is gone or about to be, so no room can be given back
 )
 
 // Final reports whether a state is final.
--- a/internal/pipelines/encoding.go
+++ b/internal/pipelines/encoding.go
@@ -45,8 +45,8 @@
 
 var codec = compression.New(tuning.MaxUnpacked, compression.SmallRecords...)
 
-// pack returns the shorter JSON form of b, which is JSON itself: b as it is, or a string with its
-// compressed form in base64.
+// pack returns the shorter one of two JSON forms of b, which is JSON itself: b as it is, or a string
+// with the compressed b in base64.
 func pack(b []byte) json.RawMessage {
 	encoder, _ := codec()
 	compressed := base64.StdEncoding.EncodeToString(encoder.EncodeAll(b, nil))
--- a/internal/pipelines/keeper.go
+++ b/internal/pipelines/keeper.go
@@ -45,9 +45,9 @@
 	record *Record
 	plan   *Plan    // nil unless owned
 	jobIDs []string // current job of each step, "" for none; nil unless owned
-	// Since when the steps' jobs have been running and have been failing on every machine, by
-	// index of the step. The times are on the monotonic clock from when this controller took the
-	// run over, so that a jump of the wall clock can't end a step.
+	// jobStarts and doubtStarts hold, by index of the step, since when the steps' jobs have been
+	// running and have been failing on every machine. The times are on the monotonic clock, from
+	// when this controller took the run over, so that a jump of the wall clock can't end a step.
 	jobStarts   map[int]time.Time
 	doubtStarts map[int]time.Time
 	readAt      map[int]time.Time // when a read of the step's job was last requested
