--- a/internal/tuning/calendar.go
+++ b/internal/tuning/calendar.go
@@ -12,7 +12,7 @@
 	// MinWindow is the minimum length of a window. Shorter ones are over before tasks have pulled
 	// their images.
 	MinWindow = time.Minute
-	// MinSlip is the delay with which any window may still open, also if it allows less itself: it
+	// MinSlip is the delay with which any window may still open, even if it allows less itself: it
 	// takes a heartbeat or two to prove that its track is free.
 	MinSlip = 15 * time.Second
 	// MaxWindow is the maximum length of a window and of each of its delays: a week.
@@ -39,7 +39,8 @@
 	// PrepareBoots is the multiple of the slowest machine type's boot time for which a window's
 	// waiting jobs count as demand before it begins. Boots take up to 1.5 times the boot time.
 	PrepareBoots = 1.5
-	// MinPrepare is the minimum of that time, and its value while no machine type is known.
+	// MinPrepare is the minimum of the time that PrepareBoots gives, and its value while no machine
+	// type is known.
 	MinPrepare = 30 * time.Second
 	// CalendarPollEvery is the interval at which a track that waits for tasks to end is checked.
 	CalendarPollEvery = 250 * time.Millisecond
@@ -54,9 +55,9 @@
 	// CalendarLateCheckEvery is the interval of the checks for jobs that wait for a window and
 	// cannot end by their deadline.
 	CalendarLateCheckEvery = 30 * time.Second
-	// BlockedWindowGiveUp is the time after which a machine is deleted if it is unresponsive and a task on
-	// it that was to stop blocks the next window. A checkpoint takes some seconds, and so do one
-	// or two lost heartbeats.
+	// BlockedWindowGiveUp is the time after which a machine is deleted if it is unresponsive and
+	// one of its tasks, which was told to stop, blocks the next window. A checkpoint takes some
+	// seconds, and so do one or two lost heartbeats.
 	BlockedWindowGiveUp = 10 * time.Second
 	// CalendarStops is the number of tasks after which a pass stops no more tasks for windows that
 	// end, so that one end does not use up all writes. The tasks of a gang stop together.
--- a/internal/tuning/call_errors.go
+++ b/internal/tuning/call_errors.go
@@ -10,6 +10,6 @@
 	// MaxErrorKinds is the maximum number of kinds of refused calls that are counted separately
 	// between two log lines; a few dozen exist.
 	MaxErrorKinds = 100
-	// ErrorSampleBytes is how many bytes of a kind's first response are logged.
+	// ErrorSampleBytes is the number of bytes of a kind's first response that are logged.
 	ErrorSampleBytes = 120
 )
--- a/internal/tuning/calls.go
+++ b/internal/tuning/calls.go
@@ -26,9 +26,9 @@
 	// QueryRetry is the minimum pause between two reads of the epoch while the budget delays calls,
 	// and the time after which a read of the epoch without an answer is followed by another.
 	QueryRetry = 400 * time.Millisecond
-	// MaxPendingQueries is the number of waiting queries beyond which more are refused: one for
-	// each connection that users may hold with some 8,000 sockets, and enough for a job on each of
-	// 4,000 machines.
+	// MaxPendingQueries is the maximum number of waiting queries; more are refused. It allows one
+	// for each connection that users may hold with some 8,000 sockets, and suffices for a job on
+	// each of 4,000 machines.
 	MaxPendingQueries = 5000
 	// MaxPendingReads is the maximum number of queries that wait for a read of their own. At 20
 	// reads a second and controller, more of them would exceed QueryTimeout.
@@ -36,19 +36,19 @@
 	// MaxShedJobs is the number of jobs for which refused queries are remembered, so that the
 	// next query about such a job goes first.
 	MaxShedJobs = 4000
-	// ReadDeadline is the time that a query waits for its own read before the read may also use
-	// the share that ReservedReadShare reserves for other calls. A read that must be repeated is repeated
-	// only within this time.
+	// ReadDeadline is the time that a query waits for its own read before the read may also use the
+	// share that ReservedReadShare reserves for other calls. A read that must be repeated is
+	// repeated only within this time.
 	ReadDeadline = 300 * time.Millisecond
-	// MaxReadAge is the maximum duration of such a read whose answer may show that a job is live or
-	// unknown: after that the answer is too old. Most reads take 10 ms.
+	// MaxReadAge is the maximum duration of such a read for its answer to count if it shows that a
+	// job is live or unknown: an answer that took longer may be out of date. Most reads take 10 ms.
 	MaxReadAge = 30 * time.Millisecond
-	// AckDelay is how long a new acknowledgement, that a job is accepted or has ended, is held
-	// back after it was passed on to the other controllers. By then none of them can still send an
-	// answer that is older.
+	// AckDelay is how long a new acknowledgement, that a job is accepted or has ended, is held back
+	// after it was passed on to the other controllers. By then none of them can still send an older
+	// answer.
 	AckDelay = MaxReadAge
-	// AckSettledAfter is the age at which an acceptance is no longer a new acknowledgement: no controller
-	// can still hold an answer that the job is unknown.
+	// AckSettledAfter is the age at which an acceptance is no longer a new acknowledgement: no
+	// controller can still hold an answer that the job is unknown.
 	AckSettledAfter = time.Second
 	// MaxAcks is the number of jobs whose last acknowledgement is kept: 50 a second for 160 s.
 	MaxAcks = 8192
@@ -58,15 +58,16 @@
 	// QueryUnverifiedAfter is the age at which a query is answered even from a mirror that is not
 	// known to be as recent as MaxReadAge. Users wait for 2 s, which leaves time to try for proof.
 	QueryUnverifiedAfter = 600 * time.Millisecond
-	// ReservedReadShare is the share of a second's requests that reads for queries leave to other calls.
+	// ReservedReadShare is the share of a second's requests that reads for queries leave to other
+	// calls.
 	ReservedReadShare = 0.25
 	// WatchGap is the minimum pause between two watches, so that a busy store does not cost one
 	// request per change. Gossip from another controller cuts it short.
 	WatchGap = 40 * time.Millisecond
 	// CloudTimeout is the timeout of a call to the cloud. Launches can be slow.
 	CloudTimeout = 8 * time.Second
-	// CommandTimeout is the timeout of a direct call to an agent. An unanswered command makes its
-	// machine doubtful.
+	// CommandTimeout is the timeout of a direct call to an agent. After an unanswered command the
+	// machine gets no new tasks for UnansweredBackoff.
 	CommandTimeout = 1500 * time.Millisecond
 	// ListPage is the number of items per page of a listing of the state service. At some 200
 	// bytes an item a page stays far below the service's 512 KiB; its own limit is 1000 items.
@@ -87,43 +88,44 @@
 	// UserQueue is the maximum number of users' calls that may wait for the rate budget. The limit
 	// is lower where the controller's share of the requests serves fewer within UserCallWait.
 	UserQueue = 60
-	// MinUserQueue is the minimum of that limit.
+	// MinUserQueue is the minimum of that lower limit.
 	MinUserQueue = 10
 	// UserCallWait is the time within which users' waiting calls should be served. Users give up
 	// after 5 s, or 2 s for a query, and a call that is made after that is wasted.
 	UserCallWait = 2 * time.Second
 	// MaxRateLimitRetries is the number of times that a call refused with 429 is sent again.
 	MaxRateLimitRetries = 3
-	// StateBudgetShare is the share of the state service's limits that all controllers together plan to
-	// use. The rest covers differences of clocks and bursts.
+	// StateBudgetShare is the share of the state service's limits that all controllers together
+	// plan to use. The rest covers differences of clocks and bursts.
 	StateBudgetShare = 0.9
 	// CloudBudget is the share of the cloud's limits that the leader plans to use. The rest covers
 	// an old leader, which may still call the cloud for a moment.
 	CloudBudget = 0.7
 	// WriteOvercommit is the factor by which a follower may plan more writes than its even share,
-	// since not all controllers write at once. A write too many is refused and repeated, at no
-	// risk.
+	// since not all controllers write at once. A write beyond the limit is refused and repeated,
+	// which does no harm.
 	WriteOvercommit = 1.5
-	// LeaderOvercommit is that factor for the leader.
+	// LeaderOvercommit is the corresponding factor for the leader.
 	LeaderOvercommit = 1.3
 	// WriteShareAdaptInterval is the interval at which a controller adapts its share of the writes
 	// to what it needs. Without that the leader's share was exhausted on days on which half of the
 	// limit was unused.
 	WriteShareAdaptInterval = time.Second
-	// WriteShareIncrease is added to the factor on its share while a controller lacks writes.
+	// WriteShareIncrease is added to the factor on a controller's share at each adaptation before
+	// which it lacked writes.
 	WriteShareIncrease = 0.15
 	// WriteShareBackoff is what that factor is multiplied by when the state service refuses a
 	// write.
 	WriteShareBackoff = 0.75
-	// RecordRemovalOverdue is the time after which the record of a deleted machine is removed even without
-	// spare write budget.
+	// RecordRemovalOverdue is the time after which the record of a deleted machine is removed even
+	// without spare write budget.
 	RecordRemovalOverdue = 10 * time.Second
 	// AssignLateAfter is the time after which a leader runs a scheduling cycle, and frees the tasks
 	// of deleted machines, even if it is behind with its writes. After the loss of many machines
 	// it may be behind for long.
 	AssignLateAfter = time.Second
-	// MinBatchWrites is the number of writes that the budget must allow for a scheduling cycle
-	// while writes are scarce: larger task ranges take fewer writes per task.
+	// MinBatchWrites is the number of writes that the budget must allow for a scheduling cycle to
+	// start while writes are scarce: larger task ranges take fewer writes per task.
 	MinBatchWrites = 4
 	// LeaderShare is the leader's share of the state service's budget. It releases tasks, closes
 	// jobs and scales the cluster. The followers split the rest evenly.
--- a/internal/tuning/cancellation.go
+++ b/internal/tuning/cancellation.go
@@ -20,11 +20,11 @@
 	// longer than that many seconds proves nothing that a later one does not.
 	ProofRounds = 8
 	// WatchHoldShare is the maximum share of the renewal time (cancel_s - lease_s - ProofMargin)
-	// that a watch may be held open, where that is less than WatchHold.
+	// for which a watch may be held open, where that is less than WatchHold.
 	WatchHoldShare = 0.25
 	// MaxAckLogEntries is the number of cancellations acknowledged by this process that are kept:
-	// two seconds of a burst of 2,000 a second. A peer that has not received a dropped entry
-	// proves nothing by its answers.
+	// two seconds of a burst of 2,000 a second. The answers of a peer that has not received a
+	// dropped entry prove nothing.
 	MaxAckLogEntries = 4096
 	// MaxPeerCancellations is the maximum number of cancellations acknowledged by all other
 	// controllers that are kept until the mirror shows them.
@@ -48,7 +48,7 @@
 	MaxStopRelayCalls = 16
 	// StopRelayRetry is the pause before such a machine is called again.
 	StopRelayRetry = 2 * time.Second
-	// StopRelayRetryClean is that pause if the machine held no cancelled task: a launch may still
-	// arrive there.
+	// StopRelayRetryClean replaces StopRelayRetry if the machine held no cancelled task: a launch
+	// may still arrive there.
 	StopRelayRetryClean = 5 * time.Second
 )
--- a/internal/tuning/cli.go
+++ b/internal/tuning/cli.go
@@ -11,7 +11,7 @@
 	MaxDepth = 64
 )
 
-// The command line's client.
+// The command-line client.
 const (
 	// ClientTimeout is the timeout of a request to one controller. The protocol gives users 5 s.
 	ClientTimeout = 5 * time.Second
@@ -19,7 +19,7 @@
 	ClientPause = time.Second
 	// MaxClientPause is the longest pause that a response may ask for (protocol).
 	MaxClientPause = 30 * time.Second
-	// ClientPatience is the default of how long a request is repeated (protocol).
+	// ClientPatience is the default time for which a request is repeated (protocol).
 	ClientPatience = 60 * time.Second
 	// ClientPoll is the interval at which the client polls for what it waits for. A controller
 	// answers from memory.
--- a/internal/tuning/membership.go
+++ b/internal/tuning/membership.go
@@ -12,14 +12,14 @@
 	// MemberTTL.
 	MemberRenew = 1200 * time.Millisecond
 	// UnreachableOwnerAfter is the time after which an agent that keeps calling other controllers,
-	// although they redirect it to its owner, proves that it cannot reach the owner. It is longer
+	// although they redirect it to its owner, counts as unable to reach the owner. It is longer
 	// than MemberTTL, so that an owner that has just ended does not count.
 	UnreachableOwnerAfter = 6 * time.Second
 	// ComplaintGap is the maximum pause between two calls of an agent to other controllers that
 	// count as one series.
 	ComplaintGap = 9 * time.Second
-	// MaxPeerHeard is the time since another controller heard a machine within which the machine is
-	// not given up: then its owner is the one that is partitioned.
+	// MaxPeerHeard is the maximum time for which a machine is not given up after another controller
+	// received a heartbeat from it: until then its owner is taken to be the partitioned one.
 	MaxPeerHeard = 12 * time.Second
 	// MaxUnreached is the maximum number of machines named in one gossip message, as many as a
 	// controller has sessions for. A controller of the previous version reads only the first 200.
@@ -40,58 +40,59 @@
 	// GossipEvery is the interval at which controllers send each other their state.
 	GossipEvery = 500 * time.Millisecond
 	// ProbeTimeout is how long a member whose connection has ended may leave a probe unanswered. A
-	// live one sees it by its watch (some 60 ms) and answers with one transaction (10 ms, now and
-	// then a few hundred). A false alarm costs two view changes. In a simulated day of refused
-	// connections the answers took 0.03 to 0.37 s.
+	// live member sees the probe by its watch (some 60 ms) and answers with one transaction (10 ms,
+	// occasionally a few hundred). A false alarm costs two view changes. In a simulated day of
+	// refused connections the answers took 0.03 to 0.37 s.
 	ProbeTimeout = 500 * time.Millisecond
-	// ProbeTimeoutMany is that time where several connections ended together, or where a
-	// connection ended again whose member had answered a probe: there the network is more likely
-	// to be the cause.
+	// ProbeTimeoutMany replaces ProbeTimeout if several connections ended together, or if the
+	// connection to a member that had answered a probe ended again: the network is then the
+	// likelier cause.
 	ProbeTimeoutMany = 1500 * time.Millisecond
 	// ProbeStagger is how much longer each successor waits before it acts on a suspicion than the
-	// one before it, which may have ended as well.
+	// successor before it, which may have ended as well.
 	ProbeStagger = 300 * time.Millisecond
 	// ProbePause is how long a member that has answered a probe is not probed again, doubled each
-	// time up to MaxProbePause: whatever ended its connection may last.
+	// time up to MaxProbePause: the fault that ended its connection may persist.
 	ProbePause = 2 * time.Second
-	// MaxProbePause is the maximum of that pause.
+	// MaxProbePause is the maximum of ProbePause after doubling.
 	MaxProbePause = 60 * time.Second
-	// ProbeForgetAfter is the time without a probe after which that pause is reset.
+	// ProbeForgetAfter is the time without a probe after which the pause is ProbePause again.
 	ProbeForgetAfter = 5 * time.Minute
-	// RejoinStable is how long an incarnation of a member must run for its end not to count as a
-	// restart in a row.
+	// RejoinStable is the time that an incarnation of a member must run for the count of its ends
+	// in a row to start anew.
 	RejoinStable = 10 * time.Second
 	// RejoinPause is the pause before a member that has ended at least twice in a row, each time
 	// before RejoinStable, is admitted to the view. It doubles each time up to MaxRejoinPause.
 	RejoinPause = time.Second
-	// MaxRejoinPause is the maximum of that pause.
+	// MaxRejoinPause is the maximum of RejoinPause after doubling.
 	MaxRejoinPause = 8 * time.Second
 	// WarmStandbys is the number of followers that are kept ready to lead at once.
 	WarmStandbys = 2
 	// UnfitLag is the lag from which a leader counts as behind.
 	UnfitLag = time.Second
-	// UnfitFor is how long a leader must be behind before it hands over its leadership. A single
-	// stall or slow pass is no reason to.
+	// UnfitFor is how long a leader must be behind before it hands over its leadership, so that a
+	// single stall or slow pass does not cause a handover.
 	UnfitFor = 3 * time.Second
 	// HandOverPause is the pause before a controller hands over again, doubled each time up to
 	// MaxHandOverPause.
 	HandOverPause = 30 * time.Second
-	// MaxHandOverPause is the maximum of that pause.
+	// MaxHandOverPause is the maximum of HandOverPause after doubling.
 	MaxHandOverPause = 10 * time.Minute
-	// MaxRolloutUnresponsive is the share of its machines that an owner may receive no heartbeats
-	// of while another controller is ended for a rollout.
+	// MaxRolloutUnresponsive is the maximum share of an owner's machines that may be unresponsive
+	// for a rollout to end a controller.
 	MaxRolloutUnresponsive = 0.1
-	// RolloutStableFor is how long a controller must have been free to be ended before a rollout
-	// ends it.
+	// RolloutStableFor is how long nothing must have prevented a rollout from ending a controller
+	// before it does so.
 	RolloutStableFor = 10 * time.Second
-	// RolloutPollEvery is the interval at which a rollout that waits for that checks it.
+	// RolloutPollEvery is the interval at which a waiting rollout checks whether it may end a
+	// controller.
 	RolloutPollEvery = time.Second
 	// DrainUsersFor is how long a controller that was asked to end still serves users while it
 	// reports itself unhealthy: two failed probes of the load balancer, a second apart, and a
 	// margin.
 	DrainUsersFor = 2500 * time.Millisecond
-	// ShutdownTimeout is the time after DrainUsersFor within which such a controller ends, whether it has
-	// left the view or not.
+	// ShutdownTimeout is the time after DrainUsersFor within which such a controller ends, whether
+	// it has left the view or not.
 	ShutdownTimeout = 3 * time.Second
 	// PeerFresh is the age at which a peer's gossip is no longer trusted.
 	PeerFresh = 3 * time.Second
--- a/internal/tuning/pipelines.go
+++ b/internal/tuning/pipelines.go
@@ -28,8 +28,8 @@
 	// evaluated for all combinations of their outcomes (4 to the 5th), to find out whether it can
 	// ever hold.
 	OutcomeCombinations = 5
-	// StepDoubt is the default of how long a step's job may fail on every machine before it counts
-	// as failed. At first a machine is probed about every ten seconds.
+	// StepDoubt is the default time for which a step's job may fail on every machine before it
+	// counts as failed. At first a machine is probed about every ten seconds.
 	StepDoubt = 120 * time.Second
 	// StepStateBytes is the maximum number of bytes that a step takes in its run's record: state,
 	// repeats, three times and cause, plus a third for the text encoding.
@@ -37,10 +37,10 @@
 	// RunHeadBytes is the number of bytes that a run's record takes besides its document and
 	// steps.
 	RunHeadBytes = 300
-	// MaxRuns is the default of the number of live runs beyond which new ones are refused.
+	// MaxRuns is the default maximum number of live runs; more are refused.
 	MaxRuns = 2000
-	// MaxRunSteps is the default of the number of steps of live runs that have not ended, beyond
-	// which new runs are refused.
+	// MaxRunSteps is the default maximum number of steps of live runs that have not ended; runs
+	// beyond it are refused.
 	MaxRunSteps = 20000
 	// RunWriteShare is the default share of a controller's writes that runs may take. Decisions that
 	// the protocol's rules depend on go first.
@@ -63,7 +63,8 @@
 	// cancel it. The user's client retries after a second.
 	CancelFirst = 3 * time.Second
 	// CancelAttempts is the maximum number of attempts to cancel a run, each on a newer record of
-	// it, before the request is refused. The owner's changes come between at most once or twice.
+	// it, before the request is refused. The owner's own changes conflict with it at most once or
+	// twice.
 	CancelAttempts = 3
 	// PlanCache is the maximum number of compiled plans in the cache.
 	PlanCache = 64
--- a/internal/tuning/records.go
+++ b/internal/tuning/records.go
@@ -23,14 +23,14 @@
 	// reading one.
 	MaxBatchTasks = 20_000
 	// BatchEvery is the minimum pause between two scheduling cycles that write batch records, and
-	// between two commits of an owner's ended tasks. What one cycle places, and what ends
-	// meanwhile, then shares records. While writes are scarce the pause for ends is GatherFor. The
-	// first commit after a longer pause does not wait.
+	// between two commits of an owner's ended tasks. The tasks that one cycle places, and those
+	// that end meanwhile, then share records. While writes are scarce the pause for ended tasks is
+	// GatherFor. The first commit after a longer pause does not wait.
 	BatchEvery = 300 * time.Millisecond
 	// BatchEveryScarce is the pause between scheduling cycles while writes are scarce.
 	BatchEveryScarce = 400 * time.Millisecond
-	// TasksPerBatchWrite is the number of placed tasks that count as one write of a batch record when
-	// a scheduling cycle estimates its writes.
+	// TasksPerBatchWrite is the number of placed tasks that count as one write of a batch record
+	// when a scheduling cycle estimates its writes.
 	TasksPerBatchWrite = 6
 	// TxnBytes is the estimated size, in bytes, up to which a transaction is filled. Its real size
 	// is checked before it is sent and must not exceed MaxRequestBody.
@@ -40,13 +40,13 @@
 	// each. 4,000 names of 12 bytes take 60,000.
 	MaxClaimBytes = 60 << 10
 	// MaxQuarantined is the maximum number of decisions in quarantine: those that no transaction
-	// can hold or that the state service refused. They are caused by faults of a program, one of
-	// which may produce a decision for each machine.
+	// can hold or that the state service refused. They are caused by a fault in a program, which
+	// may produce a decision for each machine.
 	MaxQuarantined = 5000
-	// QuarantineFirst is the time for which a decision is quarantined, doubled each time up to
-	// MaxQuarantine. Each refusal costs a request and two log lines, and is not resolved before
+	// QuarantineFirst is the time for which a decision is first quarantined, doubled each time up
+	// to MaxQuarantine. Each refusal costs a request and two log lines, and is not resolved before
 	// the state or the service changes.
 	QuarantineFirst = 10 * time.Second
-	// MaxQuarantine is the maximum of that time.
+	// MaxQuarantine is the maximum of QuarantineFirst after doubling.
 	MaxQuarantine = 10 * time.Minute
 )
--- a/internal/tuning/recovery.go
+++ b/internal/tuning/recovery.go
@@ -4,11 +4,12 @@
 
 // Reconciliation: what a controller that starts does until it knows its machines' tasks.
 const (
-	// ReconcileHeartbeatIntervals is the number of heartbeat intervals, on top of ReconcileSlack, after which
-	// every machine that runs has sent two heartbeats, the second under this view's fencing token,
-	// and has been called directly.
+	// ReconcileHeartbeatIntervals is the number of heartbeat intervals, on top of ReconcileSlack,
+	// after which every running machine has sent two heartbeats, the second under this view's
+	// fencing token, and has been called directly.
 	ReconcileHeartbeatIntervals = 2.0
-	// ReconcileSlack is the fixed part of that time.
+	// ReconcileSlack is the fixed part of the time of which ReconcileHeartbeatIntervals is the
+	// other part.
 	ReconcileSlack = 2 * time.Second
 	// MaxReconcile is the time after which reconciliation ends in any case. Remaining differences
 	// are then handled as in normal operation.
@@ -32,6 +33,7 @@
 	// that have. Each machine that died holds a call for CommandTimeout: 80 of them held all 64
 	// calls for ten seconds.
 	AwaitedCalls = 44
-	// DoubtedCalls is that number for machines that have left a call unanswered.
+	// DoubtedCalls is the limit, in place of AwaitedCalls, for machines that have left a call
+	// unanswered.
 	DoubtedCalls = 12
 )
--- a/internal/tuning/tasks.go
+++ b/internal/tuning/tasks.go
@@ -10,7 +10,7 @@
 	// Backoff is the pause after a task's first failure, doubled each time up to BackoffMax. A job
 	// that fails everywhere thus costs little.
 	Backoff = 500 * time.Millisecond
-	// BackoffMax is the maximum of that pause.
+	// BackoffMax is the maximum of Backoff after doubling.
 	BackoffMax = 30 * time.Second
 	// ErrorsBlame is the number of different machines on which a job's tasks must have failed for
 	// the job itself to be to blame. Its failures then count against no machine.
@@ -24,7 +24,7 @@
 	// ErrorsFaulty is the number of different blameless jobs whose tasks must have failed on a
 	// machine, without a success in between, for the machine to be faulty. It is then deleted.
 	ErrorsFaulty = 2
-	// ErrorBackoff is how long a machine gets no new tasks after a failure, so that a faulty one does
-	// not drain the queue.
+	// ErrorBackoff is how long a machine gets no new tasks after a failure, so that a faulty one
+	// does not drain the queue.
 	ErrorBackoff = 12 * time.Second
 )
