--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -37,22 +37,22 @@
 bundle: b
 `
 
-// fakeController gives the next of its answers to each request. Without any left, requests fail
+// fakeController gives the next of its responses to each request. Once none is left, requests fail
 // with a network error.
 type fakeController struct {
-	answers  []string // "STATUS BODY"
-	requests []string // "METHOD TARGET BODY"
+	responses []string // "STATUS BODY"
+	requests  []string // "METHOD TARGET BODY"
 }
 
 func (f *fakeController) do(_, method, target string, body []byte) (*http1.Message, error) {
 	f.requests = append(f.requests, method+" "+target+" "+string(body))
-	if len(f.answers) == 0 {
+	if len(f.responses) == 0 {
 		return nil, io.ErrUnexpectedEOF
 	}
-	status, answer, _ := strings.Cut(f.answers[0], " ")
-	f.answers = f.answers[1:]
+	status, response, _ := strings.Cut(f.responses[0], " ")
+	f.responses = f.responses[1:]
 	code, err := strconv.Atoi(status)
-	return &http1.Message{Status: code, Body: []byte(answer)}, err
+	return &http1.Message{Status: code, Body: []byte(response)}, err
 }
 
 // execute runs a command line against a fake controller, with a fake clock. It returns the exit
@@ -76,9 +76,9 @@
 	return code, outBuffer.String(), errBuffer.String() + text
 }
 
-// runAnswer returns a controller's response about a run of pipelineFile, with the states of the run
+// runResponse returns a controller's response about a run of pipelineFile, with the states of the run
 // and of its steps a and b.
-func runAnswer(state pipelines.RunState, a, b pipelines.StepState) string {
+func runResponse(state pipelines.RunState, a, b pipelines.StepState) string {
 	status := pipelines.Status{
 		ID:        "run-x",
 		Name:      "p",
@@ -123,11 +123,11 @@
 		pipelines.RunCancelled: ExitCancelled,
 	} {
 		t.Run(string(end), func(t *testing.T) {
-			f := &fakeController{answers: []string{
-				runAnswer(pipelines.RunLive, pipelines.Submitted, pipelines.Waiting),
+			f := &fakeController{responses: []string{
+				runResponse(pipelines.RunLive, pipelines.Submitted, pipelines.Waiting),
 				"503 {}",
-				runAnswer(pipelines.RunLive, pipelines.Succeeded, pipelines.Submitted),
-				runAnswer(end, pipelines.Succeeded, pipelines.Cancelled),
+				runResponse(pipelines.RunLive, pipelines.Succeeded, pipelines.Submitted),
+				runResponse(end, pipelines.Succeeded, pipelines.Cancelled),
 			}}
 			code, out, _ := execute(t, f, 0, "pipeline", "run", name, "--id", "run-x", "--server", "a:1")
 			if code != wantCode {
@@ -148,9 +148,9 @@
 
 // With JSON output, every line is an object that names its event.
 func TestJSONOutputHasOneEventPerLine(t *testing.T) {
-	f := &fakeController{answers: []string{
-		runAnswer(pipelines.RunLive, pipelines.Submitted, pipelines.Waiting),
-		runAnswer(pipelines.RunFailed, pipelines.Failed, pipelines.Skipped),
+	f := &fakeController{responses: []string{
+		runResponse(pipelines.RunLive, pipelines.Submitted, pipelines.Waiting),
+		runResponse(pipelines.RunFailed, pipelines.Failed, pipelines.Skipped),
 	}}
 	name := writeFile(t, pipelineFile)
 	code, out, _ := execute(t, f, 24, "pipeline", "run", name, "--server", "a:1", "-o", "json")
@@ -174,9 +174,9 @@
 }
 
 func TestRunTableIsRedrawnInPlace(t *testing.T) {
-	f := &fakeController{answers: []string{
-		runAnswer(pipelines.RunLive, pipelines.Running, pipelines.Waiting),
-		runAnswer(pipelines.RunSucceeded, pipelines.Succeeded, pipelines.Succeeded),
+	f := &fakeController{responses: []string{
+		runResponse(pipelines.RunLive, pipelines.Running, pipelines.Waiting),
+		runResponse(pipelines.RunSucceeded, pipelines.Succeeded, pipelines.Succeeded),
 	}}
 	_, out, _ := execute(t, f, 24, "pipeline", "run", writeFile(t, pipelineFile), "--server", "a:1")
 	if strings.Count(out, "\x1b[4A\x1b[J") != 1 || strings.Count(out, "STEP") != 2 {
@@ -199,13 +199,13 @@
 	}
 }
 
-// commandCase is a command line with a controller's response and the expected result. If answer is
-// empty, the command sends no request or reaches no controller.
+// commandCase is a command line with a controller's response and the expected result. If response
+// is empty, the command sends no request or reaches no controller.
 type commandCase struct {
-	args   string
-	answer string
-	code   int
-	errOut string // text that standard error must contain
+	args     string
+	response string
+	code     int
+	errOut   string // text that standard error must contain
 }
 
 func checkCommands(t *testing.T, cases map[string]commandCase) {
@@ -213,8 +213,8 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			f := &fakeController{}
-			if c.answer != "" {
-				f.answers = []string{c.answer}
+			if c.response != "" {
+				f.responses = []string{c.response}
 			}
 			code, out, errOut := execute(t, f, 0, strings.Fields(c.args)...)
 			if code != c.code || !strings.Contains(errOut, c.errOut) {
@@ -230,20 +230,20 @@
 		`"faults":[{"path":"steps[1]","want":"can never run: unknown team"}]}`
 	checkCommands(t, map[string]commandCase{
 		"detached": {
-			args:   run + " --server a:1 --detach",
-			answer: runAnswer(pipelines.RunLive, pipelines.Ready, pipelines.Waiting),
+			args:     run + " --server a:1 --detach",
+			response: runResponse(pipelines.RunLive, pipelines.Ready, pipelines.Waiting),
 		},
 		"step can never run": {
-			args:   run + " --server a:1",
-			answer: neverRuns,
-			code:   2,
-			errOut: "p.yaml:6:5: steps[1]: can never run: unknown team",
+			args:     run + " --server a:1",
+			response: neverRuns,
+			code:     2,
+			errOut:   "p.yaml:6:5: steps[1]: can never run: unknown team",
 		},
 		"id is in use": {
-			args:   run + " --server a:1",
-			answer: `409 {"error":"another pipeline has this id"}`,
-			code:   2,
-			errOut: "another pipeline",
+			args:     run + " --server a:1",
+			response: `409 {"error":"another pipeline has this id"}`,
+			code:     2,
+			errOut:   "another pipeline",
 		},
 		"invalid id":            {args: run + " --server a:1 --id RUN", code: 2, errOut: "--id"},
 		"no server is given":    {args: run, code: 2, errOut: "HARRIERREEL_SERVER"},
@@ -256,23 +256,23 @@
 }
 
 func TestPipelineStatusExitCodes(t *testing.T) {
-	failed := runAnswer(pipelines.RunFailed, pipelines.Failed, pipelines.Skipped)
+	failed := runResponse(pipelines.RunFailed, pipelines.Failed, pipelines.Skipped)
 	checkCommands(t, map[string]commandCase{
-		"status of a failed run": {args: "pipeline status run-x --server a:1", answer: failed},
-		"wait for a failed run":  {args: "pipeline status run-x --wait --server a:1", answer: failed, code: 1},
+		"status of a failed run": {args: "pipeline status run-x --server a:1", response: failed},
+		"wait for a failed run":  {args: "pipeline status run-x --wait --server a:1", response: failed, code: 1},
 		"status of an unknown run": {
-			args:   "pipeline status run-x --server a:1",
-			answer: `404 {"error":"no such run"}`,
-			code:   2,
-			errOut: "no such run",
+			args:     "pipeline status run-x --server a:1",
+			response: `404 {"error":"no such run"}`,
+			code:     2,
+			errOut:   "no such run",
 		},
 		"cancel": {
-			args:   "pipeline cancel run-x --server a:1",
-			answer: runAnswer(pipelines.RunCancelled, pipelines.Cancelled, pipelines.Cancelled),
+			args:     "pipeline cancel run-x --server a:1",
+			response: runResponse(pipelines.RunCancelled, pipelines.Cancelled, pipelines.Cancelled),
 		},
 		"explain": {
-			args:   "pipeline explain run-x --server a:1",
-			answer: runAnswer(pipelines.RunLive, pipelines.Running, pipelines.Waiting),
+			args:     "pipeline explain run-x --server a:1",
+			response: runResponse(pipelines.RunLive, pipelines.Running, pipelines.Waiting),
 		},
 	})
 }
@@ -282,14 +282,14 @@
 	checkCommands(t, map[string]commandCase{
 		"show": {
 			args: "quota show --server a:1",
-			answer: `200 {"number":2,"nodes":[{"path":"kenya/pricing","kind":"team","depth":2,` +
+			response: `200 {"number":2,"nodes":[{"path":"kenya/pricing","kind":"team","depth":2,` +
 				`"used":{"accelerators":4},"waiting":3}]}`,
 		},
 		"show without quotas": {
-			args:   "quota show --server a:1",
-			answer: `404 {"error":"no such path"}`,
-			code:   2,
-			errOut: "no such path",
+			args:     "quota show --server a:1",
+			response: `404 {"error":"no such path"}`,
+			code:     2,
+			errOut:   "no such path",
 		},
 		"apply without a flag": {
 			args:   "quota apply " + writeFile(t, "quotas {}\n") + " --server a:1",
@@ -313,21 +313,21 @@
 	const cancelled = `200 {"uid":"wk-1","status":"cancelled"}`
 	checkCommands(t, map[string]commandCase{
 		"status": {
-			args:   "status wk-1 --server a:1",
-			answer: `200 {"uid":"wk-1","status":"running","done":1,"running":2}`,
+			args:     "status wk-1 --server a:1",
+			response: `200 {"uid":"wk-1","status":"running","done":1,"running":2}`,
 		},
 		"invalid id":               {args: "status x --server a:1", code: 2, errOut: "no job's uid"},
-		"cancel":                   {args: "cancel wk-1 --server a:1", answer: cancelled},
-		"wait for a cancelled job": {args: "wait wk-1 --server a:1", answer: cancelled, code: 3},
+		"cancel":                   {args: "cancel wk-1 --server a:1", response: cancelled},
+		"wait for a cancelled job": {args: "wait wk-1 --server a:1", response: cancelled, code: 3},
 		"wait for a job that is done": {
-			args:   "wait wk-1 --server a:1 -o json",
-			answer: `200 {"uid":"wk-1","status":"done","done":1}`,
+			args:     "wait wk-1 --server a:1 -o json",
+			response: `200 {"uid":"wk-1","status":"done","done":1}`,
 		},
 		"unknown output format": {args: "wait wk-1 --server a:1 -o yaml", code: 2, errOut: "--output"},
 		"wait for no job":       {args: "wait --server a:1", code: 2, errOut: "requires at least 1 arg"},
 		"submit": {
-			args:   "submit " + writeFile(t, jobFile) + " --server a:1",
-			answer: `201 {"uid":"wk-1","status":"pending"}`,
+			args:     "submit " + writeFile(t, jobFile) + " --server a:1",
+			response: `201 {"uid":"wk-1","status":"pending"}`,
 		},
 		"submit a file with faults": {
 			args:   "submit " + writeFile(t, "owner: t\npieces: 0\n") + " --server a:1",
@@ -339,14 +339,14 @@
 
 // The reason why a job will be late is printed below the table, or in the job's JSON line.
 func TestLateJobIsShownWithReason(t *testing.T) {
-	const answer = `200 {"uid":"wk-1","status":"running","done":1,"running":2,` +
+	const response = `200 {"uid":"wk-1","status":"running","done":1,"running":2,` +
 		`"late":"its deadline passed 3 s ago with 2 tasks left"}`
 	for format, want := range map[string]string{
 		"text": "wk-1  running  1     2\nwk-1: its deadline passed 3 s ago with 2 tasks left\n",
 		"json": `"late":"its deadline passed 3 s ago with 2 tasks left"`,
 	} {
 		t.Run(format, func(t *testing.T) {
-			f := &fakeController{answers: []string{answer}}
+			f := &fakeController{responses: []string{response}}
 			_, out, _ := execute(t, f, 0, "status", "wk-1", "--server", "a:1", "-o", format)
 			if !strings.Contains(out, want) {
 				t.Errorf("output %q, want %q", out, want)
@@ -371,9 +371,9 @@
 	const request = `POST /quota {"base":7,"quotas":{"organisations":[` +
 		`{"name":"kenya","limit":{"accelerators":8}}]}}`
 	for result, c := range map[string]struct {
-		answer string
-		code   int
-		text   string
+		response string
+		code     int
+		text     string
 	}{
 		"in force":               {`200 {"number":8}`, ExitDone, "tree 8 is in force"},
 		"another tree meanwhile": {`409 {"number":8}`, ExitUsage, "another tree was put in force meanwhile"},
@@ -381,7 +381,7 @@
 		"unavailable":            {`503 {}`, ExitUnreachable, "no controller reachable"},
 	} {
 		t.Run(result, func(t *testing.T) {
-			f := &fakeController{answers: []string{`200 {"number":7,"nodes":[]}`, c.answer}}
+			f := &fakeController{responses: []string{`200 {"number":7,"nodes":[]}`, c.response}}
 			code, out, errOut := execute(t, f, 0, "quota", "apply", name, "--yes", "--server", "a:1")
 			if code != c.code || !strings.Contains(out+errOut, c.text) {
 				t.Errorf("exit code %d: %s%s; want %d: %s", code, out, errOut, c.code, c.text)
@@ -394,7 +394,7 @@
 }
 
 func TestQuotaDryRunShowsOverLimitAndStops(t *testing.T) {
-	f := &fakeController{answers: []string{
+	f := &fakeController{responses: []string{
 		`200 {"number":7}`,
 		`200 {"number":7,"over":[{"path":"kenya","by":{"accelerators":2}}],` +
 			`"stops":[{"task":"wk-1/0","path":"kenya"}]}`,
@@ -410,7 +410,7 @@
 // A job without an ID gets a random one in the protocol's format. The request has all required
 // fields, including those that the file omits.
 func TestSubmitSendsRandomIDAndAllFields(t *testing.T) {
-	f := &fakeController{answers: []string{`201 {"uid":"wk-1","status":"pending"}`}}
+	f := &fakeController{responses: []string{`201 {"uid":"wk-1","status":"pending"}`}}
 	name := writeFile(t, `{"owner":"t","shape":"standing","rank":"prod","jobclass":"c","pieces":2,`+
 		`"cores":1,"memory_gb":1,"bundle":"b","scatter":true}`)
 	execute(t, f, 0, "submit", name, "--server", "a:1")
--- a/internal/cli/golden_test.go
+++ b/internal/cli/golden_test.go
@@ -91,8 +91,8 @@
 
 // goldenCase is a command line with a controller's responses to its requests.
 type goldenCase struct {
-	args    string
-	answers []string
+	args      string
+	responses []string
 }
 
 func goldenJobCases() []goldenCase {
@@ -165,7 +165,7 @@
 			if args[0] != "calendar" && !strings.HasPrefix(c.args, "pipeline check") {
 				args = append(args, "--server", "a:1")
 			}
-			f := &fakeController{answers: c.answers}
+			f := &fakeController{responses: c.responses}
 			code, printed, errOut := execute(t, f, 0, append(args, "-o", format)...)
 			fmt.Fprintf(&out, "## %s, as %s: ends with %d\n", c.args, format, code)
 			for _, request := range f.requests {
@@ -179,7 +179,7 @@
 
 // The output on a terminal matches the golden file.
 func TestGoldenTable(t *testing.T) {
-	f := &fakeController{answers: []string{goldenRun(t, pipelines.RunLive), goldenRun(t, pipelines.RunSucceeded)}}
+	f := &fakeController{responses: []string{goldenRun(t, pipelines.RunLive), goldenRun(t, pipelines.RunSucceeded)}}
 	_, out, _ := execute(t, f, 12, "pipeline", "run", "testdata/golden/pipeline.yaml", "--id", "run-x", "--server", "a:1")
 	goldentest.Bytes(t, "drawn.txt", []byte(out))
 }
@@ -216,7 +216,7 @@
 			return &http1.Message{Status: status, Body: []byte(`{"error":"x"}`), RetryAfter: 1}, nil
 		}
 		fmt.Fprintf(&out, "answered %d\n", status)
-		answer, err := c.Call("POST", "/work", []byte(`{}`))
+		response, err := c.Call("POST", "/work", []byte(`{}`))
 		if err != nil {
 			fmt.Fprintf(&out, "  %v\n", err)
 			continue
@@ -224,11 +224,11 @@
 		fmt.Fprintf(
 			&out,
 			"  %d %s by %s after %s; %v\n",
-			answer.Status,
-			answer.Body,
-			answer.Server,
+			response.Status,
+			response.Body,
+			response.Server,
 			now.Sub(time.Unix(0, 0)),
-			refusalError("wk-000001", answer),
+			refusalError("wk-000001", response),
 		)
 	}
 	for _, text := range []string{"", "a", "a:1, b:2,", "a:1,b"} {
--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -17,7 +17,7 @@
 	t.Helper()
 	var log []string
 	now := time.Unix(0, 0)
-	answers := strings.Fields(script)
+	responses := strings.Fields(script)
 	c := New([]string{"a:1", "b:1"}, time.Minute)
 	c.Now = func() time.Time { return now }
 	c.Sleep = func(d time.Duration) {
@@ -25,14 +25,14 @@
 		now = now.Add(d)
 	}
 	c.Do = func(server, method, target string, _ []byte) (*http1.Message, error) {
-		answer := "refused"
-		if len(answers) > 0 {
-			answer, answers = answers[0], answers[1:]
+		response := "refused"
+		if len(responses) > 0 {
+			response, responses = responses[0], responses[1:]
 		}
-		log = append(log, server[:1]+" "+answer)
+		log = append(log, server[:1]+" "+response)
 		var status, retryAfter int
-		if n, _ := fmt.Sscanf(answer, "%d/%d", &status, &retryAfter); n == 0 {
-			return nil, errors.New(answer)
+		if n, _ := fmt.Sscanf(response, "%d/%d", &status, &retryAfter); n == 0 {
+			return nil, errors.New(response)
 		}
 		return &http1.Message{Status: status, RetryAfter: retryAfter}, nil
 	}
@@ -54,12 +54,12 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c, log := scriptedClient(t, test.script)
-			answer, err := c.Call("GET", "/x", nil)
+			response, err := c.Call("GET", "/x", nil)
 			if got := strings.Join(*log, ", "); got != test.want {
 				t.Errorf("script %q: got %s, want %s", test.script, got, test.want)
 			}
-			if (err != nil) != (answer == nil) || err != nil && !errors.Is(err, ErrUnreachable) {
-				t.Errorf("script %q: answer %v, error %v", test.script, answer, err)
+			if (err != nil) != (response == nil) || err != nil && !errors.Is(err, ErrUnreachable) {
+				t.Errorf("script %q: response %v, error %v", test.script, response, err)
 			}
 		})
 	}
--- a/internal/scenario/beside_pairs_test.go
+++ b/internal/scenario/beside_pairs_test.go
@@ -16,8 +16,8 @@
 	besidePairFrom = flag.Int("beside-pairs-from", 0, "first seed")
 )
 
-// TestBesidePairs applies the checks of TestPairs to faults that aren't in faultKinds: another
-// entry there would give each seed of TestPairs another pair.
+// TestBesidePairs applies the checks of TestPairs to faults that aren't in faultKinds. They aren't
+// entries there because each further entry would give every seed of TestPairs another pair.
 func TestBesidePairs(t *testing.T) {
 	kinds := []fault{pollBursts, cancelAtEnd, outboundPartition, cancelNow, invalidRequests}
 	for seed := *besidePairFrom; seed < *besidePairFrom+*besidePairs; seed++ {
--- a/internal/scenario/calendar_test.go
+++ b/internal/scenario/calendar_test.go
@@ -32,7 +32,7 @@
 	if err := hclsimple.DecodeFile(filepath.Join("testdata", "calendars", name+".hcl"), nil, &f); err != nil {
 		s.fatal("%v", err)
 	}
-	if _, faults := calendar.Build(&f.Calendar, calendar.Known{}, s.w.Start); len(faults) > 0 {
+	if _, faults := calendar.Build(&f.Calendar, calendar.Known{}, s.sim.Start); len(faults) > 0 {
 		s.fatal("%v", faults)
 	}
 	return &f.Calendar
@@ -50,12 +50,12 @@
 	}
 	s.set.Cluster.ClockOffMs = 500
 	s.scarce = true // jobs that wait for a window start only when it opens
-	s.w.WatchCalendar(func(window string, to calendar.State) {
+	s.sim.WatchCalendar(func(window string, to calendar.State) {
 		if to != calendar.Planned {
 			s.windows.state[window] = to
 		}
 		if to == calendar.Open {
-			s.windows.opened[window] = append(s.windows.opened[window], s.w.Now)
+			s.windows.opened[window] = append(s.windows.opened[window], s.sim.Now)
 		}
 		if words := s.windows.onState[window+" "+string(to)]; words != nil {
 			delete(s.windows.onState, window+" "+string(to))
@@ -183,48 +183,48 @@
 // tracks start within 15 s of the planned opening, on machines rented for them.
 func TestWindowTasksStartWithin15s(t *testing.T) {
 	t.Parallel()
-	w := simulation.NewSimulator(13, slog.New(slog.DiscardHandler))
-	s := &script{t: t, line: "openings", w: w, vars: map[string]string{}, applied: map[string]int{}}
-	s.set = baseSettings(w)
+	sim := simulation.NewSimulator(13, slog.New(slog.DiscardHandler))
+	s := &script{t: t, line: "openings", sim: sim, vars: map[string]string{}, applied: map[string]int{}}
+	s.set = baseSettings(sim)
 	s.set.Cluster.Size = 5
 	s.set.Cluster.Teams = []settings.Team{{Name: "shop", GpusMax: 200}}
-	w.TeamLimits["shop"] = 200
-	w.Cloud.Limit = 200
-	d := openingsCalendar(w.Start)
-	if _, faults := calendar.Build(d, calendar.Known{}, w.Start); len(faults) > 0 {
+	sim.TeamLimits["shop"] = 200
+	sim.Cloud.Limit = 200
+	d := openingsCalendar(sim.Start)
+	if _, faults := calendar.Build(d, calendar.Known{}, sim.Start); len(faults) > 0 {
 		t.Fatal(faults)
 	}
 	s.set.Operator.Calendar = d
 	s.watchCalendar()
-	w.AddNodes(5, s.set)
+	sim.AddNodes(5, s.set)
 	var took []float64
 	for n, track := range []string{"one", "two"} {
 		for i := range 5 {
 			jobID := fmt.Sprintf("wk-%06d", 100*n+i)
 			start := openingsEvery*time.Duration(i+1) + time.Duration(n)*time.Minute
-			w.After(start-2*time.Minute, func() {
+			sim.After(start-2*time.Minute, func() {
 				s.submit(
 					[]string{jobID, "sweep", "owner=shop", fmt.Sprint("class=", track, i), "pieces=8", "run=300", "snapshot=10"},
 				)
 			})
-			w.After(
+			sim.After(
 				start+openingsEvery-time.Second,
-				func() { took = append(took, w.Jobs[jobID].FirstStart.Sub(w.Start.Add(start)).Seconds()) },
+				func() { took = append(took, sim.Jobs[jobID].FirstStart.Sub(sim.Start.Add(start)).Seconds()) },
 			)
 		}
 	}
-	w.RunUntil(openingsEvery*6 + 2*time.Minute)
+	sim.RunUntil(openingsEvery*6 + 2*time.Minute)
 	slices.Sort(took)
 	t.Logf(
 		"first task after the planned opening: median %.2f s, max %.2f s; %d machines rented",
 		took[5],
 		took[9],
-		w.Cloud.Rented,
+		sim.Cloud.Rented,
 	)
 	if len(took) != 10 || took[0] < 0 || took[9] > 15 {
 		t.Error(took)
 	}
-	for _, b := range w.Violations {
+	for _, b := range sim.Violations {
 		t.Error(b)
 	}
 }
--- a/internal/scenario/down_test.go
+++ b/internal/scenario/down_test.go
@@ -48,31 +48,31 @@
 	}
 }
 
-// world returns a simulation of the fleet before its controllers start.
-func (f downFleet) world() *script {
-	w := simulation.NewSimulator(11, slog.New(slog.DiscardHandler))
-	s := &script{w: w, vars: map[string]string{}, applied: map[string]int{}}
-	s.set = baseSettings(w)
+// newFleetScript returns a script with a simulation of the fleet whose controllers are not started yet.
+func (f downFleet) newFleetScript() *script {
+	sim := simulation.NewSimulator(11, slog.New(slog.DiscardHandler))
+	s := &script{sim: sim, vars: map[string]string{}, applied: map[string]int{}}
+	s.set = baseSettings(sim)
 	s.set.Cluster.Size = f.nodes
 	s.set.Cluster.Teams = []settings.Team{{Name: "team"}}
-	s.set.Cluster.Workers.HeartbeatS, w.ReportS = 8, 8
-	s.set.Cluster.Workers.LeaseS, w.LeaseS = 42, 42
+	s.set.Cluster.Workers.HeartbeatS, sim.ReportS = 8, 8
+	s.set.Cluster.Workers.LeaseS, sim.LeaseS = 42, 42
 	s.set.Cluster.State = settings.State{RPS: f.rps, WriteRPS: f.wps, ValueKB: f.valueKB, TxnOps: f.txnOps}
-	w.Cloud.Limit = f.machines + 200
+	sim.Cloud.Limit = f.machines + 200
 	for i := range f.machines {
-		w.Cloud.AddRunning("g8", []string{"a", "b"}[i%2], false)
+		sim.Cloud.AddRunning("g8", []string{"a", "b"}[i%2], false)
 	}
 	return s
 }
 
 // submitJobs submits the jobs whose tasks fill the fleet.
 func (f downFleet) submitJobs(s *script) {
-	w := s.w
+	sim := s.sim
 	jobs := 0
 	submit := func(at time.Duration, words ...string) {
 		jobs++
 		jobID := fmt.Sprintf("wk-%06d", jobs)
-		w.After(at, func() { s.submit(append([]string{jobID}, words...)) })
+		sim.After(at, func() { s.submit(append([]string{jobID}, words...)) })
 	}
 	for i := range f.services {
 		submit(time.Duration(3000+50*i)*time.Millisecond, "standing", "pieces=8", "accel=0.5", "rank=prod", "scatter")
@@ -86,10 +86,10 @@
 }
 
 // killMachines kills up to dying machines that run tasks, and returns the number of tasks lost.
-func killMachines(w *simulation.Simulator, dying int) int {
+func killMachines(sim *simulation.Simulator, dying int) int {
 	tasksLost := 0
-	for _, machine := range w.Machines() {
-		if agent := w.Agents[machine]; agent != nil && dying > 0 && !agent.Empty() {
+	for _, machine := range sim.Machines() {
+		if agent := sim.Agents[machine]; agent != nil && dying > 0 && !agent.Empty() {
 			tasksLost += agent.TaskCount()
 			dying--
 			agent.Die()
@@ -99,14 +99,14 @@
 }
 
 // fill runs the simulation until 99% of the tasks are on machines.
-func (f downFleet) fill(b *testing.B, w *simulation.Simulator) {
+func (f downFleet) fill(b *testing.B, sim *simulation.Simulator) {
 	b.Helper()
 	total := 8*f.services + 4*f.gangs + f.tasks
-	w.RunUntil(time.Minute)
-	for w.OnMachines() < total*99/100 && w.At() < 10*time.Minute {
-		w.RunUntil(w.At() + time.Second)
+	sim.RunUntil(time.Minute)
+	for sim.OnMachines() < total*99/100 && sim.At() < 10*time.Minute {
+		sim.RunUntil(sim.At() + time.Second)
 	}
-	if on := w.OnMachines(); on < total*99/100 {
+	if on := sim.OnMachines(); on < total*99/100 {
 		b.Fatalf("%d of %d tasks run", on, total)
 	}
 }
@@ -114,71 +114,71 @@
 // firstTimes is the time in seconds at which each condition first held, by its name.
 type firstTimes map[string]float64
 
-// mark records the time of a condition that holds for the first time.
-func (f firstTimes) mark(what string, is bool, seconds float64) {
-	if _, done := f[what]; !done && is {
-		f[what] = seconds
+// mark records the time of a condition if it holds for the first time.
+func (f firstTimes) mark(condition string, holds bool, seconds float64) {
+	if _, done := f[condition]; !done && holds {
+		f[condition] = seconds
 	}
 }
 
 func (f downFleet) play(b *testing.B, down time.Duration) {
 	b.Helper()
-	s := f.world()
-	w := s.w
+	s := f.newFleetScript()
+	sim := s.sim
 	var epoch uint64
-	changes, perSecond := 0, hdrhistogram.New(1, 10_000, 2)
-	w.Store.Committed = func(key string, v json.RawMessage) {
-		changes++
+	writes, perSecond := 0, hdrhistogram.New(1, 10_000, 2)
+	sim.Store.Committed = func(key string, v json.RawMessage) {
+		writes++
 		if view, ok := members.Decode(v); key == members.ViewKey && ok {
 			epoch = view.Epoch
 		}
 	}
-	w.AddNodes(f.nodes, s.set)
+	sim.AddNodes(f.nodes, s.set)
 	f.submitJobs(s)
-	f.fill(b, w)
-	before, startsBefore := w.OnMachines(), w.TaskStarts()
-	crashAll(w)
-	tasksLost := killMachines(w, f.machines/50)
-	w.RunUntil(w.At() + down)
-	start, oldEpoch, rented, orders := w.At(), epoch, w.Cloud.Rented, w.CommandCount()
-	bootAll(w)
-	elapsed := func() float64 { return (w.At() - start).Seconds() }
-	when := firstTimes{}
-	mark := func(what string, is bool) { when.mark(what, is, elapsed()) }
-	w.PollUntilAnswered(100*time.Millisecond, func() { mark("answer", true) })
+	f.fill(b, sim)
+	before, startsBefore := sim.OnMachines(), sim.TaskStarts()
+	crashAll(sim)
+	tasksLost := killMachines(sim, f.machines/50)
+	sim.RunUntil(sim.At() + down)
+	start, oldEpoch, rentedBefore, commandsBefore := sim.At(), epoch, sim.Cloud.Rented, sim.CommandCount()
+	bootAll(sim)
+	elapsed := func() float64 { return (sim.At() - start).Seconds() }
+	times := firstTimes{}
+	mark := func(condition string, holds bool) { times.mark(condition, holds, elapsed()) }
+	sim.PollUntilAnswered(100*time.Millisecond, func() { mark("answer", true) })
 	s.submit([]string{"wk-999999", "sweep", "pieces=20", "accel=0.4", "run=5"})
-	changes = 0
-	ordersMost, second, lastOrders, lastRented, rentsMost := 0, start, orders, rented, 0
-	for w.At() < start+30*time.Second+down*3/2 {
-		w.RunUntil(w.At() + 50*time.Millisecond)
-		heard, on := w.AgentsAtEpoch(epoch), w.OnMachines()
-		mark("heard-half", epoch > oldEpoch && heard*2 >= len(w.Agents))
-		mark("heard-all", epoch > oldEpoch && heard == len(w.Agents))
+	writes = 0
+	maxCommands, second, lastCommands, lastRented, maxRents := 0, start, commandsBefore, rentedBefore, 0
+	for sim.At() < start+30*time.Second+down*3/2 {
+		sim.RunUntil(sim.At() + 50*time.Millisecond)
+		heard, on := sim.AgentsAtEpoch(epoch), sim.OnMachines()
+		mark("heard-half", epoch > oldEpoch && heard*2 >= len(sim.Agents))
+		mark("heard-all", epoch > oldEpoch && heard == len(sim.Agents))
 		mark("back-half", on*2 >= before)
 		mark("back-90", on*10 >= before*9 && elapsed() > 0.2)
-		mark("new-task", w.Running("wk-999999") > 0)
-		mark("rent", w.Cloud.Rented > rented)
-		if w.At()-second >= time.Second {
-			_ = perSecond.RecordValue(int64(changes))
-			ordersMost, rentsMost = max(ordersMost, w.CommandCount()-lastOrders), max(rentsMost, w.Cloud.Rented-lastRented)
-			changes, second, lastOrders, lastRented = 0, w.At(), w.CommandCount(), w.Cloud.Rented
+		mark("new-task", sim.Running("wk-999999") > 0)
+		mark("rent", sim.Cloud.Rented > rentedBefore)
+		if sim.At()-second >= time.Second {
+			_ = perSecond.RecordValue(int64(writes))
+			maxCommands, maxRents = max(maxCommands, sim.CommandCount()-lastCommands), max(maxRents, sim.Cloud.Rented-lastRented)
+			writes, second, lastCommands, lastRented = 0, sim.At(), sim.CommandCount(), sim.Cloud.Rented
 		}
 	}
 	killed := tasksLost
-	if down.Seconds() > w.LeaseS {
+	if down.Seconds() > sim.LeaseS {
 		killed = before
 	}
-	for what, at := range when {
-		b.ReportMetric(at, what+"-s")
+	for condition, at := range times {
+		b.ReportMetric(at, condition+"-s")
 	}
 	b.ReportMetric(float64(perSecond.Max()), "changes/s-max")
 	b.ReportMetric(float64(perSecond.ValueAtQuantile(50)), "changes/s-p50")
-	b.ReportMetric(float64(ordersMost), "orders/s-max")
-	b.ReportMetric(float64(rentsMost), "rents/s-max")
-	b.ReportMetric(float64(w.Cloud.Rented-rented), "rented")
-	b.ReportMetric(float64(w.TaskStarts()-startsBefore-killed-20), "begun-beyond")
+	b.ReportMetric(float64(maxCommands), "orders/s-max")
+	b.ReportMetric(float64(maxRents), "rents/s-max")
+	b.ReportMetric(float64(sim.Cloud.Rented-rentedBefore), "rented")
+	b.ReportMetric(float64(sim.TaskStarts()-startsBefore-killed-20), "begun-beyond")
 	b.ReportMetric(float64(before), "tasks")
-	for _, what := range w.Violations {
-		b.Error(strings.TrimSpace(what))
+	for _, violation := range sim.Violations {
+		b.Error(strings.TrimSpace(violation))
 	}
 }
--- a/internal/scenario/expectations_controllers_test.go
+++ b/internal/scenario/expectations_controllers_test.go
@@ -29,7 +29,7 @@
 // expectKnown checks "expect known NODE COUNT": the live jobs in the controller's mirror.
 func (s *script) expectKnown(args []string) {
 	s.t.Helper()
-	if got := s.w.Nodes[s.node(args[1])].LiveJobs(); got != int(s.number(args[2])) {
+	if got := s.sim.Nodes[s.node(args[1])].LiveJobs(); got != int(s.number(args[2])) {
 		s.fatal("%s has %d live jobs in its mirror, want %s", args[1], got, args[2])
 	}
 }
@@ -37,7 +37,7 @@
 // expectNotLeader checks "expect not-leader NODE".
 func (s *script) expectNotLeader(args []string) {
 	s.t.Helper()
-	if s.w.Leader() == s.endpoint(args[1]) {
+	if s.sim.Leader() == s.endpoint(args[1]) {
 		s.fatal("%s is leader", args[1])
 	}
 }
@@ -45,18 +45,18 @@
 // expectState checks "expect state NODE STATE": its standby state.
 func (s *script) expectState(args []string) {
 	s.t.Helper()
-	if got, _ := s.w.Nodes[s.node(args[1])].Standby(); string(got) != args[2] {
+	if got, _ := s.sim.Nodes[s.node(args[1])].Standby(); string(got) != args[2] {
 		s.fatal("%s is %s, want %s", args[1], got, args[2])
 	}
 }
 
-// expectBatons checks "expect batons MAX": how often any initial machine was shown a higher fencing
+// expectBatons checks "expect batons MAX": how often each initial machine received a higher fencing
 // token.
 func (s *script) expectBatons(args []string) {
 	s.t.Helper()
 	for _, machine := range s.machines {
-		if agent := s.w.Agents[machine]; agent != nil && agent.TokenChanges > int(s.number(args[1])) {
-			s.fatal("%s was shown a higher token %d times, more than %s", machine, agent.TokenChanges, args[1])
+		if agent := s.sim.Agents[machine]; agent != nil && agent.TokenChanges > int(s.number(args[1])) {
+			s.fatal("%s received a higher fencing token %d times, more than %s", machine, agent.TokenChanges, args[1])
 		}
 	}
 }
@@ -66,8 +66,8 @@
 func (s *script) expectAlarms(args []string) {
 	s.t.Helper()
 	got := 0
-	for _, n := range s.w.NodeNames {
-		_, alarms := s.w.Nodes[n].Standby()
+	for _, n := range s.sim.NodeNames {
+		_, alarms := s.sim.Nodes[n].Standby()
 		got = max(got, alarms)
 	}
 	if got < int(s.number(args[1])) || got > int(s.number(args[2])) {
@@ -79,7 +79,7 @@
 func (s *script) expectOut(args []string) {
 	s.t.Helper()
 	var v members.View
-	if raw := s.w.Store.Value("view"); json.Unmarshal(raw, &v) != nil || v.Incarnation(s.endpoint(args[1])) != 0 {
+	if raw := s.sim.Store.Value("view"); json.Unmarshal(raw, &v) != nil || v.Incarnation(s.endpoint(args[1])) != 0 {
 		s.fatal("%s is in the view %s", args[1], raw)
 	}
 }
@@ -88,7 +88,7 @@
 func (s *script) expectViews(args []string) {
 	s.t.Helper()
 	var v struct{ Epoch int }
-	if raw := s.w.Store.Value("view"); json.Unmarshal(raw, &v) != nil || v.Epoch > int(s.number(args[1])) {
+	if raw := s.sim.Store.Value("view"); json.Unmarshal(raw, &v) != nil || v.Epoch > int(s.number(args[1])) {
 		s.fatal("the view is %s, want an epoch of at most %s", raw, args[1])
 	}
 }
--- a/internal/scenario/expectations_jobs_test.go
+++ b/internal/scenario/expectations_jobs_test.go
@@ -40,7 +40,7 @@
 // expectTasks checks "expect tasks JOB COUNT": its tasks on machines.
 func (s *script) expectTasks(args []string) {
 	s.t.Helper()
-	if got := s.w.Running(args[1]); got != int(s.number(args[2])) {
+	if got := s.sim.Running(args[1]); got != int(s.number(args[2])) {
 		s.fatal("%s has %d tasks on machines, want %s", args[1], got, args[2])
 	}
 }
@@ -81,7 +81,7 @@
 	s.t.Helper()
 	got, first := 0, int(s.number(args[1]))
 	for i := range int(s.number(args[2])) {
-		got += s.w.Running(fmt.Sprintf("wk-%06d", first+i))
+		got += s.sim.Running(fmt.Sprintf("wk-%06d", first+i))
 	}
 	if got < int(s.number(args[3])) {
 		s.fatal("%d tasks are on machines, want at least %s", got, args[3])
@@ -91,7 +91,7 @@
 // expectAnswered checks "expect answered SECONDS": each user got an answer within the last SECONDS.
 func (s *script) expectAnswered(args []string) {
 	s.t.Helper()
-	for _, jobID := range s.w.Unanswered(time.Duration(s.number(args[1]) * float64(time.Second))) {
+	for _, jobID := range s.sim.Unanswered(time.Duration(s.number(args[1]) * float64(time.Second))) {
 		s.fatal("no poll of %s was answered", jobID)
 	}
 }
@@ -100,7 +100,7 @@
 // cancellation.
 func (s *script) expectLateStarts(args []string) {
 	s.t.Helper()
-	if got := s.w.StartsAfterCancel; got < int(s.number(args[1])) || got > int(s.number(args[2])) {
+	if got := s.sim.StartsAfterCancel; got < int(s.number(args[1])) || got > int(s.number(args[2])) {
 		s.fatal("%d tasks started after the user was told of the cancellation, want %s to %s", got, args[1], args[2])
 	}
 }
@@ -119,7 +119,7 @@
 // expectLooks checks "expect looks MIN": answers to users who poll in bursts.
 func (s *script) expectLooks(args []string) {
 	s.t.Helper()
-	if got := s.w.BurstAnswers; got < int(s.number(args[1])) {
+	if got := s.sim.BurstAnswers; got < int(s.number(args[1])) {
 		s.fatal("%d burst polls were answered, fewer than %s", got, args[1])
 	}
 }
@@ -127,8 +127,8 @@
 // expectSentAway checks "expect sent-away MAX": submissions and cancellations answered with 503.
 func (s *script) expectSentAway(args []string) {
 	s.t.Helper()
-	if got := s.w.Unavailable; got > int(s.number(args[1])) {
-		s.fatal("%d submissions were answered 503, more than %s", got, args[1])
+	if got := s.sim.Unavailable; got > int(s.number(args[1])) {
+		s.fatal("%d submissions and cancellations were answered 503, more than %s", got, args[1])
 	}
 }
 
@@ -143,7 +143,7 @@
 // expectTree checks "expect tree NUMBER": the number of the quota tree in force.
 func (s *script) expectTree(args []string) {
 	s.t.Helper()
-	if v, err := quota.Decode(s.w.Store.Value(quota.StoreKey)); err != nil || v.Number != int(s.number(args[1])) {
+	if v, err := quota.Decode(s.sim.Store.Value(quota.StoreKey)); err != nil || v.Number != int(s.number(args[1])) {
 		s.fatal("the quota tree is %+v (%v), want number %s", v, err, args[1])
 	}
 }
--- a/internal/scenario/expectations_machines_test.go
+++ b/internal/scenario/expectations_machines_test.go
@@ -22,7 +22,7 @@
 // expectMachines checks "expect machines MAX": machines rented at present.
 func (s *script) expectMachines(args []string) {
 	s.t.Helper()
-	if got := s.w.Cloud.Alive(); got > int(s.number(args[1])) {
+	if got := s.sim.Cloud.Alive(); got > int(s.number(args[1])) {
 		s.fatal("%d machines are rented, more than %s", got, args[1])
 	}
 }
@@ -30,7 +30,7 @@
 // expectRented checks "expect rented MAX": machines ever rented.
 func (s *script) expectRented(args []string) {
 	s.t.Helper()
-	if got := s.w.Cloud.Rented; got > int(s.number(args[1])) {
+	if got := s.sim.Cloud.Rented; got > int(s.number(args[1])) {
 		s.fatal("%d machines were ever rented, more than %s", got, args[1])
 	}
 }
@@ -38,7 +38,7 @@
 // expectRents checks "expect rents MIN": machines ever rented.
 func (s *script) expectRents(args []string) {
 	s.t.Helper()
-	if got := s.w.Cloud.Rented; got < int(s.number(args[1])) {
+	if got := s.sim.Cloud.Rented; got < int(s.number(args[1])) {
 		s.fatal("only %d machines were ever rented, want %s", got, args[1])
 	}
 }
@@ -46,7 +46,7 @@
 // expectLost checks "expect lost COUNT": machines deleted with tasks on them.
 func (s *script) expectLost(args []string) {
 	s.t.Helper()
-	if got := s.w.Cloud.Lost; got != int(s.number(args[1])) {
+	if got := s.sim.Cloud.Lost; got != int(s.number(args[1])) {
 		s.fatal("%d machines were deleted with tasks on them, want %s", got, args[1])
 	}
 }
@@ -54,7 +54,7 @@
 // expectAlive checks "expect alive MACHINE" and "expect dead MACHINE": whether the machine exists.
 func (s *script) expectAlive(args []string) {
 	s.t.Helper()
-	if alive := s.w.Agents[s.endpoint(args[1])] != nil; alive != (args[0] == "alive") {
+	if alive := s.sim.Agents[s.endpoint(args[1])] != nil; alive != (args[0] == "alive") {
 		s.fatal("machine %s alive: %v", args[1], alive)
 	}
 }
@@ -62,9 +62,9 @@
 // expectRecords checks "expect records": no machine that has been gone for 10 s has a record.
 func (s *script) expectRecords(_ []string) {
 	s.t.Helper()
-	for _, machine := range s.w.MachinesGoneFor(10 * time.Second) {
-		if s.w.Store.Value("host/"+machine) != nil {
-			s.fatal("%s is gone but has a record: %s", machine, s.w.Store.Value("host/"+machine))
+	for _, machine := range s.sim.MachinesGoneFor(10 * time.Second) {
+		if s.sim.Store.Value("host/"+machine) != nil {
+			s.fatal("%s is gone but has a record: %s", machine, s.sim.Store.Value("host/"+machine))
 		}
 	}
 }
@@ -79,7 +79,7 @@
 // expectExpired checks "expect expired COUNT": leases that expired on machines with tasks.
 func (s *script) expectExpired(args []string) {
 	s.t.Helper()
-	if got := s.w.ExpiredLeases; got != int(s.number(args[1])) {
+	if got := s.sim.ExpiredLeases; got != int(s.number(args[1])) {
 		s.fatal("%d leases expired, want %s", got, args[1])
 	}
 }
--- a/internal/scenario/expectations_services_test.go
+++ b/internal/scenario/expectations_services_test.go
@@ -13,7 +13,7 @@
 // expectLateDone checks "expect late-done MIN": transactions executed late.
 func (s *script) expectLateDone(args []string) {
 	s.t.Helper()
-	if got := s.w.LateWritesDone; got < int(s.number(args[1])) {
+	if got := s.sim.LateWritesDone; got < int(s.number(args[1])) {
 		s.fatal("%d transactions were executed late, fewer than %s", got, args[1])
 	}
 }
@@ -21,7 +21,7 @@
 // expectUnheard checks "expect unheard MIN": transactions executed at once whose answer was lost.
 func (s *script) expectUnheard(args []string) {
 	s.t.Helper()
-	if got := s.w.LostWrites; got < int(s.number(args[1])) {
+	if got := s.sim.LostWrites; got < int(s.number(args[1])) {
 		s.fatal("%d transactions were executed without an answer, fewer than %s", got, args[1])
 	}
 }
@@ -29,7 +29,7 @@
 // expectLateCopies checks "expect late-copies MIN": duplicate reports that arrived late.
 func (s *script) expectLateCopies(args []string) {
 	s.t.Helper()
-	if got := s.w.ReplayedReports; got < int(s.number(args[1])) {
+	if got := s.sim.ReplayedReports; got < int(s.number(args[1])) {
 		s.fatal("%d duplicate reports arrived, fewer than %s", got, args[1])
 	}
 }
@@ -38,15 +38,15 @@
 // rate limits.
 func (s *script) expectBeyond(args []string) {
 	s.t.Helper()
-	if got := s.w.Store.Refused; got > int(s.number(args[1])) {
-		s.fatal("%d requests exceeded the limits of the state service", got)
+	if got := s.sim.Store.Refused; got > int(s.number(args[1])) {
+		s.fatal("%d requests exceeded the rate limits of the state service", got)
 	}
 }
 
 // expectPoisoned checks "expect poisoned MIN MAX": transactions refused by "poison".
 func (s *script) expectPoisoned(args []string) {
 	s.t.Helper()
-	if got := s.w.Store.Poisoned; got < int(s.number(args[1])) || got > int(s.number(args[2])) {
+	if got := s.sim.Store.Poisoned; got < int(s.number(args[1])) || got > int(s.number(args[2])) {
 		s.fatal("%d transactions were refused, want %s to %s", got, args[1], args[2])
 	}
 }
@@ -54,7 +54,7 @@
 // expectKeys checks "expect keys PREFIX COUNT": keys in the state service.
 func (s *script) expectKeys(args []string) {
 	s.t.Helper()
-	if got := s.w.Store.Count(args[1]); got != int(s.number(args[2])) {
+	if got := s.sim.Store.Count(args[1]); got != int(s.number(args[2])) {
 		s.fatal("%d keys under %s, want %s", got, args[1], args[2])
 	}
 }
--- a/internal/scenario/hour_test.go
+++ b/internal/scenario/hour_test.go
@@ -42,10 +42,10 @@
 
 func newHourOfTenants(t *testing.T) *hourOfTenants {
 	t.Helper()
-	w := simulation.NewSimulator(11, slog.New(slog.DiscardHandler))
-	s := &script{t: t, line: "hour", w: w, vars: map[string]string{}, applied: map[string]int{}}
-	w.ReportS = 8 // as in large deployments
-	s.set = baseSettings(w)
+	sim := simulation.NewSimulator(11, slog.New(slog.DiscardHandler))
+	s := &script{t: t, line: "hour", sim: sim, vars: map[string]string{}, applied: map[string]int{}}
+	sim.ReportS = 8 // as in large deployments
+	s.set = baseSettings(sim)
 	s.set.Cluster.Teams = []settings.Team{
 		{Name: "storefront", Gpus: 8, GpusMax: 40},
 		{Name: "pricing", Gpus: 8, GpusMax: 40},
@@ -53,17 +53,17 @@
 		{Name: "modelli", Gpus: 8},
 	}
 	for _, team := range s.set.Cluster.Teams {
-		w.TeamLimits[team.Name] = team.GpusMax
+		sim.TeamLimits[team.Name] = team.GpusMax
 	}
 	s.set.Operator.Quotas = s.quotas("hour")
 	s.set.Operator.TaskBatching = settings.BatchingAlways
-	w.WatchTasks()
-	w.Cloud.Limit = 10 // 80 accelerators
+	sim.WatchTasks()
+	sim.Cloud.Limit = 10 // 80 accelerators
 	for range 10 {
-		w.Cloud.AddRunning("g8", "a", false)
+		sim.Cloud.AddRunning("g8", "a", false)
 	}
-	s.stopsByCause = w.WatchQuotas(s.set.TeamMap(), nil)
-	w.AddNodes(3, s.set)
+	s.stopsByCause = sim.WatchQuotas(s.set.TeamMap(), nil)
+	sim.AddNodes(3, s.set)
 	return &hourOfTenants{s: s, rng: rand.New(rand.NewPCG(1, 2)), probes: map[string]time.Duration{}}
 }
 
@@ -105,7 +105,7 @@
 		h.submit(x.owner, x.class, shape, pieces, run)
 	}
 	if at%45 == 0 && at < hourSeconds-900 {
-		h.probes[h.submit("stazioni", "probe", "sweep", 2, 20)] = h.s.w.At()
+		h.probes[h.submit("stazioni", "probe", "sweep", 2, 20)] = h.s.sim.At()
 	}
 	h.fillBeforeLowering(at)
 }
@@ -126,27 +126,27 @@
 func (h *hourOfTenants) injectFaults(at int) {
 	switch at % 400 {
 	case 150:
-		h.s.w.Nodes[h.s.w.NodeNames[at/400%3]].Crash()
+		h.s.sim.Nodes[h.s.sim.NodeNames[at/400%3]].Crash()
 	case 156:
-		h.s.w.Nodes[h.s.w.NodeNames[at/400%3]].Boot()
+		h.s.sim.Nodes[h.s.sim.NodeNames[at/400%3]].Boot()
 	}
 	switch at {
 	case 700, 2200:
-		h.s.w.Store.SetDown(true)
+		h.s.sim.Store.SetDown(true)
 	case 720, 2220:
-		h.s.w.Store.SetDown(false)
+		h.s.sim.Store.SetDown(false)
 	case 1000:
-		h.s.w.ApplyQuota(
+		h.s.sim.ApplyQuota(
 			quota.Apply{Base: 1, Quotas: *h.s.quotas("hour-less")},
 			func(status int, _ quota.Preview) { h.s.applied["less"] = status },
 		)
 	case 1500:
-		h.s.w.ApplyQuota(
+		h.s.sim.ApplyQuota(
 			quota.Apply{Base: 2, Quotas: *h.s.quotas("hour-least")},
 			func(status int, _ quota.Preview) { h.s.applied["least"] = status },
 		)
 	case 2100:
-		h.s.w.ApplyQuota(
+		h.s.sim.ApplyQuota(
 			quota.Apply{Base: 3, Quotas: *h.s.quotas("hour")},
 			func(status int, _ quota.Preview) { h.s.applied["back"] = status },
 		)
@@ -159,12 +159,12 @@
 	t.Helper()
 	var waits []time.Duration
 	for jobID, at := range h.probes {
-		j := h.s.w.Jobs[jobID]
+		j := h.s.sim.Jobs[jobID]
 		if j.FirstStart.IsZero() {
 			t.Errorf("job %s of the team within its guarantee never started", jobID)
 			continue
 		}
-		waits = append(waits, j.FirstStart.Sub(h.s.w.Start)-at)
+		waits = append(waits, j.FirstStart.Sub(h.s.sim.Start)-at)
 	}
 	slices.Sort(waits)
 	if longest := waits[len(waits)-1]; longest > maxGuaranteedWait {
@@ -177,14 +177,14 @@
 func (h *hourOfTenants) checkAllDone(t *testing.T) {
 	t.Helper()
 	open := 0
-	for _, j := range h.s.w.Jobs {
+	for _, j := range h.s.sim.Jobs {
 		if j.Status != "done" {
 			t.Log(j.ID, j.Team, j.Kind, j.TaskCount, j.Status, len(j.Done))
 			open++
 		}
 	}
 	if open > 0 {
-		t.Errorf("%d of %d jobs are not done", open, len(h.s.w.Jobs))
+		t.Errorf("%d of %d jobs are not done", open, len(h.s.sim.Jobs))
 	}
 }
 
@@ -213,14 +213,14 @@
 func TestLimitsHoldUnderAnHourOfMixedLoad(t *testing.T) {
 	t.Parallel()
 	h := newHourOfTenants(t)
-	s, w := h.s, h.s.w
+	s, sim := h.s, h.s.sim
 	for at := 5; at < hourSeconds; at++ {
-		w.RunUntil(time.Duration(at) * time.Second)
+		sim.RunUntil(time.Duration(at) * time.Second)
 		h.submitMix(at)
 		h.injectFaults(at)
 	}
-	w.RunUntil(hourSeconds * time.Second)
-	for _, b := range w.Violations {
+	sim.RunUntil(hourSeconds * time.Second)
+	for _, b := range sim.Violations {
 		t.Error(b)
 	}
 	if len(s.applied) != 3 || s.applied["less"] != 200 || s.applied["least"] != 200 || s.applied["back"] != 200 {
@@ -232,7 +232,7 @@
 	t.Logf(
 		"%d jobs; %d tasks stopped for a lowered limit, %d for others' guarantees or machines; "+
 			"waits within the guarantee: median %v, longest %v",
-		len(w.Jobs),
+		len(sim.Jobs),
 		lowered,
 		others,
 		waits[len(waits)/2],
--- a/internal/scenario/hung_test.go
+++ b/internal/scenario/hung_test.go
@@ -14,12 +14,12 @@
 		var machine string
 		if verb == "hang-for" {
 			machine = s.machines[first-1+i]
-		} else if machine = s.w.MachineOf(fmt.Sprintf("wk-%06d", first+i)); machine == "" {
+		} else if machine = s.sim.MachineOf(fmt.Sprintf("wk-%06d", first+i)); machine == "" {
 			s.fatal("no task of wk-%06d is on a machine", first+i)
 		}
-		if agent := s.w.Agents[machine]; agent != nil && !agent.Hung {
+		if agent := s.sim.Agents[machine]; agent != nil && !agent.Hung {
 			agent.Hung = true
-			s.w.After(duration, agent.Resume)
+			s.sim.After(duration, agent.Resume)
 		}
 	}
 }
--- a/internal/scenario/late_test.go
+++ b/internal/scenario/late_test.go
@@ -24,15 +24,15 @@
 	}
 	switch verb + " " + how {
 	case "late-writes ":
-		s.w.LateWrites(share, duration)
+		s.sim.LateWrites(share, duration)
 	case "late-writes at-once":
-		s.w.LostAnswers(share, duration)
+		s.sim.LostAnswers(share, duration)
 	case "late-reports ":
-		s.w.LateReports(share, duration)
+		s.sim.LateReports(share, duration)
 	case "late-reports for-next":
-		s.w.HoldReports(share, false, duration)
+		s.sim.HoldReports(share, false, duration)
 	case "late-reports for-all":
-		s.w.HoldReports(share, true, duration)
+		s.sim.HoldReports(share, true, duration)
 	default:
 		s.fatal("unknown %s %q", verb, how)
 	}
@@ -41,37 +41,37 @@
 // lostAnswers has transactions executed at once but loses their answers.
 var lostAnswers = fault{
 	"lost answers",
-	func(s *script, _ string, d time.Duration) { s.w.LostAnswers(0.1+0.5*s.w.RNG.Float64(), d) },
+	func(s *script, _ string, d time.Duration) { s.sim.LostAnswers(0.1+0.5*s.sim.RNG.Float64(), d) },
 }
 
 // heldReports delivers copies of reports to the next leader, or to all controllers as it takes
 // over. It crashes the leader a while later, so that there is a next one.
 var heldReports = fault{"held reports", func(s *script, leader string, d time.Duration) {
-	w := s.w
-	w.HoldReports(0.2+0.8*w.RNG.Float64(), w.RNG.IntN(2) == 0, d)
-	w.After(time.Duration(w.RNG.Int64N(int64(2*d))), func() {
-		w.Nodes[leader].Crash()
-		w.After(time.Duration(200+w.RNG.IntN(10000))*time.Millisecond, w.Nodes[leader].Boot)
+	sim := s.sim
+	sim.HoldReports(0.2+0.8*sim.RNG.Float64(), sim.RNG.IntN(2) == 0, d)
+	sim.After(time.Duration(sim.RNG.Int64N(int64(2*d))), func() {
+		sim.Nodes[leader].Crash()
+		sim.After(time.Duration(200+sim.RNG.IntN(10000))*time.Millisecond, sim.Nodes[leader].Boot)
 	})
 }}
 
 // lookAt executes "look-at FIRST COUNT EVERY SECONDS": every EVERY seconds, for that long, one
 // random job of these is polled and submitted again at every controller.
 func (s *script) lookAt(args []string) {
-	w, first, count := s.w, int(s.number(args[0])), int(s.number(args[1]))
+	sim, first, count := s.sim, int(s.number(args[0])), int(s.number(args[1]))
 	every, duration := s.number(args[2]), s.number(args[3])
 	for at := 0.0; at < duration; at += every {
-		w.After(time.Duration(at*float64(time.Second)), func() {
-			j := w.Jobs[fmt.Sprintf("wk-%06d", first+w.RNG.IntN(count))]
+		sim.After(time.Duration(at*float64(time.Second)), func() {
+			j := sim.Jobs[fmt.Sprintf("wk-%06d", first+sim.RNG.IntN(count))]
 			if j == nil || !j.Accepted {
 				return
 			}
-			entry := w.EntryNode
-			for _, w.EntryNode = range w.NodeNames {
-				w.PollJob(j)
-				w.Resubmit(j)
+			entry := sim.EntryNode
+			for _, sim.EntryNode = range sim.NodeNames {
+				sim.PollJob(j)
+				sim.Resubmit(j)
 			}
-			w.EntryNode = entry
+			sim.EntryNode = entry
 		})
 	}
 }
--- a/internal/scenario/lead_test.go
+++ b/internal/scenario/lead_test.go
@@ -17,34 +17,34 @@
 //	leader, before it decides anything, and stays down; "expect ended COUNT"
 //	mark: "expect since" counts from here on
 func (s *script) leaderVerb(verb string, args []string) {
-	w := s.w
+	sim := s.sim
 	switch verb {
 	case "end-leader":
 		left, back := int(s.number(args[1])), s.seconds(args[2])
-		w.OnEvent(args[0], func() {
-			if leader := w.Leader(); leader != "" && left > 0 {
+		sim.OnEvent(args[0], func() {
+			if leader := sim.Leader(); leader != "" && left > 0 {
 				left--
-				w.Nodes[leader].Crash()
-				w.After(back, w.Nodes[leader].Boot)
+				sim.Nodes[leader].Crash()
+				sim.After(back, sim.Nodes[leader].Boot)
 			}
 		})
 	case "lead-changes":
 		back := s.seconds(args[3])
 		for i := range int(s.number(args[0])) {
-			w.After(time.Duration(i)*s.seconds(args[1]), func() {
-				if leader := w.Leader(); leader != "" {
+			sim.After(time.Duration(i)*s.seconds(args[1]), func() {
+				if leader := sim.Leader(); leader != "" {
 					s.stopController(leader, args[2], back)
 				}
 			})
 		}
 	case "cut-zone":
-		w.CutZone(args[0], s.node(args[1]))
+		sim.CutZone(args[0], s.node(args[1]))
 	case "heal-zone":
-		w.HealZone(args[0])
+		sim.HealZone(args[0])
 	case "end-as-it-leads":
-		s.crashNextLeaders(w.Leader(), int(s.number(args[0])))
+		s.crashNextLeaders(sim.Leader(), int(s.number(args[0])))
 	case "mark":
-		s.tallyAtMark = w.Tally()
+		s.tallyAtMark = sim.Tally()
 	}
 }
 
@@ -53,20 +53,20 @@
 	if left == 0 {
 		return
 	}
-	leader := s.w.Leader()
+	leader := s.sim.Leader()
 	if leader != "" && leader != former {
-		s.w.Nodes[leader].Crash()
+		s.sim.Nodes[leader].Crash()
 		s.crashedLeaders++
 		former, left = leader, left-1
 	}
-	s.w.After(5*time.Millisecond, func() { s.crashNextLeaders(former, left) })
+	s.sim.After(5*time.Millisecond, func() { s.crashNextLeaders(former, left) })
 }
 
 // stopController crashes, shuts down or pauses a controller.
 func (s *script) stopController(name, how string, back time.Duration) {
-	n := s.w.Nodes[name]
+	n := s.sim.Nodes[name]
 	if how == "mixed" {
-		how = []string{"crash", "leave", "freeze"}[s.w.RNG.IntN(3)]
+		how = []string{"crash", "leave", "freeze"}[s.sim.RNG.IntN(3)]
 	}
 	switch how {
 	case "crash":
@@ -79,7 +79,7 @@
 	default:
 		s.fatal("unknown way to stop a controller %q", how)
 	}
-	s.w.After(back, n.Boot)
+	s.sim.After(back, n.Boot)
 }
 
 // seconds parses a duration in seconds.
@@ -117,13 +117,13 @@
 //	expect since changes|requests|refused|rents|deletes|orders|views|starts MAX: at most MAX
 //	since the last mark
 //	expect least COUNTER MIN: at least MIN since the last mark
-//	expect tokens COUNTER: no machine has seen a token of no view, or one whose counter is
-//	above COUNTER
+//	expect tokens COUNTER: no machine has received a fencing token of an epoch above the view's,
+//	or one whose counter is above COUNTER
 //	expect recorded SECONDS: every machine that has been up for that long has a record
 //	expect ended COUNT: leaders that end-as-it-leads crashed
 func (s *script) expectLead(args []string) {
 	s.t.Helper()
-	now, was := s.w.Tally(), s.tallyAtMark
+	now, was := s.sim.Tally(), s.tallyAtMark
 	count := func(what string) int {
 		s.t.Helper()
 		return s.countSince(what, now, was)
@@ -143,11 +143,11 @@
 			s.fatal("%d %s since the mark, fewer than %s", got, args[1], args[2])
 		}
 	case "tokens":
-		for _, machine := range s.w.WrongTokens(uint64(s.number(args[1]))) {
-			s.fatal("%s has seen a token out of range at epoch %d", machine, s.w.Epoch())
+		for _, machine := range s.sim.WrongTokens(uint64(s.number(args[1]))) {
+			s.fatal("%s has received a fencing token out of range at epoch %d", machine, s.sim.Epoch())
 		}
 	case "recorded":
-		for _, machine := range s.w.Unrecorded(s.seconds(args[1])) {
+		for _, machine := range s.sim.Unrecorded(s.seconds(args[1])) {
 			s.fatal("%s is up and has no record", machine)
 		}
 	}
--- a/internal/scenario/lending_test.go
+++ b/internal/scenario/lending_test.go
@@ -14,14 +14,14 @@
 	for _, team := range s.set.Cluster.Teams {
 		guarantee[team.Name] = team.Gpus
 	}
-	s.w.WatchLoans(guarantee)
+	s.sim.WatchLoans(guarantee)
 }
 
 // verbIsolatedEnds executes "isolated-ends": all initial machines are reachable again.
 func (s *script) verbIsolatedEnds(_ []string) {
 	for _, machine := range s.machines {
-		s.w.Heal(machine, "*")
-		s.w.Heal("*", machine)
+		s.sim.Heal(machine, "*")
+		s.sim.Heal("*", machine)
 	}
 }
 
@@ -37,27 +37,27 @@
 //
 // Controllers are back after SECONDS, or 4 s by default.
 func (s *script) loanVerb(verb string, args []string) {
-	w := s.w
-	w.Loans.On[args[0]] = func(machine string) {
+	sim := s.sim
+	sim.Loans.On[args[0]] = func(machine string) {
 		switch verb {
 		case "hang-on":
-			w.Agents[machine].Hung = true
+			sim.Agents[machine].Hung = true
 		case "die-on":
-			w.Agents[machine].Die()
+			sim.Agents[machine].Die()
 		case "notice-on":
-			w.Agents[machine].Reclaim(20)
+			sim.Agents[machine].Reclaim(20)
 		case "outage-on":
-			w.Store.SetDown(true)
-			w.After(time.Duration(s.number(args[1])*float64(time.Second)), func() { w.Store.SetDown(false) })
+			sim.Store.SetDown(true)
+			sim.After(time.Duration(s.number(args[1])*float64(time.Second)), func() { sim.Store.SetDown(false) })
 		case "cut-on":
-			w.Cut(machine, "*", false)
-			w.Cut("*", machine, false)
-			w.After(time.Duration(s.number(args[1])*float64(time.Second)), func() {
-				w.Heal(machine, "*")
-				w.Heal("*", machine)
+			sim.Cut(machine, "*", false)
+			sim.Cut("*", machine, false)
+			sim.After(time.Duration(s.number(args[1])*float64(time.Second)), func() {
+				sim.Heal(machine, "*")
+				sim.Heal("*", machine)
 			})
 		case "abort-on":
-			w.Cancel(s.job(args[1]))
+			sim.Cancel(s.job(args[1]))
 		case "end-on", "freeze-on":
 			back := 4.0
 			if len(args) > 2 {
@@ -71,28 +71,29 @@
 // crashOrFreeze crashes or pauses controllers for a while: all, the leader, the owner of a machine,
 // or those that are neither.
 func (s *script) crashOrFreeze(verb, which, machine string, back time.Duration) {
-	w := s.w
+	sim := s.sim
 	owner := ""
-	if v, ok := members.Decode(w.Store.Value(members.ViewKey)); ok {
+	if v, ok := members.Decode(sim.Store.Value(members.ViewKey)); ok {
 		owner = sharding.Owner(machine, v.Names())
 	}
-	for _, n := range w.NodeNames {
-		if which == "all" || which == "leader" && n == w.Leader() || which == "owner" && n == owner ||
-			which == "others" && n != owner && n != w.Leader() {
+	for _, n := range sim.NodeNames {
+		if which == "all" || which == "leader" && n == sim.Leader() || which == "owner" && n == owner ||
+			which == "others" && n != owner && n != sim.Leader() {
 			if verb == "freeze-on" {
-				w.Nodes[n].Freeze(back)
+				sim.Nodes[n].Freeze(back)
 				continue
 			}
-			w.Nodes[n].Crash()
-			w.After(back, w.Nodes[n].Boot)
+			sim.Nodes[n].Crash()
+			sim.After(back, sim.Nodes[n].Boot)
 		}
 	}
 }
 
-// countLoans returns the number of loans in a state, or of all or the open ones.
+// countLoans returns the number of loans in a state; "all" stands for any state and "open" for any
+// that is not final.
 func (s *script) countLoans(state string) int {
 	count := 0
-	for _, l := range s.w.Loans.Ledger() {
+	for _, l := range s.sim.Loans.Ledger() {
 		if state == "all" || state == "open" && !l.State.Final() ||
 			strings.ReplaceAll(string(l.State), " ", "-") == state {
 			count++
@@ -111,19 +112,19 @@
 	case "loans":
 		got = s.countLoans(args[1])
 	case "used":
-		for jobID, j := range s.w.Jobs {
+		for jobID, j := range s.sim.Jobs {
 			if j.Team == args[1] {
-				got += int(float64(s.w.Running(jobID)) * j.Accelerators)
+				got += int(float64(s.sim.Running(jobID)) * j.Accelerators)
 			}
 		}
 	case "upto":
-		got = s.w.Running(args[1])
+		got = s.sim.Running(args[1])
 	case "gangs":
-		if got = s.w.Loans.StoppedSaved; args[1] == "fell" {
-			got = s.w.Loans.StoppedUnsaved
+		if got = s.sim.Loans.StoppedSaved; args[1] == "fell" {
+			got = s.sim.Loans.StoppedUnsaved
 		}
 	}
 	if got < int(s.number(args[2])) || len(args) > 3 && got > int(s.number(args[3])) {
-		s.fatal("%v: got %d, want %v; loans %+v", args, got, args[2:], s.w.Loans.Ledger())
+		s.fatal("%v: got %d, want %v; loans %+v", args, got, args[2:], s.sim.Loans.Ledger())
 	}
 }
--- a/internal/scenario/measure_test.go
+++ b/internal/scenario/measure_test.go
@@ -62,7 +62,7 @@
 
 // runMeasurement records when steps end and the next ones are submitted.
 type runMeasurement struct {
-	w     *simulation.Simulator
+	sim   *simulation.Simulator
 	gaps  *hdrhistogram.Histogram // from a step's end to the next step's job, in ms
 	ended map[string]time.Time    // end of each job
 	after map[string]string       // job of the previous step, by job
@@ -71,26 +71,26 @@
 
 // newRunMeasurement returns a simulation with the controllers and machines of BenchmarkRuns.
 func newRunMeasurement() *runMeasurement {
-	w := simulation.NewSimulator(5, slog.New(slog.DiscardHandler))
-	set := baseSettings(w)
+	sim := simulation.NewSimulator(5, slog.New(slog.DiscardHandler))
+	set := baseSettings(sim)
 	set.Cluster.Size = 5
 	set.Cluster.Teams = []settings.Team{{Name: "team"}}
-	set.Cluster.Workers.HeartbeatS, w.ReportS = 8, 8
+	set.Cluster.Workers.HeartbeatS, sim.ReportS = 8, 8
 	set.Operator.Pipelines = settings.DefaultPipelines()
-	w.Store.RPS, w.Store.WPS = set.Cluster.State.RPS, set.Cluster.State.WriteRPS
-	w.Cloud.Limit = 400
+	sim.Store.RPS, sim.Store.WPS = set.Cluster.State.RPS, set.Cluster.State.WriteRPS
+	sim.Cloud.Limit = 400
 	for i := range 150 {
-		w.Cloud.AddRunning("g8", []string{"a", "b"}[i%2], false)
+		sim.Cloud.AddRunning("g8", []string{"a", "b"}[i%2], false)
 	}
 	m := &runMeasurement{
-		w:     w,
+		sim:   sim,
 		gaps:  hdrhistogram.New(1, 600_000, 3),
 		ended: map[string]time.Time{},
 		after: map[string]string{},
 		kinds: map[string]int{},
 	}
-	w.Store.Committed = m.committed
-	w.AddNodes(5, set)
+	sim.Store.Committed = m.committed
+	sim.AddNodes(5, set)
 	return m
 }
 
@@ -107,10 +107,10 @@
 			}
 		}
 	case jobs.FinalPrefix:
-		m.ended[name] = m.w.Now
+		m.ended[name] = m.sim.Now
 	case jobs.JobPrefix:
 		if at, ok := m.ended[m.after[name]]; ok && v != nil {
-			_ = m.gaps.RecordValue(m.w.Now.Sub(at).Milliseconds() + 1)
+			_ = m.gaps.RecordValue(m.sim.Now.Sub(at).Milliseconds() + 1)
 			delete(m.after, name)
 		}
 	}
@@ -122,21 +122,21 @@
 	victim int
 }
 
-func (k *killer) step(w *simulation.Simulator, at time.Duration) {
+func (k *killer) step(sim *simulation.Simulator, at time.Duration) {
 	if at < k.next {
 		return
 	}
-	node := w.Nodes[w.NodeNames[k.victim%len(w.NodeNames)]]
+	node := sim.Nodes[sim.NodeNames[k.victim%len(sim.NodeNames)]]
 	node.Crash()
-	w.After(killFor, node.Boot)
+	sim.After(killFor, node.Boot)
 	k.next += killEvery
 	k.victim++
 }
 
 // finishedRuns returns the number of runs that have ended.
-func finishedRuns(w *simulation.Simulator) int {
+func finishedRuns(sim *simulation.Simulator) int {
 	over := 0
-	for _, r := range w.Runs {
+	for _, r := range sim.Runs {
 		if pipelines.RunState(r.State).Ended() {
 			over++
 		}
@@ -151,32 +151,32 @@
 		b.Fatal(faults)
 	}
 	m := newRunMeasurement()
-	w := m.w
-	w.RunUntil(10 * time.Second)
-	requests, writes := w.Store.Requests, w.Store.Writes
+	sim := m.sim
+	sim.RunUntil(10 * time.Second)
+	requests, writes := sim.Store.Requests, sim.Store.Writes
 	for i := range measuredRuns {
 		id := simulation.RunID(i)
-		w.After(time.Duration(i)*measuredEvery, func() { w.SubmitRun(&simulation.Run{ID: id, Body: f.Submission(id)}) })
+		sim.After(time.Duration(i)*measuredEvery, func() { sim.SubmitRun(&simulation.Run{ID: id, Body: f.Submission(id)}) })
 	}
 	at := 10 * time.Second
-	most, over := 0, 0
+	maxLiveRuns, over := 0, 0
 	kills := &killer{next: at + killEvery}
 	for ; over < measuredRuns && at < time.Hour; at += time.Second {
 		if kill {
-			kills.step(w, at)
+			kills.step(sim, at)
 		}
-		w.RunUntil(at)
-		over = finishedRuns(w)
-		most = max(most, w.Store.Count(pipelines.RunPrefix))
+		sim.RunUntil(at)
+		over = finishedRuns(sim)
+		maxLiveRuns = max(maxLiveRuns, sim.Store.Count(pipelines.RunPrefix))
 	}
-	if over < measuredRuns || len(w.Violations) > 0 {
-		b.Fatalf("%d of %d runs ended; broken: %v", over, measuredRuns, w.Violations[:min(len(w.Violations), 5)])
+	if over < measuredRuns || len(sim.Violations) > 0 {
+		b.Fatalf("%d of %d runs ended; violations: %v", over, measuredRuns, sim.Violations[:min(len(sim.Violations), 5)])
 	}
 	steps := float64(measuredRuns * measuredSteps)
-	b.ReportMetric(float64(w.Store.Writes-writes)/steps, "changes/step")
+	b.ReportMetric(float64(sim.Store.Writes-writes)/steps, "changes/step")
 	b.ReportMetric(float64(m.kinds["run"]+m.kinds["ran"])/steps, "run-changes/step")
-	b.ReportMetric(float64(w.Store.Requests-requests)/steps, "requests/step")
-	b.ReportMetric(float64(most), "live-runs")
+	b.ReportMetric(float64(sim.Store.Requests-requests)/steps, "requests/step")
+	b.ReportMetric(float64(maxLiveRuns), "live-runs")
 	b.ReportMetric(float64(m.gaps.ValueAtQuantile(50)), "gap-p50-ms")
 	b.ReportMetric(float64(m.gaps.ValueAtQuantile(99)), "gap-p99-ms")
 	b.ReportMetric(float64(m.gaps.Max()), "gap-max-ms")
--- a/internal/scenario/packs_test.go
+++ b/internal/scenario/packs_test.go
@@ -19,25 +19,25 @@
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			w := simulation.NewSimulator(seed, slog.New(slog.DiscardHandler))
-			s := &script{t: t, line: "packs", w: w, vars: map[string]string{}, applied: map[string]int{}}
-			w.WatchTasks()
-			s.set = baseSettings(w)
+			sim := simulation.NewSimulator(seed, slog.New(slog.DiscardHandler))
+			s := &script{t: t, line: "packs", sim: sim, vars: map[string]string{}, applied: map[string]int{}}
+			sim.WatchTasks()
+			s.set = baseSettings(sim)
 			s.set.Cluster.Size = 5
 			s.set.Cluster.State.WriteRPS = 60
 			s.set.Cluster.Teams = []settings.Team{{Name: "team"}}
 			s.set.Operator.TaskBatching = settings.BatchingAlways
-			w.Store.RPS, w.Store.WPS = s.set.Cluster.State.RPS, s.set.Cluster.State.WriteRPS
-			w.Store.SlowWatch = 700 * time.Millisecond
-			w.Cloud.Limit = 40
+			sim.Store.RPS, sim.Store.WPS = s.set.Cluster.State.RPS, s.set.Cluster.State.WriteRPS
+			sim.Store.SlowWatch = 700 * time.Millisecond
+			sim.Cloud.Limit = 40
 			for range 40 {
-				w.Cloud.AddRunning("g4", "a", false)
+				sim.Cloud.AddRunning("g4", "a", false)
 			}
-			w.AddNodes(5, s.set)
+			sim.AddNodes(5, s.set)
 			rng := rand.New(rand.NewPCG(seed, 1))
 			n := 0
 			for at := 5; at < 500; at++ {
-				w.RunUntil(time.Duration(at) * time.Second)
+				sim.RunUntil(time.Duration(at) * time.Second)
 				if at < 400 && at%5 == 0 {
 					n++
 					s.submit(
@@ -53,26 +53,26 @@
 				}
 				switch at % 20 {
 				case 10:
-					w.Nodes[w.NodeNames[at/20%5]].Crash()
+					sim.Nodes[sim.NodeNames[at/20%5]].Crash()
 				case 12:
-					w.Nodes[w.NodeNames[at/20%5]].Boot()
+					sim.Nodes[sim.NodeNames[at/20%5]].Boot()
 				}
 			}
-			w.RunUntil(800 * time.Second)
-			w.CheckRefused()
-			for _, b := range w.Violations {
+			sim.RunUntil(800 * time.Second)
+			sim.CheckRefused()
+			for _, b := range sim.Violations {
 				t.Error(b)
 			}
 			done := 0
-			for _, j := range w.Jobs {
+			for _, j := range sim.Jobs {
 				if j.Status == "done" {
 					done++
 				}
 			}
-			if done != len(w.Jobs) || done < 79 {
-				t.Errorf("%d of %d jobs are done", done, len(w.Jobs))
+			if done != len(sim.Jobs) || done < 79 {
+				t.Errorf("%d of %d jobs are done", done, len(sim.Jobs))
 			}
-			t.Logf("%d jobs, %d writes", done, w.Store.Writes)
+			t.Logf("%d jobs, %d writes", done, sim.Store.Writes)
 		})
 	}
 }
--- a/internal/scenario/pairs_test.go
+++ b/internal/scenario/pairs_test.go
@@ -31,42 +31,42 @@
 var faultKinds = []fault{
 	{"controller partitioned", func(s *script, leader string, d time.Duration) {
 		// It reaches neither the state service nor its peers, but users and workers reach it.
-		w, refused := s.w, s.w.RNG.IntN(2) == 0
+		sim, refused := s.sim, s.sim.RNG.IntN(2) == 0
 		on := func(on bool) {
 			if refused {
-				w.Store.RefusedNodes[leader] = on
+				sim.Store.RefusedNodes[leader] = on
 			} else if on {
-				w.Cut(leader, "state", false)
+				sim.Cut(leader, "state", false)
 			} else {
-				w.Heal(leader, "state")
+				sim.Heal(leader, "state")
 			}
 			s.cutPeers(leader, on)
 		}
 		on(true)
-		w.After(d, func() { on(false) })
+		sim.After(d, func() { on(false) })
 		for at := time.Duration(0); at < d; at += 2 * time.Second { // some user requests go to it
-			w.After(at, func() { w.EntryNode = []string{leader, ""}[w.RNG.IntN(2)] })
+			sim.After(at, func() { sim.EntryNode = []string{leader, ""}[sim.RNG.IntN(2)] })
 		}
-		w.After(d, func() { w.EntryNode = "" })
+		sim.After(d, func() { sim.EntryNode = "" })
 	}},
 	{"state", func(s *script, leader string, d time.Duration) {
-		w := s.w
-		switch w.RNG.IntN(3) {
+		sim := s.sim
+		switch sim.RNG.IntN(3) {
 		case 0:
-			w.Store.SetDown(true)
-			w.After(d, func() { w.Store.SetDown(false) })
+			sim.Store.SetDown(true)
+			sim.After(d, func() { sim.Store.SetDown(false) })
 		case 1:
-			w.Store.Slow = time.Duration(100+w.RNG.IntN(900)) * time.Millisecond
-			w.After(d, func() { w.Store.Slow = 0 })
+			sim.Store.Slow = time.Duration(100+sim.RNG.IntN(900)) * time.Millisecond
+			sim.After(d, func() { sim.Store.Slow = 0 })
 		case 2:
-			w.Store.RefusedNodes[leader] = true
-			w.After(d, func() { w.Store.RefusedNodes[leader] = false })
+			sim.Store.RefusedNodes[leader] = true
+			sim.After(d, func() { sim.Store.RefusedNodes[leader] = false })
 		}
 	}},
-	{"late writes", func(s *script, _ string, d time.Duration) { s.w.LateWrites(0.1+0.5*s.w.RNG.Float64(), d) }},
+	{"late writes", func(s *script, _ string, d time.Duration) { s.sim.LateWrites(0.1+0.5*s.sim.RNG.Float64(), d) }},
 	{"leader changes", func(s *script, leader string, d time.Duration) {
-		w, n := s.w, s.w.Nodes[leader]
-		switch w.RNG.IntN(4) {
+		sim, n := s.sim, s.sim.Nodes[leader]
+		switch sim.RNG.IntN(4) {
 		case 0:
 			n.Crash()
 		case 1:
@@ -76,76 +76,76 @@
 			n.Shutdown()
 			d += 10 * time.Second
 		case 3:
-			w.Flap(leader, 1+w.RNG.IntN(5), 900*time.Millisecond)
+			sim.Flap(leader, 1+sim.RNG.IntN(5), 900*time.Millisecond)
 			return
 		}
-		w.After(d, n.Boot)
+		sim.After(d, n.Boot)
 	}},
 	{"machines receive nothing", func(s *script, _ string, d time.Duration) {
 		s.someMachines(func(machine string) {
-			s.w.Cut("*", machine, false)
-			s.w.After(d, func() { s.w.Heal("*", machine) })
+			s.sim.Cut("*", machine, false)
+			s.sim.After(d, func() { s.sim.Heal("*", machine) })
 		})
 	}},
 	{"machines unreachable", func(s *script, _ string, d time.Duration) {
 		s.someMachines(func(machine string) {
-			s.w.Cut("*", machine, false)
-			s.w.Cut(machine, "*", false)
-			s.w.After(d, func() { s.w.Heal("*", machine); s.w.Heal(machine, "*") })
+			s.sim.Cut("*", machine, false)
+			s.sim.Cut(machine, "*", false)
+			s.sim.After(d, func() { s.sim.Heal("*", machine); s.sim.Heal(machine, "*") })
 		})
 	}},
 	{"held", func(s *script, _ string, d time.Duration) {
-		w := s.w
-		kind := w.RNG.IntN(3)
+		sim := s.sim
+		kind := sim.RNG.IntN(3)
 		s.someMachines(func(machine string) {
 			switch kind {
 			case 0: // commands to it, delivered all at once in the end
-				for _, n := range w.NodeNames {
-					w.Cut(n+":cmd", machine, true)
-					w.After(d, func() { w.Heal(n+":cmd", machine) })
+				for _, n := range sim.NodeNames {
+					sim.Cut(n+":cmd", machine, true)
+					sim.After(d, func() { sim.Heal(n+":cmd", machine) })
 				}
 			case 1: // its answers to them
-				for _, n := range w.NodeNames {
-					w.Cut(machine, n+":cmd", true)
-					w.After(d, func() { w.Heal(machine, n+":cmd") })
+				for _, n := range sim.NodeNames {
+					sim.Cut(machine, n+":cmd", true)
+					sim.After(d, func() { sim.Heal(machine, n+":cmd") })
 				}
 			case 2: // the machine hangs
-				if agent := w.Agents[machine]; agent != nil {
+				if agent := sim.Agents[machine]; agent != nil {
 					agent.Hung = true
-					w.After(d, agent.Resume)
+					sim.After(d, agent.Resume)
 				}
 			}
 		})
 	}},
 	{"handover and back", func(s *script, leader string, _ time.Duration) {
-		w := s.w
-		if w.RNG.IntN(2) == 0 {
-			w.Nodes[leader].Shutdown()
-			w.After(8*time.Second, w.Nodes[leader].Boot)
+		sim := s.sim
+		if sim.RNG.IntN(2) == 0 {
+			sim.Nodes[leader].Shutdown()
+			sim.After(8*time.Second, sim.Nodes[leader].Boot)
 			return
 		}
-		for _, n := range w.NodeNames {
-			w.Nodes[n].Crash()
-			w.After(time.Duration(200+w.RNG.IntN(3000))*time.Millisecond, w.Nodes[n].Boot)
+		for _, n := range sim.NodeNames {
+			sim.Nodes[n].Crash()
+			sim.After(time.Duration(200+sim.RNG.IntN(3000))*time.Millisecond, sim.Nodes[n].Boot)
 		}
 	}},
 	{"gap", func(s *script, leader string, _ time.Duration) {
 		// The state service refuses the leader alone, then everyone, for longer than cancel_s.
-		w := s.w
-		if s.outages++; s.outages > 2 || w.Store.Down {
+		sim := s.sim
+		if s.outages++; s.outages > 2 || sim.Store.Down {
 			return
 		}
-		w.Store.RefusedNodes[leader] = true
-		w.After(14*time.Second, func() { w.Store.RefusedNodes[leader] = false })
-		w.After(2*time.Second, func() { w.Store.SetDown(true) })
-		w.After(time.Duration((w.CancelS+14)*float64(time.Second)), func() { w.Store.SetDown(false) })
+		sim.Store.RefusedNodes[leader] = true
+		sim.After(14*time.Second, func() { sim.Store.RefusedNodes[leader] = false })
+		sim.After(2*time.Second, func() { sim.Store.SetDown(true) })
+		sim.After(time.Duration((sim.CancelS+14)*float64(time.Second)), func() { sim.Store.SetDown(false) })
 	}},
-	{"late reports", func(s *script, _ string, d time.Duration) { s.w.LateReports(0.1+0.8*s.w.RNG.Float64(), d) }},
+	{"late reports", func(s *script, _ string, d time.Duration) { s.sim.LateReports(0.1+0.8*s.sim.RNG.Float64(), d) }},
 }
 
 // someMachines applies f to up to a third of the initial machines.
 func (s *script) someMachines(f func(machine string)) {
-	first, count := s.w.RNG.IntN(len(s.machines)), 1+s.w.RNG.IntN(len(s.machines)/3)
+	first, count := s.sim.RNG.IntN(len(s.machines)), 1+s.sim.RNG.IntN(len(s.machines)/3)
 	for i := range count {
 		f(s.machines[(first+i)%len(s.machines)])
 	}
@@ -153,15 +153,15 @@
 
 // cutPeers cuts or restores the links between a controller and the others.
 func (s *script) cutPeers(name string, on bool) {
-	for _, other := range s.w.NodeNames {
+	for _, other := range s.sim.NodeNames {
 		switch {
 		case other == name:
 		case on:
-			s.w.Cut(name, other, false)
-			s.w.Cut(other, name, false)
+			s.sim.Cut(name, other, false)
+			s.sim.Cut(other, name, false)
 		default:
-			s.w.Heal(name, other)
-			s.w.Heal(other, name)
+			s.sim.Heal(name, other)
+			s.sim.Heal(other, name)
 		}
 	}
 }
@@ -227,46 +227,46 @@
 	setup func(*script),
 ) {
 	t.Helper()
-	w := simulation.NewSimulator(randomSeed, slog.New(slog.DiscardHandler))
-	w.WatchTasks()
+	sim := simulation.NewSimulator(randomSeed, slog.New(slog.DiscardHandler))
+	sim.WatchTasks()
 	timing := &pairDeployments[seed%len(pairDeployments)]
-	w.LeaseS, w.CancelS, w.ReportS = timing.LeaseS, timing.CancelS, timing.ReportS
-	s := &script{t: t, w: w, set: baseSettings(w)}
+	sim.LeaseS, sim.CancelS, sim.ReportS = timing.LeaseS, timing.CancelS, timing.ReportS
+	s := &script{t: t, sim: sim, set: baseSettings(sim)}
 	s.set.Cluster.Size = 3 + 2*(seed/2%2)
 	s.set.Cluster.Teams = []settings.Team{{Name: "team", GpusMax: 110}, {Name: "other", GpusMax: 50}}
-	w.TeamLimits["team"], w.TeamLimits["other"] = 110, 50
+	sim.TeamLimits["team"], sim.TeamLimits["other"] = 110, 50
 	s.set.Operator.TaskBatching = batching
 	s.set.Cluster.State.WriteRPS = 80
-	w.Store.RPS, w.Store.WPS = 250, 80
+	sim.Store.RPS, sim.Store.WPS = 250, 80
 	for i := range 40 {
-		s.machines = append(s.machines, w.Cloud.AddRunning("g4", []string{"a", "b"}[i%2], false))
+		s.machines = append(s.machines, sim.Cloud.AddRunning("g4", []string{"a", "b"}[i%2], false))
 	}
-	w.AddNodes(s.set.Cluster.Size, s.set)
+	sim.AddNodes(s.set.Cluster.Size, s.set)
 	s.drawJobs()
 	s.drawStaggered()
 	setup(s)
-	for w.RunUntil(12 * time.Second); w.At() < 130*time.Second; {
-		leader := w.Leader()
+	for sim.RunUntil(12 * time.Second); sim.At() < 130*time.Second; {
+		leader := sim.Leader()
 		if leader == "" {
-			leader = w.NodeNames[w.RNG.IntN(len(w.NodeNames))]
+			leader = sim.NodeNames[sim.RNG.IntN(len(sim.NodeNames))]
 		}
-		duration := func() time.Duration { return time.Duration(2000+w.RNG.IntN(16000)) * time.Millisecond }
+		duration := func() time.Duration { return time.Duration(2000+sim.RNG.IntN(16000)) * time.Millisecond }
 		a.begin(s, leader, duration())
-		w.After(time.Duration(w.RNG.IntN(5000))*time.Millisecond, func() { b.begin(s, leader, duration()) })
-		w.RunUntil(w.At() + time.Duration(8000+w.RNG.IntN(20000))*time.Millisecond)
+		sim.After(time.Duration(sim.RNG.IntN(5000))*time.Millisecond, func() { b.begin(s, leader, duration()) })
+		sim.RunUntil(sim.At() + time.Duration(8000+sim.RNG.IntN(20000))*time.Millisecond)
 	}
-	w.RunUntil(w.At() + 80*time.Second) // the last outage is over, and waiting jobs have had their turn
-	w.CheckRecovery()
-	w.CheckServed(true)
-	w.CheckRefused()
-	for _, b := range w.Violations {
+	sim.RunUntil(sim.At() + 80*time.Second) // the last outage is over, and waiting jobs have had their turn
+	sim.CheckRecovery()
+	sim.CheckServed(true)
+	sim.CheckRefused()
+	for _, b := range sim.Violations {
 		t.Error(b)
 	}
 }
 
 // drawStaggered submits arrays whose tasks end far apart.
 func (s *script) drawStaggered() {
-	w, r := s.w, s.w.RNG
+	sim, r := s.sim, s.sim.RNG
 	for i := range 25 {
 		jobID := fmt.Sprintf("wk-%06d", 1000+i)
 		args := []string{
@@ -278,10 +278,10 @@
 			"class=apart",
 		}
 		at := time.Duration(5000+r.IntN(90000)) * time.Millisecond
-		w.After(at, func() { s.submit(args) })
-		w.After(at+time.Duration(r.IntN(30000))*time.Millisecond, func() {
-			if w.Jobs[jobID].Accepted {
-				w.Resubmit(w.Jobs[jobID])
+		sim.After(at, func() { s.submit(args) })
+		sim.After(at+time.Duration(r.IntN(30000))*time.Millisecond, func() {
+			if sim.Jobs[jobID].Accepted {
+				sim.Resubmit(sim.Jobs[jobID])
 			}
 		})
 	}
--- a/internal/scenario/same_test.go
+++ b/internal/scenario/same_test.go
@@ -58,17 +58,17 @@
 // newLoggedSimulator returns a simulation with three controllers, and the log of what they write.
 func newLoggedSimulator(t *testing.T) (*simulation.Simulator, *schedulerLog) {
 	t.Helper()
-	w := simulation.NewSimulator(3, slog.New(slog.DiscardHandler))
-	set := baseSettings(w)
+	sim := simulation.NewSimulator(3, slog.New(slog.DiscardHandler))
+	set := baseSettings(sim)
 	set.Cluster.Teams = []settings.Team{{Name: "team", Gpus: 2, GpusMax: 4}}
 	set.Operator.Pipelines = settings.DefaultPipelines()
-	w.TeamLimits["team"] = 4
+	sim.TeamLimits["team"] = 4
 	for _, zone := range []string{"a", "a", "b"} {
-		w.Cloud.AddRunning("g4", zone, false)
+		sim.Cloud.AddRunning("g4", zone, false)
 	}
-	w.Cloud.Limit = 3
+	sim.Cloud.Limit = 3
 	log := &schedulerLog{map[string]jobs.Spec{}, map[string]string{}, map[string][]string{}, map[string]int{}}
-	w.Store.Committed = func(key string, v json.RawMessage) {
+	sim.Store.Committed = func(key string, v json.RawMessage) {
 		kind, name, _ := strings.Cut(key, "/")
 		if v == nil {
 			return
@@ -99,13 +99,13 @@
 			}
 		}
 	}
-	w.AddNodes(3, set)
-	return w, log
+	sim.AddNodes(3, set)
+	return sim, log
 }
 
 // submitSteps submits each step of a pipeline file as a job as soon as the steps that it needs are
 // done.
-func submitSteps(w *simulation.Simulator, plainLog *schedulerLog, f *pipefile.File, jobID map[string]string) {
+func submitSteps(sim *simulation.Simulator, plainLog *schedulerLog, f *pipefile.File, jobID map[string]string) {
 	sent := map[string]bool{}
 	for at := 5 * time.Second; at < 150*time.Second; at += 20 * time.Millisecond {
 		for i := range f.Plan.Steps {
@@ -116,10 +116,10 @@
 			}
 			if ready {
 				sent[s.Name] = true
-				w.Submit(jobOf(s.Spec, jobID[s.Name]))
+				sim.Submit(jobOf(s.Spec, jobID[s.Name]))
 			}
 		}
-		w.RunUntil(at)
+		sim.RunUntil(at)
 	}
 }
 
@@ -152,24 +152,24 @@
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
-	w, pipelineLog := newLoggedSimulator(t)
-	w.RunUntil(5 * time.Second)
+	sim, pipelineLog := newLoggedSimulator(t)
+	sim.RunUntil(5 * time.Second)
 	run := &simulation.Run{ID: "run-1", Body: f.Submission("run-1")}
-	w.SubmitRun(run)
-	w.RunUntil(150 * time.Second)
-	if run.State != string(pipelines.RunSucceeded) || len(w.Violations) > 0 {
-		t.Fatal(run.State, run.Status, w.Violations)
+	sim.SubmitRun(run)
+	sim.RunUntil(150 * time.Second)
+	if run.State != string(pipelines.RunSucceeded) || len(sim.Violations) > 0 {
+		t.Fatal(run.State, run.Status, sim.Violations)
 	}
 	jobID := map[string]string{}
 	for _, s := range run.Status.Steps {
 		jobID[s.Name] = s.JobID
 	}
 
-	w, plainLog := newLoggedSimulator(t)
-	w.RunUntil(5 * time.Second)
-	submitSteps(w, plainLog, f, jobID)
-	if len(w.Violations) > 0 {
-		t.Fatal(w.Violations)
+	sim, plainLog := newLoggedSimulator(t)
+	sim.RunUntil(5 * time.Second)
+	submitSteps(sim, plainLog, f, jobID)
+	if len(sim.Violations) > 0 {
+		t.Fatal(sim.Violations)
 	}
 	if len(plainLog.Finals) != len(f.Plan.Steps) || len(pipelineLog.Tasks) != 12 {
 		t.Fatalf("%d jobs ended, %d tasks", len(plainLog.Finals), len(pipelineLog.Tasks))
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -55,27 +55,27 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	machines, changes := 0, 100
+	machines, writes := 0, 100
 	for _, line := range strings.Split(string(text), "\n") {
 		var n int
-		switch w := strings.Fields(line); {
-		case len(w) > 0 && w[0] == "machine":
+		switch words := strings.Fields(line); {
+		case len(words) > 0 && words[0] == "machine":
 			machines++
-		case len(w) > 1 && w[0] == "machines":
-			n, _ = strconv.Atoi(w[1])
+		case len(words) > 1 && words[0] == "machines":
+			n, _ = strconv.Atoi(words[1])
 			machines += n
-		case len(w) > 2 && w[0] == "budget":
-			changes, _ = strconv.Atoi(w[2])
+		case len(words) > 2 && words[0] == "budget":
+			writes, _ = strconv.Atoi(words[2])
 		}
 	}
-	return machines > changes
+	return machines > writes
 }
 
 // script executes a scenario.
 type script struct {
 	t        testing.TB
 	line     string
-	w        *simulation.Simulator
+	sim      *simulation.Simulator
 	set      settings.Settings
 	size     int
 	machines []string // initial machines, in order of their setting lines
@@ -115,19 +115,19 @@
 	}
 	defer func() { _ = f.Close() }() // only read
 	s := newScript(tb, batching)
-	s.w.Store.Committed, s.w.Messages = committed, messages
+	s.sim.Store.Committed, s.sim.Messages = committed, messages
 	s.playLines(f, filepath.Base(file))
 	s.checkTriggersFired()
 	if committed == nil { // a recording ends with the last line of the file
-		s.w.CheckRecovery()
+		s.sim.CheckRecovery()
 		if !s.scarce {
-			s.w.CheckServed(s.inTime)
+			s.sim.CheckServed(s.inTime)
 		}
 	}
-	if s.w.Store.Poisoned == 0 {
-		s.w.CheckRefused()
+	if s.sim.Store.Poisoned == 0 {
+		s.sim.CheckRefused()
 	}
-	for _, b := range s.w.Violations {
+	for _, b := range s.sim.Violations {
 		tb.Errorf("%s: invariant violated at %s", file, b)
 	}
 }
@@ -145,10 +145,10 @@
 		size:    3,
 		vars:    map[string]string{},
 		applied: map[string]int{},
-		w:       simulation.NewSimulator(7, log),
+		sim:     simulation.NewSimulator(7, log),
 	}
-	s.w.WatchTasks()
-	s.set = baseSettings(s.w)
+	s.sim.WatchTasks()
+	s.set = baseSettings(s.sim)
 	s.set.Operator.TaskBatching = batching
 	return s
 }
@@ -175,10 +175,10 @@
 			s.start()
 		}
 		due := time.Duration(at * float64(time.Second))
-		if due < s.w.At() { // the simulated clock must not go back
-			s.fatal("line for %v after the clock has reached %v", due, s.w.At())
+		if due < s.sim.At() { // the simulated clock must not go back
+			s.fatal("line for %v after the clock has reached %v", due, s.sim.At())
 		}
-		s.w.RunUntil(due)
+		s.sim.RunUntil(due)
 		s.do(words[1], words[2:])
 	}
 }
@@ -186,31 +186,31 @@
 // start starts the controllers and the invariant checks that the settings call for.
 func (s *script) start() {
 	if s.set.Operator.Quotas != nil {
-		s.stopsByCause = s.w.WatchQuotas(s.set.TeamMap(), nil)
+		s.stopsByCause = s.sim.WatchQuotas(s.set.TeamMap(), nil)
 	}
 	if s.set.Operator.Lending != nil {
 		s.watchLoans()
 	}
-	s.w.Unresponsive = s.unresponsive
+	s.sim.Unresponsive = s.unresponsive
 	s.watchCalendar()
-	s.w.AddNodes(s.size, s.set)
+	s.sim.AddNodes(s.size, s.set)
 }
 
 // baseSettings returns the settings that scenarios begin with.
-func baseSettings(w *simulation.Simulator) settings.Settings {
+func baseSettings(sim *simulation.Simulator) settings.Settings {
 	set := settings.Settings{Operator: settings.DefaultOperator()}
 	set.Cluster = settings.Cluster{
 		Size:  3,
 		Zones: []string{"a", "b"},
 		Workers: settings.Workers{
-			HeartbeatS: w.ReportS,
-			LeaseS:     w.LeaseS,
-			GangWaitS:  w.GangWaitS,
-			GangPeerS:  w.GangPeerS,
-			CancelS:    w.CancelS,
+			HeartbeatS: sim.ReportS,
+			LeaseS:     sim.LeaseS,
+			GangWaitS:  sim.GangWaitS,
+			GangPeerS:  sim.GangPeerS,
+			CancelS:    sim.CancelS,
 		},
 		State:  settings.State{RPS: 250, WriteRPS: 100, ValueKB: 8, TxnOps: 16},
-		Cloud:  settings.Cloud{RPS: 4, ListLagS: w.Cloud.LagS},
+		Cloud:  settings.Cloud{RPS: 4, ListLagS: sim.Cloud.LagS},
 		Limits: settings.Limits{MemoryMB: 200, FdLimit: 1000},
 	}
 	return set
@@ -233,17 +233,17 @@
 func (s *script) value(args []string) string {
 	switch args[0] {
 	case "host-of":
-		if machine := s.w.MachineOf(args[1]); machine != "" {
+		if machine := s.sim.MachineOf(args[1]); machine != "" {
 			return machine
 		}
 		s.fatal("no task of %s is on a machine", args[1])
 	case "owner-of": // the controller that owns a pipeline run
-		return s.w.OwnerOf(args[1])
+		return s.sim.OwnerOf(args[1])
 	case "leader":
 		return s.leader()
 	case "follower", "second": // the first and the second controller that isn't the leader
 		skip := args[0] == "second"
-		for _, n := range s.w.NodeNames {
+		for _, n := range s.sim.NodeNames {
 			switch {
 			case n == s.leader():
 			case skip:
@@ -259,7 +259,7 @@
 
 // leader returns the current leader, and fails the scenario if there is none.
 func (s *script) leader() string {
-	l := s.w.Leader()
+	l := s.sim.Leader()
 	if l == "" {
 		s.fatal("no controller is leader")
 	}
@@ -269,7 +269,7 @@
 // node resolves the name of a controller, and fails the scenario if it is unknown.
 func (s *script) node(text string) string {
 	text = s.endpoint(text)
-	if s.w.Nodes[text] == nil {
+	if s.sim.Nodes[text] == nil {
 		s.fatal("no node %q", text)
 	}
 	return text
@@ -291,7 +291,7 @@
 }
 
 func (s *script) job(jobID string) *simulation.Job {
-	j := s.w.Jobs[jobID]
+	j := s.sim.Jobs[jobID]
 	if j == nil {
 		s.fatal("no job %s", jobID)
 	}
@@ -310,7 +310,7 @@
 }
 
 func (s *script) runOf(id string) *simulation.Run {
-	r := s.w.Runs[id]
+	r := s.sim.Runs[id]
 	if r == nil {
 		s.fatal("no run %s", id)
 	}
--- a/internal/scenario/settings_test.go
+++ b/internal/scenario/settings_test.go
@@ -52,18 +52,18 @@
 		team.Gpus = s.number(words[3])
 	}
 	s.set.Cluster.Teams = append(s.set.Cluster.Teams, team)
-	s.w.TeamLimits[words[1]] = team.GpusMax
+	s.sim.TeamLimits[words[1]] = team.GpusMax
 }
 
 // setMachine executes "machine BUILD SITE [cheap]": an initial machine; cheap ones are spot.
 func (s *script) setMachine(words []string) {
-	s.machines = append(s.machines, s.w.Cloud.AddRunning(words[1], words[2], len(words) > 3))
+	s.machines = append(s.machines, s.sim.Cloud.AddRunning(words[1], words[2], len(words) > 3))
 }
 
 // setMachines executes "machines COUNT BUILD SITE".
 func (s *script) setMachines(words []string) {
 	for range int(s.number(words[1])) {
-		s.machines = append(s.machines, s.w.Cloud.AddRunning(words[2], words[3], false))
+		s.machines = append(s.machines, s.sim.Cloud.AddRunning(words[2], words[3], false))
 	}
 }
 
@@ -85,20 +85,20 @@
 
 // setReport executes "report SECONDS": the interval of the workers' reports.
 func (s *script) setReport(words []string) {
-	s.w.ReportS = s.number(words[1])
-	s.set.Cluster.Workers.HeartbeatS = s.w.ReportS
+	s.sim.ReportS = s.number(words[1])
+	s.set.Cluster.Workers.HeartbeatS = s.sim.ReportS
 }
 
 // setBudget executes "budget REQUESTS WRITES": the limits per second that the state service
 // enforces.
 func (s *script) setBudget(words []string) {
 	s.set.Cluster.State.RPS, s.set.Cluster.State.WriteRPS = s.number(words[1]), s.number(words[2])
-	s.w.Store.RPS, s.w.Store.WPS = s.number(words[1]), s.number(words[2])
+	s.sim.Store.RPS, s.sim.Store.WPS = s.number(words[1]), s.number(words[2])
 }
 
 // setCapacity executes "capacity MACHINES": the most machines that the cloud has.
 func (s *script) setCapacity(words []string) {
-	s.w.Cloud.Limit = int(s.number(words[1]))
+	s.sim.Cloud.Limit = int(s.number(words[1]))
 }
 
 // setCloud executes "cloud REQUESTS": the request limit of the cloud per second.
@@ -108,8 +108,8 @@
 
 // setLists executes "lists SECONDS": the lag of the cloud's lists.
 func (s *script) setLists(words []string) {
-	s.w.Cloud.LagS = s.number(words[1])
-	s.set.Cluster.Cloud.ListLagS = s.w.Cloud.LagS
+	s.sim.Cloud.LagS = s.number(words[1])
+	s.set.Cluster.Cloud.ListLagS = s.sim.Cloud.LagS
 }
 
 // setFollowCloud executes "follow-cloud": standby controllers read the cloud's list.
@@ -119,15 +119,15 @@
 
 // setLease executes "lease SECONDS": the lease of the workers.
 func (s *script) setLease(words []string) {
-	s.w.LeaseS = s.number(words[1])
-	s.set.Cluster.Workers.LeaseS = s.w.LeaseS
+	s.sim.LeaseS = s.number(words[1])
+	s.set.Cluster.Workers.LeaseS = s.sim.LeaseS
 }
 
 // setCancel executes "cancel SECONDS": a cancelled job's tasks must be gone that soon after its
 // user was told.
 func (s *script) setCancel(words []string) {
-	s.w.CancelS = s.number(words[1])
-	s.set.Cluster.Workers.CancelS = s.w.CancelS
+	s.sim.CancelS = s.number(words[1])
+	s.set.Cluster.Workers.CancelS = s.sim.CancelS
 }
 
 // setValues executes "values KIBIBYTES OPERATIONS": the size limits of a value and of a
@@ -156,17 +156,17 @@
 
 // setBoots executes "boots SECONDS": the boot time of a rented machine, plus or minus a fifth.
 func (s *script) setBoots(words []string) {
-	s.w.Cloud.BootS = s.number(words[1])
+	s.sim.Cloud.BootS = s.number(words[1])
 }
 
 // setImages executes "images": machines never evict images that they have fetched.
 func (s *script) setImages(_ []string) {
-	s.w.KeepImages = true
+	s.sim.KeepImages = true
 }
 
 // setNever executes "never COUNT": the next COUNT machines never boot.
 func (s *script) setNever(words []string) {
-	s.w.Cloud.NeverBoot = int(s.number(words[1]))
+	s.sim.Cloud.NeverBoot = int(s.number(words[1]))
 }
 
 // setLending executes "lending [strict]": turns lending on; strict disables preemption by rank.
--- a/internal/scenario/size_test.go
+++ b/internal/scenario/size_test.go
@@ -47,31 +47,31 @@
 	}
 }
 
-// sizeWorld returns a simulation of five controllers with that many machines and tasks.
-func sizeWorld(machines, tasks int) *simulation.Simulator {
-	w := simulation.NewSimulator(5, slog.New(slog.DiscardHandler))
-	set := baseSettings(w)
+// newSizeSimulator returns a simulation of five controllers with that many machines and tasks.
+func newSizeSimulator(machines, tasks int) *simulation.Simulator {
+	sim := simulation.NewSimulator(5, slog.New(slog.DiscardHandler))
+	set := baseSettings(sim)
 	set.Cluster.Size = 5
 	set.Cluster.Teams = []settings.Team{{Name: "team"}}
-	set.Cluster.Workers.HeartbeatS, w.ReportS = sizeReportS, sizeReportS
+	set.Cluster.Workers.HeartbeatS, sim.ReportS = sizeReportS, sizeReportS
 	set.Cluster.State.WriteRPS = 50
 	set.Operator.TaskBatching = settings.BatchingWhenScarce
-	w.Store.RPS, w.Store.WPS = set.Cluster.State.RPS, set.Cluster.State.WriteRPS
-	w.Cloud.Limit = machines
+	sim.Store.RPS, sim.Store.WPS = set.Cluster.State.RPS, set.Cluster.State.WriteRPS
+	sim.Cloud.Limit = machines
 	for i := range machines {
-		w.Cloud.AddRunning("g8", []string{"a", "b"}[i%2], false)
+		sim.Cloud.AddRunning("g8", []string{"a", "b"}[i%2], false)
 	}
-	w.AddNodes(5, set)
-	submitSizeJobs(w, tasks)
-	return w
+	sim.AddNodes(5, set)
+	submitSizeJobs(sim, tasks)
+	return sim
 }
 
 // submitSizeJobs submits the jobs that fill the machines, one every sizeJobEvery.
-func submitSizeJobs(w *simulation.Simulator, tasks int) {
+func submitSizeJobs(sim *simulation.Simulator, tasks int) {
 	count := tasks / sizeJobTasks
 	for i := range count {
 		jobID := fmt.Sprintf("wk-%06d", i)
-		w.After(10*time.Second+time.Duration(i)*sizeJobEvery, func() {
+		sim.After(10*time.Second+time.Duration(i)*sizeJobEvery, func() {
 			j := &simulation.Job{
 				ID:           jobID,
 				Kind:         jobs.JobArray,
@@ -93,7 +93,7 @@
 				sizeJobTasks,
 				sizeRunS,
 			)
-			w.Submit(j)
+			sim.Submit(j)
 		})
 	}
 }
@@ -105,24 +105,24 @@
 }
 
 // measureRestart runs the minute after the crash.
-func measureRestart(w *simulation.Simulator, down time.Duration) restartTimes {
+func measureRestart(sim *simulation.Simulator, down time.Duration) restartTimes {
 	var took restartTimes
-	last := w.Store.Requests
-	for at := w.At(); at < down+60*time.Second; at += 50 * time.Millisecond {
-		w.RunUntil(at)
-		if took.led == 0 && w.Leader() != "" {
+	last := sim.Store.Requests
+	for at := sim.At(); at < down+60*time.Second; at += 50 * time.Millisecond {
+		sim.RunUntil(at)
+		if took.led == 0 && sim.Leader() != "" {
 			took.led = at - down
 		}
-		if took.answered == 0 && w.LastAnswer().After(w.Start.Add(down+200*time.Millisecond)) {
+		if took.answered == 0 && sim.LastAnswer().After(sim.Start.Add(down+200*time.Millisecond)) {
 			took.answered = at - down
 		}
 		var v struct{ Epoch uint64 }
-		if took.heard == 0 && took.led > 0 && json.Unmarshal(w.Store.Value("view"), &v) == nil && w.TokenShown(v.Epoch) {
+		if took.heard == 0 && took.led > 0 && json.Unmarshal(sim.Store.Value("view"), &v) == nil && sim.TokenShown(v.Epoch) {
 			took.heard = at - down
 		}
 		if (at-down)%time.Second == 0 {
-			took.peak = max(took.peak, float64(w.Store.Requests-last))
-			last = w.Store.Requests
+			took.peak = max(took.peak, float64(sim.Store.Requests-last))
+			last = sim.Store.Requests
 		}
 	}
 	return took
@@ -130,37 +130,37 @@
 
 // memoryPerController discards all controllers and returns the bytes that each of them held, once
 // their open watches have ended.
-func memoryPerController(w *simulation.Simulator) uint64 {
+func memoryPerController(sim *simulation.Simulator) uint64 {
 	before := heapInUse()
-	for _, n := range w.NodeNames {
-		w.Nodes[n].Discard()
+	for _, n := range sim.NodeNames {
+		sim.Nodes[n].Discard()
 	}
-	w.RunUntil(w.At() + 12*time.Second)
-	return (before - heapInUse()) / uint64(len(w.NodeNames))
+	sim.RunUntil(sim.At() + 12*time.Second)
+	return (before - heapInUse()) / uint64(len(sim.NodeNames))
 }
 
 func measureSize(b *testing.B, machines, tasks int) {
 	b.Helper()
-	w := sizeWorld(machines, tasks)
-	on := func() int { return w.TasksOn() }
+	sim := newSizeSimulator(machines, tasks)
+	on := func() int { return sim.TasksOn() }
 	full := 10 * time.Second
 	for ; on() < tasks && full < 20*time.Minute; full += time.Second {
-		w.RunUntil(full)
+		sim.RunUntil(full)
 	}
 	placed := on()
-	requests, writes := w.Store.Requests, w.Store.Writes
-	w.RunUntil(full + 60*time.Second)
-	steadyRequests, steadyWrites := w.Store.Requests-requests, w.Store.Writes-writes
-	keys, bytes := w.Store.Live()
-	expired, starts := w.ExpiredLeases, totalStarts(w)
-	w.Store.Listed = 0
-	crashAll(w)
-	down := w.At()
-	w.RunUntil(down + 200*time.Millisecond)
-	bootAll(w)
-	took := measureRestart(w, down)
-	w.RunUntil(w.At() + 30*time.Second)
-	held := memoryPerController(w)
+	requests, writes := sim.Store.Requests, sim.Store.Writes
+	sim.RunUntil(full + 60*time.Second)
+	steadyRequests, steadyWrites := sim.Store.Requests-requests, sim.Store.Writes-writes
+	keys, bytes := sim.Store.Live()
+	expired, starts := sim.ExpiredLeases, totalStarts(sim)
+	sim.Store.Listed = 0
+	crashAll(sim)
+	down := sim.At()
+	sim.RunUntil(down + 200*time.Millisecond)
+	bootAll(sim)
+	took := measureRestart(sim, down)
+	sim.RunUntil(sim.At() + 30*time.Second)
+	held := memoryPerController(sim)
 	b.ReportMetric(float64(placed), "tasks-on")
 	b.ReportMetric(full.Seconds(), "filled-s")
 	b.ReportMetric(float64(keys), "mirror-keys")
@@ -171,13 +171,13 @@
 	b.ReportMetric(took.led.Seconds(), "leads-s")
 	b.ReportMetric(took.answered.Seconds(), "answers-s")
 	b.ReportMetric(took.heard.Seconds(), "all-heard-s")
-	b.ReportMetric(float64(w.Store.Listed), "pages")
+	b.ReportMetric(float64(sim.Store.Listed), "pages")
 	b.ReportMetric(took.peak, "peak-requests/s")
-	b.ReportMetric(float64(w.ExpiredLeases-expired), "leases-run-out")
-	b.ReportMetric(float64(totalStarts(w)-starts), "started-again")
-	if len(w.Violations) > 0 {
+	b.ReportMetric(float64(sim.ExpiredLeases-expired), "leases-run-out")
+	b.ReportMetric(float64(totalStarts(sim)-starts), "started-again")
+	if len(sim.Violations) > 0 {
 		b.Errorf("%d invariants violated: %s",
-			len(w.Violations), strings.Join(w.Violations[:min(len(w.Violations), 5)], "\n"))
+			len(sim.Violations), strings.Join(sim.Violations[:min(len(sim.Violations), 5)], "\n"))
 	}
 }
 
@@ -186,60 +186,60 @@
 // none once they report again.
 func TestMassOutboundPartitionIsListed(t *testing.T) {
 	const machines = 4000
-	w := simulation.NewSimulator(7, slog.New(slog.DiscardHandler))
-	w.ReportS = sizeReportS
-	set := baseSettings(w)
+	sim := simulation.NewSimulator(7, slog.New(slog.DiscardHandler))
+	sim.ReportS = sizeReportS
+	set := baseSettings(sim)
 	set.Cluster.Size = 1
 	set.Cluster.Teams = []settings.Team{{Name: "team"}}
 	set.Operator.StepS = 600                                       // no machine is rented or returned meanwhile
 	set.Cluster.State.RPS, set.Cluster.State.WriteRPS = 2000, 1000 // all machines get their records quickly
-	w.Store.ValueKB, w.Store.TxnOps = set.Cluster.State.ValueKB, set.Cluster.State.TxnOps
-	w.Store.RPS, w.Store.WPS = set.Cluster.State.RPS, set.Cluster.State.WriteRPS
-	w.Cloud.Limit = machines
+	sim.Store.ValueKB, sim.Store.TxnOps = set.Cluster.State.ValueKB, set.Cluster.State.TxnOps
+	sim.Store.RPS, sim.Store.WPS = set.Cluster.State.RPS, set.Cluster.State.WriteRPS
+	sim.Cloud.Limit = machines
 	for i := range machines {
-		w.Cloud.AddRunning("g8", []string{"a", "b"}[i%2], false)
+		sim.Cloud.AddRunning("g8", []string{"a", "b"}[i%2], false)
 	}
-	w.AddNodes(1, set)
-	w.RunUntil(40 * time.Second)
-	listed := func() fleet.UnresponsiveSet { return listedUnresponsive(t, w) }
-	if n := len(listed()); n != 0 || len(w.Agents) != machines {
-		t.Fatalf("%d of %d machines are listed as unresponsive before the partition", n, len(w.Agents))
+	sim.AddNodes(1, set)
+	sim.RunUntil(40 * time.Second)
+	listed := func() fleet.UnresponsiveSet { return listedUnresponsive(t, sim) }
+	if n := len(listed()); n != 0 || len(sim.Agents) != machines {
+		t.Fatalf("%d of %d machines are listed as unresponsive before the partition", n, len(sim.Agents))
 	}
 	var cut []string
-	for i, machine := range w.Machines() {
+	for i, machine := range sim.Machines() {
 		if i%3 == 0 {
 			cut = append(cut, machine)
-			w.Isolate(machine, true)
+			sim.Isolate(machine, true)
 		}
 	}
-	w.RunUntil(w.At() + set.Cluster.Workers.OutboundPartitionedAfter() + 2*time.Second)
+	sim.RunUntil(sim.At() + set.Cluster.Workers.OutboundPartitionedAfter() + 2*time.Second)
 	got := listed()
 	correct := 0
 	for _, machine := range cut {
 		if got[machine].OutboundPartitioned {
 			correct++
 		}
-		w.Isolate(machine, false)
+		sim.Isolate(machine, false)
 	}
-	if correct != len(cut) || len(got) != len(cut) || w.Store.Value(fleet.UnresponsiveKey(w.NodeNames[0], 2)) == nil {
+	if correct != len(cut) || len(got) != len(cut) || sim.Store.Value(fleet.UnresponsiveKey(sim.NodeNames[0], 2)) == nil {
 		t.Errorf("%d machines are listed, %d send no reports", len(got), len(cut))
 	}
-	w.RunUntil(w.At() + 10*time.Second)
-	if n := len(listed()); n != 0 || w.Cloud.Alive() != machines {
-		t.Errorf("%d machines are listed though all report again, %d are left", n, w.Cloud.Alive())
+	sim.RunUntil(sim.At() + 10*time.Second)
+	if n := len(listed()); n != 0 || sim.Cloud.Alive() != machines {
+		t.Errorf("%d machines are listed though all report again, %d are left", n, sim.Cloud.Alive())
 	}
-	if len(w.Violations) > 0 {
+	if len(sim.Violations) > 0 {
 		t.Errorf("%d invariants violated: %s",
-			len(w.Violations), strings.Join(w.Violations[:min(len(w.Violations), 5)], "\n"))
+			len(sim.Violations), strings.Join(sim.Violations[:min(len(sim.Violations), 5)], "\n"))
 	}
 }
 
 // listedUnresponsive returns the machines that the first controller lists as unresponsive.
-func listedUnresponsive(t *testing.T, w *simulation.Simulator) fleet.UnresponsiveSet {
+func listedUnresponsive(t *testing.T, sim *simulation.Simulator) fleet.UnresponsiveSet {
 	t.Helper()
 	lists := fleet.UnresponsiveLists{}
 	for number := 1; number <= tuning.MaxUnresponsiveLists; number++ {
-		value := w.Store.Value(fleet.UnresponsiveKey(w.NodeNames[0], number))
+		value := sim.Store.Value(fleet.UnresponsiveKey(sim.NodeNames[0], number))
 		if value == nil {
 			continue
 		}
@@ -249,13 +249,13 @@
 		}
 		lists[number] = list
 	}
-	return lists.Join(nil, w.Now)
+	return lists.Join(nil, sim.Now)
 }
 
 // totalStarts returns the number of task starts of all jobs.
-func totalStarts(w *simulation.Simulator) int {
+func totalStarts(sim *simulation.Simulator) int {
 	n := 0
-	for _, j := range w.Jobs {
+	for _, j := range sim.Jobs {
 		n += j.Starts
 	}
 	return n
--- a/internal/scenario/submit_test.go
+++ b/internal/scenario/submit_test.go
@@ -112,7 +112,7 @@
 	}
 	sub.job.Class = sub.class
 	sub.job.Body = sub.body()
-	s.w.Submit(sub.job)
+	s.sim.Submit(sub.job)
 }
 
 // body returns the request body.
--- a/internal/scenario/swarm_test.go
+++ b/internal/scenario/swarm_test.go
@@ -11,9 +11,9 @@
 	first, count, every, step := int(s.number(args[0])), int(s.number(args[1])), s.number(args[2]), int(s.number(args[3]))
 	for i := 0; i < count; i += step {
 		jobID := fmt.Sprintf("wk-%06d", first+i)
-		s.w.After(time.Duration(float64(i)*every*float64(time.Second)), func() {
-			if j := s.w.Jobs[jobID]; j != nil && j.Accepted {
-				s.w.Cancel(j)
+		s.sim.After(time.Duration(float64(i)*every*float64(time.Second)), func() {
+			if j := s.sim.Jobs[jobID]; j != nil && j.Accepted {
+				s.sim.Cancel(j)
 			}
 		})
 	}
--- a/internal/scenario/takeover_test.go
+++ b/internal/scenario/takeover_test.go
@@ -19,15 +19,15 @@
 
 // Size of BenchmarkTakeOver: simulations, and leader changes in each.
 const (
-	takeOverWorlds = 20
-	takeOverEnds   = 10
-	takeOverEvery  = 20 * time.Second
+	takeOverSimulations = 20
+	leaderChangesEach   = 10
+	leaderChangeEvery   = 20 * time.Second
 )
 
 // BenchmarkTakeOver stops the leader of five controllers with 200 machines 200 times, with another
-// random seed after every ten, and reports the times from that to a view with another leader, to
-// the first task that the new leader assigns or places, and until every machine has seen a token of
-// the new view. All in simulated time, so the figures are reproducible, except ns/op.
+// random seed after every ten. It reports the times from the stop to a view with another leader, to
+// the first task that the new leader assigns or places, and to a token of the new view on every
+// machine. All in simulated time, so the figures are reproducible, except ns/op.
 //
 //	go test ./internal/scenario -run '^$' -bench TakeOver -benchtime 1x
 func BenchmarkTakeOver(b *testing.B) {
@@ -35,7 +35,7 @@
 		b.Run(how, func(b *testing.B) {
 			for b.Loop() {
 				m := newTakeOvers()
-				for seed := range uint64(takeOverWorlds) {
+				for seed := range uint64(takeOverSimulations) {
 					m.play(b, seed, how)
 				}
 				m.report(b)
@@ -47,7 +47,7 @@
 // takeOvers holds the measured times, in ms.
 type takeOvers struct {
 	view, release, heard *hdrhistogram.Histogram
-	changes, requests    int // writes and requests of the state service
+	writes, requests     int // writes and requests to the state service
 }
 
 func newTakeOvers() *takeOvers {
@@ -67,22 +67,22 @@
 
 // newTakeOver returns a simulation of five controllers and 200 machines.
 func newTakeOver(m *takeOvers, seed uint64, how string) *takeOver {
-	w := simulation.NewSimulator(seed, slog.New(slog.DiscardHandler))
-	s := &script{w: w, vars: map[string]string{}, applied: map[string]int{}}
-	s.set = baseSettings(w)
+	sim := simulation.NewSimulator(seed, slog.New(slog.DiscardHandler))
+	s := &script{sim: sim, vars: map[string]string{}, applied: map[string]int{}}
+	s.set = baseSettings(sim)
 	s.set.Cluster.Size = 5
 	s.set.Cluster.Teams = []settings.Team{{Name: "team"}}
-	s.set.Cluster.Workers.HeartbeatS, w.ReportS = 8, 8
+	s.set.Cluster.Workers.HeartbeatS, sim.ReportS = 8, 8
 	if how == "lease" {
 		s.set.Operator.Failover = settings.FailoverOnLeaseExpiry
 	}
-	w.Cloud.Limit = 200
+	sim.Cloud.Limit = 200
 	for i := range 200 {
-		w.Cloud.AddRunning("g4", []string{"a", "b"}[i%2], false)
+		sim.Cloud.AddRunning("g4", []string{"a", "b"}[i%2], false)
 	}
 	p := &takeOver{m: m, s: s, assigned: map[string]bool{}}
-	w.Store.Committed = p.committed
-	w.AddNodes(5, s.set)
+	sim.Store.Committed = p.committed
+	sim.AddNodes(5, s.set)
 	return p
 }
 
@@ -93,7 +93,7 @@
 		return
 	}
 	if p.assignsTasks(key, v) && p.led {
-		_ = p.m.release.RecordValue(p.s.w.Now.Sub(p.ended).Milliseconds() + 1)
+		_ = p.m.release.RecordValue(p.s.sim.Now.Sub(p.ended).Milliseconds() + 1)
 		p.ended, p.led = time.Time{}, false
 	}
 }
@@ -107,7 +107,7 @@
 	p.epoch = view.Epoch
 	if !p.ended.IsZero() && !p.led && view.Leader != p.s.vars["boss"] {
 		p.led = true
-		_ = p.m.view.RecordValue(p.s.w.Now.Sub(p.ended).Milliseconds() + 1)
+		_ = p.m.view.RecordValue(p.s.sim.Now.Sub(p.ended).Milliseconds() + 1)
 	}
 }
 
@@ -137,13 +137,13 @@
 
 // load submits a service and small jobs.
 func (p *takeOver) load() {
-	s, w := p.s, p.s.w
+	s, sim := p.s, p.s.sim
 	// The service occupies the machines and leaves room for the small jobs that keep arriving,
 	// so that a missing leader is the only reason for a task to wait.
-	w.After(2*time.Second, func() { s.submit([]string{"wk-0", "standing", "pieces=200", "accel=3"}) })
-	for i := range int(float64(takeOverEnds+1) * takeOverEvery.Seconds() * 5) {
+	sim.After(2*time.Second, func() { s.submit([]string{"wk-0", "standing", "pieces=200", "accel=3"}) })
+	for i := range int(float64(leaderChangesEach+1) * leaderChangeEvery.Seconds() * 5) {
 		jobID := fmt.Sprintf("wk-%06d", i+1)
-		w.After(3*time.Second+time.Duration(i)*200*time.Millisecond, func() {
+		sim.After(3*time.Second+time.Duration(i)*200*time.Millisecond, func() {
 			s.submit([]string{jobID, "sweep", "pieces=2", "run=8", "cores=1", "accel=0.25"})
 		})
 	}
@@ -152,49 +152,49 @@
 // endLeader stops the leader, and waits until all machines have seen a token of the new view.
 func (p *takeOver) endLeader(tb testing.TB, at time.Duration, how string) {
 	tb.Helper()
-	s, w := p.s, p.s.w
-	w.RunUntil(at - time.Duration(w.RNG.IntN(3000))*time.Millisecond)
-	leader := w.Leader()
+	s, sim := p.s, p.s.sim
+	sim.RunUntil(at - time.Duration(sim.RNG.IntN(3000))*time.Millisecond)
+	leader := sim.Leader()
 	if leader == "" {
 		tb.Fatal("no controller is leader")
 	}
 	s.vars["boss"] = leader
 	was := p.epoch
 	if how == "in order" {
-		w.Nodes[leader].Shutdown()
-		for before := p.epoch; p.epoch == before; w.RunUntil(w.At() + 5*time.Millisecond) {
-			p.ended = w.Now // measure from the handover
+		sim.Nodes[leader].Shutdown()
+		for before := p.epoch; p.epoch == before; sim.RunUntil(sim.At() + 5*time.Millisecond) {
+			p.ended = sim.Now // measure from the handover
 		}
 	} else {
-		p.ended = w.Now
-		w.Nodes[leader].Crash()
+		p.ended = sim.Now
+		sim.Nodes[leader].Crash()
 	}
-	from := w.Now
-	for p.epoch == was || !w.TokenShown(p.epoch) {
-		w.RunUntil(w.At() + 10*time.Millisecond)
-		if w.Now.Sub(from) > 30*time.Second {
+	from := sim.Now
+	for p.epoch == was || !sim.TokenShown(p.epoch) {
+		sim.RunUntil(sim.At() + 10*time.Millisecond)
+		if sim.Now.Sub(from) > 30*time.Second {
 			tb.Fatal("not all machines have seen a token of the new view")
 		}
 	}
-	_ = p.m.heard.RecordValue(w.Now.Sub(from).Milliseconds() + 1)
-	w.RunUntil(w.At() + 2*time.Second)
-	w.Nodes[leader].Boot()
+	_ = p.m.heard.RecordValue(sim.Now.Sub(from).Milliseconds() + 1)
+	sim.RunUntil(sim.At() + 2*time.Second)
+	sim.Nodes[leader].Boot()
 }
 
 // play runs one simulation.
 func (m *takeOvers) play(tb testing.TB, seed uint64, how string) {
 	tb.Helper()
 	p := newTakeOver(m, seed, how)
-	w := p.s.w
-	requests, writes := w.Store.Requests, w.Store.Writes
+	sim := p.s.sim
+	requests, writes := sim.Store.Requests, sim.Store.Writes
 	p.load()
-	for i := range takeOverEnds {
-		p.endLeader(tb, time.Duration(i+1)*takeOverEvery, how)
+	for i := range leaderChangesEach {
+		p.endLeader(tb, time.Duration(i+1)*leaderChangeEvery, how)
 	}
-	m.changes += w.Store.Writes - writes
-	m.requests += w.Store.Requests - requests
-	for _, what := range w.Violations {
-		tb.Error(what)
+	m.writes += sim.Store.Writes - writes
+	m.requests += sim.Store.Requests - requests
+	for _, violation := range sim.Violations {
+		tb.Error(violation)
 	}
 }
 
@@ -207,6 +207,6 @@
 		b.ReportMetric(float64(h.Max()), name+"-max-ms")
 	}
 	b.ReportMetric(float64(m.release.TotalCount()), "ends")
-	b.ReportMetric(float64(m.changes)/takeOverWorlds, "changes/world")
-	b.ReportMetric(float64(m.requests)/takeOverWorlds, "requests/world")
+	b.ReportMetric(float64(m.writes)/takeOverSimulations, "changes/world")
+	b.ReportMetric(float64(m.requests)/takeOverSimulations, "requests/world")
 }
--- a/internal/scenario/troubles_test.go
+++ b/internal/scenario/troubles_test.go
@@ -28,29 +28,29 @@
 	for seed := *randomFaultFrom; seed < *randomFaultFrom+*randomFaultCount; seed++ {
 		t.Run(strconv.Itoa(seed), func(t *testing.T) {
 			t.Parallel()
-			w := simulation.NewSimulator(uint64(seed), slog.New(slog.DiscardHandler))
-			w.WatchTasks()
-			s := &script{t: t, w: w, set: baseSettings(w)}
+			sim := simulation.NewSimulator(uint64(seed), slog.New(slog.DiscardHandler))
+			sim.WatchTasks()
+			s := &script{t: t, sim: sim, set: baseSettings(sim)}
 			s.set.Cluster.Size = 5
 			s.set.Cluster.Teams = []settings.Team{{Name: "team", GpusMax: 120}, {Name: "other", GpusMax: 60}}
-			w.TeamLimits["team"], w.TeamLimits["other"] = 120, 60
+			sim.TeamLimits["team"], sim.TeamLimits["other"] = 120, 60
 			s.set.Operator.TaskBatching = []settings.TaskBatching{settings.BatchingAlways, settings.BatchingWhenScarce}[seed%2]
 			s.set.Cluster.State.WriteRPS = 80
-			w.Store.RPS, w.Store.WPS = 250, 80
+			sim.Store.RPS, sim.Store.WPS = 250, 80
 			for i := range 40 {
-				s.machines = append(s.machines, w.Cloud.AddRunning("g4", []string{"a", "b"}[i%2], false))
+				s.machines = append(s.machines, sim.Cloud.AddRunning("g4", []string{"a", "b"}[i%2], false))
 			}
-			w.AddNodes(5, s.set)
+			sim.AddNodes(5, s.set)
 			s.drawJobs()
-			for w.RunUntil(10 * time.Second); w.At() < 150*time.Second; {
+			for sim.RunUntil(10 * time.Second); sim.At() < 150*time.Second; {
 				s.drawFault()
-				w.RunUntil(w.At() + time.Duration(w.RNG.IntN(7000))*time.Millisecond)
+				sim.RunUntil(sim.At() + time.Duration(sim.RNG.IntN(7000))*time.Millisecond)
 			}
-			w.RunUntil(w.At() + 25*time.Second)
-			w.CheckRecovery()
-			w.CheckServed(true)
-			w.CheckRefused()
-			for _, b := range w.Violations {
+			sim.RunUntil(sim.At() + 25*time.Second)
+			sim.CheckRecovery()
+			sim.CheckServed(true)
+			sim.CheckRefused()
+			for _, b := range sim.Violations {
 				t.Error(b)
 			}
 		})
@@ -59,7 +59,7 @@
 
 // drawJobs submits random jobs of all shapes for two minutes, and cancels some of them.
 func (s *script) drawJobs() {
-	w, r := s.w, s.w.RNG
+	sim, r := s.sim, s.sim.RNG
 	for i, at := 0, 5.0; at < 120; i, at = i+1, at+0.3+r.Float64() {
 		jobID := fmt.Sprintf("wk-%06d", i)
 		shape := []string{"sweep", "sweep", "ensemble", "standing"}[r.IntN(4)]
@@ -71,11 +71,11 @@
 			"owner=" + []string{"team", "other"}[r.IntN(2)],
 			"class=" + shape,
 		}
-		w.After(time.Duration(at*float64(time.Second)), func() { s.submit(args) })
+		sim.After(time.Duration(at*float64(time.Second)), func() { s.submit(args) })
 		if shape == "standing" || r.IntN(4) == 0 {
-			w.After(time.Duration((at+5+40*r.Float64())*float64(time.Second)), func() {
-				if w.Jobs[jobID].Accepted {
-					w.Cancel(w.Jobs[jobID])
+			sim.After(time.Duration((at+5+40*r.Float64())*float64(time.Second)), func() {
+				if sim.Jobs[jobID].Accepted {
+					sim.Cancel(sim.Jobs[jobID])
 				}
 			})
 		}
@@ -84,76 +84,76 @@
 
 // drawFault starts one random fault, which ends by itself.
 func (s *script) drawFault() {
-	w, r := s.w, s.w.RNG
-	n := w.Nodes[w.NodeNames[r.IntN(len(w.NodeNames))]]
+	sim, r := s.sim, s.sim.RNG
+	n := sim.Nodes[sim.NodeNames[r.IntN(len(sim.NodeNames))]]
 	machine := s.machines[r.IntN(len(s.machines))]
 	d := time.Duration(500+r.IntN(9000)) * time.Millisecond
 	switch kind := r.IntN(15); kind {
 	case 2, 3, 4, 5, 6, 8, 9:
 		s.beginServiceFault(kind, n.Name, d)
 	default:
-		s.beginHostFault(kind, n, machine, d)
+		s.beginNodeFault(kind, n, machine, d)
 	}
 }
 
 // toggle calls set(true) now and set(false) after d.
 func (s *script) toggle(d time.Duration, set func(on bool)) {
 	set(true)
-	s.w.After(d, func() { set(false) })
+	s.sim.After(d, func() { set(false) })
 }
 
 // beginServiceFault starts a fault of the state service or delays requests.
 func (s *script) beginServiceFault(kind int, name string, d time.Duration) {
-	w, r := s.w, s.w.RNG
+	sim, r := s.sim, s.sim.RNG
 	switch kind {
 	case 2:
-		s.toggle(d, w.Store.SetDown)
+		s.toggle(d, sim.Store.SetDown)
 	case 3:
-		w.Store.Slow = time.Duration(r.IntN(1500)) * time.Millisecond
-		w.After(d, func() { w.Store.Slow = 0 })
+		sim.Store.Slow = time.Duration(r.IntN(1500)) * time.Millisecond
+		sim.After(d, func() { sim.Store.Slow = 0 })
 	case 4:
-		w.Store.WatchDelay[name] = d
-		w.After(2*d, func() { w.Store.WatchDelay[name] = 0 })
+		sim.Store.WatchDelay[name] = d
+		sim.After(2*d, func() { sim.Store.WatchDelay[name] = 0 })
 	case 5:
-		s.toggle(2*d, func(on bool) { w.Store.RefusedNodes[name] = on })
+		s.toggle(2*d, func(on bool) { sim.Store.RefusedNodes[name] = on })
 	case 6:
-		w.Store.FailPages = 2 + r.IntN(5)
-		w.After(2*d, func() { w.Store.FailPages = 0 })
+		sim.Store.FailPages = 2 + r.IntN(5)
+		sim.After(2*d, func() { sim.Store.FailPages = 0 })
 	case 8:
-		w.Store.LoseAnswers[name] = 1 + r.IntN(5)
+		sim.Store.LoseAnswers[name] = 1 + r.IntN(5)
 	case 9:
-		w.DelayRequests([]string{"beat", "cmd", "state", "rent"}[r.IntN(4)], d, 3+r.IntN(20))
+		sim.DelayRequests([]string{"beat", "cmd", "state", "rent"}[r.IntN(4)], d, 3+r.IntN(20))
 	}
 }
 
-// beginHostFault starts a fault of a controller, of a machine or of the network between them.
-func (s *script) beginHostFault(kind int, n *simulation.Node, machine string, d time.Duration) {
-	w, r := s.w, s.w.RNG
+// beginNodeFault starts a fault of a controller, of a machine or of the network between them.
+func (s *script) beginNodeFault(kind int, n *simulation.Node, machine string, d time.Duration) {
+	sim, r := s.sim, s.sim.RNG
 	switch kind {
 	case 0:
-		w.Flap(n.Name, 1+r.IntN(6), 900*time.Millisecond)
+		sim.Flap(n.Name, 1+r.IntN(6), 900*time.Millisecond)
 	case 1:
-		for _, name := range w.NodeNames {
-			w.Flap(name, 1+r.IntN(2), 1500*time.Millisecond)
+		for _, name := range sim.NodeNames {
+			sim.Flap(name, 1+r.IntN(2), 1500*time.Millisecond)
 		}
 	case 7:
 		n.Freeze(d)
 	case 10:
-		if agent := w.Agents[machine]; agent != nil {
+		if agent := sim.Agents[machine]; agent != nil {
 			agent.Restart()
 		}
 	case 11:
-		if agent := w.Agents[machine]; agent != nil {
+		if agent := sim.Agents[machine]; agent != nil {
 			agent.Hung = true
-			w.After(d, agent.Resume)
+			sim.After(d, agent.Resume)
 		}
 	case 12:
-		s.toggle(2*d, func(on bool) { w.RefusePeers(n.Name, on) })
+		s.toggle(2*d, func(on bool) { sim.RefusePeers(n.Name, on) })
 	case 13:
 		n.Shutdown()
-		w.After(10*time.Second, n.Boot)
+		sim.After(10*time.Second, n.Boot)
 	case 14:
-		w.Cut(n.Name, machine, true)
-		w.After(d, func() { w.Heal(n.Name, machine) })
+		sim.Cut(n.Name, machine, true)
+		sim.After(d, func() { sim.Heal(n.Name, machine) })
 	}
 }
--- a/internal/scenario/verbs_controllers_test.go
+++ b/internal/scenario/verbs_controllers_test.go
@@ -43,53 +43,53 @@
 
 // verbCrash executes "crash NODE": its process is killed.
 func (s *script) verbCrash(args []string) {
-	s.w.Nodes[s.node(args[0])].Crash()
+	s.sim.Nodes[s.node(args[0])].Crash()
 }
 
 // verbFreeze executes "freeze NODE SECONDS": the process is paused while its clocks run on.
 func (s *script) verbFreeze(args []string) {
-	s.w.Nodes[s.node(args[0])].Freeze(time.Duration(s.number(args[1]) * float64(time.Second)))
+	s.sim.Nodes[s.node(args[0])].Freeze(time.Duration(s.number(args[1]) * float64(time.Second)))
 }
 
 // verbLeave executes "leave NODE": a graceful shutdown.
 func (s *script) verbLeave(args []string) {
-	s.w.Nodes[s.node(args[0])].Shutdown()
+	s.sim.Nodes[s.node(args[0])].Shutdown()
 }
 
 // verbRefusePeers executes "refuse-peers NODE on|off": connections between it and the other
 // controllers are refused.
 func (s *script) verbRefusePeers(args []string) {
-	s.w.RefusePeers(s.node(args[0]), args[1] == "on")
+	s.sim.RefusePeers(s.node(args[0]), args[1] == "on")
 }
 
 // verbLagNext executes "lag-next SECONDS": the watch of the first successor is that late.
 func (s *script) verbLagNext(args []string) {
-	for _, n := range s.w.NodeNames {
-		if s.w.Nodes[n].SuccessionOrder() == 0 {
-			s.w.Store.WatchDelay[n] = time.Duration(s.number(args[0]) * float64(time.Second))
+	for _, n := range s.sim.NodeNames {
+		if s.sim.Nodes[n].SuccessionOrder() == 0 {
+			s.sim.Store.WatchDelay[n] = time.Duration(s.number(args[0]) * float64(time.Second))
 		}
 	}
 }
 
 // verbLagNone executes "lag-none": no watch is late any more.
 func (s *script) verbLagNone(_ []string) {
-	clear(s.w.Store.WatchDelay)
+	clear(s.sim.Store.WatchDelay)
 }
 
 // verbCrashWarm executes "crash-warm COUNT": kills warm standbys.
 func (s *script) verbCrashWarm(args []string) {
 	left := int(s.number(args[0]))
-	for _, n := range s.w.NodeNames {
-		if state, _ := s.w.Nodes[n].Standby(); (state == standby.Warm || state == standby.Probing) && left > 0 {
+	for _, n := range s.sim.NodeNames {
+		if state, _ := s.sim.Nodes[n].Standby(); (state == standby.Warm || state == standby.Probing) && left > 0 {
 			left--
-			s.w.Nodes[n].Crash()
+			s.sim.Nodes[n].Crash()
 		}
 	}
 }
 
 // verbCalendar executes "calendar NODE FILE": the controller reads another file at its next start.
 func (s *script) verbCalendar(args []string) {
-	s.w.Nodes[s.node(args[0])].SetCalendar(s.calendar(args[1]))
+	s.sim.Nodes[s.node(args[0])].SetCalendar(s.calendar(args[1]))
 }
 
 // verbUpon executes "upon WINDOW STATE VERB ...": the verb is executed once, as soon as that state
@@ -100,7 +100,7 @@
 
 // verbClock executes "clock NODE SECONDS": sets the offset of its wall clock.
 func (s *script) verbClock(args []string) {
-	s.w.ClockOffsets[s.node(args[0])] = time.Duration(s.number(args[1]) * float64(time.Second))
+	s.sim.ClockOffsets[s.node(args[0])] = time.Duration(s.number(args[1]) * float64(time.Second))
 }
 
 // verbFlap executes "flap NODE COUNT [LONGEST]": COUNT times, its process is killed, restarts 0.2 s
@@ -110,16 +110,16 @@
 	if len(args) > 2 {
 		longest = s.number(args[2])
 	}
-	s.w.Flap(s.node(args[0]), int(s.number(args[1])), time.Duration(longest*float64(time.Second)))
+	s.sim.Flap(s.node(args[0]), int(s.number(args[1])), time.Duration(longest*float64(time.Second)))
 }
 
 // verbFlapAll executes "flap-all COUNT": every controller is killed within a second and restarts
 // 0.2 s later, COUNT times.
 func (s *script) verbFlapAll(args []string) {
-	for _, n := range s.w.NodeNames {
-		s.w.After(
-			time.Duration(s.w.RNG.IntN(1000))*time.Millisecond,
-			func() { s.w.Flap(n, int(s.number(args[0])), 1200*time.Millisecond) },
+	for _, n := range s.sim.NodeNames {
+		s.sim.After(
+			time.Duration(s.sim.RNG.IntN(1000))*time.Millisecond,
+			func() { s.sim.Flap(n, int(s.number(args[0])), 1200*time.Millisecond) },
 		)
 	}
 }
@@ -135,45 +135,45 @@
 
 // verbBoot executes "boot NODE": its process starts.
 func (s *script) verbBoot(args []string) {
-	s.w.Nodes[s.node(args[0])].Boot()
+	s.sim.Nodes[s.node(args[0])].Boot()
 }
 
 // verbCrashAll executes "crash-all": the processes of all controllers are killed.
 func (s *script) verbCrashAll(_ []string) {
-	crashAll(s.w)
+	crashAll(s.sim)
 }
 
 // verbBootAll executes "boot-all": the processes of all controllers start.
 func (s *script) verbBootAll(_ []string) {
-	bootAll(s.w)
+	bootAll(s.sim)
 }
 
 // verbDoor executes "door NODE|any": the controller that user requests go to.
 func (s *script) verbDoor(args []string) {
-	s.w.EntryNode = ""
+	s.sim.EntryNode = ""
 	if args[0] != "any" {
-		s.w.EntryNode = s.node(args[0])
+		s.sim.EntryNode = s.node(args[0])
 	}
 }
 
 // verbRefuse executes "refuse NODE on|off": the state service refuses only this controller.
 func (s *script) verbRefuse(args []string) {
-	s.w.Store.RefusedNodes[s.node(args[0])] = args[1] == "on"
+	s.sim.Store.RefusedNodes[s.node(args[0])] = args[1] == "on"
 }
 
 // verbLose executes "lose NODE COUNT": the answers to its next COUNT transactions are lost.
 func (s *script) verbLose(args []string) {
-	s.w.Store.LoseAnswers[s.node(args[0])] = int(s.number(args[1]))
+	s.sim.Store.LoseAnswers[s.node(args[0])] = int(s.number(args[1]))
 }
 
 // verbLate executes "late NODE SECONDS": its transactions arrive that late.
 func (s *script) verbLate(args []string) {
-	s.w.Store.TransactionDelay[s.node(args[0])] = time.Duration(s.number(args[1]) * float64(time.Second))
+	s.sim.Store.TransactionDelay[s.node(args[0])] = time.Duration(s.number(args[1]) * float64(time.Second))
 }
 
 // verbLag executes "lag NODE SECONDS": its watches deliver changes that late.
 func (s *script) verbLag(args []string) {
-	s.w.Store.WatchDelay[s.node(args[0])] = time.Duration(s.number(args[1]) * float64(time.Second))
+	s.sim.Store.WatchDelay[s.node(args[0])] = time.Duration(s.number(args[1]) * float64(time.Second))
 }
 
 // verbLet executes "let VAR host-of JOB | owner-of RUN | leader | follower | second".
@@ -187,15 +187,15 @@
 }
 
 // crashAll kills the processes of all controllers.
-func crashAll(w *simulation.Simulator) {
-	for _, n := range w.NodeNames {
-		w.Nodes[n].Crash()
+func crashAll(sim *simulation.Simulator) {
+	for _, n := range sim.NodeNames {
+		sim.Nodes[n].Crash()
 	}
 }
 
 // bootAll starts the processes of all controllers.
-func bootAll(w *simulation.Simulator) {
-	for _, n := range w.NodeNames {
-		w.Nodes[n].Boot()
+func bootAll(sim *simulation.Simulator) {
+	for _, n := range sim.NodeNames {
+		sim.Nodes[n].Boot()
 	}
 }
--- a/internal/scenario/verbs_jobs_test.go
+++ b/internal/scenario/verbs_jobs_test.go
@@ -40,30 +40,30 @@
 
 // verbAgain executes "again JOB": repeats its submission.
 func (s *script) verbAgain(args []string) {
-	s.w.Resubmit(s.job(args[0]))
+	s.sim.Resubmit(s.job(args[0]))
 }
 
 // verbAbort executes "abort JOB": cancels it.
 func (s *script) verbAbort(args []string) {
-	s.w.Cancel(s.job(args[0]))
+	s.sim.Cancel(s.job(args[0]))
 }
 
 // verbAsk executes "ask JOB": polls a job that no one submitted.
 func (s *script) verbAsk(args []string) {
-	s.w.CheckUnknown(args[0])
+	s.sim.CheckUnknown(args[0])
 }
 
 // verbAbortMany executes "abort-many FIRST COUNT".
 func (s *script) verbAbortMany(args []string) {
 	for i := range int(s.number(args[1])) {
-		s.w.Cancel(s.job(fmt.Sprintf("wk-%06d", int(s.number(args[0]))+i)))
+		s.sim.Cancel(s.job(fmt.Sprintf("wk-%06d", int(s.number(args[0]))+i)))
 	}
 }
 
 // verbApply executes "apply FILE BASE": applies another quota tree.
 func (s *script) verbApply(args []string) {
 	s.applied[args[0]] = 0
-	s.w.ApplyQuota(
+	s.sim.ApplyQuota(
 		quota.Apply{Base: int(s.number(args[1])), Quotas: *s.quotas(args[0])},
 		func(status int, _ quota.Preview) { s.applied[args[0]] = status },
 	)
@@ -74,16 +74,16 @@
 func (s *script) verbAskMany(args []string) {
 	first, every := int(s.number(args[0])), s.number(args[2])
 	for i := range int(s.number(args[1])) {
-		s.w.After(
+		s.sim.After(
 			time.Duration(float64(i)*every*float64(time.Second)),
-			func() { s.w.CheckUnknown(fmt.Sprintf("wk-%06d", first+i)) },
+			func() { s.sim.CheckUnknown(fmt.Sprintf("wk-%06d", first+i)) },
 		)
 	}
 }
 
 // verbRun executes "run RUN FILE": submits a pipeline file of testdata/pipelines.
 func (s *script) verbRun(args []string) {
-	s.w.SubmitRun(&simulation.Run{ID: args[0], Body: s.pipeline(args[0], args[1])})
+	s.sim.SubmitRun(&simulation.Run{ID: args[0], Body: s.pipeline(args[0], args[1])})
 }
 
 // verbRunMany executes "run-many FIRST COUNT EVERY FILE": submits one run every EVERY seconds.
@@ -92,21 +92,21 @@
 	for i := range int(s.number(args[1])) {
 		id := simulation.RunID(first + i)
 		body := s.pipeline(id, args[3])
-		s.w.After(
+		s.sim.After(
 			time.Duration(float64(i)*every*float64(time.Second)),
-			func() { s.w.SubmitRun(&simulation.Run{ID: id, Body: body}) },
+			func() { s.sim.SubmitRun(&simulation.Run{ID: id, Body: body}) },
 		)
 	}
 }
 
 // verbRunAgain executes "run-again RUN FILE": repeats the submission.
 func (s *script) verbRunAgain(args []string) {
-	s.w.ResubmitRun(s.runOf(args[0]), s.pipeline(args[0], args[1]))
+	s.sim.ResubmitRun(s.runOf(args[0]), s.pipeline(args[0], args[1]))
 }
 
 // verbCancelRun executes "cancel-run RUN".
 func (s *script) verbCancelRun(args []string) {
-	s.w.CancelRun(s.runOf(args[0]))
+	s.sim.CancelRun(s.runOf(args[0]))
 }
 
 // verbSubmitMany executes "submit-many FIRST COUNT EVERY SHAPE [key=value ...]": submits one job
@@ -115,7 +115,7 @@
 	first, every := int(s.number(args[0])), s.number(args[2])
 	for i := range int(s.number(args[1])) {
 		jobID := fmt.Sprintf("wk-%06d", first+i)
-		s.w.After(
+		s.sim.After(
 			time.Duration(float64(i)*every*float64(time.Second)),
 			func() { s.submit(append([]string{jobID}, args[3:]...)) },
 		)
@@ -125,7 +125,7 @@
 // verbCancelledGone executes "cancelled-gone": no task of a job whose user was told of its
 // cancellation is on a machine, except on machines that hang.
 func (s *script) verbCancelledGone(_ []string) {
-	for _, taskID := range s.w.CancelledTasksOnMachines() {
+	for _, taskID := range s.sim.CancelledTasksOnMachines() {
 		s.fatal("%s is cancelled but still on a machine", taskID)
 	}
 }
--- a/internal/scenario/verbs_machines_test.go
+++ b/internal/scenario/verbs_machines_test.go
@@ -45,7 +45,7 @@
 func (s *script) verbDieMany(args []string) {
 	first := int(s.number(args[0]))
 	for _, machine := range s.machines[first-1 : first-1+int(s.number(args[1]))] {
-		s.w.Agents[machine].Die()
+		s.sim.Agents[machine].Die()
 	}
 }
 
@@ -54,7 +54,7 @@
 func (s *script) verbRebirth(args []string) {
 	first := int(s.number(args[0]))
 	for _, machine := range s.machines[first-1 : first-1+int(s.number(args[1]))] {
-		if agent := s.w.Agents[machine]; agent != nil {
+		if agent := s.sim.Agents[machine]; agent != nil {
 			agent.Restart()
 		}
 	}
@@ -63,7 +63,7 @@
 // verbHoldBack executes "hold-back beat|cmd|state|rent SECONDS EVERY": every EVERYth request
 // arrives that late, after its sender has given up on it.
 func (s *script) verbHoldBack(args []string) {
-	s.w.DelayRequests(args[0], time.Duration(s.number(args[1])*float64(time.Second)), int(s.number(args[2])))
+	s.sim.DelayRequests(args[0], time.Duration(s.number(args[1])*float64(time.Second)), int(s.number(args[2])))
 }
 
 // verbDieOrHangSome executes "die-some|hang-some empty|busy COUNT": initial machines with or
@@ -71,7 +71,7 @@
 func (s *script) verbDieOrHangSome(verb string, args []string) {
 	left := int(s.number(args[1]))
 	for _, machine := range s.machines {
-		if agent := s.w.Agents[machine]; agent != nil && left > 0 && !agent.Hung && agent.Empty() == (args[0] == "empty") {
+		if agent := s.sim.Agents[machine]; agent != nil && left > 0 && !agent.Hung && agent.Empty() == (args[0] == "empty") {
 			if left--; verb == "die-some" {
 				agent.Die()
 			} else {
@@ -90,8 +90,8 @@
 func (s *script) verbCutOrHealMany(verb string, args []string) {
 	first := int(s.number(args[0]))
 	for _, machine := range s.machines[first-1 : first-1+int(s.number(args[1]))] {
-		if s.w.Heal("*", machine); verb == "cut-many" || verb == "deaf" {
-			s.w.Cut("*", machine, false)
+		if s.sim.Heal("*", machine); verb == "cut-many" || verb == "deaf" {
+			s.sim.Cut("*", machine, false)
 		}
 	}
 }
@@ -100,26 +100,26 @@
 // ended before the answer came.
 func (s *script) verbRentedUnheard(args []string) {
 	for range int(s.number(args[0])) {
-		s.machines = append(s.machines, s.w.Cloud.AddRunning(args[1], args[2], false))
+		s.machines = append(s.machines, s.sim.Cloud.AddRunning(args[1], args[2], false))
 	}
 }
 
 // verbBaton executes "baton MACHINE EPOCH": the machine has seen a fencing token of that epoch.
 func (s *script) verbBaton(args []string) {
-	s.w.Agents[s.endpoint(args[0])].LearnEpoch(uint64(s.number(args[1])))
+	s.sim.Agents[s.endpoint(args[0])].LearnEpoch(uint64(s.number(args[1])))
 }
 
 // verbCut executes "cut FROM TO [hold]": messages are dropped, or held until "heal".
 func (s *script) verbCut(args []string) {
-	s.w.Cut(s.endpoint(args[0]), s.endpoint(args[1]), len(args) > 2)
+	s.sim.Cut(s.endpoint(args[0]), s.endpoint(args[1]), len(args) > 2)
 }
 
 // verbIsolate executes "isolate FIRST COUNT": these initial machines are cut off from everything.
 func (s *script) verbIsolate(args []string) {
 	first := int(s.number(args[0]))
 	for _, machine := range s.machines[first-1 : first-1+int(s.number(args[1]))] {
-		s.w.Cut(machine, "*", false)
-		s.w.Cut("*", machine, false)
+		s.sim.Cut(machine, "*", false)
+		s.sim.Cut("*", machine, false)
 	}
 }
 
@@ -128,24 +128,24 @@
 func (s *script) verbBlind(args []string) {
 	for _, machine := range s.machines {
 		if args[1] == "on" {
-			s.w.Cut(machine, s.node(args[0]), false)
-			s.w.Cut(s.node(args[0]), machine, false)
+			s.sim.Cut(machine, s.node(args[0]), false)
+			s.sim.Cut(s.node(args[0]), machine, false)
 		} else {
-			s.w.Heal(machine, s.node(args[0]))
-			s.w.Heal(s.node(args[0]), machine)
+			s.sim.Heal(machine, s.node(args[0]))
+			s.sim.Heal(s.node(args[0]), machine)
 		}
 	}
 }
 
 // verbHeal executes "heal FROM TO": ends a cut.
 func (s *script) verbHeal(args []string) {
-	s.w.Heal(s.endpoint(args[0]), s.endpoint(args[1]))
+	s.sim.Heal(s.endpoint(args[0]), s.endpoint(args[1]))
 }
 
 // verbOneMachine executes "die|hang|resume MACHINE" and "take MACHINE SECONDS", which reclaims it
 // after that notice.
 func (s *script) verbOneMachine(verb string, args []string) {
-	agent := s.w.Agents[s.endpoint(args[0])]
+	agent := s.sim.Agents[s.endpoint(args[0])]
 	if agent == nil {
 		s.fatal("no machine %s", args[0])
 	}
--- a/internal/scenario/verbs_services_test.go
+++ b/internal/scenario/verbs_services_test.go
@@ -22,18 +22,18 @@
 
 // verbState executes "state down|up".
 func (s *script) verbState(args []string) {
-	s.w.Store.SetDown(args[0] == "down")
+	s.sim.Store.SetDown(args[0] == "down")
 }
 
 // verbSlow executes "slow SECONDS": the state service delays its answers.
 func (s *script) verbSlow(args []string) {
-	s.w.Store.Slow = time.Duration(s.number(args[0]) * float64(time.Second))
+	s.sim.Store.Slow = time.Duration(s.number(args[0]) * float64(time.Second))
 }
 
 // verbSlowSome executes "slow-some SHARE MOST SECONDS": for SECONDS, that share of the answers is
 // delayed by up to MOST seconds.
 func (s *script) verbSlowSome(args []string) {
-	s.w.Store.SlowSome(
+	s.sim.Store.SlowSome(
 		s.number(args[0]),
 		time.Duration(s.number(args[1])*float64(time.Second)),
 		time.Duration(s.number(args[2])*float64(time.Second)),
@@ -43,32 +43,32 @@
 // verbSlowWatch executes "slow-watch SECONDS": the delay of answers to watches, which replaces that
 // of "slow".
 func (s *script) verbSlowWatch(args []string) {
-	s.w.Store.SlowWatch = time.Duration(s.number(args[0]) * float64(time.Second))
+	s.sim.Store.SlowWatch = time.Duration(s.number(args[0]) * float64(time.Second))
 }
 
 // verbFailPages executes "fail-pages COUNT": every COUNTth page of a listing is refused; 0 turns it
 // off.
 func (s *script) verbFailPages(args []string) {
-	s.w.Store.FailPages = int(s.number(args[0]))
+	s.sim.Store.FailPages = int(s.number(args[0]))
 }
 
 // verbPoison executes "poison JOB|none": transactions about its tasks are refused without a valid
 // reason.
 func (s *script) verbPoison(args []string) {
-	s.w.Store.Poison = strings.TrimPrefix(args[0], "none")
+	s.sim.Store.Poison = strings.TrimPrefix(args[0], "none")
 }
 
 // verbCloud executes "cloud down|up".
 func (s *script) verbCloud(args []string) {
-	s.w.Cloud.Down = args[0] == "down"
+	s.sim.Cloud.Down = args[0] == "down"
 }
 
 // verbCapacity executes "capacity MACHINES": the most machines that the cloud has.
 func (s *script) verbCapacity(args []string) {
-	s.w.Cloud.Limit = int(s.number(args[0]))
+	s.sim.Cloud.Limit = int(s.number(args[0]))
 }
 
 // verbPlant executes "plant KEY VALUE": writes a record to the store directly.
 func (s *script) verbPlant(args []string) {
-	s.w.Store.Put(args[0], strings.Join(args[1:], " "))
+	s.sim.Store.Put(args[0], strings.Join(args[1:], " "))
 }
--- a/internal/simulation/limits_test.go
+++ b/internal/simulation/limits_test.go
@@ -324,7 +324,7 @@
 		"malformed":    {400, `{}`, false},
 		"long line":    {421, `{}` + strings.Repeat(" ", maxBodyBytes), false},
 		"lines":        {421, `{}` + strings.Repeat(" \n", maxBodyBytes), true},
-		"wrong orders": {200, `{"baton":7,"orders":[{"verb":"stop","piece":"wk-x","try":1}]}`, false},
+		"bad commands": {200, `{"baton":7,"orders":[{"verb":"stop","piece":"wk-x","try":1}]}`, false},
 	} {
 		sim, ag := agentOfJob()
 		ag.checkAnswer("n0", c.status, []byte(c.body), 7)
@@ -343,14 +343,14 @@
 		"GET /up":               "[200 429 503 504]",
 	} {
 		method, target, _ := strings.Cut(request, " ")
-		var may []int
+		var allowed []int
 		for status := 100; status < 600; status++ {
 			if userStatusAllowed(method, target, status) {
-				may = append(may, status)
+				allowed = append(allowed, status)
 			}
 		}
-		if fmt.Sprint(may) != statuses {
-			t.Error(request, may)
+		if fmt.Sprint(allowed) != statuses {
+			t.Error(request, allowed)
 		}
 	}
 }
--- a/internal/simulation/simulator.go
+++ b/internal/simulation/simulator.go
@@ -108,7 +108,7 @@
 // done on machines.
 type Job struct {
 	ID                  string
-	Kind                string // sweep, gang or standing, as in jobs.Spec.Kind
+	Kind                string // jobs.JobArray, jobs.Gang or jobs.Service
 	Team                string
 	Class               string
 	TaskCount           int
