--- a/internal/tuning/agents.go
+++ b/internal/tuning/agents.go
@@ -66,6 +66,7 @@
 	// its checkpoint before its machine is preempted.
 	CheckpointMargin = 6.0
 	// RefusedBackoff is how long a machine gets no new tasks after it refused one for lack of
-	// capacity that its record shows as free.
+	// capacity that its record shows as free, or because it still holds another attempt of the
+	// task.
 	RefusedBackoff = time.Second
 )
--- a/internal/tuning/calls.go
+++ b/internal/tuning/calls.go
@@ -20,8 +20,9 @@
 	// QueryTimeout is the age at which a query that could not be answered is refused. Users wait
 	// for 2 s.
 	QueryTimeout = 1500 * time.Millisecond
-	// QueryReadAfter is the age at which a query whose epoch the mirror has not reached is answered
-	// by a read of its own, if the budget allows one. Such a read takes some tens of milliseconds.
+	// QueryReadAfter is the age at which a query whose epoch is still unknown, or not yet in the
+	// mirror, is answered by a read of its own, if the budget allows one. Such a read takes some
+	// tens of milliseconds.
 	QueryReadAfter = 900 * time.Millisecond
 	// QueryRetry is the minimum pause between two reads of the epoch while the budget delays calls,
 	// and the time after which a read of the epoch without an answer is followed by another.
--- a/internal/tuning/membership.go
+++ b/internal/tuning/membership.go
@@ -68,7 +68,7 @@
 	MaxRejoinPause = 8 * time.Second
 	// WarmStandbys is the number of followers that are kept ready to lead at once.
 	WarmStandbys = 2
-	// UnfitLag is the lag from which a leader counts as behind.
+	// UnfitLag is the lag of its event loop or its watch from which a leader counts as behind.
 	UnfitLag = time.Second
 	// UnfitFor is how long a leader must be behind before it hands over its leadership, so that a
 	// single stall or slow pass does not cause a handover.
--- a/internal/tuning/quotas.go
+++ b/internal/tuning/quotas.go
@@ -17,7 +17,8 @@
 	QuotaGrace = 60 * time.Second
 	// MaxGrace is the maximum grace period that can be set in place of QuotaGrace.
 	MaxGrace = 24 * time.Hour
-	// ReclaimEvery is the interval of the checks for usage beyond a limit.
+	// ReclaimEvery is the interval of the checks for usage beyond a limit, and the pause before
+	// more borrowed capacity is reclaimed for the same job.
 	ReclaimEvery = time.Second
 	// MaxReclaimTasks is the maximum number of a job's tasks for which borrowed capacity is
 	// reclaimed in one scheduling cycle.
--- a/internal/tuning/tasks.go
+++ b/internal/tuning/tasks.go
@@ -7,13 +7,16 @@
 	// AssignmentStaleAfter is the time after which a released task that its shard has not placed is
 	// withdrawn and given to another shard.
 	AssignmentStaleAfter = 3 * time.Second
-	// Backoff is the pause after a task's first failure, doubled each time up to BackoffMax. A job
-	// that fails everywhere thus costs little.
+	// Backoff is the pause after a task's first failure, doubled each time up to BackoffMax, so
+	// that a job that fails everywhere costs little. It is also the pause after a machine refused a
+	// task for lack of capacity or because it still holds another attempt of the task.
 	Backoff = 500 * time.Millisecond
 	// BackoffMax is the maximum of Backoff after doubling.
 	BackoffMax = 30 * time.Second
 	// ErrorsBlame is the number of different machines on which a job's tasks must have failed for
-	// the job itself to be to blame. Its failures then count against no machine.
+	// the job itself to be to blame. Its failures then count against no machine. It is also the
+	// number of failures on a machine, without a success in between, after which the machine is
+	// faulty if the last job that failed there has tasks that succeeded.
 	ErrorsBlame = 3
 	// ProvenAfter is part of the time that a task must have been on its machine to prove that its
 	// job works. The rest follows from ProvenPulls.
@@ -21,7 +24,7 @@
 	// ProvenPulls is the multiple of the time for pulling the task's image alone that is added to
 	// ProvenAfter. Images that are pulled at the same time share the bandwidth.
 	ProvenPulls = 2.0
-	// ErrorsFaulty is the number of different blameless jobs whose tasks must have failed on a
+	// ErrorsFaulty is the number of different trusted jobs whose tasks must have failed on a
 	// machine, without a success in between, for the machine to be faulty. It is then deleted.
 	ErrorsFaulty = 2
 	// ErrorBackoff is how long a machine gets no new tasks after a failure, so that a faulty one
