--- a/internal/scenario/down_test.go
+++ b/internal/scenario/down_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// newFleetScript returns a script with a simulation of the fleet whose controllers are not started yet.
+// newFleetScript returns a script with a simulation of the fleet, before its controllers start.
 func (f downFleet) newFleetScript() *script {
 	sim := simulation.NewSimulator(11, slog.New(slog.DiscardHandler))
 	s := &script{sim: sim, vars: map[string]string{}, applied: map[string]int{}}
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -125,7 +125,7 @@
 	}
 }
 
-// The keys of the settings files are stable: files that set every key give the same settings as ever.
+// The keys of the settings files are stable: files that set every key still give these settings.
 func TestGoldenSettings(t *testing.T) {
 	want := &Settings{
 		NodeName:   "n0",
--- a/internal/simulation/unreachable.go
+++ b/internal/simulation/unreachable.go
@@ -7,8 +7,8 @@
 
 var errConnectionRefused = errors.New("connection refused")
 
-// Isolate sets whether a machine can't reach any controller: each attempt to connect is, at random,
-// refused at once or times out. Requests to the machine by /commands and /show still arrive and are
+// Isolate sets whether a machine can't reach any controller: each of its attempts to connect is
+// refused at once or times out, chosen at random. Requests to the machine by /commands and /show still arrive and are
 // answered, but don't renew its lease.
 func (sim *Simulator) Isolate(machine string, on bool) {
 	if on {
@@ -18,8 +18,7 @@
 	}
 }
 
-// failReport fails the report of an isolated machine, at random at once or by timeout; it reaches
-// no controller.
+// failReport fails the report of an isolated machine, at random at once or by timeout.
 func (sim *Simulator) failReport(done func(int, []byte, error)) {
 	if sim.RNG.IntN(2) == 0 {
 		sim.After(sim.latency(), func() { done(0, nil, errConnectionRefused) })
--- a/internal/tuning/lending.go
+++ b/internal/tuning/lending.go
@@ -46,8 +46,8 @@
 	// a share of the time that it has run.
 	LoanOverrunShare = 0.2
 	// LoanWaitWeight is the cost of a second of a replica's wait, for each of its accelerators,
-	// relative to a second of lost work of lenders: users wait for the replica. Pulling for 10 s
-	// is worth restarting a gang, which takes a minute on a few accelerators.
+	// relative to a second of lost work of lenders: users wait for the replica. Avoiding a pull of
+	// 10 s justifies restarting a gang, which takes a minute on a few accelerators.
 	LoanWaitWeight = 30.0
 	// LoanOwnTeamCost is the cost, for each accelerator, of taking the capacity from lower-priority
 	// work of the replica's own team rather than from what others use beyond their guarantees.
--- a/internal/tuning/membership.go
+++ b/internal/tuning/membership.go
@@ -81,8 +81,8 @@
 	// MaxRolloutUnresponsive is the maximum share of an owner's machines that may be unresponsive
 	// for a rollout to end a controller.
 	MaxRolloutUnresponsive = 0.1
-	// RolloutStableFor is how long nothing must have prevented a rollout from ending a controller
-	// before it does so.
+	// RolloutStableFor is the default time for which nothing must have prevented a rollout from
+	// ending a controller before it does so.
 	RolloutStableFor = 10 * time.Second
 	// RolloutPollEvery is the interval at which a waiting rollout checks whether it may end a
 	// controller.
--- a/internal/tuning/scheduling.go
+++ b/internal/tuning/scheduling.go
@@ -58,9 +58,9 @@
 	// GatherTasks is the number of a job array's tasks that are placed together while writes are
 	// scarce. If fewer fit, they wait for more capacity, so that they share a task range.
 	GatherTasks = 8
-	// GatherFor is how long they wait, and how long ended tasks wait for others, while writes are
-	// scarce. Users expect to see a task's end within 3 s, which must also leave time for the end
-	// of its job.
+	// GatherFor is how long such tasks wait for more capacity, and how long ended tasks wait for
+	// others, while writes are scarce. Users expect to see a task's end within 3 s, which must also
+	// leave time for the end of its job.
 	GatherFor = 900 * time.Millisecond
 	// MaxPreemptingTasks is the maximum number of a job's tasks that one scheduling cycle examines
 	// beyond those that fit into free capacity. Other tasks may be preempted for them.
