--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -26,8 +26,8 @@
 	lastLeaseID       uint64
 	watches           []*watchRequest
 	Writes            int
-	// LoseAnswers is, by node, the number of next transactions whose answers are dropped. Late delays a
-	// node's transactions.
+	// LoseAnswers is, by node, the number of next transactions whose answers are dropped.
+	// TransactionDelay delays a node's transactions.
 	LoseAnswers map[string]int
 	// commits counts the committed transactions of each node; commitsAtView is its state at the
 	// last change of the view.
@@ -436,7 +436,7 @@
 		}
 	}
 	var failed []string
-	for _, c := range t.Conditions {
+	for _, c := range t.Preconditions {
 		if s.items[c.Key].Revision != c.Revision {
 			failed = append(failed, c.Key)
 		}
