--- a/internal/api/run_resources.go
+++ b/internal/api/run_resources.go
@@ -8,7 +8,8 @@
 	"github.com/harrierreel/harrierreel/internal/pipelines"
 )
 
-// runResources gives the keeper of runs access to jobs and capacity, from the server's state.
+// runResources implements pipelines.Cluster: it gives pipelines.Keeper, which advances the pipeline
+// runs, information about jobs and capacity from the server's state.
 type runResources struct{ server *Server }
 
 // Job returns the state of a live job, and whether the job is known.
--- a/internal/api/runs.go
+++ b/internal/api/runs.go
@@ -11,7 +11,8 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// newRuns creates the keeper of pipeline runs if the operators have enabled pipelines.
+// newRuns creates the pipelines.Keeper, which advances the pipeline runs, if the operators have
+// enabled pipelines.
 func (s *Server) newRuns() {
 	options := s.settings.Operator.Pipelines
 	if options == nil {
@@ -42,7 +43,7 @@
 	s.runs.SetRate(s.state.Now, clusterWrites/float64(max(size, 1)))
 }
 
-// RunJobChanged notifies the keeper of runs that the known state of a job has changed.
+// RunJobChanged notifies the pipelines.Keeper that the known state of a job has changed.
 func (s *Server) RunJobChanged(jobID string) {
 	if s.runs != nil {
 		s.runs.JobChanged(jobID)
--- a/internal/membership/certainty.go
+++ b/internal/membership/certainty.go
@@ -11,9 +11,10 @@
 // Certain reports whether this controller is certain of its place in the view.
 func (m *Membership) Certain() bool { return m.certainty.State == members.Certain }
 
-// Uncertain reports whether this controller must currently not answer agents on behalf of the
-// cluster. During an outage of the store it keeps answering them: its machines cannot have been
-// assigned to another controller in the meantime, or their fencing tokens would show it.
+// Uncertain reports whether this controller must not answer agents on behalf of the cluster for the
+// time being, because it is not certain of its place in the view. During an outage of the store it
+// keeps answering them: its machines cannot be assigned to another controller without the store. If
+// a machine was reassigned after all, its agent reports a higher fencing token.
 func (m *Membership) Uncertain() bool { return !m.Certain() && !m.client.Unavailable() }
 
 // Stalled records that the event loop did not run for a while, possibly longer than the lease
--- a/internal/pipelines/model_test.go
+++ b/internal/pipelines/model_test.go
@@ -164,7 +164,7 @@
 }
 
 // check checks the invariants of a run: an ended step never changes state, no step starts before the
-// steps that it needs have ended, and no step has two live jobs.
+// steps that it depends on have ended, and no step has two live jobs.
 func (m *storeModel) check(t *rapid.T, before, after *Record, p *Plan) {
 	for i, s := range after.Steps {
 		if previous := before.Steps[i]; previous.State.Ended() && s.State != previous.State {
--- a/internal/pipelines/needs.go
+++ b/internal/pipelines/needs.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// needs resolves the needs of each step, and reports cycles.
+// needs resolves the dependencies in each step's field needs, and reports cycles.
 func (c *compiler) needs(p *Plan, rawSteps []any) {
 	index := map[string]int{} // index of the first group of each name
 	for i := range p.Groups {
@@ -30,7 +30,7 @@
 	c.findCycles(p)
 }
 
-// need adds the group with the given name to the needs of a group.
+// need adds the group with the given name to the dependencies of a group.
 func (c *compiler) need(p *Plan, group int, path, name string, index map[string]int) {
 	needed, ok := index[name]
 	switch {
@@ -49,11 +49,11 @@
 
 const (
 	unvisited searchState = iota
-	onPath                // on the current path: its needs are being visited
+	onPath                // on the current path: its dependencies are being visited
 	visited
 )
 
-// search is a depth-first search for cycles in the groups' needs.
+// search is a depth-first search for cycles in the groups' dependencies.
 type search struct {
 	compiler *compiler
 	plan     *Plan
@@ -61,7 +61,7 @@
 	path     []int // groups from the start of the search to the current one
 }
 
-// findCycles reports each cycle of needs once, and sets the groups' ancestors.
+// findCycles reports each dependency cycle once, and sets the groups' ancestors.
 func (c *compiler) findCycles(p *Plan) {
 	s := search{compiler: c, plan: p, states: make([]searchState, len(p.Groups))}
 	for g := range p.Groups {
@@ -71,7 +71,7 @@
 	}
 }
 
-// descend visits a group and all groups that it needs.
+// descend visits a group and all groups that it depends on, directly or indirectly.
 func (s *search) descend(g int) {
 	s.states[g] = onPath
 	s.path = append(s.path, g)
@@ -95,7 +95,7 @@
 	s.states[g] = visited
 }
 
-// reportCycle reports that a group needs another one that is on the current path.
+// reportCycle reports that a group depends on one that is on the current path.
 func (s *search) reportCycle(group, need int) {
 	var names []string
 	for _, g := range s.path[slices.Index(s.path, need):] {
--- a/internal/pipelines/plan.go
+++ b/internal/pipelines/plan.go
@@ -1,6 +1,6 @@
 // Package pipelines runs pipelines: graphs of steps, each of which is a job. It contains the
 // validation of pipeline documents, the state machines of a run and of its steps, a run's record,
-// and the keeper that advances the runs that a controller owns. It does no I/O and reads no clock:
+// and the Keeper, which advances the runs that a controller owns. It does no I/O and reads no clock:
 // it receives events and returns changes to commit.
 package pipelines
 
@@ -31,13 +31,13 @@
 // Group is a step as written in the file, before its matrix is expanded.
 type Group struct {
 	Name      string
-	Needs     []int // indices of the groups that it needs, in the file's order
+	Needs     []int // indices of the groups that it depends on, in the file's order
 	Steps     []int // indices in Plan.Steps
-	Ancestors []int // indices of all groups that it needs, directly or indirectly
+	Ancestors []int // indices of all groups that it depends on, directly or indirectly
 }
 
-// Plan is a validated document. Its groups are in topological order: none needs a later one, which
-// advanceSteps relies on.
+// Plan is a validated document. Its groups are in topological order: each comes after the groups
+// that it depends on, which advanceSteps relies on.
 type Plan struct {
 	Name, Owner string
 	Groups      []Group
@@ -53,7 +53,8 @@
 	faults    []Fault
 	reported  map[Fault]bool
 	stepNames map[string]bool
-	// circular says that the needs contain a cycle, so that the ancestors of steps are not known.
+	// circular says that the dependencies contain a cycle, so that the ancestors of steps are not
+	// known.
 	circular bool
 }
 
@@ -171,8 +172,8 @@
 	p.Groups, p.Steps = groups, steps
 }
 
-// topologicalOrder returns the indices of the groups in an order in which none needs a later one. The
-// needs must not contain a cycle.
+// topologicalOrder returns the indices of the groups in topological order: each comes after the
+// groups that it depends on. The dependencies must not contain a cycle.
 func (p *Plan) topologicalOrder() []int {
 	listed := make([]bool, len(p.Groups))
 	unlisted := func(g int) bool { return !listed[g] }
--- a/internal/pipelines/progress.go
+++ b/internal/pipelines/progress.go
@@ -22,9 +22,9 @@
 	return out, true
 }
 
-// advanceSteps makes the waiting steps whose needs have all ended ready, or skips them. It reports
-// whether a step changed. Groups are in topological order, so one pass handles whole chains of
-// skipped steps.
+// advanceSteps makes waiting steps ready, or skips them, once all steps that they depend on have
+// ended. It reports whether a step changed. Groups are in topological order, so one pass handles
+// whole chains of skipped steps.
 func advanceSteps(p *Plan, steps []StepRun, nowMs int64) (changed bool) {
 	outcomes := make([]outcome, len(p.Groups)) // "" for a group that has not ended
 	for g := range p.Groups {
@@ -38,8 +38,8 @@
 	return changed
 }
 
-// factsOf returns the inputs of a group's conditions, or false while a group that it needs has not
-// ended.
+// factsOf returns the inputs of a group's conditions, or false while a group that it depends on has
+// not ended.
 func factsOf(p *Plan, group int, outcomes []outcome) (facts, bool) {
 	f := facts{success: true, outcomes: map[string]outcome{}}
 	for _, need := range p.Groups[group].Needs {
--- a/internal/pipelines/step.go
+++ b/internal/pipelines/step.go
@@ -5,7 +5,7 @@
 
 // States of a step.
 const (
-	Waiting    StepState = "waiting"   // some step that it needs has not ended
+	Waiting    StepState = "waiting"   // some step that it depends on has not ended
 	Ready      StepState = "ready"     // its job can be submitted
 	Submitted  StepState = "submitted" // its job has been accepted
 	Running    StepState = "running"   // tasks of its job were seen on machines
@@ -112,7 +112,7 @@
 	return s, true
 }
 
-// afterNeeds handles a waiting step once all steps that it needs have ended.
+// afterNeeds handles a waiting step once all steps that it depends on have ended.
 func (s StepRun) afterNeeds(e StepEvent) (StepRun, bool) {
 	if s.State != Waiting {
 		return s, false
--- a/internal/pipelines/when.go
+++ b/internal/pipelines/when.go
@@ -32,7 +32,7 @@
 
 // facts contains the inputs of a condition.
 type facts struct {
-	success  bool               // all steps that the step needs have succeeded
+	success  bool               // all steps that the step depends on have succeeded
 	failure  bool               // at least one of its ancestors has failed
 	outcomes map[string]outcome // outcomes of its ancestors, by name
 	matrix   map[string]any
@@ -187,14 +187,15 @@
 	}
 }
 
-// needsFaulty reports whether a fault was found in the needs of a group, so that its ancestors are not
-// known.
+// needsFaulty reports whether a fault was found in the dependencies of a group, so that its ancestors
+// are not known.
 func (c *compiler) needsFaulty(group int) bool {
 	path := fieldPath(indexPath("steps", group), "needs")
 	return slices.ContainsFunc(c.faults, func(f Fault) bool { return strings.HasPrefix(f.Path, path) })
 }
 
-// ancestorNames returns the sorted names of the steps that a group needs, directly or indirectly.
+// ancestorNames returns the sorted names of the steps that a group depends on, directly or
+// indirectly.
 func (p *Plan) ancestorNames(group int) []string {
 	var out []string
 	for _, a := range p.Groups[group].Ancestors {
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -24,8 +24,8 @@
 // Tree returns the tree whose usage the account holds.
 func (a *Account) Tree() *Tree { return a.tree }
 
-// Charge adds count tasks of amount each to the usage of a key's leaf and of all its ancestors;
-// count may be negative. Usage changes nowhere else.
+// Charge adds count tasks to the usage of a key's leaf and of all its ancestors; count may be
+// negative. The parameter each is the amount that one task uses. Usage changes nowhere else.
 func (a *Account) Charge(key Key, each Amount, count int) {
 	if a.charged != nil {
 		if sum := a.charged[key].Add(each, count); sum == (Amount{}) {
--- a/internal/quota/amount.go
+++ b/internal/quota/amount.go
@@ -126,7 +126,8 @@
 		limit.MemoryGB > 0 && a.MemoryGB == limit.MemoryGB
 }
 
-// countFitting returns how many times each can be added to used within a limit, up to count.
+// countFitting returns how many times the amount each can be added to used without exceeding the
+// limit, but at most count.
 func countFitting(used, each, limit Amount, count int) int {
 	fitting := int64(count)
 	eachResource(func(_ string, valueOf func(Amount) int64) {
--- a/internal/quota/guarantee.go
+++ b/internal/quota/guarantee.go
@@ -4,9 +4,9 @@
 // within no guarantee.
 const noNode = -1
 
-// Entitled returns the lowest node, from the leaf upward, within whose guarantee count more tasks of
-// amount each would be; -1 if there is none. Usage within an organisation's guarantee but beyond the
-// team's own is borrowed from the team's siblings.
+// Entitled returns the lowest node, from the leaf upward, whose guarantee covers count more tasks; -1
+// if there is none. The parameter each is the amount that one task uses. Usage within an
+// organisation's guarantee but beyond the team's own is borrowed from the team's siblings.
 func (a *Account) Entitled(leaf int, each Amount, count int) int {
 	entitled := noNode
 	a.tree.walkUp(leaf, func(i int, node *Node) bool {
--- a/internal/quota/limits.go
+++ b/internal/quota/limits.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// Allows reports whether count more tasks of amount each are within the limits of a leaf and of all
-// its ancestors.
+// Allows reports whether the limits of a leaf and of all its ancestors allow count more tasks. The
+// parameter each is the amount that one task uses.
 func (a *Account) Allows(leaf int, each Amount, count int) bool {
 	return a.LimitingNode(leaf, each, count) < 0
 }
 
-// CountAllowed returns how many more tasks of amount each, up to count, the limits of a leaf and of
-// its ancestors allow.
+// CountAllowed returns how many more tasks the limits of a leaf and of all its ancestors allow, but
+// at most count. The parameter each is the amount that one task uses.
 func (a *Account) CountAllowed(leaf int, each Amount, count int) int {
 	child := noNode
 	a.tree.walkUp(leaf, func(i int, node *Node) bool {
@@ -23,8 +23,8 @@
 	return count
 }
 
-// LimitReached returns a description of the lowest node whose limit doesn't allow a leaf one more task
-// of an amount, with the node's usage and limit; "" if all limits allow it.
+// LimitReached returns a description of the lowest node whose limit doesn't allow one more task of
+// the given amount in a leaf, with the node's usage and limit; "" if all limits allow it.
 func (a *Account) LimitReached(leaf int, amount Amount) string {
 	node := a.LimitingNode(leaf, amount, 1)
 	if node < 0 {
@@ -37,8 +37,8 @@
 	return fmt.Sprintf("%s uses %s of %s", path, a.used[node], a.tree.nodes[node].effectiveLimit())
 }
 
-// LimitingNode returns the lowest node, from a leaf upward, whose limit count more tasks of amount
-// each would exceed; -1 if there is none.
+// LimitingNode returns the lowest node, from a leaf upward, whose limit would be exceeded by count
+// more tasks; -1 if there is none. The parameter each is the amount that one task uses.
 func (a *Account) LimitingNode(leaf int, each Amount, count int) int {
 	limiting, child := noNode, noNode
 	a.tree.walkUp(leaf, func(i int, node *Node) bool {
--- a/internal/quota/tree.go
+++ b/internal/quota/tree.go
@@ -174,8 +174,8 @@
 	return found
 }
 
-// EverAllows reports whether count tasks of amount each would be within the limits of a leaf and of
-// all its ancestors if nothing else were running.
+// EverAllows reports whether the limits of a leaf and of all its ancestors would allow count tasks
+// if nothing else were running. The parameter each is the amount that one task uses.
 func (t *Tree) EverAllows(leaf int, each Amount, count int) bool {
 	allowed := true
 	t.walkUp(leaf, func(_ int, node *Node) bool {
