--- a/internal/agent/session.go
+++ b/internal/agent/session.go
@@ -1,7 +1,8 @@
 // Package agent implements the controller's side of the protocol with a worker's agent: heartbeats
 // with the status of tasks, fencing tokens, commands, and the knowledge of which task attempts are
-// on the machine. Commands are sent either in the reply to a heartbeat or in a direct command, which
-// is a request from the controller to the agent. The package performs no IO and reads no clock.
+// on the machine. Commands are sent either in the reply to a heartbeat or in a direct command,
+// which is a request from the controller to the agent. The package performs no IO and reads no
+// clock.
 package agent
 
 import (
@@ -206,8 +207,8 @@
 }
 
 // CommandRefused records that the worker refused the pending direct command with status 409 and
-// executed nothing. The session restarts under the same token, and becomes Known again with the next
-// heartbeat that carries it.
+// executed nothing. The session restarts under the same token, and becomes Known again with the
+// next heartbeat that carries it.
 func (s *Session) CommandRefused() {
 	s.CommandPending, s.FailedCalls, s.Connected = false, 0, true
 	s.restart(s.Epoch, s.Counter)
--- a/internal/agent/session_test.go
+++ b/internal/agent/session_test.go
@@ -148,8 +148,8 @@
 	}
 }
 
-// Time in which the owner did not run does not count as silence of the machine, but counts towards a
-// preemption notice.
+// Time in which the owner did not run does not count as silence of the machine, but counts towards
+// a preemption notice.
 func TestStallOfOwnerIsNotSilenceOfMachine(t *testing.T) {
 	start := time.Unix(1000, 0)
 	s := NewSession("i-1", 1, start)
--- a/internal/agent/verdict.go
+++ b/internal/agent/verdict.go
@@ -14,8 +14,8 @@
 )
 
 // AttemptState returns the state of a recorded attempt. With OnMachine and EndReported it also
-// returns the attempt's reported status, and with Unclear that of another attempt of the task if one
-// is still on the machine.
+// returns the attempt's reported status, and with Unclear that of another attempt of the task if
+// one is still on the machine.
 func (s *Session) AttemptState(taskID string, attempt uint64) (AttemptState, TaskStatus) {
 	if s.State != Known {
 		return Unclear, TaskStatus{}
@@ -44,7 +44,8 @@
 	return ToLaunch, TaskStatus{}
 }
 
-// reported returns the status of an attempt in the newest heartbeat, and whether it is listed there.
+// reported returns the status of an attempt in the newest heartbeat, and whether it is listed
+// there.
 func (s *Session) reported(taskID string, attempt uint64) (TaskStatus, bool) {
 	for _, status := range s.Tasks[taskID] {
 		if status.Attempt == attempt {
@@ -54,7 +55,8 @@
 	return TaskStatus{}, false
 }
 
-// ForgetTask forgets an attempt, and earlier ones of the same task, once its end has been committed.
+// ForgetTask forgets an attempt, and earlier ones of the same task, once its end has been
+// committed.
 func (s *Session) ForgetTask(taskID string, attempt uint64) {
 	if sent, ok := s.launched[taskID]; ok && sent.attempt <= attempt {
 		delete(s.launched, taskID)
--- a/internal/agent/wire.go
+++ b/internal/agent/wire.go
@@ -2,8 +2,8 @@
 
 import "github.com/harrierreel/harrierreel/internal/jobs"
 
-// The types in this file define the wire format. Their JSON tags and the values of the constants are
-// part of the protocol and must not change, although the Go names differ from them.
+// The types in this file define the wire format. Their JSON tags and the values of the constants
+// are part of the protocol and must not change, although the Go names differ from them.
 
 // Values of TaskStatus.Status.
 const (
--- a/internal/api/answers.go
+++ b/internal/api/answers.go
@@ -103,8 +103,8 @@
 	return s.acknowledge(jobID, live)
 }
 
-// agedEpoch tracks an epoch that the mirror reached at least tuning.AckSettledAfter ago. The acceptance of
-// a job at or before this epoch is no longer new to any controller.
+// agedEpoch tracks an epoch that the mirror reached at least tuning.AckSettledAfter ago. The
+// acceptance of a job at or before this epoch is no longer new to any controller.
 type agedEpoch struct {
 	epoch, next uint64
 	nextAt      time.Time // when the mirror was at next
--- a/internal/api/cancellations.go
+++ b/internal/api/cancellations.go
@@ -56,8 +56,8 @@
 }
 
 // CloseJob commits a job's final state, which decides what happens to the job's remaining tasks and
-// is kept forever for users to read. It calls done once, with true if the transaction is known to be
-// committed.
+// is kept forever for users to read. It calls done once, with true if the transaction is known to
+// be committed.
 func (s *Server) CloseJob(job *clusterstate.Job, state jobs.JobState, priority store.Priority, done func(bool)) {
 	key, finalKey := jobs.JobPrefix+job.ID, jobs.FinalPrefix+job.ID
 	txn := store.Txn{
--- a/internal/api/epoch_reads.go
+++ b/internal/api/epoch_reads.go
@@ -56,8 +56,8 @@
 	return rest
 }
 
-// epochReadDue reports whether the epoch is to be read now, and with which priority. One read of the
-// epoch serves all waiting queries, so it must not queue behind calls that serve one user each:
+// epochReadDue reports whether the epoch is to be read now, and with which priority. One read of
+// the epoch serves all waiting queries, so it must not queue behind calls that serve one user each:
 // while calls wait for the request budget, the epoch is read less often, but ahead of them.
 func (s *Server) epochReadDue() (store.Priority, bool) {
 	p := &s.queries
@@ -172,10 +172,10 @@
 	return unverified
 }
 
-// acceptsUnverified reports whether a query has waited so long that it may be answered from a mirror
-// that is not known to be up to date. That is never allowed while gossip from a member is missing:
-// acknowledgements from that member may have been lost. In that case the job is read separately,
-// and the query is refused if that fails.
+// acceptsUnverified reports whether a query has waited so long that it may be answered from a
+// mirror that is not known to be up to date. That is never allowed while gossip from a member is
+// missing: acknowledgements from that member may have been lost. In that case the job is read
+// separately, and the query is refused if that fails.
 func (s *Server) acceptsUnverified(query *pendingQuery) bool {
 	if s.state.Now.Sub(query.arrivedAt) < tuning.QueryUnverifiedAfter {
 		return false
--- a/internal/api/job_reads.go
+++ b/internal/api/job_reads.go
@@ -12,9 +12,9 @@
 // errNoJob is returned when the state service has neither a live nor a final record of the job.
 var errNoJob = errors.New("no such job")
 
-// sharedRead is a read of one job's state that has not been sent yet. Requests that arrive before it
-// is sent share it. Later ones do not: its result may be older than what another controller has told
-// the user in the meantime.
+// sharedRead is a read of one job's state that has not been sent yet. Requests that arrive before
+// it is sent share it. Later ones do not: its result may be older than what another controller has
+// told the user in the meantime.
 type sharedRead struct {
 	waiting []func(jobs.StoredState, error)
 }
@@ -71,9 +71,10 @@
 	})
 }
 
-// readFinal reads a job's final record. accepted is true if the job has a live record that cannot be
-// decoded. The final record is written in the transaction that ends the job, so a job without one
-// has not ended and is reported as live: refusing its user forever would amount to losing the job.
+// readFinal reads a job's final record. accepted is true if the job has a live record that cannot
+// be decoded. The final record is written in the transaction that ends the job, so a job without
+// one has not ended and is reported as live: refusing its user forever would amount to losing the
+// job.
 func (s *Server) readFinal(jobID string, accepted bool, done func(jobs.StoredState, error)) {
 	s.client.Get(store.PriorityUser, jobs.FinalPrefix+jobID, nil, func(item *store.Item, err error) {
 		switch {
@@ -97,10 +98,10 @@
 	})
 }
 
-// readCurrent reads a job's state for a response that is sent immediately. A job is reported as live
-// or unknown only if the read took at most tuning.MaxReadAge: a slower read shows an older state, and
-// another controller may have told the user a newer one since. A slow read is repeated if there is
-// time and budget.
+// readCurrent reads a job's state for a response that is sent immediately. A job is reported as
+// live or unknown only if the read took at most tuning.MaxReadAge: a slower read shows an older
+// state, and another controller may have told the user a newer one since. A slow read is repeated
+// if there is time and budget.
 func (s *Server) readCurrent(jobID string, done func(jobs.StoredState, error)) {
 	startedAt := s.state.Now
 	var read func()
@@ -128,8 +129,9 @@
 	read()
 }
 
-// findJob finds a job's state for a decision that is conditional on the revision of the job's record.
-// Such a decision may be based on a mirror that is out of date, since its transaction would then fail.
+// findJob finds a job's state for a decision that is conditional on the revision of the job's
+// record. Such a decision may be based on a mirror that is out of date, since its transaction would
+// then fail.
 func (s *Server) findJob(jobID string, done func(jobs.StoredState, error)) {
 	if job := s.state.Jobs[jobID]; job != nil && job.Record != nil && job.Record.State == jobs.Live {
 		done(jobs.StoredState{State: jobs.Live}, nil)
--- a/internal/api/job_reads_test.go
+++ b/internal/api/job_reads_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// A job is reported as live only if the read was fast enough: the result of a slow read may be older
-// than what another controller has told the user since.
+// A job is reported as live only if the read was fast enough: the result of a slow read may be
+// older than what another controller has told the user since.
 func TestSlowReadIsNotReportedAsLive(t *testing.T) {
 	const live = `{"key":"job/wk-000001","v":{"s":"live","spec":{"uid":"wk-000001","pieces":1,"rank":"prod"}},"stamp":5}`
 	for _, c := range []struct {
--- a/internal/api/load_shedding_test.go
+++ b/internal/api/load_shedding_test.go
@@ -13,8 +13,9 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// As long as half of the requests can be answered, no job's user is refused twice in a row, whatever
-// the order of arrival. As long as a third can be answered, none is refused three times in a row.
+// As long as half of the requests can be answered, no job's user is refused twice in a row,
+// whatever the order of arrival. As long as a third can be answered, none is refused three times in
+// a row.
 func TestLoadSheddingIsFair(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 3*tuning.MaxPendingReads).Draw(t, "users")
@@ -37,8 +38,8 @@
 	})
 }
 
-// While there is no budget for reads, requests are refused once their users have timed out. Once there
-// is budget, the jobs whose requests were refused are read first.
+// While there is no budget for reads, requests are refused once their users have timed out. Once
+// there is budget, the jobs whose requests were refused are read first.
 func TestShedReadsGoFirstOnceThereIsBudget(t *testing.T) {
 	server := newTestServer(t, false)
 	server.exhaustBudget()
--- a/internal/api/queries.go
+++ b/internal/api/queries.go
@@ -82,8 +82,8 @@
 	})
 }
 
-// afterEpoch calls answer once the mirror has reached an epoch that is read after this call. If that
-// takes too long, it refuses the request through respond.
+// afterEpoch calls answer once the mirror has reached an epoch that is read after this call. If
+// that takes too long, it refuses the request through respond.
 func (s *Server) afterEpoch(respond func(http1.Reply), answer func()) {
 	s.addQuery(pendingQuery{answer: answer, respond: respond, arrivedAt: s.state.Now})
 }
--- a/internal/api/quotas.go
+++ b/internal/api/quotas.go
@@ -22,8 +22,8 @@
 	lastCheckedAt time.Time     // when tasks over a limit were last looked for
 }
 
-// ApplyQuota applies the quota tree from the mirror. If the tree can't be decoded or doesn't fit the
-// platform's teams, it logs that and keeps the tree in force unchanged.
+// ApplyQuota applies the quota tree from the mirror. If the tree can't be decoded or doesn't fit
+// the platform's teams, it logs that and keeps the tree in force unchanged.
 func (s *Server) ApplyQuota(value json.RawMessage) {
 	if value == nil {
 		return
@@ -46,8 +46,8 @@
 }
 
 // ReconcileQuota writes the first tree from the operators' settings if there is none. Otherwise it
-// stops tasks that are over a limit, once the grace period after the last change has passed. Only the
-// leader may call it.
+// stops tasks that are over a limit, once the grace period after the last change has passed. Only
+// the leader may call it.
 func (s *Server) ReconcileQuota() {
 	if !s.quotas.enabled {
 		return
--- a/internal/api/read_batcher.go
+++ b/internal/api/read_batcher.go
@@ -71,8 +71,8 @@
 }
 
 // reconcileReads sends as many reads as the request budget allows. It refuses requests whose users
-// have timed out instead of reading for them: otherwise, with a long queue, every response would come
-// too late.
+// have timed out instead of reading for them: otherwise, with a long queue, every response would
+// come too late.
 func (s *Server) reconcileReads() {
 	q := &s.reads
 	for len(q.waiting) > 0 {
--- a/internal/api/routing.go
+++ b/internal/api/routing.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// IsUserRequest reports whether a request comes from a user or an operator, as opposed to an agent or
-// the load balancer.
+// IsUserRequest reports whether a request comes from a user or an operator, as opposed to an agent
+// or the load balancer.
 func IsUserRequest(m *http1.Message) bool {
 	return m.Target == jobsPath ||
 		strings.HasPrefix(m.Target, jobsPath+"/") ||
@@ -89,7 +89,8 @@
 	return http1.Reply{Status: status, Body: http1.ErrorBody(text)}
 }
 
-// unavailable returns the response to a request that needs the state service while calls to it fail.
+// unavailable returns the response to a request that needs the state service while calls to it
+// fail.
 func unavailable() http1.Reply { return http1.Unavailable("state unavailable") }
 
 // handleHealthCheck responds to the load balancer's health check.
--- a/internal/api/run_requests.go
+++ b/internal/api/run_requests.go
@@ -134,8 +134,8 @@
 	return nil
 }
 
-// refuseUnlessEnded refuses a run, unless it was accepted earlier and has ended. Only an unknown run
-// is refused: conditions may have changed since a known one was accepted.
+// refuseUnlessEnded refuses a run, unless it was accepted earlier and has ended. Only an unknown
+// run is refused: conditions may have changed since a known one was accepted.
 func (s *Server) refuseUnlessEnded(query runQuery, refusal http1.Reply, respond func(http1.Reply)) {
 	s.client.Get(store.PriorityUser, pipelines.EndedRunPrefix+query.id, nil, func(item *store.Item, err error) {
 		switch {
@@ -149,8 +149,8 @@
 	})
 }
 
-// acceptRun commits a run together with the jobs of its first steps, on condition that none of these
-// records exist.
+// acceptRun commits a run together with the jobs of its first steps, on condition that none of
+// these records exist.
 func (s *Server) acceptRun(query runQuery, change *pipelines.Change, respond func(http1.Reply)) {
 	decision := s.runDecision(change, nil)
 	txn := store.Txn{Writes: decision.Writes}
--- a/internal/api/run_resources.go
+++ b/internal/api/run_resources.go
@@ -27,7 +27,8 @@
 	}, true
 }
 
-// Why returns what a live job waits for and why its deadline cannot be met, as far as either applies.
+// Why returns what a live job waits for and why its deadline cannot be met, as far as either
+// applies.
 func (r runResources) Why(jobID string) string {
 	job := r.server.state.Jobs[jobID]
 	if job == nil || job.Record == nil {
--- a/internal/api/runs.go
+++ b/internal/api/runs.go
@@ -84,8 +84,8 @@
 }
 
 // runDecision returns the decision that commits a run's change: one transaction writes the run's
-// record, accepts its new jobs and ends the ones to cancel. done, if set, is called when the decision
-// is settled.
+// record, accepts its new jobs and ends the ones to cancel. done, if set, is called when the
+// decision is settled.
 func (s *Server) runDecision(change *pipelines.Change, done func(committed bool)) decide.Decision {
 	decision := decide.Decision{Urgent: change.Urgent, OnSettled: func(committed bool) {
 		s.runs.Touch(change.ID)
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -150,7 +150,8 @@
 }
 
 // Prefixes returns the key prefixes that the server needs mirrored in addition to those that every
-// controller mirrors. Runs come last: a run that refers to a job must not be applied before the job.
+// controller mirrors. Runs come last: a run that refers to a job must not be applied before the
+// job.
 func (s *Server) Prefixes() []string {
 	var prefixes []string
 	if s.quotas.enabled {
--- a/internal/api/submissions.go
+++ b/internal/api/submissions.go
@@ -122,8 +122,8 @@
 }
 
 // answerAccepted responds to a submission whose job was accepted by a transaction sent at sentAt.
-// If the transaction's response came late, and acknowledgements from other controllers may have been
-// lost, the job may already have ended, so its state is read again if possible.
+// If the transaction's response came late, and acknowledgements from other controllers may have
+// been lost, the job may already have ended, so its state is read again if possible.
 func (s *Server) answerAccepted(sub submission, sentAt time.Time) {
 	live := jobs.StoredState{State: jobs.Live}
 	if s.state.Now.Sub(sentAt) <= tuning.MaxReadAge || s.view.HearsAllMembers() {
@@ -138,9 +138,9 @@
 	})
 }
 
-// acceptanceWrite returns the write that accepts a job, whether a user submitted it or it belongs to
-// a step of a run. The transaction must be conditional on both the written key and the key absent
-// not existing.
+// acceptanceWrite returns the write that accepts a job, whether a user submitted it or it belongs
+// to a step of a run. The transaction must be conditional on both the written key and the key
+// absent not existing.
 func (s *Server) acceptanceWrite(spec *jobs.Spec) (write store.Write, absent string) {
 	record := jobs.Record{State: jobs.Live, AcceptedMs: s.state.NowMs(), Spec: *spec}
 	return decide.Put(jobs.JobPrefix+spec.ID, record), jobs.FinalPrefix + spec.ID
--- a/internal/api/submissions_test.go
+++ b/internal/api/submissions_test.go
@@ -10,8 +10,8 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// The response to a repeated submission reports the job as live only if the read was fast enough, as
-// for a query: another controller may have told a user in the meantime that the job has ended.
+// The response to a repeated submission reports the job as live only if the read was fast enough,
+// as for a query: another controller may have told a user in the meantime that the job has ended.
 func TestRepeatedSubmissionReturnsNoOutdatedState(t *testing.T) {
 	body := validJob(func(m map[string]any) { m["uid"] = "wk-000001" })
 	for _, c := range []struct {
--- a/internal/autoscaler/plan.go
+++ b/internal/autoscaler/plan.go
@@ -41,10 +41,10 @@
 }
 
 // FirstAction returns the action for the first step of a plan. Machines requested now are available
-// after bootSteps steps, so scaling out considers the plan up to that step. Scaling in considers the
-// whole plan. demand is the present demand; supply is the number of running, booting and requested
-// machines, without those that drain. A new leader, whose history may be short, scales out only for
-// the present demand.
+// after bootSteps steps, so scaling out considers the plan up to that step. Scaling in considers
+// the whole plan. demand is the present demand; supply is the number of running, booting and
+// requested machines, without those that drain. A new leader, whose history may be short, scales
+// out only for the present demand.
 func FirstAction(plan []float64, demand float64, supply, bootSteps int, newLeader bool) Action {
 	present := machinesFor(demand)
 	untilBooted, wholePlan := present, present
--- a/internal/autoscaler/supply.go
+++ b/internal/autoscaler/supply.go
@@ -7,9 +7,9 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Shortfall returns the mean, over the samples of demand, of the demand that a supply does not meet.
-// unmet is demand that is already waiting, owned the capacity that exists before the supply is
-// added. All quantities are in machines.
+// Shortfall returns the mean, over the samples of demand, of the demand that a supply does not
+// meet. unmet is demand that is already waiting, owned the capacity that exists before the supply
+// is added. All quantities are in machines.
 func Shortfall(samples []float64, unmet, owned, supply float64) float64 {
 	if len(samples) == 0 {
 		return 0
--- a/internal/calendar/cost_test.go
+++ b/internal/calendar/cost_test.go
@@ -14,7 +14,8 @@
 func (emptyCluster) Settled() bool                     { return true }
 func (emptyCluster) Attempts(func(quota.Key) bool) int { return 0 }
 
-// keeperOf200Windows returns a keeper for a calendar of 50 tracks with four consecutive windows each.
+// keeperOf200Windows returns a keeper for a calendar of 50 tracks with four consecutive windows
+// each.
 func keeperOf200Windows(tb testing.TB) *Keeper {
 	tb.Helper()
 	document := &Document{Revision: 1, Zone: "Africa/Nairobi"}
@@ -76,7 +77,8 @@
 	}
 }
 
-// settledKeeper returns a keeper that has planned all occurrences, and a time at which nothing is due.
+// settledKeeper returns a keeper that has planned all occurrences, and a time at which nothing is
+// due.
 func settledKeeper(b *testing.B) (*Keeper, Now) {
 	b.Helper()
 	keeper := keeperOf200Windows(b)
@@ -97,7 +99,8 @@
 	}
 }
 
-// BenchmarkReconcileAllTracks measures a reconciliation of all 50 tracks, as it happens twice a minute.
+// BenchmarkReconcileAllTracks measures a reconciliation of all 50 tracks, as it happens twice a
+// minute.
 func BenchmarkReconcileAllTracks(b *testing.B) {
 	keeper, now := settledKeeper(b)
 	for b.Loop() {
--- a/internal/calendar/document.go
+++ b/internal/calendar/document.go
@@ -119,9 +119,9 @@
 	return nil
 }
 
-// LatestStart returns the latest start among the windows: from then on all of them recur. A controller
-// validates a document from this time on, not from the current time, so that a file accepted at one
-// start is not rejected at a later one.
+// LatestStart returns the latest start among the windows: from then on all of them recur. A
+// controller validates a document from this time on, not from the current time, so that a file
+// accepted at one start is not rejected at a later one.
 func (d *Document) LatestStart() time.Time {
 	var latest time.Time
 	for _, track := range d.Tracks {
--- a/internal/calendar/document_check.go
+++ b/internal/calendar/document_check.go
@@ -47,9 +47,9 @@
 	}
 }
 
-// Build validates a document and returns its plan. If the document is invalid, the plan is nil and up
-// to tuning.MaxFaults errors are returned, each with its path. Windows are checked for overlaps from
-// the wall-clock time from.
+// Build validates a document and returns its plan. If the document is invalid, the plan is nil and
+// up to tuning.MaxFaults errors are returned, each with its path. Windows are checked for overlaps
+// from the wall-clock time from.
 func Build(document *Document, known Known, from time.Time) (*Plan, []string) {
 	check := &documentCheck{known: known, plan: newPlan(document)}
 	check.checkDocument()
@@ -280,8 +280,8 @@
 	}
 }
 
-// checkPlannedSpans checks the planned occurrences of all windows: that there are not too many, and that
-// no daylight-saving change makes a window that ends at a time of day too short.
+// checkPlannedSpans checks the planned occurrences of all windows: that there are not too many, and
+// that no daylight-saving change makes a window that ends at a time of day too short.
 func (c *documentCheck) checkPlannedSpans(from time.Time) {
 	for _, track := range c.plan.Tracks {
 		for _, window := range track.Windows {
--- a/internal/calendar/document_test.go
+++ b/internal/calendar/document_test.go
@@ -180,8 +180,8 @@
   }
 }`
 
-// TestWindowsAcrossDaylightSavingChanges checks windows on days of 23 and 25 hours: in Rome, the local
-// times from 02:00 to 03:00 do not exist on 29 March 2026 and occur twice on 25 October.
+// TestWindowsAcrossDaylightSavingChanges checks windows on days of 23 and 25 hours: in Rome, the
+// local times from 02:00 to 03:00 do not exist on 29 March 2026 and occur twice on 25 October.
 func TestWindowsAcrossDaylightSavingChanges(t *testing.T) {
 	for _, c := range []struct{ name, end, from, want string }{
 		{"length, 23 hours", `length = "2h"`, "2026-03-28T12:00", "03-29T01:30-03:30,03-30T00:30-02:30"},
@@ -224,8 +224,8 @@
   }
 `
 
-// TestCalendarOf200WindowsFitsIntoOneValue checks that a calendar of 200 windows fits into one value of
-// the state service, and that its 10,000 occurrences of 50 days are planned.
+// TestCalendarOf200WindowsFitsIntoOneValue checks that a calendar of 200 windows fits into one
+// value of the state service, and that its 10,000 occurrences of 50 days are planned.
 func TestCalendarOf200WindowsFitsIntoOneValue(t *testing.T) {
 	var text strings.Builder
 	text.WriteString("calendar {\n revision = 1\n zone = \"Africa/Nairobi\"\n")
@@ -251,8 +251,8 @@
 }
 
 // TestGateIsShutPastTheEndAndOnUnreadableTracks checks that no task starts after the end of an
-// occurrence that is still stored as open because no controller was running to close it, and that no
-// task starts on a track whose record can't be read.
+// occurrence that is still stored as open because no controller was running to close it, and that
+// no task starts on a track whose record can't be read.
 func TestGateIsShutPastTheEndAndOnUnreadableTracks(t *testing.T) {
 	keeper := NewKeeper(buildPlan(t, goodDocument), testValueBytes)
 	class := quota.Key{Team: "shop", Class: "export"}
--- a/internal/calendar/explore_test.go
+++ b/internal/calendar/explore_test.go
@@ -150,8 +150,8 @@
 	}
 }
 
-// nextOfLeader tries a change of leader and a restart of the leader. Only one of them happens on each
-// path.
+// nextOfLeader tries a change of leader and a restart of the leader. Only one of them happens on
+// each path.
 func (m *model) nextOfLeader(attempt func(step func(c *model) bool)) {
 	if m.LeaderChanges >= 1 {
 		return
@@ -188,9 +188,9 @@
 	return len(visited), ""
 }
 
-// TestNoOverlapInAnyExploredState explores all states of a model with two windows of a track and three
-// controllers. At any step leadership may move while the old leader carries on, the leader may
-// restart, and transactions may arrive arbitrarily late. Tasks of both windows must never be on
+// TestNoOverlapInAnyExploredState explores all states of a model with two windows of a track and
+// three controllers. At any step leadership may move while the old leader carries on, the leader
+// may restart, and transactions may arrive arbitrarily late. Tasks of both windows must never be on
 // machines at once, and the exploration must find such a state if any of the three guards is
 // disabled.
 func TestNoOverlapInAnyExploredState(t *testing.T) {
--- a/internal/calendar/gate.go
+++ b/internal/calendar/gate.go
@@ -17,10 +17,10 @@
 	Shut                   // its tasks may not start
 )
 
-// Gate returns the verdict on a class and, if it is Allowed, the keys of the records that the verdict
-// depends on. A release or placement is committed on condition that the revisions of these keys are
-// unchanged, so it fails if an occurrence was closed in the meantime, however late it arrives. The
-// key of the document is not listed: every decision is conditional on it anyway.
+// Gate returns the verdict on a class and, if it is Allowed, the keys of the records that the
+// verdict depends on. A release or placement is committed on condition that the revisions of these
+// keys are unchanged, so it fails if an occurrence was closed in the meantime, however late it
+// arrives. The key of the document is not listed: every decision is conditional on it anyway.
 func (k *Keeper) Gate(now Now, class quota.Key) (Verdict, []string) {
 	ownTrack := k.Plan().TrackOf(class)
 	occurrence, keys := k.holdersOf(class)
@@ -57,9 +57,9 @@
 	return Allowed, keys
 }
 
-// holdersOf returns an open or closing occurrence that includes a class, or nil, and the keys of the
-// tracks of all such occurrences found. A closing one takes precedence. An occurrence that opened
-// under an earlier revision may be on another track than the class is on now.
+// holdersOf returns an open or closing occurrence that includes a class, or nil, and the keys of
+// the tracks of all such occurrences found. A closing one takes precedence. An occurrence that
+// opened under an earlier revision may be on another track than the class is on now.
 func (k *Keeper) holdersOf(class quota.Key) (*Occurrence, []string) {
 	var holder *Occurrence
 	var keys []string
--- a/internal/calendar/keeper.go
+++ b/internal/calendar/keeper.go
@@ -45,8 +45,8 @@
 	From, To State
 }
 
-// Keeper holds the document in force and the tracks' occurrences, and decides the occurrences' state
-// changes. Only the leader commits these decisions. It is not safe for concurrent use.
+// Keeper holds the document in force and the tracks' occurrences, and decides the occurrences'
+// state changes. Only the leader commits these decisions. It is not safe for concurrent use.
 type Keeper struct {
 	filePlan *Plan // plan of this controller's own file
 	plan     *Plan // plan in force, nil until one has been read
@@ -63,8 +63,8 @@
 	changed    bool  // a record was read since the last reconciliation
 }
 
-// NewKeeper returns a keeper for the plan of a controller's own file. limitBytes is the size limit of
-// the records that it writes.
+// NewKeeper returns a keeper for the plan of a controller's own file. limitBytes is the size limit
+// of the records that it writes.
 func NewKeeper(filePlan *Plan, limitBytes int) *Keeper {
 	return &Keeper{
 		filePlan:    filePlan,
@@ -144,8 +144,8 @@
 	return slices.Sorted(maps.Keys(names))
 }
 
-// Reconcile returns the changes that are due now. It does nothing while no record has changed and no
-// occurrence is due.
+// Reconcile returns the changes that are due now. It does nothing while no record has changed and
+// no occurrence is due.
 func (k *Keeper) Reconcile(now Now, cluster Cluster) []Change {
 	if k.plan == nil || !k.changed && now.Ms >= k.lastMs && now.Ms < k.nextMs {
 		return nil
--- a/internal/calendar/model_check_test.go
+++ b/internal/calendar/model_check_test.go
@@ -44,8 +44,8 @@
 	return occurrence.Window + strconv.FormatInt(occurrence.BeginMs, 10)
 }
 
-// checkOpening checks that an occurrence opens only once, not before its time, and while no task of its
-// track is running whose class the occurrence does not include.
+// checkOpening checks that an occurrence opens only once, not before its time, and while no task of
+// its track is running whose class the occurrence does not include.
 func (m *model) checkOpening(track string, occurrence *Occurrence) {
 	id := modelID(occurrence)
 	m.Opened[id]++
@@ -70,9 +70,9 @@
 	return ""
 }
 
-// checkBegin checks, after an attempt of a class has started, that tasks of two windows of its track
-// are not on machines at once. Occurrences that opened under an earlier revision are exempt: they end
-// under the revision that they opened with.
+// checkBegin checks, after an attempt of a class has started, that tasks of two windows of its
+// track are not on machines at once. Occurrences that opened under an earlier revision are exempt:
+// they end under the revision that they opened with.
 func (m *model) checkBegin(class string) {
 	plan := m.plans[m.Store.Items[StoreKey].Value]
 	onMachines := map[quota.Key]bool{}
--- a/internal/calendar/model_test.go
+++ b/internal/calendar/model_test.go
@@ -11,8 +11,8 @@
 )
 
 // This file contains a model of the protocol: the state service, controllers with lagging mirrors,
-// transactions that arrive late or never, and tasks. A transaction is committed if the revisions that
-// it names are the newest ones.
+// transactions that arrive late or never, and tasks. A transaction is committed if the revisions
+// that it names are the newest ones.
 
 // modelItem is a value of the state service.
 type modelItem struct {
@@ -288,8 +288,8 @@
 	m.Controllers[to].Known.Items[viewKey] = m.Store.Items[viewKey]
 }
 
-// restart restarts a controller. It reads everything anew and does not know of the transactions that it
-// sent, which may still arrive.
+// restart restarts a controller. It reads everything anew and does not know of the transactions
+// that it sent, which may still arrive.
 func (m *model) restart(i int) {
 	m.catchUp(i)
 	for number := range m.InFlight {
--- a/internal/calendar/nights_test.go
+++ b/internal/calendar/nights_test.go
@@ -12,8 +12,8 @@
 var nightClasses = []string{"export", "match", "weekend"}
 
 // TestNoOverlapInRandomNights simulates random nights with up to five controllers and several
-// documents, changes of leader, crashes, lost responses, lagging mirrors and tasks that run past the end
-// of their window.
+// documents, changes of leader, crashes, lost responses, lagging mirrors and tasks that run past
+// the end of their window.
 func TestNoOverlapInRandomNights(t *testing.T) {
 	t.Parallel()
 	documents := []*Plan{nightPlan(t, 1, 10, AtEndFinish), nightPlan(t, 2, 25, AtEndStop), movedPlan(t)}
@@ -25,8 +25,8 @@
 	})
 }
 
-// TestRandomNightsFindOverlapWithoutProof checks that such nights find overlaps if windows open without
-// the proof that their track is free.
+// TestRandomNightsFindOverlapWithoutProof checks that such nights find overlaps if windows open
+// without the proof that their track is free.
 func TestRandomNightsFindOverlapWithoutProof(t *testing.T) {
 	t.Parallel()
 	documents := []*Plan{nightPlan(t, 1, 10, AtEndFinish), nightPlan(t, 2, 25, AtEndStop)}
@@ -42,9 +42,9 @@
 	}
 }
 
-// nightDocument is a format for a calendar with two windows on one track and a third one on another.
-// Its arguments are the revision, the start minute of the second window, and slip and at_end of all
-// windows.
+// nightDocument is a format for a calendar with two windows on one track and a third one on
+// another. Its arguments are the revision, the start minute of the second window, and slip and
+// at_end of all windows.
 const nightDocument = `
 calendar {
   revision = %[1]d
@@ -106,8 +106,8 @@
 	return plan
 }
 
-// simulateNight simulates a random night, followed by a day without faults in which everything ends. It
-// returns a violation, or "".
+// simulateNight simulates a random night, followed by a day without faults in which everything
+// ends. It returns a violation, or "".
 func simulateNight(choose func(n int) int, documents []*Plan, disabled disabledGuard) string {
 	begin := time.Date(2026, 3, 2, 0, 58, 0, 0, time.UTC).UnixMilli()
 	m := newModel(documents, nightClasses, 2+choose(4), begin, 1000)
--- a/internal/calendar/record.go
+++ b/internal/calendar/record.go
@@ -31,8 +31,9 @@
 	errTwoHolders       = errors.New("two occurrences hold the track")
 )
 
-// stored is the stored form of the document in force. The document is compressed, because 200 windows
-// must fit into one value. Every decision is conditional on this key's revision in the store.
+// stored is the stored form of the document in force. The document is compressed, because 200
+// windows must fit into one value. Every decision is conditional on this key's revision in the
+// store.
 type stored struct {
 	Version  int    `json:"v"`
 	Revision int    `json:"n"`
@@ -80,8 +81,8 @@
 	return &document, nil
 }
 
-// Compile returns the plan of a stored document. It does not check for overlaps: that was done before
-// the document was put in force.
+// Compile returns the plan of a stored document. It does not check for overlaps: that was done
+// before the document was put in force.
 func Compile(document *Document) (*Plan, error) {
 	check := &documentCheck{plan: newPlan(document)}
 	check.checkDocument()
@@ -128,9 +129,9 @@
 	return &record, nil
 }
 
-// encode returns the record's stored form. If it exceeds limitBytes or has too many ended occurrences,
-// the oldest ended ones are removed first, then the latest planned ones: these are planned again
-// later.
+// encode returns the record's stored form. If it exceeds limitBytes or has too many ended
+// occurrences, the oldest ended ones are removed first, then the latest planned ones: these are
+// planned again later.
 func (r *Record) encode(limitBytes int) json.RawMessage {
 	r.Version = storedVersion
 	for {
--- a/internal/calendar/service.go
+++ b/internal/calendar/service.go
@@ -15,8 +15,8 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// ReservationPrefix is the prefix of the IDs of reservations that only keep capacity free for a window
-// that is about to open.
+// ReservationPrefix is the prefix of the IDs of reservations that only keep capacity free for a
+// window that is about to open.
 const ReservationPrefix = "kept "
 
 // Config contains the settings of a Service.
@@ -65,7 +65,8 @@
 	TransitionMachine(machine string, event fleet.Event, reason string) []decide.Decision
 }
 
-// Service connects the keeper to a controller. A nil Service does nothing: the calendar is disabled.
+// Service connects the keeper to a controller. A nil Service does nothing: the calendar is
+// disabled.
 type Service struct {
 	state    *clusterstate.State
 	config   Config
@@ -116,8 +117,8 @@
 	return []string{StoreKey}
 }
 
-// PreconditionCount returns how many preconditions the calendar may add to a decision: the document in
-// force, the track of the class in it, and the track of the class under an earlier revision.
+// PreconditionCount returns how many preconditions the calendar may add to a decision: the document
+// in force, the track of the class in it, and the track of the class under an earlier revision.
 func (s *Service) PreconditionCount() int {
 	if s == nil {
 		return 0
@@ -149,8 +150,8 @@
 	return true
 }
 
-// now returns the time for the keeper. Its preparation time allows for the wait until the next scaler
-// step and for the boot time of the slowest known machine type.
+// now returns the time for the keeper. Its preparation time allows for the wait until the next
+// scaler step and for the boot time of the slowest known machine type.
 func (s *Service) now() Now {
 	prepare := tuning.MinPrepare
 	for _, machineType := range s.state.MachineTypes {
@@ -164,8 +165,8 @@
 	}
 }
 
-// Gate returns the verdict on a job's class for the queue. A new leader prepares no windows at first:
-// it returns Shut instead of Soon.
+// Gate returns the verdict on a job's class for the queue. A new leader prepares no windows at
+// first: it returns Shut instead of Soon.
 func (s *Service) Gate(spec *jobs.Spec) Verdict {
 	if s == nil {
 		return Free
@@ -178,7 +179,8 @@
 	return verdict
 }
 
-// Pass runs the leader's part of the calendar. It is called on each pass while this controller leads.
+// Pass runs the leader's part of the calendar. It is called on each pass while this controller
+// leads.
 func (s *Service) Pass() {
 	if s == nil {
 		return
--- a/internal/calendar/service_test.go
+++ b/internal/calendar/service_test.go
@@ -88,9 +88,9 @@
 	}}}
 }
 
-// TestGuardDropsStartsOutsideWindows checks that every kind of decision that starts a task is dropped
-// while the task's window is closed, and is conditional on the track's key while the window is open.
-// Other decisions and tasks without windows must pass unchanged.
+// TestGuardDropsStartsOutsideWindows checks that every kind of decision that starts a task is
+// dropped while the task's window is closed, and is conditional on the track's key while the window
+// is open. Other decisions and tasks without windows must pass unchanged.
 func TestGuardDropsStartsOutsideWindows(t *testing.T) {
 	service := newTestService(t)
 	released := service.state.Assigned["wk-1/0"]
--- a/internal/calendar/show.go
+++ b/internal/calendar/show.go
@@ -35,8 +35,8 @@
 	Note     string    `json:"note,omitempty"`
 }
 
-// Preview returns the planned occurrences that begin in [from, to), with a note on those that overlap
-// or follow a change of the UTC offset.
+// Preview returns the planned occurrences that begin in [from, to), with a note on those that
+// overlap or follow a change of the UTC offset.
 func (p *Plan) Preview(from, to time.Time) []Shown {
 	var all []Shown
 	for _, track := range p.Tracks {
@@ -210,8 +210,8 @@
 	return opensMs, dueMs, opensMs == 0 || endsMs > dueMs
 }
 
-// OverlappingTracks returns the names of the tracks whose classes that are on machines are not all in
-// one window: tasks of two windows are on machines at the same time.
+// OverlappingTracks returns the names of the tracks whose classes that are on machines are not all
+// in one window: tasks of two windows are on machines at the same time.
 func (p *Plan) OverlappingTracks(onMachines map[quota.Key]bool) []string {
 	var names []string
 	for _, track := range p.Tracks {
--- a/internal/calendar/stops.go
+++ b/internal/calendar/stops.go
@@ -115,8 +115,8 @@
 	})
 }
 
-// deleteUnresponsive deletes an unresponsive machine if a stopping task on it blocks the next window:
-// only the deletion proves that the task is gone.
+// deleteUnresponsive deletes an unresponsive machine if a stopping task on it blocks the next
+// window: only the deletion proves that the task is gone.
 func (s *Service) deleteUnresponsive(task *clusterstate.Task) []decide.Decision {
 	now := s.state.Now
 	machine := s.state.Machines[task.Machine]
--- a/internal/calendar/track_draft.go
+++ b/internal/calendar/track_draft.go
@@ -64,8 +64,8 @@
 	d.changed = true
 }
 
-// expired reports whether the record of a track that the plan no longer contains may be deleted. It is
-// kept until no occurrence could still open late if a later revision added the track again.
+// expired reports whether the record of a track that the plan no longer contains may be deleted. It
+// is kept until no occurrence could still open late if a later revision added the track again.
 func (d *trackDraft) expired() bool {
 	if d.track != nil || len(d.record.Occurrences) == 0 {
 		return false
@@ -78,8 +78,8 @@
 	return d.now.Ms-d.record.DoneMs > 3*tuning.MaxWindow.Milliseconds()
 }
 
-// applyRevision adapts the waiting occurrences to the revision in force. Planned ones are removed, to
-// be planned again; Preparing and Slipped ones are dropped unless the revision contains the same
+// applyRevision adapts the waiting occurrences to the revision in force. Planned ones are removed,
+// to be planned again; Preparing and Slipped ones are dropped unless the revision contains the same
 // occurrence.
 func (d *trackDraft) applyRevision() {
 	revision := d.keeper.plan.Revision
@@ -121,10 +121,10 @@
 	return spans[0], true
 }
 
-// closeEnded moves open occurrences to Closing once their end may have been reached, and closing ones
-// to Closed once it is proven that none of their tasks is on a machine. The proof is valid only for
-// occurrences that are Closing in the committed record: tasks may start until that commit, and none
-// after it.
+// closeEnded moves open occurrences to Closing once their end may have been reached, and closing
+// ones to Closed once it is proven that none of their tasks is on a machine. The proof is valid
+// only for occurrences that are Closing in the committed record: tasks may start until that commit,
+// and none after it.
 func (d *trackDraft) closeEnded() {
 	for i := range d.record.Occurrences {
 		occurrence := &d.record.Occurrences[i]
@@ -143,8 +143,8 @@
 	}
 }
 
-// advanceWaiting prepares occurrences that are about to open, and marks as missed or drops those that
-// did not open in time.
+// advanceWaiting prepares occurrences that are about to open, and marks as missed or drops those
+// that did not open in time.
 func (d *trackDraft) advanceWaiting() {
 	if d.track == nil {
 		return
@@ -179,7 +179,8 @@
 	}
 }
 
-// openDue opens the next due occurrence, unless tasks of the track's other classes may be on machines.
+// openDue opens the next due occurrence, unless tasks of the track's other classes may be on
+// machines.
 func (d *trackDraft) openDue() {
 	if d.track == nil || d.record.holder() != nil {
 		return
@@ -191,8 +192,8 @@
 }
 
 // openFirst opens the first due occurrence, among the missed ones if late is set, else among the
-// others. It reports whether no further occurrence may be opened: one was opened, or one that is due
-// on time is blocked.
+// others. It reports whether no further occurrence may be opened: one was opened, or one that is
+// due on time is blocked.
 func (d *trackDraft) openFirst(late bool) bool {
 	for i := range d.record.Occurrences {
 		occurrence := &d.record.Occurrences[i]
@@ -223,9 +224,9 @@
 	return false
 }
 
-// due reports whether an occurrence is due, and returns its end. The maximum clock error is deducted at
-// both ends. A late occurrence gets its full length, and is due only if that ends before the next
-// occurrence of the track begins.
+// due reports whether an occurrence is due, and returns its end. The maximum clock error is
+// deducted at both ends. A late occurrence gets its full length, and is due only if that ends
+// before the next occurrence of the track begins.
 func (d *trackDraft) due(occurrence *Occurrence, late bool) (endMs int64, due bool) {
 	if !late {
 		begun := d.now.Ms >= occurrence.BeginMs+d.now.ClockErrorMs
@@ -243,9 +244,9 @@
 }
 
 // trackIsFree reports whether no attempt of the track's other classes is or can get on any machine.
-// Classes of this track start tasks only in an open occurrence. There is none on this track, nor one
-// that includes these classes on another track, opened under an earlier revision. So a track that is
-// free stays free until the occurrence is committed as open.
+// Classes of this track start tasks only in an open occurrence. There is none on this track, nor
+// one that includes these classes on another track, opened under an earlier revision. So a track
+// that is free stays free until the occurrence is committed as open.
 func (d *trackDraft) trackIsFree(window *Window) bool {
 	isOther := func(class quota.Key) bool {
 		return !window.Has(class) && d.keeper.plan.TrackOf(class) == d.track
@@ -263,8 +264,8 @@
 	return d.cluster.Settled() && d.cluster.Attempts(isOther) == 0
 }
 
-// planAhead adds the next planned occurrences, whenever the track's record changes anyway or too few
-// waiting occurrences are left.
+// planAhead adds the next planned occurrences, whenever the track's record changes anyway or too
+// few waiting occurrences are left.
 func (d *trackDraft) planAhead() {
 	if d.track == nil {
 		return
--- a/internal/callerrors/callerrors.go
+++ b/internal/callerrors/callerrors.go
@@ -26,7 +26,8 @@
 )
 
 // The response statuses that do not indicate a fault of this program, by party. According to the
-// tables of responses in PROTOCOL, any other status means that the request should not have been made.
+// tables of responses in PROTOCOL, any other status means that the request should not have been
+// made.
 var (
 	// expectedStatuses occur in normal operation and are not counted.
 	expectedStatuses = map[Party][]int{
@@ -126,8 +127,8 @@
 // maxTargetSegments is the maximum number of path segments of a target that a kind keeps.
 const maxTargetSegments = 3
 
-// genericTarget returns a target's path without the segments that may be IDs: it keeps only segments
-// of lowercase letters, at most maxTargetSegments of them.
+// genericTarget returns a target's path without the segments that may be IDs: it keeps only
+// segments of lowercase letters, at most maxTargetSegments of them.
 func genericTarget(target string) string {
 	path, _, _ := strings.Cut(target, "?")
 	var segments []string
@@ -145,8 +146,8 @@
 
 // Report returns the log lines about the calls refused since the last report, and starts a new
 // period: one line for calls that should never have been made, and one for all others, including
-// those beyond tuning.MaxErrorKinds. A line is empty if there were no such calls. Both are empty if the last report is
-// less than tuning.CallErrorsLogEvery ago.
+// those beyond tuning.MaxErrorKinds. A line is empty if there were no such calls. Both are empty if
+// the last report is less than tuning.CallErrorsLogEvery ago.
 func (c *Counter) Report(now time.Time) (unexpected, overload string) {
 	if c.lastReport.IsZero() {
 		c.lastReport = now
--- a/internal/clusterstate/state.go
+++ b/internal/clusterstate/state.go
@@ -1,8 +1,8 @@
 // Package clusterstate holds one controller's view of the cluster, built from the records in the
 // state service: jobs, tasks and machines, and the values derived from them, such as allocated
 // resources, the teams' quota usage and the queued jobs. Derived values are updated with each
-// change. Only changes of the mirror and reservations modify the state; all other code only reads it.
-// The package does no IO and reads no clock. It belongs to the controller's event loop: nothing
+// change. Only changes of the mirror and reservations modify the state; all other code only reads
+// it. The package does no IO and reads no clock. It belongs to the controller's event loop: nothing
 // in it is safe for concurrent use.
 package clusterstate
 
--- a/internal/completion/completion.go
+++ b/internal/completion/completion.go
@@ -94,7 +94,8 @@
 	return decisions
 }
 
-// mayBeOnMachine reports whether a task is on a machine, or may be because its record is unreadable.
+// mayBeOnMachine reports whether a task is on a machine, or may be because its record is
+// unreadable.
 func mayBeOnMachine(task *clusterstate.Task) bool {
 	return task.OnMachine() || task.State == clusterstate.Unreadable
 }
@@ -130,7 +131,8 @@
 	return decision, true
 }
 
-// inOneRecord reports whether one task range, or batch records alone, hold all tasks of a task's job.
+// inOneRecord reports whether one task range, or batch records alone, hold all tasks of a task's
+// job.
 func inOneRecord(task *clusterstate.Task) bool {
 	switch len(task.Job.Ranges) {
 	case 0:
--- a/internal/compression/compression.go
+++ b/internal/compression/compression.go
@@ -1,5 +1,5 @@
-// Package compression creates the zstd encoders and decoders for stored data: records of the state service
-// and snapshots of it. It does no IO and reads no clock.
+// Package compression creates the zstd encoders and decoders for stored data: records of the state
+// service and snapshots of it. It does no IO and reads no clock.
 package compression
 
 import (
@@ -20,9 +20,9 @@
 }
 
 // New returns a function that returns an encoder and a decoder, which it creates at its first call.
-// Their methods EncodeAll and DecodeAll are safe for concurrent use. maxDecodedBytes is the limit on
-// the size of decoded data. The options must be constant and valid: invalid ones are a programming
-// error and cause a panic.
+// Their methods EncodeAll and DecodeAll are safe for concurrent use. maxDecodedBytes is the limit
+// on the size of decoded data. The options must be constant and valid: invalid ones are a
+// programming error and cause a panic.
 func New(maxDecodedBytes uint64, options ...zstd.EOption) func() (*zstd.Encoder, *zstd.Decoder) {
 	return sync.OnceValues(func() (*zstd.Encoder, *zstd.Decoder) {
 		options := append([]zstd.EOption{zstd.WithEncoderConcurrency(1)}, options...)
--- a/internal/controller/diagnostics.go
+++ b/internal/controller/diagnostics.go
@@ -25,5 +25,6 @@
 	}
 }
 
-// ProtocolErrors returns the number of calls and decisions so far that a correct program never makes.
+// ProtocolErrors returns the number of calls and decisions so far that a correct program never
+// makes.
 func (c *Controller) ProtocolErrors() int { return c.callErrors.Unexpected + c.committer.Quarantined() }
--- a/internal/controller/replicas.go
+++ b/internal/controller/replicas.go
@@ -19,7 +19,8 @@
 	c.committer.Commit(c.replicaMoves(limit))
 }
 
-// replicaMoves returns at most limit decisions, each of which stops a replica on a draining machine.
+// replicaMoves returns at most limit decisions, each of which stops a replica on a draining
+// machine.
 func (c *Controller) replicaMoves(limit int) []decide.Decision {
 	event := jobs.TaskEvent{Kind: jobs.Stop, Reason: "moved off a draining machine"}
 	var decisions []decide.Decision
--- a/internal/controller/standby.go
+++ b/internal/controller/standby.go
@@ -11,8 +11,8 @@
 // leaders were answered.
 func (c *Controller) Standby() (standby.State, int) { return c.membership.Standby() }
 
-// SuccessionOrder returns this controller's place in the order of succession to the leader, or -1 if
-// it has none.
+// SuccessionOrder returns this controller's place in the order of succession to the leader, or -1
+// if it has none.
 func (c *Controller) SuccessionOrder() int { return c.membership.SuccessionOrder() }
 
 // followCloud keeps reading the cloud's list while this controller is a warm standby, so that it
--- a/internal/controller/wiring_calendar.go
+++ b/internal/controller/wiring_calendar.go
@@ -51,7 +51,8 @@
 	a.controller.committer.Commit(decisions)
 }
 
-// UnresponsiveSince returns since when a machine has been unresponsive, or false if it is responsive.
+// UnresponsiveSince returns since when a machine has been unresponsive, or false if it is
+// responsive.
 func (a calendarAdapter) UnresponsiveSince(machine *clusterstate.Machine) (time.Time, bool) {
 	return a.controller.shard.UnresponsiveSince(machine)
 }
--- a/internal/controller/wiring_cancellation.go
+++ b/internal/controller/wiring_cancellation.go
@@ -8,9 +8,9 @@
 	"github.com/harrierreel/harrierreel/internal/jobs"
 )
 
-// newCancellations returns the service of acknowledged cancellations. The incarnation of its process
-// is drawn from the global random source rather than the seeded one, since no decision depends on
-// its value.
+// newCancellations returns the service of acknowledged cancellations. The incarnation of its
+// process is drawn from the global random source rather than the seeded one, since no decision
+// depends on its value.
 func (c *Controller) newCancellations() *cancellation.Service {
 	config := cancellation.Config{
 		Name:         c.settings.NodeName,
--- a/internal/controller/wiring_provisioning.go
+++ b/internal/controller/wiring_provisioning.go
@@ -52,7 +52,8 @@
 	return a.controller.role == members.Leader, a.controller.roleEpoch
 }
 
-// MayScaleOut reports whether the leader's checks and the reconciliation permit requesting machines.
+// MayScaleOut reports whether the leader's checks and the reconciliation permit requesting
+// machines.
 func (a provisioningAdapter) MayScaleOut() bool {
 	c := a.controller
 	return c.checks.Permits(standby.ScaleOut) && c.shard.Reconciling.MayScaleOut(c.state.Now)
--- a/internal/controller/wiring_store.go
+++ b/internal/controller/wiring_store.go
@@ -28,8 +28,8 @@
 	return cancellation.Window(workers.LeaseS, workers.CancelS)
 }
 
-// newMirror returns the mirror of the live keys. Records that the store keeps permanently are passed
-// to applyChange but not kept in the mirror.
+// newMirror returns the mirror of the live keys. Records that the store keeps permanently are
+// passed to applyChange but not kept in the mirror.
 func (c *Controller) newMirror() *store.Mirror {
 	mirror := store.NewMirror(c.applyChange)
 	mirror.Transient = func(key string) bool {
--- a/internal/fleet/claims.go
+++ b/internal/fleet/claims.go
@@ -38,10 +38,10 @@
 // the revision of the first one covers them all.
 //
 // A controller of the previous version takes the entry for a job of that name that claims machines
-// which do not exist, and knows only the claims of the first value. It may place a task on a machine
-// claimed in a further value; the machine then lacks capacity for the gang's task, as if the other
-// task had been placed just before the claim. When such a controller leads, it writes the first
-// value without this entry, and the further values are ignored.
+// which do not exist, and knows only the claims of the first value. It may place a task on a
+// machine claimed in a further value; the machine then lacks capacity for the gang's task, as if
+// the other task had been placed just before the claim. When such a controller leads, it writes the
+// first value without this entry, and the further values are ignored.
 const continuationsEntry = "more"
 
 // ClaimsKeyOf returns the key of the value with the given number, from 1.
--- a/internal/fleet/unresponsive_test.go
+++ b/internal/fleet/unresponsive_test.go
@@ -11,7 +11,8 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// joinOnlyList decodes an owner's only list. before is the set decoded from the owner's previous list.
+// joinOnlyList decodes an owner's only list. before is the set decoded from the owner's previous
+// list.
 func joinOnlyList(value []byte, before UnresponsiveSet, now time.Time) (UnresponsiveSet, error) {
 	list, err := DecodeUnresponsiveList(value)
 	return UnresponsiveLists{1: list}.Join(before, now), err
@@ -145,8 +146,9 @@
 	}
 }
 
-// readAsPreviousVersion decodes all values as a controller of the previous version does: each as the
-// list of one owner. The result holds, by owner and machine, whether the machine answers commands.
+// readAsPreviousVersion decodes all values as a controller of the previous version does: each as
+// the list of one owner. The result holds, by owner and machine, whether the machine answers
+// commands.
 func readAsPreviousVersion(t *testing.T, values map[string][]byte) map[string]map[string]bool {
 	t.Helper()
 	owners := map[string]map[string]bool{}
--- a/internal/gangs/fit.go
+++ b/internal/gangs/fit.go
@@ -102,8 +102,8 @@
 	return groups
 }
 
-// fitGroup selects a machine among the candidates for every task of a gang. It returns nil if one of
-// the tasks does not fit. It modifies candidates and zones.
+// fitGroup selects a machine among the candidates for every task of a gang. It returns nil if one
+// of the tasks does not fit. It modifies candidates and zones.
 func fitGroup(spec *jobs.Spec, candidates []sharding.Candidate, zones map[string]int, pick Picker) []string {
 	machines := make([]string, spec.TaskCount)
 	for task := range machines {
--- a/internal/http1/parse.go
+++ b/internal/http1/parse.go
@@ -17,8 +17,8 @@
 )
 
 // Parse parses one message at the start of buf. It returns the message and the number of bytes it
-// takes up, or a nil message when more bytes are needed. maxBody is the limit on the body's size, in
-// bytes.
+// takes up, or a nil message when more bytes are needed. maxBody is the limit on the body's size,
+// in bytes.
 func Parse(kind Kind, buf []byte, maxBody int) (*Message, int, error) {
 	end, err := headEnd(buf)
 	if err != nil || end < 0 {
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -42,11 +42,11 @@
 	APIAddr  string // address of the HTTP listener
 	PeerAddr string // address of the listener for peers' lines; may be empty
 	MaxConns int
-	// IsUserRequest, if set, reports whether a request comes from a user, as opposed to a worker. The
-	// number of users is unbounded, that of workers is not. While more than MaxUserConns connections
-	// of users are open, each of them is closed after its response, so that users who keep
-	// connections open leave room for workers. While more than tuning.KeepAliveShare of MaxConns are
-	// open, every connection is closed after its response.
+	// IsUserRequest, if set, reports whether a request comes from a user, as opposed to a worker.
+	// The number of users is unbounded, that of workers is not. While more than MaxUserConns
+	// connections of users are open, each of them is closed after its response, so that users who
+	// keep connections open leave room for workers. While more than tuning.KeepAliveShare of
+	// MaxConns are open, every connection is closed after its response.
 	IsUserRequest func(m *Message) bool
 	MaxUserConns  int
 	// Handle is called on the listener's goroutine, so it must not block. It must call respond
@@ -124,10 +124,10 @@
 }
 
 // superviseConns closes stale connections periodically. Once stop is closed, it shuts down the
-// listener by connecting to it, which makes the Opened event return a shutdown. It replaces evio's own
-// tick, which must not be used: the tick's goroutine outlives the listener and then writes eight bytes
-// to a file descriptor that is already closed. The descriptor's number may have been reused, for
-// instance by a connection to the key-value store (docs/incidents/stray-bytes.md).
+// listener by connecting to it, which makes the Opened event return a shutdown. It replaces evio's
+// own tick, which must not be used: the tick's goroutine outlives the listener and then writes
+// eight bytes to a file descriptor that is already closed. The descriptor's number may have been
+// reused, for instance by a connection to the key-value store (docs/incidents/stray-bytes.md).
 func (s *Server) superviseConns(stop, ended <-chan struct{}) {
 	tick := time.NewTicker(tuning.ListenerTick)
 	defer tick.Stop()
--- a/internal/http1/server_test.go
+++ b/internal/http1/server_test.go
@@ -20,8 +20,8 @@
 )
 
 // waitTimeout is the limit on each wait for a socket or a process. It is long enough not to affect
-// the result on a busy machine: on an idle one the events arrive at once, and only events that never
-// arrive run into it.
+// the result on a busy machine: on an idle one the events arrive at once, and only events that
+// never arrive run into it.
 const waitTimeout = 2 * time.Minute
 
 // await receives one value from c, and fails the test after waitTimeout.
--- a/internal/lending/callback.go
+++ b/internal/lending/callback.go
@@ -22,10 +22,10 @@
 	sameImage int
 }
 
-// callBack returns the decisions that call replicas back. Of each service it calls back one replica at
-// a time, never leaving less than half of the replicas placed and never taking the last one in a zone.
-// Replicas that fit on another machine that has their image go first, then those on machines where the
-// fewest tasks use their image.
+// callBack returns the decisions that call replicas back. Of each service it calls back one replica
+// at a time, never leaving less than half of the replicas placed and never taking the last one in a
+// zone. Replicas that fit on another machine that has their image go first, then those on machines
+// where the fewest tasks use their image.
 func (l *Ledger) callBack(account *quota.Account, waits func(jobID string) bool) []decide.Decision {
 	var decisions []decide.Decision
 	recalling := l.servicesWithRecall()
@@ -150,8 +150,9 @@
 	return 0, false
 }
 
-// canSpareReplica reports whether a service can do without a replica for a short time: no other replica
-// is stopping, at least half of its replicas stay placed, and the replica is not the last in its zone.
+// canSpareReplica reports whether a service can do without a replica for a short time: no other
+// replica is stopping, at least half of its replicas stay placed, and the replica is not the last
+// in its zone.
 func (l *Ledger) canSpareReplica(replica *clusterstate.Task) bool {
 	placed, inZone := 0, 0
 	for _, other := range replica.Job.Active {
@@ -170,8 +171,8 @@
 	return placed-1 >= half && inZone > 1
 }
 
-// lenderIsOwed reports whether a lender waits for what it is guaranteed while the borrower is beyond
-// its own guarantee.
+// lenderIsOwed reports whether a lender waits for what it is guaranteed while the borrower is
+// beyond its own guarantee.
 func (l *Ledger) lenderIsOwed(
 	account *quota.Account,
 	loan *Loan,
--- a/internal/lending/callback_test.go
+++ b/internal/lending/callback_test.go
@@ -20,7 +20,8 @@
 	return count
 }
 
-// lendReplicas stores a loan from job wk-1 for each of the first replicas of a service, in two records.
+// lendReplicas stores a loan from job wk-1 for each of the first replicas of a service, in two
+// records.
 func (f *loanFixture) lendReplicas(service *clusterstate.Job, replicas int) {
 	records := [2]LoanRecord{}
 	for index := range replicas {
@@ -41,8 +42,9 @@
 	}
 }
 
-// TestReplicasAreCalledBackOneAtATimeDownToHalf checks that replicas are called back for a lender that
-// waits for what it is guaranteed, one at a time, until half of the service's replicas are left.
+// TestReplicasAreCalledBackOneAtATimeDownToHalf checks that replicas are called back for a lender
+// that waits for what it is guaranteed, one at a time, until half of the service's replicas are
+// left.
 func TestReplicasAreCalledBackOneAtATimeDownToHalf(t *testing.T) {
 	f := newLoanFixture(4)
 	machines := []string{"i-0", "i-0", "i-0", "i-0", "i-1", "i-1", "i-2", "i-2", "i-1", "i-2", "i-0", "i-1"}
--- a/internal/lending/choose.go
+++ b/internal/lending/choose.go
@@ -52,9 +52,9 @@
 	usesOwnTeam bool // Tasks includes tasks of the borrower's own team
 }
 
-// Choose returns the plan for the machine where lending costs the least. It returns false if there is
-// none, or if a machine has enough free room, including that of its stopping tasks; in the second case
-// the plan has only the machine's name.
+// Choose returns the plan for the machine where lending costs the least. It returns false if there
+// is none, or if a machine has enough free room, including that of its stopping tasks; in the
+// second case the plan has only the machine's name.
 func Choose(state *clusterstate.State, search *Search) (Plan, bool) {
 	need := search.spec().Resources()
 	var best Plan
@@ -115,7 +115,8 @@
 	return cost
 }
 
-// freeResources returns the resources that are free on a machine, including those of stopping tasks.
+// freeResources returns the resources that are free on a machine, including those of stopping
+// tasks.
 func (s *Search) freeResources(
 	state *clusterstate.State,
 	machine *clusterstate.Machine,
@@ -167,8 +168,8 @@
 }
 
 // chooseUnits takes units in their order until the need fits, and then drops those that later ones
-// made unnecessary. It returns the chosen units and the resources that are free after stopping them,
-// which fit the need only if the units were enough.
+// made unnecessary. It returns the chosen units and the resources that are free after stopping
+// them, which fit the need only if the units were enough.
 func (s *Search) chooseUnits(
 	state *clusterstate.State,
 	units []stopUnit,
@@ -204,8 +205,8 @@
 	return chosen, free
 }
 
-// addShare adds the accelerators that a unit lends, at most those that are still needed, to the share
-// of its job, and subtracts them from left.
+// addShare adds the accelerators that a unit lends, at most those that are still needed, to the
+// share of its job, and subtracts them from left.
 func (p *Plan) addShare(unit *stopUnit, left *float64) {
 	accelerators := min(unit.freed.Accelerators, *left)
 	*left -= accelerators
@@ -218,8 +219,9 @@
 	p.From[i].Tasks += len(unit.tasks)
 }
 
-// mayStop reports whether the preemption rules of PROTOCOL allow stopping a unit for the replica: no
-// team falls below its guarantee, except in favour of a replica of its own that has a higher priority.
+// mayStop reports whether the preemption rules of PROTOCOL allow stopping a unit for the replica:
+// no team falls below its guarantee, except in favour of a replica of its own that has a higher
+// priority.
 func (s *Search) mayStop(state *clusterstate.State, account *quota.Account, unit *stopUnit) bool {
 	spec := unit.spec()
 	leaf := state.QuotaLeaf(spec)
@@ -230,8 +232,9 @@
 	return account.MayPreempt(s.Entitled, leaf, amount)
 }
 
-// AccountWithoutStopping returns a copy of an account without the charges of stopping tasks, so that
-// tasks stopped for one loan are not counted again for the next, and without those of reservations.
+// AccountWithoutStopping returns a copy of an account without the charges of stopping tasks, so
+// that tasks stopped for one loan are not counted again for the next, and without those of
+// reservations.
 func AccountWithoutStopping(
 	state *clusterstate.State,
 	account *quota.Account,
--- a/internal/lending/choose_test.go
+++ b/internal/lending/choose_test.go
@@ -21,7 +21,8 @@
 	return plan.Machine + " " + strings.Join(taskIDs, " ")
 }
 
-// addArray adds a job array with one accelerator per task. The first tasks are placed on the machine.
+// addArray adds a job array with one accelerator per task. The first tasks are placed on the
+// machine.
 func (f *loanFixture) addArray(jobID, team, priority string, taskCount int, machine string, placed int) {
 	f.job(jobID, team, jobs.JobArray, priority, "x", 1, taskCount, slices.Repeat([]string{machine}, placed)...)
 }
@@ -120,8 +121,9 @@
 	}
 }
 
-// TestChoosePlansImagePulls checks that the start delay includes the image pull, with pulls in progress
-// that share the machine's rate, and that no plan uses a machine whose cache can't hold the image.
+// TestChoosePlansImagePulls checks that the start delay includes the image pull, with pulls in
+// progress that share the machine's rate, and that no plan uses a machine whose cache can't hold
+// the image.
 func TestChoosePlansImagePulls(t *testing.T) {
 	f := newLoanFixture(1)
 	service := f.job("wk-9", "serve", jobs.Service, "prod", "weights", 1, 2)
--- a/internal/lending/facts.go
+++ b/internal/lending/facts.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// addLenderFacts sets the facts that are true of this lender; a fact that is true of any of a loan's
-// lenders stays set.
+// addLenderFacts sets the facts that are true of this lender; a fact that is true of any of a
+// loan's lenders stays set.
 func (l *Ledger) addLenderFacts(facts *Facts, loan *Loan, lender *clusterstate.Job) {
 	if l.mayBegin(lender) && l.state.Queued[lender.ID] == lender {
 		facts.LenderWaits = true
--- a/internal/lending/faults_test.go
+++ b/internal/lending/faults_test.go
@@ -23,10 +23,10 @@
 	lastJob  int
 }
 
-// TestEveryLoanEndsAfterAnyFaults runs random steps that lend and fail in a fleet, followed by a time
-// without faults. No loan may take a team below its guarantee, no machine may exceed its capacity, and
-// gangs must be stopped as a whole. In the end every loan must be over, and all accelerators lent must
-// have been returned or lost with their machine.
+// TestEveryLoanEndsAfterAnyFaults runs random steps that lend and fail in a fleet, followed by a
+// time without faults. No loan may take a team below its guarantee, no machine may exceed its
+// capacity, and gangs must be stopped as a whole. In the end every loan must be over, and all
+// accelerators lent must have been returned or lost with their machine.
 func TestEveryLoanEndsAfterAnyFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &loanModel{loanFixture: newLoanFixture(modelMachines), lastJob: 10}
@@ -86,8 +86,8 @@
 	return tasks
 }
 
-// startJobs starts a job on each machine with a free accelerator. Some are gangs with a second task on
-// the next machine.
+// startJobs starts a job on each machine with a free accelerator. Some are gangs with a second task
+// on the next machine.
 func (m *loanModel) startJobs(t *rapid.T) {
 	for i := range modelMachines {
 		if !m.hasFreeAccelerator(i) {
@@ -182,8 +182,8 @@
 	}
 }
 
-// settle lets time pass without faults until all loans are over: stopping tasks end and services are
-// cancelled.
+// settle lets time pass without faults until all loans are over: stopping tasks end and services
+// are cancelled.
 func (m *loanModel) settle(t *rapid.T) {
 	for range 8 {
 		m.removeStopping(t)
--- a/internal/lending/fixture_test.go
+++ b/internal/lending/fixture_test.go
@@ -246,8 +246,8 @@
 	return Choose(f.state, search)
 }
 
-// request requests a loan for a replica and commits it if committed is true. It reports whether a loan
-// began, and fails the test if the plan stops tasks that it must not stop.
+// request requests a loan for a replica and commits it if committed is true. It reports whether a
+// loan began, and fails the test if the plan stops tasks that it must not stop.
 func (f *loanFixture) request(t failer, job *clusterstate.Job, index int, committed bool) bool {
 	t.Helper()
 	search := f.search(job, index)
@@ -261,8 +261,8 @@
 	return committed
 }
 
-// checkPlan fails the test if a plan stops tasks that it must not stop. account is the account before
-// the plan; checkPlan changes it.
+// checkPlan fails the test if a plan stops tasks that it must not stop. account is the account
+// before the plan; checkPlan changes it.
 func (f *loanFixture) checkPlan(t failer, search *Search, plan *Plan, account *quota.Account) {
 	t.Helper()
 	stopped := map[string]int{} // by job
@@ -292,8 +292,8 @@
 	}
 }
 
-// reconcile calls Reconcile, commits its decisions if committed is true, and records which loans have
-// begun and ended.
+// reconcile calls Reconcile, commits its decisions if committed is true, and records which loans
+// have begun and ended.
 func (f *loanFixture) reconcile(waits func(string) bool, committed bool) {
 	for _, decision := range f.ledger.Reconcile(f.state.Account, waits) {
 		f.commit(decision, committed)
--- a/internal/lending/ledger.go
+++ b/internal/lending/ledger.go
@@ -54,8 +54,8 @@
 	FitsElsewhere(replica *clusterstate.Task) bool
 }
 
-// Ledger is the leader's view of all loans. All of its decisions follow from the stored records: a new
-// leader reads them and observes each loan again. It is not safe for concurrent use.
+// Ledger is the leader's view of all loans. All of its decisions follow from the stored records: a
+// new leader reads them and observes each loan again. It is not safe for concurrent use.
 type Ledger struct {
 	// ByPriority is Config.ByPriority.
 	ByPriority bool
@@ -89,8 +89,8 @@
 	CalledBack int
 	Returned   int
 	BrokenOff  int
-	// AcceleratorsTaken is the sum of the accelerators of all loans that began, AcceleratorsReturned
-	// of those returned, AcceleratorsLost of those broken off.
+	// AcceleratorsTaken is the sum of the accelerators of all loans that began,
+	// AcceleratorsReturned of those returned, AcceleratorsLost of those broken off.
 	AcceleratorsTaken    float64
 	AcceleratorsReturned float64
 	AcceleratorsLost     float64
@@ -115,9 +115,9 @@
 	}
 }
 
-// ApplyRecord updates the ledger with a stored record; a nil value means that the record was deleted.
-// A record that cannot be decoded is logged and quarantined: its loans are ignored and the record is
-// never overwritten.
+// ApplyRecord updates the ledger with a stored record; a nil value means that the record was
+// deleted. A record that cannot be decoded is logged and quarantined: its loans are ignored and the
+// record is never overwritten.
 func (l *Ledger) ApplyRecord(key string, value json.RawMessage) {
 	number, ok := RecordNumber(key)
 	if !ok {
@@ -159,8 +159,8 @@
 // Counts returns the counts so far.
 func (l *Ledger) Counts() Counts { return l.counts }
 
-// progressOf returns the progress of a loan since it was stored. It returns false if there is none, or
-// if the progress was made from another stored state.
+// progressOf returns the progress of a loan since it was stored. It returns false if there is none,
+// or if the progress was made from another stored state.
 func (l *Ledger) progressOf(stored Loan) (progress, bool) {
 	known, ok := l.progress[stored.ID]
 	same := known.stored.State == stored.State &&
@@ -179,9 +179,9 @@
 
 func live(job *clusterstate.Job) bool { return job.Record != nil && job.Record.State == jobs.Live }
 
-// mayBegin reports whether a job's tasks may start now. While the job's calendar window is closed or
-// only about to open, no room is reserved for it and no replica is called back for it: it could not
-// use the room, and the queue prepares what it needs when the window opens.
+// mayBegin reports whether a job's tasks may start now. While the job's calendar window is closed
+// or only about to open, no room is reserved for it and no replica is called back for it: it could
+// not use the room, and the queue prepares what it needs when the window opens.
 func (l *Ledger) mayBegin(job *clusterstate.Job) bool {
 	return live(job) && l.calendar.MayBegin(&job.Record.Spec)
 }
@@ -305,8 +305,8 @@
 }
 
 // recordWrite returns the write that stores a record, or deletes it if it has no loans. Like every
-// write, it is conditional on the known revision of the record, so that the write of a former leader
-// fails.
+// write, it is conditional on the known revision of the record, so that the write of a former
+// leader fails.
 func (l *Ledger) recordWrite(number int, record *LoanRecord) store.Write {
 	l.written[number] = true
 	if len(record.Loans) == 0 {
@@ -315,9 +315,9 @@
 	return decide.Put(RecordKey(number), record)
 }
 
-// saveRecord returns the decision that stores the changes of a record's loans. Changes are collected
-// for up to tuning.LoanSaveDelay before they are written, since a new leader can derive each of them
-// again from the other records.
+// saveRecord returns the decision that stores the changes of a record's loans. Changes are
+// collected for up to tuning.LoanSaveDelay before they are written, since a new leader can derive
+// each of them again from the other records.
 func (l *Ledger) saveRecord(number int) (decide.Decision, bool) {
 	record := l.records[number]
 	if record == nil || l.written[number] || l.pending.Busy(RecordKey(number)) {
--- a/internal/lending/ledger_test.go
+++ b/internal/lending/ledger_test.go
@@ -8,9 +8,9 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// TestRoomIsNotReservedWhileWindowIsClosed checks that room made for a replica is given up as soon as
-// the calendar window of the replica is closed, and is then reserved for a lender only if the lender's
-// window is open.
+// TestRoomIsNotReservedWhileWindowIsClosed checks that room made for a replica is given up as soon
+// as the calendar window of the replica is closed, and is then reserved for a lender only if the
+// lender's window is open.
 func TestRoomIsNotReservedWhileWindowIsClosed(t *testing.T) {
 	f := newLoanFixture(1)
 	f.job("wk-1", "batch", jobs.JobArray, "standard", "b", 1, 4, "i-0", "i-0", "i-0", "i-0")
@@ -73,8 +73,8 @@
 	}
 }
 
-// TestReleasedReplicaKeepsItsLoan checks that a loan keeps its state while its replica is released to
-// the machine but not yet there.
+// TestReleasedReplicaKeepsItsLoan checks that a loan keeps its state while its replica is released
+// to the machine but not yet there.
 func TestReleasedReplicaKeepsItsLoan(t *testing.T) {
 	f := newLoanFixture(1)
 	f.job("wk-1", "batch", jobs.JobArray, "standard", "x", 1, 7, "i-0", "i-0", "i-0", "i-0")
@@ -90,8 +90,8 @@
 	}
 }
 
-// TestUnreadableLoanRecordIsNotWritten checks that an unreadable record is not overwritten: new loans
-// go to another record, or don't begin if all records are unreadable.
+// TestUnreadableLoanRecordIsNotWritten checks that an unreadable record is not overwritten: new
+// loans go to another record, or don't begin if all records are unreadable.
 func TestUnreadableLoanRecordIsNotWritten(t *testing.T) {
 	f := newLoanFixture(1)
 	for number := range tuning.LoanRecords - 1 {
@@ -108,8 +108,8 @@
 	}
 }
 
-// TestRecordsHold4000Loans checks that the ledger reads 4,000 loans in full records, and that another
-// loan can begin.
+// TestRecordsHold4000Loans checks that the ledger reads 4,000 loans in full records, and that
+// another loan can begin.
 func TestRecordsHold4000Loans(t *testing.T) {
 	const loans = 4000
 	f := newLoanFixture(1)
--- a/internal/lending/loan.go
+++ b/internal/lending/loan.go
@@ -1,17 +1,19 @@
 // Package lending lets batch and training jobs lend accelerators to replicas of services. Lending
-// stops tasks of the lenders to make room, that is free capacity on a machine, for a replica. The room
-// goes back to the lenders when the replica ends or when a lender needs what it is guaranteed.
+// stops tasks of the lenders to make room, that is free capacity on a machine, for a replica. The
+// room goes back to the lenders when the replica ends or when a lender needs what it is guaranteed.
 //
-// The package chooses which tasks to stop on which machine (choose.go, stop_unit.go) and defines the
-// state machine of a loan (loan.go) and the stored records of loans (loan_record.go). The leader's
-// ledger advances the loans (ledger.go, facts.go), begins them (request.go), reserves their room
-// (room.go) and calls replicas back (callback.go). The package does no IO and reads no clock.
+// The package chooses which tasks to stop on which machine (choose.go, stop_unit.go) and defines
+// the state machine of a loan (loan.go) and the stored records of loans (loan_record.go). The
+// leader's ledger advances the loans (ledger.go, facts.go), begins them (request.go), reserves
+// their room (room.go) and calls replicas back (callback.go). The package does no IO and reads no
+// clock.
 package lending
 
 import "github.com/harrierreel/harrierreel/internal/tuning"
 
-// State is the state of a loan. Wanted is never stored, since it follows from a waiting replica. All
-// other states are stored. A new leader reads them and derives the changes since from the records.
+// State is the state of a loan. Wanted is never stored, since it follows from a waiting replica.
+// All other states are stored. A new leader reads them and derives the changes since from the
+// records.
 type State string
 
 // States of a loan.
@@ -79,7 +81,8 @@
 	NowMs int64
 	// MachineGone is set if the machine is deleted or being deleted.
 	MachineGone bool
-	// MachineUnschedulable is set if the machine is warned or faulty, so that no new task is placed there.
+	// MachineUnschedulable is set if the machine is warned or faulty, so that no new task is placed
+	// there.
 	MachineUnschedulable bool
 	// LenderLeaving is set if a stopping task of a lender is still on the machine.
 	LenderLeaving bool
@@ -95,8 +98,8 @@
 	LenderBack bool
 }
 
-// Next is the state machine of a loan; nothing else changes a loan's state. It returns the loan after
-// an event and reports whether the loan changed.
+// Next is the state machine of a loan; nothing else changes a loan's state. It returns the loan
+// after an event and reports whether the loan changed.
 func Next(loan Loan, event Event, facts Facts) (Loan, bool) {
 	switch event {
 	// A loan begins only together with the stops that make its room.
@@ -145,7 +148,8 @@
 	return l, false
 }
 
-// observeReserved handles Observe for a loan whose room is being made or is reserved for the replica.
+// observeReserved handles Observe for a loan whose room is being made or is reserved for the
+// replica.
 func (l Loan) observeReserved(facts Facts) (Loan, bool) {
 	ageMs := facts.NowMs - l.SinceMs
 	switch {
@@ -167,8 +171,8 @@
 	return l, false
 }
 
-// observeReturn handles Observe for a loan that is called back. Once the room is free, it is reserved
-// for the lenders for a limited time, so that it does not stay empty if they don't use it.
+// observeReturn handles Observe for a loan that is called back. Once the room is free, it is
+// reserved for the lenders for a limited time, so that it does not stay empty if they don't use it.
 func (l Loan) observeReturn(facts Facts) (Loan, bool) {
 	switch {
 	case facts.ReplicaOnMachine || facts.LenderLeaving:
--- a/internal/lending/loan_record.go
+++ b/internal/lending/loan_record.go
@@ -24,8 +24,8 @@
 // RecordKey returns the key of the loan record with a number.
 func RecordKey(number int) string { return Prefix + strconv.Itoa(number) }
 
-// RecordNumber returns the number of the loan record with a key, and false if no loan record has the
-// key.
+// RecordNumber returns the number of the loan record with a key, and false if no loan record has
+// the key.
 func RecordNumber(key string) (int, bool) {
 	digits, found := strings.CutPrefix(key, Prefix)
 	if !found {
@@ -60,8 +60,8 @@
 	return l.Machine != "" && jobs.ValidID(l.Job) && l.TaskIndex >= 0 && l.GPUs >= 0 && len(l.From) > 0
 }
 
-// withoutExpired returns a copy of a record without the loans that are over and began longer ago than
-// the retention.
+// withoutExpired returns a copy of a record without the loans that are over and began longer ago
+// than the retention.
 func (r *LoanRecord) withoutExpired(nowMs int64, retention time.Duration) *LoanRecord {
 	expired := func(loan Loan) bool {
 		return loan.State.Final() && nowMs-loan.BeganMs > retention.Milliseconds()
@@ -69,8 +69,8 @@
 	return &LoanRecord{Loans: slices.DeleteFunc(slices.Clone(r.Loans), expired)}
 }
 
-// hasSpace reports whether a record can take one more loan within the size limit of a value. It leaves
-// space for the growth of the record when its loans change.
+// hasSpace reports whether a record can take one more loan within the size limit of a value. It
+// leaves space for the growth of the record when its loans change.
 func (r *LoanRecord) hasSpace(limitBytes int) bool {
 	return len(r.Loans) < tuning.MaxLoansPerRecord &&
 		len(jobs.Encode(r)) < int(tuning.LoanRecordFillShare*float64(limitBytes))
--- a/internal/lending/loan_test.go
+++ b/internal/lending/loan_test.go
@@ -170,9 +170,9 @@
 	}
 }
 
-// TestLoanEndsAfterAnyFacts applies random events with random facts to a loan, and then lets time pass
-// in which the machine is up, the lender has left and the replica is not on the machine. The loan must
-// be over within the timeouts, and a loan that is over must never change.
+// TestLoanEndsAfterAnyFacts applies random events with random facts to a loan, and then lets time
+// pass in which the machine is up, the lender has left and the replica is not on the machine. The
+// loan must be over within the timeouts, and a loan that is over must never change.
 func TestLoanEndsAfterAnyFacts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nowMs := int64(1)
--- a/internal/lending/request.go
+++ b/internal/lending/request.go
@@ -22,9 +22,9 @@
 	return Loan{}, false
 }
 
-// Request returns the decision that begins a loan: in one transaction, it writes the loan's record and
-// stops all tasks that make room, gangs as a whole. It returns false if no job can lend, or if no loan
-// record can take another loan.
+// Request returns the decision that begins a loan: in one transaction, it writes the loan's record
+// and stops all tasks that make room, gangs as a whole. It returns false if no job can lend, or if
+// no loan record can take another loan.
 func (l *Ledger) Request(search *Search) (decide.Decision, Plan, bool) {
 	number, ok := l.recordWithSpace()
 	if !ok {
@@ -79,8 +79,8 @@
 	return loan
 }
 
-// findLenders returns the plan of who lends for a search, and false if no job can. A plan may stop no
-// task; then the room is that of a gang that is stopping already.
+// findLenders returns the plan of who lends for a search, and false if no job can. A plan may stop
+// no task; then the room is that of a gang that is stopping already.
 func (l *Ledger) findLenders(search *Search) (Plan, bool) {
 	lent := l.recentlyLent()
 	anyExempt := false
@@ -105,8 +105,9 @@
 	return Plan{}, false
 }
 
-// recordWithSpace returns the number of a loan record that can take another loan now. It skips records
-// that are unreadable, already written in this reconciliation or part of a pending transaction.
+// recordWithSpace returns the number of a loan record that can take another loan now. It skips
+// records that are unreadable, already written in this reconciliation or part of a pending
+// transaction.
 func (l *Ledger) recordWithSpace() (int, bool) {
 	for number := range tuning.LoanRecords {
 		record, stored := l.records[number]
@@ -136,8 +137,8 @@
 }
 
 // maxLentTasks returns how many lent tasks keep a job from lending again within Config.RepeatAfter:
-// for a job array, whose tasks are independent, a share of its tasks; for any other job 1, so that a
-// gang, which is stopped as a whole, lends only once.
+// for a job array, whose tasks are independent, a share of its tasks; for any other job 1, so that
+// a gang, which is stopped as a whole, lends only once.
 func maxLentTasks(spec *jobs.Spec) int {
 	if spec.Kind != jobs.JobArray {
 		return 1
--- a/internal/lending/room.go
+++ b/internal/lending/room.go
@@ -15,9 +15,9 @@
 	TaskID string
 }
 
-// Reservations returns the reserved rooms in the order of the loans. The room of a loan is reserved for
-// the replica until the replica is placed. Once the loan is called back and its room is free, the room
-// is reserved for the lenders for a limited time.
+// Reservations returns the reserved rooms in the order of the loans. The room of a loan is reserved
+// for the replica until the replica is placed. Once the loan is called back and its room is free,
+// the room is reserved for the lenders for a limited time.
 func (l *Ledger) Reservations() []ReservedRoom {
 	var rooms []ReservedRoom
 	for _, loan := range l.Loans() {
@@ -71,8 +71,8 @@
 }
 
 // leavingGangShares returns the share of a lending gang that is stopping on a machine, if there is
-// one. A gang that is stopped as a whole for one replica frees its other machines too, and those can
-// be lent to the next waiting replicas without stopping more tasks.
+// one. A gang that is stopped as a whole for one replica frees its other machines too, and those
+// can be lent to the next waiting replicas without stopping more tasks.
 func (l *Ledger) leavingGangShares(machine string, accelerators float64) []Share {
 	tasks := l.state.TasksOnMachine[machine]
 	for _, taskID := range clusterstate.SortedKeys(tasks) {
--- a/internal/lending/stop_unit.go
+++ b/internal/lending/stop_unit.go
@@ -61,9 +61,9 @@
 	return live(job) && job.Record.Spec.Kind != jobs.Service && job != s.Task.Job && !s.exempt(job)
 }
 
-// gangTasks returns all tasks of a gang, or nil if it cannot be stopped cleanly now. A gang that has
-// lost a task or is stopping already, or that has a task on a machine that takes no commands, could not
-// save a checkpoint and would lose its progress since the last one.
+// gangTasks returns all tasks of a gang, or nil if it cannot be stopped cleanly now. A gang that
+// has lost a task or is stopping already, or that has a task on a machine that takes no commands,
+// could not save a checkpoint and would lose its progress since the last one.
 func (s *Search) gangTasks(state *clusterstate.State, job *clusterstate.Job) []*clusterstate.Task {
 	records := make([]*jobs.Task, 0, len(job.Tasks))
 	tasks := make([]*clusterstate.Task, 0, len(job.Tasks))
@@ -119,9 +119,9 @@
 	return true
 }
 
-// remainingS estimates the seconds until a task ends that has run for ranS seconds. Expected durations
-// are often wrong by half, so a task that has run longer than expected is assumed to need a fraction
-// tuning.LoanOverrunShare of ranS more.
+// remainingS estimates the seconds until a task ends that has run for ranS seconds. Expected
+// durations are often wrong by half, so a task that has run longer than expected is assumed to need
+// a fraction tuning.LoanOverrunShare of ranS more.
 func remainingS(spec *jobs.Spec, ranS float64) float64 {
 	if remaining := spec.ExpectedDurationS - ranS; remaining >= 0 {
 		return remaining
--- a/internal/members/restart_backoff.go
+++ b/internal/members/restart_backoff.go
@@ -10,8 +10,8 @@
 type restartHistory struct {
 	incarnation uint64    // in its member key, 0 if there is no key
 	since       time.Time // when this incarnation was first observed
-	// restarts counts consecutive incarnations that ended within tuning.RejoinStable of their start.
-	// The end of an incarnation that lasted longer sets it to 1.
+	// restarts counts consecutive incarnations that ended within tuning.RejoinStable of their
+	// start. The end of an incarnation that lasted longer sets it to 1.
 	restarts int
 }
 
--- a/internal/membership/certainty.go
+++ b/internal/membership/certainty.go
@@ -19,8 +19,8 @@
 
 // Stalled records that the event loop did not run for a while, possibly longer than the lease
 // lasts. Until this controller has verified its place in the view, it makes no decisions and does
-// not answer agents (see Uncertain). A leader that resumed after being replaced would otherwise scale out and
-// decommission machines based on stale state.
+// not answer agents (see Uncertain). A leader that resumed after being replaced would otherwise
+// scale out and decommission machines based on stale state.
 func (m *Membership) Stalled(gap time.Duration) {
 	// With probes enabled, a member may have been probed and removed during a stall that is shorter
 	// than its lease.
--- a/internal/pipefile/fault.go
+++ b/internal/pipefile/fault.go
@@ -8,9 +8,9 @@
 	"github.com/harrierreel/harrierreel/internal/pipelines"
 )
 
-// Fault is a validation error of a file. Line and Column count from 1; they are 0 if the fault concerns
-// the file as a whole. Path is the place in the document, as in steps[2].needs[0], and Want says what
-// was expected there.
+// Fault is a validation error of a file. Line and Column count from 1; they are 0 if the fault
+// concerns the file as a whole. Path is the place in the document, as in steps[2].needs[0], and
+// Want says what was expected there.
 type Fault struct {
 	File   string `json:"file"`
 	Line   int    `json:"line"`
@@ -19,8 +19,8 @@
 	Want   string `json:"want"`
 }
 
-// Error returns the fault in the form shown to users, FILE:LINE:COLUMN: PATH: WANT, without the parts
-// that are not known.
+// Error returns the fault in the form shown to users, FILE:LINE:COLUMN: PATH: WANT, without the
+// parts that are not known.
 func (f Fault) Error() string {
 	out := f.File
 	if f.Line > 0 {
--- a/internal/pipefile/file.go
+++ b/internal/pipefile/file.go
@@ -1,5 +1,6 @@
-// Package pipefile reads pipeline files, which are YAML in the style of CI configuration, and reports
-// all faults with line and column. The content of a pipeline is validated by package pipelines.
+// Package pipefile reads pipeline files, which are YAML in the style of CI configuration, and
+// reports all faults with line and column. The content of a pipeline is validated by package
+// pipelines.
 package pipefile
 
 import (
@@ -79,8 +80,8 @@
 	return jobs.Encode(map[string]any{"id": id, "pipeline": f.Doc})
 }
 
-// readText reads a file. It stops one byte beyond the size limit, so that a file that is too long can
-// be distinguished from one that just fits.
+// readText reads a file. It stops one byte beyond the size limit, so that a file that is too long
+// can be distinguished from one that just fits.
 func readText(name string) ([]byte, []Fault) {
 	in := os.Stdin
 	if name != "-" {
--- a/internal/pipefile/pipefile_test.go
+++ b/internal/pipefile/pipefile_test.go
@@ -10,8 +10,8 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// TestEveryFaultIsReportedAtItsPosition checks, for each file in testdata, that exactly the faults in its
-// "#! " comments are reported, each at its line and column.
+// TestEveryFaultIsReportedAtItsPosition checks, for each file in testdata, that exactly the faults
+// in its "#! " comments are reported, each at its line and column.
 func TestEveryFaultIsReportedAtItsPosition(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.yaml")
 	if err != nil || len(files) == 0 {
@@ -83,8 +83,8 @@
 	return out.String()
 }
 
-// TestTooLargeOrInvalidFilesAreRejected checks that files without a pipeline are rejected, and that files
-// that are too large or too deeply nested are rejected before they take much memory.
+// TestTooLargeOrInvalidFilesAreRejected checks that files without a pipeline are rejected, and that
+// files that are too large or too deeply nested are rejected before they take much memory.
 func TestTooLargeOrInvalidFilesAreRejected(t *testing.T) {
 	for name, text := range map[string]string{
 		"too long":       strings.Repeat("#", tuning.MaxPipelineBytes+1),
--- a/internal/pipefile/reader.go
+++ b/internal/pipefile/reader.go
@@ -46,8 +46,8 @@
 	return position{p.Line, p.Column}
 }
 
-// value converts a node. Because aliases are followed, a small file could expand to a huge document:
-// the limits on nodes and depth prevent that.
+// value converts a node. Because aliases are followed, a small file could expand to a huge
+// document: the limits on nodes and depth prevent that.
 func (r *reader) value(n ast.Node, path string) any {
 	if _, ok := r.file.values[path]; !ok {
 		r.file.values[path] = nodePosition(n)
--- a/internal/pipelines/any_order_test.go
+++ b/internal/pipelines/any_order_test.go
@@ -155,9 +155,9 @@
 	t.Fatalf("the run has not ended: %s", s.store.run)
 }
 
-// TestRunInvariantsUnderEventsInAnyOrder checks the invariants of a run while events happen in any order
-// at two controllers that both believe they own it: lagging mirrors, lost changes and responses,
-// restarts, jumps of the wall clock, and jobs that finish, fail or are cancelled.
+// TestRunInvariantsUnderEventsInAnyOrder checks the invariants of a run while events happen in any
+// order at two controllers that both believe they own it: lagging mirrors, lost changes and
+// responses, restarts, jumps of the wall clock, and jobs that finish, fail or are cancelled.
 func TestRunInvariantsUnderEventsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(t)
--- a/internal/pipelines/bench_test.go
+++ b/internal/pipelines/bench_test.go
@@ -12,8 +12,8 @@
 	"github.com/harrierreel/harrierreel/internal/jobs"
 )
 
-// thousandRuns returns the records of 1,000 runs with five steps and one live job each, and the jobs'
-// states.
+// thousandRuns returns the records of 1,000 runs with five steps and one live job each, and the
+// jobs' states.
 func thousandRuns(b *testing.B) (map[string]json.RawMessage, map[string]jobs.JobState) {
 	b.Helper()
 	var steps []string
@@ -51,8 +51,8 @@
 	return k
 }
 
-// BenchmarkSweep measures the periodic examination of 1,000 owned runs of which nothing has changed, and
-// the memory taken by an owned live run.
+// BenchmarkSweep measures the periodic examination of 1,000 owned runs of which nothing has
+// changed, and the memory taken by an owned live run.
 func BenchmarkSweep(b *testing.B) {
 	records, live := thousandRuns(b)
 	var before, after runtime.MemStats
@@ -79,8 +79,8 @@
 	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(len(records)), "B/run")
 }
 
-// BenchmarkTakeOver measures decoding the records of 1,000 runs and examining the runs, as a controller
-// does when it takes all of them over.
+// BenchmarkTakeOver measures decoding the records of 1,000 runs and examining the runs, as a
+// controller does when it takes all of them over.
 func BenchmarkTakeOver(b *testing.B) {
 	records, live := thousandRuns(b)
 	for b.Loop() {
--- a/internal/pipelines/change.go
+++ b/internal/pipelines/change.go
@@ -8,9 +8,10 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Change is a decision about a run. It is committed atomically, on condition that the records of the
-// run and of the jobs concerned are unchanged. Several controllers may decide about a run if each
-// believes that it owns the run: the condition on the record's revision lets only one of them succeed.
+// Change is a decision about a run. It is committed atomically, on condition that the records of
+// the run and of the jobs concerned are unchanged. Several controllers may decide about a run if
+// each believes that it owns the run: the condition on the record's revision lets only one of them
+// succeed.
 type Change struct {
 	ID            string // ID of the run
 	Record        json.RawMessage
--- a/internal/pipelines/encoding.go
+++ b/internal/pipelines/encoding.go
@@ -45,8 +45,8 @@
 
 var codec = compression.New(tuning.MaxUnpacked, compression.SmallRecords...)
 
-// pack returns the shorter one of two JSON forms of b, which is JSON itself: b as it is, or a string
-// with the compressed b in base64.
+// pack returns the shorter one of two JSON forms of b, which is JSON itself: b as it is, or a
+// string with the compressed b in base64.
 func pack(b []byte) json.RawMessage {
 	encoder, _ := codec()
 	compressed := base64.StdEncoding.EncodeToString(encoder.EncodeAll(b, nil))
@@ -90,8 +90,8 @@
 	Cancelled,
 }
 
-// packSteps encodes and compresses the steps of a run. States and causes are written as numbers, and
-// times in ms relative to the acceptance of the run or of the step's job.
+// packSteps encodes and compresses the steps of a run. States and causes are written as numbers,
+// and times in ms relative to the acceptance of the run or of the step's job.
 func packSteps(steps []StepRun, atMs int64) string {
 	var b []byte
 	for _, s := range steps {
@@ -168,8 +168,8 @@
 	return s, b, nil
 }
 
-// maxPackedNumber bounds attempt numbers and times in ms, so that their sums with wall-clock times fit
-// into 64 bits.
+// maxPackedNumber bounds attempt numbers and times in ms, so that their sums with wall-clock times
+// fit into 64 bits.
 const maxPackedNumber = 1 << 50
 
 // Encode returns the stored form of the record.
--- a/internal/pipelines/explain.go
+++ b/internal/pipelines/explain.go
@@ -47,7 +47,8 @@
 	return s.When.Text
 }
 
-// explainWaiting describes a waiting step, with the steps that it depends on and that have not ended.
+// explainWaiting describes a waiting step, with the steps that it depends on and that have not
+// ended.
 func (p *Plan) explainWaiting(step *Step, record *Record) string {
 	var unfinished []string
 	for _, need := range p.Groups[step.Group].Needs {
--- a/internal/pipelines/fields.go
+++ b/internal/pipelines/fields.go
@@ -77,8 +77,8 @@
 	return out
 }
 
-// fields checks that a mapping has only known fields with values of the right kind. Texts that contain
-// ${{ }} may become any value and are checked after the replacement.
+// fields checks that a mapping has only known fields with values of the right kind. Texts that
+// contain ${{ }} may become any value and are checked after the replacement.
 func (c *compiler) fields(path string, fields map[string]any, known map[string]kind) {
 	for _, name := range slices.Sorted(maps.Keys(fields)) {
 		at := fieldPath(path, name)
--- a/internal/pipelines/keeper.go
+++ b/internal/pipelines/keeper.go
@@ -18,8 +18,8 @@
 	Probing       bool // has failed on every machine so far (jobs.TrustOf)
 }
 
-// Cluster gives the keeper information about jobs. It may lag behind the state service, so decisions
-// based on it are conditional on the records.
+// Cluster gives the keeper information about jobs. It may lag behind the state service, so
+// decisions based on it are conditional on the records.
 type Cluster interface {
 	// Job returns the view of a job that has a record in the mirror.
 	Job(jobID string) (JobView, bool)
@@ -89,8 +89,8 @@
 	k.budget.SetLimitAt(now, rate.Limit(perSecond))
 }
 
-// Changed applies a run's record; nil means that it was removed. If the record can't be read, an error
-// is returned and the run is quarantined; other runs are not affected.
+// Changed applies a run's record; nil means that it was removed. If the record can't be read, an
+// error is returned and the run is quarantined; other runs are not affected.
 func (k *Keeper) Changed(id string, value json.RawMessage) error {
 	old := k.runs[id]
 	k.forgetJobs(old)
--- a/internal/pipelines/keeper_test.go
+++ b/internal/pipelines/keeper_test.go
@@ -9,8 +9,8 @@
 	"github.com/harrierreel/harrierreel/internal/jobs"
 )
 
-// TestTimeoutUsesMonotonicClock checks that a jump of the wall clock by an hour does not end a step with
-// a timeout of 30 s, but that 30 s on the monotonic clock do.
+// TestTimeoutUsesMonotonicClock checks that a jump of the wall clock by an hour does not end a step
+// with a timeout of 30 s, but that 30 s on the monotonic clock do.
 func TestTimeoutUsesMonotonicClock(t *testing.T) {
 	c, _ := newController(t, timedDocument)
 	c.advance(t)
@@ -34,8 +34,8 @@
 	}
 }
 
-// TestRetryIsANewJob checks that a step that exceeds its timeout is retried with a new job, as often as
-// its document allows.
+// TestRetryIsANewJob checks that a step that exceeds its timeout is retried with a new job, as
+// often as its document allows.
 func TestRetryIsANewJob(t *testing.T) {
 	const doc = `{"name":"p","owner":"t","steps":[{"name":"a","timeout_s":30,"repeats":1,` + step + `}]}`
 	c, p := newController(t, doc)
@@ -59,8 +59,9 @@
 	}
 }
 
-// TestTimeoutsContinueWhileTheRunIsBusy checks that reconciling a run with a pending transaction does not
-// reset its start times: they would be computed anew from the wall clock, which may have jumped.
+// TestTimeoutsContinueWhileTheRunIsBusy checks that reconciling a run with a pending transaction
+// does not reset its start times: they would be computed anew from the wall clock, which may have
+// jumped.
 func TestTimeoutsContinueWhileTheRunIsBusy(t *testing.T) {
 	c, _ := newController(t, timedDocument)
 	c.advance(t)
@@ -78,8 +79,8 @@
 	}
 }
 
-// TestNewOwnerCountsElapsedTime checks that a new owner of a run counts the time before it took over, and
-// counts it as zero, not as negative, if its own wall clock is behind.
+// TestNewOwnerCountsElapsedTime checks that a new owner of a run counts the time before it took
+// over, and counts it as zero, not as negative, if its own wall clock is behind.
 func TestNewOwnerCountsElapsedTime(t *testing.T) {
 	previous, _ := newController(t, timedDocument)
 	previous.advance(t)
@@ -116,8 +117,8 @@
 	}
 }
 
-// TestStepFailsIfItsJobIsMissingOrItsIDIsTaken checks that a step fails if its job has no record, on
-// condition that there is still none at commit, or if another job has its job's ID.
+// TestStepFailsIfItsJobIsMissingOrItsIDIsTaken checks that a step fails if its job has no record,
+// on condition that there is still none at commit, or if another job has its job's ID.
 func TestStepFailsIfItsJobIsMissingOrItsIDIsTaken(t *testing.T) {
 	c, p := newController(t, plainDocument)
 	jobID := JobID("run-1", "salt", p.Steps[0].Name, 0)
@@ -145,8 +146,8 @@
 	})
 }
 
-// TestUserCancellationPrecedesSubmissions checks that the owner submits no jobs while a user's cancellation
-// is pending, because the submission would make the cancellation fail.
+// TestUserCancellationPrecedesSubmissions checks that the owner submits no jobs while a user's
+// cancellation is pending, because the submission would make the cancellation fail.
 func TestUserCancellationPrecedesSubmissions(t *testing.T) {
 	c, _ := newController(t, wideDocument)
 	c.advance(t)
@@ -166,7 +167,8 @@
 	}
 }
 
-// TestChangesBeyondTheRateAreDelayed checks that changes beyond the rate limit are delayed and not lost.
+// TestChangesBeyondTheRateAreDelayed checks that changes beyond the rate limit are delayed and not
+// lost.
 func TestChangesBeyondTheRateAreDelayed(t *testing.T) {
 	c, p := newController(t, wideDocument)
 	c.keeper.SetRate(c.now, 5)
--- a/internal/pipelines/matrix.go
+++ b/internal/pipelines/matrix.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// combinations returns the combinations of a matrix's values, varying the last name fastest. Without a
-// matrix it returns one empty combination.
+// combinations returns the combinations of a matrix's values, varying the last name fastest.
+// Without a matrix it returns one empty combination.
 func (c *compiler) combinations(path string, rawMatrix any) []map[string]any {
 	matrix, _ := rawMatrix.(map[string]any)
 	out := []map[string]any{nil}
@@ -115,9 +115,9 @@
 	return "", false
 }
 
-// fill replaces placeholders such as ${{ matrix.NAME }} in a value. A text that consists of a single
-// placeholder is replaced by the value with its own type, so that a number such as cores can come
-// from a matrix.
+// fill replaces placeholders such as ${{ matrix.NAME }} in a value. A text that consists of a
+// single placeholder is replaced by the value with its own type, so that a number such as cores can
+// come from a matrix.
 func (c *compiler) fill(path string, value any, s substitution) any {
 	switch v := value.(type) {
 	case []any:
--- a/internal/pipelines/model_test.go
+++ b/internal/pipelines/model_test.go
@@ -14,8 +14,8 @@
 // step contains the required job fields of every step in the tests' documents.
 const step = `"cores":1,"memory_gb":1,"bundle":"b"`
 
-// documents are the documents for the randomized tests: chains, diamonds, conditions, retries, allowed
-// failures and a matrix.
+// documents are the documents for the randomized tests: chains, diamonds, conditions, retries,
+// allowed failures and a matrix.
 var documents = []string{
 	`{"name":"p","owner":"t","steps":[
 		{"name":"a",` + step + `},
@@ -163,8 +163,8 @@
 	return true
 }
 
-// check checks the invariants of a run: an ended step never changes state, no step starts before the
-// steps that it depends on have ended, and no step has two live jobs.
+// check checks the invariants of a run: an ended step never changes state, no step starts before
+// the steps that it depends on have ended, and no step has two live jobs.
 func (m *storeModel) check(t *rapid.T, before, after *Record, p *Plan) {
 	for i, s := range after.Steps {
 		if previous := before.Steps[i]; previous.State.Ended() && s.State != previous.State {
--- a/internal/pipelines/plan.go
+++ b/internal/pipelines/plan.go
@@ -1,7 +1,7 @@
 // Package pipelines runs pipelines: graphs of steps, each of which is a job. It contains the
 // validation of pipeline documents, the state machines of a run and of its steps, a run's record,
-// and the Keeper, which advances the runs that a controller owns. It does no I/O and reads no clock:
-// it receives events and returns changes to commit.
+// and the Keeper, which advances the runs that a controller owns. It does no I/O and reads no
+// clock: it receives events and returns changes to commit.
 package pipelines
 
 import (
--- a/internal/pipelines/reconcile.go
+++ b/internal/pipelines/reconcile.go
@@ -113,8 +113,8 @@
 	return change, reads
 }
 
-// examineJob applies the state of a step's job. It reports whether the job must be read from the state
-// service.
+// examineJob applies the state of a step's job. It reports whether the job must be read from the
+// state service.
 func (k *Keeper) examineJob(d *draft, i int, now time.Time, cluster Cluster) (read bool) {
 	jobID := d.run.jobIDs[i]
 	view, ok := cluster.Job(jobID)
@@ -137,8 +137,8 @@
 	return false
 }
 
-// examineUnknown handles a step whose job the cluster does not know. It reports whether the job must
-// be read from the state service.
+// examineUnknown handles a step whose job the cluster does not know. It reports whether the job
+// must be read from the state service.
 func (d *draft) examineUnknown(i int, now time.Time) (read bool) {
 	if d.run.missing[i] {
 		// The job's record may exist but not have arrived here yet, so the change is
@@ -156,8 +156,8 @@
 	return true
 }
 
-// examineLive applies the observed state of a live job, and gives the job up if it exceeds its timeout
-// or has been failing on every machine for too long.
+// examineLive applies the observed state of a live job, and gives the job up if it exceeds its
+// timeout or has been failing on every machine for too long.
 func (k *Keeper) examineLive(d *draft, i int, view JobView, now time.Time) {
 	if d.steps[i].State == Cancelling {
 		k.cancel(d, i, StepEvent{Kind: Closed})
@@ -183,10 +183,10 @@
 	}
 }
 
-// elapsed returns the time since a wall-clock time, or 0 if fromMs is 0. The wall clock is used only
-// once, when the run is taken over, and a negative difference counts as 0. From then on the
-// monotonic clock is used, so that a jump of the wall clock can't end a step. starts caches the start
-// times on the monotonic clock, by index of the step.
+// elapsed returns the time since a wall-clock time, or 0 if fromMs is 0. The wall clock is used
+// only once, when the run is taken over, and a negative difference counts as 0. From then on the
+// monotonic clock is used, so that a jump of the wall clock can't end a step. starts caches the
+// start times on the monotonic clock, by index of the step.
 func (d *draft) elapsed(starts map[int]time.Time, i int, fromMs int64, now time.Time) time.Duration {
 	if fromMs == 0 {
 		delete(starts, i)
@@ -198,8 +198,8 @@
 	return now.Sub(starts[i])
 }
 
-// cancel applies an event that ends a step's job and adds the job's cancellation to the change, if it
-// fits.
+// cancel applies an event that ends a step's job and adds the job's cancellation to the change, if
+// it fits.
 func (k *Keeper) cancel(d *draft, i int, e StepEvent) {
 	if d.fits(k.limits, 2, tuning.JobRecordBytes) && d.apply(i, e) {
 		d.change.Cancel = append(d.change.Cancel, d.run.jobIDs[i])
@@ -208,8 +208,8 @@
 	}
 }
 
-// submit adds the jobs of ready steps to the change, as many as fit into one transaction: a matrix of
-// hundreds of steps takes several changes.
+// submit adds the jobs of ready steps to the change, as many as fit into one transaction: a matrix
+// of hundreds of steps takes several changes.
 func (k *Keeper) submit(d *draft, cluster Cluster) {
 	for i := range d.steps {
 		if d.steps[i].State != Ready {
@@ -241,8 +241,8 @@
 }
 
 // CancelRun returns the change that cancels a run. After its commit no job of the run is submitted,
-// since every submission is conditional on the record that it changes. Jobs that do not fit into the
-// transaction are cancelled by the run's owner. CancelRun returns nil if the run is unknown, is
+// since every submission is conditional on the record that it changes. Jobs that do not fit into
+// the transaction are cancelled by the run's owner. CancelRun returns nil if the run is unknown, is
 // already being cancelled, or can't be read.
 func (k *Keeper) CancelRun(id string, now time.Time, nowMs int64, cluster Cluster) *Change {
 	r := k.runs[id]
--- a/internal/pipelines/record.go
+++ b/internal/pipelines/record.go
@@ -19,8 +19,8 @@
 	EndedRunPrefix = "ran/"
 )
 
-// ValidID reports whether an ID has the form of a run's ID: run- followed by 1 to 40 lower-case letters,
-// digits or dashes.
+// ValidID reports whether an ID has the form of a run's ID: run- followed by 1 to 40 lower-case
+// letters, digits or dashes.
 func ValidID(id string) bool {
 	rest, ok := strings.CutPrefix(id, "run-")
 	if !ok || len(rest) == 0 || len(rest) > 40 {
@@ -34,8 +34,8 @@
 	return true
 }
 
-// Record is a run's record, stored under either RunPrefix or EndedRunPrefix. Its steps correspond, in
-// number and order, to those of its document's plan.
+// Record is a run's record, stored under either RunPrefix or EndedRunPrefix. Its steps correspond,
+// in number and order, to those of its document's plan.
 type Record struct {
 	State      RunState
 	AcceptedMs int64  // acceptance, wall-clock time in Unix ms
@@ -55,12 +55,13 @@
 	return hex.EncodeToString(sum[:16])
 }
 
-// jobIDContext is the key derivation context of job IDs. It separates them from other uses of the hash.
+// jobIDContext is the key derivation context of job IDs. It separates them from other uses of the
+// hash.
 const jobIDContext = "harrierreel 2026-12-01 uid of a pipeline step's job"
 
-// JobID returns the ID of a step's job: a MAC over run, step and attempt, keyed with the run's salt, in
-// the form of a job ID with 18 digits. Every controller that submits the step derives the same ID, so
-// that the job is accepted only once.
+// JobID returns the ID of a step's job: a MAC over run, step and attempt, keyed with the run's
+// salt, in the form of a job ID with 18 digits. Every controller that submits the step derives the
+// same ID, so that the job is accepted only once.
 func JobID(id, salt, step string, attempt int) string {
 	var key [32]byte
 	blake3.DeriveKey(key[:], jobIDContext, []byte(salt))
--- a/internal/pipelines/record_test.go
+++ b/internal/pipelines/record_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// TestRecordsOfEarlierVersionsAreRead checks that records of all earlier versions stay readable. The
-// files in testdata must never change; each version adds one.
+// TestRecordsOfEarlierVersionsAreRead checks that records of all earlier versions stay readable.
+// The files in testdata must never change; each version adds one.
 func TestRecordsOfEarlierVersionsAreRead(t *testing.T) {
 	for v := 1; v <= recordVersion; v++ {
 		b, err := os.ReadFile(fmt.Sprintf("testdata/run-v%d.json", v))
@@ -83,8 +83,8 @@
 	}
 }
 
-// FuzzDecode checks that no record causes a panic or unbounded decompression, and that decoded records
-// can be encoded and decoded again.
+// FuzzDecode checks that no record causes a panic or unbounded decompression, and that decoded
+// records can be encoded and decoded again.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(`{"v":1,"s":"running","doc":{},"t":""}`))
 	f.Add([]byte(NewRecord(&Plan{Steps: make([]Step, 2)}, []byte(documents[0]), "s", 1).Encode()))
--- a/internal/pipelines/request.go
+++ b/internal/pipelines/request.go
@@ -22,8 +22,8 @@
 	Faults []Fault `json:"faults,omitempty"`
 }
 
-// ParseRequest decodes and validates a submission's body. The Refusal of an invalid one contains its
-// faults, up to tuning.MaxFaults.
+// ParseRequest decodes and validates a submission's body. The Refusal of an invalid one contains
+// its faults, up to tuning.MaxFaults.
 func ParseRequest(body []byte) (*Request, *Refusal) {
 	var r struct {
 		ID       string `json:"id"`
@@ -60,8 +60,8 @@
 	return out
 }
 
-// Accept returns the change that accepts a run and submits the jobs of its first steps, as many as fit
-// into one transaction. It fails if the run's record could exceed the value limit of the state
+// Accept returns the change that accepts a run and submits the jobs of its first steps, as many as
+// fit into one transaction. It fails if the run's record could exceed the value limit of the state
 // service.
 func (k *Keeper) Accept(q *Request, salt string, nowMs int64, cluster Cluster) (*Change, error) {
 	record := NewRecord(q.Plan, q.Document, salt, nowMs)
--- a/internal/pipelines/run.go
+++ b/internal/pipelines/run.go
@@ -25,8 +25,8 @@
 	AllEndedBad RunEvent = "all steps ended, one badly"
 )
 
-// NextRun applies an event to a run and reports whether its state changed. It is the only place where
-// a run changes state.
+// NextRun applies an event to a run and reports whether its state changed. It is the only place
+// where a run changes state.
 func NextRun(s RunState, e RunEvent) (RunState, bool) {
 	switch {
 	case s == RunLive && e == CancelRun:
--- a/internal/pipelines/status.go
+++ b/internal/pipelines/status.go
@@ -32,8 +32,8 @@
 	Explain      string    `json:"explain,omitempty"`
 }
 
-// Encode returns the status as JSON with one line for each step, because receivers may not accept lines
-// longer than 64 KiB.
+// Encode returns the status as JSON with one line for each step, because receivers may not accept
+// lines longer than 64 KiB.
 func (s Status) Encode() []byte {
 	steps := s.Steps
 	s.Steps = []StepStatus{}
@@ -104,8 +104,8 @@
 	return out
 }
 
-// elapsedSeconds returns the time from startMs until endMs, or until now if endMs is 0. It returns 0 if
-// startMs is 0. The result is never negative, even if the wall clock was set back.
+// elapsedSeconds returns the time from startMs until endMs, or until now if endMs is 0. It returns
+// 0 if startMs is 0. The result is never negative, even if the wall clock was set back.
 func elapsedSeconds(startMs, endMs, nowMs int64) float64 {
 	if startMs == 0 {
 		return 0
--- a/internal/pipelines/step.go
+++ b/internal/pipelines/step.go
@@ -80,8 +80,8 @@
 )
 
 // NextStep applies an event to a step and reports whether the step changed. It is the only place
-// where a step changes state. A step that has ended never changes again, and a job is submitted only
-// from Ready, so no step ever has two live jobs.
+// where a step changes state. A step that has ended never changes again, and a job is submitted
+// only from Ready, so no step ever has two live jobs.
 func NextStep(s StepRun, e StepEvent) (StepRun, bool) {
 	switch e.Kind {
 	case NeedsMet, NeedsUnmet:
--- a/internal/pipelines/step_spec.go
+++ b/internal/pipelines/step_spec.go
@@ -54,7 +54,8 @@
 	p.Steps = append(p.Steps, s)
 }
 
-// matrixSuffix returns the suffix that distinguishes the names of a matrix's steps, as in [x=1,y=2].
+// matrixSuffix returns the suffix that distinguishes the names of a matrix's steps, as in
+// [x=1,y=2].
 func matrixSuffix(values map[string]any) string {
 	if len(values) == 0 {
 		return ""
--- a/internal/pipelines/when.go
+++ b/internal/pipelines/when.go
@@ -71,7 +71,8 @@
 	return ok, nil
 }
 
-// stepReferences collects the steps that a condition refers to, and whether a reference is malformed.
+// stepReferences collects the steps that a condition refers to, and whether a reference is
+// malformed.
 type stepReferences struct {
 	steps []string
 	bare  int    // uses of `steps` other than steps.NAME
@@ -109,8 +110,8 @@
 	return ok && id.Value == "steps"
 }
 
-// compileWhen compiles a condition that may refer to the named ancestors. The error's text is shown to
-// users as a fault.
+// compileWhen compiles a condition that may refer to the named ancestors. The error's text is shown
+// to users as a fault.
 func compileWhen(text string, ancestors []string) (*Condition, error) {
 	if len(text) > tuning.MaxWhen {
 		return nil, fmt.Errorf("expected at most %d bytes", tuning.MaxWhen)
@@ -187,8 +188,8 @@
 	}
 }
 
-// needsFaulty reports whether a fault was found in the dependencies of a group, so that its ancestors
-// are not known.
+// needsFaulty reports whether a fault was found in the dependencies of a group, so that its
+// ancestors are not known.
 func (c *compiler) needsFaulty(group int) bool {
 	path := fieldPath(indexPath("steps", group), "needs")
 	return slices.ContainsFunc(c.faults, func(f Fault) bool { return strings.HasPrefix(f.Path, path) })
@@ -214,8 +215,8 @@
 
 var allOutcomes = []outcome{succeeded, failed, skipped, cancelled}
 
-// canHold reports whether a step's condition holds for some combination of its ancestors' outcomes. With
-// more than tuning.OutcomeCombinations ancestors it returns true without trying.
+// canHold reports whether a step's condition holds for some combination of its ancestors' outcomes.
+// With more than tuning.OutcomeCombinations ancestors it returns true without trying.
 func (p *Plan) canHold(group int, s *Step) bool {
 	ancestors := p.Groups[group].Ancestors
 	if len(ancestors) > tuning.OutcomeCombinations {
@@ -235,7 +236,8 @@
 	return false
 }
 
-// factsOfCombination returns the facts for the n-th combination of the outcomes of a group's ancestors.
+// factsOfCombination returns the facts for the n-th combination of the outcomes of a group's
+// ancestors.
 func (p *Plan) factsOfCombination(group, n int) facts {
 	f := facts{success: true, outcomes: map[string]outcome{}}
 	for _, ancestor := range p.Groups[group].Ancestors {
--- a/internal/preempt/preempt.go
+++ b/internal/preempt/preempt.go
@@ -97,8 +97,8 @@
 
 // isPreemptible reports whether a running task may be preempted for the waiting task: its priority
 // is lower or, unless it is a replica of a service, its team exceeds a guarantee while the waiting
-// task is covered by one (see quota.Account.MayPreempt). Tasks of gangs are never preempted, because
-// losing one task would stop the whole gang.
+// task is covered by one (see quota.Account.MayPreempt). Tasks of gangs are never preempted,
+// because losing one task would stop the whole gang.
 func (s *Search) isPreemptible(state *clusterstate.State, t *clusterstate.Task) bool {
 	spec := &t.Job.Record.Spec
 	switch {
--- a/internal/provisioning/cancelled_test.go
+++ b/internal/provisioning/cancelled_test.go
@@ -19,9 +19,9 @@
 	}
 }
 
-// While the state service is unavailable, the end of a cancelled task cannot be recorded. If cancel_s
-// has passed, the machine is not deleted until there has been time to record it. If cancel_s has not
-// passed, the machine is deleted in time.
+// While the state service is unavailable, the end of a cancelled task cannot be recorded. If
+// cancel_s has passed, the machine is not deleted until there has been time to record it. If
+// cancel_s has not passed, the machine is deleted in time.
 func TestDeleteForCancelledTaskAfterOutage(t *testing.T) {
 	cluster := newLeader(t).config.Cluster
 	unresponsiveAfter := cluster.Workers.UnresponsiveAfter()
@@ -62,10 +62,10 @@
 	}
 }
 
-// Once writes are possible again, a machine with a cancelled task is not deleted until its owner has
-// had time to record the end of the task, provided that the owner receives its heartbeats and the
-// remaining time is not needed for the delete itself. A machine without heartbeats is deleted at
-// once.
+// Once writes are possible again, a machine with a cancelled task is not deleted until its owner
+// has had time to record the end of the task, provided that the owner receives its heartbeats and
+// the remaining time is not needed for the delete itself. A machine without heartbeats is deleted
+// at once.
 func TestDeleteForCancelledTaskOnceWritable(t *testing.T) {
 	cancelTimeout := time.Minute
 	for _, c := range []struct {
--- a/internal/provisioning/catalog.go
+++ b/internal/provisioning/catalog.go
@@ -63,7 +63,8 @@
 }
 
 // decodeCatalog decodes the response to a request for the catalogue. It returns nil if the request
-// failed or the response is invalid. Machine types whose names cannot be part of a key are left out.
+// failed or the response is invalid. Machine types whose names cannot be part of a key are left
+// out.
 func decodeCatalog(status int, body []byte, err error) map[string]*jobs.MachineType {
 	var answer struct {
 		MachineTypes []*jobs.MachineType `json:"builds"`
--- a/internal/provisioning/cloud.go
+++ b/internal/provisioning/cloud.go
@@ -12,8 +12,8 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// errLeaderChanged is the result of a cloud request if the leader or its epoch has changed since the
-// request was made.
+// errLeaderChanged is the result of a cloud request if the leader or its epoch has changed since
+// the request was made.
 var errLeaderChanged = errors.New("cloud request: leader has changed")
 
 // cloudState is the leader's knowledge of the cloud. It is kept in memory only and lost when the
--- a/internal/provisioning/decommission.go
+++ b/internal/provisioning/decommission.go
@@ -63,9 +63,9 @@
 	return p.collaborators.Transitions.TransitionMachine(machine, fleet.Decommission, reason)
 }
 
-// decommissionUnrecorded returns the decisions on machines without a record on which tasks are still
-// recorded: the delete request was answered and the record removed, or the record cannot be read.
-// Such a machine is deleted again; the cloud ignores unknown names.
+// decommissionUnrecorded returns the decisions on machines without a record on which tasks are
+// still recorded: the delete request was answered and the record removed, or the record cannot be
+// read. Such a machine is deleted again; the cloud ignores unknown names.
 func (p *Provisioner) decommissionUnrecorded() []decide.Decision {
 	var decisions []decide.Decision
 	for name := range p.state.TasksOnMachine {
@@ -202,9 +202,9 @@
 	return decisions
 }
 
-// cancelDeleteDue reports whether a job was cancelled so long ago that machines which still hold its
-// tasks have to be deleted (due), and whether only those that cannot reach their owner are deleted
-// for now (onlyUnreachable).
+// cancelDeleteDue reports whether a job was cancelled so long ago that machines which still hold
+// its tasks have to be deleted (due), and whether only those that cannot reach their owner are
+// deleted for now (onlyUnreachable).
 func (p *Provisioner) cancelDeleteDue(job *clusterstate.Job) (onlyUnreachable, due bool) {
 	cluster := &p.config.Cluster
 	limitMs := cluster.CancelDelete().Milliseconds()
@@ -226,8 +226,8 @@
 	return writable < tuning.CancelSettle && (ageMs < latestMs || ageMs > endMs), true
 }
 
-// writableFor returns for how long this leader has been able to write: since it became the leader, or
-// since the state service was last unavailable.
+// writableFor returns for how long this leader has been able to write: since it became the leader,
+// or since the state service was last unavailable.
 func (p *Provisioner) writableFor() time.Duration {
 	if p.unavailableAt.After(p.ObservingSince) {
 		return p.state.Now.Sub(p.unavailableAt)
--- a/internal/provisioning/decommission_test.go
+++ b/internal/provisioning/decommission_test.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// A controller that loses contact with most agents, as in a network partition, must not delete their
-// machines.
+// A controller that loses contact with most agents, as in a network partition, must not delete
+// their machines.
 func TestManyUnresponsiveMachinesAreNotDeleted(t *testing.T) {
 	l := newLeader(t)
 	for i := range 20 {
--- a/internal/provisioning/delete.go
+++ b/internal/provisioning/delete.go
@@ -65,8 +65,8 @@
 	return priority
 }
 
-// deleteInterval returns the time between two delete requests. It makes deletes share requests if the
-// cloud's rate limit is low.
+// deleteInterval returns the time between two delete requests. It makes deletes share requests if
+// the cloud's rate limit is low.
 func (p *Provisioner) deleteInterval() time.Duration {
 	return jobs.Seconds(1 / (p.config.Cluster.Cloud.RPS * tuning.DeleteShare))
 }
--- a/internal/provisioning/follow.go
+++ b/internal/provisioning/follow.go
@@ -20,9 +20,9 @@
 }
 
 // FollowCloud periodically reads the catalogue and the cloud's list, for a controller that is among
-// the next candidates for leader. order is its position among the candidates, from 0, which staggers
-// their requests. It sends few requests compared with the leader: one for the catalogue and one for
-// each page of the list, every half minute.
+// the next candidates for leader. order is its position among the candidates, from 0, which
+// staggers their requests. It sends few requests compared with the leader: one for the catalogue
+// and one for each page of the list, every half minute.
 func (p *Provisioner) FollowCloud(order int) {
 	f := &p.followed
 	if f.running || !p.followDue(order) {
--- a/internal/provisioning/follow_test.go
+++ b/internal/provisioning/follow_test.go
@@ -8,9 +8,10 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// A new leader that has followed the cloud starts from the catalogue that it has read. It starts from
-// the list only if the reading began long enough after the previous leader's last launch request: an
-// older list may lack requested machines and has to be read again before any are requested.
+// A new leader that has followed the cloud starts from the catalogue that it has read. It starts
+// from the list only if the reading began long enough after the previous leader's last launch
+// request: an older list may lack requested machines and has to be read again before any are
+// requested.
 func TestNewLeaderStartsFromFollowedCloud(t *testing.T) {
 	for _, c := range []struct {
 		name            string
--- a/internal/provisioning/leader_test.go
+++ b/internal/provisioning/leader_test.go
@@ -194,8 +194,8 @@
 	}
 }
 
-// run advances the clock by the given number of seconds, running the queue and the provisioner every
-// 200 ms.
+// run advances the clock by the given number of seconds, running the queue and the provisioner
+// every 200 ms.
 func (l *leader) run(seconds int) {
 	for range seconds * 5 {
 		l.state.Now = l.state.Now.Add(200 * time.Millisecond)
--- a/internal/provisioning/machine_list.go
+++ b/internal/provisioning/machine_list.go
@@ -11,14 +11,15 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// listInterval returns the time between two readings of the cloud's list. The requests for its pages
-// may use only a share of the cloud's rate limit.
+// listInterval returns the time between two readings of the cloud's list. The requests for its
+// pages may use only a share of the cloud's rate limit.
 func (p *Provisioner) listInterval() time.Duration {
 	pages := float64(1 + len(p.cloud.listed)/tuning.CloudPage)
 	return max(tuning.ListEvery, jobs.Seconds(pages/(p.config.Cluster.Cloud.RPS*tuning.ListShare)))
 }
 
-// listDelay returns the time after its launch request by which a machine must be in the cloud's list.
+// listDelay returns the time after its launch request by which a machine must be in the cloud's
+// list.
 func (p *Provisioner) listDelay() time.Duration {
 	return jobs.Seconds(2*p.config.Cluster.Cloud.ListLagS) + tuning.ListSlack
 }
@@ -56,7 +57,8 @@
 	removeExpired(c.unlistedAt, now)
 }
 
-// removeExpired removes machines that have been gone for so long that no list can still contain them.
+// removeExpired removes machines that have been gone for so long that no list can still contain
+// them.
 func removeExpired(goneAt map[string]time.Time, now time.Time) {
 	for name, at := range goneAt {
 		if now.Sub(at) > tuning.ForgetGone {
--- a/internal/provisioning/packing.go
+++ b/internal/provisioning/packing.go
@@ -36,8 +36,8 @@
 }
 
 // packQueue packs the waiting tasks and adds them to demand. Tasks are packed onto booting machines
-// first, then onto the cheapest machines that can be requested. Tasks that the last scheduling cycle
-// did not examine are packed onto machines that are up before that.
+// first, then onto the cheapest machines that can be requested. Tasks that the last scheduling
+// cycle did not examine are packed onto machines that are up before that.
 func (p *Provisioner) packQueue(
 	counted supply,
 	demand map[fleet.Group]float64,
--- a/internal/provisioning/plan.go
+++ b/internal/provisioning/plan.go
@@ -221,8 +221,8 @@
 	return decisions
 }
 
-// meanJobDemand returns the average demand of a job in a group, in machines, weighted by demand. Jobs
-// are used as the unit of arrivals because the tasks of a job arrive together.
+// meanJobDemand returns the average demand of a job in a group, in machines, weighted by demand.
+// Jobs are used as the unit of arrivals because the tasks of a job arrive together.
 func (p *Provisioner) meanJobDemand(group fleet.Group) float64 {
 	machineType := p.state.MachineTypes[group.MachineType]
 	if machineType == nil {
--- a/internal/provisioning/pool.go
+++ b/internal/provisioning/pool.go
@@ -87,10 +87,11 @@
 	return pools
 }
 
-// cheapest returns the pool with the lowest price for a waiting task, among the pools that the cloud
-// has not recently refused. Of equally cheap pools it returns the one with the fewest machines. It
-// returns false if there is no such pool, or if the task can wait and the cheapest pool costs more
-// than tuning.PatientPriceRatio times as much as the cheapest one including the refused pools.
+// cheapest returns the pool with the lowest price for a waiting task, among the pools that the
+// cloud has not recently refused. Of equally cheap pools it returns the one with the fewest
+// machines. It returns false if there is no such pool, or if the task can wait and the cheapest
+// pool costs more than tuning.PatientPriceRatio times as much as the cheapest one including the
+// refused pools.
 func (p *Provisioner) cheapest(record *jobs.Record, tasksByZone map[string]int, counts map[pool]int) (pool, bool) {
 	best, found, bestPrice, lowestPrice := pool{}, false, math.Inf(1), math.Inf(1)
 	for _, candidate := range p.poolsFor(&record.Spec, tasksByZone) {
--- a/internal/provisioning/provisioner.go
+++ b/internal/provisioning/provisioner.go
@@ -137,8 +137,8 @@
 	// Summary is the latest stored summary, joined from summaryParts, which are by number.
 	Summary      Summary
 	summaryParts map[int]Summary
-	// ObservingSince is when this controller became the leader, or last resumed after its process had
-	// stalled. The controller sets it.
+	// ObservingSince is when this controller became the leader, or last resumed after its process
+	// had stalled. The controller sets it.
 	ObservingSince time.Time
 
 	unavailableAt    time.Time // when the state service was last unavailable
@@ -179,8 +179,8 @@
 // ListKnown reports whether this leader knows the cloud's machine list.
 func (p *Provisioner) ListKnown() bool { return !p.cloud.listedAt.IsZero() }
 
-// RequestsKnown reports whether the launch requests of the previous leader have been taken over from
-// the summary, so that machines missing from the list are counted.
+// RequestsKnown reports whether the launch requests of the previous leader have been taken over
+// from the summary, so that machines missing from the list are counted.
 func (p *Provisioner) RequestsKnown() bool { return p.cloud.requestsKnown }
 
 // GivenUp reports whether a machine is given up or has been deleted.
--- a/internal/provisioning/scale_out.go
+++ b/internal/provisioning/scale_out.go
@@ -155,7 +155,8 @@
 	p.sendScaleOuts(p.limitToRate(scaleOuts))
 }
 
-// sendLaunchRequest sends a request. retries is the number of times that it has been retried so far.
+// sendLaunchRequest sends a request. retries is the number of times that it has been retried so
+// far.
 func (p *Provisioner) sendLaunchRequest(request launchRequest, retries int) {
 	p.config.Log.Info("machines requested",
 		"launch_request_id", request.LaunchRequestID,
--- a/internal/provisioning/summary.go
+++ b/internal/provisioning/summary.go
@@ -55,8 +55,8 @@
 	return 0
 }
 
-// ApplySummary applies a changed part of the summary. value is nil if the part was removed. Values that
-// cannot be decoded and the removal of the first part are ignored.
+// ApplySummary applies a changed part of the summary. value is nil if the part was removed. Values
+// that cannot be decoded and the removal of the first part are ignored.
 func (p *Provisioner) ApplySummary(key string, value json.RawMessage) {
 	number := summaryNumber(key)
 	var part Summary
@@ -110,10 +110,10 @@
 }
 
 // summaryWrites returns the writes that store the summary: first the parts, starting with the last
-// one, then the removal of parts that are no longer needed. A summary that fits into one value has a
-// single part. If tuning.MaxSummaryParts cannot hold everything, the oldest launch requests, whose
-// machines should be on the cloud's list by now, and the machines that have just started to drain
-// are omitted.
+// one, then the removal of parts that are no longer needed. A summary that fits into one value has
+// a single part. If tuning.MaxSummaryParts cannot hold everything, the oldest launch requests,
+// whose machines should be on the cloud's list by now, and the machines that have just started to
+// drain are omitted.
 func (p *Provisioner) summaryWrites(summary Summary) []store.Write {
 	parts := summary.divide(p.config.ValueBytes)
 	var writes []store.Write
@@ -128,9 +128,9 @@
 	return writes
 }
 
-// divide splits a summary into parts of up to limit bytes. The first part, which is the only one that a
-// controller of the previous version reads, holds the history, then the machines that have been
-// draining longest, then the latest launch requests.
+// divide splits a summary into parts of up to limit bytes. The first part, which is the only one
+// that a controller of the previous version reads, holds the history, then the machines that have
+// been draining longest, then the latest launch requests.
 func (s Summary) divide(limit int) []Summary {
 	if len(jobs.Encode(s)) <= limit {
 		return []Summary{s}
--- a/internal/provisioning/summary_test.go
+++ b/internal/provisioning/summary_test.go
@@ -14,8 +14,8 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// testSummary returns a summary with the given number of draining machines and of launch requests. The
-// requests hold up to 4,000 machines together.
+// testSummary returns a summary with the given number of draining machines and of launch requests.
+// The requests hold up to 4,000 machines together.
 func testSummary(draining, requests int) Summary {
 	summary := Summary{Step: 5, History: map[string][]float64{"g4": {1, 2, 3}}, Draining: fleet.Draining{}}
 	for i := range draining {
--- a/internal/provisioning/supply.go
+++ b/internal/provisioning/supply.go
@@ -32,7 +32,8 @@
 }
 
 // countSupply counts the machines in use that do not drain, the listed machines that have no record
-// yet and are not overdue, and the requested machines that are not listed yet, up to their boot limit.
+// yet and are not overdue, and the requested machines that are not listed yet, up to their boot
+// limit.
 func (p *Provisioner) countSupply() supply {
 	counted := supply{all: map[pool]int{}, booting: map[pool]int{}}
 	for name, machine := range p.state.Machines {
--- a/internal/provisioning/unresponsive.go
+++ b/internal/provisioning/unresponsive.go
@@ -51,9 +51,9 @@
 	return health
 }
 
-// giveUpUnresponsive gives up machines that their owner has reported as unresponsive, and from which
-// no other controller is known to have received a heartbeat, for some time. Absence from the cloud's
-// list proves nothing by itself, but such machines are given up sooner.
+// giveUpUnresponsive gives up machines that their owner has reported as unresponsive, and from
+// which no other controller is known to have received a heartbeat, for some time. Absence from the
+// cloud's list proves nothing by itself, but such machines are given up sooner.
 func (p *Provisioner) giveUpUnresponsive() {
 	counts := p.countHealth()
 	if counts.all.Unresponsive == 0 {
--- a/internal/queue/starvation.go
+++ b/internal/queue/starvation.go
@@ -10,9 +10,9 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// starvation is what the starvation guard records about a job that has no active tasks. A job starves
-// while there is free capacity for it and its team is under its limit, but the capacity or the
-// quota is kept for other jobs.
+// starvation is what the starvation guard records about a job that has no active tasks. A job
+// starves while there is free capacity for it and its team is under its limit, but the capacity or
+// the quota is kept for other jobs.
 type starvation struct {
 	starvingSince time.Time // zero if there was no free capacity for it recently
 	hadCapacityAt time.Time // when there last was free capacity for it
--- a/internal/quota/account_test.go
+++ b/internal/quota/account_test.go
@@ -24,9 +24,9 @@
 	}
 }
 
-// TestUsageNeverExceedsLimits makes a million random charges, each only if it is allowed, and reverses
-// them in random order. No node may ever exceed its limit, no child may use more than its parent, and
-// in the end all usage must be exactly 0, without rounding errors.
+// TestUsageNeverExceedsLimits makes a million random charges, each only if it is allowed, and
+// reverses them in random order. No node may ever exceed its limit, no child may use more than its
+// parent, and in the end all usage must be exactly 0, without rounding errors.
 func TestUsageNeverExceedsLimits(t *testing.T) {
 	tree := twoOrganisations(t)
 	rng := rand.New(rand.NewPCG(1, 1))
--- a/internal/quota/bench_test.go
+++ b/internal/quota/bench_test.go
@@ -21,8 +21,8 @@
 	})
 }
 
-// BenchmarkCloneAndCharge copies an account of a tree with 1,000 leaves and makes 100 charges in the
-// copy, as a scheduling cycle does. It compares copying a slice with using a persistent map.
+// BenchmarkCloneAndCharge copies an account of a tree with 1,000 leaves and makes 100 charges in
+// the copy, as a scheduling cycle does. It compares copying a slice with using a persistent map.
 func BenchmarkCloneAndCharge(b *testing.B) {
 	tree, keys := thousandLeaves(b)
 	b.Run("copied", func(b *testing.B) {
--- a/internal/quota/document.go
+++ b/internal/quota/document.go
@@ -26,7 +26,8 @@
 }
 
 // Bounds holds numbers of cores, accelerators and GB of memory: a guarantee, a limit or a usage, as
-// operators read and write it. The type's name appears in error messages to operators and must not change.
+// operators read and write it. The type's name appears in error messages to operators and must not
+// change.
 type Bounds struct {
 	Cores        float64 `hcl:"cores,optional" json:"cores,omitempty"`
 	Accelerators float64 `hcl:"accelerators,optional" json:"accelerators,omitempty"`
--- a/internal/quota/fair_share.go
+++ b/internal/quota/fair_share.go
@@ -3,10 +3,10 @@
 import "slices"
 
 // FairShares returns the weighted dominant share (fairShareOf) of each node on the path to a leaf,
-// from the child of the root down; nil in a tree that was not built from a document. If the leaf has
-// children, the tasks charged directly to it count as one more child, of weight 1. Without this entry
-// the lists would differ in length and their order would not be transitive: the order of three jobs
-// would depend on which two are compared.
+// from the child of the root down; nil in a tree that was not built from a document. If the leaf
+// has children, the tasks charged directly to it count as one more child, of weight 1. Without this
+// entry the lists would differ in length and their order would not be transitive: the order of
+// three jobs would depend on which two are compared.
 func (a *Account) FairShares(leaf int) []float64 {
 	if !a.tree.nested {
 		return nil
@@ -33,8 +33,8 @@
 // first. This is progressive filling, in which each task goes to the side that is behind.
 func CompareFairShares(a, b []float64) int { return slices.Compare(a, b) }
 
-// fairShareOf returns a node's weighted dominant share: its usage beyond its guarantee as a part of its
-// parent's usage, in the resource where that part is largest, divided by the node's weight.
+// fairShareOf returns a node's weighted dominant share: its usage beyond its guarantee as a part of
+// its parent's usage, in the resource where that part is largest, divided by the node's weight.
 func (a *Account) fairShareOf(i int) float64 {
 	node := &a.tree.nodes[i]
 	return dominantShare(a.used[i].subClamped(node.Guaranteed), a.used[node.parent]) / node.Weight
--- a/internal/quota/fair_share_test.go
+++ b/internal/quota/fair_share_test.go
@@ -127,10 +127,10 @@
 	return sum
 }
 
-// TestFairShareOrderIsTransitive guards against an order that depends on which two of three jobs are
-// compared. Class y has no node of its own, so its tasks are charged to the team's node. When its
-// list of shares ended one level earlier than those of the other two classes, y compared as equal to
-// both, although these two were not equal to each other.
+// TestFairShareOrderIsTransitive guards against an order that depends on which two of three jobs
+// are compared. Class y has no node of its own, so its tasks are charged to the team's node. When
+// its list of shares ended one level earlier than those of the other two classes, y compared as
+// equal to both, although these two were not equal to each other.
 func TestFairShareOrderIsTransitive(t *testing.T) {
 	account := NewAccount(twoOrganisations(t))
 	sweep, audit, y := Key{"pricing", "sweep"}, Key{"pricing", "audit"}, Key{"pricing", "y"}
--- a/internal/quota/guarantee.go
+++ b/internal/quota/guarantee.go
@@ -4,8 +4,8 @@
 // within no guarantee.
 const noNode = -1
 
-// Entitled returns the lowest node, from the leaf upward, whose guarantee covers count more tasks; -1
-// if there is none. The parameter each is the amount that one task uses. Usage within an
+// Entitled returns the lowest node, from the leaf upward, whose guarantee covers count more tasks;
+// -1 if there is none. The parameter each is the amount that one task uses. Usage within an
 // organisation's guarantee but beyond the team's own is borrowed from the team's siblings.
 func (a *Account) Entitled(leaf int, each Amount, count int) int {
 	entitled := noNode
@@ -34,8 +34,8 @@
 }
 
 // MayPreempt reports whether a task of an amount, charged to leaf, may be preempted for one that is
-// within the guarantee of node entitled. All nodes from leaf up to below the lowest ancestor that it
-// shares with entitled must still use at least their guarantee without the task. A task in the
+// within the guarantee of node entitled. All nodes from leaf up to below the lowest ancestor that
+// it shares with entitled must still use at least their guarantee without the task. A task in the
 // subtree of entitled shares that guarantee and is not preempted.
 func (a *Account) MayPreempt(entitled, leaf int, amount Amount) bool {
 	if entitled == noNode {
@@ -53,9 +53,9 @@
 	return allowed
 }
 
-// CanSpare reports whether leaf can give up an amount to the leaf receiver: all nodes from leaf up to
-// below their lowest common ancestor must still use at least their guarantee without it. Their common
-// ancestors lose nothing, so the guarantees of those are not checked.
+// CanSpare reports whether leaf can give up an amount to the leaf receiver: all nodes from leaf up
+// to below their lowest common ancestor must still use at least their guarantee without it. Their
+// common ancestors lose nothing, so the guarantees of those are not checked.
 func (a *Account) CanSpare(receiver, leaf int, amount Amount) bool {
 	canSpare := true
 	a.tree.walkUp(leaf, func(i int, node *Node) bool {
--- a/internal/quota/guarantee_test.go
+++ b/internal/quota/guarantee_test.go
@@ -39,9 +39,9 @@
 	}
 }
 
-// TestMayPreemptWhatIsBorrowed checks that what organisation italia has borrowed can be preempted for
-// tasks within the guarantee of organisation kenya, and that within an organisation no team loses
-// its part of the organisation's guarantee to another.
+// TestMayPreemptWhatIsBorrowed checks that what organisation italia has borrowed can be preempted
+// for tasks within the guarantee of organisation kenya, and that within an organisation no team
+// loses its part of the organisation's guarantee to another.
 func TestMayPreemptWhatIsBorrowed(t *testing.T) {
 	tree := twoOrganisations(t)
 	account := NewAccount(tree)
@@ -74,8 +74,8 @@
 	}
 }
 
-// TestCanSpareWhatIsNotGuaranteed checks that a leaf can spare only usage beyond its own guarantee and
-// those of its ancestors, up to the lowest common ancestor with the receiver.
+// TestCanSpareWhatIsNotGuaranteed checks that a leaf can spare only usage beyond its own guarantee
+// and those of its ancestors, up to the lowest common ancestor with the receiver.
 func TestCanSpareWhatIsNotGuaranteed(t *testing.T) {
 	tree := twoOrganisations(t)
 	account := NewAccount(tree)
--- a/internal/quota/limits.go
+++ b/internal/quota/limits.go
@@ -78,8 +78,8 @@
 	return max(limit-reserved, 1)
 }
 
-// NodesOverLimit returns the nodes whose usage exceeds their limit, for example after a change of the
-// tree, the deepest first.
+// NodesOverLimit returns the nodes whose usage exceeds their limit, for example after a change of
+// the tree, the deepest first.
 func (a *Account) NodesOverLimit() []int {
 	var nodes []int
 	for i := range a.tree.nodes {
--- a/internal/quota/limits_test.go
+++ b/internal/quota/limits_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestCountAllowedEqualsCountingOneByOne checks that CountAllowed, which avoids checking each task of
-// a job of 100,000 on every pass, returns the same number as checking and charging one by one.
+// TestCountAllowedEqualsCountingOneByOne checks that CountAllowed, which avoids checking each task
+// of a job of 100,000 on every pass, returns the same number as checking and charging one by one.
 func TestCountAllowedEqualsCountingOneByOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tree := twoOrganisations(t)
@@ -68,8 +68,8 @@
 }
 
 // TestGuaranteeAndLimitSmallerThanOneTask checks that a guarantee smaller than one task neither
-// entitles the task nor keeps it from running, and that a task larger than the limit of an ancestor is
-// never allowed.
+// entitles the task nor keeps it from running, and that a task larger than the limit of an ancestor
+// is never allowed.
 func TestGuaranteeAndLimitSmallerThanOneTask(t *testing.T) {
 	class := OfClass{Name: "c", Guarantee: &Bounds{Accelerators: 0.5}}
 	document := &Document{
--- a/internal/quotareclaim/reclaim.go
+++ b/internal/quotareclaim/reclaim.go
@@ -1,7 +1,7 @@
-// Package quotareclaim chooses tasks to stop, the youngest first, in two cases: when usage exceeds a
-// limit of the quota tree that was lowered while tasks ran, and when borrowed usage fills a limit and
-// keeps a job from what it is guaranteed. It stops no task outside the subtree of a node that is at
-// or above its limit. The package does no IO and reads no clock.
+// Package quotareclaim chooses tasks to stop, the youngest first, in two cases: when usage exceeds
+// a limit of the quota tree that was lowered while tasks ran, and when borrowed usage fills a limit
+// and keeps a job from what it is guaranteed. It stops no task outside the subtree of a node that
+// is at or above its limit. The package does no IO and reads no clock.
 package quotareclaim
 
 import (
@@ -21,8 +21,8 @@
 
 // Plan returns the tasks to stop so that every node of an account is within its limits. Tasks that
 // are stopping already are counted as gone. At most limit tasks are returned, except that a gang is
-// always stopped whole, since the rest of it could not continue. Tasks that are released but not yet
-// on a machine are stopped first.
+// always stopped whole, since the rest of it could not continue. Tasks that are released but not
+// yet on a machine are stopped first.
 func Plan(state *clusterstate.State, account *quota.Account, limit int) []Stop {
 	nodes := account.NodesOverLimit()
 	if len(nodes) == 0 {
@@ -56,11 +56,11 @@
 	return stops
 }
 
-// PlanForGuarantee returns the tasks to stop so that the limits allow count more tasks of a job. The
-// new tasks are within the guarantee of node entitled, and only borrowed usage keeps them out. Tasks
-// are taken in stop order, the youngest first, until the limits allow the new tasks; tasks that are
-// stopping already are counted as gone. Gangs and services are never stopped. The result is nil if
-// stopping tasks can't achieve this, or if those that are stopping are enough.
+// PlanForGuarantee returns the tasks to stop so that the limits allow count more tasks of a job.
+// The new tasks are within the guarantee of node entitled, and only borrowed usage keeps them out.
+// Tasks are taken in stop order, the youngest first, until the limits allow the new tasks; tasks
+// that are stopping already are counted as gone. Gangs and services are never stopped. The result
+// is nil if stopping tasks can't achieve this, or if those that are stopping are enough.
 func PlanForGuarantee(
 	state *clusterstate.State,
 	account *quota.Account,
@@ -93,8 +93,8 @@
 	return stops
 }
 
-// reduces reports whether stopping a task reduces a node's usage in a resource of an amount: the task
-// is charged in the node's subtree, uses such a resource and isn't stopping already.
+// reduces reports whether stopping a task reduces a node's usage in a resource of an amount: the
+// task is charged in the node's subtree, uses such a resource and isn't stopping already.
 func reduces(
 	state *clusterstate.State,
 	tree *quota.Tree,
@@ -137,8 +137,8 @@
 	return tasks
 }
 
-// stopsBefore reports whether a is stopped before b. It is a total order, so that every leader makes
-// the same choice.
+// stopsBefore reports whether a is stopped before b. It is a total order, so that every leader
+// makes the same choice.
 func stopsBefore(a, b *clusterstate.Task) bool {
 	if (a.State == jobs.Assigned) != (b.State == jobs.Assigned) {
 		return a.State == jobs.Assigned
@@ -153,7 +153,8 @@
 	return a.ID < b.ID
 }
 
-// gangTasks returns all active tasks of a task's gang, or only the task itself if its job is not a gang.
+// gangTasks returns all active tasks of a task's gang, or only the task itself if its job is not a
+// gang.
 func gangTasks(t *clusterstate.Task) []*clusterstate.Task {
 	if t.Job.Record.Spec.Kind != jobs.Gang {
 		return []*clusterstate.Task{t}
--- a/internal/quotareclaim/reclaim_test.go
+++ b/internal/quotareclaim/reclaim_test.go
@@ -47,8 +47,8 @@
 	return tree
 }
 
-// addJob adds a job to the state, with one task in each of the given task states. Tasks on a machine
-// have been there since Unix time at, in seconds.
+// addJob adds a job to the state, with one task in each of the given task states. Tasks on a
+// machine have been there since Unix time at, in seconds.
 func addJob(state *clusterstate.State, jobID, team, kind, priority string, states []jobs.TaskState, at int64) {
 	state.Now = time.Unix(at, 0)
 	spec := jobs.Spec{
@@ -145,9 +145,9 @@
 	}
 }
 
-// TestPlanStopsEnoughAndNoMore draws running jobs and a limit. Plan must stop enough tasks, none that
-// is not needed except the rest of a gang, and none outside the organisation. The order in which the
-// jobs were added must make no difference.
+// TestPlanStopsEnoughAndNoMore draws running jobs and a limit. Plan must stop enough tasks, none
+// that is not needed except the rest of a gang, and none outside the organisation. The order in
+// which the jobs were added must make no difference.
 func TestPlanStopsEnoughAndNoMore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type entry struct {
@@ -225,9 +225,9 @@
 	return state, services
 }
 
-// TestPlanForGuaranteeReachesGuarantees draws running jobs of an organisation at its limit. For a task
-// within a guarantee that only a limit keeps out, PlanForGuarantee must stop enough to let it start,
-// must not take the other team below its guarantee, and must not stop services.
+// TestPlanForGuaranteeReachesGuarantees draws running jobs of an organisation at its limit. For a
+// task within a guarantee that only a limit keeps out, PlanForGuarantee must stop enough to let it
+// start, must not take the other team below its guarantee, and must not stop services.
 func TestPlanForGuaranteeReachesGuarantees(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := float64(rapid.IntRange(4, 12).Draw(t, "limit"))
--- a/internal/reachability/tracker.go
+++ b/internal/reachability/tracker.go
@@ -1,6 +1,6 @@
-// Package reachability tracks which controllers and agents can reach each other. It determines which
-// members are to be left out of the view because their agents cannot reach them, and whether this
-// controller itself reaches any agent. It performs no IO and reads no clock.
+// Package reachability tracks which controllers and agents can reach each other. It determines
+// which members are to be left out of the view because their agents cannot reach them, and whether
+// this controller itself reaches any agent. It performs no IO and reads no clock.
 package reachability
 
 import (
@@ -36,7 +36,8 @@
 type Store interface {
 	// MirrorLive reports whether the mirror is following the store.
 	MirrorLive() bool
-	// Unavailable reports whether, as far as this controller knows, the store answers no controller.
+	// Unavailable reports whether, as far as this controller knows, the store answers no
+	// controller.
 	Unavailable() bool
 }
 
--- a/internal/reconcile/difference.go
+++ b/internal/reconcile/difference.go
@@ -81,8 +81,8 @@
 }
 
 // OfReported returns how a reported attempt compares with the records, and the action to take. The
-// flag recorded means that its machine's records name it, and writing that its task's record is part
-// of a pending transaction.
+// flag recorded means that its machine's records name it, and writing that its task's record is
+// part of a pending transaction.
 func OfReported(status string, recorded, writing bool) (Difference, Action) {
 	switch {
 	case recorded:
--- a/internal/reconcile/order.go
+++ b/internal/reconcile/order.go
@@ -2,8 +2,8 @@
 
 import "github.com/harrierreel/harrierreel/internal/jobs"
 
-// Order is the rank of a change in the commit order while the write budget is short. The lowest rank
-// is committed first.
+// Order is the rank of a change in the commit order while the write budget is short. The lowest
+// rank is committed first.
 type Order int
 
 // The ranks.
@@ -15,8 +15,8 @@
 	Others
 )
 
-// OrderOf returns the rank of a change to tasks of a job. The flag jobOver means that the job is not
-// live, and placesAgain that the change places the tasks again.
+// OrderOf returns the rank of a change to tasks of a job. The flag jobOver means that the job is
+// not live, and placesAgain that the change places the tasks again.
 func OrderOf(spec *jobs.Spec, jobOver, placesAgain bool) Order {
 	switch {
 	case jobOver:
--- a/internal/reconcile/phase.go
+++ b/internal/reconcile/phase.go
@@ -29,8 +29,8 @@
 	ScaleOut        Permission = "scale out"
 )
 
-// permitted holds the permissions of each phase. Whether a controller may act at all, as a member or
-// as the leader, is determined elsewhere: by standby.Checks and by the view's revision.
+// permitted holds the permissions of each phase. Whether a controller may act at all, as a member
+// or as the leader, is determined elsewhere: by standby.Checks and by the view's revision.
 var permitted = map[Phase]map[Permission]bool{
 	Loading: {},
 	Hearing: {StopTasks: true, ApplyHeartbeats: true, PlaceOnOwn: true},
--- a/internal/shard/foreign_heartbeats.go
+++ b/internal/shard/foreign_heartbeats.go
@@ -15,10 +15,10 @@
 }
 
 // handleForeignHeartbeat handles a heartbeat from another owner's machine. It counts as a complaint
-// about the owner in two cases: it carries a token of this view or a later one, so it was sent after
-// the owner first called the machine; or the owner itself lists the machine as unresponsive. Delayed
-// copies of heartbeats from an earlier view meet neither condition, but a controller that never
-// received heartbeats from the machine takes each of them for a new one. When they counted as
+// about the owner in two cases: it carries a token of this view or a later one, so it was sent
+// after the owner first called the machine; or the owner itself lists the machine as unresponsive.
+// Delayed copies of heartbeats from an earlier view meet neither condition, but a controller that
+// never received heartbeats from the machine takes each of them for a new one. When they counted as
 // complaints, a healthy controller was left out of the view (scenario meet-next-views,
 // docs/incidents/reports-for-next.md).
 func (s *Shard) handleForeignHeartbeat(owner string, heartbeat *agent.Heartbeat) {
--- a/internal/shard/heartbeat_test.go
+++ b/internal/shard/heartbeat_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// While some acknowledged cancellations are unknown, no lease is renewed, but the reported status is
-// applied. Each reply that renews a lease carries a stop for every task whose cancellation was
+// While some acknowledged cancellations are unknown, no lease is renewed, but the reported status
+// is applied. Each reply that renews a lease carries a stop for every task whose cancellation was
 // acknowledged, even while the machine's session is unseen.
 func TestLeaseWithheldUntilCancellationsAreKnown(t *testing.T) {
 	f := newFixture(t)
--- a/internal/shard/recovery.go
+++ b/internal/shard/recovery.go
@@ -31,11 +31,11 @@
 	}
 }
 
-// placeAgain returns the decisions that place vanished tasks on the same machines again, under a new
-// attempt. Compared with freeing and rescheduling a task, this takes one write instead of two, the
-// image is already on the machine, and the capacity is still reserved for the task. A record is
-// written only once all machines that it refers to have been heard from: when it was written machine
-// by machine, a batch record of 200 tasks was written 100 times.
+// placeAgain returns the decisions that place vanished tasks on the same machines again, under a
+// new attempt. Compared with freeing and rescheduling a task, this takes one write instead of two,
+// the image is already on the machine, and the capacity is still reserved for the task. A record is
+// written only once all machines that it refers to have been heard from: when it was written
+// machine by machine, a batch record of 200 tasks was written 100 times.
 //
 // Unlike other placements, these do not have the machine's record as a precondition: the task is
 // recorded on the machine both before and after, so whoever deletes the machine frees the task.
@@ -53,7 +53,8 @@
 }
 
 // tasksToPlaceAgain returns the vanished tasks whose records can be written now, in the order in
-// which they are to be committed: the records that restore the most tasks with one write come first.
+// which they are to be committed: the records that restore the most tasks with one write come
+// first.
 func (s *Shard) tasksToPlaceAgain() []*clusterstate.Task {
 	var tasks []*clusterstate.Task
 	awaitsMachine := map[*clusterstate.TaskRecord]bool{}
@@ -83,8 +84,8 @@
 }
 
 // placeTaskAgain returns the decision that places a task, or all of its gang, on the same machines
-// again. If that is not possible, the decision frees the task. It returns nil if the task is handled
-// with another of its gang, or if a machine of the gang has yet to be heard from.
+// again. If that is not possible, the decision frees the task. It returns nil if the task is
+// handled with another of its gang, or if a machine of the gang has yet to be heard from.
 func (s *Shard) placeTaskAgain(task *clusterstate.Task) []decide.Decision {
 	members := gangMembers(task)
 	if first := members[0]; first != task && first != nil && s.vanishedTasks[first.ID] {
--- a/internal/shard/recovery_test.go
+++ b/internal/shard/recovery_test.go
@@ -114,8 +114,9 @@
 	}
 }
 
-// Calls to machines that were never heard from are limited, so that dead machines do not delay calls
-// to running ones. A machine that exceeded the limit is called as soon as earlier calls have ended.
+// Calls to machines that were never heard from are limited, so that dead machines do not delay
+// calls to running ones. A machine that exceeded the limit is called as soon as earlier calls have
+// ended.
 func TestCallsToDeadMachinesAreLimited(t *testing.T) {
 	f := newRestartedFixture(t, 200, jobs.JobArray)
 	var endCalls []func()
--- a/internal/shard/review.go
+++ b/internal/shard/review.go
@@ -195,8 +195,8 @@
 	return task != nil && s.commits.Busy(task.StoredIn.Key)
 }
 
-// shouldCheckpoint reports whether a task should write a checkpoint and stop now because its machine
-// is about to be preempted.
+// shouldCheckpoint reports whether a task should write a checkpoint and stop now because its
+// machine is about to be preempted.
 func (s *Shard) shouldCheckpoint(session *agent.Session, task *clusterstate.Task, status agent.TaskStatus) bool {
 	if session.PreemptionNoticeS == nil || status.Status != agent.Running {
 		return false
--- a/internal/shard/review_test.go
+++ b/internal/shard/review_test.go
@@ -71,9 +71,9 @@
 	return false
 }
 
-// A task of a job whose cancellation was acknowledged is stopped even while its record is part of an
-// unanswered transaction, and no task of the job is launched. No task at all is launched while some
-// acknowledged cancellations are unknown.
+// A task of a job whose cancellation was acknowledged is stopped even while its record is part of
+// an unanswered transaction, and no task of the job is launched. No task at all is launched while
+// some acknowledged cancellations are unknown.
 func TestCancelledTaskIsStoppedWhileStoreIsUnavailable(t *testing.T) {
 	for _, c := range []struct {
 		name      string
--- a/internal/shard/task_end.go
+++ b/internal/shard/task_end.go
@@ -14,8 +14,8 @@
 )
 
 // EndAttempt returns the decision that takes a task off its machine, for the reason given by kind.
-// The task is not placed again before pause has elapsed. The decision is empty if the event does not
-// apply to the task's state.
+// The task is not placed again before pause has elapsed. The decision is empty if the event does
+// not apply to the task's state.
 func (s *Shard) EndAttempt(task *clusterstate.Task, kind jobs.TaskEventKind, pause time.Duration) decide.Decision {
 	if !isLive(task.Job) {
 		kind = jobs.Lost
--- a/internal/shard/unresponsive.go
+++ b/internal/shard/unresponsive.go
@@ -30,7 +30,8 @@
 
 // ApplyUnresponsive applies a stored list of the machines that an owner considers unresponsive. The
 // name is the list's key without fleet.UnresponsivePrefix. A nil value means that the list was
-// removed. If the value is not a valid list, ApplyUnresponsive returns an error and changes nothing.
+// removed. If the value is not a valid list, ApplyUnresponsive returns an error and changes
+// nothing.
 func (s *Shard) ApplyUnresponsive(name string, value json.RawMessage) error {
 	owner, number := fleet.ParseUnresponsiveKey(name)
 	lists := s.unresponsiveLists[owner]
@@ -100,8 +101,8 @@
 	return decide.Put(key, list.Entries()), true
 }
 
-// UnresponsiveKeys returns the keys of the lists in which this controller publishes its unresponsive
-// machines.
+// UnresponsiveKeys returns the keys of the lists in which this controller publishes its
+// unresponsive machines.
 func (s *Shard) UnresponsiveKeys() []string {
 	keys := []string{fleet.UnresponsiveKey(s.config.Name, 1)}
 	for number := range s.unresponsiveLists[s.config.Name] {
--- a/internal/sharding/pick.go
+++ b/internal/sharding/pick.go
@@ -26,7 +26,8 @@
 // Pick returns the index of the best machine for need, or -1 if it fits on none.
 //
 // Machines are preferred in this order:
-//   - spot machines, if the task may use them (spot), which leaves the others to tasks that may not;
+//   - spot machines, if the task may use them (spot), which leaves the others to tasks that may
+//     not;
 //   - machines that hold the image, since a pull takes longer than any queue;
 //   - machines that pull the image faster;
 //   - for tasks without accelerators, machines on which they strand the fewest accelerators;
--- a/internal/store/budget.go
+++ b/internal/store/budget.go
@@ -15,7 +15,8 @@
 	c.writeRate = min(c.writeShare*c.shareFactor, c.maxWriteRate)
 }
 
-// refill adds the tokens accrued since the last refill. The first call grants half a second's worth.
+// refill adds the tokens accrued since the last refill. The first call grants half a second's
+// worth.
 func (c *Client) refill() {
 	if c.refilledAt.IsZero() {
 		c.refilledAt = c.now
@@ -33,7 +34,8 @@
 const minWriteShare = 1e-9
 
 // adaptWriteShare adjusts the share of writes once per tuning.WriteShareAdaptInterval: additive
-// increase while writes are held back and none was refused, multiplicative decrease after a refusal.
+// increase while writes are held back and none was refused, multiplicative decrease after a
+// refusal.
 func (c *Client) adaptWriteShare() {
 	if c.now.Sub(c.shareAdaptedAt) < tuning.WriteShareAdaptInterval {
 		return
@@ -58,9 +60,9 @@
 }
 
 // Allows reports whether the given number of writes can be sent at once, in addition to those that
-// the caller has already planned. Callers ask before they make a decision: while a transaction waits
-// in the queue, the records that it is based on may change, so that it fails and its writes are
-// wasted.
+// the caller has already planned. Callers ask before they make a decision: while a transaction
+// waits in the queue, the records that it is based on may change, so that it fails and its writes
+// are wasted.
 func (c *Client) Allows(planned, writes int) bool {
 	enough := c.affords(planned, writes)
 	c.writesHeldBack = c.writesHeldBack || !enough
--- a/internal/store/calls.go
+++ b/internal/store/calls.go
@@ -70,7 +70,8 @@
 	return fmt.Sprintf("/follow?prefix=&since=%d&hold_ms=%d", since, hold.Milliseconds())
 }
 
-// List reads the page of keys with a prefix that starts after the key since ("" for the first page).
+// List reads the page of keys with a prefix that starts after the key since ("" for the first
+// page).
 func (c *Client) List(p Priority, prefix, since string, done func(Page, error)) {
 	call := pendingCall{method: http.MethodGet, target: ListTarget(prefix, since)}
 	call.done = func(status int, body []byte, err error) {
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -1,7 +1,7 @@
 // Package store is the client of the state service, a consensus-backed key-value store. It makes
-// calls under a rate budget that the controllers share, and mirrors the live keys. It does no IO and
-// reads no clock: the caller provides the time and the Call to send requests with. Everything in it
-// runs on the controller's event loop; nothing is safe for concurrent use.
+// calls under a rate budget that the controllers share, and mirrors the live keys. It does no IO
+// and reads no clock: the caller provides the time and the Call to send requests with. Everything
+// in it runs on the controller's event loop; nothing is safe for concurrent use.
 package store
 
 import (
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -46,7 +46,8 @@
 	goldentest.JSON(t, "followed-least.json", WatchResult{Events: []Event{}})
 }
 
-// goldenClient returns a client all of whose calls get the same answer, and the record of its calls.
+// goldenClient returns a client all of whose calls get the same answer, and the record of its
+// calls.
 func goldenClient(t *testing.T, status int, answer []byte) (*Client, *bytes.Buffer) {
 	t.Helper()
 	var sent bytes.Buffer
--- a/internal/store/messages.go
+++ b/internal/store/messages.go
@@ -2,7 +2,8 @@
 
 import "encoding/json"
 
-// The JSON tags are the names in the state service's protocol. Only this file maps them to Go names.
+// The JSON tags are the names in the state service's protocol. Only this file maps them to Go
+// names.
 
 // Item is a key with its value.
 type Item struct {
--- a/internal/store/mirror.go
+++ b/internal/store/mirror.go
@@ -49,10 +49,10 @@
 	return keys
 }
 
-// Put applies a committed value unless the mirror already has one that is at least as new. A value no newer
-// than Epoch is ignored, since it has been applied already or has since been removed: the answer to
-// a read or to one of this controller's transactions may arrive after the watch has shown the key's
-// removal, and must not restore it (docs/incidents/late-answers.md).
+// Put applies a committed value unless the mirror already has one that is at least as new. A value
+// no newer than Epoch is ignored, since it has been applied already or has since been removed: the
+// answer to a read or to one of this controller's transactions may arrive after the watch has shown
+// the key's removal, and must not restore it (docs/incidents/late-answers.md).
 func (m *Mirror) Put(key string, value json.RawMessage, revision uint64) {
 	if revision <= m.Epoch || m.items[key].Revision >= revision || m.tombstones[key] >= revision {
 		return
--- a/internal/store/queue.go
+++ b/internal/store/queue.go
@@ -11,7 +11,8 @@
 // Priority orders waiting calls; lower values are sent first.
 type Priority uint8
 
-// Priorities. Calls that the correctness of the protocol depends on come first, then those for users.
+// Priorities. Calls that the correctness of the protocol depends on come first, then those for
+// users.
 const (
 	PriorityMembership Priority = iota // leases, the view and the fence; may overdraw the budget
 	PriorityUrgent                     // urgent transactions, reads of records after failed ones, and listing at startup
@@ -83,7 +84,8 @@
 }
 
 // requeue returns a call that the service refused with 429 to the head of its queue. The call was
-// not executed; it was sent too early, since the controllers' budgets may together exceed the limit.
+// not executed; it was sent too early, since the controllers' budgets may together exceed the
+// limit.
 func (c *Client) requeue(priority Priority, call pendingCall) {
 	call.retries++
 	c.queues[priority] = slices.Insert(c.queues[priority], 0, call)
--- a/internal/taskbatch/batch_test.go
+++ b/internal/taskbatch/batch_test.go
@@ -112,8 +112,8 @@
 	})
 }
 
-// If a bit of the compressed tasks flips, decoding fails or still yields every task, and the job IDs
-// remain readable.
+// If a bit of the compressed tasks flips, decoding fails or still yields every task, and the job
+// IDs remain readable.
 func TestJobIDsOfDamagedRecordAreReadable(t *testing.T) {
 	var entries []Entry
 	for i := range 50 {
@@ -171,8 +171,8 @@
 	})
 }
 
-// A placed task takes at most 22 bytes in a batch record. The counts in docs/notes/records.md rely on
-// this size.
+// A placed task takes at most 22 bytes in a batch record. The counts in docs/notes/records.md rely
+// on this size.
 func TestPlacedTaskTakesFewBytes(t *testing.T) {
 	const tasks, maxBytesPerTask = 400, 22
 	var entries []Entry
--- a/internal/taskbatch/encode.go
+++ b/internal/taskbatch/encode.go
@@ -111,9 +111,9 @@
 }
 
 // Split encodes entries as one batch record of at most limit bytes, or as several if they do not
-// fit. Optional fields (see withoutPlacementInfo) are dropped if that makes the entries fit into one
-// record. The first record belongs under the key that the entries had before. A record of a single
-// entry may exceed limit.
+// fit. Optional fields (see withoutPlacementInfo) are dropped if that makes the entries fit into
+// one record. The first record belongs under the key that the entries had before. A record of a
+// single entry may exceed limit.
 func Split(entries []Entry, limit int) []json.RawMessage {
 	value := Encode(entries)
 	if len(value) <= limit || len(entries) <= 1 {
