--- a/internal/api/run_resources.go
+++ b/internal/api/run_resources.go
@@ -8,7 +8,8 @@
 	"github.com/harrierreel/harrierreel/internal/pipelines"
 )
 
-// runResources gives the keeper of runs access to jobs and capacity, from the server's state.
+// runResources implements pipelines.Cluster: it gives pipelines.Keeper, which advances the pipeline
+// runs, information about jobs and capacity from the server's state.
 type runResources struct{ server *Server }
 
 // Job returns the state of a live job, and whether the job is known.
@@ -26,7 +27,8 @@
 	}, true
 }
 
-// Why returns what a live job waits for and why its deadline cannot be met, as far as either applies.
+// Why returns what a live job waits for and why its deadline cannot be met, as far as either
+// applies.
 func (r runResources) Why(jobID string) string {
 	job := r.server.state.Jobs[jobID]
 	if job == nil || job.Record == nil {
--- a/internal/api/runs.go
+++ b/internal/api/runs.go
@@ -11,7 +11,8 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// newRuns creates the keeper of pipeline runs if the operators have enabled pipelines.
+// newRuns creates the pipelines.Keeper, which advances the pipeline runs, if the operators have
+// enabled pipelines.
 func (s *Server) newRuns() {
 	options := s.settings.Operator.Pipelines
 	if options == nil {
@@ -42,7 +43,7 @@
 	s.runs.SetRate(s.state.Now, clusterWrites/float64(max(size, 1)))
 }
 
-// RunJobChanged notifies the keeper of runs that the known state of a job has changed.
+// RunJobChanged notifies the pipelines.Keeper that the known state of a job has changed.
 func (s *Server) RunJobChanged(jobID string) {
 	if s.runs != nil {
 		s.runs.JobChanged(jobID)
@@ -83,8 +84,8 @@
 }
 
 // runDecision returns the decision that commits a run's change: one transaction writes the run's
-// record, accepts its new jobs and ends the ones to cancel. done, if set, is called when the decision
-// is settled.
+// record, accepts its new jobs and ends the ones to cancel. done, if set, is called when the
+// decision is settled.
 func (s *Server) runDecision(change *pipelines.Change, done func(committed bool)) decide.Decision {
 	decision := decide.Decision{Urgent: change.Urgent, OnSettled: func(committed bool) {
 		s.runs.Touch(change.ID)
--- a/internal/pipelines/step.go
+++ b/internal/pipelines/step.go
@@ -5,7 +5,7 @@
 
 // States of a step.
 const (
-	Waiting    StepState = "waiting"   // some step that it needs has not ended
+	Waiting    StepState = "waiting"   // some step that it depends on has not ended
 	Ready      StepState = "ready"     // its job can be submitted
 	Submitted  StepState = "submitted" // its job has been accepted
 	Running    StepState = "running"   // tasks of its job were seen on machines
@@ -80,8 +80,8 @@
 )
 
 // NextStep applies an event to a step and reports whether the step changed. It is the only place
-// where a step changes state. A step that has ended never changes again, and a job is submitted only
-// from Ready, so no step ever has two live jobs.
+// where a step changes state. A step that has ended never changes again, and a job is submitted
+// only from Ready, so no step ever has two live jobs.
 func NextStep(s StepRun, e StepEvent) (StepRun, bool) {
 	switch e.Kind {
 	case NeedsMet, NeedsUnmet:
@@ -112,7 +112,7 @@
 	return s, true
 }
 
-// afterNeeds handles a waiting step once all steps that it needs have ended.
+// afterNeeds handles a waiting step once all steps that it depends on have ended.
 func (s StepRun) afterNeeds(e StepEvent) (StepRun, bool) {
 	if s.State != Waiting {
 		return s, false
