--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -116,6 +116,8 @@
 	ended := make(chan struct{})
 	defer close(ended)
 	go s.superviseConns(stop, ended)
+	// Serve never returns if its loop ends before it begins to wait for that, which may happen when
+	// stop is closed within milliseconds (docs/incidents/lost-shutdown.md).
 	err := evio.Serve(events, addrs...)
 	if err == nil {
 		err = errors.New("accept loop ended")
