--- a/internal/api/answers.go
+++ b/internal/api/answers.go
@@ -9,22 +9,22 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// Every answer that tells what became of a job leaves through Server.answer, whatever found
-// it. That keeps reads monotonic: no user gets a state older than what any user was told of
-// the job before, here or by another controller (package readconsistency).
+// Every response that reports a job's state is sent by Server.answer, no matter how the state was
+// found. That keeps reads monotonic: no user gets an older state of a job than any user has been
+// told before, by this controller or another one (package readconsistency).
 
-// heldAnswer is an answer that may not be sent before its time.
+// heldAnswer is a response that must not be sent before dueAt.
 type heldAnswer struct {
 	dueAt time.Time
 	send  func()
 }
 
-// holdAnswer has send called once wait has passed.
+// holdAnswer schedules a call of send after wait has passed.
 func (s *Server) holdAnswer(wait time.Duration, send func()) {
 	s.held = append(s.held, heldAnswer{dueAt: s.state.Now.Add(wait), send: send})
 }
 
-// ReleaseHeld sends the held answers that are due. It is called with each turn of the loop.
+// ReleaseHeld sends the held responses that are due. The event loop calls it in each iteration.
 func (s *Server) ReleaseHeld() {
 	if len(s.held) == 0 {
 		return
@@ -43,8 +43,8 @@
 	}
 }
 
-// WaitForHeld is how long the loop may sleep, at most limit, so that held answers are sent in
-// time.
+// WaitForHeld returns how long the event loop may sleep, at most limit, so that held responses are
+// sent on time.
 func (s *Server) WaitForHeld(limit time.Duration) time.Duration {
 	for _, h := range s.held {
 		limit = max(0, min(limit, h.dueAt.Sub(s.state.Now)))
@@ -52,8 +52,8 @@
 	return limit
 }
 
-// newest is the newest known state of a job, where final was found.
-func (s *Server) newest(jobID string, final jobs.Final) jobs.Final {
+// newestState returns the newest known state of a job for which a read found the given state.
+func (s *Server) newestState(jobID string, final jobs.Final) jobs.Final {
 	if final.State != jobs.Live {
 		return final
 	}
@@ -63,50 +63,51 @@
 	if acknowledged, ok := s.acks.Latest(jobID); ok && acknowledged.State != jobs.Live {
 		return acknowledged
 	}
-	if s.cancellations.Cancelled(jobID) { // told elsewhere since this was read, or while the mirror lags
+	if s.cancellations.Cancelled(jobID) { // another controller reported it after this read, or the mirror lags
 		final.State = jobs.Cancelled
 	}
 	return final
 }
 
-// answer answers a user with what was found of a job, or with what is newer. A final state that
-// is news is sent only once the other controllers had time to receive it.
-func (s *Server) answer(jobID string, status int, final jobs.Final, counts bool, respond func(http1.Reply)) {
-	final = s.newest(jobID, final)
+// answer responds to a user with the state that was found for a job, or with a newer one if it is
+// known. A final state that no user has been told yet is sent only after the other controllers have
+// had time to receive it. withCounts adds the counts of tasks to the response.
+func (s *Server) answer(jobID string, status int, final jobs.Final, withCounts bool, respond func(http1.Reply)) {
+	final = s.newestState(jobID, final)
 	if final.State != jobs.Live || status == http.StatusCreated {
 		if wait := s.acknowledge(jobID, final); wait > 0 {
-			s.holdAnswer(wait, func() { s.answer(jobID, status, final, counts, respond) })
+			s.holdAnswer(wait, func() { s.answer(jobID, status, final, withCounts, respond) })
 			return
 		}
 	}
-	respond(http1.Reply{Status: status, Body: s.statusOf(jobID, final, counts)})
+	respond(http1.Reply{Status: status, Body: s.statusOf(jobID, final, withCounts)})
 }
 
-// acknowledge notes what a user is about to be told, and returns how long the answer has to
-// wait.
+// acknowledge records the state that a user is about to be told, and returns how long the response
+// has to be held.
 func (s *Server) acknowledge(jobID string, final jobs.Final) time.Duration {
 	if final.State == jobs.Cancelled {
-		s.cancellations.Acknowledge(jobID) // before the answer is sent, whoever cancelled it
+		s.cancellations.Acknowledge(jobID) // before the response is sent, whoever cancelled the job
 	}
 	return s.acks.Acknowledge(jobID, final, s.state.Now)
 }
 
-// acknowledgeAccepted returns how long users must not be told of a live job that was found,
-// since that it was accepted is news. What was found grows old meanwhile and has to be found
-// again.
+// acknowledgeAccepted returns how long users must not yet be told that a job is live, because its
+// acceptance is new to the other controllers. The state has to be read again after that time, since
+// it may be outdated by then.
 func (s *Server) acknowledgeAccepted(jobID string) time.Duration {
 	live := jobs.Final{State: jobs.Live}
-	if s.mirror.Revision(jobs.JobPrefix+jobID) <= s.agedEpoch.epoch || s.newest(jobID, live).State != jobs.Live {
+	if s.mirror.Revision(jobs.JobPrefix+jobID) <= s.agedEpoch.epoch || s.newestState(jobID, live).State != jobs.Live {
 		return 0
 	}
 	return s.acknowledge(jobID, live)
 }
 
-// agedEpoch is the epoch that the mirror had reached at least tuning.AckYoung ago: that a job
-// accepted before it is live is no news any more.
+// agedEpoch tracks an epoch that the mirror reached at least tuning.AckYoung ago. The acceptance of
+// a job at or before this epoch is no longer new to any controller.
 type agedEpoch struct {
 	epoch, next uint64
-	nextAt      time.Time // the mirror was at next
+	nextAt      time.Time // when the mirror was at next
 }
 
 func (a *agedEpoch) advance(epoch uint64, now time.Time) {
--- a/internal/api/cancellations.go
+++ b/internal/api/cancellations.go
@@ -34,7 +34,7 @@
 	})
 }
 
-// cancelFound cancels a job that was found in a state, if that can still be cancelled.
+// cancelFound cancels a job that was found in the given state, if that state allows it.
 func (s *Server) cancelFound(jobID string, final jobs.Final, respond func(http1.Reply)) {
 	next, ok := jobs.NextJob(final.State, jobs.UserCancels)
 	if !ok {
@@ -55,8 +55,8 @@
 	})
 }
 
-// CloseJob commits a job's final state, for its tasks to act on and for users to read for ever.
-// done is called once, with whether the transaction is known to be committed.
+// CloseJob commits a job's final state, on which its tasks are stopped and which users can read from
+// then on. It calls done once, with true if the transaction is known to be committed.
 func (s *Server) CloseJob(job *clusterstate.Job, state jobs.JobState, priority store.Priority, done func(bool)) {
 	key, finalKey := jobs.JobPrefix+job.ID, jobs.FinalPrefix+job.ID
 	txn := store.Txn{
--- a/internal/api/epoch_reads.go
+++ b/internal/api/epoch_reads.go
@@ -8,8 +8,8 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// ReconcileQueries reads the epoch for the queries that wait, and deals with those that have
-// waited for too long. It is called every tuning.Tick and with each new query.
+// ReconcileQueries reads the epoch for the pending queries, and handles those that have waited for
+// too long. It is called every tuning.Tick and for each new query.
 func (s *Server) ReconcileQueries() {
 	s.expireQueries()
 	s.AnswerQueries(time.Time{})
@@ -20,21 +20,22 @@
 	}
 }
 
-// expireQueries deals with the queries that have waited for too long, in whatever stage.
+// expireQueries handles the queries that have waited for too long, in any stage.
 func (s *Server) expireQueries() {
 	p := &s.queries
-	rounds := p.rounds[:0]
-	for _, round := range p.rounds {
-		if round.queries = s.handleOverdue(round.queries); len(round.queries) > 0 {
-			rounds = append(rounds, round)
+	batches := p.batches[:0]
+	for _, batch := range p.batches {
+		if batch.queries = s.handleOverdue(batch.queries); len(batch.queries) > 0 {
+			batches = append(batches, batch)
 		}
 	}
-	p.rounds = rounds
-	p.waiting, p.reading = s.handleOverdue(p.waiting), s.handleOverdue(p.reading)
+	p.batches = batches
+	p.waiting, p.awaitingEpoch = s.handleOverdue(p.waiting), s.handleOverdue(p.awaitingEpoch)
 }
 
-// handleOverdue has the jobs read separately for which the mirror is late, refuses the queries
-// that have waited for too long, and returns the others. queries is in order of arrival.
+// handleOverdue refuses the queries that have timed out and returns the others. For those that have
+// waited longer than tuning.QueryReadAfter it also reads the job separately. queries is in order of
+// arrival.
 func (s *Server) handleOverdue(queries []pendingQuery) []pendingQuery {
 	if len(queries) == 0 || s.state.Now.Sub(queries[0].arrivedAt) <= tuning.QueryReadAfter {
 		return queries
@@ -55,46 +56,46 @@
 	return rest
 }
 
-// epochReadDue reports whether the epoch is to be read now, and by which priority. One reading
-// serves all queries that wait, so it must not queue behind calls that serve one user each:
-// while the budget holds those back it is made less often, but before them.
+// epochReadDue reports whether the epoch is to be read now, and with which priority. One read of the
+// epoch serves all waiting queries, so it must not queue behind calls that serve one user each:
+// while calls wait for the request budget, the epoch is read less often, but ahead of them.
 func (s *Server) epochReadDue() (store.Priority, bool) {
 	p := &s.queries
 	gap, priority := tuning.QueryGap, store.PriorityPoll
 	if s.client.Waiting() > 0 {
 		gap, priority = tuning.QueryRetry, store.PriorityUrgent
 	}
-	if len(p.waiting)+len(p.reading) == 0 && !p.awaitsProof() {
+	if len(p.waiting)+len(p.awaitingEpoch) == 0 && !p.awaitsFreshness() {
 		return priority, false
 	}
-	since := s.state.Now.Sub(p.readAt)
-	return priority, since >= gap && (!p.inFlight || since >= tuning.QueryRetry)
+	since := s.state.Now.Sub(p.lastReadAt)
+	return priority, since >= gap && (!p.readInFlight || since >= tuning.QueryRetry)
 }
 
-// readEpoch reads the epoch for all queries that wait or whose reading has not been answered.
+// readEpoch reads the epoch for all queries that have not been served by an epoch read yet.
 func (s *Server) readEpoch(priority store.Priority) {
 	p := &s.queries
-	p.lastReading++
-	p.inFlight, p.readAt = true, s.state.Now
+	p.lastReadID++
+	p.readInFlight, p.lastReadAt = true, s.state.Now
 	for i := range p.waiting {
-		p.waiting[i].reading = p.lastReading
+		p.waiting[i].readID = p.lastReadID
 	}
-	p.reading, p.waiting = append(p.reading, p.waiting...), nil
-	number, sentAt := p.lastReading, s.state.Now
-	s.client.ReadEpoch(priority, func(epoch uint64, err error) { s.epochRead(number, sentAt, epoch, err) })
+	p.awaitingEpoch, p.waiting = append(p.awaitingEpoch, p.waiting...), nil
+	readID, sentAt := p.lastReadID, s.state.Now
+	s.client.ReadEpoch(priority, func(epoch uint64, err error) { s.handleEpochRead(readID, sentAt, epoch, err) })
 }
 
-// epochRead handles the answer to the reading of that number.
-func (s *Server) epochRead(number int, sentAt time.Time, epoch uint64, err error) {
+// handleEpochRead handles the response to the epoch read with the given ID.
+func (s *Server) handleEpochRead(readID int, sentAt time.Time, epoch uint64, err error) {
 	p := &s.queries
-	last := number == p.lastReading
+	last := readID == p.lastReadID
 	if last {
-		p.inFlight = false
+		p.readInFlight = false
 	}
 	if err != nil && !last {
-		return // a later reading is under way
+		return // a later epoch read is in flight
 	}
-	served := p.takeServed(number)
+	served := p.takeServed(readID)
 	if err != nil {
 		for _, query := range served {
 			query.respond(unavailable())
@@ -102,79 +103,80 @@
 		return
 	}
 	if len(served) > 0 {
-		p.rounds = append(p.rounds, queryRound{queries: served, epoch: epoch})
+		p.batches = append(p.batches, queryBatch{queries: served, epoch: epoch})
 	}
 	shownAt := sentAt
 	if epoch > s.mirror.Epoch {
-		shownAt = time.Time{} // the reading proves nothing of the mirror
+		shownAt = time.Time{} // the mirror lags, so this read does not show when it was up to date
 	}
 	s.AnswerQueries(shownAt)
-	if len(p.rounds) > 0 {
+	if len(p.batches) > 0 {
 		s.watch.WatchNow()
 	}
 }
 
-// takeServed takes out the queries that a reading serves: all that came before it, also where
-// a later reading was begun because it took long. Otherwise none would ever serve while all
-// take long.
-func (p *pendingQueries) takeServed(number int) []pendingQuery {
+// takeServed removes and returns the queries that an epoch read serves: all that arrived before it
+// was sent, even if a later read has been sent because this one was slow. Otherwise no read would
+// serve any query while all reads are slow.
+func (p *pendingQueries) takeServed(readID int) []pendingQuery {
 	n := 0
-	for n < len(p.reading) && p.reading[n].reading <= number {
+	for n < len(p.awaitingEpoch) && p.awaitingEpoch[n].readID <= readID {
 		n++
 	}
-	served := p.reading[:n:n]
-	p.reading = p.reading[n:]
+	served := p.awaitingEpoch[:n:n]
+	p.awaitingEpoch = p.awaitingEpoch[n:]
 	return served
 }
 
-// awaitsProof reports whether queries wait only for proof that the mirror is new enough.
-func (p *pendingQueries) awaitsProof() bool {
-	return slices.ContainsFunc(p.rounds, func(round queryRound) bool { return round.reached })
+// awaitsFreshness reports whether queries wait only for confirmation that the mirror is up to date.
+func (p *pendingQueries) awaitsFreshness() bool {
+	return slices.ContainsFunc(p.batches, func(batch queryBatch) bool { return batch.reached })
 }
 
-// AnswerQueries answers the queries whose epoch the mirror has reached. The mirror showed all
-// changes up to a moment after shownAt, zero if that is not known. A job that is live in it
-// may have ended since, and the user been told by another controller, so an answer about one
-// job waits until the mirror is known to be no older than tuning.ReadFresh. Where that takes
-// long, the acknowledgements that the other controllers pass on have to do.
+// AnswerQueries answers the queries whose epoch the mirror has reached. The mirror includes all
+// changes up to some time after shownAt, which is zero if unknown. A job that is live in the mirror
+// may have ended since then, and another controller may have told the user so. A query about a job
+// is therefore answered only while the mirror is known to be at most tuning.ReadFresh behind. If
+// that takes too long, the query is answered on the strength of the acknowledgements received from
+// the other controllers.
 func (s *Server) AnswerQueries(shownAt time.Time) {
 	p := &s.queries
 	fresh := !shownAt.IsZero() && s.state.Now.Sub(shownAt) <= tuning.ReadFresh
-	rounds := p.rounds
-	p.rounds = nil // answers may add queries
-	var rest []queryRound
-	for _, round := range rounds {
-		if round.epoch > s.mirror.Epoch {
-			rest = append(rest, round)
+	batches := p.batches
+	p.batches = nil // answering may add queries
+	var rest []queryBatch
+	for _, batch := range batches {
+		if batch.epoch > s.mirror.Epoch {
+			rest = append(rest, batch)
 			continue
 		}
-		round.reached, p.lagging = true, false
-		if round.queries = s.answerReached(round.queries, fresh); len(round.queries) > 0 {
-			rest = append(rest, round)
+		batch.reached, p.lagging = true, false
+		if batch.queries = s.answerReached(batch.queries, fresh); len(batch.queries) > 0 {
+			rest = append(rest, batch)
 		}
 	}
-	p.rounds = append(rest, p.rounds...)
+	p.batches = append(rest, p.batches...)
 }
 
-// answerReached answers queries whose epoch the mirror has reached, and returns those that
-// wait for proof that it is new enough. fresh: there is proof.
+// answerReached answers queries whose epoch the mirror has reached, and returns those that still
+// wait until the mirror is known to be up to date. fresh tells whether it is known to be.
 func (s *Server) answerReached(queries []pendingQuery, fresh bool) []pendingQuery {
-	var unproven []pendingQuery
+	var unverified []pendingQuery
 	for _, query := range queries {
-		if query.jobID == "" || fresh || s.acceptsUnproven(&query) {
+		if query.jobID == "" || fresh || s.acceptsUnverified(&query) {
 			query.answer()
 		} else {
-			unproven = append(unproven, query)
+			unverified = append(unverified, query)
 		}
 	}
-	return unproven
+	return unverified
 }
 
-// acceptsUnproven reports whether a query has waited so long that it is answered from a mirror
-// that is not known to be new enough. It never is while the gossip of a member does not
-// arrive: what that member has told users may be lost on its way. Then the job is read
-// separately, or the user refused.
-func (s *Server) acceptsUnproven(query *pendingQuery) bool {
+// acceptsUnverified reports whether a query has waited so long that it may be answered from a mirror
+// that is not known to be up to date. That is never allowed while gossip from a member is missing:
+// acknowledgements from that member may have been lost. In that case the job is read separately,
+// and the query is refused if that fails.
+func (s *Server) acceptsUnverified(query *pendingQuery) bool {
 	if s.state.Now.Sub(query.arrivedAt) < tuning.QueryUnprovenAfter {
 		return false
 	}
--- a/internal/api/job_reads.go
+++ b/internal/api/job_reads.go
@@ -9,18 +9,18 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// errNoJob: the state service knows neither a live nor a final record of the job.
+// errNoJob is returned when the state service has neither a live nor a final record of the job.
 var errNoJob = errors.New("no such job")
 
-// sharedRead is a read of one job's state that has not been sent yet; requests that come
-// before it is sent share it. One that was sent may be older than what another controller has
-// told the user since, so nobody joins it.
+// sharedRead is a read of one job's state that has not been sent yet. Requests that arrive before it
+// is sent share it. Later ones do not: its result may be older than what another controller has told
+// the user in the meantime.
 type sharedRead struct {
 	waiting []func(jobs.Final, error)
 }
 
-// readJob reads a job's state from the state service. Only final states are answered from
-// memory. done gets errNoJob for an unknown job, and errors of the state service as they are.
+// readJob reads a job's state from the state service; only final states are taken from memory. It
+// calls done with errNoJob for an unknown job, and with errors of the state service unchanged.
 func (s *Server) readJob(jobID string, done func(jobs.Final, error)) {
 	if final, ok := s.finals.Get(jobID); ok {
 		done(final, nil)
@@ -36,22 +36,22 @@
 	}
 	shared := &sharedRead{waiting: []func(jobs.Final, error){done}}
 	s.sharedReads[jobID] = shared
-	closeToOthers := func() {
+	stopSharing := func() {
 		if s.sharedReads[jobID] == shared {
 			delete(s.sharedReads, jobID)
 		}
 	}
-	s.readRecords(jobID, closeToOthers, func(final jobs.Final, err error) {
-		closeToOthers()
+	s.readRecords(jobID, stopSharing, func(final jobs.Final, err error) {
+		stopSharing()
 		for _, done := range shared.waiting {
 			done(final, err)
 		}
 	})
 }
 
-// readRecords reads a job's live record, then, if that does not tell, its final one. A live
-// record leaves only after the final one has come, so reading in this order misses neither.
-// sent is called when the first read is sent.
+// readRecords reads a job's live record and, if that is missing or unreadable, its final record. A
+// live record is deleted only after the final one is written, so reading in this order cannot miss
+// both. sent is called when the first read is sent.
 func (s *Server) readRecords(jobID string, sent func(), done func(jobs.Final, error)) {
 	s.client.Get(store.PriorityUser, jobs.JobPrefix+jobID, sent, func(item *store.Item, err error) {
 		if err != nil {
@@ -71,9 +71,9 @@
 	})
 }
 
-// readFinal reads a job's final record. accepted: the job has a live record, which cannot be
-// read. Its final state is written in the transaction that ends it, so without one it has not
-// ended; refusing its user for ever would be to forget the job.
+// readFinal reads a job's final record. accepted tells that the job has a live record that cannot be
+// decoded. The final record is written in the transaction that ends the job, so a job without one
+// has not ended and is reported as live: refusing its user forever would amount to losing the job.
 func (s *Server) readFinal(jobID string, accepted bool, done func(jobs.Final, error)) {
 	s.client.Get(store.PriorityUser, jobs.FinalPrefix+jobID, nil, func(item *store.Item, err error) {
 		switch {
@@ -97,10 +97,10 @@
 	})
 }
 
-// readCurrent reads a job's state for an answer that is sent at once. That a job is live or
-// unknown is only told if the read was answered within tuning.ReadFresh: a later answer shows
-// an older state, and another controller may have told the user something newer since. It is
-// read once more, if there is time.
+// readCurrent reads a job's state for a response that is sent immediately. A job is reported as live
+// or unknown only if the read took at most tuning.ReadFresh: a slower read shows an older state, and
+// another controller may have told the user a newer one since. A slow read is repeated if there is
+// time and budget.
 func (s *Server) readCurrent(jobID string, done func(jobs.Final, error)) {
 	startedAt := s.state.Now
 	var read func()
@@ -128,8 +128,8 @@
 	read()
 }
 
-// findJob finds a job's state for a decision that is conditional on the job's record and
-// therefore may start from a copy that is behind.
+// findJob finds a job's state for a decision that is conditional on the revision of the job's record.
+// Such a decision may be based on a mirror that is out of date, since its transaction would then fail.
 func (s *Server) findJob(jobID string, done func(jobs.Final, error)) {
 	if job := s.state.Jobs[jobID]; job != nil && job.Record != nil && job.Record.State == jobs.Live {
 		done(jobs.Final{State: jobs.Live}, nil)
--- a/internal/api/load_shedding.go
+++ b/internal/api/load_shedding.go
@@ -5,18 +5,20 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// loadShedding counts how many times in a row the requests about a job were refused for want
-// of room, for the last tuning.MaxShedEntries jobs of which one was.
+// loadShedding counts, by job, how many requests in a row were refused because of overload. It
+// keeps the last tuning.MaxShedEntries jobs that had a request refused.
 type loadShedding struct {
-	count map[string]int // by job
-	order []string       // jobs as first refused; also holds jobs that were answered since
+	count map[string]int // by job ID
+	order []string       // job IDs by time of first refusal; includes jobs whose count was reset since
 }
 
+// timesShed returns how many requests about a job were refused in a row.
 func (l *loadShedding) timesShed(jobID string) int { return l.count[jobID] }
 
-func (l *loadShedding) shed(jobID string) {
+// recordShed records that a request about a job was refused.
+func (l *loadShedding) recordShed(jobID string) {
 	if jobID == "" {
-		return // not about a job
+		return // the request is not about a job
 	}
 	if l.count == nil {
 		l.count = map[string]int{}
@@ -30,11 +32,12 @@
 	}
 }
 
-// reset notes that a request about a job was answered.
+// reset clears a job's count, because a request about the job was answered.
 func (l *loadShedding) reset(jobID string) { delete(l.count, jobID) }
 
-// shedLoad refuses a request for want of room; the next one about its job goes before others.
+// shedLoad refuses a request because of overload, and gives the next request about the same job
+// priority over others.
 func (s *Server) shedLoad(jobID string, respond func(http1.Reply)) {
-	s.reads.shedding.shed(jobID)
+	s.reads.shedding.recordShed(jobID)
 	respond(http1.Unavailable("too many questions"))
 }
--- a/internal/api/queries.go
+++ b/internal/api/queries.go
@@ -9,42 +9,42 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// pendingQueries is users' queries about jobs. Reading each job from the state service would
-// take most of its requests; instead all queries that came before a moment are answered from
-// the mirror, once it has followed the watch to an epoch read after that moment. A mirror
-// that does not get there in time, since its watch or the service is slow, must not have
-// every user of this controller refused for as long as that lasts: the state of one job is
-// then read separately (readBatcher).
+// pendingQueries holds the requests that wait for the mirror, mostly users' queries about jobs.
+// Reading each job from the state service would use up most of its request budget. Instead, the
+// epoch is read once for all queries that have arrived, and they are answered from the mirror when
+// it has reached that epoch. If the mirror does not get there in time, because the watch or the
+// service is slow, the jobs are read separately (readQueue), so that not every user of this
+// controller is refused in the meantime.
 type pendingQueries struct {
-	waiting []pendingQuery // no epoch was read since they came
-	reading []pendingQuery // an epoch is being read for them
-	rounds  []queryRound   // the mirror is to reach their epochs
+	waiting       []pendingQuery // no epoch read has been sent since they arrived
+	awaitingEpoch []pendingQuery // the epoch read that serves them is in flight
+	batches       []queryBatch   // the mirror has not reached their epochs, or may be out of date
 
-	lastReading int       // number of the last reading of the epoch
-	inFlight    bool      // the last reading is under way
-	readAt      time.Time // the last reading was sent
+	lastReadID   int       // ID of the last epoch read
+	readInFlight bool      // the last epoch read is in flight
+	lastReadAt   time.Time // when the last epoch read was sent
 
-	lagging bool // the mirror was late for a query and has reached no round's epoch since
+	lagging bool // the mirror was late for a query and has not reached any batch's epoch since
 }
 
 // pendingQuery is a query that waits for the mirror.
 type pendingQuery struct {
-	answer    func()            // from the mirror
-	respond   func(http1.Reply) // refuses it instead
+	answer    func()            // answers from the mirror
+	respond   func(http1.Reply) // sends the response; also refuses the query
 	arrivedAt time.Time
-	jobID     string // that it is about, empty if it is about anything else
-	separate  bool   // its job is read separately as well
-	reading   int    // the first reading of the epoch that serves it
+	jobID     string // empty if the request is not about a job
+	separate  bool   // the job is also read separately
+	readID    int    // ID of the first epoch read that serves the query
 }
 
-// queryRound is the queries that one reading of the epoch serves.
-type queryRound struct {
+// queryBatch holds the queries that one epoch read serves.
+type queryBatch struct {
 	queries []pendingQuery
 	epoch   uint64
-	reached bool // by the mirror
+	reached bool // the mirror has reached the epoch
 }
 
-// query answers a user who asks for a job's state.
+// query handles a user's query about a job's state.
 func (s *Server) query(jobID string, respond func(http1.Reply)) {
 	if final, ok := s.finals.Get(jobID); ok {
 		s.answer(jobID, http.StatusOK, final, true, respond)
@@ -58,8 +58,8 @@
 	s.addQuery(query)
 }
 
-// readSeparately has the job of a query read by itself as well: whichever comes first, the
-// read or the mirror, gives the answer.
+// readSeparately requests a read of the query's job in addition to waiting for the mirror.
+// Whichever completes first provides the response.
 func (s *Server) readSeparately(query *pendingQuery) {
 	answered, respond := false, query.respond
 	respondOnce := func(reply http1.Reply) {
@@ -74,7 +74,7 @@
 	s.requestRead(pendingRead{
 		jobID: query.jobID,
 		respond: func(reply http1.Reply) {
-			if reply.Status != http.StatusServiceUnavailable { // then the query still waits for the mirror
+			if reply.Status != http.StatusServiceUnavailable { // otherwise the query keeps waiting for the mirror
 				respondOnce(reply)
 			}
 		},
@@ -82,8 +82,8 @@
 	})
 }
 
-// afterEpoch calls answer once the mirror has reached an epoch that was read after this call;
-// otherwise the request is refused.
+// afterEpoch calls answer once the mirror has reached an epoch that is read after this call. If that
+// takes too long, it refuses the request through respond.
 func (s *Server) afterEpoch(respond func(http1.Reply), answer func()) {
 	s.addQuery(pendingQuery{answer: answer, respond: respond, arrivedAt: s.state.Now})
 }
@@ -95,7 +95,7 @@
 	}
 	limit := tuning.MaxPendingQueries
 	if s.reads.shedding.timesShed(query.jobID) > 0 {
-		limit += tuning.MaxShedEntries // whoever was refused the last time finds room that others do not
+		limit += tuning.MaxShedEntries // extra room reserved for jobs whose last request was refused
 	}
 	if len(s.queries.waiting) >= limit {
 		s.shedLoad(query.jobID, query.respond)
@@ -109,14 +109,14 @@
 func (s *Server) answerQuery(query pendingQuery) {
 	job := s.state.Jobs[query.jobID]
 	if job == nil || job.Record == nil {
-		// Unknown to the mirror, so it has ended or was never accepted.
+		// The mirror does not have the job, so it has ended or was never accepted.
 		s.requestRead(pendingRead{jobID: query.jobID, respond: query.respond, arrivedAt: s.state.Now})
 		return
 	}
 	final := jobs.Final{State: job.Record.State, DoneCount: job.Record.DoneCount}
 	if final.State == jobs.Live && s.acknowledgeAccepted(query.jobID) > 0 {
 		query.answer = func() { s.answerQuery(query) }
-		s.addQuery(query) // it waits for the next reading of the epoch
+		s.addQuery(query) // wait for the next epoch read
 		return
 	}
 	s.reads.shedding.reset(query.jobID)
--- a/internal/api/quota_requests.go
+++ b/internal/api/quota_requests.go
@@ -15,8 +15,8 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// quotaRequest shows the quota tree or replaces it.
-func (s *Server) quotaRequest(m *http1.Message, respond func(http1.Reply)) {
+// handleQuotaRequest handles a request to show or replace the quota tree.
+func (s *Server) handleQuotaRequest(m *http1.Message, respond func(http1.Reply)) {
 	switch {
 	case !s.quotas.on:
 		respond(errorReply(http.StatusNotFound, "no such path"))
@@ -30,7 +30,7 @@
 	}
 }
 
-// applyQuota puts another tree in force or, as a dry run, says what it would mean.
+// applyQuota replaces the tree in force or, in a dry run, reports the effects of doing so.
 func (s *Server) applyQuota(body []byte, respond func(http1.Reply)) {
 	request, tree, refusal := quota.ParseApply(body, s.quotas.teams, s.settings.Classes())
 	if refusal != nil {
@@ -48,7 +48,7 @@
 	s.afterEpoch(respond, func() { s.replaceQuota(request, respond) })
 }
 
-// previewQuota says what a tree would mean if it were in force.
+// previewQuota returns the effects that a tree would have if it were in force.
 func (s *Server) previewQuota(tree *quota.Tree) quota.Preview {
 	account := s.state.Account.RebasedOn(tree)
 	preview := quota.Preview{Number: s.quotaNumber(), Over: account.Excesses()}
@@ -58,8 +58,8 @@
 	return preview
 }
 
-// replaceQuota commits another tree. It is idempotent: the document in force sent again,
-// because the answer was lost, is answered as the first time.
+// replaceQuota commits a new tree. It is idempotent: if the document is the one in force already,
+// because the response to an earlier request was lost, it responds as it did the first time.
 func (s *Server) replaceQuota(request *quota.Apply, respond func(http1.Reply)) {
 	stored := s.quotas.stored
 	switch {
@@ -98,7 +98,7 @@
 	})
 }
 
-// quotaReply tells the number of the tree in force.
+// quotaReply returns a response with the version number of the tree in force.
 func (s *Server) quotaReply(status int) http1.Reply {
 	return http1.Reply{Status: status, Body: jobs.Encode(quota.Preview{Number: s.quotaNumber()})}
 }
--- a/internal/api/quotas.go
+++ b/internal/api/quotas.go
@@ -12,17 +12,18 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// quotas is what a controller knows of the quota tree.
+// quotas holds a controller's state of the quota tree.
 type quotas struct {
-	teams map[string]quota.Team // the platform's
-	// on: the operators turned the tree on, and decisions are conditional on its revision.
-	on        bool
-	stored    *quota.Stored // nil until one was read that fits the teams
-	checkedAt time.Time     // last look at what is over a limit
+	teams map[string]quota.Team // from the platform's settings, by name
+	// on tells that the operators have enabled quotas; decisions are then conditional on the
+	// revision of the quota tree.
+	on            bool
+	stored        *quota.Stored // the tree in force; nil until a tree that fits the teams has been read
+	lastCheckedAt time.Time     // when tasks over a limit were last looked for
 }
 
-// ApplyQuota applies the quota tree as the mirror shows it. One that can't be read, or that
-// doesn't fit the platform's teams, is logged and the tree in force kept as a whole.
+// ApplyQuota applies the quota tree from the mirror. If the tree can't be decoded or doesn't fit the
+// platform's teams, it logs that and keeps the tree in force unchanged.
 func (s *Server) ApplyQuota(value json.RawMessage) {
 	if value == nil {
 		return
@@ -44,8 +45,9 @@
 	s.log.Info("quota tree in force", "number", stored.Number, "nodes", len(tree.Paths()))
 }
 
-// ReconcileQuota writes the operators' file as the first tree, and stops what is over a limit
-// once the grace period of a change is over. Only the leader may call it.
+// ReconcileQuota writes the first tree from the operators' settings if there is none. Otherwise it
+// stops tasks that are over a limit, once the grace period after the last change has passed. Only the
+// leader may call it.
 func (s *Server) ReconcileQuota() {
 	if !s.quotas.on {
 		return
@@ -55,12 +57,12 @@
 		return
 	}
 	if s.reclaimDue() {
-		s.quotas.checkedAt = s.state.Now
+		s.quotas.lastCheckedAt = s.state.Now
 		s.commits.Commit(s.reclaimDecisions())
 	}
 }
 
-// writeFirstQuota writes the tree of the operators' file.
+// writeFirstQuota writes the tree from the operators' settings.
 func (s *Server) writeFirstQuota() {
 	if s.commits.Busy(quota.StoreKey) {
 		return
@@ -72,16 +74,16 @@
 	}})
 }
 
-// reclaimDue reports whether to look for tasks over a limit.
+// reclaimDue reports whether it is time to look for tasks over a limit.
 func (s *Server) reclaimDue() bool {
 	stored := s.quotas.stored
-	if stored == nil || s.state.Now.Sub(s.quotas.checkedAt) < tuning.ReclaimEvery {
+	if stored == nil || s.state.Now.Sub(s.quotas.lastCheckedAt) < tuning.ReclaimEvery {
 		return false
 	}
 	return float64(s.state.NowMs()-stored.AtMs) >= stored.Doc.Grace()*1000
 }
 
-// reclaimDecisions is the withdrawals of the tasks that are over a limit.
+// reclaimDecisions returns the decisions that withdraw the tasks over a limit.
 func (s *Server) reclaimDecisions() []decide.Decision {
 	var decisions []decide.Decision
 	for _, stop := range quotareclaim.Plan(s.state, s.state.Account, tuning.MaxReclaimStops) {
@@ -103,12 +105,12 @@
 	return decisions
 }
 
-// QuotaSettled reports whether the tree is known that the next decisions go by.
+// QuotaSettled reports whether decisions can be made: quotas are disabled, or a tree has been stored.
 func (s *Server) QuotaSettled() bool {
 	return !s.quotas.on || s.mirror.Revision(quota.StoreKey) != 0
 }
 
-// quotaNumber is the number of the tree in force, 0 if there is none.
+// quotaNumber returns the version number of the tree in force, or 0 if there is none.
 func (s *Server) quotaNumber() int {
 	if s.quotas.stored == nil {
 		return 0
@@ -116,7 +118,7 @@
 	return s.quotas.stored.Number
 }
 
-// waitingByLeaf counts the tasks that wait by leaf of the tree.
+// waitingByLeaf returns the number of waiting tasks for each leaf of the tree.
 func (s *Server) waitingByLeaf() map[int]int {
 	counts := map[int]int{}
 	for _, job := range s.state.Queued {
--- a/internal/api/read_batcher.go
+++ b/internal/api/read_batcher.go
@@ -10,58 +10,58 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// pendingRead is a request about a job that takes a read of its own: the mirror does not know
-// the job, or was late.
+// pendingRead is a request about a job that needs a separate read of the state service, because the
+// mirror does not have the job or is late.
 type pendingRead struct {
 	jobID     string
 	respond   func(http1.Reply)
 	arrivedAt time.Time
 }
 
-// readBatcher is the requests that wait for a read. Where there are more than can be read, the
-// ones that were refused most often in a row go first and are refused last, so that while half
-// of the requests can be answered no job's user is refused twice in a row, and no user is
-// refused for ever while others are served (docs/incidents/forgotten.md).
-type readBatcher struct {
+// readQueue holds the requests that wait for a read. Under overload, requests about the jobs that
+// were refused most often in a row are read first and refused last. As long as half of the requests
+// can be answered, no job's user is refused twice in a row, and no user is refused forever while
+// others are served (docs/incidents/forgotten.md).
+type readQueue struct {
 	waiting  []pendingRead
 	shedding loadShedding
 }
 
-// add adds a request, and returns the one to refuse if there are too many: of those refused
-// least often the last that came.
-func (b *readBatcher) add(read pendingRead) (shed pendingRead, full bool) {
-	b.waiting = append(b.waiting, read)
-	if len(b.waiting) <= tuning.MaxPendingReads {
+// add adds a request. If the queue is full, it returns the request to refuse: the last to arrive
+// among those refused least often.
+func (q *readQueue) add(read pendingRead) (shed pendingRead, full bool) {
+	q.waiting = append(q.waiting, read)
+	if len(q.waiting) <= tuning.MaxPendingReads {
 		return pendingRead{}, false
 	}
 	fewest := 0
-	for i, other := range b.waiting {
-		if b.shedding.timesShed(other.jobID) <= b.shedding.timesShed(b.waiting[fewest].jobID) {
+	for i, other := range q.waiting {
+		if q.shedding.timesShed(other.jobID) <= q.shedding.timesShed(q.waiting[fewest].jobID) {
 			fewest = i
 		}
 	}
-	return b.take(fewest), true
+	return q.take(fewest), true
 }
 
-// first is the index of the request to be read first: of those refused most often the first
-// that came.
-func (b *readBatcher) first() int {
+// first returns the index of the request to read first: the first to arrive among those refused
+// most often.
+func (q *readQueue) first() int {
 	first := 0
-	for i, other := range b.waiting {
-		if b.shedding.timesShed(other.jobID) > b.shedding.timesShed(b.waiting[first].jobID) {
+	for i, other := range q.waiting {
+		if q.shedding.timesShed(other.jobID) > q.shedding.timesShed(q.waiting[first].jobID) {
 			first = i
 		}
 	}
 	return first
 }
 
-func (b *readBatcher) take(i int) pendingRead {
-	read := b.waiting[i]
-	b.waiting = append(b.waiting[:i], b.waiting[i+1:]...)
+func (q *readQueue) take(i int) pendingRead {
+	read := q.waiting[i]
+	q.waiting = append(q.waiting[:i], q.waiting[i+1:]...)
 	return read
 }
 
-// requestRead has a job's state read for a user.
+// requestRead queues a read of a job's state for a user.
 func (s *Server) requestRead(read pendingRead) {
 	if shed, full := s.reads.add(read); full {
 		s.shedLoad(shed.jobID, shed.respond)
@@ -69,33 +69,34 @@
 	s.reconcileReads()
 }
 
-// reconcileReads reads what the budget has room for. A request whose user has given up is not
-// read: a queue of those would have every answer come too late.
+// reconcileReads sends as many reads as the request budget allows. It refuses requests whose users
+// have timed out instead of reading for them: otherwise, with a long queue, every response would come
+// too late.
 func (s *Server) reconcileReads() {
-	b := &s.reads
-	for len(b.waiting) > 0 {
-		i := b.first()
-		read := b.waiting[i]
-		waited, kept := s.state.Now.Sub(read.arrivedAt), tuning.ReadsKept
-		if waited > tuning.ReadDeadline || b.shedding.timesShed(read.jobID) > 0 {
-			kept = 0 // decisions can keep the budget below any share of it
+	q := &s.reads
+	for len(q.waiting) > 0 {
+		i := q.first()
+		read := q.waiting[i]
+		waited, reserve := s.state.Now.Sub(read.arrivedAt), tuning.ReadsKept
+		if waited > tuning.ReadDeadline || q.shedding.timesShed(read.jobID) > 0 {
+			reserve = 0 // decisions can keep the free budget below any reserve
 		}
 		switch {
 		case s.client.Unavailable():
-			b.take(i).respond(unavailable())
+			q.take(i).respond(unavailable())
 		case waited > tuning.QueryTimeout:
-			b.take(i)
+			q.take(i)
 			s.shedLoad(read.jobID, read.respond)
-		case !s.client.AllowsRead(kept):
+		case !s.client.AllowsRead(reserve):
 			return
 		default:
-			b.take(i)
+			q.take(i)
 			s.readCurrent(read.jobID, func(final jobs.Final, err error) { s.answerRead(read, final, err) })
 		}
 	}
 }
 
-// answerRead answers a request with what its read found.
+// answerRead responds to a request with the result of its read.
 func (s *Server) answerRead(read pendingRead, final jobs.Final, err error) {
 	switch {
 	case errors.Is(err, errNoJob):
--- a/internal/api/routing.go
+++ b/internal/api/routing.go
@@ -8,7 +8,7 @@
 	"github.com/harrierreel/harrierreel/internal/jobs"
 )
 
-// Paths of the requests, as the protocol names them.
+// Request paths defined by the protocol.
 const (
 	heartbeatPath = "/agent/beat"
 	healthPath    = "/up"
@@ -18,8 +18,8 @@
 	cancelSuffix  = "/abort"
 )
 
-// Request handles a request of a user, an operator, an agent or the load balancer. respond is
-// called exactly once, at once or in a later turn of the event loop.
+// Request handles a request from a user, an operator, an agent or the load balancer. It calls
+// respond exactly once, either immediately or in a later iteration of the event loop.
 func (s *Server) Request(m *http1.Message, respond func(http1.Reply)) {
 	path, _, _ := strings.Cut(m.Target, "?")
 	switch {
@@ -36,23 +36,23 @@
 			s.submit(m.Body, respond)
 		}
 	case strings.HasPrefix(path, jobsPath+"/"):
-		s.jobRequest(m, path[len(jobsPath)+1:], respond)
+		s.handleJobRequest(m, path[len(jobsPath)+1:], respond)
 	case path == quotaPath:
-		s.quotaRequest(m, respond)
-	case isPipelines(path):
-		s.pipelineRequest(m, path, respond)
+		s.handleQuotaRequest(m, respond)
+	case isPipelinePath(path):
+		s.handlePipelineRequest(m, path, respond)
 	default:
 		respond(errorReply(http.StatusNotFound, "no such path"))
 	}
 }
 
-// jobRequest handles a request about one job. rest is the path after the one of all jobs.
-func (s *Server) jobRequest(m *http1.Message, rest string, respond func(http1.Reply)) {
-	jobID, cancels := strings.CutSuffix(rest, cancelSuffix)
+// handleJobRequest handles a request about one job. rest is the path after "/work/".
+func (s *Server) handleJobRequest(m *http1.Message, rest string, respond func(http1.Reply)) {
+	jobID, isCancel := strings.CutSuffix(rest, cancelSuffix)
 	switch {
 	case !jobs.ValidID(jobID):
 		respond(errorReply(http.StatusNotFound, "no such job"))
-	case cancels:
+	case isCancel:
 		if requireMethod(m, http.MethodPost, respond) {
 			s.cancel(jobID, respond)
 		}
@@ -61,22 +61,22 @@
 	}
 }
 
-// IsUsers reports whether a request is a user's or an operator's, not an agent's or the load
-// balancer's.
+// IsUsers reports whether a request comes from a user or an operator, as opposed to an agent or
+// the load balancer.
 func IsUsers(m *http1.Message) bool {
 	return m.Target == jobsPath ||
 		strings.HasPrefix(m.Target, jobsPath+"/") ||
 		strings.HasPrefix(m.Target, jobsPath+"?") ||
 		m.Target == quotaPath ||
-		isPipelines(m.Target)
+		isPipelinePath(m.Target)
 }
 
-func isPipelines(path string) bool {
+func isPipelinePath(path string) bool {
 	return path == pipelinesPath || strings.HasPrefix(path, pipelinesPath+"/")
 }
 
-// requireMethod reports whether a request has the method that its path takes, and answers it
-// if not.
+// requireMethod reports whether a request has the method that its path requires. If not, it
+// responds with "method not allowed".
 func requireMethod(m *http1.Message, want string, respond func(http1.Reply)) bool {
 	if m.Method != want {
 		respond(errorReply(http.StatusMethodNotAllowed, "use "+want))
@@ -89,10 +89,10 @@
 	return http1.Reply{Status: status, Body: http1.ErrorBody(text)}
 }
 
-// unavailable is the answer to whoever depends on a call to the state service that failed.
+// unavailable returns the response to a request that needs the state service while calls to it fail.
 func unavailable() http1.Reply { return http1.Unavailable("state unavailable") }
 
-// answerHealth tells the load balancer whether to send users here.
+// answerHealth responds to the load balancer's health check.
 func (s *Server) answerHealth(respond func(http1.Reply)) {
 	if !s.health.Healthy() {
 		respond(http1.Unavailable("not ready"))
--- a/internal/api/run_requests.go
+++ b/internal/api/run_requests.go
@@ -15,8 +15,8 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// pipelineRequest handles a user's request about runs.
-func (s *Server) pipelineRequest(m *http1.Message, path string, respond func(http1.Reply)) {
+// handlePipelineRequest handles a user's request about pipeline runs.
+func (s *Server) handlePipelineRequest(m *http1.Message, path string, respond func(http1.Reply)) {
 	if s.runs == nil {
 		respond(errorReply(http.StatusNotFound, "no such path"))
 		return
@@ -44,15 +44,15 @@
 	}
 }
 
-// runQuery asks for a run's state.
+// runQuery is a query about a run's state.
 type runQuery struct {
 	id      string
 	explain bool
-	sum     string // of the document that the run must have, empty for any
+	sum     string // checksum that the run's document must have, empty for any
 }
 
-// showRun answers with a run's state as it is after the request came: like users' queries, it
-// waits for the mirror to get there.
+// showRun responds with a run's state as of the arrival of the request or later. Like queries about
+// jobs, it waits for the mirror to reach an epoch read after the request arrived.
 func (s *Server) showRun(query runQuery, respond func(http1.Reply)) {
 	s.afterEpoch(respond, func() {
 		if record, quarantined := s.runs.Known(query.id); record != nil || quarantined {
@@ -73,7 +73,8 @@
 	})
 }
 
-// answerRun answers with a run's record, nil if it can't be read.
+// answerRun responds with the state of a run, or with a conflict if the run has another document.
+// record is nil if it can't be decoded.
 func (s *Server) answerRun(query runQuery, record *pipelines.Record, status int, respond func(http1.Reply)) {
 	if record != nil && query.sum != "" && record.Checksum != query.sum {
 		respond(errorReply(http.StatusConflict, "another pipeline has this id"))
@@ -89,8 +90,8 @@
 	respond(http1.Unavailable("this run's record can't be read by this version"))
 }
 
-// submitRun handles a user's submission of a run. It is an idempotent request: the same run
-// handed in again is answered with its state.
+// submitRun handles a user's submission of a run. Submissions are idempotent: the response to a
+// repeated submission of a run is the run's state.
 func (s *Server) submitRun(body []byte, respond func(http1.Reply)) {
 	request, refusal := pipelines.ParseRequest(body)
 	if refusal != nil {
@@ -109,18 +110,18 @@
 	salt := fmt.Sprintf("%016x%016x", s.random.Uint64(), s.random.Uint64())
 	change, err := s.runs.Accept(request, salt, s.state.NowMs(), runResources{s})
 	if err != nil {
-		s.refuseUnlessRan(query, errorReply(http.StatusRequestEntityTooLarge, err.Error()), respond)
+		s.refuseUnlessEnded(query, errorReply(http.StatusRequestEntityTooLarge, err.Error()), respond)
 		return
 	}
-	if refusal := s.judgeRun(request); refusal != nil {
-		s.refuseUnlessRan(query, *refusal, respond)
+	if refusal := s.checkRun(request); refusal != nil {
+		s.refuseUnlessEnded(query, *refusal, respond)
 		return
 	}
 	s.acceptRun(query, change, respond)
 }
 
-// judgeRun is the refusal of a run that can't be accepted, nil for one that can.
-func (s *Server) judgeRun(request *pipelines.Request) *http1.Reply {
+// checkRun returns the response that refuses a run that can't be accepted, or nil if it can be.
+func (s *Server) checkRun(request *pipelines.Request) *http1.Reply {
 	if faults := request.Plan.FeasibilityFaults(runResources{s}.Infeasible); len(faults) > 0 {
 		body := jobs.Encode(pipelines.Refusal{Error: "steps that can never run", Faults: faults})
 		return &http1.Reply{Status: http.StatusUnprocessableEntity, Body: body}
@@ -133,9 +134,9 @@
 	return nil
 }
 
-// refuseUnlessRan refuses a run unless it was accepted and has ended: only an unknown run is
-// judged, since what made it acceptable may have changed since.
-func (s *Server) refuseUnlessRan(query runQuery, refusal http1.Reply, respond func(http1.Reply)) {
+// refuseUnlessEnded refuses a run, unless it was accepted earlier and has ended. Only an unknown run
+// is refused: conditions may have changed since a known one was accepted.
+func (s *Server) refuseUnlessEnded(query runQuery, refusal http1.Reply, respond func(http1.Reply)) {
 	s.client.Get(store.PriorityUser, pipelines.EndedRunPrefix+query.id, nil, func(item *store.Item, err error) {
 		switch {
 		case err != nil:
@@ -148,8 +149,8 @@
 	})
 }
 
-// acceptRun commits a run with the jobs of its first steps, on condition that none of their
-// records exists.
+// acceptRun commits a run together with the jobs of its first steps, on condition that none of these
+// records exist.
 func (s *Server) acceptRun(query runQuery, change *pipelines.Change, respond func(http1.Reply)) {
 	decision := s.runDecision(change, nil)
 	txn := store.Txn{Writes: decision.Writes}
@@ -170,21 +171,22 @@
 		case errors.Is(err, store.ErrConflict) && len(failed) > 0 && failed[0] != members.ViewKey:
 			s.showRun(query, respond)
 		default:
-			// Unknown counts as not accepted; a repeated submission finds out.
+			// The outcome may be unknown and is reported as not accepted; a repeated submission finds out.
 			respond(http1.Unavailable("try again"))
 		}
 	})
 }
 
-// cancelRun cancels a run, in at most that many attempts: a change by the run's owner
-// meanwhile fails or makes this fail, and then it is tried again from the newer record.
+// cancelRun cancels a run in at most the given number of attempts. A concurrent change by the run's
+// owner conflicts with the cancellation; if the owner's change wins, the cancellation is retried on
+// the newer record.
 func (s *Server) cancelRun(id string, attempts int, respond func(http1.Reply)) {
 	if !s.view.MayDecide() {
 		respond(http1.Unavailable("not able to cancel"))
 		return
 	}
 	change := s.runs.CancelRun(id, s.state.Now, s.state.NowMs(), runResources{s})
-	if change == nil { // over, being cancelled, or unknown
+	if change == nil { // ended, already being cancelled, or unknown
 		s.showRun(runQuery{id: id}, respond)
 		return
 	}
@@ -192,7 +194,7 @@
 		switch {
 		case committed:
 			for _, jobID := range change.Cancel {
-				s.cancellations.Acknowledge(jobID) // with the run
+				s.cancellations.Acknowledge(jobID) // cancelled together with the run
 			}
 			s.showRun(runQuery{id: id}, respond)
 		case attempts > 1 && !s.commits.Busy(pipelines.RunPrefix+id):
--- a/internal/api/run_resources.go
+++ b/internal/api/run_resources.go
@@ -8,10 +8,10 @@
 	"github.com/harrierreel/harrierreel/internal/pipelines"
 )
 
-// runResources is the cluster as the keeper of runs sees it.
+// runResources gives the keeper of runs access to jobs and capacity, from the server's state.
 type runResources struct{ server *Server }
 
-// Job is what is known of a live job.
+// Job returns the state of a live job, and whether the job is known.
 func (r runResources) Job(jobID string) (pipelines.JobView, bool) {
 	state := r.server.state
 	job := state.Jobs[jobID]
@@ -26,7 +26,7 @@
 	}, true
 }
 
-// Why says what a live job waits for, and why its deadline cannot be met.
+// Why returns what a live job waits for and why its deadline cannot be met, as far as either applies.
 func (r runResources) Why(jobID string) string {
 	job := r.server.state.Jobs[jobID]
 	if job == nil || job.Record == nil {
@@ -39,13 +39,13 @@
 	return reason + late
 }
 
-// Final is a job's final state, if it is in memory.
+// Final returns a job's final state, if it is in memory.
 func (r runResources) Final(jobID string) (jobs.JobState, bool) {
 	final, ok := r.server.finals.Get(jobID)
 	return final.State, ok
 }
 
-// Infeasible says why a job can never run; empty if it can.
+// Infeasible returns the reason why a job can never run, or "" if it can.
 func (r runResources) Infeasible(spec *jobs.Spec) string {
 	state := r.server.state
 	if reason := jobs.CanEverRun(spec, state.Account.Tree(), state.MachineTypes); reason != "" {
@@ -57,7 +57,7 @@
 	return ""
 }
 
-// waitReason says what a live job's tasks wait for; empty if none waits.
+// waitReason returns what a live job's tasks wait for, or "" if none waits.
 func (s *Server) waitReason(job *clusterstate.Job) string {
 	if s.state.Trust(job, "") == jobs.Probing {
 		return "its tasks failed on several machines; one is tried at a time"
--- a/internal/api/runs.go
+++ b/internal/api/runs.go
@@ -11,7 +11,7 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// newRuns makes the keeper of pipeline runs, nil unless the operators turned pipelines on.
+// newRuns creates the keeper of pipeline runs if the operators have enabled pipelines.
 func (s *Server) newRuns() {
 	options := s.settings.Operator.Pipelines
 	if options == nil {
@@ -25,8 +25,8 @@
 	})
 }
 
-// UpdateRunBudget gives the runs their share of this controller's changes. It is called with each
-// new view.
+// UpdateRunBudget sets the rate at which runs may write to the state service: their share of this
+// controller's part of the cluster's write budget. It is called for each new view.
 func (s *Server) UpdateRunBudget() {
 	if s.runs == nil {
 		return
@@ -37,28 +37,28 @@
 		size = len(s.view.Members())
 	}
 	share := s.settings.Operator.Pipelines.ChangesShare
-	changes := s.settings.Cluster.State.WriteRPS * tuning.StateBudget * share // a second, of the whole cluster
+	changes := s.settings.Cluster.State.WriteRPS * tuning.StateBudget * share // writes per second of the whole cluster
 	s.runs.SetRate(s.state.Now, changes/float64(max(size, 1)))
 }
 
-// RunJobChanged tells the runs that something became known of a job.
+// RunJobChanged notifies the keeper of runs that the known state of a job has changed.
 func (s *Server) RunJobChanged(jobID string) {
 	if s.runs != nil {
 		s.runs.JobChanged(jobID)
 	}
 }
 
-// ReconcileRuns advances the runs that this controller owns. The loop calls it last: decisions
-// that a rule of the protocol depends on have had their share of the changes by then.
+// ReconcileRuns advances the runs that this controller owns. The event loop calls it last, after
+// the decisions that rules of the protocol depend on have used the write budget they need.
 func (s *Server) ReconcileRuns() {
 	if s.runs == nil || s.view.OutsideView() || s.client.Unavailable() || s.commits.Fencing() {
 		return
 	}
-	names := s.view.Members()
-	owned := func(id string) bool { return sharding.Owner(id, names) == s.settings.NodeName }
+	members := s.view.Members()
+	owned := func(id string) bool { return sharding.Owner(id, members) == s.settings.NodeName }
 	busy := func(id string) bool { return s.commits.Busy(pipelines.RunPrefix + id) }
-	room := func(ops int) bool { return s.client.Allows(0, ops) }
-	changes, unknown := s.runs.Reconcile(s.state.Now, s.state.NowMs(), owned, busy, room, runResources{s})
+	hasBudget := func(ops int) bool { return s.client.Allows(0, ops) }
+	changes, unknown := s.runs.Reconcile(s.state.Now, s.state.NowMs(), owned, busy, hasBudget, runResources{s})
 	for _, jobID := range unknown {
 		s.findRunJob(jobID)
 	}
@@ -69,7 +69,7 @@
 	s.commits.Commit(decisions)
 }
 
-// findRunJob reads a run's job of which this controller knows nothing.
+// findRunJob reads the state of a run's job that is not in this controller's memory.
 func (s *Server) findRunJob(jobID string) {
 	s.readJob(jobID, func(_ jobs.Final, err error) {
 		if errors.Is(err, errNoJob) {
@@ -81,8 +81,9 @@
 	})
 }
 
-// runDecision is a run's change as a decision: the run's record, the acceptances of its jobs
-// and their ends are one transaction. done, if set, is called as the decision's OnSettled.
+// runDecision returns the decision that commits a run's change: one transaction writes the run's
+// record, accepts its new jobs and ends the ones to cancel. done, if set, is called when the decision
+// is settled.
 func (s *Server) runDecision(change *pipelines.Change, done func(committed bool)) decide.Decision {
 	decision := decide.Decision{Urgent: change.Urgent, OnSettled: func(committed bool) {
 		s.runs.Touch(change.ID)
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -1,6 +1,6 @@
-// Package api serves the requests of users and operators, and passes the heartbeats of agents
-// on to the shard. It turns requests into answers, reads of the state service and
-// transactions; it has no IO and no clock: the event loop that calls it sets the time.
+// Package api handles the HTTP requests of users and operators, and forwards the heartbeats of
+// agents. It turns each request into a response, reads of the state service and transactions. It
+// does no IO and reads no clock: the event loop that calls it sets the time.
 package api
 
 import (
@@ -19,18 +19,18 @@
 	"github.com/harrierreel/harrierreel/internal/store"
 )
 
-// Config is what a Server needs that does not depend on the other packages' state.
+// Config holds the settings, clients and shared state that a Server is created with.
 type Config struct {
 	Settings *settings.Settings
 	Client   *store.Client
 	Mirror   *store.Mirror
-	// Acks is what users were told of jobs, here and by the other controllers.
+	// Acks holds the job states that this and the other controllers have reported to users.
 	Acks   *readconsistency.AckLog
 	Log    *slog.Logger
 	Random *rand.Rand
 }
 
-// Collaborators is what a Server asks of the rest of the controller. All are required.
+// Collaborators are the parts of the controller that a Server calls. All are required.
 type Collaborators struct {
 	View          View
 	Health        Health
@@ -41,59 +41,59 @@
 	Cancellations Cancellations
 }
 
-// View is the cluster's membership as this controller knows it.
+// View is the current membership view of the cluster, as this controller knows it.
 type View interface {
 	// MayDecide reports whether this controller may take decisions for users.
 	MayDecide() bool
-	// OutsideView reports whether this controller is no member of the view.
+	// OutsideView reports whether this controller is not a member of the view.
 	OutsideView() bool
-	// Members is the names of the view's members.
+	// Members returns the names of the view's members.
 	Members() []string
-	// HearsAllMembers reports whether the gossip of all other members arrives.
+	// HearsAllMembers reports whether gossip is arriving from every other member.
 	HearsAllMembers() bool
 }
 
-// Health tells the load balancer whether users should come here.
+// Health is the controller's health, as the load balancer's health check sees it.
 type Health interface {
 	Healthy() bool
 }
 
-// Watch follows the state service's changes into the mirror.
+// Watch applies the state service's changes to the mirror.
 type Watch interface {
-	// MirrorLive reports whether the mirror follows the state service.
+	// MirrorLive reports whether the mirror is being kept up to date.
 	MirrorLive() bool
-	// WatchNow opens the watch without waiting for its next turn.
+	// WatchNow starts the next watch request at once instead of at its scheduled time.
 	WatchNow()
 }
 
 // CommitQueue commits decisions as transactions.
 type CommitQueue interface {
-	// Busy reports whether a transaction on the record of a key is under way.
+	// Busy reports whether a transaction on the key's record is in flight.
 	Busy(key string) bool
-	// Fencing reports whether decisions have to wait for a fence.
+	// Fencing reports whether decisions have to wait until a fence is committed.
 	Fencing() bool
 	Commit(decisions []decide.Decision)
 }
 
-// LoopWaker has the event loop look for decisions to take.
+// LoopWaker makes the event loop look for decisions to take.
 type LoopWaker interface {
 	Wake()
 }
 
-// Agents takes the agents' heartbeats. respond is called exactly once.
+// Agents handles the agents' heartbeats. It calls respond exactly once.
 type Agents interface {
 	Heartbeat(body []byte, respond func(http1.Reply))
 }
 
-// Cancellations is the acknowledged cancellations of the whole cluster.
+// Cancellations tracks the cancellations that any controller has reported to a user.
 type Cancellations interface {
-	// Acknowledge notes that a user is about to be told that a job is cancelled.
+	// Acknowledge records that a user is about to be told that a job is cancelled.
 	Acknowledge(jobID string)
-	// Cancelled reports whether another controller has told a user so.
+	// Cancelled reports whether another controller has told a user that the job is cancelled.
 	Cancelled(jobID string) bool
 }
 
-// Server answers the requests that arrive at one controller. Only the event loop may call it.
+// Server handles the requests that arrive at one controller. Only the event loop may call it.
 type Server struct {
 	state    *clusterstate.State
 	settings *settings.Settings
@@ -112,16 +112,16 @@
 	cancellations Cancellations
 
 	finals      *jobs.FinalCache
-	sharedReads map[string]*sharedRead // by job
+	sharedReads map[string]*sharedRead // by job ID
 	queries     pendingQueries
-	reads       readBatcher
+	reads       readQueue
 	held        []heldAnswer
 	agedEpoch   agedEpoch
-	runs        *pipelines.Keeper // nil unless pipelines are turned on
+	runs        *pipelines.Keeper // nil unless pipelines are enabled
 	quotas      quotas
 }
 
-// New makes a server over the cluster's state.
+// New returns a Server that reads from and decides on the given cluster state.
 func New(state *clusterstate.State, config Config, collaborators Collaborators) *Server {
 	s := &Server{
 		state:    state,
@@ -149,8 +149,8 @@
 	return s
 }
 
-// Prefixes is the live keys that the server needs besides those of every controller. Runs come
-// last: a run that names a job must not be applied before the job.
+// Prefixes returns the key prefixes that the server needs mirrored in addition to those that every
+// controller mirrors. Runs come last: a run that refers to a job must not be applied before the job.
 func (s *Server) Prefixes() []string {
 	var prefixes []string
 	if s.quotas.on {
@@ -162,8 +162,8 @@
 	return prefixes
 }
 
-// Preconditions is the keys that every decision is conditional on because of the server:
-// a controller that decides by an older quota tree commits nothing.
+// Preconditions returns the keys that the server makes every decision conditional on, so that a
+// controller with an outdated quota tree cannot commit anything.
 func (s *Server) Preconditions() []string {
 	if s.quotas.on {
 		return []string{quota.StoreKey}
@@ -171,7 +171,7 @@
 	return nil
 }
 
-// ApplyFinal applies a job's final state as the mirror shows it.
+// ApplyFinal applies a job's final record from the mirror.
 func (s *Server) ApplyFinal(jobID string, value json.RawMessage) {
 	var final jobs.Final
 	if json.Unmarshal(value, &final) == nil {
@@ -179,7 +179,7 @@
 	}
 }
 
-// ApplyRun applies a run's record as the mirror shows it.
+// ApplyRun applies a run's record from the mirror.
 func (s *Server) ApplyRun(id string, value json.RawMessage) {
 	if s.runs == nil {
 		return
@@ -189,5 +189,5 @@
 	}
 }
 
-// valueBytes is the largest size of a record in bytes.
+// valueBytes returns the state service's limit on the size of a value, in bytes.
 func (s *Server) valueBytes() int { return int(s.settings.Cluster.State.ValueKB * 1024) }
--- a/internal/api/status.go
+++ b/internal/api/status.go
@@ -5,7 +5,7 @@
 	"github.com/harrierreel/harrierreel/internal/jobs"
 )
 
-// status is the body of an answer about a job.
+// status is the body of a response about a job.
 type status struct {
 	JobID   string `json:"uid"`
 	Status  string `json:"status"`
@@ -14,15 +14,15 @@
 	Late    string `json:"late,omitempty"` // why its deadline cannot be met
 }
 
-// statusOf is the body of the answer about a job. Counts of tasks are for display: those of a
-// live job come from memory and may be behind.
-func (s *Server) statusOf(jobID string, final jobs.Final, counts bool) []byte {
+// statusOf returns the body of a response about a job. withCounts adds the counts of tasks, which
+// are for display only: those of a live job come from memory and may be out of date.
+func (s *Server) statusOf(jobID string, final jobs.Final, withCounts bool) []byte {
 	answer := status{JobID: jobID, Status: string(final.State)}
 	done, running := final.DoneCount, 0
 	if final.State == jobs.Live {
 		if job := s.state.Jobs[jobID]; job != nil {
 			done, running = job.DoneCount, job.PlacedCount
-			if counts {
+			if withCounts {
 				answer.Late = s.missedDeadline(job)
 			}
 		}
@@ -31,20 +31,20 @@
 			answer.Status = "running"
 		}
 	}
-	if counts {
+	if withCounts {
 		answer.Done, answer.Running = &done, &running
 	}
 	return jobs.Encode(answer)
 }
 
-// missedDeadline says why a job's deadline cannot be met any more; empty if it can, or if the
-// job has none.
+// missedDeadline returns the reason why a job's deadline can no longer be met. It returns "" if it
+// still can, or if the job has no deadline.
 func (s *Server) missedDeadline(job *clusterstate.Job) string {
 	if job.Record == nil || job.Record.Spec.DeadlineS == nil {
 		return ""
 	}
 	progress := jobs.Progress{Retrying: len(job.Retrying), Done: job.DoneCount}
-	if !job.TasksUnreadable { // otherwise tasks that no known record names may have begun
+	if !job.TasksUnreadable { // otherwise tasks without a readable record may have started
 		progress.NeverRun = job.Record.Spec.TaskCount - len(job.Tasks)
 	}
 	return job.Record.DeadlineMissed(progress, s.state.Now)
--- a/internal/api/submissions.go
+++ b/internal/api/submissions.go
@@ -13,8 +13,8 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// submission is a job that a user hands in. It is an idempotent request: the same job handed
-// in again is answered with its state.
+// submission is a user's request to accept a job. Submissions are idempotent: the response to a
+// repeated submission of a job is the job's state.
 type submission struct {
 	spec    *jobs.Spec
 	respond func(http1.Reply)
@@ -35,8 +35,8 @@
 		respond(http1.Unavailable("not able to accept"))
 		return
 	}
-	// A job that is known already is answered by a read, as a query about it is; only an
-	// unknown one is judged, since what made it acceptable may have changed since.
+	// For a known job the response comes from a read, like that to a query. Only an unknown job is
+	// validated: conditions may have changed since a known one was accepted.
 	if s.state.Jobs[spec.ID] != nil {
 		s.requestRead(pendingRead{jobID: spec.ID, respond: respond, arrivedAt: s.state.Now})
 		return
@@ -52,7 +52,8 @@
 	s.accept(submission{spec, respond}, tuning.AcceptAttempts)
 }
 
-// refuseUnlessKnown refuses a job that can never run, unless it was accepted while it could.
+// refuseUnlessKnown refuses a job that can never run, unless the job was accepted earlier, when it
+// still could run.
 func (s *Server) refuseUnlessKnown(sub submission, reason string) {
 	s.readCurrent(sub.spec.ID, func(final jobs.Final, err error) {
 		switch {
@@ -66,7 +67,7 @@
 	})
 }
 
-// accept commits a job's record, in at most that many attempts.
+// accept commits a job's record. It makes at most the given number of attempts.
 func (s *Server) accept(sub submission, attempts int) {
 	write, finalKey := s.acceptanceWrite(sub.spec)
 	if s.exceedsValueLimit(write) {
@@ -90,19 +91,19 @@
 		case errors.Is(err, store.ErrConflict):
 			s.resolveConflict(sub, attempts)
 		default:
-			// Unknown counts as not accepted; a repeated submission finds out.
+			// The outcome may be unknown and is reported as not accepted; a repeated submission finds out.
 			sub.respond(unavailable())
 		}
 	})
 }
 
-// resolveConflict handles a submission whose transaction failed on a precondition: the job is
-// known, or the view has changed. In the latter case it is tried again once the mirror shows
-// the new view: a controller that comes or goes is no reason to refuse users.
+// resolveConflict handles a submission whose transaction failed on a precondition: either the job
+// exists already, or the view has changed. In the latter case it retries once the mirror shows the
+// new view, since a controller that joins or leaves is no reason to refuse users.
 func (s *Server) resolveConflict(sub submission, attempts int) {
 	s.readJob(sub.spec.ID, func(final jobs.Final, err error) {
 		switch {
-		case err == nil && final.State == jobs.Live: // by a read that may have been slow
+		case err == nil && final.State == jobs.Live: // but the read may have been slow, so read again
 			s.requestRead(pendingRead{jobID: sub.spec.ID, respond: sub.respond, arrivedAt: s.state.Now})
 		case err == nil:
 			s.answer(sub.spec.ID, http.StatusOK, final, false, sub.respond)
@@ -120,9 +121,9 @@
 	})
 }
 
-// answerAccepted answers a submission whose job was accepted by a transaction sent at sentAt.
-// Where the transaction's answer came late, and acknowledgements of the other controllers may
-// have been lost on their way, the job may be over: that is read, if it can be.
+// answerAccepted responds to a submission whose job was accepted by a transaction sent at sentAt.
+// If the transaction's response came late, and acknowledgements from other controllers may have been
+// lost, the job may already have ended, so its state is read again if possible.
 func (s *Server) answerAccepted(sub submission, sentAt time.Time) {
 	live := jobs.Final{State: jobs.Live}
 	if s.state.Now.Sub(sentAt) <= tuning.ReadFresh || s.view.HearsAllMembers() {
@@ -137,15 +138,16 @@
 	})
 }
 
-// acceptanceWrite is the record of a job as accepted, a user's or one of a step of a run. It is
-// conditional on the record's own key being absent, and on the key that it returns.
+// acceptanceWrite returns the write that accepts a job, whether a user submitted it or it belongs to
+// a step of a run. The transaction must be conditional on both the written key and the key absent
+// not existing.
 func (s *Server) acceptanceWrite(spec *jobs.Spec) (write store.Write, absent string) {
 	record := jobs.Record{State: jobs.Live, AcceptedMs: s.state.NowMs(), Spec: *spec}
 	return decide.Put(jobs.JobPrefix+spec.ID, record), jobs.FinalPrefix + spec.ID
 }
 
-// exceedsValueLimit reports whether a job's record does not fit into a value with what its end
-// adds to it: it could never end.
+// exceedsValueLimit reports whether a job's record, with the fields that are added when the job
+// ends, exceeds the size limit of a value. Such a job could never end.
 func (s *Server) exceedsValueLimit(write store.Write) bool {
 	return len(write.Value)+jobs.CompletionBytes > s.valueBytes()
 }
