--- a/internal/api/answers.go
+++ b/internal/api/answers.go
@@ -52,10 +52,10 @@
 	return limit
 }
 
-// newestState returns the newest known state of a job for which a read found the given state.
-func (s *Server) newestState(jobID string, final jobs.Final) jobs.Final {
-	if final.State != jobs.Live {
-		return final
+// newestState returns the newest known state of a job, given the state that a read found.
+func (s *Server) newestState(jobID string, found jobs.Final) jobs.Final {
+	if found.State != jobs.Live {
+		return found
 	}
 	if ended, ok := s.finals.Get(jobID); ok {
 		return ended
@@ -64,32 +64,32 @@
 		return acknowledged
 	}
 	if s.cancellations.Cancelled(jobID) { // another controller reported it after this read, or the mirror lags
-		final.State = jobs.Cancelled
+		found.State = jobs.Cancelled
 	}
-	return final
+	return found
 }
 
 // answer responds to a user with the state that was found for a job, or with a newer one if it is
 // known. A final state that no user has been told yet is sent only after the other controllers have
 // had time to receive it. withCounts adds the counts of tasks to the response.
-func (s *Server) answer(jobID string, status int, final jobs.Final, withCounts bool, respond func(http1.Reply)) {
-	final = s.newestState(jobID, final)
-	if final.State != jobs.Live || status == http.StatusCreated {
-		if wait := s.acknowledge(jobID, final); wait > 0 {
-			s.holdAnswer(wait, func() { s.answer(jobID, status, final, withCounts, respond) })
+func (s *Server) answer(jobID string, status int, found jobs.Final, withCounts bool, respond func(http1.Reply)) {
+	found = s.newestState(jobID, found)
+	if found.State != jobs.Live || status == http.StatusCreated {
+		if wait := s.acknowledge(jobID, found); wait > 0 {
+			s.holdAnswer(wait, func() { s.answer(jobID, status, found, withCounts, respond) })
 			return
 		}
 	}
-	respond(http1.Reply{Status: status, Body: s.statusOf(jobID, final, withCounts)})
+	respond(http1.Reply{Status: status, Body: s.statusOf(jobID, found, withCounts)})
 }
 
 // acknowledge records the state that a user is about to be told, and returns how long the response
 // has to be held.
-func (s *Server) acknowledge(jobID string, final jobs.Final) time.Duration {
-	if final.State == jobs.Cancelled {
+func (s *Server) acknowledge(jobID string, found jobs.Final) time.Duration {
+	if found.State == jobs.Cancelled {
 		s.cancellations.Acknowledge(jobID) // before the response is sent, whoever cancelled the job
 	}
-	return s.acks.Acknowledge(jobID, final, s.state.Now)
+	return s.acks.Acknowledge(jobID, found, s.state.Now)
 }
 
 // acknowledgeAccepted returns how long users must not yet be told that a job is live, because its
--- a/internal/api/cancellations.go
+++ b/internal/api/cancellations.go
@@ -14,31 +14,31 @@
 
 // cancel handles a user's cancellation of a job.
 func (s *Server) cancel(jobID string, respond func(http1.Reply)) {
-	if final, ok := s.finals.Get(jobID); ok {
-		s.answer(jobID, http.StatusOK, final, false, respond)
+	if found, ok := s.finals.Get(jobID); ok {
+		s.answer(jobID, http.StatusOK, found, false, respond)
 		return
 	}
 	if !s.view.MayDecide() {
 		respond(http1.Unavailable("not able to cancel"))
 		return
 	}
-	s.findJob(jobID, func(final jobs.Final, err error) {
+	s.findJob(jobID, func(found jobs.Final, err error) {
 		switch {
 		case errors.Is(err, errNoJob):
 			respond(errorReply(http.StatusNotFound, "no such job"))
 		case err != nil:
 			respond(unavailable())
 		default:
-			s.cancelFound(jobID, final, respond)
+			s.cancelFound(jobID, found, respond)
 		}
 	})
 }
 
 // cancelFound cancels a job that was found in the given state, if that state allows it.
-func (s *Server) cancelFound(jobID string, final jobs.Final, respond func(http1.Reply)) {
-	next, ok := jobs.NextJob(final.State, jobs.UserCancels)
+func (s *Server) cancelFound(jobID string, found jobs.Final, respond func(http1.Reply)) {
+	next, ok := jobs.NextJob(found.State, jobs.UserCancels)
 	if !ok {
-		s.answer(jobID, http.StatusOK, final, false, respond)
+		s.answer(jobID, http.StatusOK, found, false, respond)
 		return
 	}
 	job := s.state.Jobs[jobID]
@@ -55,8 +55,9 @@
 	})
 }
 
-// CloseJob commits a job's final state, on which its tasks are stopped and which users can read from
-// then on. It calls done once, with true if the transaction is known to be committed.
+// CloseJob commits a job's final state, which decides what happens to the job's remaining tasks and
+// is kept forever for users to read. It calls done once, with true if the transaction is known to be
+// committed.
 func (s *Server) CloseJob(job *clusterstate.Job, state jobs.JobState, priority store.Priority, done func(bool)) {
 	key, finalKey := jobs.JobPrefix+job.ID, jobs.FinalPrefix+job.ID
 	txn := store.Txn{
--- a/internal/api/fixture_test.go
+++ b/internal/api/fixture_test.go
@@ -143,7 +143,8 @@
 	}
 }
 
-// request makes a request one second later and returns the immediate response, or zero if there is none.
+// request makes a request one second later and returns the response, or a zero reply if there is no
+// immediate response.
 func (s *testServer) request(method, target, body string) http1.Reply {
 	var reply http1.Reply
 	s.advance(time.Second)
--- a/internal/api/job_reads.go
+++ b/internal/api/job_reads.go
@@ -22,8 +22,8 @@
 // readJob reads a job's state from the state service; only final states are taken from memory. It
 // calls done with errNoJob for an unknown job, and with errors of the state service unchanged.
 func (s *Server) readJob(jobID string, done func(jobs.Final, error)) {
-	if final, ok := s.finals.Get(jobID); ok {
-		done(final, nil)
+	if found, ok := s.finals.Get(jobID); ok {
+		done(found, nil)
 		return
 	}
 	if s.client.Unavailable() {
@@ -41,10 +41,10 @@
 			delete(s.sharedReads, jobID)
 		}
 	}
-	s.readRecords(jobID, stopSharing, func(final jobs.Final, err error) {
+	s.readRecords(jobID, stopSharing, func(found jobs.Final, err error) {
 		stopSharing()
 		for _, done := range shared.waiting {
-			done(final, err)
+			done(found, err)
 		}
 	})
 }
@@ -61,9 +61,9 @@
 		if item != nil {
 			s.mirror.Put(item.Key, item.Value, item.Revision)
 			if record, err := jobs.DecodeRecord(jobID, item.Value); err == nil {
-				final := jobs.Final{State: record.State, DoneCount: record.DoneCount}
-				s.finals.Put(jobID, final)
-				done(final, nil)
+				found := jobs.Final{State: record.State, DoneCount: record.DoneCount}
+				s.finals.Put(jobID, found)
+				done(found, nil)
 				return
 			}
 		}
@@ -106,18 +106,18 @@
 	var read func()
 	read = func() {
 		sentAt := s.state.Now
-		s.readJob(jobID, func(final jobs.Final, err error) {
+		s.readJob(jobID, func(found jobs.Final, err error) {
 			unknown := errors.Is(err, errNoJob)
-			if err == nil && final.State != jobs.Live || err != nil && !unknown {
-				done(final, err)
+			if err == nil && found.State != jobs.Live || err != nil && !unknown {
+				done(found, err)
 				return
 			}
-			acknowledged, found := s.acks.Latest(jobID)
+			acknowledged, isAcknowledged := s.acks.Latest(jobID)
 			switch {
-			case found && acknowledged.State != jobs.Live:
+			case isAcknowledged && acknowledged.State != jobs.Live:
 				done(acknowledged, nil)
-			case s.state.Now.Sub(sentAt) <= tuning.ReadFresh && (!unknown || !found):
-				done(final, err)
+			case s.state.Now.Sub(sentAt) <= tuning.ReadFresh && (!unknown || !isAcknowledged):
+				done(found, err)
 			case s.state.Now.Sub(startedAt) <= tuning.ReadDeadline && s.client.AllowsRead(tuning.ReadsKept):
 				read()
 			default:
--- a/internal/api/queries.go
+++ b/internal/api/queries.go
@@ -46,8 +46,8 @@
 
 // query handles a user's query about a job's state.
 func (s *Server) query(jobID string, respond func(http1.Reply)) {
-	if final, ok := s.finals.Get(jobID); ok {
-		s.answer(jobID, http.StatusOK, final, true, respond)
+	if found, ok := s.finals.Get(jobID); ok {
+		s.answer(jobID, http.StatusOK, found, true, respond)
 		return
 	}
 	query := pendingQuery{respond: respond, arrivedAt: s.state.Now, jobID: jobID}
@@ -113,12 +113,12 @@
 		s.requestRead(pendingRead{jobID: query.jobID, respond: query.respond, arrivedAt: s.state.Now})
 		return
 	}
-	final := jobs.Final{State: job.Record.State, DoneCount: job.Record.DoneCount}
-	if final.State == jobs.Live && s.acknowledgeAccepted(query.jobID) > 0 {
+	found := jobs.Final{State: job.Record.State, DoneCount: job.Record.DoneCount}
+	if found.State == jobs.Live && s.acknowledgeAccepted(query.jobID) > 0 {
 		query.answer = func() { s.answerQuery(query) }
 		s.addQuery(query) // wait for the next epoch read
 		return
 	}
 	s.reads.shedding.reset(query.jobID)
-	s.answer(query.jobID, http.StatusOK, final, true, query.respond)
+	s.answer(query.jobID, http.StatusOK, found, true, query.respond)
 }
--- a/internal/api/quota_requests.go
+++ b/internal/api/quota_requests.go
@@ -18,7 +18,7 @@
 // handleQuotaRequest handles a request to show or replace the quota tree.
 func (s *Server) handleQuotaRequest(m *http1.Message, respond func(http1.Reply)) {
 	switch {
-	case !s.quotas.on:
+	case !s.quotas.enabled:
 		respond(errorReply(http.StatusNotFound, "no such path"))
 	case m.Method == http.MethodGet:
 		s.afterEpoch(respond, func() {
@@ -71,7 +71,7 @@
 		return
 	}
 	write := decide.Put(quota.StoreKey, quota.NewStored(stored.Number+1, s.state.NowMs(), request.Quotas))
-	if len(write.Value) > s.valueBytes() {
+	if len(write.Value) > s.maxValueBytes() {
 		respond(errorReply(
 			http.StatusRequestEntityTooLarge,
 			"the tree does not fit into one value of the state service",
--- a/internal/api/quotas.go
+++ b/internal/api/quotas.go
@@ -15,9 +15,9 @@
 // quotas holds a controller's state of the quota tree.
 type quotas struct {
 	teams map[string]quota.Team // from the platform's settings, by name
-	// on tells that the operators have enabled quotas; decisions are then conditional on the
+	// enabled tells that the operators have enabled quotas; decisions are then conditional on the
 	// revision of the quota tree.
-	on            bool
+	enabled       bool
 	stored        *quota.Stored // the tree in force; nil until a tree that fits the teams has been read
 	lastCheckedAt time.Time     // when tasks over a limit were last looked for
 }
@@ -49,7 +49,7 @@
 // stops tasks that are over a limit, once the grace period after the last change has passed. Only the
 // leader may call it.
 func (s *Server) ReconcileQuota() {
-	if !s.quotas.on {
+	if !s.quotas.enabled {
 		return
 	}
 	if s.mirror.Revision(quota.StoreKey) == 0 {
@@ -105,9 +105,10 @@
 	return decisions
 }
 
-// QuotaSettled reports whether decisions can be made: quotas are disabled, or a tree has been stored.
+// QuotaSettled reports whether the quota tree that the next decisions depend on is known. It always
+// is if quotas are disabled.
 func (s *Server) QuotaSettled() bool {
-	return !s.quotas.on || s.mirror.Revision(quota.StoreKey) != 0
+	return !s.quotas.enabled || s.mirror.Revision(quota.StoreKey) != 0
 }
 
 // quotaNumber returns the version number of the tree in force, or 0 if there is none.
--- a/internal/api/read_batcher.go
+++ b/internal/api/read_batcher.go
@@ -91,13 +91,13 @@
 			return
 		default:
 			q.take(i)
-			s.readCurrent(read.jobID, func(final jobs.Final, err error) { s.answerRead(read, final, err) })
+			s.readCurrent(read.jobID, func(found jobs.Final, err error) { s.answerRead(read, found, err) })
 		}
 	}
 }
 
 // answerRead responds to a request with the result of its read.
-func (s *Server) answerRead(read pendingRead, final jobs.Final, err error) {
+func (s *Server) answerRead(read pendingRead, found jobs.Final, err error) {
 	switch {
 	case errors.Is(err, errNoJob):
 		s.reads.shedding.reset(read.jobID)
@@ -107,12 +107,12 @@
 		read.respond(unavailable())
 		return
 	}
-	if final.State == jobs.Live {
+	if found.State == jobs.Live {
 		if wait := s.acknowledgeAccepted(read.jobID); wait > 0 {
 			s.holdAnswer(wait, func() { s.requestRead(read) })
 			return
 		}
 	}
 	s.reads.shedding.reset(read.jobID)
-	s.answer(read.jobID, http.StatusOK, final, true, read.respond)
+	s.answer(read.jobID, http.StatusOK, found, true, read.respond)
 }
--- a/internal/api/routing.go
+++ b/internal/api/routing.go
@@ -29,7 +29,7 @@
 		}
 	case path == healthPath:
 		if requireMethod(m, http.MethodGet, respond) {
-			s.answerHealth(respond)
+			s.handleHealthCheck(respond)
 		}
 	case path == jobsPath:
 		if requireMethod(m, http.MethodPost, respond) {
@@ -92,8 +92,8 @@
 // unavailable returns the response to a request that needs the state service while calls to it fail.
 func unavailable() http1.Reply { return http1.Unavailable("state unavailable") }
 
-// answerHealth responds to the load balancer's health check.
-func (s *Server) answerHealth(respond func(http1.Reply)) {
+// handleHealthCheck responds to the load balancer's health check.
+func (s *Server) handleHealthCheck(respond func(http1.Reply)) {
 	if !s.health.Healthy() {
 		respond(http1.Unavailable("not ready"))
 		return
--- a/internal/api/run_requests.go
+++ b/internal/api/run_requests.go
@@ -27,15 +27,15 @@
 		}
 		return
 	}
-	id, verb, _ := strings.Cut(strings.TrimPrefix(path, pipelinesPath+"/"), "/")
+	id, action, _ := strings.Cut(strings.TrimPrefix(path, pipelinesPath+"/"), "/")
 	switch {
 	case !pipelines.ValidID(id):
 		respond(errorReply(http.StatusNotFound, "no such run"))
-	case verb == "" || verb == "explain":
+	case action == "" || action == "explain":
 		if requireMethod(m, http.MethodGet, respond) {
-			s.showRun(runQuery{id: id, explain: verb != ""}, respond)
+			s.showRun(runQuery{id: id, explain: action != ""}, respond)
 		}
-	case verb == "abort":
+	case action == "abort":
 		if requireMethod(m, http.MethodPost, respond) {
 			s.cancelRun(id, tuning.CancelAttempts, respond)
 		}
@@ -46,9 +46,9 @@
 
 // runQuery is a query about a run's state.
 type runQuery struct {
-	id      string
-	explain bool
-	sum     string // checksum that the run's document must have, empty for any
+	id       string
+	explain  bool
+	checksum string // checksum that the run's document must have, empty for any
 }
 
 // showRun responds with a run's state as of the arrival of the request or later. Like queries about
@@ -76,7 +76,7 @@
 // answerRun responds with the state of a run, or with a conflict if the run has another document.
 // record is nil if it can't be decoded.
 func (s *Server) answerRun(query runQuery, record *pipelines.Record, status int, respond func(http1.Reply)) {
-	if record != nil && query.sum != "" && record.Checksum != query.sum {
+	if record != nil && query.checksum != "" && record.Checksum != query.checksum {
 		respond(errorReply(http.StatusConflict, "another pipeline has this id"))
 		return
 	}
@@ -102,7 +102,7 @@
 		respond(http1.Unavailable("not able to accept"))
 		return
 	}
-	query := runQuery{id: request.ID, sum: pipelines.Checksum(request.Document)}
+	query := runQuery{id: request.ID, checksum: pipelines.Checksum(request.Document)}
 	if record, quarantined := s.runs.Known(request.ID); record != nil || quarantined {
 		s.showRun(query, respond)
 		return
--- a/internal/api/run_resources.go
+++ b/internal/api/run_resources.go
@@ -67,8 +67,8 @@
 	if waiting <= 0 {
 		return ""
 	}
-	if full := s.state.Account.LimitReached(s.state.QuotaLeaf(spec), spec.Amount()); full != "" {
-		return fmt.Sprintf("%d tasks wait: %s", waiting, full)
+	if limit := s.state.Account.LimitReached(s.state.QuotaLeaf(spec), spec.Amount()); limit != "" {
+		return fmt.Sprintf("%d tasks wait: %s", waiting, limit)
 	}
 	return fmt.Sprintf("%d tasks wait for room on a machine", waiting)
 }
--- a/internal/api/runs.go
+++ b/internal/api/runs.go
@@ -20,7 +20,7 @@
 	s.runs = pipelines.NewKeeper(pipelines.Limits{
 		Runs:       options.MaxRuns,
 		Steps:      options.MaxSteps,
-		ValueBytes: s.valueBytes(),
+		ValueBytes: s.maxValueBytes(),
 		TxnOps:     s.settings.Cluster.State.TxnOps,
 	})
 }
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -70,7 +70,7 @@
 type CommitQueue interface {
 	// Busy reports whether a transaction on the key's record is in flight.
 	Busy(key string) bool
-	// Fencing reports whether decisions have to wait until a fence is committed.
+	// Fencing reports whether decisions have to wait until the fence is raised.
 	Fencing() bool
 	Commit(decisions []decide.Decision)
 }
@@ -144,7 +144,7 @@
 		sharedReads: map[string]*sharedRead{},
 	}
 	s.quotas.teams = config.Settings.TeamMap()
-	s.quotas.on = config.Settings.Operator.Quotas != nil
+	s.quotas.enabled = config.Settings.Operator.Quotas != nil
 	s.newRuns()
 	return s
 }
@@ -153,7 +153,7 @@
 // controller mirrors. Runs come last: a run that refers to a job must not be applied before the job.
 func (s *Server) Prefixes() []string {
 	var prefixes []string
-	if s.quotas.on {
+	if s.quotas.enabled {
 		prefixes = append(prefixes, quota.StoreKey)
 	}
 	if s.runs != nil {
@@ -165,7 +165,7 @@
 // Preconditions returns the keys that the server makes every decision conditional on, so that a
 // controller with an outdated quota tree cannot commit anything.
 func (s *Server) Preconditions() []string {
-	if s.quotas.on {
+	if s.quotas.enabled {
 		return []string{quota.StoreKey}
 	}
 	return nil
@@ -189,5 +189,5 @@
 	}
 }
 
-// valueBytes returns the state service's limit on the size of a value, in bytes.
-func (s *Server) valueBytes() int { return int(s.settings.Cluster.State.ValueKB * 1024) }
+// maxValueBytes returns the state service's limit on the size of a value, in bytes.
+func (s *Server) maxValueBytes() int { return int(s.settings.Cluster.State.ValueKB * 1024) }
--- a/internal/api/status.go
+++ b/internal/api/status.go
@@ -16,25 +16,25 @@
 
 // statusOf returns the body of a response about a job. withCounts adds the counts of tasks, which
 // are for display only: those of a live job come from memory and may be out of date.
-func (s *Server) statusOf(jobID string, final jobs.Final, withCounts bool) []byte {
-	answer := status{JobID: jobID, Status: string(final.State)}
-	done, running := final.DoneCount, 0
-	if final.State == jobs.Live {
+func (s *Server) statusOf(jobID string, found jobs.Final, withCounts bool) []byte {
+	response := status{JobID: jobID, Status: string(found.State)}
+	done, running := found.DoneCount, 0
+	if found.State == jobs.Live {
 		if job := s.state.Jobs[jobID]; job != nil {
 			done, running = job.DoneCount, job.PlacedCount
 			if withCounts {
-				answer.Late = s.missedDeadline(job)
+				response.Late = s.missedDeadline(job)
 			}
 		}
-		answer.Status = "pending"
+		response.Status = "pending"
 		if running > 0 {
-			answer.Status = "running"
+			response.Status = "running"
 		}
 	}
 	if withCounts {
-		answer.Done, answer.Running = &done, &running
+		response.Done, response.Running = &done, &running
 	}
-	return jobs.Encode(answer)
+	return jobs.Encode(response)
 }
 
 // missedDeadline returns the reason why a job's deadline can no longer be met. It returns "" if it
--- a/internal/api/submissions.go
+++ b/internal/api/submissions.go
@@ -27,8 +27,8 @@
 		respond(errorReply(http.StatusBadRequest, err.Error()))
 		return
 	}
-	if final, ok := s.finals.Get(spec.ID); ok {
-		s.answer(spec.ID, http.StatusOK, final, false, respond)
+	if found, ok := s.finals.Get(spec.ID); ok {
+		s.answer(spec.ID, http.StatusOK, found, false, respond)
 		return
 	}
 	if !s.view.MayDecide() {
@@ -55,10 +55,10 @@
 // refuseUnlessKnown refuses a job that can never run, unless the job was accepted earlier, when it
 // still could run.
 func (s *Server) refuseUnlessKnown(sub submission, reason string) {
-	s.readCurrent(sub.spec.ID, func(final jobs.Final, err error) {
+	s.readCurrent(sub.spec.ID, func(found jobs.Final, err error) {
 		switch {
 		case err == nil:
-			s.answer(sub.spec.ID, http.StatusOK, final, false, sub.respond)
+			s.answer(sub.spec.ID, http.StatusOK, found, false, sub.respond)
 		case errors.Is(err, errNoJob):
 			sub.respond(errorReply(http.StatusUnprocessableEntity, reason))
 		default:
@@ -101,12 +101,12 @@
 // exists already, or the view has changed. In the latter case it retries once the mirror shows the
 // new view, since a controller that joins or leaves is no reason to refuse users.
 func (s *Server) resolveConflict(sub submission, attempts int) {
-	s.readJob(sub.spec.ID, func(final jobs.Final, err error) {
+	s.readJob(sub.spec.ID, func(found jobs.Final, err error) {
 		switch {
-		case err == nil && final.State == jobs.Live: // but the read may have been slow, so read again
+		case err == nil && found.State == jobs.Live: // but the read may have been slow, so read again
 			s.requestRead(pendingRead{jobID: sub.spec.ID, respond: sub.respond, arrivedAt: s.state.Now})
 		case err == nil:
-			s.answer(sub.spec.ID, http.StatusOK, final, false, sub.respond)
+			s.answer(sub.spec.ID, http.StatusOK, found, false, sub.respond)
 		case !errors.Is(err, errNoJob) || attempts <= 1:
 			sub.respond(http1.Unavailable("try again"))
 		default:
@@ -130,11 +130,11 @@
 		s.answer(sub.spec.ID, http.StatusCreated, live, false, sub.respond)
 		return
 	}
-	s.readCurrent(sub.spec.ID, func(final jobs.Final, err error) {
+	s.readCurrent(sub.spec.ID, func(found jobs.Final, err error) {
 		if err != nil {
-			final = live
+			found = live
 		}
-		s.answer(sub.spec.ID, http.StatusCreated, final, false, sub.respond)
+		s.answer(sub.spec.ID, http.StatusCreated, found, false, sub.respond)
 	})
 }
 
@@ -149,5 +149,5 @@
 // exceedsValueLimit reports whether a job's record, with the fields that are added when the job
 // ends, exceeds the size limit of a value. Such a job could never end.
 func (s *Server) exceedsValueLimit(write store.Write) bool {
-	return len(write.Value)+jobs.CompletionBytes > s.valueBytes()
+	return len(write.Value)+jobs.CompletionBytes > s.maxValueBytes()
 }
