--- a/internal/tuning/agents.go
+++ b/internal/tuning/agents.go
@@ -2,61 +2,68 @@
 
 import "time"
 
-// Agents: sessions, commands, unresponsive machines.
+// Agents: sessions, commands and unresponsive machines.
 const (
-	// AdoptAgain: pause between two attempts to reach a machine.
+	// AdoptAgain is the minimum pause between two direct calls to a machine whose agent has not
+	// answered this controller yet or whose heartbeat is late. For the former each failed call
+	// doubles it, up to eight times.
 	AdoptAgain = 1500 * time.Millisecond
-	// CommandGap: pause between two commands to a machine whose last one
-	// brought no change.
+	// CommandGap is the minimum pause between two direct calls to a machine while its commands
+	// include no launch: commands are repeated until a heartbeat shows that they took effect.
 	CommandGap = 700 * time.Millisecond
-	// CancelDelete: share of cancel_s after which, at the latest, a machine that still
-	// holds a cancelled task is deleted (settings.Cluster.CancelDelete).
+	// CancelDelete is the share of cancel_s after which, at the latest, a machine that still holds
+	// a cancelled task is deleted (settings.Cluster.CancelDelete).
 	CancelDelete = 0.55
-	// CancelSettle: after a leader begins, or the state service is back, owners have so
-	// long to write which cancelled tasks have ended before machines are deleted for those
-	// that the records still show. Reports are heard within half a second, and their
-	// changes made within two where the state service is slow.
+	// CancelSettle is how long writes must have been possible, after a leader takes over or the
+	// state service recovers, before machines are deleted for cancelled tasks that the records
+	// still show. Meanwhile the owners record which of those tasks have ended: they receive the
+	// heartbeats within half a second and write within two where the state service is slow.
 	CancelSettle = 3 * time.Second
-	// MaxSessions: machines that one controller keeps a session for.
+	// MaxSessions is the maximum number of machines that one controller keeps a session for.
 	MaxSessions = 5000
-	// MaxUnresponsiveLists: values of the state service that name an owner's unresponsive machines.
-	// At the least value_kb in service, 8, they hold 5,000 names of MaxMachineName bytes; of the
-	// usual 8 to 10 bytes 4,000 take seven.
+	// MaxUnresponsiveLists is the maximum number of values in the state service that list an
+	// owner's unresponsive machines. At the smallest value_kb in use, 8, they hold 5,000 names of
+	// MaxMachineName bytes; 4,000 names of the usual 8 to 10 bytes take seven values.
 	MaxUnresponsiveLists = 100
-	// MaxMachineName, bytes: longer names cannot be keys.
+	// MaxMachineName is the maximum length of a machine's name in bytes; longer names cannot be
+	// part of a key.
 	MaxMachineName = 150
-	// MaxCommands: orders in one message, far below 64 KiB.
+	// MaxCommands is the maximum number of commands in one message; they stay far below 64 KiB.
 	MaxCommands = 200
-	// UnresponsiveReports, reports: a machine unheard for this many report intervals
-	// is unresponsive.
+	// UnresponsiveReports is the number of heartbeat intervals without a sign of life after which
+	// a machine is unresponsive, unless it must be given more time to answer a direct call
+	// (settings.Workers.UnresponsiveAfter).
 	UnresponsiveReports = 2.0
-	// ReportLate, reports: reports come up to a quarter late; a machine unheard
-	// for longer than this is asked directly.
+	// ReportLate is the number of heartbeat intervals after which a heartbeat is late and the
+	// machine is queried directly. Heartbeats may come up to a quarter of the interval late.
 	ReportLate = 1.4
-	// UnresponsiveCalls: a machine that is late and has left this many direct calls
-	// in a row without answer is unresponsive.
+	// UnresponsiveCalls is the number of consecutive direct calls without an answer after which a
+	// machine whose heartbeat is late is unresponsive.
 	UnresponsiveCalls = 2
-	// SweepEvery: how often an owner looks over all its machines, also those
-	// that nothing has happened to; and for how long it gathers ended tasks
-	// while writes are short. Far inside the 3 s after which users expect done.
+	// SweepEvery is the interval at which an owner checks all its machines, including those without
+	// an event. Machines whose tasks' ends are held back while writes are scarce are then reviewed
+	// again. Users expect to see an end within 3 s.
 	SweepEvery = 400 * time.Millisecond
-	// PlaceAgain: pause before a part looks again for a machine for a task that
-	// it found none for.
+	// PlaceAgain is the pause before a shard looks again for a machine for a task that it found
+	// none for.
 	PlaceAgain = 300 * time.Millisecond
-	// FreshReports, reports: tasks go only to machines heard this recently.
+	// FreshReports is the maximum age, in heartbeat intervals, of the last heartbeat of a machine
+	// that new tasks are placed on.
 	FreshReports = 1.6
-	// UnansweredRest: pause for a machine that left a command unanswered; what
-	// was to start there starts sooner elsewhere.
+	// UnansweredRest is how long a machine that left a command unanswered gets no new tasks. What
+	// would have started there starts sooner elsewhere.
 	UnansweredRest = 5 * time.Second
-	// ForgetSession: a machine without a record that does not report is
-	// forgotten.
+	// ForgetSession is the time without a heartbeat after which the session of a machine that has
+	// no record is dropped.
 	ForgetSession = 2 * time.Minute
-	// NoticeDoubt: a task on a machine that will be taken is stopped at once if
-	// what it is expected to need still is more than this many times the notice.
+	// NoticeDoubt bounds how long a task without checkpoints may continue on a machine that will
+	// be preempted: the task is stopped at once if its expected remaining time exceeds the time
+	// until the preemption by more than this factor.
 	NoticeDoubt = 1.2
-	// SaveMargin, seconds: on top of a task's saving time before a machine is
-	// taken.
+	// SaveMargin, in seconds, is added to a task's checkpoint time to decide when it must start
+	// its checkpoint before its machine is preempted.
 	SaveMargin = 6.0
-	// RefusedRest: pause for a machine that had no room although we thought so.
+	// RefusedRest is how long a machine gets no new tasks after it refused one for lack of
+	// capacity that its record shows as free.
 	RefusedRest = time.Second
 )
--- a/internal/tuning/api.go
+++ b/internal/tuning/api.go
@@ -1,12 +1,12 @@
 package tuning
 
-// Answers to users.
+// Responses to users.
 const (
-	// AcceptAttempts: times that a submission is tried while the view changes under it; two
-	// changes follow each other where a controller is replaced.
+	// AcceptAttempts is the maximum number of attempts to commit a submission while the view
+	// changes. Where a controller is replaced, two view changes follow each other.
 	AcceptAttempts = 3
-	// FinalCache: final job states kept in memory.
+	// FinalCache is the number of final job states that a controller keeps in memory.
 	FinalCache = 20000
-	// RetryAfter, in seconds, of answers that refuse a user.
+	// RetryAfter is the Retry-After header, in seconds, of responses that refuse a user's request.
 	RetryAfter = 1
 )
--- a/internal/tuning/autoscaling.go
+++ b/internal/tuning/autoscaling.go
@@ -2,52 +2,56 @@
 
 import "time"
 
-// Scaling (DESIGN's defaults; those marked there as ours may be changed).
+// Autoscaling. The defaults are those of DESIGN, which marks the ones that may be changed.
 const (
-	// Step: the scaler's step.
+	// Step is the interval between two steps of the autoscaler.
 	Step = 10 * time.Second
-	// PlanSteps: steps planned ahead (F).
+	// PlanSteps is the number of steps that the autoscaler plans ahead (F).
 	PlanSteps = 12
-	// Samples per step (M).
+	// Samples is the number of demand samples drawn for each step (M).
 	Samples = 100
-	// Tolerance: bound on mean shortfall as a share of expected demand (d).
+	// Tolerance is the bound on the mean shortfall, as a share of the expected demand (d).
 	Tolerance = 0.05
-	// TrendSteps: steps of history that the trend is fitted to.
+	// TrendSteps is the number of steps of history that the demand trend is fitted to.
 	TrendSteps = 6
-	// TrendDamping: what each step further ahead leaves of the trend.
+	// TrendDamping is the factor by which the trend is damped for each further step ahead.
 	TrendDamping = 0.7
-	// GrainShare: share of the variance of random arrivals that is planned for.
+	// GrainShare is the share of the variance of random arrivals that the plan provides for.
 	GrainShare = 0.5
-	// FreshSteps: steps for which a fresh leader rents to current demand only.
+	// FreshSteps is the number of steps for which a new leader scales out to current demand only.
 	FreshSteps = 10
-	// DrainSteps, ReviveSteps: length of draining, and its part with revival.
-	DrainSteps  = 3
+	// DrainSteps is the length of a drain in steps.
+	DrainSteps = 3
+	// ReviveSteps is the number of those steps in which a draining machine may be put back to use.
 	ReviveSteps = 2
-	// MaxLaunchMachines: machines per rent request (the cloud's limit).
+	// MaxLaunchMachines is the maximum number of machines in a launch request (the cloud's limit).
 	MaxLaunchMachines = 50
-	// MaxDeleteNames: names per delete request (the cloud's limit).
+	// MaxDeleteNames is the maximum number of names in a delete request (the cloud's limit).
 	MaxDeleteNames = 100
-	// NoCapacity: pause before a refused kind of machine is asked for again.
+	// NoCapacity is the pause before machines are requested again from a pool (machine type, zone,
+	// spot or standard) for which the cloud had no capacity.
 	NoCapacity = 45 * time.Second
-	// BootSlack: a machine that has not come up after this many times its
-	// boot time will not.
+	// BootSlack is the multiple of a machine type's boot time after which a machine that has not
+	// come up is expected to never do so.
 	BootSlack = 4.0
-	// BootLate: boots take up to 1.5 times the boot time, seldom several times; a
-	// machine that takes longer than this many times counts as supply no more.
+	// BootLate is the multiple of a machine type's boot time after which a booting machine no
+	// longer counts as supply. Boots take up to 1.5 times the boot time, seldom several times.
 	BootLate = 1.8
-	// MinBootSlack: floor for both, for machines with very short boot times.
+	// MinBootSlack is the lower bound of the times that BootSlack and BootLate give, for machine
+	// types with very short boot times.
 	MinBootSlack = 60 * time.Second
-	// ListSlack: on top of twice the list's lag before a machine that is not
-	// listed is taken not to exist.
+	// ListSlack is added to twice the lag of the cloud's list: after that time a machine that is
+	// not listed is taken not to exist.
 	ListSlack = 3 * time.Second
-	// ListEvery: how often the leader reads the cloud's list.
+	// ListEvery is the interval at which the leader reads the cloud's list of machines.
 	ListEvery = 3 * time.Second
-	// WarmEvery: how often a controller that is to follow the leader reads the catalogue
-	// and the list: at 2,000 machines five calls, a twentieth of the cloud's for two.
+	// WarmEvery is the interval at which a controller that is to succeed the leader reads the
+	// cloud's catalog and list. At 2,000 machines these are five calls; two such controllers take a
+	// twentieth of the cloud's rate.
 	WarmEvery = 30 * time.Second
-	// CatalogEvery: how often prices are read.
+	// CatalogEvery is the interval at which the leader reads the cloud's catalog with its prices.
 	CatalogEvery = 30 * time.Second
-	// UnresponsiveDeleteShare: share of lease_s beyond lease_s after which an unresponsive
-	// machine is given up and deleted.
+	// UnresponsiveDeleteShare is the share of lease_s that is added to lease_s: after that time
+	// without a sign of life an unresponsive machine is given up and deleted.
 	UnresponsiveDeleteShare = 0.3
 )
--- a/internal/tuning/calendar.go
+++ b/internal/tuning/calendar.go
@@ -4,59 +4,61 @@
 
 // The release calendar.
 const (
-	// MaxWindows: of a calendar; 200 were measured.
+	// MaxWindows is the maximum number of windows in a calendar.
 	MaxWindows = 500
-	// MaxClassName, bytes: of a class in a window, kept in the state service.
+	// MaxClassName is the maximum length, in bytes, of a class name in a window; it is stored in
+	// the state service.
 	MaxClassName = 100
-	// MinWindow: what a window must at least have; shorter ones are over before
-	// tasks have their images.
+	// MinWindow is the minimum length of a window. Shorter ones are over before tasks have pulled
+	// their images.
 	MinWindow = time.Minute
-	// MinSlip: a window may always open so late: what proves its track free takes a
-	// report or two.
+	// MinSlip is the delay with which any window may still open, also if it allows less itself: it
+	// takes a heartbeat or two to prove that its track is free.
 	MinSlip = 15 * time.Second
-	// MaxWindow: a week, of a window's length and of each of its delays.
+	// MaxWindow is the maximum length of a window and of each of its delays: a week.
 	MaxWindow = 7 * 24 * time.Hour
-	// CalendarAhead: how far ahead windows are looked at for overlaps: more than a
-	// year, with each change of the clock.
+	// CalendarAhead is how far ahead windows are checked for overlaps: more than a year, so that
+	// every daylight-saving change is covered.
 	CalendarAhead = 400 * 24 * time.Hour
-	// MaxOccurrences: of one window that are looked at at once.
+	// MaxOccurrences is the maximum number of occurrences of one window that are computed at once.
 	MaxOccurrences = 10000
-	// PlanDays: that `calendar plan` lists at most.
+	// PlanDays is the maximum number of days that `calendar plan` lists.
 	PlanDays = 400
-	// MaxCalendarBytes: of an unpacked document.
+	// MaxCalendarBytes is the maximum size of a decompressed calendar document in bytes.
 	MaxCalendarBytes = 4 << 20
-	// MaxEndedOccurrences: occurrences of a track that are kept to be shown after their end.
+	// MaxEndedOccurrences is the number of a track's ended occurrences that are kept for display.
 	MaxEndedOccurrences = 4
-	// MaxPlannedOccurrences: occurrences of a track that stand in the state service ahead of
-	// their time; MinPlannedOccurrences: as soon as there are fewer, they are filled up by a
-	// change of their own.
+	// MaxPlannedOccurrences is the maximum number of a track's planned occurrences in the state
+	// service.
 	MaxPlannedOccurrences = 6
+	// MinPlannedOccurrences is the number of planned occurrences below which a track's record is
+	// written just to add more. Otherwise they are added with the record's next write.
 	MinPlannedOccurrences = 2
-	// PlannedAhead: how far ahead they may be.
+	// PlannedAhead is how far ahead occurrences are planned in the state service.
 	PlannedAhead = 62 * 24 * time.Hour
-	// PrepareBoots, boot times: so long before its begin a window's waiting jobs count
-	// as queued room; boots take up to 1.5 times the boot time.
+	// PrepareBoots is the multiple of the slowest machine type's boot time for which a window's
+	// waiting jobs count as demand before it begins. Boots take up to 1.5 times the boot time.
 	PrepareBoots = 1.5
-	// MinPrepare: where no machine type is known yet.
+	// MinPrepare is the minimum of that time, and its value while no machine type is known.
 	MinPrepare = 30 * time.Second
-	// CalendarPollEvery: how often a track is looked at that waits for work to end.
+	// CalendarPollEvery is the interval at which a track that waits for tasks to end is checked.
 	CalendarPollEvery = 250 * time.Millisecond
-	// CalendarIdle: how often all tracks are looked at when nothing is due.
+	// CalendarIdle is the interval at which all tracks are checked while nothing is due.
 	CalendarIdle = 30 * time.Second
-	// MaxCalendarLogged: jobs and windows that are remembered as logged; beyond that they are
-	// logged once more.
+	// MaxCalendarLogged is the maximum number of jobs and windows that are remembered as logged.
+	// Beyond that all are forgotten and may be logged once more.
 	MaxCalendarLogged = 20000
-	// CalendarChanges: tracks whose records change at a look, so that fifty windows at
-	// midnight do not take a second's changes of all.
+	// CalendarChanges is the maximum number of tracks whose records one pass changes, so that
+	// fifty windows at midnight do not use up all writes of a second.
 	CalendarChanges = 16
-	// CalendarLateCheckEvery: how often jobs are looked for that wait for a window beyond their
-	// time.
+	// CalendarLateCheckEvery is the interval of the checks for jobs that wait for a window and
+	// cannot end by their deadline.
 	CalendarLateCheckEvery = 30 * time.Second
-	// HoldsGiveUp: a machine with a task that was to stop so long ago, unheard as long,
-	// is deleted if it holds up the next window: a save takes some seconds, a lost
-	// report or two as well.
+	// HoldsGiveUp is the time after which a machine is deleted if it is unresponsive and a task on
+	// it that was to stop blocks the next window. A checkpoint takes some seconds, and so do one
+	// or two lost heartbeats.
 	HoldsGiveUp = 10 * time.Second
-	// CalendarStops: tasks stopped at a look when a window ends, so that one end does
-	// not take all changes; a gang goes whole.
+	// CalendarStops is the number of tasks after which a pass stops no more tasks for windows that
+	// end, so that one end does not use up all writes. The tasks of a gang stop together.
 	CalendarStops = 100
 )
--- a/internal/tuning/call_errors.go
+++ b/internal/tuning/call_errors.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// Refused calls counted by kind (package callerrors).
+// Refused calls, counted by kind (package callerrors).
 const (
-	// CallErrorsLogEvery: how often the log tells of calls refused; a fault that repeats at
-	// every look would otherwise fill it.
+	// CallErrorsLogEvery is the interval at which refused calls are logged. A fault that repeats
+	// with every pass would otherwise flood the log.
 	CallErrorsLogEvery = time.Minute
-	// MaxErrorKinds: kinds of refused calls counted apart between two reports; a few dozen
-	// exist. ErrorSampleBytes, bytes: of the first answer of a kind, for the log.
-	MaxErrorKinds    = 100
+	// MaxErrorKinds is the maximum number of kinds of refused calls that are counted separately
+	// between two log lines; a few dozen exist.
+	MaxErrorKinds = 100
+	// ErrorSampleBytes is how many bytes of a kind's first response are logged.
 	ErrorSampleBytes = 120
 )
--- a/internal/tuning/calls.go
+++ b/internal/tuning/calls.go
@@ -2,114 +2,130 @@
 
 import "time"
 
-// Calls to the other services.
+// Calls to the state service, the cloud and the agents.
 const (
-	// StateTimeout: most answers take 10 ms, a few some hundred.
+	// StateTimeout is the timeout of a call to the state service. Most answers take 10 ms, a few
+	// some hundred.
 	StateTimeout = 2 * time.Second
-	// WatchHold: how long the state service holds a watch open.
+	// WatchHold is how long the state service may hold a watch open.
 	WatchHold = 5 * time.Second
-	// WatchSlack: on top of WatchHold before a watch is given up.
+	// WatchSlack is added to WatchHold for a watch's timeout.
 	WatchSlack = 1500 * time.Millisecond
-	// WatchShare: share of the state service's requests that all nodes'
-	// watches together may take.
+	// WatchShare is the share of the state service's request rate that the watches of all
+	// controllers together may take.
 	WatchShare = 0.35
-	// QueryGap: pause between two readings of the epoch for users' polls; all
-	// polls that come meanwhile share one.
+	// QueryGap is the minimum pause between two reads of the epoch for users' queries. All queries
+	// that arrive meanwhile share one read.
 	QueryGap = 100 * time.Millisecond
-	// QueryTimeout: polls that could not be answered by then are refused; users
-	// wait 2 s.
+	// QueryTimeout is the age at which a query that could not be answered is refused. Users wait
+	// for 2 s.
 	QueryTimeout = 1500 * time.Millisecond
-	// QueryReadAfter: polls whose epoch the mirror has not reached by then are answered by
-	// reads of their own, which take some tens of milliseconds, while there is budget.
+	// QueryReadAfter is the age at which a query whose epoch the mirror has not reached is answered
+	// by a read of its own, if the budget allows one. Such a read takes some tens of milliseconds.
 	QueryReadAfter = 900 * time.Millisecond
-	// QueryRetry: the same while the budget holds calls back, and from when on an epoch
-	// that was not answered is read once more.
+	// QueryRetry is the minimum pause between two reads of the epoch while the budget delays calls,
+	// and the time after which a read of the epoch without an answer is followed by another.
 	QueryRetry = 400 * time.Millisecond
-	// MaxPendingQueries: polls waiting before more are refused: one for each connection that users
-	// may hold where there are some 8,000 sockets, and for a job on each of 4,000 machines.
+	// MaxPendingQueries is the number of waiting queries beyond which more are refused: one for
+	// each connection that users may hold with some 8,000 sockets, and enough for a job on each of
+	// 4,000 machines.
 	MaxPendingQueries = 5000
-	// MaxPendingReads: polls waiting for a read of their own; at 20 reads a second and node
-	// more would grow older than QueryTimeout.
+	// MaxPendingReads is the maximum number of queries that wait for a read of their own. At 20
+	// reads a second and controller, more of them would exceed QueryTimeout.
 	MaxPendingReads = 60
-	// MaxShedEntries: jobs kept whose users were sent away last, to go first the next time.
+	// MaxShedEntries is the number of jobs for which refused queries are remembered, so that the
+	// next query about such a job goes first.
 	MaxShedEntries = 4000
-	// ReadDeadline: from then on such a read is made with whatever budget there is.
+	// ReadDeadline is the time that a query waits for its own read before the read may also use
+	// the share that ReadsKept reserves for other calls. A read that must be repeated is repeated
+	// only within this time.
 	ReadDeadline = 300 * time.Millisecond
-	// ReadFresh: such a read's answer that took longer is too old to tell that a job is
-	// live; most take 10 ms.
+	// ReadFresh is the maximum duration of such a read whose answer may show that a job is live or
+	// unknown: after that the answer is too old. Most reads take 10 ms.
 	ReadFresh = 30 * time.Millisecond
-	// AckDelay: a new acknowledgement, that a job is accepted or has ended, leaves so
-	// long after it was passed on; by then no answer from before it is left to be given.
+	// AckDelay is how long a new acknowledgement, that a job is accepted or has ended, is held
+	// back after it was passed on to the other controllers. By then none of them can still send an
+	// answer that is older.
 	AckDelay = ReadFresh
-	// AckYoung: nobody can hold an answer any more that a job accepted so long ago is
-	// unknown, so that it is accepted is no new acknowledgement.
+	// AckYoung is the age at which an acceptance is no longer a new acknowledgement: no controller
+	// can still hold an answer that the job is unknown.
 	AckYoung = time.Second
-	// MaxAcks: jobs kept that something was acknowledged of last; 50 a second for 160 s.
+	// MaxAcks is the number of jobs whose last acknowledgement is kept: 50 a second for 160 s.
 	MaxAcks = 8192
-	// PeerUnresponsiveAfter: a controller whose lines have not come for so long may be cut off; they
-	// come each GossipEvery.
+	// PeerUnresponsiveAfter is the time without gossip after which another controller may be
+	// partitioned from this one. Gossip is sent every GossipEvery.
 	PeerUnresponsiveAfter = 1200 * time.Millisecond
-	// QueryUnprovenAfter: from then on a question is answered from a mirror that is not known to
-	// be as new as ReadFresh, but only late: users wait 2 s.
+	// QueryUnprovenAfter is the age at which a query is answered from a mirror that is not known
+	// to be as recent as ReadFresh. It is late in the 2 s for which users wait.
 	QueryUnprovenAfter = 600 * time.Millisecond
-	// ReadsKept: share of a second's requests that reads for polls leave to others.
+	// ReadsKept is the share of a second's requests that reads for queries leave to other calls.
 	ReadsKept = 0.25
-	// WatchGap: least pause between two watches, so that a busy store does not
-	// cost a request per change. A peer's gossip cuts it short.
+	// WatchGap is the minimum pause between two watches, so that a busy store does not cost one
+	// request per change. Gossip from another controller cuts it short.
 	WatchGap = 40 * time.Millisecond
-	// CloudTimeout: rents can be slow.
+	// CloudTimeout is the timeout of a call to the cloud. Launches can be slow.
 	CloudTimeout = 8 * time.Second
-	// CommandTimeout: an unanswered command makes the machine doubtful.
+	// CommandTimeout is the timeout of a direct call to an agent. An unanswered command makes its
+	// machine doubtful.
 	CommandTimeout = 1500 * time.Millisecond
-	// ListPage, items per page of a listing of the state service: at some 200
-	// bytes an item far below its 512 KiB (its own limit is 1000).
+	// ListPage is the number of items per page of a listing of the state service. At some 200
+	// bytes an item a page stays far below the service's 512 KiB; its own limit is 1000 items.
 	ListPage = 800
-	// CloudPage, machines per page of the cloud's list: its own limit.
+	// CloudPage is the number of machines per page of the cloud's list (the cloud's limit).
 	CloudPage = 500
-	// ListShare: share of the cloud's requests that reading its list may take.
+	// ListShare is the share of the cloud's call rate that reading its list may take.
 	ListShare = 0.25
-	// DeleteShare: share of them for deletes that are not full.
+	// DeleteShare is the share of the cloud's call rate for delete requests that name fewer than
+	// MaxDeleteNames machines.
 	DeleteShare = 0.2
-	// LaunchShare: share of them that one step's batch may take.
+	// LaunchShare is the share of the planned call rate that the launch requests of one autoscaler
+	// step may take.
 	LaunchShare = 0.6
-	// StateQueue: calls waiting for the rate budget before users are refused.
+	// StateQueue is the number of calls of one priority that may wait for the rate budget, except
+	// for calls on behalf of users.
 	StateQueue = 400
-	// UserQueue: calls waiting before calls for users are refused, where the node's share
-	// of the requests serves as many within UserCalls; MinUserQueue in any case. Users
-	// give up after 5 s (a poll after 2 s), and a call that is made then is made in vain.
-	UserQueue    = 60
+	// UserQueue is the maximum number of users' calls that may wait for the rate budget. The limit
+	// is lower where the controller's share of the requests serves fewer within UserCalls.
+	UserQueue = 60
+	// MinUserQueue is the minimum of that limit.
 	MinUserQueue = 10
-	UserCalls    = 2 * time.Second
-	// MaxRateLimitRetries: times that a call beyond the limits is sent again.
+	// UserCalls is the time within which users' waiting calls should be served. Users give up
+	// after 5 s, or 2 s for a query, and a call that is made after that is wasted.
+	UserCalls = 2 * time.Second
+	// MaxRateLimitRetries is the number of times that a call refused with 429 is sent again.
 	MaxRateLimitRetries = 3
-	// StateBudget: share of the state service's limits that all nodes
-	// together plan to use; the rest covers clock and burst differences.
+	// StateBudget is the share of the state service's limits that all controllers together plan to
+	// use. The rest covers differences of clocks and bursts.
 	StateBudget = 0.9
-	// CloudBudget: the same for the cloud; only the leader calls it, but an
-	// old leader may still do so for a moment.
+	// CloudBudget is the share of the cloud's limits that the leader plans to use. The rest covers
+	// an old leader, which may still call the cloud for a moment.
 	CloudBudget = 0.7
-	// WriteOvercommit, LeaderOvercommit: the nodes do not all write at once, so
-	// each may plan more changes than its even share; a change too many is
-	// refused and repeated, at no risk.
-	WriteOvercommit  = 1.5
+	// WriteOvercommit is the factor by which a follower may plan more writes than its even share,
+	// since not all controllers write at once. A write too many is refused and repeated, at no
+	// risk.
+	WriteOvercommit = 1.5
+	// LeaderOvercommit is that factor for the leader.
 	LeaderOvercommit = 1.3
-	// WriteShareAdaptInterval, WidenBy, WidenBack: a node that wants more changes than its share
-	// takes so much more of it each time, and goes back by this factor when the
-	// service refuses one. The leader's share was used up on days on which half
-	// of the limit was left.
+	// WriteShareAdaptInterval is the interval at which a controller adapts its share of the writes
+	// to what it needs. Without that the leader's share was exhausted on days on which half of the
+	// limit was unused.
 	WriteShareAdaptInterval = time.Second
-	WriteShareIncrease      = 0.15
-	WriteShareBackoff       = 0.75
-	// RecordLate: the record of a machine that is gone is removed with budget to
-	// spare, or at least after this.
+	// WriteShareIncrease is added to the factor on its share while a controller lacks writes.
+	WriteShareIncrease = 0.15
+	// WriteShareBackoff is what that factor is multiplied by when the state service refuses a
+	// write.
+	WriteShareBackoff = 0.75
+	// RecordLate is the time after which the record of a deleted machine is removed even without
+	// spare write budget.
 	RecordLate = 10 * time.Second
-	// AssignLateAfter: the queue is looked at this often even by a leader that is
-	// behind with its writes: after a wave of losses it may be so for long.
+	// AssignLateAfter is the time after which a leader runs a scheduling cycle, and frees the tasks
+	// of deleted machines, even if it is behind with its writes. After the loss of many machines
+	// it may be behind for long.
 	AssignLateAfter = time.Second
-	// MinBatchWrites: writes that the budget must allow for a look at the queue where
-	// changes are scarce: larger task ranges cost fewer writes for each task.
+	// MinBatchWrites is the number of writes that the budget must allow for a scheduling cycle
+	// while writes are scarce: larger task ranges take fewer writes per task.
 	MinBatchWrites = 4
-	// LeaderShare: the leader's part of the state budget; the rest is split
-	// evenly. The leader releases, closes and scales.
+	// LeaderShare is the leader's share of the state service's budget. It releases tasks, closes
+	// jobs and scales the cluster. The followers split the rest evenly.
 	LeaderShare = 0.45
 )
--- a/internal/tuning/cancellation.go
+++ b/internal/tuning/cancellation.go
@@ -4,47 +4,51 @@
 
 // Acknowledged cancellations (package cancellation).
 const (
-	// ProofMargin: leases are renewed until cancel_s - lease_s after the last proof, less
-	// this: two turns of a busy loop (0.3 s), the grain of the workers' clocks, and a
-	// launch that leaves with the last renewal.
+	// ProofMargin is subtracted from cancel_s - lease_s to get the time after the last proof for
+	// which leases are renewed. It covers two passes of a busy event loop (0.3 s), the resolution
+	// of the agents' clocks, and a launch that is sent with the last renewal.
 	ProofMargin = 1500 * time.Millisecond
-	// ProofDrift: share of cancel_s by which clocks may drift apart (0.05% each way).
+	// ProofDrift is the share of cancel_s by which clocks may drift apart (0.05% each way).
 	ProofDrift = 0.001
-	// ProofQueryAfter: while the state service does not answer, the other controllers are asked
-	// once it has proven nothing for so long.
+	// ProofQueryAfter is the time without a proof after which the other controllers are queried
+	// while the state service is unavailable.
 	ProofQueryAfter = time.Second
-	// ProofQueryEvery: pause between two rounds of questions: one short line to each other
-	// controller, and one back.
+	// ProofQueryEvery is the pause between two rounds of queries. A round is one short line to
+	// each other controller, and one back.
 	ProofQueryEvery = time.Second
-	// ProofRounds: rounds whose answers are waited for; a line that took longer than so
-	// many seconds proves nothing that a later one does not.
+	// ProofRounds is the number of query rounds whose answers are awaited. An answer that takes
+	// longer than that many seconds proves nothing that a later one does not.
 	ProofRounds = 8
-	// WatchHoldShare: share of the time left for renewals (cancel_s - lease_s less the
-	// margin) that a watch may be held at most, where that is less than WatchHold.
+	// WatchHoldShare is the maximum share of the renewal time (cancel_s - lease_s - ProofMargin)
+	// that a watch may be held open, where that is less than WatchHold.
 	WatchHoldShare = 0.25
-	// MaxAckLogEntries: cancellations kept that this process has acknowledged; two seconds of a swarm of
-	// 2,000 a second. Whoever has not taken in what was dropped proves nothing by it.
+	// MaxAckLogEntries is the number of cancellations acknowledged by this process that are kept:
+	// two seconds of a burst of 2,000 a second. A peer that has not received a dropped entry
+	// proves nothing by its answers.
 	MaxAckLogEntries = 4096
-	// MaxPeerCancellations: cancellations heard of that the mirror does not show yet, of all others.
+	// MaxPeerCancellations is the maximum number of cancellations acknowledged by all other
+	// controllers that are kept until the mirror shows them.
 	MaxPeerCancellations = 16384
-	// MaxAcksPerLine: cancellations, or acknowledged states of jobs, in one line; at 30 to 45
-	// bytes each far below MaxPeerLine.
+	// MaxAcksPerLine is the maximum number of cancellations, or of acknowledged job states, in one
+	// line. At 30 to 45 bytes each they stay far below MaxPeerLine.
 	MaxAcksPerLine = 500
-	// AckGatherFor: least pause between two lines that pass acknowledgements on; of a swarm of
-	// 2,000 a second 40 go in a line.
+	// AckGatherFor is the minimum pause between two lines that pass on acknowledgements. In a burst
+	// of 2,000 a second a line holds 40.
 	AckGatherFor = 20 * time.Millisecond
-	// AckResend: what was not confirmed is passed on again.
+	// AckResend is the time after which unconfirmed acknowledgements are sent again.
 	AckResend = time.Second
-	// MaxPeers: controllers that a line may speak of.
+	// MaxPeers is the maximum number of controllers that a line may mention.
 	MaxPeers = 64
-	// StopRelayAfter: an owner that has not confirmed a cancellation by then is taken to be
-	// out of reach: confirmations come with the next line, within GossipEvery.
+	// StopRelayAfter is the time after which an owner that has not confirmed a cancellation is
+	// considered unreachable. Confirmations come with the next line, within GossipEvery.
 	StopRelayAfter = 1500 * time.Millisecond
-	// StopRelayEvery: how often is looked for such owners' machines. MaxStopRelayCalls: calls to
-	// them under way at once. StopRelayRetry: pause before a machine is called again;
-	// StopRelayRetryClean: if it held nothing that is cancelled, for a launch may still come.
-	StopRelayEvery      = 500 * time.Millisecond
-	MaxStopRelayCalls   = 16
-	StopRelayRetry      = 2 * time.Second
+	// StopRelayEvery is the interval of the scans for the machines of such owners.
+	StopRelayEvery = 500 * time.Millisecond
+	// MaxStopRelayCalls is the maximum number of calls to these machines under way at once.
+	MaxStopRelayCalls = 16
+	// StopRelayRetry is the pause before such a machine is called again.
+	StopRelayRetry = 2 * time.Second
+	// StopRelayRetryClean is that pause if the machine held no cancelled task: a launch may still
+	// arrive there.
 	StopRelayRetryClean = 5 * time.Second
 )
--- a/internal/tuning/cli.go
+++ b/internal/tuning/cli.go
@@ -2,37 +2,36 @@
 
 import "time"
 
-// Pipeline files and the command line.
+// Pipeline files.
 const (
-	// MaxNodes, MaxDepth: of a pipeline file once its aliases are followed; one
-	// of 64 KiB without aliases has at most some 30,000.
+	// MaxNodes is the maximum number of nodes of a pipeline file once its aliases are expanded. A
+	// file of 64 KiB without aliases has at most some 30,000.
 	MaxNodes = 100_000
+	// MaxDepth is the maximum nesting depth of such a file.
 	MaxDepth = 64
 )
 
 // The command line's client.
 const (
-	// ClientTimeout: how long one controller may take to answer; the protocol
-	// gives users 5 s.
+	// ClientTimeout is the timeout of a request to one controller. The protocol gives users 5 s.
 	ClientTimeout = 5 * time.Second
-	// ClientPause, MaxClientPause: between two rounds of attempts, and the most that
-	// an answer may make it wait (protocol).
-	ClientPause    = time.Second
+	// ClientPause is the pause between two rounds of attempts (protocol).
+	ClientPause = time.Second
+	// MaxClientPause is the longest pause that a response may ask for (protocol).
 	MaxClientPause = 30 * time.Second
-	// ClientPatience: how long a request is repeated unless the user says
-	// otherwise (protocol).
+	// ClientPatience is the default of how long a request is repeated (protocol).
 	ClientPatience = 60 * time.Second
-	// ClientPoll: pause between two looks at what is waited for; a controller
+	// ClientPoll is the interval at which the client polls for what it waits for. A controller
 	// answers from memory.
 	ClientPoll = time.Second
 )
 
-// Trying it out.
+// The demonstration (`try`), which runs controllers against simulated services.
 const (
-	// SandboxStep: how often the stand-ins' clock is set after the real one.
+	// SandboxStep is the interval at which the simulation's clock is advanced to the real time.
 	SandboxStep = 10 * time.Millisecond
-	// SandboxPort: first port of the stand-ins and controllers.
+	// SandboxPort is the first port of the simulated services and the controllers.
 	SandboxPort = 7000
-	// SandboxTimeout: how long the demonstration may take as a whole.
+	// SandboxTimeout is the timeout of the whole demonstration.
 	SandboxTimeout = time.Minute
 )
--- a/internal/tuning/connections.go
+++ b/internal/tuning/connections.go
@@ -4,41 +4,43 @@
 
 // Connections.
 const (
-	// SlowRequest: a request that is not whole by then ends its connection.
+	// SlowRequest is the time within which a request must be received completely, else its
+	// connection is closed.
 	SlowRequest = 10 * time.Second
-	// IdleClient: workers report every few seconds and users ask about as often;
-	// a connection on which nothing has come for so long has nobody behind it.
+	// IdleClient is the time without input after which a client's connection is closed. Agents
+	// send heartbeats every few seconds and users poll about as often.
 	IdleClient = 90 * time.Second
-	// ListenerTick: how often slow connections are looked for.
+	// ListenerTick is the interval of the checks for slow and idle connections.
 	ListenerTick = time.Second
-	// ListenAgain: pause before a failed listener is set up again; long enough
-	// for descriptors to come free, short enough not to miss two probes.
+	// ListenAgain is the pause before a failed listener is set up again: long enough for
+	// descriptors to become free, short enough not to miss two probes.
 	ListenAgain = 100 * time.Millisecond
-	// DialTimeout: a host that does not answer is given up after this.
+	// DialTimeout is the timeout for connecting to a host.
 	DialTimeout = 1500 * time.Millisecond
-	// IdleConn: kept connections older than this are not used again, because
-	// the other side may have closed them.
+	// IdleConn is the age at which an idle client connection is not used again, since the other
+	// side may have closed it.
 	IdleConn = 30 * time.Second
-	// EventQueue: messages waiting for the loop before requests are refused.
+	// EventQueue is the number of events that may wait for the event loop before requests are
+	// refused.
 	EventQueue = 4096
-	// MemoryShare: part of the memory limit that the garbage collector aims to
-	// stay in; the rest is for stacks, buffers and the program itself.
+	// MemoryShare is the share of the memory limit that is given to the garbage collector. The
+	// rest is for stacks, buffers and the program itself.
 	MemoryShare = 0.8
-	// ReservedSockets: descriptors kept back from users for our own calls,
+	// ReservedSockets is the number of file descriptors reserved for the controller's own calls,
 	// epoll and logs.
 	ReservedSockets = 400
-	// UserConns: share of the connections that users may keep open; the rest is
-	// for workers, who must not be crowded out when users ask many times as often.
+	// UserConns is the share of the connections that users may keep open. The rest is for agents,
+	// which must not be crowded out when users send many times as many requests.
 	UserConns = 0.6
-	// CrowdedShare: of the connections allowed; while more are open, each ends with its
-	// answer. 2,700 machines that report each 8 s are then 340 connections a second, open
-	// for some milliseconds each.
+	// CrowdedShare is the share of the allowed connections beyond which every connection is closed
+	// after its response. 2,700 machines that send a heartbeat every 8 s then open 340 connections
+	// a second, each for some milliseconds.
 	CrowdedShare = 0.85
-	// StateConns, connections kept to the state service: one per concurrent
-	// call at the highest rate (250/s at 10 ms) and some air.
+	// StateConns is the number of connections kept open to the state service: one per concurrent
+	// call at the highest rate (250/s at 10 ms), and some spare ones.
 	StateConns = 8
-	// CloudConns, connections kept to the cloud.
+	// CloudConns is the number of connections kept open to the cloud.
 	CloudConns = 2
-	// MaxWorkerCalls: direct calls to workers under way at once.
+	// MaxWorkerCalls is the maximum number of direct calls to agents under way at once.
 	MaxWorkerCalls = 64
 )
--- a/internal/tuning/doc.go
+++ b/internal/tuning/doc.go
@@ -1,4 +1,4 @@
-// Package tuning holds every constant of harrierreel, each with its unit and
-// the reason for its value. Values that operators may change are defaults
-// here and are set in the HCL file (see package settings).
+// Package tuning holds the constants of harrierreel, each with its unit and, where a reader
+// would wonder, the reason for its value. Those that operators may change are defaults here;
+// the operators' HCL file overrides them (see package settings).
 package tuning
--- a/internal/tuning/lending.go
+++ b/internal/tuning/lending.go
@@ -4,58 +4,63 @@
 
 // Lending.
 const (
-	// LoanRecords, MaxLoansPerRecord: records that loans stand in, and loans in one; 160
-	// bytes a loan. Together 5,120, more than one on each of 4,000 machines. The former
-	// version reads the first 16 records alone: as a leader it takes no loan back that stands
-	// in another one, whose replica runs on. LoanRecordFillShare: share of a value's bytes
-	// up to which loans begin in a record; the rest is for what they grow by.
-	LoanRecords         = 128
-	MaxLoansPerRecord   = 40
+	// LoanRecords is the number of records that hold loans. With MaxLoansPerRecord that is 5,120
+	// loans, more than one on each of 4,000 machines. The previous version reads only the first 16
+	// records: as a leader it does not recall a loan in another record, whose replica keeps
+	// running.
+	LoanRecords = 128
+	// MaxLoansPerRecord is the maximum number of loans in a record, at 160 bytes each.
+	MaxLoansPerRecord = 40
+	// LoanRecordFillShare is the share of a value's size up to which new loans are added to a
+	// record. The rest is for the growth of its loans.
 	LoanRecordFillShare = 0.8
-	// LoanRequestTimeout: a lender that has not left after this, on a machine that still counts,
-	// is waited for no longer; saving takes seconds, an unresponsive machine is given up sooner.
+	// LoanRequestTimeout is the time after which a loan is recalled whose lender has not left its
+	// machine. A checkpoint takes seconds, and an unresponsive machine is given up sooner.
 	LoanRequestTimeout = 60 * time.Second
-	// LoanVacant: made room is kept so long for its replica.
+	// LoanVacant is how long vacated capacity is reserved for the loan's replica.
 	LoanVacant = 20 * time.Second
-	// LoanReturnReservation: room that comes back is kept so long for its lender: a look at the queue
-	// comes several times a second, a pause after a stop is none, so what does not come
-	// within this has found a place or cannot use it.
+	// LoanReturnReservation is how long returned capacity is reserved for the lender. The queue is
+	// examined several times a second and a stopped task may restart without a pause, so a lender
+	// that has not come by then runs elsewhere or cannot use the capacity.
 	LoanReturnReservation = 15 * time.Second
-	// MinLoanTime: a replica is not called back sooner; a start that is stopped within 30 s
-	// counts for nothing.
+	// MinLoanTime is how long a replica runs before it may be recalled. A start that is stopped
+	// within 30 s does not count as one.
 	MinLoanTime = 60 * time.Second
-	// CallGap: between two replicas of a service that are called back, on top of the
-	// time that the first takes to leave.
+	// CallGap is the pause between the recalls of two replicas of a service, after the first one
+	// has left.
 	CallGap = 10 * time.Second
-	// LendAgain: a job lends once in this time, so that demand that swings by the minute
-	// takes from each at most once in five swings.
+	// LendAgain is the time within which a job lends at most once by default, so that with demand
+	// that changes every minute each job lends for at most one in five changes.
 	LendAgain = 5 * time.Minute
-	// MaxLendingSearches: looks in one pass for somebody who lends. In a burst of serving some 15
-	// replicas a second wait; one looks at machines with the weights only, mostly.
+	// MaxLendingSearches is the maximum number of searches for a lender in one scheduling cycle. In
+	// a burst of serving load some 15 replicas a second wait, and most searches only examine
+	// machines that hold the model weights.
 	MaxLendingSearches = 10
-	// SweepLends: share of a job array's tasks that may be lent in that time; they do not need
-	// one another, so that an array is slowed by no more than this.
+	// SweepLends is the maximum share of a job array's tasks that may be lent within LendAgain. Its
+	// tasks do not depend on each other, so an array is slowed by no more than this share.
 	SweepLends = 0.25
-	// LoanNearEnd: what is expected to end so soon is not stopped; LoanPast: share of
-	// its run that a task which has run past its estimate is taken to need still.
+	// LoanNearEnd is the expected remaining time below which a task is not stopped for a loan.
 	LoanNearEnd = 20 * time.Second
-	LoanPast    = 0.2
-	// LoanServes: what a second that a replica waits counts for each of its accelerators
-	// against a second of lenders' work lost: users wait for it, and 10 s of fetching are
-	// worth a gang's start anew, which takes a minute on a few accelerators.
+	// LoanPast is the expected remaining time of a task that has run past its estimate, as a share
+	// of the time that it has run.
+	LoanPast = 0.2
+	// LoanServes is the cost of a second of a replica's wait, for each of its accelerators,
+	// relative to a second of lost work of lenders: users wait for the replica. Pulling for 10 s
+	// is worth restarting a gang, which takes a minute on a few accelerators.
 	LoanServes = 30.0
-	// LoanOwn: what it counts, for each accelerator, that a team's own work of lower rank
-	// gives rather than what others have beyond their guarantees.
+	// LoanOwn is the cost, for each accelerator, of taking the capacity from lower-priority work
+	// of the replica's own team rather than from what others use beyond their guarantees.
 	LoanOwn = 300 * time.Second
-	// LoanSooner: a fetch that room made on another machine saves less of is not worth
-	// it; and a replica waits so long for its room before it looks elsewhere, too.
+	// LoanSooner is the minimum pull time that a loan on another machine must save. It is also how
+	// long a replica waits for its loan before it looks for capacity elsewhere, too.
 	LoanSooner = 5 * time.Second
-	// LoanWaste: what an accelerator freed beyond the need counts as lost; the next to
-	// fit comes within about this.
+	// LoanWaste is the cost of an accelerator that is freed beyond the need. The next task that
+	// fits comes within about this time.
 	LoanWaste = 20 * time.Second
-	// LoanSave: steps that follow from the records are stored at most so late, several
-	// of a record at once. At 5 s they were 430 changes on a day of 553 loans, at 20 s 210.
+	// LoanSave is how long the progress of loans may stay unsaved, so that several changes of a
+	// record share a write; it can be derived again from the other records. On a day of 553 loans
+	// 5 s took 430 writes and 20 s took 210.
 	LoanSave = 30 * time.Second
-	// LoanLogEvery: how often the log tells the counts of loans.
+	// LoanLogEvery is the interval at which the numbers of loans are logged.
 	LoanLogEvery = time.Minute
 )
--- a/internal/tuning/loop.go
+++ b/internal/tuning/loop.go
@@ -2,24 +2,23 @@
 
 import "time"
 
-// The loop of a controller.
+// A controller's event loop.
 const (
-	// Standstill: a pause between two turns of the loop, which comes round every
-	// Pulse, that means that the process stood still. Shorter ones are a busy
-	// processor's.
+	// Standstill is the minimum gap between two events of the loop, which has one every Tick, that
+	// counts as a stall of the process. Shorter gaps also occur on a busy processor.
 	Standstill = 1500 * time.Millisecond
-	// Tick: the loop's own clock; every decision not caused by a message is
-	// taken on a pulse.
+	// Tick is the interval of the loop's timer. Every decision that no message causes is taken on
+	// a tick.
 	Tick = 100 * time.Millisecond
-	// ReconcileGap: decisions are taken at most this often; what comes in between
-	// shares a transaction.
+	// ReconcileGap is the minimum pause between two passes that take decisions. Events that arrive
+	// meanwhile share a transaction.
 	ReconcileGap = 15 * time.Millisecond
-	// LeaderGapPerMachine: on top of ReconcileGap for each machine between two passes of the
-	// leader, which look at every machine; keeps them below a tenth of a small
-	// processor share at thousands of machines.
+	// LeaderGapPerMachine is added to ReconcileGap, for each machine, between two passes of the
+	// leader, which examine every machine. With thousands of machines they then take less than a
+	// tenth of a small processor share.
 	LeaderGapPerMachine = 40 * time.Microsecond
-	// DispatchGap: how often calls that wait for the rate budget are looked at.
+	// DispatchGap is the interval at which calls that wait for the rate budget are checked.
 	DispatchGap = 10 * time.Millisecond
-	// SyncAgain: pause before a failed listing or watch is tried again.
+	// SyncAgain is the pause before a failed listing or watch is tried again.
 	SyncAgain = 300 * time.Millisecond
 )
