--- a/internal/cli/calendar.go
+++ b/internal/cli/calendar.go
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// printCalendarSummary prints the size of a valid calendar.
+// printCalendarSummary prints the revision of a valid calendar and its number of tracks and windows.
 func (a *app) printCalendarSummary(document *calendar.Document, plan *calendar.Plan) {
 	windows := 0
 	for _, track := range plan.Tracks {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -31,7 +31,7 @@
 	newClient func(servers []string, patience time.Duration) *client.Client
 }
 
-// Commands returns all commands except the one of Try.
+// Commands returns all commands except the one that Try returns.
 func Commands() []*cobra.Command { return newApp().commands() }
 
 // newApp returns an app that prints to standard output and standard error.
@@ -58,6 +58,7 @@
 	return height
 }
 
+// commands returns the commands, which all share a.
 func (a *app) commands() []*cobra.Command {
 	return []*cobra.Command{
 		a.pipelineCommand(),
--- a/internal/cli/pipeline.go
+++ b/internal/cli/pipeline.go
@@ -66,7 +66,7 @@
 		Use:   "run FILE",
 		Short: "Run a pipeline file and wait for its end",
 		Args:  cobra.ExactArgs(1),
-		RunE:  func(_ *cobra.Command, args []string) error { return a.runFile(args[0], id, detach) },
+		RunE:  func(_ *cobra.Command, args []string) error { return a.runPipelineFile(args[0], id, detach) },
 	})
 	c.Flags().StringVar(&id, "id", "",
 		"the run's id, run- and up to 40 letters, digits or dashes; by chance unless given. "+
@@ -75,8 +75,8 @@
 	return c
 }
 
-// runFile runs a pipeline file. If id is empty, the run gets a random ID.
-func (a *app) runFile(name, id string, detach bool) error {
+// runPipelineFile runs a pipeline file. If id is empty, the run gets a random ID.
+func (a *app) runPipelineFile(name, id string, detach bool) error {
 	file, faults := pipefile.Load(name)
 	if len(faults) > 0 {
 		return a.reportFaults(faults)
@@ -84,12 +84,12 @@
 	if id == "" {
 		id = newRunID()
 	}
-	return a.runParsed(file, id, detach)
+	return a.runPipeline(file, id, detach)
 }
 
-// runParsed submits a pipeline as the run with the given ID and, unless detach is set, waits for
+// runPipeline submits a pipeline as the run with the given ID and, unless detach is set, waits for
 // its end. The request is idempotent: submitting the same ID and file again starts no second run.
-func (a *app) runParsed(file *pipefile.File, id string, detach bool) error {
+func (a *app) runPipeline(file *pipefile.File, id string, detach bool) error {
 	if !pipelines.ValidID(id) {
 		return usageError("--id: must be run- and 1 to 40 lower case letters, digits or dashes")
 	}
--- a/internal/cli/rollout.go
+++ b/internal/cli/rollout.go
@@ -22,12 +22,12 @@
 }
 
 // rolloutFlags are the flags of the rollout commands.
-type rolloutFlags struct{ config, done string }
+type rolloutFlags struct{ config, replaced string }
 
 // add adds the flags to a command.
 func (f *rolloutFlags) add(c *cobra.Command) *cobra.Command {
 	c.Flags().StringVar(&f.config, "config", "", "the platform's settings file (TOML) of any controller")
-	c.Flags().StringVar(&f.done, "done", "", "controllers that were replaced already, with commas between")
+	c.Flags().StringVar(&f.replaced, "done", "", "controllers that were replaced already, with commas between")
 	return c
 }
 
@@ -54,7 +54,7 @@
 		known[peer.NodeName] = true
 	}
 	var replaced []string
-	for _, name := range strings.Split(f.done, ",") {
+	for _, name := range strings.Split(f.replaced, ",") {
 		if name = strings.TrimSpace(name); name == "" {
 			continue
 		}
@@ -175,7 +175,7 @@
 	return c
 }
 
-// seconds converts seconds to a duration.
+// seconds returns a number of seconds as a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // rolloutWaiter waits until a controller may be stopped.
@@ -192,7 +192,7 @@
 // run polls the plan until there has been no reason against stopping the controller for stableFor.
 // A change of the membership view restarts that period.
 func (w *rolloutWaiter) run() error {
-	began := w.now()
+	start := w.now()
 	var stableSince time.Time // zero while there are reasons against it
 	epoch, reported := uint64(0), ""
 	for {
@@ -215,7 +215,7 @@
 		switch {
 		case !stableSince.IsZero() && w.now().Sub(stableSince) >= w.stableFor:
 			return nil
-		case w.now().Sub(began) >= w.patience:
+		case w.now().Sub(start) >= w.patience:
 			if reported == "" {
 				reported = "the view changes again and again"
 			}
--- a/internal/cli/state.go
+++ b/internal/cli/state.go
@@ -18,7 +18,12 @@
 
 // stateCommand returns the command group for snapshots of the state service.
 func (a *app) stateCommand() *cobra.Command {
-	return commandGroup("state", "Save and check what the state service holds", a.stateDumpCommand(), a.stateVerifyCommand())
+	return commandGroup(
+		"state",
+		"Save and check what the state service holds",
+		a.stateDumpCommand(),
+		a.stateVerifyCommand(),
+	)
 }
 
 func (a *app) stateDumpCommand() *cobra.Command {
--- a/internal/cli/statesource.go
+++ b/internal/cli/statesource.go
@@ -54,8 +54,8 @@
 	return cfg, nil
 }
 
-// stateSource reads from the state service. It limits its request rate, because it shares the
-// state service's request quota with the controllers.
+// stateSource reads from the state service. It limits its request rate, because its requests reduce
+// the number that the state service accepts from controllers.
 type stateSource struct {
 	client *client.Client
 	limit  *rate.Limiter
--- a/internal/cli/try.go
+++ b/internal/cli/try.go
@@ -106,5 +106,5 @@
 	}
 	a.servers = strings.Join(servers, ",")
 	a.patience = tuning.SandboxTimeout.Seconds()
-	return a.runParsed(file, newRunID(), false)
+	return a.runPipeline(file, newRunID(), false)
 }
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -42,7 +42,7 @@
 	// next, modulo the number of servers, is the index of the server that gets the next
 	// request. It stays on a server that returned a final response.
 	next        int
-	connections map[string]*http1.Client // by server address
+	httpClients map[string]*http1.Client // by server address
 }
 
 // New returns a client that uses the network and the system clock.
@@ -52,17 +52,17 @@
 		Patience:    patience,
 		Now:         time.Now,
 		Sleep:       time.Sleep,
-		connections: map[string]*http1.Client{},
+		httpClients: map[string]*http1.Client{},
 	}
 	for _, server := range servers {
-		c.connections[server] = &http1.Client{
+		c.httpClients[server] = &http1.Client{
 			Addr:    server,
 			MaxIdle: 1,
 			MaxBody: tuning.MaxAnswerBody,
 		}
 	}
 	c.Do = func(server, method, target string, body []byte) (*http1.Message, error) {
-		return c.connections[server].Do(method, target, body, tuning.ClientTimeout)
+		return c.httpClients[server].Do(method, target, body, tuning.ClientTimeout)
 	}
 	return c
 }
@@ -94,28 +94,28 @@
 func (c *Client) Call(method, target string, body []byte) (*Answer, error) {
 	deadline := c.Now().Add(c.Patience)
 	reasons := map[string]string{} // by server, why it returned no final response
-	for noResponses := 0; ; {
-		server := c.current()
-		message, err := c.Do(server, method, target, body)
+	for networkErrors := 0; ; {
+		server := c.nextServer()
+		response, err := c.Do(server, method, target, body)
 		wait := time.Duration(0)
 		switch {
 		case err != nil:
 			reasons[server] = err.Error()
-			if noResponses++; noResponses%len(c.Servers) == 0 {
+			if networkErrors++; networkErrors%len(c.Servers) == 0 {
 				wait = tuning.ClientPause
 			}
-		case retryable(message.Status):
-			reasons[server] = fmt.Sprintf("answered %d", message.Status)
-			wait = retryPause(message)
+		case retryable(response.Status):
+			reasons[server] = fmt.Sprintf("answered %d", response.Status)
+			wait = retryPause(response)
 		default:
-			return &Answer{message.Status, message.Body, server}, nil
+			return &Answer{response.Status, response.Body, server}, nil
 		}
 		c.next++
 		if !c.Now().Add(wait).Before(deadline) {
 			return nil, c.unreachableError(reasons)
 		}
 		if c.Note != nil {
-			c.Note(fmt.Sprintf("%s: %s; trying %s", server, reasons[server], c.current()))
+			c.Note(fmt.Sprintf("%s: %s; trying %s", server, reasons[server], c.nextServer()))
 		}
 		if wait > 0 {
 			c.Sleep(wait)
@@ -123,8 +123,8 @@
 	}
 }
 
-// current returns the server that the next request goes to.
-func (c *Client) current() string { return c.Servers[c.next%len(c.Servers)] }
+// nextServer returns the server that the next request goes to.
+func (c *Client) nextServer() string { return c.Servers[c.next%len(c.Servers)] }
 
 // retryable reports whether a status code is not final: the controller is overloaded or
 // temporarily unable to serve the request.
@@ -138,8 +138,8 @@
 
 // retryPause returns the pause that a response asks for, clamped to the client's minimum and
 // maximum.
-func retryPause(message *http1.Message) time.Duration {
-	requested := time.Duration(message.RetryAfter) * time.Second
+func retryPause(response *http1.Message) time.Duration {
+	requested := time.Duration(response.RetryAfter) * time.Second
 	return min(max(requested, tuning.ClientPause), tuning.MaxClientPause)
 }
 
--- a/internal/rollout/order.go
+++ b/internal/rollout/order.go
@@ -7,9 +7,10 @@
 	"github.com/harrierreel/harrierreel/internal/standby"
 )
 
-// order returns the order in which the controllers that are left are replaced. It alternates
-// between zones where possible; within a zone, the likeliest successors of the leader come
-// first. The leader comes last, so that it hands over to a controller that is already replaced.
+// order returns the order in which to replace the controllers that are not yet replaced. It
+// alternates between zones where possible; within a zone, the likeliest successors of the leader
+// come first. The leader comes last, so that it hands over to a controller that is already
+// replaced.
 func order(all []Controller, replaced []string, leader string) []string {
 	cluster := standby.ClusterStatus{Leader: leader}
 	zones := map[string]string{}
--- a/internal/snapshot/content.go
+++ b/internal/snapshot/content.go
@@ -27,15 +27,15 @@
 
 // content is what was read from a file, which may be incomplete.
 type content struct {
-	header   header
-	mirror   *store.Mirror // applies rows and events to items
-	items    map[string]store.Item
-	lastKey  string // last key that was listed
-	listed   bool   // all keys were listed
-	epoch    uint64 // epoch up to which changes are included
-	complete bool   // the trailer was read
-	chain    chain
-	size     int64 // length of the magic and the complete blocks, in bytes
+	header    header
+	mirror    *store.Mirror // applies rows and events to items
+	items     map[string]store.Item
+	lastKey   string // last key that was listed
+	allListed bool   // all keys were listed
+	epoch     uint64 // epoch up to which changes are included
+	complete  bool   // the trailer was read
+	chain     chain
+	size      int64 // length of the magic and the complete blocks, in bytes
 }
 
 // readContent reads the blocks of a file. For an incomplete or damaged file it returns an error
@@ -78,11 +78,11 @@
 
 // apply adds the content of a block. number is the position of the block in the file, from 1.
 func (c *content) apply(kind blockKind, b []byte, number int) error {
-	if (kind == headBlock) != (number == 1) {
+	if (kind == headerBlock) != (number == 1) {
 		return errors.New("blocks out of order")
 	}
 	switch kind {
-	case headBlock:
+	case headerBlock:
 		if err := json.Unmarshal(b, &c.header); err != nil {
 			return err
 		}
@@ -96,7 +96,7 @@
 			c.mirror.Put(item.Key, item.Value, item.Revision)
 			c.lastKey = item.Key
 		}
-		c.listed = !page.More
+		c.allListed = !page.More
 	case eventsBlock:
 		var page eventPage
 		if err := json.Unmarshal(b, &page); err != nil {
@@ -104,13 +104,13 @@
 		}
 		c.mirror.ApplyEvents(page.To, page.Events)
 		c.epoch = page.To
-	case endBlock:
+	case trailerBlock:
 		var last trailer
 		if err := json.Unmarshal(b, &last); err != nil {
 			return err
 		}
 		c.complete = true
-		if last.Blocks != number-1 || last.Epoch != c.epoch || !c.listed {
+		if last.Blocks != number-1 || last.Epoch != c.epoch || !c.allListed {
 			return errors.New("its end does not fit what is there")
 		}
 	default:
--- a/internal/snapshot/format.go
+++ b/internal/snapshot/format.go
@@ -18,17 +18,17 @@
 	"github.com/harrierreel/harrierreel/internal/tuning"
 )
 
-// magic is the first line of a snapshot file.
+// magic is the first line of a snapshot file. It identifies the file format and its version.
 const magic = "harrierreel-state 1\n"
 
 // blockKind is the type of a block.
 type blockKind byte
 
 const (
-	headBlock   blockKind = 'h' // header
-	rowsBlock   blockKind = 'r' // a page of listed keys, each as of the header's epoch or a later one
-	eventsBlock blockKind = 'e' // the changes since the previous epoch, in order
-	endBlock    blockKind = 'z' // trailer: the epoch that rows and changes add up to
+	headerBlock  blockKind = 'h' // header
+	rowsBlock    blockKind = 'r' // a page of listed keys, each as of the header's epoch or a later one
+	eventsBlock  blockKind = 'e' // the changes since the previous epoch, in order
+	trailerBlock blockKind = 'z' // trailer: the epoch that rows and changes add up to
 )
 
 // header is the content of the first block of a file.
--- a/internal/snapshot/take.go
+++ b/internal/snapshot/take.go
@@ -75,7 +75,7 @@
 	if err = c.appendEvents(source, w); err != nil {
 		return 0, err
 	}
-	if err = w.writeBlock(endBlock, trailer{Epoch: c.epoch, Blocks: w.chain.blocks}); err != nil {
+	if err = w.writeBlock(trailerBlock, trailer{Epoch: c.epoch, Blocks: w.chain.blocks}); err != nil {
 		return 0, err
 	}
 	return c.epoch, f.Sync()
@@ -85,19 +85,19 @@
 // writes the header.
 func (c *content) appendRows(source Source, w *writer, now time.Time, progress func(string)) error {
 	keys := len(c.items)
-	for !c.listed {
+	for !c.allListed {
 		page, err := source.List(c.lastKey)
 		if err != nil {
 			return err
 		}
 		if w.chain.blocks == 0 {
 			c.epoch = page.Epoch
-			if err = w.writeBlock(headBlock, header{Since: page.Epoch, AtMs: now.UnixMilli()}); err != nil {
+			if err = w.writeBlock(headerBlock, header{Since: page.Epoch, AtMs: now.UnixMilli()}); err != nil {
 				return err
 			}
 		}
-		c.listed = !page.HasNext || len(page.Rows) == 0
-		if err = w.writeBlock(rowsBlock, rowPage{Rows: page.Rows, More: !c.listed}); err != nil {
+		c.allListed = !page.HasNext || len(page.Rows) == 0
+		if err = w.writeBlock(rowsBlock, rowPage{Rows: page.Rows, More: !c.allListed}); err != nil {
 			return err
 		}
 		if len(page.Rows) > 0 {
@@ -111,8 +111,8 @@
 
 // appendEvents writes the changes up to an epoch that is at least as late as every listed row.
 func (c *content) appendEvents(source Source, w *writer) error {
-	// Listed rows may be as recent as the last page, so all changes up to the epoch of another
-	// page, which is at least as late, must be included.
+	// No listed row is later than the epoch of a page that is requested now. The changes must
+	// reach that epoch for the snapshot to be consistent.
 	last, err := source.List(c.lastKey)
 	if err != nil {
 		return err
@@ -135,7 +135,7 @@
 // resume reads what an earlier attempt left, and truncates the file after its last complete block.
 // It restarts a file without any block, and one that is already complete.
 func resume(f *os.File) (*content, error) {
-	// The error does not matter: the content before it is used.
+	// An error is ignored, because it only concerns what follows the returned content.
 	c, _ := readContent(f)
 	if c == nil || c.chain.blocks == 0 || c.complete {
 		return restart(f)
@@ -147,7 +147,7 @@
 	return c, err
 }
 
-// restart truncates the file to the magic.
+// restart replaces the content of the file by the magic.
 func restart(f *os.File) (*content, error) {
 	if err := f.Truncate(0); err != nil {
 		return nil, err
