--- a/internal/simulation/quota_watch.go
+++ b/internal/simulation/quota_watch.go
@@ -12,10 +12,10 @@
 )
 
 // ApplyQuota puts another tree in force, repeating until there is a final answer.
-func (w *Simulator) ApplyQuota(a quota.Apply, done func(status int, p quota.Preview)) {
-	w.request("POST", "/quota", jobs.Encode(a), func(status int, b []byte, err error) {
+func (sim *Simulator) ApplyQuota(request quota.Apply, done func(status int, p quota.Preview)) {
+	sim.request("POST", "/quota", jobs.Encode(request), func(status int, b []byte, err error) {
 		if err != nil || status == 503 {
-			w.After(time.Second, func() { w.ApplyQuota(a, done) })
+			sim.After(time.Second, func() { sim.ApplyQuota(request, done) })
 			return
 		}
 		var p quota.Preview
@@ -53,9 +53,9 @@
 // more than its limit, unless it did so before the tree was put there, and then that
 // its use does not grow; and that whatever is stopped has a cause. stops counts the
 // causes.
-func (w *Simulator) WatchQuotas(teams map[string]quota.Team, classes []string) (stops map[string]int) {
+func (sim *Simulator) WatchQuotas(teams map[string]quota.Team, classes []string) (stops map[string]int) {
 	q := &quotaWatch{
-		sim:     w,
+		sim:     sim,
 		teams:   teams,
 		classes: classes,
 		stops:   map[string]int{},
@@ -65,8 +65,8 @@
 		account: quota.NewAccount(quota.Flat(teams)),
 	}
 	q.before = q.account.Clone()
-	w.account = q.account
-	w.observe(q.committed, q.settled)
+	sim.account = q.account
+	sim.observe(q.committed, q.settled)
 	return q.stops
 }
 
