--- a/internal/simulation/counts.go
+++ b/internal/simulation/counts.go
@@ -5,9 +5,7 @@
 	"time"
 )
 
-// Counts for measurements.
-
-// OnMachines counts the tasks on machines.
+// OnMachines returns the number of tasks that wait for their gang, run or save on all machines.
 func (sim *Simulator) OnMachines() int {
 	n := 0
 	for _, ag := range sim.Agents {
@@ -16,7 +14,7 @@
 	return n
 }
 
-// TaskCount counts the tasks on the machine.
+// TaskCount returns the number of tasks that wait for their gang, run or save on the machine.
 func (ag *Agent) TaskCount() int {
 	n := 0
 	for _, task := range ag.tasks {
@@ -27,7 +25,7 @@
 	return n
 }
 
-// TaskStarts counts the starts of tasks so far, of all jobs.
+// TaskStarts returns the number of task starts so far, over all jobs.
 func (sim *Simulator) TaskStarts() int {
 	n := 0
 	for _, j := range sim.Jobs {
@@ -36,10 +34,11 @@
 	return n
 }
 
-// CommandCount counts the commands that agents were sent so far.
+// CommandCount returns the number of commands that agents have received so far.
 func (sim *Simulator) CommandCount() int { return sim.commandCount }
 
-// ShownCount counts the machines that were shown a fencing token of this epoch.
+// ShownCount returns the number of agents that have received a fencing token of this epoch or a
+// later one.
 func (sim *Simulator) ShownCount(epoch uint64) int {
 	n := 0
 	for _, ag := range sim.Agents {
@@ -50,7 +49,7 @@
 	return n
 }
 
-// Machines lists the machines that run, by name.
+// Machines returns the sorted IDs of the machines that are running.
 func (sim *Simulator) Machines() []string {
 	var out []string
 	for h := range sim.Agents {
@@ -60,7 +59,8 @@
 	return out
 }
 
-// ProbeUser asks about a job every so often until an answer is not a refusal.
+// ProbeUser requests the status of job wk-000001 at an interval, without end, and calls answered
+// for each answer with status 200.
 func (sim *Simulator) ProbeUser(every time.Duration, answered func()) {
 	sim.request("GET", "/work/wk-000001", nil, func(status int, _ []byte, err error) {
 		if err == nil && status == 200 {
--- a/internal/simulation/messages.go
+++ b/internal/simulation/messages.go
@@ -2,38 +2,40 @@
 
 import "time"
 
-// MessageKind is which way a message passes a controller's border.
+// MessageKind is the kind and direction of a message, as seen by a controller.
 type MessageKind string
 
-// What a controller sends and what comes to it.
+// Kinds of messages.
 const (
-	RequestSent      MessageKind = "asks"    // its request to the state service, the cloud or a machine
-	ResponseReceived MessageKind = "told"    // the answer to that, or why there is none
-	RequestReceived  MessageKind = "asked"   // a user's or a machine's request to it
-	ResponseSent     MessageKind = "answers" // its answer to that
-	GossipSent       MessageKind = "says"    // its line to another controller
-	GossipReceived   MessageKind = "hears"   // another's line to it
-	Disconnected     MessageKind = "ended"   // its connection to another ended, or was refused
+	RequestSent      MessageKind = "asks"    // request to the state service, the cloud or a machine
+	ResponseReceived MessageKind = "told"    // response to such a request, or the error
+	RequestReceived  MessageKind = "asked"   // request from a user or a machine
+	ResponseSent     MessageKind = "answers" // response to such a request
+	GossipSent       MessageKind = "says"    // line of gossip to another controller
+	GossipReceived   MessageKind = "hears"   // line of gossip from another controller
+	Disconnected     MessageKind = "ended"   // connection to another controller closed or refused
 )
 
-// Message is one thing that passes between a controller and what is around it, when the
-// controller sends it or has it: one that is lost on the way is only sent.
+// Message is a message at the time that a controller sends or receives it. One that is lost in the
+// network is recorded only as sent.
 type Message struct {
-	At         time.Duration // since the start of the simulation
-	Node       string        // the controller
-	Kind       MessageKind
-	Number     int    // an answer has that of its request; others are counted by the simulator
-	Party      string // "state", "watch", "cloud", a machine's address or a controller; "" with Asked, Answers and Hears
+	At     time.Duration // since the start of the simulation
+	Node   string        // the controller
+	Kind   MessageKind
+	Number int // sequence number; a response has that of its request
+	// Party is the other side: "state", "watch", "cloud", the address of a machine or the name of a
+	// controller. It is empty for RequestReceived, ResponseSent and GossipReceived.
+	Party      string
 	Method     string
 	Target     string
-	Timeout    time.Duration // of Asks
+	Timeout    time.Duration // of RequestSent
 	Status     int
 	RetryAfter int
-	Body       []byte // not to be kept or changed
-	Err        error  // of Told, if there is no answer
+	Body       []byte // must not be retained or modified
+	Err        error  // of ResponseReceived, if there is no response
 }
 
-// record passes Simulator.Messages a message and gives back its number.
+// record passes a message to Simulator.Messages and returns the message's number.
 func (node *Node) record(m Message) int {
 	if m.Number == 0 {
 		node.sim.messageCount++
--- a/internal/simulation/stranded_test.go
+++ b/internal/simulation/stranded_test.go
@@ -150,7 +150,7 @@
 // strandedSetting is a world with the one job that is looked at.
 type strandedEnv struct {
 	sim *Simulator
-	j *Job
+	j   *Job
 }
 
 // machine puts up a machine without tasks.
