--- a/internal/simulation/calendar_watch.go
+++ b/internal/simulation/calendar_watch.go
@@ -11,33 +11,35 @@
 	"github.com/harrierreel/harrierreel/internal/taskbatch"
 )
 
-// lateStart is how long after a window's end a start of its work may be committed: the
-// clocks differ, and a transaction takes its time.
+// lateStart is how long after the end of a window a start of its tasks may still be committed, since
+// clocks differ and transactions take time.
 const lateStart = time.Second
 
-// calendarWatch is what the records say of the calendar.
+// calendarWatch checks the rules of the calendar on the records in the store.
 type calendarWatch struct {
 	sim          *Simulator
 	plan         *calendar.Plan
 	tracks       map[string]*calendar.Record
-	before       map[string]*calendar.Record // as of the transaction before
+	before       map[string]*calendar.Record // before the current transaction
 	specs        map[string]quota.Key
-	tasks        map[string]jobs.Task // tasks released to a shard or on a machine, by task ID
-	startedTasks []string             // by this transaction
-	// opened counts the openings of each occurrence, final is how it ended.
+	tasks        map[string]jobs.Task // latest recorded state by task ID
+	startedTasks []string             // task IDs that the current transaction released or placed
+	// openCounts counts the openings of each occurrence; finalStates holds the state in which it
+	// ended.
 	openCounts   map[occurrence]int
 	finalStates  map[occurrence]calendar.State
 	onTransition func(window string, to calendar.State)
 }
 
+// occurrence identifies an occurrence of a window by its start in Unix milliseconds.
 type occurrence struct {
 	track, window string
 	begin         int64
 }
 
-// WatchCalendar checks that no work of a class with windows begins but in an open
-// occurrence, that no two windows of a track are ever on machines at once, and that an
-// occurrence opens once and ends once. moved is called for each change.
+// WatchCalendar checks that tasks of a class with windows start only during an open occurrence, that
+// tasks of two windows of a track are never on machines at the same time, and that an occurrence
+// opens and ends at most once. It calls moved for each change of an occurrence's state.
 func (sim *Simulator) WatchCalendar(moved func(window string, to calendar.State)) {
 	c := &calendarWatch{
 		sim:          sim,
@@ -54,6 +56,7 @@
 	sim.calendar = c
 }
 
+// committed handles one write of a transaction.
 func (c *calendarWatch) committed(key string, v json.RawMessage) {
 	switch {
 	case key == calendar.StoreKey:
@@ -64,7 +67,7 @@
 		track := strings.TrimPrefix(key, calendar.TrackPrefix)
 		rec, err := calendar.DecodeRecord(v)
 		if err != nil && v != nil {
-			return // planted by a scenario
+			return // unreadable record written by a scenario
 		}
 		c.checkTransitions(track, c.tracks[track], rec)
 		c.tracks[track] = rec
@@ -86,6 +89,7 @@
 	}
 }
 
+// checkTransitions checks the changes of state between two versions of a track's record.
 func (c *calendarWatch) checkTransitions(track string, was, is *calendar.Record) {
 	state := map[occurrence]calendar.State{}
 	if was != nil {
@@ -122,7 +126,7 @@
 	}
 }
 
-// settled checks the tasks that a transaction let begin.
+// settled checks the tasks that a transaction released or placed.
 func (c *calendarWatch) settled() {
 	for _, taskID := range c.startedTasks {
 		jobID, _, _ := jobs.SplitTaskID(taskID)
@@ -138,7 +142,7 @@
 	}
 }
 
-// open tells whether a class may begin by a track's record.
+// windowOpen reports whether a track's record has an open occurrence for a team and class.
 func (c *calendarWatch) windowOpen(r *calendar.Record, key quota.Key) bool {
 	if r == nil {
 		return false
@@ -151,13 +155,13 @@
 	return false
 }
 
-// closed tells whether a class has windows and none of them is open.
+// windowsClosed reports whether a team and class has windows and none of them is open.
 func (c *calendarWatch) windowsClosed(key quota.Key) bool {
 	t := c.plan.TrackOf(key)
 	return t != nil && !c.windowOpen(c.tracks[t.Name], key)
 }
 
-// launched breaks on two windows of a track on machines at once.
+// checkLaunch reports a launch while a task of another window of the track is on a machine.
 func (c *calendarWatch) checkLaunch(taskID string) {
 	jobID, _, _ := jobs.SplitTaskID(taskID)
 	key := c.specs[jobID]
@@ -184,7 +188,7 @@
 	}
 }
 
-// together tells whether a window is for two classes.
+// shareWindow reports whether one window of the track includes both keys.
 func (c *calendarWatch) shareWindow(t *calendar.Track, a, b quota.Key) bool {
 	for _, w := range t.Windows {
 		if w.Has(a) && w.Has(b) {
--- a/internal/simulation/cancellations.go
+++ b/internal/simulation/cancellations.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// cancelNowWithin is how far apart the cancellations of one CancelNow are at most.
+	// cancelNowWithin is the interval over which CancelNow spreads its cancellations.
 	cancelNowWithin = 200 * time.Millisecond
-	// minRemaining is what a job has left to run at least, to be called off by CancelNow: one
-	// that ends by itself soon shows nothing.
+	// minRemaining is the minimum remaining run time of jobs that CancelNow cancels, since
+	// cancelling a job that is about to end tests nothing.
 	minRemaining = 20 * time.Second
-	// maxHungMachines machines stand still at one CancelNow.
+	// maxHungMachines is the maximum number of machines that one CancelNow hangs.
 	maxHungMachines = 8
 )
 
-// CancelNow has users call off so many jobs that run and have long to go, within a fifth of
-// a second. With hang, up to eight machines with their tasks stand still for so long. It
-// gives back how many jobs there were.
+// CancelNow cancels up to count running jobs with a long remaining run time within 200 ms. If hang
+// is positive, up to maxHungMachines machines with tasks of these jobs hang for that long. It
+// returns the number of jobs.
 func (sim *Simulator) CancelNow(count int, hang time.Duration) int {
 	var candidates []*Job
 	for _, j := range sim.sortedJobs() {
@@ -44,7 +44,7 @@
 	return len(candidates)
 }
 
-// hangUnder has machines with tasks of these jobs stand still.
+// hangMachinesOf hangs machines with tasks of these jobs for d.
 func (sim *Simulator) hangMachinesOf(js []*Job, d time.Duration) {
 	left := maxHungMachines
 	for _, machine := range sim.Machines() {
@@ -67,8 +67,8 @@
 	}
 }
 
-// RequestEverywhere has a job's user ask at every controller, repeat the submission there and,
-// once the job was called off, the cancellation too.
+// RequestEverywhere requests a job's status from every controller and repeats the submission there,
+// and also the cancellation if it has been requested.
 func (sim *Simulator) RequestEverywhere(j *Job) {
 	entryNode := sim.EntryNode
 	defer func() { sim.EntryNode = entryNode }()
@@ -92,8 +92,7 @@
 	}
 }
 
-// CancelledOn lists the tasks of jobs reported as cancelled which are on machines
-// that do not hang.
+// CancelledOn returns the tasks on machines that are not hung whose jobs were reported as cancelled.
 func (sim *Simulator) CancelledOn() (out []string) {
 	for _, ag := range sim.Agents {
 		for _, task := range ag.tasks {
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -273,7 +273,7 @@
 	node.sim.endPeers(node.Name)
 }
 
-// restartAfter is the time from the end of a process to its restart, as in production.
+// restartAfter is the time from the end of a process to its restart, as in the users' test runs.
 const restartAfter = 200 * time.Millisecond
 
 // Discard kills the process and frees its memory.
@@ -337,7 +337,8 @@
 	return sim.refusedPeers[a] || sim.refusedPeers[b]
 }
 
-// Shutdown starts a graceful shutdown; the process ends once the controller has left the view.
+// Shutdown starts a graceful shutdown; the process ends once the controller reports that it
+// has shut down.
 func (node *Node) Shutdown() {
 	gen := node.generation
 	node.shutdownSince = node.sim.Now
@@ -398,7 +399,8 @@
 // Standby returns the controller's standby state and the number of its probes that were answered.
 func (node *Node) Standby() (standby.State, int) { return node.controller.Standby() }
 
-// SuccessionOrder returns the controller's position in the order of succession to the leader.
+// SuccessionOrder returns the controller's position among the successors of the leader, -1 if it is
+// none.
 func (node *Node) SuccessionOrder() int { return node.controller.SuccessionOrder() }
 
 // LiveJobs returns the number of live jobs that the controller knows.
--- a/internal/simulation/simulator.go
+++ b/internal/simulation/simulator.go
@@ -30,8 +30,8 @@
 	seq         int
 	cuts        map[string]cutMode
 	heldPackets map[string][]func()
-	// Unresponsive lists controllers whose process does not answer connections of the other
-	// controllers; they use failover on lease expiry.
+	// Unresponsive lists controllers that don't answer probes; AddNodes sets their failover to lease
+	// expiry.
 	Unresponsive []string
 	// refusedPeers holds the controllers whose connections to and from other controllers are refused.
 	refusedPeers map[string]bool
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -8,12 +8,13 @@
 	"time"
 )
 
-// request sends a user's request to some node that is up.
+// request sends a user's request through the load balancer.
 func (sim *Simulator) request(method, target string, body []byte, done func(int, []byte, error)) {
 	sim.requestAt(sim.balancerTarget(), method, target, body, done)
 }
 
-// balanced is the controller that the load balancer sends a user to.
+// balancerTarget returns the controller to which the load balancer routes a user: EntryNode if it
+// is set, else a random one that the balancer does not avoid.
 func (sim *Simulator) balancerTarget() string {
 	name := sim.NodeNames[sim.RNG.IntN(len(sim.NodeNames))]
 	for i := 0; sim.Nodes[name].avoidedByBalancer() && i < len(sim.NodeNames); i++ {
@@ -25,7 +26,7 @@
 	return name
 }
 
-// requestAt sends a user's request to one controller.
+// requestAt sends a user's request to the given controller.
 func (sim *Simulator) requestAt(name, method, target string, body []byte, done func(int, []byte, error)) {
 	var sent time.Time
 	requested := sim.Now
@@ -44,7 +45,7 @@
 	})
 }
 
-// checkUserAnswer counts a controller's answer to a user and holds it against the protocol.
+// checkUserAnswer counts a controller's answer to a user and checks it against the protocol.
 func (sim *Simulator) checkUserAnswer(node, method, target string, status int, body []byte) {
 	sim.checkLines(node, body)
 	if status != 503 && status != 429 {
@@ -60,7 +61,7 @@
 	}
 }
 
-// Submit hands in a job until it is accepted, then polls it.
+// Submit submits a job, repeating until it is accepted or rejected, and polls an accepted job.
 func (sim *Simulator) Submit(j *Job) {
 	sim.Jobs[j.ID] = j
 	j.Done = map[int]bool{}
@@ -123,7 +124,7 @@
 	})
 }
 
-// PollJob asks about a job once, beside the user who polls it.
+// PollJob requests a job's status once, in addition to its user's polling.
 func (sim *Simulator) PollJob(j *Job) {
 	accepted := j.Accepted
 	sim.request("GET", "/work/"+j.ID, nil, func(status int, b []byte, err error) {
@@ -136,7 +137,7 @@
 	})
 }
 
-// CheckUnknown checks that a job nobody submitted is unknown.
+// CheckUnknown checks that no controller knows a job that nobody submitted.
 func (sim *Simulator) CheckUnknown(jobID string) {
 	sim.request("GET", "/work/"+jobID, nil, func(status int, _ []byte, err error) {
 		if err == nil && status == 200 && sim.Jobs[jobID] == nil {
@@ -145,7 +146,7 @@
 	})
 }
 
-// checkStatus checks an answer about a job against earlier answers.
+// checkStatus checks an answer about a job against earlier answers, and records its status.
 func (sim *Simulator) checkStatus(j *Job, body []byte) {
 	var s jobStatus
 	if json.Unmarshal(body, &s) != nil {
@@ -154,7 +155,7 @@
 	}
 	if finalStatus(j.Status) && s.Status != j.Status {
 		if !sim.answerSentAt.After(j.StatusAt) {
-			return // it crossed the other answer: of two requests at once either answer may come last
+			return // sent before the final status was received: concurrent answers may be reordered
 		}
 		sim.RuleBroken(
 			"went_back: %s was %s, is %s, asked %v and answered %v later",
@@ -173,21 +174,21 @@
 		}
 	}
 	if s.Status == "cancelled" && !j.Cancelled {
-		sim.noteCancelled(j) // whichever answer tells it first: cancel_s counts from there
+		sim.noteCancelled(j) // cancel_s counts from the first answer that says so
 	}
 }
 
-// jobStatus is what a user reads of an answer about a job.
+// jobStatus holds the fields that a user reads from an answer about a job.
 type jobStatus struct {
 	Status string `json:"status"`
 	Done   *int   `json:"done"`
 }
 
-// finalStatus tells whether a job with this status keeps it.
+// finalStatus reports whether a status is final.
 func finalStatus(status string) bool { return status == "done" || status == "cancelled" }
 
-// checkStatusCause checks that a job is only reported as cancelled or done if its user
-// cancelled it or all its tasks are done.
+// checkStatusCause checks that a job reported as cancelled was cancelled by its user, and that of
+// one reported as done all tasks are done.
 func (sim *Simulator) checkStatusCause(j *Job, status jobStatus) {
 	if status.Status == "cancelled" && !j.CancelRequested {
 		sim.RuleBroken("went_back: %s is cancelled by nobody", j.ID)
@@ -203,7 +204,7 @@
 	}
 }
 
-// Cancel cancels a job, repeating until it is answered.
+// Cancel requests the cancellation of a job, repeating until the answer is 200.
 func (sim *Simulator) Cancel(j *Job) {
 	if j.CancelRequested = true; j.CancelOpenSince.IsZero() {
 		j.CancelOpenSince = sim.Now
@@ -218,7 +219,8 @@
 	})
 }
 
-// noteCancelled notes that a user had that answer, and checks that all is gone in time.
+// noteCancelled records that the user was told of the cancellation, and checks after cancel_s that
+// no task of the job is on a machine.
 func (sim *Simulator) noteCancelled(j *Job) {
 	j.Cancelled, j.CancelledAt = true, sim.Now
 	sim.After(time.Duration(sim.CancelS*float64(time.Second))+time.Millisecond, func() {
