--- a/internal/simulation/pipeline_runs.go
+++ b/internal/simulation/pipeline_runs.go
@@ -11,19 +11,19 @@
 	"github.com/harrierreel/harrierreel/internal/sharding"
 )
 
-// Run is what a user knows of a run.
+// Run is a pipeline run as its user knows it from answers.
 type Run struct {
 	ID, State       string
-	Status          pipelines.Status // newest that was answered
+	Status          pipelines.Status // latest status that the user received
 	Body            []byte
-	Answer          int // status of the last answer to its submission
+	Answer          int // HTTP status of the last answer to the submission
 	Accepted        bool
 	CancelRequested bool
-	steps           map[string]*Job // jobs that its steps had, by uid
+	steps           map[string]*Job // jobs of its steps, by job ID
 }
 
-// SubmitRun hands in a run until it is accepted or refused for good, then polls
-// it until it is over.
+// SubmitRun submits a run, repeating until it is accepted or rejected, and polls an accepted run
+// until it is over.
 func (sim *Simulator) SubmitRun(r *Run) {
 	sim.Runs[r.ID] = r
 	r.steps = map[string]*Job{}
@@ -45,7 +45,7 @@
 	submit()
 }
 
-// ResubmitRun repeats a run's submission, perhaps with another body.
+// ResubmitRun repeats a run's submission with a body that may differ from the original.
 func (sim *Simulator) ResubmitRun(r *Run, body []byte) {
 	sim.request("POST", "/pipelines", body, func(status int, b []byte, err error) {
 		if err != nil {
@@ -74,7 +74,7 @@
 	})
 }
 
-// CancelRun cancels a run, repeating until it is answered.
+// CancelRun requests the cancellation of a run, repeating until the answer is 200.
 func (sim *Simulator) CancelRun(r *Run) {
 	r.CancelRequested = true
 	sim.request("POST", "/pipelines/"+r.ID+"/abort", nil, func(status int, b []byte, err error) {
@@ -86,8 +86,8 @@
 	})
 }
 
-// checkRunStatus checks the answer about a run against earlier answers, and
-// against what the agents did.
+// checkRunStatus checks an answer about a run against earlier answers and against what the agents
+// did, and records its status.
 func (sim *Simulator) checkRunStatus(r *Run, body []byte) {
 	var s pipelines.Status
 	for _, line := range strings.Split(string(body), "\n") {
@@ -113,8 +113,8 @@
 	}
 }
 
-// checkRunSteps checks the answer about a run's steps against earlier answers, and
-// against what the agents did.
+// checkRunSteps checks the steps in an answer about a run against earlier answers and against what
+// the agents did.
 func (sim *Simulator) checkRunSteps(r *Run, s *pipelines.Status) {
 	for i, step := range s.Steps {
 		if i < len(r.Status.Steps) {
@@ -137,7 +137,7 @@
 	}
 }
 
-// checkRunOrder checks that no step started before all that it needs had ended.
+// checkRunOrder checks that no step started before all steps that it needs had ended.
 func (sim *Simulator) checkRunOrder(r *Run, s *pipelines.Status) {
 	ends := map[string]time.Time{}
 	for _, step := range s.Steps {
@@ -157,7 +157,8 @@
 	}
 }
 
-// noteRunCancelled checks, as for jobs, that all is gone in time.
+// noteRunCancelled records the cancellation of the run's jobs, and checks after cancel_s that none
+// of their tasks is on a machine.
 func (sim *Simulator) noteRunCancelled(r *Run) {
 	for _, step := range r.Status.Steps {
 		if j := sim.Jobs[step.JobID]; j != nil && !j.Cancelled && step.Status == pipelines.Cancelled {
@@ -166,7 +167,8 @@
 	}
 }
 
-// OwnerOf is the controller that a run belongs to, by the view in the store.
+// OwnerOf returns the controller that owns a run according to the view in the store, "" if there is
+// no view.
 func (sim *Simulator) OwnerOf(id string) string {
 	v, ok := members.Decode(sim.Store.Value(members.ViewKey))
 	if !ok {
@@ -175,5 +177,5 @@
 	return sharding.Owner(id, v.Names())
 }
 
-// RunID is the id of a run by number.
+// RunID returns the ID of the n-th run.
 func RunID(n int) string { return fmt.Sprintf("run-%06d", n) }
--- a/internal/simulation/poll_bursts.go
+++ b/internal/simulation/poll_bursts.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// In a poll burst users ask every controller, again and again within milliseconds, around
-// the moment at which a job is accepted, ends, or is reported as cancelled. Some of those
-// requests come before that moment: their answers must not leave after it with what
-// was so before.
+// In a poll burst, users poll every controller repeatedly within milliseconds around the time when a
+// job is accepted, ends or is reported as cancelled. Requests that arrive before the change must not
+// be answered after it with the old status.
 const (
-	burstRequests    = 3                       // requests to each controller in one burst
-	burstWithin      = 60 * time.Millisecond   // they come within so long of it
-	burstAfterEnd    = 1200 * time.Millisecond // of an end, which shows only later
-	burstCancelShare = 0.15                    // share of those accepted whose user cancels at once
+	burstRequests    = 3                       // polls of each controller in one burst
+	burstWithin      = 60 * time.Millisecond   // maximum time from the change to a poll
+	burstAfterEnd    = 1200 * time.Millisecond // the same for the end of a job, which shows in answers only later
+	burstCancelShare = 0.15                    // share of accepted jobs that are cancelled at once
 )
 
-// PollInBursts has users poll in bursts for so long.
+// PollInBursts makes users poll in bursts for the given duration.
 func (sim *Simulator) PollInBursts(duration time.Duration) {
 	sim.pollBurstsUntil = sim.Now.Add(duration)
 }
 
-// CancelAtEnd has, for so long, that share of the jobs that end called off at the moment
-// of the end.
+// CancelAtEnd cancels a share of the jobs at about the time at which they end, for the given
+// duration.
 func (sim *Simulator) CancelAtEnd(share float64, duration time.Duration) {
 	sim.cancelAtEnd = faultRate{share, sim.Now.Add(duration)}
 }
 
-// pollBurst polls every controller, since a job's status is about to change or just changed.
+// pollBurst polls every controller and repeats the job's submission there, because the job's status
+// is about to change or has just changed.
 func (sim *Simulator) pollBurst(j *Job, within time.Duration) {
 	if !sim.Now.Before(sim.pollBurstsUntil) {
 		return
@@ -41,7 +41,7 @@
 	}
 }
 
-// jobAccepted is called once the user has the answer that a job is accepted.
+// jobAccepted is called when the user receives the answer that a job is accepted.
 func (sim *Simulator) jobAccepted(j *Job) {
 	sim.pollBurst(j, burstWithin)
 	if sim.Now.Before(sim.pollBurstsUntil) && sim.RNG.Float64() < burstCancelShare {
@@ -49,7 +49,7 @@
 	}
 }
 
-// jobEnded is called once the last task of a job has just ended on its machine.
+// jobEnded is called when the last task of a job has ended on its machine.
 func (sim *Simulator) jobEnded(j *Job) {
 	sim.pollBurst(j, burstAfterEnd)
 	if sim.faultOccurs(sim.cancelAtEnd) {
@@ -57,7 +57,7 @@
 	}
 }
 
-// pollOnce asks one controller about a job.
+// pollOnce requests a job's status from one controller.
 func (sim *Simulator) pollOnce(name string, j *Job) {
 	sim.requestAt(name, "GET", "/work/"+j.ID, nil, func(status int, b []byte, err error) {
 		switch {
@@ -81,7 +81,7 @@
 	})
 }
 
-// repeat sends a job's submission again, to one controller.
+// repeat repeats a job's submission at one controller.
 func (sim *Simulator) repeat(name string, j *Job) {
 	if !j.Accepted {
 		return
@@ -98,7 +98,7 @@
 	})
 }
 
-// PollAll asks every controller about every accepted job.
+// PollAll requests the status of every accepted job from every controller within 5 s.
 func (sim *Simulator) PollAll() {
 	for _, jobID := range slices.Sorted(maps.Keys(sim.Jobs)) {
 		if j := sim.Jobs[jobID]; j.Accepted {
--- a/internal/simulation/quota_watch.go
+++ b/internal/simulation/quota_watch.go
@@ -11,7 +11,8 @@
 	"github.com/harrierreel/harrierreel/internal/taskbatch"
 )
 
-// ApplyQuota puts another tree in force, repeating until there is a final answer.
+// ApplyQuota applies a quota tree, repeating until there is an answer other than 503, with which it
+// calls done.
 func (sim *Simulator) ApplyQuota(request quota.Apply, done func(status int, p quota.Preview)) {
 	sim.request("POST", "/quota", jobs.Encode(request), func(status int, b []byte, err error) {
 		if err != nil || status == 503 {
@@ -24,14 +25,14 @@
 	})
 }
 
-// charge is what a task in a record is charged for.
+// charge is the amount that a recorded task is charged to a quota.
 type charge struct {
 	jobID  string
 	key    quota.Key
 	amount quota.Amount
 }
 
-// recordTasks is the tasks in a task range or a batch, none in what can't be read.
+// recordTasks returns the tasks in a task range or a batch record, none if it can't be decoded.
 func recordTasks(key string, v json.RawMessage) []taskbatch.Entry {
 	if strings.HasPrefix(key, taskbatch.KeyPrefix) {
 		es, _ := taskbatch.Decode(v)
@@ -49,10 +50,9 @@
 	return es
 }
 
-// WatchQuotas checks, at each commit, that no node of the tree in the store uses
-// more than its limit, unless it did so before the tree was put there, and then that
-// its use does not grow; and that whatever is stopped has a cause. stops counts the
-// causes.
+// WatchQuotas checks at each commit that no node of the quota tree in force exceeds its limit; a node
+// over its limit since before the tree was applied may not increase its usage. It also checks that
+// every stopped task has a cause. The returned map counts stops by cause.
 func (sim *Simulator) WatchQuotas(teams map[string]quota.Team, classes []string) (stops map[string]int) {
 	q := &quotaWatch{
 		sim:     sim,
@@ -70,20 +70,20 @@
 	return q.stops
 }
 
-// quotaWatch is what the records say of the use of quotas.
+// quotaWatch checks the rules for quotas on the records in the store.
 type quotaWatch struct {
 	sim     *Simulator
 	teams   map[string]quota.Team
 	classes []string
-	stops   map[string]int // by cause
+	stops   map[string]int // count by cause
 	specs   map[string]*jobs.Spec
-	stopped map[string]bool     // attempts that were counted in stops
-	charged map[string][]charge // by record
+	stopped map[string]bool     // keys of attempts that are counted in stops
+	charged map[string][]charge // by key of the record
 	account *quota.Account
-	before  *quota.Account // as of the transaction before
+	before  *quota.Account // before the current transaction
 }
 
-// committed takes one write of a transaction.
+// committed handles one write of a transaction.
 func (q *quotaWatch) committed(key string, v json.RawMessage) {
 	switch {
 	case key == quota.StoreKey:
@@ -100,11 +100,11 @@
 	}
 }
 
-// treeCommitted puts another tree in force.
+// treeCommitted adopts a tree that was put in force.
 func (q *quotaWatch) treeCommitted(v json.RawMessage) {
 	s, err := quota.Decode(v)
 	if err != nil {
-		return // planted by a scenario
+		return // unreadable record written by a scenario
 	}
 	tree, faults := quota.Build(&s.Doc, q.teams, q.classes)
 	if tree == nil {
@@ -115,8 +115,8 @@
 	q.before = q.account.Clone()
 }
 
-// forget takes back what a job is charged for. Its record goes when the last of its tasks
-// has truly ended; what a task batch still says of it counts no more.
+// forget removes the charges of a job whose record was deleted. That happens once its last task has
+// actually ended; entries for it in task batches no longer count.
 func (q *quotaWatch) forget(jobID string) {
 	delete(q.specs, jobID)
 	for key, charges := range q.charged {
@@ -129,7 +129,7 @@
 	}
 }
 
-// tasksCommitted charges the tasks of a record, in place of what it held before.
+// tasksCommitted replaces the charges of a record by those of its current tasks.
 func (q *quotaWatch) tasksCommitted(key string, v json.RawMessage) {
 	for _, c := range q.charged[key] {
 		q.account.Charge(c.key, c.amount, -1)
@@ -150,7 +150,7 @@
 	}
 }
 
-// countStop counts an attempt that is stopped, once, by its cause.
+// countStop counts each stopped attempt once, by its cause.
 func (q *quotaWatch) countStop(taskID string, t jobs.Task) {
 	if t.Reason == "" {
 		q.sim.RuleBroken("stopped without a cause: %s", taskID)
@@ -161,7 +161,7 @@
 	}
 }
 
-// settled checks the use after a transaction.
+// settled checks the usage after a transaction.
 func (q *quotaWatch) settled() {
 	for _, i := range q.account.Over() {
 		if !q.before.Used(i).Covers(q.account.Used(i)) {
--- a/internal/simulation/task_rules.go
+++ b/internal/simulation/task_rules.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// checkStart checks the protocol's rules at a task's start.
+// checkStart checks the rules of the protocol at the start of a task.
 func (sim *Simulator) checkStart(ag *Agent, task *agentTask) {
 	j := task.job
 	if j.Starts++; j.FirstStart.IsZero() {
@@ -25,9 +25,9 @@
 	sim.checkCancelled(ag, task)
 }
 
-// besides goes through all other tasks on machines as a task starts: it breaks on one that is
-// the same task, and counts, with the new task, the accelerators of its team and the
-// job's tasks in each zone.
+// checkOtherTasks compares a starting task with all tasks on machines. It reports another attempt of
+// the same task, and returns the accelerators in use by the team and the number of the job's tasks
+// by zone, both including the starting task.
 func (sim *Simulator) checkOtherTasks(ag *Agent, task *agentTask) (used float64, zones map[string]int) {
 	used = task.job.Accelerators
 	zones = map[string]int{ag.machine.Zone: 1}
@@ -50,8 +50,8 @@
 	return used, zones
 }
 
-// misplaced tells whether a machine is none that the job may have a task on, where zones
-// counts the job's tasks in each zone.
+// misplaced reports whether the job's constraints rule out the machine, given the number of the job's
+// tasks by zone.
 func (j *Job) misplaced(ag *Agent, zones map[string]int) bool {
 	machine := ag.machine
 	switch {
@@ -67,10 +67,11 @@
 	return len(j.MachineTypes) > 0 && !slices.Contains(j.MachineTypes, machine.MachineType)
 }
 
-// Submitted tells whether a user has submitted the job.
+// Submitted reports whether a user has submitted the job.
 func (j *Job) Submitted() bool { return j.Body != nil }
 
-// checkCancelled breaks once on a task that is on its machine past cancel_s.
+// checkCancelled reports, once, a task that is on its machine for longer than cancel_s after its
+// user was told of the cancellation.
 func (sim *Simulator) checkCancelled(ag *Agent, task *agentTask) {
 	if !task.reported && task.job != nil && task.job.Cancelled &&
 		sim.Now.Sub(task.job.CancelledAt).Seconds() > sim.CancelS {
@@ -79,7 +80,7 @@
 	}
 }
 
-// TasksOn counts all tasks that are on machines.
+// TasksOn returns the number of tasks on machines.
 func (sim *Simulator) TasksOn() int {
 	c := 0
 	for _, ag := range sim.Agents {
@@ -92,7 +93,7 @@
 	return c
 }
 
-// Running counts a job's tasks that are on machines.
+// Running returns the number of a job's tasks on machines.
 func (sim *Simulator) Running(jobID string) int {
 	c := 0
 	for _, ag := range sim.Agents {
@@ -105,7 +106,7 @@
 	return c
 }
 
-// MachineOf is a machine that a job's task is on, in order of name.
+// MachineOf returns the first machine, by ID, that holds a task of a job, "" if there is none.
 func (sim *Simulator) MachineOf(jobID string) string {
 	best := ""
 	for id, ag := range sim.Agents {
@@ -118,10 +119,10 @@
 	return best
 }
 
-// startAfterCancel counts the start of a task whose user had the answer that its job is
-// cancelled. A launch that had left by then may be anywhere on its way, and a machine that
-// fetches the image starts the task if no stop comes before: these are only counted. One
-// that left later, or whose machine was answered later without a stop, breaks the rule.
+// checkStartAfterCancel counts the start of a task whose user has been told that the job is cancelled.
+// The launch may have been in flight by then, and a machine that pulls the image starts the task
+// unless a stop command arrives first: such starts are only counted. It is a violation if the launch
+// was sent later, or if a later answer to the machine's report contained no stop command.
 func (sim *Simulator) checkStartAfterCancel(ag *Agent, task *agentTask) {
 	j := task.job
 	if !j.Cancelled {
@@ -146,8 +147,9 @@
 	}
 }
 
-// noteUnstopped marks what an answer to a report, which left its controller at some time,
-// leaves on the machine of jobs whose users long had the answer that they are cancelled.
+// markUnstopped marks the tasks that an answer to a report should have stopped: those whose image is
+// being pulled and whose user was told of the cancellation more than stopsWithin before the answer
+// left its controller, at sent.
 func (ag *Agent) markUnstopped(sent time.Time) {
 	for _, task := range ag.tasks {
 		if j := task.job; j != nil && j.Cancelled && task.status == statusPulling && task.unstoppedAt.IsZero() &&
@@ -157,8 +159,8 @@
 	}
 }
 
-// checkCancelledTasks breaks on each cancelled task that is on the machine past cancel_s, be it
-// because the machine resumed with it.
+// checkCancelledTasks reports each cancelled task that is on the machine for longer than cancel_s,
+// including tasks with which a hung machine resumed.
 func (ag *Agent) checkCancelledTasks() {
 	for _, task := range ag.tasks {
 		if task.onMachine() {
--- a/internal/simulation/task_watch.go
+++ b/internal/simulation/task_watch.go
@@ -8,15 +8,15 @@
 	"github.com/harrierreel/harrierreel/internal/taskbatch"
 )
 
-// recordedTask is what the records say of one task.
+// recordedTask is the last recorded state of a task.
 type recordedTask struct {
-	in   string // record that holds it, none if none does
+	in   string // key of the record that holds it, "" if none does
 	task jobs.Task
 }
 
-// WatchTasks checks, after each transaction, that every task is in one record at most,
-// that its attempt never falls, that what is done stays done, and that no record of a task
-// on a machine goes while its job is live.
+// WatchTasks checks after each transaction that a task is in at most one record, that its attempt
+// number never decreases, that a finished task stays finished, and that the record of a task on a
+// machine is not deleted while its job is live.
 func (sim *Simulator) WatchTasks() {
 	t := &taskWatch{
 		sim:           sim,
@@ -28,16 +28,16 @@
 	sim.observe(t.committed, t.settled)
 }
 
-// taskWatch is what the records say of all tasks.
+// taskWatch checks the rules for task records in the store.
 type taskWatch struct {
 	sim           *Simulator
 	tasks         map[string]*recordedTask   // by task ID
-	tasksOfRecord map[string]map[string]bool // record to task IDs
+	tasksOfRecord map[string]map[string]bool // task IDs by key of the record
 	live          map[string]bool            // jobs that are neither done nor cancelled
-	written       map[string][]entry         // records that this transaction wrote
+	written       map[string][]entry         // entries of the records that the current transaction wrote, by key
 }
 
-// committed takes one write of a transaction.
+// committed handles one write of a transaction.
 func (t *taskWatch) committed(key string, v json.RawMessage) {
 	switch {
 	case strings.HasPrefix(key, jobs.JobPrefix):
@@ -54,7 +54,7 @@
 
 // settled checks the records that a transaction wrote.
 func (t *taskWatch) settled() {
-	lost := map[string]bool{} // tasks that a record of this transaction no longer holds
+	lost := map[string]bool{} // tasks removed from records by this transaction
 	for key := range t.written {
 		for taskID := range t.tasksOfRecord[key] {
 			lost[taskID] = true
@@ -77,7 +77,7 @@
 	clear(t.written)
 }
 
-// take notes that a record holds a task, and checks it against what was noted before.
+// recordTask stores that a record holds a task, and checks it against the task's last recorded state.
 func (t *taskWatch) recordTask(key string, e entry) {
 	known := t.tasks[e.taskID]
 	switch {
--- a/internal/simulation/unreachable.go
+++ b/internal/simulation/unreachable.go
@@ -7,9 +7,9 @@
 
 var errRefusedConnection = errors.New("connection refused")
 
-// Isolate has a machine reach no controller: its attempts to connect fail at once or find no
-// answer, as drawn for each. What is sent to it by /commands and /show arrives and is
-// answered, and none of that renews its lease.
+// Isolate sets whether a machine can't reach any controller: each attempt to connect is, at random,
+// refused at once or times out. Requests to the machine by /commands and /show still arrive and are
+// answered, but don't renew its lease.
 func (sim *Simulator) Isolate(machine string, on bool) {
 	if on {
 		sim.unreachable[machine] = true
@@ -18,7 +18,8 @@
 	}
 }
 
-// failReport is the fate of a mute machine's report: no controller hears of it.
+// failReport fails the report of an isolated machine, at random at once or by timeout; it reaches no
+// controller.
 func (sim *Simulator) failReport(done func(int, []byte, error)) {
 	if sim.RNG.IntN(2) == 0 {
 		sim.After(sim.latency(), func() { done(0, nil, errRefusedConnection) })
@@ -27,5 +28,5 @@
 	sim.After(4*time.Second, func() { done(0, nil, errTimeout) })
 }
 
-// Zone is the machine's zone.
+// Zone returns the machine's zone.
 func (ag *Agent) Zone() string { return ag.machine.Zone }
