--- a/internal/simulation/calendar_watch.go
+++ b/internal/simulation/calendar_watch.go
@@ -11,8 +11,8 @@
 	"github.com/harrierreel/harrierreel/internal/taskbatch"
 )
 
-// lateStart is how long after the end of a window a start of its tasks may still be committed, since
-// clocks differ and transactions take time.
+// lateStart is how long after the end of a window a start of its tasks may still be committed,
+// since clocks differ and transactions take time.
 const lateStart = time.Second
 
 // calendarWatch checks the rules of the calendar on the records in the store.
@@ -37,9 +37,9 @@
 	begin         int64
 }
 
-// WatchCalendar checks that tasks of a class with windows start only during an open occurrence, that
-// tasks of two windows of a track are never on machines at the same time, and that an occurrence
-// opens and ends at most once. It calls moved for each change of an occurrence's state.
+// WatchCalendar checks that tasks of a class with windows start only during an open occurrence,
+// that tasks of two windows of a track are never on machines at the same time, and that an
+// occurrence opens and ends at most once. It calls moved for each change of an occurrence's state.
 func (sim *Simulator) WatchCalendar(moved func(window string, to calendar.State)) {
 	c := &calendarWatch{
 		sim:          sim,
--- a/internal/simulation/cancellations.go
+++ b/internal/simulation/cancellations.go
@@ -92,7 +92,8 @@
 	}
 }
 
-// CancelledOn returns the tasks on machines that are not hung whose jobs were reported as cancelled.
+// CancelledOn returns the tasks on machines that are not hung whose jobs were reported as
+// cancelled.
 func (sim *Simulator) CancelledOn() (out []string) {
 	for _, ag := range sim.Agents {
 		for _, task := range ag.tasks {
--- a/internal/simulation/poll_bursts.go
+++ b/internal/simulation/poll_bursts.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// In a poll burst, users poll every controller repeatedly within milliseconds around the time when a
-// job is accepted, ends or is reported as cancelled. Requests that arrive before the change must not
-// be answered after it with the old status.
+// In a poll burst, users poll every controller repeatedly within milliseconds around the time when
+// a job is accepted, ends or is reported as cancelled. Requests that arrive before the change must
+// not be answered after it with the old status.
 const (
 	burstRequests    = 3                       // polls of each controller in one burst
 	burstWithin      = 60 * time.Millisecond   // maximum time from the change to a poll
--- a/internal/simulation/quota_watch.go
+++ b/internal/simulation/quota_watch.go
@@ -50,9 +50,9 @@
 	return es
 }
 
-// WatchQuotas checks at each commit that no node of the quota tree in force exceeds its limit; a node
-// over its limit since before the tree was applied may not increase its usage. It also checks that
-// every stopped task has a cause. The returned map counts stops by cause.
+// WatchQuotas checks at each commit that no node of the quota tree in force exceeds its limit; a
+// node over its limit since before the tree was applied may not increase its usage. It also checks
+// that every stopped task has a cause. The returned map counts stops by cause.
 func (sim *Simulator) WatchQuotas(teams map[string]quota.Team, classes []string) (stops map[string]int) {
 	q := &quotaWatch{
 		sim:     sim,
--- a/internal/simulation/stranded.go
+++ b/internal/simulation/stranded.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// hasUnstartedTasks reports whether a user waits for tasks of the job to be started. It is false for
-// jobs that fail on every machine.
+// hasUnstartedTasks reports whether a user waits for tasks of the job to be started. It is false
+// for jobs that fail on every machine.
 func (j *Job) hasUnstartedTasks(held map[int]*Agent) bool {
 	if !j.Accepted || j.CancelRequested || j.Cancelled || j.FailOn == "every" {
 		return false
@@ -210,8 +210,8 @@
 		(len(j.MachineTypes) == 0 || slices.Contains(j.MachineTypes, ag.machine.MachineType)) && j.FailOn != ag.machine.ID
 }
 
-// hasRoomFor reports whether the free resources suffice for one more task of the job, or for all tasks
-// of a gang.
+// hasRoomFor reports whether the free resources suffice for one more task of the job, or for all
+// tasks of a gang.
 func (sim *Simulator) hasRoomFor(j *Job, held map[int]*Agent, free map[*Agent]sharding.Resources) bool {
 	need := j.taskResources()
 	zoneRoom := map[string]int{} // number of tasks that fit, by zone
--- a/internal/simulation/task_rules.go
+++ b/internal/simulation/task_rules.go
@@ -25,9 +25,9 @@
 	sim.checkCancelled(ag, task)
 }
 
-// checkOtherTasks compares a starting task with all tasks on machines. It reports another attempt of
-// the same task, and returns the accelerators in use by the team and the number of the job's tasks
-// by zone, both including the starting task.
+// checkOtherTasks compares a starting task with all tasks on machines. It reports another attempt
+// of the same task, and returns the accelerators in use by the team and the number of the job's
+// tasks by zone, both including the starting task.
 func (sim *Simulator) checkOtherTasks(ag *Agent, task *agentTask) (used float64, zones map[string]int) {
 	used = task.job.Accelerators
 	zones = map[string]int{ag.machine.Zone: 1}
@@ -50,8 +50,8 @@
 	return used, zones
 }
 
-// misplaced reports whether the job's constraints rule out the machine, given the number of the job's
-// tasks by zone.
+// misplaced reports whether the job's constraints rule out the machine, given the number of the
+// job's tasks by zone.
 func (j *Job) misplaced(ag *Agent, zones map[string]int) bool {
 	machine := ag.machine
 	switch {
@@ -119,10 +119,11 @@
 	return best
 }
 
-// checkStartAfterCancel counts the start of a task whose user has been told that the job is cancelled.
-// The launch may have been in flight by then, and a machine that pulls the image starts the task
-// unless a stop command arrives first: such starts are only counted. It is a violation if the launch
-// was sent later, or if a later answer to the machine's report contained no stop command.
+// checkStartAfterCancel counts the start of a task whose user has been told that the job is
+// cancelled. The launch may have been in flight by then, and a machine that pulls the image starts
+// the task unless a stop command arrives first: such starts are only counted. It is a violation if
+// the launch was sent later, or if a later answer to the machine's report contained no stop
+// command.
 func (sim *Simulator) checkStartAfterCancel(ag *Agent, task *agentTask) {
 	j := task.job
 	if !j.Cancelled {
@@ -147,9 +148,9 @@
 	}
 }
 
-// markUnstopped marks the tasks that an answer to a report should have stopped: those whose image is
-// being pulled and whose user was told of the cancellation more than stopsWithin before the answer
-// left its controller, at sent.
+// markUnstopped marks the tasks that an answer to a report should have stopped: those whose image
+// is being pulled and whose user was told of the cancellation more than stopsWithin before the
+// answer left its controller, at sent.
 func (ag *Agent) markUnstopped(sent time.Time) {
 	for _, task := range ag.tasks {
 		if j := task.job; j != nil && j.Cancelled && task.status == statusPulling && task.unstoppedAt.IsZero() &&
--- a/internal/simulation/task_watch.go
+++ b/internal/simulation/task_watch.go
@@ -77,7 +77,8 @@
 	clear(t.written)
 }
 
-// recordTask stores that a record holds a task, and checks it against the task's last recorded state.
+// recordTask stores that a record holds a task, and checks it against the task's last recorded
+// state.
 func (t *taskWatch) recordTask(key string, e entry) {
 	known := t.tasks[e.taskID]
 	switch {
--- a/internal/simulation/unreachable.go
+++ b/internal/simulation/unreachable.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// failReport fails the report of an isolated machine, at random at once or by timeout; it reaches no
-// controller.
+// failReport fails the report of an isolated machine, at random at once or by timeout; it reaches
+// no controller.
 func (sim *Simulator) failReport(done func(int, []byte, error)) {
 	if sim.RNG.IntN(2) == 0 {
 		sim.After(sim.latency(), func() { done(0, nil, errRefusedConnection) })
