--- a/internal/simulation/late_messages.go
+++ b/internal/simulation/late_messages.go
@@ -27,9 +27,9 @@
 // Ranges of the delay of late transactions and of replayed reports. The upper limit for reports is
 // a multiple of the agents' lease.
 const (
-	lateWriteFrom, lateWriteTo = 2 * time.Second, 12 * time.Second
-	lateReportFrom             = 2 * time.Second
-	lateReportLeases           = 1.5
+	minLateWriteDelay, maxLateWriteDelay = 2 * time.Second, 12 * time.Second
+	minReplayDelay                       = 2 * time.Second
+	maxReplayLeases                      = 1.5
 )
 
 // LateWrites delays a share of transactions, for the given duration. They get no answer and are
@@ -133,6 +133,6 @@
 	if !sim.faultOccurs(sim.lateReports) {
 		return
 	}
-	longest := time.Duration(lateReportLeases * sim.LeaseS * float64(time.Second))
-	sim.After(sim.randomDuration(lateReportFrom, longest), func() { sim.replayReport(node, body) })
+	longest := time.Duration(maxReplayLeases * sim.LeaseS * float64(time.Second))
+	sim.After(sim.randomDuration(minReplayDelay, longest), func() { sim.replayReport(node, body) })
 }
--- a/internal/simulation/leader_events.go
+++ b/internal/simulation/leader_events.go
@@ -37,6 +37,7 @@
 	sim.leaderEvents.handlers[moment] = f
 }
 
+// fireEvent calls the handler of an event, if there is one.
 func (sim *Simulator) fireEvent(name string) {
 	if f := sim.leaderEvents.handlers[name]; f != nil {
 		f()
--- a/internal/simulation/pipeline_runs.go
+++ b/internal/simulation/pipeline_runs.go
@@ -60,6 +60,7 @@
 	})
 }
 
+// pollRun requests a run's status every 2 s until it is over.
 func (sim *Simulator) pollRun(r *Run) {
 	sim.request("GET", "/pipelines/"+r.ID, nil, func(status int, b []byte, err error) {
 		if err == nil && status == 404 {
@@ -109,7 +110,7 @@
 	sim.checkRunOrder(r, &s)
 	r.Status, r.State = s, string(s.Status)
 	if s.Status == pipelines.RunCancelled {
-		sim.noteRunCancelled(r)
+		sim.recordRunCancelled(r)
 	}
 }
 
@@ -157,12 +158,12 @@
 	}
 }
 
-// noteRunCancelled records the cancellation of the run's jobs, and checks after cancel_s that none
-// of their tasks is on a machine.
-func (sim *Simulator) noteRunCancelled(r *Run) {
+// recordRunCancelled records the cancellation of the run's jobs, and checks after cancel_s that
+// none of their tasks is on a machine.
+func (sim *Simulator) recordRunCancelled(r *Run) {
 	for _, step := range r.Status.Steps {
 		if j := sim.Jobs[step.JobID]; j != nil && !j.Cancelled && step.Status == pipelines.Cancelled {
-			sim.noteCancelled(j)
+			sim.recordCancelled(j)
 		}
 	}
 }
--- a/internal/simulation/simulator.go
+++ b/internal/simulation/simulator.go
@@ -25,11 +25,11 @@
 	gossipRNG *rand.Rand
 	Log       *slog.Logger
 
-	events      eventHeap
-	lateness    map[string]*lateness
-	seq         int
-	cuts        map[string]cutMode
-	heldPackets map[string][]func()
+	events        eventHeap
+	requestDelays map[string]*requestDelay
+	seq           int
+	cuts          map[string]cutMode
+	heldPackets   map[string][]func()
 	// Unresponsive lists controllers that don't answer probes; AddNodes sets their failover to lease
 	// expiry.
 	Unresponsive []string
@@ -56,7 +56,7 @@
 	KeepImages bool   // machines cache the images that they have pulled
 	Loans      *Loans // nil if loans of GPUs are not watched
 	Nodes      map[string]*Node
-	NodeNames  []string // node names
+	NodeNames  []string
 
 	// Durations of the protocol in seconds.
 	LeaseS, ReportS, CancelS, GangWaitS, GangPeerS float64
@@ -73,8 +73,8 @@
 	StartsAfterCancel int
 	InvalidAnswers    invalidCounts // answers to invalid requests
 
-	// answerSentAt is when the answer that is being processed left its controller,
-	// requestSentAt when its request was sent.
+	// answerSentAt is when the answer that is being processed left its controller, requestSentAt when
+	// its request was sent.
 	answerSentAt, requestSentAt time.Time
 	commandCount                int // commands that agents have received
 
@@ -159,25 +159,25 @@
 			0,
 			time.UTC,
 		),
-		RNG:          rand.New(rand.NewPCG(seed, 1)),
-		gossipRNG:    rand.New(rand.NewPCG(seed, 2)),
-		Log:          log,
-		cuts:         map[string]cutMode{},
-		lateness:     map[string]*lateness{},
-		heldPackets:  map[string][]func(){},
-		refusedPeers: map[string]bool{},
-		unreachable:  map[string]bool{},
-		Agents:       map[string]*Agent{},
-		Jobs:         map[string]*Job{},
-		Runs:         map[string]*Run{},
-		Nodes:        map[string]*Node{},
-		LeaseS:       30,
-		ReportS:      3,
-		CancelS:      60,
-		GangWaitS:    30,
-		GangPeerS:    5,
-		TeamLimits:   map[string]float64{},
-		ClockOffsets: map[string]time.Duration{},
+		RNG:           rand.New(rand.NewPCG(seed, 1)),
+		gossipRNG:     rand.New(rand.NewPCG(seed, 2)),
+		Log:           log,
+		cuts:          map[string]cutMode{},
+		requestDelays: map[string]*requestDelay{},
+		heldPackets:   map[string][]func(){},
+		refusedPeers:  map[string]bool{},
+		unreachable:   map[string]bool{},
+		Agents:        map[string]*Agent{},
+		Jobs:          map[string]*Job{},
+		Runs:          map[string]*Run{},
+		Nodes:         map[string]*Node{},
+		LeaseS:        30,
+		ReportS:       3,
+		CancelS:       60,
+		GangWaitS:     30,
+		GangPeerS:     5,
+		TeamLimits:    map[string]float64{},
+		ClockOffsets:  map[string]time.Duration{},
 	}
 	sim.Now = sim.Start
 	sim.Store = newStore(sim)
@@ -193,12 +193,14 @@
 	sim.Broken = append(sim.Broken, fmt.Sprintf("%.3f s: ", sim.At().Seconds())+fmt.Sprintf(format, args...))
 }
 
+// event is a scheduled callback; seq orders events of the same time.
 type event struct {
 	at  time.Time
 	seq int
 	f   func()
 }
 
+// eventHeap is a heap.Interface of events, ordered by time.
 type eventHeap []event
 
 func (h eventHeap) Len() int { return len(h) }
--- a/internal/simulation/unreachable.go
+++ b/internal/simulation/unreachable.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-var errRefusedConnection = errors.New("connection refused")
+var errConnectionRefused = errors.New("connection refused")
 
 // Isolate sets whether a machine can't reach any controller: each attempt to connect is, at random,
 // refused at once or times out. Requests to the machine by /commands and /show still arrive and are
@@ -22,7 +22,7 @@
 // no controller.
 func (sim *Simulator) failReport(done func(int, []byte, error)) {
 	if sim.RNG.IntN(2) == 0 {
-		sim.After(sim.latency(), func() { done(0, nil, errRefusedConnection) })
+		sim.After(sim.latency(), func() { done(0, nil, errConnectionRefused) })
 		return
 	}
 	sim.After(4*time.Second, func() { done(0, nil, errTimeout) })
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -96,6 +96,7 @@
 // Resubmit repeats a job's submission.
 func (sim *Simulator) Resubmit(j *Job) { sim.resubmitAt(sim.balancerTarget(), j) }
 
+// resubmitAt repeats a job's submission at one controller.
 func (sim *Simulator) resubmitAt(node string, j *Job) {
 	sim.requestAt(node, "POST", "/work", j.Body, func(status int, b []byte, err error) {
 		if err == nil && j.Accepted && (status == 400 || status == 422 || status == 201) {
@@ -107,6 +108,7 @@
 	})
 }
 
+// poll requests a job's status every 2 s, and every 15 s once it is final.
 func (sim *Simulator) poll(j *Job) {
 	sim.request("GET", "/work/"+j.ID, nil, func(status int, b []byte, err error) {
 		if err == nil && status == 404 {
@@ -118,7 +120,7 @@
 		}
 		again := 2 * time.Second
 		if j.Status == "done" || j.Status == "cancelled" {
-			again = 15 * time.Second // only to see that it stays so
+			again = 15 * time.Second // only to check that the status remains
 		}
 		sim.After(again, func() { sim.poll(j) })
 	})
@@ -174,7 +176,7 @@
 		}
 	}
 	if s.Status == "cancelled" && !j.Cancelled {
-		sim.noteCancelled(j) // cancel_s counts from the first answer that says so
+		sim.recordCancelled(j) // cancel_s counts from the first answer that says so
 	}
 }
 
@@ -219,9 +221,9 @@
 	})
 }
 
-// noteCancelled records that the user was told of the cancellation, and checks after cancel_s that
-// no task of the job is on a machine.
-func (sim *Simulator) noteCancelled(j *Job) {
+// recordCancelled records that the user was told of the cancellation, and checks after cancel_s
+// that no task of the job is on a machine.
+func (sim *Simulator) recordCancelled(j *Job) {
 	j.Cancelled, j.CancelledAt = true, sim.Now
 	sim.After(time.Duration(sim.CancelS*float64(time.Second))+time.Millisecond, func() {
 		for _, ag := range sim.Agents {
