--- a/internal/simulation/calendar_watch.go
+++ b/internal/simulation/calendar_watch.go
@@ -21,7 +21,7 @@
 	plan         *calendar.Plan
 	tracks       map[string]*calendar.Record
 	before       map[string]*calendar.Record // before the current transaction
-	specs        map[string]quota.Key        // team and class by job ID
+	quotaKeys    map[string]quota.Key        // team and class by job ID
 	tasks        map[string]jobs.Task        // latest recorded state by task ID
 	startedTasks []string                    // task IDs that the current transaction assigned or placed
 	// openCounts counts the openings of each occurrence; finalStates holds the state in which it
@@ -46,7 +46,7 @@
 		sim:          sim,
 		tracks:       map[string]*calendar.Record{},
 		before:       map[string]*calendar.Record{},
-		specs:        map[string]quota.Key{},
+		quotaKeys:    map[string]quota.Key{},
 		tasks:        map[string]jobs.Task{},
 		openCounts:   map[occurrence]int{},
 		finalStates:  map[occurrence]calendar.State{},
@@ -75,7 +75,7 @@
 	case strings.HasPrefix(key, jobs.JobPrefix):
 		jobID := key[len(jobs.JobPrefix):]
 		if r, err := jobs.DecodeRecord(jobID, v); err == nil {
-			c.specs[jobID] = r.Spec.QuotaKey()
+			c.quotaKeys[jobID] = r.Spec.QuotaKey()
 		}
 	case strings.HasPrefix(key, jobs.TaskPrefix), strings.HasPrefix(key, taskbatch.KeyPrefix):
 		for _, e := range recordTasks(key, v) {
@@ -131,7 +131,7 @@
 func (c *calendarWatch) settled() {
 	for _, taskID := range c.startedTasks {
 		jobID, _, _ := jobs.SplitTaskID(taskID)
-		key := c.specs[jobID]
+		key := c.quotaKeys[jobID]
 		t := c.plan.TrackOf(key)
 		if t != nil && !c.windowOpen(c.tracks[t.Name], key) && !c.windowOpen(c.before[t.Name], key) {
 			c.sim.RuleBroken("calendar: %s of %s begins out of its window", taskID, key.Class)
@@ -165,7 +165,7 @@
 // checkLaunch reports a launch while a task of another window of the track is on a machine.
 func (c *calendarWatch) checkLaunch(taskID string) {
 	jobID, _, _ := jobs.SplitTaskID(taskID)
-	key := c.specs[jobID]
+	key := c.quotaKeys[jobID]
 	t := c.plan.TrackOf(key)
 	if t == nil {
 		return
@@ -173,7 +173,7 @@
 	for _, ag := range c.sim.Agents {
 		for _, task := range ag.tasks {
 			otherJobID, _, _ := jobs.SplitTaskID(task.taskID)
-			otherKey := c.specs[otherJobID]
+			otherKey := c.quotaKeys[otherJobID]
 			if task.status == statusEnded || otherKey == key ||
 				c.plan.TrackOf(otherKey) != t || c.shareWindow(t, key, otherKey) {
 				continue
